--- a/src/main/java/laurelkeel/admin/Admin.java
+++ b/src/main/java/laurelkeel/admin/Admin.java
@@ -83,14 +83,23 @@
     private HttpAnswer answer(HttpReq r) {
         boolean get = r.method().equals("GET") || r.method().equals("HEAD");
         String h = r.path().equals("/health") ? health.get() : null;
-        String text = !get ? "this address takes GET\n" : h != null ? h + "\n" : r.path().equals("/metrics") ? metrics.get()
-                : "here are /health and /metrics\n";
-        int status = !get ? 405 : h != null ? h.equals("ok") ? 200 : 503 : r.path().equals("/metrics") ? 200 : 404;
+        String text = !get
+                ? "this address takes GET\n"
+                : h != null
+                        ? h + "\n"
+                        : r.path().equals("/metrics") ? metrics.get() : "here are /health and /metrics\n";
+        int status =
+                !get ? 405 : h != null ? h.equals("ok") ? 200 : 503 : r.path().equals("/metrics") ? 200 : 404;
         Headers headers = Headers.of("Content-Type", "text/plain; version=0.0.4; charset=utf-8");
         if (r.last()) {
             headers.add("Connection", "close");
         }
-        return new HttpAnswer(status, 1, headers, text.getBytes(StandardCharsets.UTF_8), r.method().equals("HEAD"));
+        return new HttpAnswer(
+                status,
+                1,
+                headers,
+                text.getBytes(StandardCharsets.UTF_8),
+                r.method().equals("HEAD"));
     }
 
     /** Its address, with the real port once it is started. */
--- a/src/main/java/laurelkeel/admin/Jvm.java
+++ b/src/main/java/laurelkeel/admin/Jvm.java
@@ -6,7 +6,7 @@
 
 /** What this process has used since its start. */
 public final class Jvm {
-    private Jvm() { }
+    private Jvm() {}
 
     public static double cpuSeconds() {
         return ((OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean()).getProcessCpuTime() / 1e9;
--- a/src/main/java/laurelkeel/audit/Audit.java
+++ b/src/main/java/laurelkeel/audit/Audit.java
@@ -9,7 +9,7 @@
 
 /** Judges the five rules. */
 public final class Audit {
-    private Audit() { }
+    private Audit() {}
 
     /** @param records by time; see Recorder.readAll */
     public static Judgement judge(List<Rec> records) {
--- a/src/main/java/laurelkeel/audit/ColdKept.java
+++ b/src/main/java/laurelkeel/audit/ColdKept.java
@@ -39,15 +39,21 @@
             }
             double warmth = m.coldFrom() + (1 - m.coldFrom()) * Math.max(0, age) / (double) m.coldFor();
             double most = m.tipMultiple() * warmth * m.capacity() * m.tipAfter() / 10_000 + SLACK;
-            near(window.size() / most, window.size() + " reqs in " + ms(m.tipAfter()) + " at " + m.machine() + ", "
-                    + ms(age) + " after its start, of " + Math.round(most));
+            near(
+                    window.size() / most,
+                    window.size() + " reqs in " + ms(m.tipAfter()) + " at " + m.machine() + ", " + ms(age)
+                            + " after its start, of " + Math.round(most));
             if (window.size() > most && !broken) {
                 broken = true;
                 long knew = window.stream().filter(x -> toldOf(traffic, x, m)).count();
                 if (knew * 3 >= window.size() * 2) {
-                    breach(a.t(), a.req(), m.machine() + " was pushed over " + ms(age) + " after its start: "
-                            + window.size() + " reqs in " + ms(m.tipAfter()) + " of " + Math.round(most) + ", " + knew
-                            + " of them from fronts that knew");
+                    breach(
+                            a.t(),
+                            a.req(),
+                            m.machine() + " was pushed over " + ms(age) + " after its start: "
+                                    + window.size() + " reqs in " + ms(m.tipAfter()) + " of " + Math.round(most) + ", "
+                                    + knew
+                                    + " of them from fronts that knew");
                 }
             }
         }
@@ -59,7 +65,9 @@
         if (life != null) {
             for (Rec.ToldList l : life.lists) {
                 if (l.t() <= a.t()) {
-                    l.machines().stream().filter(e -> e.machine().equals(m.machine())).forEach(e -> known.add(e.run()));
+                    l.machines().stream()
+                            .filter(e -> e.machine().equals(m.machine()))
+                            .forEach(e -> known.add(e.run()));
                 }
             }
         }
--- a/src/main/java/laurelkeel/audit/DrainsKept.java
+++ b/src/main/java/laurelkeel/audit/DrainsKept.java
@@ -29,11 +29,16 @@
                 if (out != null) {
                     long later = s.t() - out;
                     long grace = traffic.rules.drainGrace();
-                    near(later / (double) Math.max(1, grace), s.req() + " reached " + s.machine() + " " + ms(later)
-                            + " after front " + life.front + " was told that it drains or is gone");
+                    near(
+                            later / (double) Math.max(1, grace),
+                            s.req() + " reached " + s.machine() + " " + ms(later) + " after front " + life.front
+                                    + " was told that it drains or is gone");
                     if (later > grace + EDGE) {
-                        breach(s.t(), s.req(), "front " + life.front + " sent to " + s.machine() + " " + ms(later)
-                                + " after it was told that it drains or is gone");
+                        breach(
+                                s.t(),
+                                s.req(),
+                                "front " + life.front + " sent to " + s.machine() + " " + ms(later)
+                                        + " after it was told that it drains or is gone");
                     }
                 } else {
                     near(0, "-");
--- a/src/main/java/laurelkeel/audit/Exposure.java
+++ b/src/main/java/laurelkeel/audit/Exposure.java
@@ -28,8 +28,13 @@
         }
         for (Life life : traffic.lives.values()) {
             Timeline told = new Timeline(life.news, traffic.rules.stageCaps().get(0));
-            caps(traffic, life, told, takenBy.getOrDefault(life.front, List.of()).stream()
-                    .filter(r -> r.asked.t() >= life.from - EDGE).toList());
+            caps(
+                    traffic,
+                    life,
+                    told,
+                    takenBy.getOrDefault(life.front, List.of()).stream()
+                            .filter(r -> r.asked.t() >= life.from - EDGE)
+                            .toList());
             if (traffic.rules.keysStay()) {
                 keys(traffic, life, told);
             }
@@ -42,12 +47,14 @@
      */
     private record Takes(long[] asked, long[] seen) {
         static Takes of(List<Req> reqs) {
-            return new Takes(reqs.stream().mapToLong(q -> q.asked.t()).sorted().toArray(),
+            return new Takes(
+                    reqs.stream().mapToLong(q -> q.asked.t()).sorted().toArray(),
                     reqs.stream().mapToLong(Takes::seen).sorted().toArray());
         }
 
         private static long seen(Req q) {
-            long answered = q.answers.isEmpty() ? q.asked.leaves() : q.answers.get(0).t();
+            long answered =
+                    q.answers.isEmpty() ? q.asked.leaves() : q.answers.get(0).t();
             return q.arrived.stream().mapToLong(Rec.Arrived::t).reduce(answered, Math::min);
         }
 
@@ -58,7 +65,7 @@
 
         private static int below(long[] sorted, long than) {
             int low = 0;
-            for (int high = sorted.length; low < high;) {
+            for (int high = sorted.length; low < high; ) {
                 int middle = (low + high) >>> 1;
                 if (sorted[middle] < than) {
                     low = middle + 1;
@@ -98,21 +105,34 @@
             while (!window.isEmpty() && window.peek() < from) {
                 window.poll();
             }
-            int most = takes.computeIfAbsent(route, k -> Takes.of(taken.stream()
-                    .filter(q -> k.isEmpty() || q.asked.route().equals(k)).toList()))
+            int most = takes.computeIfAbsent(
+                            route,
+                            k -> Takes.of(taken.stream()
+                                    .filter(q -> k.isEmpty() || q.asked.route().equals(k))
+                                    .toList()))
                     .between(r.asked.t() - rules.window(), s.t());
             double allowed = rules.free() + cap * most;
-            near(window.size() / Math.max(1, allowed), window.size() + " tries of front " + life.front + " at build "
-                    + s.build() + " within " + ms(rules.window()) + ", of " + String.format("%.1f", allowed));
+            near(
+                    window.size() / Math.max(1, allowed),
+                    window.size() + " tries of front " + life.front + " at build " + s.build() + " within "
+                            + ms(rules.window()) + ", of " + String.format("%.1f", allowed));
             if (cap <= 0 || window.size() > allowed) {
-                breach(s.t(), s.req(), "front " + life.front + " had " + window.size() + " tries at build " + s.build()
-                        + " within " + ms(rules.window()) + "; " + (cap <= 0 ? "the cap is 0"
-                        : String.format("%.1f", allowed) + " are allowed: cap " + cap + " of " + most + " reqs"));
+                breach(
+                        s.t(),
+                        s.req(),
+                        "front " + life.front + " had " + window.size() + " tries at build " + s.build()
+                                + " within " + ms(rules.window()) + "; "
+                                + (cap <= 0
+                                        ? "the cap is 0"
+                                        : String.format("%.1f", allowed) + " are allowed: cap " + cap + " of " + most
+                                                + " reqs"));
             }
             int stage = Math.max(now.stage(), told.at(s.build(), s.t() + EDGE).stage());
             if (stage < rules.guardedStages() && r.route.effect() != Rec.Effect.RETRIABLE) {
-                breach(s.t(), s.req(), "a " + r.route.effect() + " req went to build " + s.build() + " in guarded stage "
-                        + stage);
+                breach(
+                        s.t(),
+                        s.req(),
+                        "a " + r.route.effect() + " req went to build " + s.build() + " in guarded stage " + stage);
             }
         }
     }
@@ -129,11 +149,16 @@
             if (completed && r.asked.key() != null) {
                 long had = r.answers.get(0).t();
                 // which of two tries' answers went on is not on the wire: the earlier build's promises less
-                r.arrived.stream().filter(a -> {
-                    Rec.Replied p = r.replied.get(a.no());
-                    return p != null && p.status() < 500 && p.t() <= had && life.name.equals(a.life())
-                            && life.front == a.front();
-                }).min(Comparator.comparingInt(Rec.Arrived::build))
+                r.arrived.stream()
+                        .filter(a -> {
+                            Rec.Replied p = r.replied.get(a.no());
+                            return p != null
+                                    && p.status() < 500
+                                    && p.t() <= had
+                                    && life.name.equals(a.life())
+                                    && life.front == a.front();
+                        })
+                        .min(Comparator.comparingInt(Rec.Arrived::build))
                         .ifPresent(a -> moments.add(new Object[] {had + EDGE, a, r}));
             }
         }
@@ -142,8 +167,7 @@
             Rec.Arrived a = (Rec.Arrived) m[1];
             long t = (long) m[0];
             if (m[2] != null) {
-                answered.merge(((Req) m[2]).asked.key(), new long[] {a.build(), t},
-                        (x, y) -> y[0] > x[0] ? y : x);
+                answered.merge(((Req) m[2]).asked.key(), new long[] {a.build(), t}, (x, y) -> y[0] > x[0] ? y : x);
                 continue;
             }
             Req r = traffic.reqs.get(a.req());
@@ -153,8 +177,11 @@
             }
             near(0, "-");
             if (a.build() < by[0] && told.standing((int) by[0], a.t(), EDGE)) {
-                breach(a.t(), a.req(), "key " + r.asked.key() + ", answered by build " + by[0]
-                        + ", went to build " + a.build() + " though " + by[0] + " was not sent back");
+                breach(
+                        a.t(),
+                        a.req(),
+                        "key " + r.asked.key() + ", answered by build " + by[0] + ", went to build " + a.build()
+                                + " though " + by[0] + " was not sent back");
             }
         }
     }
--- a/src/main/java/laurelkeel/audit/OneAnswer.java
+++ b/src/main/java/laurelkeel/audit/OneAnswer.java
@@ -9,6 +9,7 @@
     private static final long SLACK = 200;
     /** A client's leaving takes this long at most to be known at the front and acted on. */
     private static final long LEAVING = 2_000;
+
     private long unanswered;
 
     OneAnswer() {
@@ -35,11 +36,15 @@
         if (!r.answers.isEmpty()) {
             Rec.Answered first = r.answers.get(0);
             for (Rec.Answered second : r.answers.subList(1, r.answers.size())) {
-                breach(second.t(), a.req(), "a second answer, " + second.is() + ", " + ms(second.t() - first.t())
-                        + " after the first, " + first.is());
+                breach(
+                        second.t(),
+                        a.req(),
+                        "a second answer, " + second.is() + ", " + ms(second.t() - first.t()) + " after the first, "
+                                + first.is());
             }
             long late = first.t() - a.leaves();
-            near((first.t() - a.t()) / (double) Math.max(1, a.leaves() - a.t()),
+            near(
+                    (first.t() - a.t()) / (double) Math.max(1, a.leaves() - a.t()),
                     a.req() + " answered " + ms(-late) + " before its client leaves");
             if (late > SLACK) {
                 breach(first.t(), a.req(), "answered " + ms(late) + " after its client's time was up");
@@ -68,8 +73,11 @@
         }
         for (Rec.Arrived s : r.arrived) {
             if (s.t() > over) {
-                breach(s.t(), r.asked.req(), "try " + s.no() + " reached " + s.machine() + " "
-                        + ms(s.t() - over) + " after the req was over");
+                breach(
+                        s.t(),
+                        r.asked.req(),
+                        "try " + s.no() + " reached " + s.machine() + " " + ms(s.t() - over)
+                                + " after the req was over");
             }
         }
     }
--- a/src/main/java/laurelkeel/audit/Timeline.java
+++ b/src/main/java/laurelkeel/audit/Timeline.java
@@ -12,7 +12,7 @@
 final class Timeline {
 
     /** What was known of one build; stage and cap mean nothing where it was not on trial. */
-    record Known(boolean onTrial, int stage, double cap) { }
+    record Known(boolean onTrial, int stage, double cap) {}
 
     private static final Known NO_TRIAL = new Known(false, 0, 1);
 
@@ -71,7 +71,9 @@
     long lastFall(int build, long before) {
         long fell = Long.MIN_VALUE;
         double cap = at(build, Long.MIN_VALUE).cap;
-        for (long t : byBuild.getOrDefault(build, new TreeMap<>()).headMap(before, false).keySet()) {
+        for (long t : byBuild.getOrDefault(build, new TreeMap<>())
+                .headMap(before, false)
+                .keySet()) {
             double now = at(build, t).cap;
             fell = now < cap ? t : fell;
             cap = now;
@@ -85,7 +87,9 @@
             return false;
         }
         boolean stands = true;
-        for (Rec.ToldNews n : byBuild.getOrDefault(build, new TreeMap<>()).headMap(at + edge, true).values()) {
+        for (Rec.ToldNews n : byBuild.getOrDefault(build, new TreeMap<>())
+                .headMap(at + edge, true)
+                .values()) {
             stands = n.phase() == Rec.Phase.TRIAL || n.phase() == Rec.Phase.RELEASED;
             if (!stands && n.t() > at) {
                 return false;
--- a/src/main/java/laurelkeel/audit/Traffic.java
+++ b/src/main/java/laurelkeel/audit/Traffic.java
@@ -75,8 +75,8 @@
             add(r);
         }
         if (found == null) {
-            throw new IllegalArgumentException("the records hold no line of kind 'rules'; without it no rule can be "
-                    + "judged");
+            throw new IllegalArgumentException(
+                    "the records hold no line of kind 'rules'; without it no rule can be " + "judged");
         }
         rules = found;
         Map<String, Rec.RouteRule> routes = new HashMap<>();
@@ -137,7 +137,7 @@
 
     /** Whether a front ended, by force or not, close to a moment. */
     boolean endedNear(int front, long t, boolean killedOnly) {
-        return downs.stream().anyMatch(d -> d.front() == front && Math.abs(d.t() - t) < 10_000
-                && (d.killed() || !killedOnly));
+        return downs.stream()
+                .anyMatch(d -> d.front() == front && Math.abs(d.t() - t) < 10_000 && (d.killed() || !killedOnly));
     }
 }
--- a/src/main/java/laurelkeel/bench/BlameBench.java
+++ b/src/main/java/laurelkeel/bench/BlameBench.java
@@ -17,18 +17,23 @@
 
 /** Many made-up release days judged by the blame and by the naive ways, as a table and two charts. */
 public final class BlameBench {
-    private BlameBench() { }
+    private BlameBench() {}
 
     /** Plays so many days of each kind on all cores, prints the table and writes charts where a folder is given. */
     public static void run(int daysEach, int daysHonest, long seed, Path charts, PrintStream out) throws IOException {
         Map<BlameRun.Bad, List<BlameRun.Result>> all = new EnumMap<>(BlameRun.Bad.class);
         for (BlameRun.Bad bad : BlameRun.Bad.values()) {
             int n = bad == BlameRun.Bad.NONE ? daysHonest : daysEach;
-            all.put(bad, IntStream.range(0, n).parallel()
-                    .mapToObj(i -> new BlameRun(seed + i, bad).play()).toList());
+            all.put(
+                    bad,
+                    IntStream.range(0, n)
+                            .parallel()
+                            .mapToObj(i -> new BlameRun(seed + i, bad).play())
+                            .toList());
         }
-        out.println("| bad in | days | caught | honest blamed | honest set aside to tell | seconds to verdict: median | 95th | harm before: median "
-                + "reqs | worst rate right | newest right | each alone: right | each alone: honest blamed |");
+        out.println(
+                "| bad in | days | caught | honest blamed | honest set aside to tell | seconds to verdict: median | 95th | harm before: median "
+                        + "reqs | worst rate right | newest right | each alone: right | each alone: honest blamed |");
         out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         List<BlameRun.Result> bad = new ArrayList<>(), every = new ArrayList<>();
         all.forEach((kind, days) -> {
@@ -47,7 +52,8 @@
     }
 
     private static String share(List<BlameRun.Result> of, java.util.function.Predicate<BlameRun.Result> what) {
-        return String.format(Locale.ROOT, "%.1f%%", 100.0 * of.stream().filter(what).count() / of.size());
+        return String.format(
+                Locale.ROOT, "%.1f%%", 100.0 * of.stream().filter(what).count() / of.size());
     }
 
     private static double at(double[] sorted, double share) {
@@ -55,40 +61,78 @@
     }
 
     private static String row(String name, List<BlameRun.Result> days, boolean isBad) {
-        double[] times = days.stream().filter(BlameRun.Result::caught).mapToDouble(BlameRun.Result::seconds).sorted()
+        double[] times = days.stream()
+                .filter(BlameRun.Result::caught)
+                .mapToDouble(BlameRun.Result::seconds)
+                .sorted()
                 .toArray();
-        double[] harm = days.stream().mapToDouble(BlameRun.Result::harm).sorted().toArray();
+        double[] harm =
+                days.stream().mapToDouble(BlameRun.Result::harm).sorted().toArray();
         return "| " + name + " | " + days.size() + " | " + (isBad ? share(days, BlameRun.Result::caught) : "-") + " | "
                 + share(days, BlameRun.Result::honestBlamed) + " | " + share(days, d -> d.asides() > 0) + " | "
-                + (isBad ? String.format(Locale.ROOT, "%.0f | %.0f | %.0f", at(times, 0.5), at(times, 0.95), at(harm, 0.5))
-                : "- | - | -") + " | " + (isBad ? share(days, BlameRun.Result::worstRight) + " | "
-                + share(days, BlameRun.Result::newestRight) + " | " + share(days, BlameRun.Result::aloneRight)
-                : "- | - | -") + " | " + share(days, BlameRun.Result::aloneWrong) + " |";
+                + (isBad
+                        ? String.format(
+                                Locale.ROOT, "%.0f | %.0f | %.0f", at(times, 0.5), at(times, 0.95), at(harm, 0.5))
+                        : "- | - | -")
+                + " | "
+                + (isBad
+                        ? share(days, BlameRun.Result::worstRight) + " | " + share(days, BlameRun.Result::newestRight)
+                                + " | " + share(days, BlameRun.Result::aloneRight)
+                        : "- | - | -")
+                + " | " + share(days, BlameRun.Result::aloneWrong) + " |";
     }
 
     private static void chart(Map<BlameRun.Bad, List<BlameRun.Result>> all, Path folder) throws IOException {
-        List<BlameRun.Bad> kinds = Arrays.stream(BlameRun.Bad.values()).filter(b -> b != BlameRun.Bad.NONE).toList();
-        List<String> names = kinds.stream().map(b -> b.name().toLowerCase(Locale.ROOT).replace('_', ' ')).toList();
-        CategoryChart right = new CategoryChartBuilder().width(1000).height(450).title("Blame lands on the bad release")
-                .yAxisTitle("% of days").build();
+        List<BlameRun.Bad> kinds = Arrays.stream(BlameRun.Bad.values())
+                .filter(b -> b != BlameRun.Bad.NONE)
+                .toList();
+        List<String> names = kinds.stream()
+                .map(b -> b.name().toLowerCase(Locale.ROOT).replace('_', ' '))
+                .toList();
+        CategoryChart right = new CategoryChartBuilder()
+                .width(1000)
+                .height(450)
+                .title("Blame lands on the bad release")
+                .yAxisTitle("% of days")
+                .build();
         right.addSeries("blame", names, share(all, kinds, BlameRun.Result::caught));
         right.addSeries("worst rate", names, share(all, kinds, BlameRun.Result::worstRight));
         right.addSeries("newest", names, share(all, kinds, BlameRun.Result::newestRight));
         right.addSeries("each alone", names, share(all, kinds, BlameRun.Result::aloneRight));
         right.getStyler().setXAxisLabelRotation(30);
         BitmapEncoder.saveBitmap(right, folder.resolve("blame-right").toString(), BitmapEncoder.BitmapFormat.PNG);
-        CategoryChart time = new CategoryChartBuilder().width(1000).height(450).title("Time from offer to verdict")
-                .yAxisTitle("seconds").build();
+        CategoryChart time = new CategoryChartBuilder()
+                .width(1000)
+                .height(450)
+                .title("Time from offer to verdict")
+                .yAxisTitle("seconds")
+                .build();
         for (double q : new double[] {0.5, 0.95}) {
-            time.addSeries(q == 0.5 ? "median" : "95th", names, kinds.stream().map(k -> at(all.get(k).stream()
-                    .filter(BlameRun.Result::caught).mapToDouble(BlameRun.Result::seconds).sorted().toArray(), q)).toList());
+            time.addSeries(
+                    q == 0.5 ? "median" : "95th",
+                    names,
+                    kinds.stream()
+                            .map(k -> at(
+                                    all.get(k).stream()
+                                            .filter(BlameRun.Result::caught)
+                                            .mapToDouble(BlameRun.Result::seconds)
+                                            .sorted()
+                                            .toArray(),
+                                    q))
+                            .toList());
         }
         time.getStyler().setXAxisLabelRotation(30);
         BitmapEncoder.saveBitmap(time, folder.resolve("blame-time").toString(), BitmapEncoder.BitmapFormat.PNG);
     }
 
-    private static List<Double> share(Map<BlameRun.Bad, List<BlameRun.Result>> all, List<BlameRun.Bad> kinds,
+    private static List<Double> share(
+            Map<BlameRun.Bad, List<BlameRun.Result>> all,
+            List<BlameRun.Bad> kinds,
             java.util.function.Predicate<BlameRun.Result> what) {
-        return kinds.stream().map(k -> 100.0 * all.get(k).stream().filter(what).count() / all.get(k).size()).toList();
+        return kinds.stream()
+                .map(k -> 100.0
+                        * all.get(k).stream().filter(what).count()
+                        / all.get(k).size())
+                .toList();
     }
 }
--- a/src/main/java/laurelkeel/bench/BlameRun.java
+++ b/src/main/java/laurelkeel/bench/BlameRun.java
@@ -17,11 +17,30 @@
  */
 final class BlameRun {
 
-    enum Bad { NONE, FAILS, FAILS_ONE_ROUTE, SLOW, SLOW_WHEN_BUSY, LATE, WRONG, HARMS_ALL, TOGETHER }
+    enum Bad {
+        NONE,
+        FAILS,
+        FAILS_ONE_ROUTE,
+        SLOW,
+        SLOW_WHEN_BUSY,
+        LATE,
+        WRONG,
+        HARMS_ALL,
+        TOGETHER
+    }
 
     /** What became of one day. */
-    record Result(Bad bad, boolean caught, boolean honestBlamed, double seconds, long harm, boolean worstRight,
-            boolean newestRight, boolean aloneRight, boolean aloneWrong, int asides) { }
+    record Result(
+            Bad bad,
+            boolean caught,
+            boolean honestBlamed,
+            double seconds,
+            long harm,
+            boolean worstRight,
+            boolean newestRight,
+            boolean aloneRight,
+            boolean aloneWrong,
+            int asides) {}
 
     private static final double[] SHARES = {0.08, 0.18, 0.28};
     private static final int[] MACHINES = {1, 3, 5};
@@ -157,8 +176,17 @@
             worst = worst();
             newest = newest(LENGTH);
         }
-        return new Result(bad, caughtAt >= 0, honest, caughtAt, harm, worst == badBuild, newest == badBuild,
-                alone == badBuild, aloneWrong, asides);
+        return new Result(
+                bad,
+                caughtAt >= 0,
+                honest,
+                caughtAt,
+                harm,
+                worst == badBuild,
+                newest == badBuild,
+                alone == badBuild,
+                aloneWrong,
+                asides);
     }
 
     private void stageMoved(long now) {
@@ -169,12 +197,19 @@
     }
 
     private int worst() {
-        return releases.stream().filter(r -> r.own > 0)
-                .max((a, b) -> Double.compare(a.ownHits / a.own, b.ownHits / b.own)).map(r -> r.build).orElse(-1);
+        return releases.stream()
+                .filter(r -> r.own > 0)
+                .max((a, b) -> Double.compare(a.ownHits / a.own, b.ownHits / b.own))
+                .map(r -> r.build)
+                .orElse(-1);
     }
 
     private int newest(long now) {
-        return releases.stream().filter(r -> r.at <= now).map(r -> r.build).max(Integer::compare).orElse(-1);
+        return releases.stream()
+                .filter(r -> r.at <= now)
+                .map(r -> r.build)
+                .max(Integer::compare)
+                .orElse(-1);
     }
 
     /** The first release whose share of hits differs from all other traffic's, each looked at by itself each second. */
@@ -217,13 +252,27 @@
                 double[] v = e.getValue();
                 boolean lies = f == liar && Integer.parseInt(k[0]) == releases.get(0).build;
                 int fails = (int) (lies ? Math.min(v[0] - v[2], Math.max(1, v[1] * 10)) : v[1]);
-                out.add(new Report.Cell(Integer.parseInt(k[0]), Integer.parseInt(k[1]), k[2], Integer.parseInt(k[3]),
-                        (int) v[0], fails, (int) v[2], (int) v[3], (int) v[4], v[5], v[6]));
+                out.add(new Report.Cell(
+                        Integer.parseInt(k[0]),
+                        Integer.parseInt(k[1]),
+                        k[2],
+                        Integer.parseInt(k[3]),
+                        (int) v[0],
+                        fails,
+                        (int) v[2],
+                        (int) v[3],
+                        (int) v[4],
+                        v[5],
+                        v[6]));
             }
             Report r = new Report(f, "x", now, out);
-            onTheirWay.computeIfAbsent(now + random.nextInt(3), k -> new ArrayList<>()).add(r);
+            onTheirWay
+                    .computeIfAbsent(now + random.nextInt(3), k -> new ArrayList<>())
+                    .add(r);
             if (random.nextInt(30) == 0) {
-                onTheirWay.computeIfAbsent(now + 1 + random.nextInt(4), k -> new ArrayList<>()).add(r);
+                onTheirWay
+                        .computeIfAbsent(now + 1 + random.nextInt(4), k -> new ArrayList<>())
+                        .add(r);
             }
         }
     }
@@ -261,7 +310,7 @@
                 log += all;
                 hurt = all > 0.3;
             }
-            default -> { }
+            default -> {}
         }
         boolean silent = machine.equals(dead) && now >= deadFrom && now < deadFrom + deadLasts;
         boolean failed = !silent && random.nextDouble() < fails;
@@ -270,8 +319,8 @@
                 || hurt) {
             harm++;
         }
-        double[] c = cells.computeIfAbsent((to == null ? 1 : to.build) + "/" + route + "/" + machine + "/" + customer,
-                k -> new double[7]);
+        double[] c = cells.computeIfAbsent(
+                (to == null ? 1 : to.build) + "/" + route + "/" + machine + "/" + customer, k -> new double[7]);
         c[0]++;
         c[1] += failed ? 1 : 0;
         c[2] += silent ? 1 : 0;
--- a/src/main/java/laurelkeel/bench/DecisionBench.java
+++ b/src/main/java/laurelkeel/bench/DecisionBench.java
@@ -41,7 +41,10 @@
     private static final long MS = 10;
 
     /** released: all on one build; trial: a tenth of the machines on a build on trial, all warm. */
-    public enum When { RELEASED, TRIAL }
+    public enum When {
+        RELEASED,
+        TRIAL
+    }
 
     @Param({"10", "300", "1000"})
     public int machines;
@@ -54,23 +57,57 @@
 
     @Setup
     public void begin() {
-        List<Route> routes = List.of(new Route(Effect.RETRIABLE, Group.ALL, 800 * MS, 2500 * MS, 2, 0, 0),
+        List<Route> routes = List.of(
+                new Route(Effect.RETRIABLE, Group.ALL, 800 * MS, 2500 * MS, 2, 0, 0),
                 new Route(Effect.NON_RETRIABLE, Group.ALL, 1000 * MS, 3000 * MS, 1, 0, 0));
-        Settings set = new Settings(0, 4, 0, routes, List.of(), new Settings.Limits(10_000, 50_000, 0.4, 20_000, 3,
-                100_000), new Settings.Allowed(4, true, false, true, true, 10_000, false),
-                new Settings.Prices(0.05, 0.01, 0.01, 0.5, 3), new Settings.Rollout(Settings.Control.COUNT, 2, 2, 0,
-                        60_000, 10_000, 40, List.of(0.1, 1.0), 20_000, 0, true, 40_000, 2, false, 0, 0.3), false);
+        Settings set = new Settings(
+                0,
+                4,
+                0,
+                routes,
+                List.of(),
+                new Settings.Limits(10_000, 50_000, 0.4, 20_000, 3, 100_000),
+                new Settings.Allowed(4, true, false, true, true, 10_000, false),
+                new Settings.Prices(0.05, 0.01, 0.01, 0.5, 3),
+                new Settings.Rollout(
+                        Settings.Control.COUNT,
+                        2,
+                        2,
+                        0,
+                        60_000,
+                        10_000,
+                        40,
+                        List.of(0.1, 1.0),
+                        20_000,
+                        0,
+                        true,
+                        40_000,
+                        2,
+                        false,
+                        0,
+                        0.3),
+                false);
         shifter = new Shifter(set, 1);
         now = 1_000_000;
         List<Listed> list = new ArrayList<>();
         for (int i = 0; i < machines; i++) {
             int build = when == When.TRIAL && i % 10 == 0 ? 2 : 1;
-            list.add(new Listed("10.0." + i / 250 + "." + i % 250 + ":80", build, i % 3, i % 3, 0, 1,
-                    MachineState.LIVE, 0));
+            list.add(new Listed(
+                    "10.0." + i / 250 + "." + i % 250 + ":80", build, i % 3, i % 3, 0, 1, MachineState.LIVE, 0));
         }
         boolean trial = when == When.TRIAL;
-        shifter.decide(now, List.of(new Event.MachineList(Event.ListKind.FULL, list), new Event.ReleaseNews(
-                Event.Answer.OK, 0, trial ? 0.1 : 1, 0, trial ? Phase.TRIAL : Phase.RELEASED, trial ? 2 : 1, false)));
+        shifter.decide(
+                now,
+                List.of(
+                        new Event.MachineList(Event.ListKind.FULL, list),
+                        new Event.ReleaseNews(
+                                Event.Answer.OK,
+                                0,
+                                trial ? 0.1 : 1,
+                                0,
+                                trial ? Phase.TRIAL : Phase.RELEASED,
+                                trial ? 2 : 1,
+                                false)));
     }
 
     @Benchmark
@@ -78,13 +115,13 @@
         now += 10;
         String id = "r" + ids++;
         int sent = 0;
-        for (Action a : shifter.decide(now, List.of(new Event.Req(id, (int) (ids & 1), 0, "k" + ids % 5000,
-                now + 20_000, 0, false)))) {
+        for (Action a : shifter.decide(
+                now, List.of(new Event.Req(id, (int) (ids & 1), 0, "k" + ids % 5000, now + 20_000, 0, false)))) {
             if (a instanceof Action.Send s) {
                 sent++;
                 now += 10;
-                shifter.decide(now, List.of(new Event.TryEnded(id, 0, s.machine(), Outcome.COMPLETED, 10, true,
-                        Map.of())));
+                shifter.decide(
+                        now, List.of(new Event.TryEnded(id, 0, s.machine(), Outcome.COMPLETED, 10, true, Map.of())));
             }
         }
         return sent;
--- a/src/main/java/laurelkeel/bench/Echo.java
+++ b/src/main/java/laurelkeel/bench/Echo.java
@@ -42,8 +42,10 @@
                 @Override
                 public void messageReceived(IoSession session, Object message) {
                     if (message instanceof HttpReq) {
-                        session.write(new HttpAnswer(200, Headers.of("Content-Type", "text/plain", "Laurelkeel-Load",
-                                "concurrent=1"), body));
+                        session.write(new HttpAnswer(
+                                200,
+                                Headers.of("Content-Type", "text/plain", "Laurelkeel-Load", "concurrent=1"),
+                                body));
                     }
                 }
 
--- a/src/main/java/laurelkeel/bench/FrontBench.java
+++ b/src/main/java/laurelkeel/bench/FrontBench.java
@@ -19,7 +19,8 @@
 
 /** A front and a bare relay, each a process of its own, before the same machines under the same load, in turn. */
 public final class FrontBench {
-    private static final String SETTINGS = """
+    private static final String SETTINGS =
+            """
             [front]
             number = 0
             fronts = 1
@@ -65,22 +66,33 @@
             at = new InetSocketAddress("127.0.0.1", listen);
             Path home = folder.resolve(name);
             Files.createDirectories(home.resolve("state"));
-            List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java")
-                    .toString(), "-Xms256m", "-Xmx1g"));
+            List<String> command = new ArrayList<>(List.of(
+                    Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xms256m", "-Xmx1g"));
             javaOptions.forEach(o -> command.add(o.replace("@NAME@", name)));
             command.addAll(List.of("-cp", System.getProperty("java.class.path"), "laurelkeel.cli.Main"));
             if (name.equals("front")) {
                 Files.writeString(home.resolve("front.ini"), SETTINGS.formatted(listen, admin));
-                Files.writeString(home.resolve("state").resolve("list.json"), ports.stream().map(p -> "{\"machine\":"
-                        + "\"127.0.0.1:" + p + "\",\"build\":1,\"zone\":\"here\",\"cell\":0,\"kind\":0,\"size\":1,"
-                        + "\"state\":\"live\",\"run\":1,\"ageMs\":-1}").collect(Collectors.joining(",", "[", "]")));
+                Files.writeString(
+                        home.resolve("state").resolve("list.json"),
+                        ports.stream()
+                                .map(p -> "{\"machine\":"
+                                        + "\"127.0.0.1:" + p
+                                        + "\",\"build\":1,\"zone\":\"here\",\"cell\":0,\"kind\":0,\"size\":1,"
+                                        + "\"state\":\"live\",\"run\":1,\"ageMs\":-1}")
+                                .collect(Collectors.joining(",", "[", "]")));
                 command.addAll(List.of("front", home.resolve("front.ini").toString()));
             } else {
-                command.addAll(List.of("bench", "relay", Integer.toString(listen), Integer.toString(admin),
+                command.addAll(List.of(
+                        "bench",
+                        "relay",
+                        Integer.toString(listen),
+                        Integer.toString(admin),
                         ports.stream().map(String::valueOf).collect(Collectors.joining(","))));
             }
-            process = new ProcessBuilder(command).redirectErrorStream(true)
-                    .redirectOutput(home.resolve("log.txt").toFile()).start();
+            process = new ProcessBuilder(command)
+                    .redirectErrorStream(true)
+                    .redirectOutput(home.resolve("log.txt").toFile())
+                    .start();
             for (int i = 0; !reachable(); i++) {
                 if (!process.isAlive() || i > 500) {
                     throw new IOException("the " + name + " did not start; see " + home.resolve("log.txt"));
@@ -100,10 +112,16 @@
 
         double metric(String metric) {
             try {
-                String text = http.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + admin + "/metrics"))
-                        .build(), HttpResponse.BodyHandlers.ofString()).body();
-                return text.lines().filter(l -> l.startsWith(metric + " "))
-                        .mapToDouble(l -> Double.parseDouble(l.substring(metric.length() + 1))).findFirst().orElseThrow();
+                String text = http.send(
+                                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + admin + "/metrics"))
+                                        .build(),
+                                HttpResponse.BodyHandlers.ofString())
+                        .body();
+                return text.lines()
+                        .filter(l -> l.startsWith(metric + " "))
+                        .mapToDouble(l -> Double.parseDouble(l.substring(metric.length() + 1)))
+                        .findFirst()
+                        .orElseThrow();
             } catch (IOException | InterruptedException e) {
                 throw new IllegalStateException(e);
             }
@@ -123,8 +141,11 @@
         /** The resident memory, in MiB. */
         double resident() throws IOException {
             return Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
-                    .filter(l -> l.startsWith("VmRSS")).mapToDouble(l -> Double.parseDouble(l.replaceAll("\\D", "")))
-                    .findFirst().orElse(0) / 1024;
+                            .filter(l -> l.startsWith("VmRSS"))
+                            .mapToDouble(l -> Double.parseDouble(l.replaceAll("\\D", "")))
+                            .findFirst()
+                            .orElse(0)
+                    / 1024;
         }
 
         @Override
@@ -133,12 +154,13 @@
         }
     }
 
-    private record Row(String name, Loader.Result full, double cpuUs, double bytes, Loader.Result half) { }
+    private record Row(String name, Loader.Result full, double cpuUs, double bytes, Loader.Result half) {}
 
     /** Prints a table a number of machines, and the memory of idle connections. */
     public void run(List<Integer> machineCounts, int rounds, int idleConnections) throws IOException {
-        out.printf("%-8s %-6s %10s %12s %12s %10s %10s %10s %8s%n", "machines", "", "reqs/s", "CPU us/req", "bytes/req",
-                "at rate", "p50 us", "p99 us", "failed");
+        out.printf(
+                "%-8s %-6s %10s %12s %12s %10s %10s %10s %8s%n",
+                "machines", "", "reqs/s", "CPU us/req", "bytes/req", "at rate", "p50 us", "p99 us", "failed");
         for (int n : machineCounts) {
             try (Echo echo = new Echo(n)) {
                 // half of what the relay bears, for both
@@ -150,12 +172,25 @@
                     print(n, relay, rate);
                     Row front = measure("front", echo, rate);
                     print(n, front, rate);
-                    ratios.add(new double[] {front.full.perSecond() / relay.full.perSecond(), front.cpuUs / relay.cpuUs,
-                        front.bytes / relay.bytes, added(front, relay, 50), added(front, relay, 99)});
+                    ratios.add(new double[] {
+                        front.full.perSecond() / relay.full.perSecond(),
+                        front.cpuUs / relay.cpuUs,
+                        front.bytes / relay.bytes,
+                        added(front, relay, 50),
+                        added(front, relay, 99)
+                    });
                 }
-                out.printf(Locale.ROOT, "%-8d median of %d, front to relay: throughput %.2f, CPU %.2f, bytes %.2f; added"
-                        + " at half load: p50 %.0f us, p99 %.0f us%n", n, rounds, median(ratios, 0), median(ratios, 1),
-                        median(ratios, 2), median(ratios, 3), median(ratios, 4));
+                out.printf(
+                        Locale.ROOT,
+                        "%-8d median of %d, front to relay: throughput %.2f, CPU %.2f, bytes %.2f; added"
+                                + " at half load: p50 %.0f us, p99 %.0f us%n",
+                        n,
+                        rounds,
+                        median(ratios, 0),
+                        median(ratios, 1),
+                        median(ratios, 2),
+                        median(ratios, 3),
+                        median(ratios, 4));
             }
         }
         idle(idleConnections);
@@ -171,19 +206,29 @@
     }
 
     private Row measure(String name, Echo echo, double rate) throws IOException {
-        try (Subject s = new Subject(name, echo.ports); Loader load = new Loader(s.at, 128)) {
+        try (Subject s = new Subject(name, echo.ports);
+                Loader load = new Loader(s.at, 128)) {
             Loader.Result full = load.full(seconds, seconds, s::mark);
             double cpu = s.cpu * 1e6 / full.completed();
             double bytes = s.bytes / full.completed();
-            Loader.Result half = rate == 0 ? null : load.atRate(rate, seconds / 4, seconds, () -> { });
+            Loader.Result half = rate == 0 ? null : load.atRate(rate, seconds / 4, seconds, () -> {});
             return new Row(name, full, cpu, bytes, half);
         }
     }
 
     private void print(int machines, Row r, double rate) {
-        out.printf(Locale.ROOT, "%-8d %-6s %10.0f %12.1f %12.0f %10.0f %10.0f %10.0f %8d%n", machines, r.name,
-                r.full.perSecond(), r.cpuUs, r.bytes, rate, r.half.times().getValueAtPercentile(50) / 1000.0,
-                r.half.times().getValueAtPercentile(99) / 1000.0, r.full.other() + r.half.other());
+        out.printf(
+                Locale.ROOT,
+                "%-8d %-6s %10.0f %12.1f %12.0f %10.0f %10.0f %10.0f %8d%n",
+                machines,
+                r.name,
+                r.full.perSecond(),
+                r.cpuUs,
+                r.bytes,
+                rate,
+                r.half.times().getValueAtPercentile(50) / 1000.0,
+                r.half.times().getValueAtPercentile(99) / 1000.0,
+                r.full.other() + r.half.other());
     }
 
     private void idle(int connections) throws IOException {
@@ -192,8 +237,12 @@
                 try (Subject s = new Subject(name, echo.ports)) {
                     double before = s.resident();
                     try (Loader load = new Loader(s.at, connections)) {
-                        out.printf(Locale.ROOT, "%d idle client connections, %s: %.1f MiB more, %.1f KiB each%n",
-                                connections, name, s.resident() - before,
+                        out.printf(
+                                Locale.ROOT,
+                                "%d idle client connections, %s: %.1f MiB more, %.1f KiB each%n",
+                                connections,
+                                name,
+                                s.resident() - before,
                                 (s.resident() - before) * 1024 / connections);
                     }
                 }
--- a/src/main/java/laurelkeel/bench/LanesBench.java
+++ b/src/main/java/laurelkeel/bench/LanesBench.java
@@ -25,14 +25,35 @@
 public final class LanesBench {
     private static final long MS = 10, SECOND = 10_000;
 
-    private LanesBench() { }
+    private LanesBench() {}
 
     private static Settings settings() {
-        return new Settings(0, 170, 0, List.of(new Settings.Route(Effect.RETRIABLE, Group.ALL, 800 * MS, 2500 * MS, 2, 0, 0)),
-                List.of(), new Settings.Limits(SECOND, 5 * SECOND, 0.4, 2 * SECOND, 3, 10 * SECOND),
+        return new Settings(
+                0,
+                170,
+                0,
+                List.of(new Settings.Route(Effect.RETRIABLE, Group.ALL, 800 * MS, 2500 * MS, 2, 0, 0)),
+                List.of(),
+                new Settings.Limits(SECOND, 5 * SECOND, 0.4, 2 * SECOND, 3, 10 * SECOND),
                 new Settings.Allowed(4, true, false, true, true, SECOND, false),
-                new Settings.Prices(0, 0.01, 0.01, 0.5, 3), new Settings.Rollout(Settings.Control.COUNT, 1, 1, 0,
-                        5 * SECOND, SECOND, 40, List.of(0.1, 1.0), 2 * SECOND, 0, true, 4 * SECOND, 2, false, 0, 0.3),
+                new Settings.Prices(0, 0.01, 0.01, 0.5, 3),
+                new Settings.Rollout(
+                        Settings.Control.COUNT,
+                        1,
+                        1,
+                        0,
+                        5 * SECOND,
+                        SECOND,
+                        40,
+                        List.of(0.1, 1.0),
+                        2 * SECOND,
+                        0,
+                        true,
+                        4 * SECOND,
+                        2,
+                        false,
+                        0,
+                        0.3),
                 false);
     }
 
@@ -63,13 +84,14 @@
             for (int i = 0; i < n; i++) {
                 now += 10;
                 String id = "r" + ids++;
-                List<Event> in = new ArrayList<>(List.of(new Event.Req(id, 0, 0, "k" + random.nextInt(20_000),
-                        now + 2500 * MS, 0, false)));
+                List<Event> in = new ArrayList<>(
+                        List.of(new Event.Req(id, 0, 0, "k" + random.nextInt(20_000), now + 2500 * MS, 0, false)));
                 List<Action> out = decider.decide(now, in);
                 in = new ArrayList<>();
                 for (Action a : out) {
                     if (a instanceof Action.Send s) {
-                        in.add(new Event.TryEnded(s.req(), 0, s.machine(), Event.Outcome.COMPLETED, 80, true, Map.of()));
+                        in.add(new Event.TryEnded(
+                                s.req(), 0, s.machine(), Event.Outcome.COMPLETED, 80, true, Map.of()));
                     } else if (a instanceof Action.Timer t) {
                         in.add(new Event.TimerDue(t.handle()));
                     }
@@ -87,7 +109,8 @@
     }
 
     public static void run(int rounds, int reqs, PrintStream out) {
-        out.println("| machines | module alone, 1 release, ns/req | lanes, 1 release | lanes, 3 releases | 1 lane to alone | 3 to 1 | heap of 3, MiB |");
+        out.println(
+                "| machines | module alone, 1 release, ns/req | lanes, 1 release | lanes, 3 releases | 1 lane to alone | 3 to 1 | heap of 3, MiB |");
         out.println("| --- | --- | --- | --- | --- | --- | --- |");
         for (int machines : new int[] {10, 300}) {
             Decider.Maker lanes = (set, seed) -> new Lanes(set, seed, Shifter::new);
@@ -103,14 +126,25 @@
                 // in turn, so that what else the host does meets all
                 ns[i] = new double[] {alone.reqs(reqs), one.reqs(reqs), three.reqs(reqs)};
             }
-            out.printf(Locale.ROOT, "| %d | %.0f | %.0f | %.0f | %.2f | %.2f | %.1f |%n", machines, median(ns, 0),
-                    median(ns, 1), median(ns, 2), median(ns, 1) / median(ns, 0), median(ns, 2) / median(ns, 1), mib);
+            out.printf(
+                    Locale.ROOT,
+                    "| %d | %.0f | %.0f | %.0f | %.2f | %.2f | %.1f |%n",
+                    machines,
+                    median(ns, 0),
+                    median(ns, 1),
+                    median(ns, 2),
+                    median(ns, 1) / median(ns, 0),
+                    median(ns, 2) / median(ns, 1),
+                    mib);
         }
         blame(170, 300, 120, out);
     }
 
     private static double median(double[][] rows, int column) {
-        double[] sorted = java.util.Arrays.stream(rows).mapToDouble(r -> r[column]).sorted().toArray();
+        double[] sorted = java.util.Arrays.stream(rows)
+                .mapToDouble(r -> r[column])
+                .sorted()
+                .toArray();
         return sorted[sorted.length / 2];
     }
 
@@ -130,8 +164,18 @@
                 for (int i = 0; i < 200; i++) {
                     int m = random.nextInt(machines);
                     double log = 3 + 0.4 * random.nextDouble();
-                    in.add(new Report.Cell(m % 10 < 3 ? 2 + m % 10 : 1, random.nextInt(4), "m" + m, random.nextInt(3), 1,
-                            random.nextInt(200) == 0 ? 1 : 0, 0, 0, 1, log, log * log));
+                    in.add(new Report.Cell(
+                            m % 10 < 3 ? 2 + m % 10 : 1,
+                            random.nextInt(4),
+                            "m" + m,
+                            random.nextInt(3),
+                            1,
+                            random.nextInt(200) == 0 ? 1 : 0,
+                            0,
+                            0,
+                            1,
+                            log,
+                            log * log));
                 }
                 reports.add(new Report(f, "x", s, in));
                 cells += in.size();
@@ -145,8 +189,17 @@
             cpu += took;
             worst = Math.max(worst, s > 20 ? took : 0);
         }
-        out.printf(Locale.ROOT, "%nblame, %d fronts, %d machines, %d s, %d cells: %.2f s of CPU, %.0f ms a second, worst %.0f ms; "
-                + "heap %.0f MiB%n", fronts, machines, seconds, cells, cpu / 1e9, cpu / 1e6 / seconds, worst / 1e6,
+        out.printf(
+                Locale.ROOT,
+                "%nblame, %d fronts, %d machines, %d s, %d cells: %.2f s of CPU, %.0f ms a second, worst %.0f ms; "
+                        + "heap %.0f MiB%n",
+                fronts,
+                machines,
+                seconds,
+                cells,
+                cpu / 1e9,
+                cpu / 1e6 / seconds,
+                worst / 1e6,
                 (heap() - before) / 1048576.0);
         java.util.Objects.requireNonNull(blame.judge(seconds));
     }
--- a/src/main/java/laurelkeel/bench/Loader.java
+++ b/src/main/java/laurelkeel/bench/Loader.java
@@ -78,12 +78,12 @@
     private void ask(IoSession session, long due) {
         session.setAttribute(DUE, due);
         ids.increment();
-        session.write(new HttpReq("GET", "/look/1", 1, Headers.of("Host", "f", "Laurelkeel-Key", "k" + due % 5000),
-                new byte[0]));
+        session.write(new HttpReq(
+                "GET", "/look/1", 1, Headers.of("Host", "f", "Laurelkeel-Key", "k" + due % 5000), new byte[0]));
     }
 
     /** What one phase did; times in nanoseconds. */
-    record Result(double perSecond, long completed, long other, Histogram times) { }
+    record Result(double perSecond, long completed, long other, Histogram times) {}
 
     private Result measured(double seconds, long from, long otherFrom, Histogram h) {
         return new Result((completed.sum() - from) / seconds, completed.sum() - from, other.sum() - otherFrom, h);
@@ -92,7 +92,7 @@
     /** All connections busy: first to warm up, then measured. measuring runs at both ends of the measured time. */
     Result full(double warm, double seconds, Runnable measuring) {
         again.set(true);
-        for (IoSession s; (s = idle.poll()) != null;) {
+        for (IoSession s; (s = idle.poll()) != null; ) {
             ask(s, System.nanoTime());
         }
         rest(warm);
@@ -115,20 +115,22 @@
 
     Result atRate(double perSecond, double warm, double seconds, Runnable measuring) {
         AtomicBoolean over = new AtomicBoolean();
-        Thread pace = new Thread(() -> {
-            long gap = (long) (1e9 / perSecond);
-            for (long due = System.nanoTime(); !over.get(); due += gap) {
-                while (System.nanoTime() < due) {
-                    LockSupport.parkNanos(Math.max(1, due - System.nanoTime() - 20_000));
-                }
-                IoSession s = idle.poll();
-                if (s != null) {
-                    ask(s, due);
-                } else {
-                    waiting.add(due);
-                }
-            }
-        }, "pace");
+        Thread pace = new Thread(
+                () -> {
+                    long gap = (long) (1e9 / perSecond);
+                    for (long due = System.nanoTime(); !over.get(); due += gap) {
+                        while (System.nanoTime() < due) {
+                            LockSupport.parkNanos(Math.max(1, due - System.nanoTime() - 20_000));
+                        }
+                        IoSession s = idle.poll();
+                        if (s != null) {
+                            ask(s, due);
+                        } else {
+                            waiting.add(due);
+                        }
+                    }
+                },
+                "pace");
         pace.start();
         rest(warm);
         Result r = phase(seconds, measuring);
--- a/src/main/java/laurelkeel/bench/Relay.java
+++ b/src/main/java/laurelkeel/bench/Relay.java
@@ -29,7 +29,7 @@
     private static final AttributeKey CLIENT = new AttributeKey(Relay.class, "client");
     private static final AttributeKey POOL = new AttributeKey(Relay.class, "pool");
 
-    private record Machine(InetSocketAddress at, ConcurrentLinkedDeque<IoSession> idle) { }
+    private record Machine(InetSocketAddress at, ConcurrentLinkedDeque<IoSession> idle) {}
 
     private final List<Machine> machines = new ArrayList<>();
     private final AtomicInteger turn = new AtomicInteger();
@@ -37,8 +37,8 @@
     private final NioSocketAcceptor acceptor = new NioSocketAcceptor(2);
 
     public Relay(int listen, int admin, List<Integer> ports) throws IOException {
-        ports.forEach(p -> machines.add(new Machine(new InetSocketAddress("127.0.0.1", p),
-                new ConcurrentLinkedDeque<>())));
+        ports.forEach(
+                p -> machines.add(new Machine(new InetSocketAddress("127.0.0.1", p), new ConcurrentLinkedDeque<>())));
         connector.getSessionConfig().setTcpNoDelay(true);
         connector.getFilterChain().addLast("http", HttpCodec.client(HttpLimits.USUAL));
         connector.setHandler(new Upstream());
@@ -47,10 +47,17 @@
         acceptor.getSessionConfig().setTcpNoDelay(true);
         acceptor.getFilterChain().addLast("http", HttpCodec.server(HttpLimits.USUAL));
         acceptor.setHandler(new Clients());
-        new Admin(Executors.newCachedThreadPool(), new InetSocketAddress("127.0.0.1", admin), () -> "ok",
-                () -> String.format(Locale.ROOT,
-                "laurelkeel_process_cpu_seconds %f%nlaurelkeel_allocated_bytes %f%nlaurelkeel_heap_bytes %f%n",
-                Jvm.cpuSeconds(), Jvm.allocatedBytes(), Jvm.heapBytes())).start();
+        new Admin(
+                        Executors.newCachedThreadPool(),
+                        new InetSocketAddress("127.0.0.1", admin),
+                        () -> "ok",
+                        () -> String.format(
+                                Locale.ROOT,
+                                "laurelkeel_process_cpu_seconds %f%nlaurelkeel_allocated_bytes %f%nlaurelkeel_heap_bytes %f%n",
+                                Jvm.cpuSeconds(),
+                                Jvm.allocatedBytes(),
+                                Jvm.heapBytes()))
+                .start();
         acceptor.bind(new InetSocketAddress("127.0.0.1", listen));
     }
 
--- a/src/main/java/laurelkeel/bench/Streams.java
+++ b/src/main/java/laurelkeel/bench/Streams.java
@@ -28,9 +28,9 @@
     private static final long MS = 10;
     private static final long SECOND = 10_000;
 
-    private record Out(String req, int no, String machine, Outcome outcome, long sentAt) { }
+    private record Out(String req, int no, String machine, Outcome outcome, long sentAt) {}
 
-    private record Due(long at, long order, Runnable what) { }
+    private record Due(long at, long order, Runnable what) {}
 
     private final SplittableRandom random;
     private final Decider decider;
@@ -60,8 +60,15 @@
         decider = maker.make(set, seed);
         List<Listed> first = new ArrayList<>();
         for (int i = 0; i < machineCount; i++) {
-            Listed m = new Listed("10.0." + i / 250 + "." + i % 250 + ":80", 1, i % 3, i % 3, 0,
-                    0.8 + random.nextDouble() / 2, MachineState.LIVE, 0);
+            Listed m = new Listed(
+                    "10.0." + i / 250 + "." + i % 250 + ":80",
+                    1,
+                    i % 3,
+                    i % 3,
+                    0,
+                    0.8 + random.nextDouble() / 2,
+                    MachineState.LIVE,
+                    0);
             machines.put(m.machine(), m);
             first.add(m);
         }
@@ -71,15 +78,37 @@
     }
 
     private static Settings settings(boolean perRoute) {
-        List<Route> routes = List.of(new Route(Effect.RETRIABLE, Group.ALL, 800 * MS, 2500 * MS, 2, 0, 0),
+        List<Route> routes = List.of(
+                new Route(Effect.RETRIABLE, Group.ALL, 800 * MS, 2500 * MS, 2, 0, 0),
                 new Route(Effect.DEDUPED, Group.ALL, SECOND, 4 * SECOND, 3, 0.2, 5 * SECOND),
                 new Route(Effect.NON_RETRIABLE, Group.ALL, SECOND, 3 * SECOND, 1, 0, 0));
-        return new Settings(0, 4, 0, routes, List.of(new Settings.Customer(500)),
+        return new Settings(
+                0,
+                4,
+                0,
+                routes,
+                List.of(new Settings.Customer(500)),
                 new Settings.Limits(SECOND, 5 * SECOND, 0.4, 2 * SECOND, 3, 10 * SECOND),
                 new Settings.Allowed(4, true, false, true, true, SECOND, false),
-                new Settings.Prices(0.05, 0.01, 0.01, 0.5, 3), new Settings.Rollout(Settings.Control.COUNT, 2, 2, 0,
-                        6 * SECOND, SECOND, 40, List.of(0.1, 0.4, 1.0), 2 * SECOND, 0, true, 4 * SECOND, 2, perRoute, 0,
-                        0.3), false);
+                new Settings.Prices(0.05, 0.01, 0.01, 0.5, 3),
+                new Settings.Rollout(
+                        Settings.Control.COUNT,
+                        2,
+                        2,
+                        0,
+                        6 * SECOND,
+                        SECOND,
+                        40,
+                        List.of(0.1, 0.4, 1.0),
+                        2 * SECOND,
+                        0,
+                        true,
+                        4 * SECOND,
+                        2,
+                        perRoute,
+                        0,
+                        0.3),
+                false);
     }
 
     private void at(long when, Runnable what) {
@@ -156,10 +185,15 @@
         Listed m = machines.get(s.machine());
         double roll = random.nextDouble();
         boolean bad = m != null && m.build() == build && badness > 0;
-        Outcome o = m == null || m.state() == MachineState.GONE ? Outcome.NO_CONNECTION
-                : bad && roll < badness ? Outcome.ERROR : roll > 0.995 ? Outcome.BROKEN
-                : roll > 0.985 ? Outcome.FULL : roll > 0.975 ? Outcome.TIMEOUT : Outcome.COMPLETED;
-        long took = o == Outcome.FULL || o == Outcome.NO_CONNECTION ? 20
+        Outcome o = m == null || m.state() == MachineState.GONE
+                ? Outcome.NO_CONNECTION
+                : bad && roll < badness
+                        ? Outcome.ERROR
+                        : roll > 0.995
+                                ? Outcome.BROKEN
+                                : roll > 0.985 ? Outcome.FULL : roll > 0.975 ? Outcome.TIMEOUT : Outcome.COMPLETED;
+        long took = o == Outcome.FULL || o == Outcome.NO_CONNECTION
+                ? 20
                 : (long) ((60 + random.nextInt(120)) * MS * (bad ? 1.3 : 1));
         long limit = s.within() <= 0 ? Long.MAX_VALUE : s.within();
         if (o == Outcome.TIMEOUT || took > limit) {
@@ -190,8 +224,9 @@
     public void script(boolean bad) {
         at(now + 3 * SECOND, () -> stage(2, 0, 0.1, Phase.TRIAL, bad ? 0.3 : 0, scale / 10 + 1));
         at(now + 12 * SECOND, () -> stage(2, 1, 0.4, Phase.TRIAL, bad ? 0.3 : 0, scale * 4 / 10));
-        at(now + 20 * SECOND, () -> stage(2, bad ? 1 : 2, bad ? 0 : 1, bad ? Phase.GOING_BACK : Phase.TRIAL, 0,
-                bad ? 0 : scale));
+        at(
+                now + 20 * SECOND,
+                () -> stage(2, bad ? 1 : 2, bad ? 0 : 1, bad ? Phase.GOING_BACK : Phase.TRIAL, 0, bad ? 0 : scale));
         at(now + 28 * SECOND, () -> stage(2, 2, bad ? 0 : 1, bad ? Phase.WITHDRAWN : Phase.RELEASED, 0, 0));
         for (int i = 0; i < 12; i++) {
             at(now + (2 + i * 3) * SECOND, () -> change(random.nextInt(4)));
@@ -208,8 +243,15 @@
         List<Listed> changes = new ArrayList<>();
         for (Listed m : List.copyOf(machines.values())) {
             if (changes.size() / 2 < renewed && m.build() < to && m.state() == MachineState.LIVE) {
-                Listed fresh = new Listed("10.9." + ids / 250 % 250 + "." + ids++ % 250 + ":80", to, m.zone(), m.cell(),
-                        0, m.size(), MachineState.LIVE, now);
+                Listed fresh = new Listed(
+                        "10.9." + ids / 250 % 250 + "." + ids++ % 250 + ":80",
+                        to,
+                        m.zone(),
+                        m.cell(),
+                        0,
+                        m.size(),
+                        MachineState.LIVE,
+                        now);
                 changes.add(fresh);
                 changes.add(with(m, MachineState.DRAINING));
             }
@@ -222,15 +264,18 @@
     }
 
     private void change(int what) {
-        List<Listed> live = machines.values().stream().filter(m -> m.state() == MachineState.LIVE).toList();
+        List<Listed> live = machines.values().stream()
+                .filter(m -> m.state() == MachineState.LIVE)
+                .toList();
         if (live.size() < 4) {
             return;
         }
         Listed m = live.get(random.nextInt(live.size()));
         switch (what) {
             case 0 -> changed(List.of(with(m, MachineState.GONE)));
-            case 1 -> changed(List.of(new Listed(m.machine(), m.build(), m.zone(), m.cell(), 0, m.size(),
-                    MachineState.LIVE, now)));
+            case 1 ->
+                changed(List.of(
+                        new Listed(m.machine(), m.build(), m.zone(), m.cell(), 0, m.size(), MachineState.LIVE, now)));
             case 2 -> next.add(new Event.Complaint(m.machine(), 500, random.nextInt(3)));
             default -> next.add(new Event.MachineList(Event.ListKind.FULL, List.copyOf(machines.values())));
         }
@@ -244,8 +289,8 @@
     /** What a decider does in one of the kept streams, 40 s each; sizes and rates follow from the seed. */
     public static String sum(Decider.Maker maker, int seed) {
         int i = seed - 100;
-        Streams s = new Streams(maker, seed, new int[] {5, 10, 40, 300}[Math.floorMod(i, 4)], i % 3 == 0 ? 20 : 150,
-                i % 2 == 0);
+        Streams s = new Streams(
+                maker, seed, new int[] {5, 10, 40, 300}[Math.floorMod(i, 4)], i % 3 == 0 ? 20 : 150, i % 2 == 0);
         s.script(Math.floorMod(i, 4) < 2);
         s.play(40);
         return s.checksum();
--- a/src/main/java/laurelkeel/benchlink/BenchLink.java
+++ b/src/main/java/laurelkeel/benchlink/BenchLink.java
@@ -30,16 +30,38 @@
 
 /** Hosts one decider a front and speaks the wire cedar-a60e for them. It decides nothing. */
 public final class BenchLink {
-    private static final Map<String, Outcome> OUTCOMES = Map.of("OK", Outcome.COMPLETED, "INTERNAL", Outcome.ERROR,
-            "RESOURCE_EXHAUSTED", Outcome.FULL, "DEADLINE_EXCEEDED", Outcome.TIMEOUT, "UNAVAILABLE",
-            Outcome.NO_CONNECTION, "ABORTED", Outcome.BROKEN, "CANCELLED", Outcome.STOPPED, "TOO_LATE",
+    private static final Map<String, Outcome> OUTCOMES = Map.of(
+            "OK",
+            Outcome.COMPLETED,
+            "INTERNAL",
+            Outcome.ERROR,
+            "RESOURCE_EXHAUSTED",
+            Outcome.FULL,
+            "DEADLINE_EXCEEDED",
+            Outcome.TIMEOUT,
+            "UNAVAILABLE",
+            Outcome.NO_CONNECTION,
+            "ABORTED",
+            Outcome.BROKEN,
+            "CANCELLED",
+            Outcome.STOPPED,
+            "TOO_LATE",
             Outcome.NOT_SENT);
-    private static final Map<String, Answer> ANSWERS = Map.of("OK", Answer.OK, "TOO_LATE", Answer.MOOT,
-            "RESOURCE_EXHAUSTED", Answer.OVER_LIMIT, "INTERNAL", Answer.ERROR, "DEADLINE_EXCEEDED", Answer.TIMEOUT);
-    private static final Map<String, ListKind> LISTS = Map.of("D", ListKind.CHANGES, "F", ListKind.FULL, "C",
-            ListKind.REMEMBERED, "X", ListKind.FAILED);
-    private static final Map<String, MachineState> STATES = Map.of("live", MachineState.LIVE, "quiescing",
-            MachineState.DRAINING, "dead", MachineState.GONE);
+    private static final Map<String, Answer> ANSWERS = Map.of(
+            "OK",
+            Answer.OK,
+            "TOO_LATE",
+            Answer.MOOT,
+            "RESOURCE_EXHAUSTED",
+            Answer.OVER_LIMIT,
+            "INTERNAL",
+            Answer.ERROR,
+            "DEADLINE_EXCEEDED",
+            Answer.TIMEOUT);
+    private static final Map<String, ListKind> LISTS =
+            Map.of("D", ListKind.CHANGES, "F", ListKind.FULL, "C", ListKind.REMEMBERED, "X", ListKind.FAILED);
+    private static final Map<String, MachineState> STATES =
+            Map.of("live", MachineState.LIVE, "quiescing", MachineState.DRAINING, "dead", MachineState.GONE);
 
     private final Decider.Maker maker;
     private final Map<Integer, Decider> fronts = new HashMap<>();
@@ -192,8 +214,8 @@
                 int route = f.small("qos");
                 int customer = f.small("clientGroup", 0);
                 String key = f.optionalText("partitionKey");
-                return new Event.Req(id, route, customer, key, f.time("notAfter"), f.number("expected", 0),
-                        f.flag("resent"));
+                return new Event.Req(
+                        id, route, customer, key, f.time("notAfter"), f.number("expected", 0), f.flag("resent"));
             }
             case "under_way" -> {
                 f.expect(5);
@@ -203,8 +225,14 @@
             }
             case "returned" -> {
                 f.expect(8);
-                return new Event.TryEnded(f.text("opId"), f.small("sendNo"), f.text("machine"),
-                        f.oneOf("status", OUTCOMES), f.time("lag"), f.flag("ended"), f.load("gauge"));
+                return new Event.TryEnded(
+                        f.text("opId"),
+                        f.small("sendNo"),
+                        f.text("machine"),
+                        f.oneOf("status", OUTCOMES),
+                        f.time("lag"),
+                        f.flag("ended"),
+                        f.load("gauge"));
             }
             case "withdrawn" -> {
                 f.expect(2);
@@ -216,8 +244,7 @@
             }
             case "pong" -> {
                 f.expect(5);
-                return new Event.Probed(f.text("machine"), f.oneOf("status", OUTCOMES), f.time("lag"),
-                        f.load("gauge"));
+                return new Event.Probed(f.text("machine"), f.oneOf("status", OUTCOMES), f.time("lag"), f.load("gauge"));
             }
             case "note_from" -> {
                 f.expect(3);
@@ -238,8 +265,13 @@
             }
             case "counts_by_build" -> {
                 f.expect(7);
-                return new Event.BuildCounts(f.small("build"), f.small("qos"), f.whole("count"), f.whole("errors"),
-                        f.time("lag"), f.time("since"));
+                return new Event.BuildCounts(
+                        f.small("build"),
+                        f.small("qos"),
+                        f.whole("count"),
+                        f.whole("errors"),
+                        f.time("lag"),
+                        f.time("since"));
             }
             case "contested" -> {
                 f.expect(4);
@@ -274,7 +306,8 @@
         } else if (a instanceof Action.FetchList) {
             head = "query_all " + front;
         } else if (a instanceof Action.Vote s) {
-            head = "say_so " + front + " " + s.build() + " " + s.stage() + " " + s.verdict().ordinal();
+            head = "say_so " + front + " " + s.build() + " " + s.stage() + " "
+                    + s.verdict().ordinal();
         } else if (a instanceof Action.Log s) {
             head = "print " + front + " " + s.text();
         } else {
--- a/src/main/java/laurelkeel/blame/Blame.java
+++ b/src/main/java/laurelkeel/blame/Blame.java
@@ -22,6 +22,7 @@
 public final class Blame {
     /** The chance that an honest release is called guilty by what a comparison shows, at most. */
     public static final double FALSE_ALARM = 0.002;
+
     private static final double OPEN = 20;
     private static final double PRIOR = 0.1;
     private static final int CLEAR_TRIES = 150, CLEAR_SECONDS = 8;
@@ -39,6 +40,7 @@
     private final Set<Integer> apart = new HashSet<>();
     /** Set aside to tell: on trial no more, yet still to be explained by. */
     private final Map<Integer, Trial> aside = new TreeMap<>();
+
     private long openSince = -1;
     private List<Finding> last = List.of();
 
@@ -159,8 +161,11 @@
     }
 
     private static int newestOf(Map<Integer, Trial> of, List<Integer> builds) {
-        return builds.stream().max((a, b) -> of.get(a).since != of.get(b).since
-                ? Long.compare(of.get(a).since, of.get(b).since) : Integer.compare(a, b)).orElse(-1);
+        return builds.stream()
+                .max((a, b) -> of.get(a).since != of.get(b).since
+                        ? Long.compare(of.get(a).since, of.get(b).since)
+                        : Integer.compare(a, b))
+                .orElse(-1);
     }
 
     private static int most(double[] of) {
@@ -171,8 +176,15 @@
         return at;
     }
 
-    private Finding finding(Trial t, Map<Integer, double[]> logs, List<Explained> times, List<Explained> hits,
-            boolean open, boolean harmOpen, boolean setAside, long now) {
+    private Finding finding(
+            Trial t,
+            Map<Integer, double[]> logs,
+            List<Explained> times,
+            List<Explained> hits,
+            boolean open,
+            boolean harmOpen,
+            boolean setAside,
+            long now) {
         double[] e = logs.get(t.build);
         double own = Logs.sum(e);
         double whole = Math.log(1 - PRIOR);
@@ -181,18 +193,23 @@
         }
         double probability = Math.exp(Math.log(PRIOR) + own - whole);
         double part = Math.max(SharedHarm.part(times, t.build), SharedHarm.part(hits, t.build));
-        Explained course = sharedOf(SharedHarm.part(hits, t.build) > SharedHarm.part(times, t.build) ? hits : times,
-                t.build);
+        Explained course =
+                sharedOf(SharedHarm.part(hits, t.build) > SharedHarm.part(times, t.build) ? hits : times, t.build);
         boolean byCourse = course != null && part > probability;
         Kind kind = t.guiltyAt >= 0 ? t.guiltyKind : byCourse ? Kind.HARMS_ALL : Kind.values()[most(e)];
         probability = Math.max(probability, part);
-        double[] effect = switch (kind) {
-            case FAILS, SILENCE, WRONG -> t.difference(kind.ordinal(), 1.96);
-            case SLOW -> t.ratio(1.96);
-            case HARMS_ALL -> course == null ? new double[3]
-                    : new double[] {Math.exp(course.size()), Math.exp(course.low()), Math.exp(course.high())};
-        };
-        Verdict verdict = t.guiltyAt >= 0 ? Verdict.GUILTY
+        double[] effect =
+                switch (kind) {
+                    case FAILS, SILENCE, WRONG -> t.difference(kind.ordinal(), 1.96);
+                    case SLOW -> t.ratio(1.96);
+                    case HARMS_ALL ->
+                        course == null
+                                ? new double[3]
+                                : new double[] {Math.exp(course.size()), Math.exp(course.low()), Math.exp(course.high())
+                                };
+                };
+        Verdict verdict = t.guiltyAt >= 0
+                ? Verdict.GUILTY
                 : !harmOpen && own < Math.log(3) && cleared(t) ? Verdict.CLEARED : Verdict.NOT_YET_KNOWN;
         List<String> considered = new ArrayList<>(t.setAside());
         if (times.get(0).spell() || !times.get(0).releases().isEmpty()) {
@@ -207,21 +224,43 @@
         if (considered.isEmpty()) {
             considered.add("no machine, customer or outside spell stands out");
         }
-        return new Finding(t.build, verdict, probability, kind, effect[0], effect[1], effect[2],
-                sentence(t, kind, effect, verdict), List.copyOf(considered), open && verdict != Verdict.GUILTY, setAside,
+        return new Finding(
+                t.build,
+                verdict,
+                probability,
+                kind,
+                effect[0],
+                effect[1],
+                effect[2],
+                sentence(t, kind, effect, verdict),
+                List.copyOf(considered),
+                open && verdict != Verdict.GUILTY,
+                setAside,
                 Math.max(0, now - t.since));
     }
 
     private static String told(List<Explained> ranked) {
-        return ranked.stream().filter(e -> e.probability() > 0.02).map(e -> {
-            String who = e.spell() ? "an outside spell of " + e.lasted() + " s" : e.releases().isEmpty() ? "nothing"
-                    : "build " + e.releases().stream().map(String::valueOf).collect(Collectors.joining(" with "));
-            return String.format(Locale.ROOT, "%s %.2f", who, e.probability());
-        }).collect(Collectors.joining(", "));
+        return ranked.stream()
+                .filter(e -> e.probability() > 0.02)
+                .map(e -> {
+                    String who = e.spell()
+                            ? "an outside spell of " + e.lasted() + " s"
+                            : e.releases().isEmpty()
+                                    ? "nothing"
+                                    : "build "
+                                            + e.releases().stream()
+                                                    .map(String::valueOf)
+                                                    .collect(Collectors.joining(" with "));
+                    return String.format(Locale.ROOT, "%s %.2f", who, e.probability());
+                })
+                .collect(Collectors.joining(", "));
     }
 
     private static Explained sharedOf(List<Explained> ranked, int build) {
-        return ranked.stream().filter(x -> x.releases().contains(build)).findFirst().orElse(null);
+        return ranked.stream()
+                .filter(x -> x.releases().contains(build))
+                .findFirst()
+                .orElse(null);
     }
 
     private static boolean cleared(Trial t) {
@@ -239,19 +278,21 @@
     }
 
     private static String sentence(Trial t, Kind kind, double[] effect, Verdict verdict) {
-        String what = switch (kind) {
-            case FAILS -> "of its tries %.1f in 100 more fail than beside it (%.1f to %.1f)";
-            case SILENCE -> "of its tries %.1f in 100 more get no answer than beside it (%.1f to %.1f)";
-            case WRONG -> "of its answers %.1f in 100 more are complained of than beside it (%.1f to %.1f)";
-            case SLOW -> "its answers take %.2f times as long as beside it (%.2f to %.2f)";
-            case HARMS_ALL -> "all builds get worse in step with its traffic, times to %.2f (%.2f to %.2f)";
-        };
+        String what =
+                switch (kind) {
+                    case FAILS -> "of its tries %.1f in 100 more fail than beside it (%.1f to %.1f)";
+                    case SILENCE -> "of its tries %.1f in 100 more get no answer than beside it (%.1f to %.1f)";
+                    case WRONG -> "of its answers %.1f in 100 more are complained of than beside it (%.1f to %.1f)";
+                    case SLOW -> "its answers take %.2f times as long as beside it (%.2f to %.2f)";
+                    case HARMS_ALL -> "all builds get worse in step with its traffic, times to %.2f (%.2f to %.2f)";
+                };
         double by = kind.ordinal() <= Kind.WRONG.ordinal() ? 100 : 1;
         String figures = String.format(Locale.ROOT, what, effect[0] * by, effect[1] * by, effect[2] * by);
-        return "build " + t.build + switch (verdict) {
-            case GUILTY -> " is to blame: ";
-            case CLEARED -> " does no harm: ";
-            case NOT_YET_KNOWN -> " is not yet known: ";
-        } + figures + " in the last " + t.secondsSeen() + " s, " + t.tries() + " tries";
+        return "build " + t.build
+                + switch (verdict) {
+                    case GUILTY -> " is to blame: ";
+                    case CLEARED -> " does no harm: ";
+                    case NOT_YET_KNOWN -> " is not yet known: ";
+                } + figures + " in the last " + t.secondsSeen() + " s, " + t.tries() + " tries";
     }
 }
--- a/src/main/java/laurelkeel/blame/Counted.java
+++ b/src/main/java/laurelkeel/blame/Counted.java
@@ -10,12 +10,14 @@
 final class Counted {
     /** Odds ratios that might be true, and the one that is let pass. */
     private static final double[] OVER = {2, 4, 10, 40};
+
     static final double LET_PASS = 1.25;
     private static final int FRONTS_TO_SPARE = 4;
 
     private final int routes;
     /** One a front: places by route and odds ratio; the last route's place is for all routes. */
     private final Map<Integer, Starts> byFront = new HashMap<>();
+
     private int seconds, fronts;
 
     Counted(int routes) {
--- a/src/main/java/laurelkeel/blame/Finding.java
+++ b/src/main/java/laurelkeel/blame/Finding.java
@@ -15,11 +15,31 @@
  * @param setAside harm to all lasts and two releases explain it alike: sending this one back would tell which
  * @param afterSeconds since its offer
  */
-public record Finding(int build, Verdict verdict, double probability, Kind kind, double effect, double low, double high,
-        String evidence, List<String> considered, boolean hold, boolean setAside,
+public record Finding(
+        int build,
+        Verdict verdict,
+        double probability,
+        Kind kind,
+        double effect,
+        double low,
+        double high,
+        String evidence,
+        List<String> considered,
+        boolean hold,
+        boolean setAside,
         long afterSeconds) {
 
-    public enum Verdict { GUILTY, CLEARED, NOT_YET_KNOWN }
+    public enum Verdict {
+        GUILTY,
+        CLEARED,
+        NOT_YET_KNOWN
+    }
 
-    public enum Kind { FAILS, SILENCE, WRONG, SLOW, HARMS_ALL }
+    public enum Kind {
+        FAILS,
+        SILENCE,
+        WRONG,
+        SLOW,
+        HARMS_ALL
+    }
 }
--- a/src/main/java/laurelkeel/blame/Load.java
+++ b/src/main/java/laurelkeel/blame/Load.java
@@ -7,7 +7,11 @@
     private static final int KEPT = 60, SMOOTH = 5;
     private static final double CHANGES = 1.15;
 
-    enum Is { CALM, BUSY, EVEN }
+    enum Is {
+        CALM,
+        BUSY,
+        EVEN
+    }
 
     private final ArrayDeque<Double> loads = new ArrayDeque<>(), smooth = new ArrayDeque<>();
 
--- a/src/main/java/laurelkeel/blame/Logs.java
+++ b/src/main/java/laurelkeel/blame/Logs.java
@@ -2,7 +2,7 @@
 
 /** Sums of numbers held as logarithms. */
 final class Logs {
-    private Logs() { }
+    private Logs() {}
 
     static double sum(double[] logs, int n, double most) {
         if (most == Double.NEGATIVE_INFINITY) {
--- a/src/main/java/laurelkeel/blame/Odds.java
+++ b/src/main/java/laurelkeel/blame/Odds.java
@@ -6,7 +6,7 @@
  * martingales under the ratio held against, and may be looked at any time (Ville's inequality).
  */
 final class Odds {
-    private Odds() { }
+    private Odds() {}
 
     /**
      * The logarithm of the likelihood ratio of odds ratio over against odds ratio under.
@@ -17,7 +17,8 @@
         if (hitsAll == 0 || hitsAll == triesAll || tries == 0 || tries == triesAll) {
             return 0;
         }
-        return hits * Math.log(over / under) - logMean(tries, hitsAll, triesAll, over)
+        return hits * Math.log(over / under)
+                - logMean(tries, hitsAll, triesAll, over)
                 + logMean(tries, hitsAll, triesAll, under);
     }
 
@@ -28,8 +29,8 @@
         // terms relative to the one at low; only their ratios are needed, and each is a ratio to its neighbour
         double term = 1, plain = 1, sum = 1, plainSum = 1, scale = 0, plainScale = 0;
         for (int x = low; x < high; x++) {
-            double next = (double) (hitsAll - x) * (tries - x)
-                    / ((double) (x + 1) * (triesAll - tries - hitsAll + x + 1));
+            double next =
+                    (double) (hitsAll - x) * (tries - x) / ((double) (x + 1) * (triesAll - tries - hitsAll + x + 1));
             term *= next * odds;
             plain *= next;
             sum += term;
--- a/src/main/java/laurelkeel/blame/Pool.java
+++ b/src/main/java/laurelkeel/blame/Pool.java
@@ -18,7 +18,7 @@
     private static final int MOST_FRONTS = 4096;
 
     /** One closed second: the cells of each front that reported. */
-    record Second(long at, Map<Integer, List<Report.Cell>> byFront) { }
+    record Second(long at, Map<Integer, List<Report.Cell>> byFront) {}
 
     private final long patience;
     private final TreeMap<Long, Map<Integer, List<Report.Cell>>> open = new TreeMap<>();
@@ -90,7 +90,11 @@
         Map<Integer, List<Report.Cell>> out = new TreeMap<>();
         by.forEach((front, cells) -> {
             double over = tries(cells) / most;
-            out.put(front, over <= 1 ? cells : cells.stream().map(c -> c.scaled(1 / over)).toList());
+            out.put(
+                    front,
+                    over <= 1
+                            ? cells
+                            : cells.stream().map(c -> c.scaled(1 / over)).toList());
         });
         return out;
     }
--- a/src/main/java/laurelkeel/blame/Recent.java
+++ b/src/main/java/laurelkeel/blame/Recent.java
@@ -12,19 +12,23 @@
     private static final double MOST_OF_HITS = 0.6, FEW_OF_TRIES = 0.55, FAR_APART = 4;
     private static final int LEAST_HITS = 3, LEAST_TRIES = 10;
 
-    private record Place(int build, String machine, int customer) { }
+    private record Place(int build, String machine, int customer) {}
 
     private final ArrayDeque<Map<Place, Tally>> seconds = new ArrayDeque<>();
     private final Map<Place, Tally> sums = new HashMap<>();
 
     void next(Pool.Second s) {
         Map<Place, Tally> now = new HashMap<>();
-        s.byFront().values().forEach(cells -> cells.forEach(c -> {
-            now.computeIfAbsent(new Place(c.build(), c.machine(), -2), k -> new Tally()).add(c);
-            if (c.customer() >= 0) {
-                now.computeIfAbsent(new Place(c.build(), null, c.customer()), k -> new Tally()).add(c);
-            }
-        }));
+        s.byFront()
+                .values()
+                .forEach(cells -> cells.forEach(c -> {
+                    now.computeIfAbsent(new Place(c.build(), c.machine(), -2), k -> new Tally())
+                            .add(c);
+                    if (c.customer() >= 0) {
+                        now.computeIfAbsent(new Place(c.build(), null, c.customer()), k -> new Tally())
+                                .add(c);
+                    }
+                }));
         seconds.addLast(now);
         now.forEach((p, t) -> sums.computeIfAbsent(p, k -> new Tally()).add(t, 1));
         if (seconds.size() > SECONDS) {
@@ -39,7 +43,9 @@
     }
 
     int machines(int build) {
-        return (int) sums.keySet().stream().filter(p -> p.build == build && p.machine != null).count();
+        return (int) sums.keySet().stream()
+                .filter(p -> p.build == build && p.machine != null)
+                .count();
     }
 
     /** Machines of a build that tell nothing of it. */
@@ -61,7 +67,9 @@
         Place most = null;
         for (var e : sums.entrySet()) {
             Place p = e.getKey();
-            if (p.build == build && p.machine != null && e.getValue().hits[Tally.SILENT] > 0
+            if (p.build == build
+                    && p.machine != null
+                    && e.getValue().hits[Tally.SILENT] > 0
                     && (most == null || e.getValue().hits[Tally.SILENT] > sums.get(most).hits[Tally.SILENT])) {
                 most = p;
             }
@@ -98,7 +106,8 @@
             Place p = e.getKey();
             if (p.build == build && (p.machine != null) == machine) {
                 all.add(e.getValue(), 1);
-                boolean more = most == null || e.getValue().answered() > sums.get(most).answered();
+                boolean more =
+                        most == null || e.getValue().answered() > sums.get(most).answered();
                 most = more ? p : most;
             }
         }
@@ -108,8 +117,11 @@
         Tally one = sums.get(most);
         int rest = all.tries - one.tries;
         double restRate = rest <= 0 ? 1 : (all.answered() - one.answered()) / (double) rest;
-        boolean out = one.answered() >= LEAST_HITS && one.answered() >= MOST_OF_HITS * all.answered()
-                && one.tries <= FEW_OF_TRIES * all.tries && rest >= LEAST_TRIES && restRate * FAR_APART <= one.rate();
+        boolean out = one.answered() >= LEAST_HITS
+                && one.answered() >= MOST_OF_HITS * all.answered()
+                && one.tries <= FEW_OF_TRIES * all.tries
+                && rest >= LEAST_TRIES
+                && restRate * FAR_APART <= one.rate();
         return out ? most : null;
     }
 }
--- a/src/main/java/laurelkeel/blame/Report.java
+++ b/src/main/java/laurelkeel/blame/Report.java
@@ -20,13 +20,32 @@
      * @param rated tries whose time counts: answered, at a machine that was warm
      * @param logTime the sum of the natural logarithms of their times in milliseconds, and logSquare of the squares
      */
-    public record Cell(int build, int route, String machine, int customer, int tries, int fails, int silent,
-            int wrongs, int rated, double logTime, double logSquare) {
+    public record Cell(
+            int build,
+            int route,
+            String machine,
+            int customer,
+            int tries,
+            int fails,
+            int silent,
+            int wrongs,
+            int rated,
+            double logTime,
+            double logSquare) {
 
         /** Whether its figures can be true of any tries. */
         public boolean sound() {
-            boolean counts = build >= 0 && route >= 0 && machine != null && customer >= -1 && tries > 0 && fails >= 0
-                    && silent >= 0 && wrongs >= 0 && rated >= 0 && fails + silent <= tries && rated <= tries
+            boolean counts = build >= 0
+                    && route >= 0
+                    && machine != null
+                    && customer >= -1
+                    && tries > 0
+                    && fails >= 0
+                    && silent >= 0
+                    && wrongs >= 0
+                    && rated >= 0
+                    && fails + silent <= tries
+                    && rated <= tries
                     && wrongs <= tries;
             return counts && Double.isFinite(logTime) && Double.isFinite(logSquare) && logSquare >= 0;
         }
@@ -35,8 +54,18 @@
         Cell scaled(double by) {
             int t = part(tries, by);
             int f = Math.min(t, part(fails, by));
-            return new Cell(build, route, machine, customer, Math.max(1, t), f, Math.min(t - f, part(silent, by)),
-                    Math.min(t, part(wrongs, by)), Math.min(t, part(rated, by)), logTime * by, logSquare * by);
+            return new Cell(
+                    build,
+                    route,
+                    machine,
+                    customer,
+                    Math.max(1, t),
+                    f,
+                    Math.min(t - f, part(silent, by)),
+                    Math.min(t, part(wrongs, by)),
+                    Math.min(t, part(rated, by)),
+                    logTime * by,
+                    logSquare * by);
         }
 
         private static int part(int n, double by) {
--- a/src/main/java/laurelkeel/blame/SharedHarm.java
+++ b/src/main/java/laurelkeel/blame/SharedHarm.java
@@ -18,23 +18,32 @@
     private static final int KEPT = 60, LEAST = 10, MOST_SPELLS = 4;
     /** Outside spells seldom last: their mean, in seconds. What lasts on is more and more surely inside. */
     private static final double SPELL = 6;
+
     private static final double OF_NONE = 0.80, OF_SPELL = 0.15, OF_RELEASES = 0.04, OF_PAIRS = 0.01;
     /** Seconds that follow each other are alike: so many count as one. */
     private static final double ALIKE = 2;
     /** Harm that matters: this much of the logarithm of the times, or of the share of hits in hundredths. */
     private static final double MATTERS = 0.25;
+
     private static final double SURE = 0.995;
     private static final int LASTS = 14;
 
     /** What one second showed on builds not on trial, and the share of the traffic that each build had. */
-    private record Course(double load, Map<Integer, double[]> byRoute, Map<Integer, Double> shares) { }
+    private record Course(double load, Map<Integer, double[]> byRoute, Map<Integer, Double> shares) {}
 
     /**
      * An explanation: the releases it names (none for nothing and for a spell), and its probability; for a spell that
      * is over, from which second kept to which.
      */
-    record Explained(List<Integer> releases, boolean spell, double probability, double size, double low, double high,
-            int lasted, int[] over) { }
+    record Explained(
+            List<Integer> releases,
+            boolean spell,
+            double probability,
+            double size,
+            double low,
+            double high,
+            int lasted,
+            int[] over) {}
 
     private final ArrayDeque<Course> kept = new ArrayDeque<>();
 
@@ -44,18 +53,22 @@
         Map<Integer, double[]> routes = new TreeMap<>();
         Map<Integer, Double> shares = new TreeMap<>();
         double[] all = new double[1];
-        s.byFront().values().forEach(cells -> cells.forEach(c -> {
-            all[0] += c.tries();
-            shares.merge(c.build(), (double) c.tries(), Double::sum);
-            if (beside.test(c.build()) && !out.computeIfAbsent(c.build(), recent::outOfOrder).contains(c.machine())
-                    && c.customer() != badCustomers.computeIfAbsent(c.build(), recent::standingOut)) {
-                double[] r = routes.computeIfAbsent(c.route(), k -> new double[4]);
-                r[0] += c.rated();
-                r[1] += c.logTime();
-                r[2] += c.tries();
-                r[3] += c.fails() + c.silent() + c.wrongs();
-            }
-        }));
+        s.byFront()
+                .values()
+                .forEach(cells -> cells.forEach(c -> {
+                    all[0] += c.tries();
+                    shares.merge(c.build(), (double) c.tries(), Double::sum);
+                    if (beside.test(c.build())
+                            && !out.computeIfAbsent(c.build(), recent::outOfOrder)
+                                    .contains(c.machine())
+                            && c.customer() != badCustomers.computeIfAbsent(c.build(), recent::standingOut)) {
+                        double[] r = routes.computeIfAbsent(c.route(), k -> new double[4]);
+                        r[0] += c.rated();
+                        r[1] += c.logTime();
+                        r[2] += c.tries();
+                        r[3] += c.fails() + c.silent() + c.wrongs();
+                    }
+                }));
         if (all[0] > 0) {
             shares.replaceAll((b, n) -> n / all[0]);
             kept.addLast(new Course(all[0], routes, shares));
@@ -67,7 +80,8 @@
 
     /** The likeliest explanations of the course of times (false: of hits), best first. */
     List<Explained> explain(boolean times, List<Integer> trials) {
-        List<Course> course = new ArrayList<>(kept.stream().filter(c -> !c.byRoute.isEmpty()).toList());
+        List<Course> course =
+                new ArrayList<>(kept.stream().filter(c -> !c.byRoute.isEmpty()).toList());
         Map<Integer, double[]> shares = new TreeMap<>();
         trials.forEach(b -> shares.put(b, smooth(course, b)));
         boolean[] out = new boolean[course.size()];
@@ -93,7 +107,9 @@
         for (int i = 0; i < out.length; i++) {
             double[] around = new double[5];
             for (int k = -2; k <= 2; k++) {
-                around[k + 2] = course.get(Math.max(0, Math.min(out.length - 1, i + k))).shares.getOrDefault(build, 0.0);
+                around[k + 2] = course.get(Math.max(0, Math.min(out.length - 1, i + k)))
+                        .shares
+                        .getOrDefault(build, 0.0);
             }
             java.util.Arrays.sort(around);
             out[i] = around[2];
@@ -101,10 +117,13 @@
         return out;
     }
 
-    private List<Explained> explain(List<Course> whole, boolean[] leftOut, Map<Integer, double[]> shares, boolean times,
-            List<Integer> trials) {
-        int[] index = java.util.stream.IntStream.range(0, whole.size()).filter(i -> !leftOut[i]).toArray();
-        List<Course> course = java.util.Arrays.stream(index).mapToObj(whole::get).toList();
+    private List<Explained> explain(
+            List<Course> whole, boolean[] leftOut, Map<Integer, double[]> shares, boolean times, List<Integer> trials) {
+        int[] index = java.util.stream.IntStream.range(0, whole.size())
+                .filter(i -> !leftOut[i])
+                .toArray();
+        List<Course> course =
+                java.util.Arrays.stream(index).mapToObj(whole::get).toList();
         int n = course.size();
         if (n < LEAST) {
             return List.of(new Explained(List.of(), false, 1, 0, 0, 0, 0, null));
@@ -139,8 +158,10 @@
             }
             double slope = fit.slope(x);
             double prior = who.size() == 1 ? OF_RELEASES / trials.size() : OF_PAIRS / Math.max(1, named.size());
-            logs.add(slope <= 0 ? Double.NEGATIVE_INFINITY : Math.log(prior) - weight / 2 * Math.log(fit.rest(x))
-                    - 0.5 * Math.log(weight));
+            logs.add(
+                    slope <= 0
+                            ? Double.NEGATIVE_INFINITY
+                            : Math.log(prior) - weight / 2 * Math.log(fit.rest(x)) - 0.5 * Math.log(weight));
             double peak = 0;
             int lasted = 0;
             for (int i = 0; i < n; i++) {
@@ -154,8 +175,8 @@
         List<Explained> ranked = new ArrayList<>();
         for (int i = 0; i < out.size(); i++) {
             Explained e = out.get(i);
-            ranked.add(new Explained(e.releases, e.spell, FastMath.exp(logs.get(i) - all), e.size, e.low, e.high,
-                    e.lasted, e.over));
+            ranked.add(new Explained(
+                    e.releases, e.spell, FastMath.exp(logs.get(i) - all), e.size, e.low, e.high, e.lasted, e.over));
         }
         ranked.sort((a, b) -> Double.compare(b.probability, a.probability));
         return ranked;
@@ -181,10 +202,12 @@
             for (int to = from + 1; to <= n; to++) {
                 x[to - 1] = 1;
                 double slope = fit.slope(x);
-                double length = to < n ? Math.log(1 - Math.exp(-1 / SPELL)) - (to - from - 1) / SPELL
+                double length = to < n
+                        ? Math.log(1 - Math.exp(-1 / SPELL)) - (to - from - 1) / SPELL
                         : -(to - from - 1) / SPELL;
-                double log = slope <= 0 ? Double.NEGATIVE_INFINITY : Math.log(OF_SPELL / n) + length
-                        - weight / 2 * Math.log(fit.rest(x)) - 0.5 * Math.log(weight);
+                double log = slope <= 0
+                        ? Double.NEGATIVE_INFINITY
+                        : Math.log(OF_SPELL / n) + length - weight / 2 * Math.log(fit.rest(x)) - 0.5 * Math.log(weight);
                 all[k++] = log;
                 if (log > best) {
                     best = log;
@@ -223,14 +246,19 @@
 
     /** How likely a release has part in the harm, alone or with another. */
     static double part(List<Explained> ranked, int build) {
-        return ranked.stream().filter(e -> e.releases.contains(build)).mapToDouble(Explained::probability).sum();
+        return ranked.stream()
+                .filter(e -> e.releases.contains(build))
+                .mapToDouble(Explained::probability)
+                .sum();
     }
 
     /** The releases that surely have part in harm to all which lasted; empty for none. */
     static List<Integer> guilty(List<Explained> ranked) {
         Explained best = ranked.get(0);
         boolean counts = best.lasted >= LASTS && best.size > MATTERS;
-        return counts ? best.releases.stream().filter(b -> part(ranked, b) >= SURE).toList() : List.of();
+        return counts
+                ? best.releases.stream().filter(b -> part(ranked, b) >= SURE).toList()
+                : List.of();
     }
 
     /** Whether there is harm now that nobody is yet blamed for. */
@@ -312,8 +340,7 @@
         double doubt(double[] x) {
             double[] z = clean(x);
             double zz = dot(z, z);
-            return zz < 1e-12 ? Double.POSITIVE_INFINITY
-                    : Math.sqrt(ALIKE * rest(x) / Math.max(1, y.length - 3) / zz);
+            return zz < 1e-12 ? Double.POSITIVE_INFINITY : Math.sqrt(ALIKE * rest(x) / Math.max(1, y.length - 3) / zz);
         }
     }
 }
--- a/src/main/java/laurelkeel/blame/Slowed.java
+++ b/src/main/java/laurelkeel/blame/Slowed.java
@@ -10,9 +10,11 @@
 final class Slowed {
     /** Slower by less is let pass: logarithm of a ratio of times. */
     static final double LET_PASS = Math.log(1.3);
+
     private static final double LEAST_SPREAD = 0.12;
     /** Seconds that follow each other are alike: queues last. */
     private static final double ALIKE = 3;
+
     private static final double RHO = 0.5;
     private static final NormalDistribution NORMAL = new NormalDistribution(null, 0, 1);
 
@@ -44,7 +46,10 @@
         for (int k = 0; k < terms.length; k++) {
             double s = sums.since(k, 0), v = sums.since(k, 1);
             double part = sums.logPart(k);
-            terms[k] = part + Math.log(2) + 0.5 * Math.log(RHO / (v + RHO)) + s * s / (2 * (v + RHO))
+            terms[k] = part
+                    + Math.log(2)
+                    + 0.5 * Math.log(RHO / (v + RHO))
+                    + s * s / (2 * (v + RHO))
                     + Math.log(Math.max(1e-300, NORMAL.cumulativeProbability(s / Math.sqrt(v + RHO))));
         }
         return terms.length == 0 ? 0 : Logs.sum(terms);
--- a/src/main/java/laurelkeel/blame/Tally.java
+++ b/src/main/java/laurelkeel/blame/Tally.java
@@ -5,7 +5,6 @@
     int tries, rated;
     final int[] hits = new int[3];
     double logTime, logSquare;
-
     static final int FAILS = 0, SILENT = 1, WRONG = 2;
 
     void add(Report.Cell c) {
--- a/src/main/java/laurelkeel/blame/Trial.java
+++ b/src/main/java/laurelkeel/blame/Trial.java
@@ -73,14 +73,17 @@
             Map<Integer, Tally[]> routes = new TreeMap<>();
             for (Report.Cell c : cells) {
                 boolean own = c.build() == build;
-                if (!own && !checked.computeIfAbsent(c.build(), b -> {
-                    boolean measure = beside.test(b);
-                    if (measure) {
-                        out.add(recent.sickMachine(b));
-                        silentOut.add(recent.mostSilent(b));
-                    }
-                    return measure;
-                }) || out.contains(c.machine()) || customer >= 0 && c.customer() == customer) {
+                if (!own
+                                && !checked.computeIfAbsent(c.build(), b -> {
+                                    boolean measure = beside.test(b);
+                                    if (measure) {
+                                        out.add(recent.sickMachine(b));
+                                        silentOut.add(recent.mostSilent(b));
+                                    }
+                                    return measure;
+                                })
+                        || out.contains(c.machine())
+                        || customer >= 0 && c.customer() == customer) {
                     continue;
                 }
                 Tally[] sides = routes.computeIfAbsent(c.route(), k -> new Tally[] {new Tally(), new Tally()});
@@ -88,7 +91,8 @@
                 Tally[] total = all.computeIfAbsent(c.route(), k -> new Tally[] {new Tally(), new Tally()});
                 total[own ? 0 : 1].add(c);
                 if (own) {
-                    machines.computeIfAbsent(c.machine() + "/" + c.route(), k -> new Tally()).add(c);
+                    machines.computeIfAbsent(c.machine() + "/" + c.route(), k -> new Tally())
+                            .add(c);
                     now.tries += c.tries();
                     (othersOn ? together : apart).add(c);
                 }
@@ -129,7 +133,9 @@
         Map<Integer, Tally[]> routes = new TreeMap<>();
         for (Report.Cell c : cells) {
             if ((c.build() == build || beside.test(c.build())) && !out.contains(c.machine())) {
-                routes.computeIfAbsent(c.route(), k -> new Tally[] {new Tally(), new Tally()})[c.build() == build ? 0 : 1]
+                routes
+                        .computeIfAbsent(c.route(), k -> new Tally[] {new Tally(), new Tally()})[
+                        c.build() == build ? 0 : 1]
                         .add(c);
             }
         }
@@ -168,14 +174,21 @@
                 sum[1] += t.rated;
             }
         });
-        double[] means = byMachine.values().stream().mapToDouble(v -> v[0] / v[1]).sorted().toArray();
+        double[] means = byMachine.values().stream()
+                .mapToDouble(v -> v[0] / v[1])
+                .sorted()
+                .toArray();
         return means.length < 2 ? Double.NaN : means[(means.length - 1) / 2];
     }
 
     /** The logarithm of the e-value of each kind, weighed so that their sum is one e-value. */
     double[] logE() {
-        return new double[] {Math.log(0.4) + counted[0].logE(), Math.log(0.15) + counted[1].logE(),
-            Math.log(0.2) + counted[2].logE(), Math.log(0.125) + Logs.sum(calm.logE(), busy.logE())};
+        return new double[] {
+            Math.log(0.4) + counted[0].logE(),
+            Math.log(0.15) + counted[1].logE(),
+            Math.log(0.2) + counted[2].logE(),
+            Math.log(0.125) + Logs.sum(calm.logE(), busy.logE())
+        };
     }
 
     int tries() {
@@ -211,14 +224,17 @@
             return new double[] {1, 0, Double.POSITIVE_INFINITY};
         }
         double mean = java.util.Arrays.stream(d).average().orElse(0);
-        double spread = java.util.Arrays.stream(d).map(v -> (v - mean) * (v - mean)).sum() / (d.length - 1);
+        double spread =
+                java.util.Arrays.stream(d).map(v -> (v - mean) * (v - mean)).sum() / (d.length - 1);
         double doubt = errors * Math.sqrt(3 * Math.max(spread, 0.0025) / d.length);
         return new double[] {Math.exp(mean), Math.exp(mean - doubt), Math.exp(mean + doubt)};
     }
 
     /** Whether it was well while alone and is not while other releases have traffic too. */
     boolean onlyTogether() {
-        return apart.tries >= 50 && together.tries >= 20 && together.rate() > 0.02
+        return apart.tries >= 50
+                && together.tries >= 20
+                && together.rate() > 0.02
                 && apart.rate() * 8 < together.rate();
     }
 
--- a/src/main/java/laurelkeel/cli/AuditCommand.java
+++ b/src/main/java/laurelkeel/cli/AuditCommand.java
@@ -12,7 +12,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-@Command(name = "audit", mixinStandardHelpOptions = true,
+@Command(
+        name = "audit",
+        mixinStandardHelpOptions = true,
         description = "Judges the five rules from the records of a day that was played.")
 final class AuditCommand implements Callable<Integer> {
     @Parameters(paramLabel = "DIR", description = "the folder that the day wrote")
@@ -27,9 +29,12 @@
         Judgement j;
         try {
             List<Rec> records = Recorder.readAll(folder);
-            long lost = records.stream().mapToLong(r -> r instanceof Rec.Lost l ? l.records() : 0).sum();
+            long lost = records.stream()
+                    .mapToLong(r -> r instanceof Rec.Lost l ? l.records() : 0)
+                    .sum();
             if (lost > 0) {
-                System.err.println("laurelkeel: " + lost + " records did not reach the files; the verdicts are on the rest");
+                System.err.println(
+                        "laurelkeel: " + lost + " records did not reach the files; the verdicts are on the rest");
             }
             j = Audit.judge(records);
         } catch (IllegalArgumentException e) {
--- a/src/main/java/laurelkeel/cli/BenchCommand.java
+++ b/src/main/java/laurelkeel/cli/BenchCommand.java
@@ -24,10 +24,19 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-@Command(name = "bench", mixinStandardHelpOptions = true, description = "Measures; docs/results/ keeps the tables.",
-        subcommands = {BenchCommand.Decisions.class, BenchCommand.StreamSums.class,
-            BenchCommand.FrontBeside.class, BenchCommand.RelayAlone.class, BenchCommand.BlameDays.class,
-            BenchCommand.LanesCost.class, BenchCommand.Scale.class})
+@Command(
+        name = "bench",
+        mixinStandardHelpOptions = true,
+        description = "Measures; docs/results/ keeps the tables.",
+        subcommands = {
+            BenchCommand.Decisions.class,
+            BenchCommand.StreamSums.class,
+            BenchCommand.FrontBeside.class,
+            BenchCommand.RelayAlone.class,
+            BenchCommand.BlameDays.class,
+            BenchCommand.LanesCost.class,
+            BenchCommand.Scale.class
+        })
 final class BenchCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -38,7 +47,9 @@
         return Cli.BAD_INPUT;
     }
 
-    @Command(name = "decisions", mixinStandardHelpOptions = true,
+    @Command(
+            name = "decisions",
+            mixinStandardHelpOptions = true,
             description = "What a req costs the decider alone (JMH), by machines and phase.")
     static final class Decisions implements Callable<Integer> {
         @Option(names = "--allocation", description = "also what it allocates")
@@ -55,8 +66,11 @@
         }
     }
 
-    @Command(name = "streams", mixinStandardHelpOptions = true,
-            description = "Checksums of all actions in generated event streams, to hold two versions of the module apart.")
+    @Command(
+            name = "streams",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Checksums of all actions in generated event streams, to hold two versions of the module apart.")
     static final class StreamSums implements Callable<Integer> {
         @Override
         public Integer call() {
@@ -67,27 +81,36 @@
         }
     }
 
-    @Command(name = "front", mixinStandardHelpOptions = true,
+    @Command(
+            name = "front",
+            mixinStandardHelpOptions = true,
             description = "A front beside a bare relay: throughput, time added, CPU, allocation, memory.")
     static final class FrontBeside implements Callable<Integer> {
         @Option(names = "--machines", split = ",", defaultValue = "10,300", description = "default: ${DEFAULT-VALUE}")
         private List<Integer> machines;
 
-        @Option(names = "--seconds", defaultValue = "8", description = "measured time of each phase, after as much to "
-                + "warm up (default: ${DEFAULT-VALUE})")
+        @Option(
+                names = "--seconds",
+                defaultValue = "8",
+                description = "measured time of each phase, after as much to " + "warm up (default: ${DEFAULT-VALUE})")
         private double seconds;
 
         @Option(names = "--java-option", description = "more for the measured processes; @NAME@ becomes front or relay")
         private List<String> javaOptions = List.of();
 
-        @Option(names = "--rounds", defaultValue = "3", description = "relay and front in turn (default: "
-                + "${DEFAULT-VALUE})")
+        @Option(
+                names = "--rounds",
+                defaultValue = "3",
+                description = "relay and front in turn (default: " + "${DEFAULT-VALUE})")
         private int rounds;
 
         @Option(names = "--idle", defaultValue = "10000", description = "idle connections (default: ${DEFAULT-VALUE})")
         private int idle;
 
-        @Option(names = "--out", defaultValue = "target/bench-front", description = "folder (default: ${DEFAULT-VALUE})")
+        @Option(
+                names = "--out",
+                defaultValue = "target/bench-front",
+                description = "folder (default: ${DEFAULT-VALUE})")
         private Path out;
 
         @Override
@@ -97,7 +120,9 @@
         }
     }
 
-    @Command(name = "blame", mixinStandardHelpOptions = true,
+    @Command(
+            name = "blame",
+            mixinStandardHelpOptions = true,
             description = "Made-up release days judged by the blame and by naive ways: a table and charts.")
     static final class BlameDays implements Callable<Integer> {
         @Option(names = "--days", defaultValue = "100", description = "of each kind of bad (default: ${DEFAULT-VALUE})")
@@ -119,7 +144,9 @@
         }
     }
 
-    @Command(name = "lanes", mixinStandardHelpOptions = true,
+    @Command(
+            name = "lanes",
+            mixinStandardHelpOptions = true,
             description = "What three releases cost a req beside one, and many fronts' reports the blame.")
     static final class LanesCost implements Callable<Integer> {
         @Option(names = "--rounds", defaultValue = "7", description = "default: ${DEFAULT-VALUE}")
@@ -135,11 +162,19 @@
         }
     }
 
-    @Command(name = "scale", mixinStandardHelpOptions = true, description = {
-        "What a real node needs as the machines become more and smaller: CPU, memory, descriptors, connections, lists.",
-        "The first scale is the usual size; what goes past the acceptance's limits is printed."})
+    @Command(
+            name = "scale",
+            mixinStandardHelpOptions = true,
+            description = {
+                "What a real node needs as the machines become more and smaller: CPU, memory, descriptors, connections, lists.",
+                "The first scale is the usual size; what goes past the acceptance's limits is printed."
+            })
     static final class Scale implements Callable<Integer> {
-        @Option(names = "--profiles", split = ",", defaultValue = "THIN,SMALL,BUSY", description = "default: ${DEFAULT-VALUE}")
+        @Option(
+                names = "--profiles",
+                split = ",",
+                defaultValue = "THIN,SMALL,BUSY",
+                description = "default: ${DEFAULT-VALUE}")
         private List<ScaleBench.Profile> profiles;
 
         @Option(names = "--scales", split = ",", defaultValue = "1,4,16", description = "default: ${DEFAULT-VALUE}")
@@ -151,7 +186,10 @@
         @Option(names = "--seed", defaultValue = "1", description = "default: ${DEFAULT-VALUE}")
         private long seed;
 
-        @Option(names = "--out", defaultValue = "target/bench-scale", description = "folder (default: ${DEFAULT-VALUE})")
+        @Option(
+                names = "--out",
+                defaultValue = "target/bench-scale",
+                description = "folder (default: ${DEFAULT-VALUE})")
         private Path out;
 
         @Override
--- a/src/main/java/laurelkeel/cli/CheckCommand.java
+++ b/src/main/java/laurelkeel/cli/CheckCommand.java
@@ -10,9 +10,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-@Command(name = "check", mixinStandardHelpOptions = true, description = {
-    "Checks settings files of fronts and days, and starts nothing.",
-    "All faults are told at once, each with file, line and mend."})
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Checks settings files of fronts and days, and starts nothing.",
+            "All faults are told at once, each with file, line and mend."
+        })
 final class CheckCommand implements Callable<Integer> {
     @Parameters(arity = "1..*", paramLabel = "FILE.ini")
     private List<Path> files;
--- a/src/main/java/laurelkeel/cli/Cli.java
+++ b/src/main/java/laurelkeel/cli/Cli.java
@@ -11,26 +11,51 @@
 import picocli.CommandLine.Spec;
 
 /** All commands, their exit codes, and how logs look. */
-@Command(name = "laurelkeel", mixinStandardHelpOptions = true, version = "laurelkeel 0.2",
+@Command(
+        name = "laurelkeel",
+        mixinStandardHelpOptions = true,
+        version = "laurelkeel 0.2",
         description = "Shifts traffic between builds while servers are updated.",
-        subcommands = {FrontCommand.class, DayCommand.class, StandinCommand.class, CheckCommand.class,
-            AuditCommand.class, BlameCommand.class, BenchCommand.class, Cli.BenchlinkCommand.class,
-            Cli.ServeCommand.class, Cli.RehearseCommand.class, SoakCommand.class},
-        exitCodeListHeading = "%nExit codes:%n", exitCodeList = {"0:held, or ended as asked", "1:failed while running",
-            "2:bad arguments or settings", "3:a rule was broken"})
+        subcommands = {
+            FrontCommand.class,
+            DayCommand.class,
+            StandinCommand.class,
+            CheckCommand.class,
+            AuditCommand.class,
+            BlameCommand.class,
+            BenchCommand.class,
+            Cli.BenchlinkCommand.class,
+            Cli.ServeCommand.class,
+            Cli.RehearseCommand.class,
+            SoakCommand.class
+        },
+        exitCodeListHeading = "%nExit codes:%n",
+        exitCodeList = {
+            "0:held, or ended as asked",
+            "1:failed while running",
+            "2:bad arguments or settings",
+            "3:a rule was broken"
+        })
 final class Cli implements Callable<Integer> {
     /** What a process waits at its end for its last lines to be read. */
     static final long LOGS_MS = 500;
+
     static final int FAILED = 1;
     static final int BAD_INPUT = 2;
     static final int RULE_BROKEN = 3;
 
-    enum Logs { text, json }
+    enum Logs {
+        text,
+        json
+    }
 
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--logs", scope = ScopeType.INHERIT, defaultValue = "text",
+    @Option(
+            names = "--logs",
+            scope = ScopeType.INHERIT,
+            defaultValue = "text",
             description = "how log lines look on standard error: ${COMPLETION-CANDIDATES}")
     void logs(Logs form) {
         // read by logback at its first use, which comes after this
@@ -72,7 +97,9 @@
     }
 
     /** Only for the help: Main takes it before. */
-    @Command(name = "serve", description = "Runs one front node of the platform, set by RELAY_CONFIG (docs/platform.md).")
+    @Command(
+            name = "serve",
+            description = "Runs one front node of the platform, set by RELAY_CONFIG (docs/platform.md).")
     static final class ServeCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
@@ -81,7 +108,9 @@
     }
 
     /** Only for the help: Main takes it before. */
-    @Command(name = "rehearse", description = "Runs a front node between parties of its own, for the build's class archive.")
+    @Command(
+            name = "rehearse",
+            description = "Runs a front node between parties of its own, for the build's class archive.")
     static final class RehearseCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
--- a/src/main/java/laurelkeel/cli/DayCommand.java
+++ b/src/main/java/laurelkeel/cli/DayCommand.java
@@ -9,21 +9,35 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-@Command(name = "day", mixinStandardHelpOptions = true, description = {
-    "Plays a scripted day: real front processes between stand-ins, judged by the traffic on the sockets.",
-    "Shipped days: bad-day, lost-answers, cold-returns, stale-news."},
-        exitCodeListHeading = "%nExit codes:%n", exitCodeList = {"0:all five rules kept", "1:could not be played",
-            "2:bad arguments or day file", "3:a rule was broken"})
+@Command(
+        name = "day",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Plays a scripted day: real front processes between stand-ins, judged by the traffic on the sockets.",
+            "Shipped days: bad-day, lost-answers, cold-returns, stale-news."
+        },
+        exitCodeListHeading = "%nExit codes:%n",
+        exitCodeList = {
+            "0:all five rules kept",
+            "1:could not be played",
+            "2:bad arguments or day file",
+            "3:a rule was broken"
+        })
 final class DayCommand implements Callable<Integer> {
-    @Parameters(arity = "0..1", paramLabel = "DAY", defaultValue = "bad-day",
+    @Parameters(
+            arity = "0..1",
+            paramLabel = "DAY",
+            defaultValue = "bad-day",
             description = "a shipped day or a file; docs/day.md explains the format (default: ${DEFAULT-VALUE})")
     private String day;
 
     @Option(names = "--seed", description = "chance of the day, instead of the file's")
     private Long seed;
 
-    @Option(names = "--out", defaultValue = "target/day", description = "folder for records, logs and the report "
-            + "(default: ${DEFAULT-VALUE})")
+    @Option(
+            names = "--out",
+            defaultValue = "target/day",
+            description = "folder for records, logs and the report " + "(default: ${DEFAULT-VALUE})")
     private Path out;
 
     @Override
--- a/src/main/java/laurelkeel/cli/FrontCommand.java
+++ b/src/main/java/laurelkeel/cli/FrontCommand.java
@@ -10,9 +10,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-@Command(name = "front", mixinStandardHelpOptions = true, description = {
-    "Runs one front until it is told to stop.",
-    "SIGTERM drains: new reqs are shed, held ones get their answers, then it ends with 0."})
+@Command(
+        name = "front",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Runs one front until it is told to stop.",
+            "SIGTERM drains: new reqs are shed, held ones get their answers, then it ends with 0."
+        })
 final class FrontCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE.ini", description = "the front's settings; docs/front.md explains each")
     private Path file;
@@ -21,17 +25,22 @@
     public Integer call() throws Exception {
         FrontSettings set = FrontSettings.read(file);
         Front front = new Front(set, Shifter::new);
-        long most = set.decisions().routes().stream().mapToLong(r -> r.timeout()).max().orElse(0)
+        long most = set.decisions().routes().stream()
+                        .mapToLong(r -> r.timeout())
+                        .max()
+                        .orElse(0)
                 + set.ingress().drainMost();
-        Thread hook = new Thread(() -> {
-            front.drain();
-            try {
-                front.ended().get(most / 10 + 5_000, TimeUnit.MILLISECONDS);
-            } catch (Exception e) {
-                System.err.println("laurelkeel: the front did not end in its time: " + e);
-            }
-            Sparing.flush(Cli.LOGS_MS);
-        }, "drain");
+        Thread hook = new Thread(
+                () -> {
+                    front.drain();
+                    try {
+                        front.ended().get(most / 10 + 5_000, TimeUnit.MILLISECONDS);
+                    } catch (Exception e) {
+                        System.err.println("laurelkeel: the front did not end in its time: " + e);
+                    }
+                    Sparing.flush(Cli.LOGS_MS);
+                },
+                "drain");
         Runtime.getRuntime().addShutdownHook(hook);
         // threads of libraries too: none may die alone
         Thread.setDefaultUncaughtExceptionHandler((thread, e) -> front.fail(e));
--- a/src/main/java/laurelkeel/cli/Main.java
+++ b/src/main/java/laurelkeel/cli/Main.java
@@ -9,7 +9,7 @@
  * serve, which starts on part of a core. */
 public final class Main {
 
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) throws Exception {
         // read by logback at its first use; the option --logs may name another one before
--- a/src/main/java/laurelkeel/cli/Rehearsal.java
+++ b/src/main/java/laurelkeel/cli/Rehearsal.java
@@ -20,7 +20,8 @@
  */
 final class Rehearsal {
     private static final int REQS = 400;
-    private static final String CONFIG = """
+    private static final String CONFIG =
+            """
             {"name":"rehearsal","listen":"127.0.0.1:0","discovery":"%s","seed":"1","limits":{"sockets":256},
              "rollouts":{"address":"%s","news":{"build":1,"stage":0,"phase":"Healthy","cap":1.0,"age_ms":9000}},
              "known":%s,"settings":{"selfIndex":0,"balancers":1,"zone":0,"zones":["a"],"kinds":["m"],
@@ -32,7 +33,7 @@
              "familyInfo":{"gateMode":"by_count","votesToGo":1,"noesNeeded":1,"stageCap":[0.5,1.0],
               "callTimeout":800.0,"voteTtl":6000.0,"votesPerS":100.0,"countedOver":4000.0,"uncounted":3.0}}}""";
 
-    private Rehearsal() { }
+    private Rehearsal() {}
 
     private interface Talk {
         void with(Socket s, BufferedReader in) throws IOException;
@@ -46,8 +47,10 @@
                     Socket s = at.accept();
                     Thread each = new Thread(() -> {
                         try {
-                            talk.with(s, new BufferedReader(new InputStreamReader(s.getInputStream(),
-                                    StandardCharsets.ISO_8859_1)));
+                            talk.with(
+                                    s,
+                                    new BufferedReader(
+                                            new InputStreamReader(s.getInputStream(), StandardCharsets.ISO_8859_1)));
                         } catch (IOException e) {
                             // the node has ended it
                         }
@@ -77,8 +80,9 @@
     }
 
     private static String machine(String id, String at, int build) {
-        return "{\"id\":\"" + id + "\",\"addr\":\"" + at + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,\"state\":\"active\","
-                + "\"weight\":1.0,\"started_ms\":" + (build == 1 ? 0 : System.currentTimeMillis()) + ",\"revision_no\":" + build + "}";
+        return "{\"id\":\"" + id + "\",\"addr\":\"" + at
+                + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,\"state\":\"active\"," + "\"weight\":1.0,\"started_ms\":"
+                + (build == 1 ? 0 : System.currentTimeMillis()) + ",\"revision_no\":" + build + "}";
     }
 
     static int run() throws Exception {
@@ -91,13 +95,18 @@
         String discovery = party((s, in) -> {
             head(in);
             String list = "{\"version\":2,\"full\":false,\"servers\":[" + fresh + "]}\n";
-            say(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(list.length()) + "\r\n"
-                    + list + "\r\n");
+            say(
+                    s,
+                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(list.length())
+                            + "\r\n" + list + "\r\n");
         });
         String desk = party((s, in) -> {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                say(s, line.equals("SUB") ? "OK\r\n* progress 2 0 Progressing 0.5 10\r\n* metrics 2 get 3 0 8.5 900\r\n"
-                        : "OK 2 0 Progressing 0.5 10\r\n");
+                say(
+                        s,
+                        line.equals("SUB")
+                                ? "OK\r\n* progress 2 0 Progressing 0.5 10\r\n* metrics 2 get 3 0 8.5 900\r\n"
+                                : "OK 2 0 Progressing 0.5 10\r\n");
             }
         });
         String known = "{\"version\":1,\"full\":true,\"servers\":[" + old + "," + more + "]}";
@@ -107,12 +116,15 @@
         int port = front.start().getPort();
         int served = 0;
         try (Socket c = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            BufferedReader in = new BufferedReader(new InputStreamReader(c.getInputStream(), StandardCharsets.ISO_8859_1));
+            BufferedReader in =
+                    new BufferedReader(new InputStreamReader(c.getInputStream(), StandardCharsets.ISO_8859_1));
             char[] body = new char[3];
             for (int i = 0; i < REQS; i++) {
-                say(c, (i % 2 == 0 ? "GET /get" : "POST /put") + " HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: r" + i
-                        + "\r\nX-Account: one\r\nX-Session-Key: k" + i % 50 + "\r\nX-Time-Left: 1.9\r\n"
-                        + (i % 2 == 0 ? "\r\n" : "Idempotency-Key: m" + i + "\r\nContent-Length: 0\r\n\r\n"));
+                say(
+                        c,
+                        (i % 2 == 0 ? "GET /get" : "POST /put") + " HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: r" + i
+                                + "\r\nX-Account: one\r\nX-Session-Key: k" + i % 50 + "\r\nX-Time-Left: 1.9\r\n"
+                                + (i % 2 == 0 ? "\r\n" : "Idempotency-Key: m" + i + "\r\nContent-Length: 0\r\n\r\n"));
                 boolean ok = in.readLine().contains(" 200 ");
                 head(in);
                 in.read(body, 0, ok ? 2 : 0);
--- a/src/main/java/laurelkeel/cli/Serve.java
+++ b/src/main/java/laurelkeel/cli/Serve.java
@@ -20,10 +20,11 @@
     private static final int REREADS = 20;
     /** Where the system does not hand the file over (no descriptor, an error of the disk) it will, sooner or later. */
     private static final int REREADS_UNREADABLE = 300;
+
     private static final int READS_AT_START = 50;
     private static final long REREAD_NANOS = 100_000_000;
 
-    private Serve() { }
+    private Serve() {}
 
     static int run(Map<String, String> env) throws Exception {
         String at = env.get("RELAY_CONFIG");
@@ -63,7 +64,7 @@
 
     /** Whoever starts a node waits for it: one that the system does not hand over is tried for a while, no other is. */
     private static Config readAtStart(Path file, Map<String, String> env) throws BadConfig {
-        for (int tries = 1;; tries++) {
+        for (int tries = 1; ; tries++) {
             try {
                 return Config.read(file, env);
             } catch (BadConfig e) {
--- a/src/main/java/laurelkeel/cli/SoakCommand.java
+++ b/src/main/java/laurelkeel/cli/SoakCommand.java
@@ -19,30 +19,59 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-@Command(name = "soak", mixinStandardHelpOptions = true, description = {
-    "Plays real front nodes between stand-ins with faults, one seed a run, and judges them from the sockets.",
-    "Signals, crowds, failing system calls and steps of the clock are drawn from the seed (docs/soak.md)."})
+@Command(
+        name = "soak",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Plays real front nodes between stand-ins with faults, one seed a run, and judges them from the sockets.",
+            "Signals, crowds, failing system calls and steps of the clock are drawn from the seed (docs/soak.md)."
+        })
 final class SoakCommand implements Callable<Integer> {
-    @Option(names = "--seeds", defaultValue = "1-50", paramLabel = "FIRST-LAST", description = "seeds to play; default: ${DEFAULT-VALUE}")
+    @Option(
+            names = "--seeds",
+            defaultValue = "1-50",
+            paramLabel = "FIRST-LAST",
+            description = "seeds to play; default: ${DEFAULT-VALUE}")
     private String seeds;
 
-    @Option(names = "--seconds", defaultValue = "10", description = "how long events come in each run; default: ${DEFAULT-VALUE}")
+    @Option(
+            names = "--seconds",
+            defaultValue = "10",
+            description = "how long events come in each run; default: ${DEFAULT-VALUE}")
     private int seconds;
 
-    @Option(names = "--quiet", defaultValue = "0", description = "seconds without events at first; default: ${DEFAULT-VALUE}")
+    @Option(
+            names = "--quiet",
+            defaultValue = "0",
+            description = "seconds without events at first; default: ${DEFAULT-VALUE}")
     private int quiet;
 
-    @Option(names = "--without", split = ",", paramLabel = "PART", description = {
-        "parts of a run that are left out, by the names that a broken run prints:", "numbers of events, clock, calls"})
+    @Option(
+            names = "--without",
+            split = ",",
+            paramLabel = "PART",
+            description = {
+                "parts of a run that are left out, by the names that a broken run prints:",
+                "numbers of events, clock, calls"
+            })
     private Set<String> without = Set.of();
 
-    @Option(names = "--shrink", description = "a broken run is played again with ever fewer parts, while it still breaks")
+    @Option(
+            names = "--shrink",
+            description = "a broken run is played again with ever fewer parts, while it still breaks")
     private boolean shrink;
 
-    @Option(names = "--parallel", defaultValue = "1", description = "runs at a time, each wants two cores; default: ${DEFAULT-VALUE}")
+    @Option(
+            names = "--parallel",
+            defaultValue = "1",
+            description = "runs at a time, each wants two cores; default: ${DEFAULT-VALUE}")
     private int parallel;
 
-    @Option(names = "--out", defaultValue = "target/soak", paramLabel = "DIR", description = "for logs; default: ${DEFAULT-VALUE}")
+    @Option(
+            names = "--out",
+            defaultValue = "target/soak",
+            paramLabel = "DIR",
+            description = "for logs; default: ${DEFAULT-VALUE}")
     private Path out;
 
     private NodeImage image;
@@ -61,7 +90,8 @@
             return Cli.BAD_INPUT;
         }
         if (seconds < 1 || parallel < 1 || quiet < 0 || last < first) {
-            System.err.println("laurelkeel: --seconds and --parallel must be above 0, --quiet at least 0, and --seeds must not go down");
+            System.err.println(
+                    "laurelkeel: --seconds and --parallel must be above 0, --quiet at least 0, and --seeds must not go down");
             return Cli.BAD_INPUT;
         }
         Files.createDirectories(out);
@@ -94,7 +124,10 @@
         System.out.println("seed " + result.plan().seed() + (kept ? " kept: " : " BROKEN: ") + result.counts());
         if (!kept) {
             result.broken().forEach(each -> System.out.println("    " + each));
-            SoakPlan plan = shrink ? Shrinker.shrink(result.plan(), each -> !play(each).broken().isEmpty()) : result.plan();
+            SoakPlan plan = shrink
+                    ? Shrinker.shrink(
+                            result.plan(), each -> !play(each).broken().isEmpty())
+                    : result.plan();
             System.out.println("    drawn: " + plan);
             System.out.println("    again: bin/laurelkeel soak --seeds " + plan.seed() + " --seconds " + seconds
                     + (quiet > 0 ? " --quiet " + quiet : "")
--- a/src/main/java/laurelkeel/cli/StandinCommand.java
+++ b/src/main/java/laurelkeel/cli/StandinCommand.java
@@ -8,11 +8,18 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-@Command(name = "standin", mixinStandardHelpOptions = true, description = {
-    "Runs the machines, list and release line of a day file, for fronts started by hand.",
-    "Prints their addresses for the fronts' settings; ends on a signal."})
+@Command(
+        name = "standin",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Runs the machines, list and release line of a day file, for fronts started by hand.",
+            "Prints their addresses for the fronts' settings; ends on a signal."
+        })
 final class StandinCommand implements Callable<Integer> {
-    @Parameters(arity = "0..1", paramLabel = "DAY", defaultValue = "bad-day",
+    @Parameters(
+            arity = "0..1",
+            paramLabel = "DAY",
+            defaultValue = "bad-day",
             description = "a shipped day or a file (default: ${DEFAULT-VALUE})")
     private String day;
 
@@ -22,10 +29,13 @@
     @Override
     public Integer call() throws Exception {
         DayPlan plan = DayPlan.find(day);
-        try (World world = new World(plan, seed == null ? plan.seed() : seed, r -> { })) {
+        try (World world = new World(plan, seed == null ? plan.seed() : seed, r -> {})) {
             world.start();
-            System.out.printf("[list]%naddress = 127.0.0.1:%d%nmode = %s%n[release]%naddress = 127.0.0.1:%d%n",
-                    world.listAt().getPort(), plan.listAsked() ? "ask" : "push", world.lineAt().getPort());
+            System.out.printf(
+                    "[list]%naddress = 127.0.0.1:%d%nmode = %s%n[release]%naddress = 127.0.0.1:%d%n",
+                    world.listAt().getPort(),
+                    plan.listAsked() ? "ask" : "push",
+                    world.lineAt().getPort());
             System.out.flush();
             new CountDownLatch(1).await();
         }
--- a/src/main/java/laurelkeel/config/Ini.java
+++ b/src/main/java/laurelkeel/config/Ini.java
@@ -3,7 +3,6 @@
 import java.io.IOException;
 import java.io.StringReader;
 import java.nio.charset.MalformedInputException;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
@@ -26,7 +25,7 @@
     private final List<Fault> faults = new ArrayList<>();
     private final TreeSet<String> askedKinds = new TreeSet<>();
 
-    private record Fault(int line, String text) { }
+    private record Fault(int line, String text) {}
 
     private Ini(String name) {
         this.name = name;
@@ -83,8 +82,7 @@
                 }
                 String s = line.substring(1, end).strip();
                 if (sections.containsKey(s)) {
-                    fault(n, "section [" + s + "] stands already on line " + sections.get(s).line
-                            + "; join the two");
+                    fault(n, "section [" + s + "] stands already on line " + sections.get(s).line + "; join the two");
                 }
                 in = sections.computeIfAbsent(s, k -> new Section(this, k));
                 in.line = in.line == 0 ? n : in.line;
@@ -165,7 +163,8 @@
         }
         if (!faults.isEmpty()) {
             List<String> told = new ArrayList<>();
-            faults.stream().sorted(java.util.Comparator.comparingInt(Fault::line))
+            faults.stream()
+                    .sorted(java.util.Comparator.comparingInt(Fault::line))
                     .forEach(f -> told.add(name + (f.line > 0 ? ":" + f.line : "") + ": " + f.text));
             throw new BadSettings(told);
         }
@@ -201,6 +200,4 @@
         }
         return row[b.length()];
     }
-
-
 }
--- a/src/main/java/laurelkeel/config/Section.java
+++ b/src/main/java/laurelkeel/config/Section.java
@@ -48,7 +48,10 @@
     }
 
     void copy(StringBuilder out) {
-        lines.keySet().forEach(k -> out.append(k).append(" = ").append(values.getOrDefault(k, "")).append('\n'));
+        lines.keySet().forEach(k -> out.append(k)
+                .append(" = ")
+                .append(values.getOrDefault(k, ""))
+                .append('\n'));
     }
 
     void unknown() {
@@ -200,8 +203,8 @@
 
     /** host:port; port 0 asks for a free one. */
     public InetSocketAddress address(String key, String absent) {
-        return get(key, absent, new InetSocketAddress("127.0.0.1", 0), "host:port, as 127.0.0.1:8080",
-                Section::address);
+        return get(
+                key, absent, new InetSocketAddress("127.0.0.1", 0), "host:port, as 127.0.0.1:8080", Section::address);
     }
 
     public static InetSocketAddress address(String s) {
--- a/src/main/java/laurelkeel/day/Day.java
+++ b/src/main/java/laurelkeel/day/Day.java
@@ -17,7 +17,7 @@
 /** Plays one day from start to judgement. */
 public final class Day {
 
-    private record Due(long at, Runnable what) { }
+    private record Due(long at, Runnable what) {}
 
     private final DayPlan plan;
     private final long seed;
@@ -76,7 +76,8 @@
         try (Stream<Path> old = Files.walk(folder)) {
             for (Path p : old.sorted(java.util.Comparator.reverseOrder()).toList()) {
                 String n = p.getFileName().toString();
-                boolean ours = n.matches("(front-\\d+.*|clients|machines|report|list)(\\.(jsonl|ini|log|txt|json|new))*");
+                boolean ours =
+                        n.matches("(front-\\d+.*|clients|machines|report|list)(\\.(jsonl|ini|log|txt|json|new))*");
                 if (!p.equals(folder) && ours) {
                     Files.delete(p);
                 }
@@ -88,15 +89,19 @@
         if (over) {
             return;
         }
-        boolean client = r instanceof Rec.Asked || r instanceof Rec.Answered || r instanceof Rec.Stray
-                || r instanceof Rec.Broke || r instanceof Rec.LeftEarly;
+        boolean client = r instanceof Rec.Asked
+                || r instanceof Rec.Answered
+                || r instanceof Rec.Stray
+                || r instanceof Rec.Broke
+                || r instanceof Rec.LeftEarly;
         (client ? clientSide : machineSide).record(r);
     }
 
     private void play(World world) {
         long start = Recorder.now();
-        out.printf("day %s, seed %d: %d fronts, %d machines, %.0f reqs a second for %.0f s%n", plan.name(), seed,
-                fronts.size(), plan.machines(), plan.load().rate(), plan.length() / 10_000.0);
+        out.printf(
+                "day %s, seed %d: %d fronts, %d machines, %.0f reqs a second for %.0f s%n",
+                plan.name(), seed, fronts.size(), plan.machines(), plan.load().rate(), plan.length() / 10_000.0);
         world.load(fronts.stream().map(f -> f.at).toList(), seed);
         for (Trouble t : plan.troubles()) {
             due.add(new Due(start + t.at(), () -> {
@@ -105,8 +110,9 @@
             }));
         }
         for (long s = 5; s * 10_000 < plan.length(); s += 5) {
-            due.add(new Due(start + s * 10_000, () -> out.printf("  %5.1f s  %s%n",
-                    (Recorder.now() - start) / 10_000.0, world.state())));
+            due.add(new Due(
+                    start + s * 10_000,
+                    () -> out.printf("  %5.1f s  %s%n", (Recorder.now() - start) / 10_000.0, world.state())));
         }
         until(world, start + plan.length());
         world.on(() -> {
@@ -114,8 +120,12 @@
             return null;
         });
         // what is out ends in its clients' time; what fronts are still to be back is awaited too
-        long latest = Recorder.now() + 10_000
-                + plan.load().routes().stream().mapToLong(r -> r.timeout()).max().orElse(0);
+        long latest = Recorder.now()
+                + 10_000
+                + plan.load().routes().stream()
+                        .mapToLong(r -> r.timeout())
+                        .max()
+                        .orElse(0);
         while (Recorder.now() < latest && world.on(() -> world.clients().open()) > 0) {
             until(world, Recorder.now() + 500);
         }
--- a/src/main/java/laurelkeel/day/FrontProcess.java
+++ b/src/main/java/laurelkeel/day/FrontProcess.java
@@ -54,11 +54,19 @@
     }
 
     void start() throws IOException {
-        process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx512m",
-                "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
-                "laurelkeel.cli.Main", "front", folder.resolve("front-" + number + ".ini").toString())
+        process = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-Xmx512m",
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "laurelkeel.cli.Main",
+                        "front",
+                        folder.resolve("front-" + number + ".ini").toString())
                 .redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("front-" + number + ".log").toFile()))
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(
+                        folder.resolve("front-" + number + ".log").toFile()))
                 .start();
     }
 
--- a/src/main/java/laurelkeel/day/Report.java
+++ b/src/main/java/laurelkeel/day/Report.java
@@ -14,38 +14,77 @@
 public final class Report {
     private static final int SHOWN = 10;
 
-    private Report() { }
+    private Report() {}
 
     static String text(DayPlan plan, long seed, Map<String, Clients.Tally> tallies, List<Rec> records, Judgement j) {
         StringBuilder s = new StringBuilder();
         s.append(String.format(Locale.ROOT, "%nday %s, seed %d%n%n", plan.name(), seed));
-        row(s, "route", "reqs", "tries", "completed", "shed", "errored", "broke", "left", "no front", "p50 ms", "p99 ms",
-                "within", "of reqs");
+        row(
+                s,
+                "route",
+                "reqs",
+                "tries",
+                "completed",
+                "shed",
+                "errored",
+                "broke",
+                "left",
+                "no front",
+                "p50 ms",
+                "p99 ms",
+                "within",
+                "of reqs");
         tallies.forEach((route, t) -> {
             Histogram h = t.completedTenths;
             long objective = plan.common().routes().get(routeOf(plan, route)).objective();
             double within = t.reqs == 0 ? 0 : h.getCountBetweenValues(0, objective) / (double) t.reqs;
-            row(s, route, t.reqs, t.tries, t.completed, t.shed, t.errored, t.broke, t.left, t.unreachable,
-                    h.getValueAtPercentile(50) / 10.0, h.getValueAtPercentile(99) / 10.0, percent(within),
+            row(
+                    s,
+                    route,
+                    t.reqs,
+                    t.tries,
+                    t.completed,
+                    t.shed,
+                    t.errored,
+                    t.broke,
+                    t.left,
+                    t.unreachable,
+                    h.getValueAtPercentile(50) / 10.0,
+                    h.getValueAtPercentile(99) / 10.0,
+                    percent(within),
                     percent(t.reqs == 0 ? 0 : t.reqsCompleted / (double) t.reqs));
         });
         long arrived = records.stream().filter(r -> r instanceof Rec.Arrived).count();
         long turned = records.stream().filter(r -> r instanceof Rec.TurnedAway).count();
         long votes = records.stream().filter(r -> r instanceof Rec.Voted).count();
         s.append(String.format("%nupstream tries %d, turned away %d; votes %d%n", arrived, turned, votes));
-        long start = records.stream().filter(r -> r instanceof Rec.Asked).mapToLong(Rec::t).min().orElse(0);
+        long start = records.stream()
+                .filter(r -> r instanceof Rec.Asked)
+                .mapToLong(Rec::t)
+                .min()
+                .orElse(0);
         s.append("stages:");
         for (Rec r : records) {
             if (r instanceof Rec.Stage g) {
-                s.append(String.format(Locale.ROOT, " %d/%d %s at %.1f s;", g.build(), g.stage(),
-                        g.phase().name().toLowerCase(Locale.ROOT).replace('_', ' '), (g.t() - start) / 10_000.0));
+                s.append(String.format(
+                        Locale.ROOT,
+                        " %d/%d %s at %.1f s;",
+                        g.build(),
+                        g.stage(),
+                        g.phase().name().toLowerCase(Locale.ROOT).replace('_', ' '),
+                        (g.t() - start) / 10_000.0));
             }
         }
         s.append('\n');
         for (Rec r : records) {
             if (r instanceof Rec.Blamed b && !b.word().equals("none")) {
-                s.append(String.format(Locale.ROOT, "blame: %s, probability %.3f, at %.1f s: %s%n", b.word(),
-                        b.probability(), (b.t() - start) / 10_000.0, b.evidence()));
+                s.append(String.format(
+                        Locale.ROOT,
+                        "blame: %s, probability %.3f, at %.1f s: %s%n",
+                        b.word(),
+                        b.probability(),
+                        (b.t() - start) / 10_000.0,
+                        b.evidence()));
             }
         }
         s.append('\n');
@@ -65,11 +104,19 @@
     public static String rules(Judgement j) {
         StringBuilder s = new StringBuilder();
         for (Verdict v : j.verdicts()) {
-            s.append(String.format(Locale.ROOT, "rule %d  %-32s %-6s %8d looked at, nearest %4.0f%% of the limit: %s%n",
-                    v.rule(), v.name(), v.kept() ? "kept" : "BROKEN", v.checked(), v.nearest() * 100, v.where()));
+            s.append(String.format(
+                    Locale.ROOT,
+                    "rule %d  %-32s %-6s %8d looked at, nearest %4.0f%% of the limit: %s%n",
+                    v.rule(),
+                    v.name(),
+                    v.kept() ? "kept" : "BROKEN",
+                    v.checked(),
+                    v.nearest() * 100,
+                    v.where()));
             List<Breach> b = v.breaches();
             for (Breach x : b.subList(0, Math.min(SHOWN, b.size()))) {
-                s.append(String.format(Locale.ROOT, "        at %.1f ms, req %s: %s%n", x.t() / 10.0, x.req(), x.what()));
+                s.append(String.format(
+                        Locale.ROOT, "        at %.1f ms, req %s: %s%n", x.t() / 10.0, x.req(), x.what()));
             }
             if (b.size() > SHOWN) {
                 s.append("        and ").append(b.size() - SHOWN).append(" more\n");
--- a/src/main/java/laurelkeel/day/Trouble.java
+++ b/src/main/java/laurelkeel/day/Trouble.java
@@ -10,8 +10,27 @@
  */
 public record Trouble(String name, long at, What what, int machines, int front, int build, long lasts, double by) {
 
-    public enum What { OFFER, CRASH, HANG, SLOW, LOSE_ANSWERS, RESET, HALF, REFUSE, DRAIN, SLOW_ALL, LIST_STALE, LIST_DOWN,
-        LINE_STALL, LINE_LATE, KILL_FRONT, STOP_FRONT, BURST, SHIFT, HOT_KEY }
+    public enum What {
+        OFFER,
+        CRASH,
+        HANG,
+        SLOW,
+        LOSE_ANSWERS,
+        RESET,
+        HALF,
+        REFUSE,
+        DRAIN,
+        SLOW_ALL,
+        LIST_STALE,
+        LIST_DOWN,
+        LINE_STALL,
+        LINE_LATE,
+        KILL_FRONT,
+        STOP_FRONT,
+        BURST,
+        SHIFT,
+        HOT_KEY
+    }
 
     static Trouble read(String name, Section s, int fronts) {
         long at = s.time("at", null, "0 ms", "24 h");
--- a/src/main/java/laurelkeel/day/World.java
+++ b/src/main/java/laurelkeel/day/World.java
@@ -45,8 +45,16 @@
         list = new ListService(loop, fleet, plan.listLag(), plan.listCalls());
         line = new ReleaseLine(loop, fleet, plan.line(), plan.load().routes().size(), records);
         Rec.Rules r = plan.rules();
-        records.accept(new Rec.Rules(Recorder.now(), r.routes(), r.drainGrace(), r.window(), r.free(), r.perRoute(),
-                r.guardedStages(), r.keysStay(), r.stageCaps()));
+        records.accept(new Rec.Rules(
+                Recorder.now(),
+                r.routes(),
+                r.drainGrace(),
+                r.window(),
+                r.free(),
+                r.perRoute(),
+                r.guardedStages(),
+                r.keysStay(),
+                r.stageCaps()));
     }
 
     /** Starts list, release line and the first machines on build 1. */
@@ -117,8 +125,9 @@
 
     /** One line on where things are. */
     public String state() {
-        return on(() -> String.format("%s, %d machines, %d reqs out", line.standing(), fleet.live().size(),
-                clients == null ? 0 : clients.open()));
+        return on(() -> String.format(
+                "%s, %d machines, %d reqs out",
+                line.standing(), fleet.live().size(), clients == null ? 0 : clients.open()));
     }
 
     /** Stages reached so far, as "build 2 stage 1 trial". */
@@ -148,7 +157,8 @@
                 case RESET -> some(t.machines()).forEach(m -> m.fault(Machine.Fault.RESET, until, 1));
                 case HALF -> some(t.machines()).forEach(m -> m.fault(Machine.Fault.HALF, until, 1));
                 case REFUSE -> some(t.machines()).forEach(m -> m.fault(Machine.Fault.REFUSE, until, 1));
-                case DRAIN -> some(t.machines()).forEach(m -> fleet.drain(m, plan.line().drainMost()));
+                case DRAIN ->
+                    some(t.machines()).forEach(m -> fleet.drain(m, plan.line().drainMost()));
                 case SLOW_ALL -> fleet.slowAll(t.by(), until);
                 case LIST_STALE -> list.stale(until);
                 case LIST_DOWN -> list.down(until);
@@ -166,7 +176,7 @@
                     clients.hotKey(t.by());
                     loop.at(until, () -> clients.hotKey(0));
                 }
-                default -> { }
+                default -> {}
             }
             return null;
         });
--- a/src/main/java/laurelkeel/decision/Rotation.java
+++ b/src/main/java/laurelkeel/decision/Rotation.java
@@ -16,9 +16,11 @@
 final class Rotation {
     /** Fewer machines than this are all asked; so many near ones, and as many far ones. */
     static final int LEAST = 64;
+
     private static final int MACHINES_A_REQUEST = 8;
     /** How much the last second says of the requests out. */
     private static final double OF_LATE = 0.2;
+
     private static final double WIDER = 1.5;
     private static final double NARROWER = 0.95;
     /** Chosen anew where the size has changed by this part of it. */
@@ -80,8 +82,10 @@
             return IntStream.range(0, places.length).toArray();
         }
         Integer[] inTurn = IntStream.range(0, places.length).boxed().toArray(Integer[]::new);
-        Arrays.sort(inTurn, Comparator.comparing((Integer i) -> suspect[i])
-                .thenComparingDouble(i -> fromStart(places[i]) * (asked[i] ? STAYS : 1)));
+        Arrays.sort(
+                inTurn,
+                Comparator.comparing((Integer i) -> suspect[i])
+                        .thenComparingDouble(i -> fromStart(places[i]) * (asked[i] ? STAYS : 1)));
         IntStream nearOnes = first(each, inTurn, i -> near[i]);
         IntStream farOnes = first(each, inTurn, i -> !near[i]);
         return IntStream.concat(nearOnes, farOnes).sorted().toArray();
--- a/src/main/java/laurelkeel/decision/Shifter.java
+++ b/src/main/java/laurelkeel/decision/Shifter.java
@@ -65,7 +65,7 @@
     private static final int ERRS_HEARD = 5;
 
     /** One upstream try, with the machine as it was when sent to: an id can come back as another machine. */
-    private record Try(int no, Machine to, long sentAt, boolean settled, int openThen, int level) { }
+    private record Try(int no, Machine to, long sentAt, boolean settled, int openThen, int level) {}
 
     /** One req this front has taken. */
     private static final class Rq {
@@ -134,6 +134,7 @@
         final int[] all, fit, struck;
         /** Those that are asked in turn. */
         int[] rotation;
+
         int strucks;
         boolean warm, plain;
         double size;
@@ -205,7 +206,10 @@
 
         /** What two thirds of the machines exceed: half of them slow is no slow fleet; 0 for too few. */
         double pace() {
-            double[] means = paces.values().stream().mapToDouble(v -> v[0] / v[1]).sorted().toArray();
+            double[] means = paces.values().stream()
+                    .mapToDouble(v -> v[0] / v[1])
+                    .sorted()
+                    .toArray();
             return means.length < 3 ? 0 : means[means.length / 3];
         }
     }
@@ -284,7 +288,8 @@
         int enough = Math.max(1, settings.rollout().backVotes());
         sure = Math.sqrt(SURE * SURE + 2 * Math.log(Math.max(1, settings.fronts() / (double) enough)));
         // until answers tell: an even part of what the customers may ask
-        double quota = settings.customers().stream().mapToDouble(Customer::quota).sum();
+        double quota =
+                settings.customers().stream().mapToDouble(Customer::quota).sum();
         answered = quota > 0 ? quota / settings.fronts() : 1;
         for (Route route : settings.routes()) {
             times.add(new Times(route.objective() / 5.0));
@@ -302,7 +307,8 @@
         findBuilds();
         while (!alarms.isEmpty() && alarms.firstKey() <= now) {
             // most have long ended: nothing is left to want for them
-            alarms.pollFirstEntry().getValue().stream().filter(rq -> !rq.ended || rq.out != null)
+            alarms.pollFirstEntry().getValue().stream()
+                    .filter(rq -> !rq.ended || rq.out != null)
                     .forEach(touched::add);
         }
         if (now >= nextTick) {
@@ -371,12 +377,15 @@
             if (m == null || m.started != i.started() || m.build != i.build()) {
                 // what was learned of the id before says nothing of the machine that now has it
                 // a crossing counts as so much held
-                m = new Machine(i, i.zone() == set.zone() ? 0 : CROSS * set.prices().crossZone());
+                m = new Machine(
+                        i, i.zone() == set.zone() ? 0 : CROSS * set.prices().crossZone());
                 machines.put(m.id, m);
                 m.luck = chance();
                 m.luckUntil = now + set.limits().tipAfter();
                 // fronts that all began their turns at the same machine would meet there
-                m.credit = (chance() - 0.5) * i.size() * Math.max(machines.size(), l.machines().size());
+                m.credit = (chance() - 0.5)
+                        * i.size()
+                        * Math.max(machines.size(), l.machines().size());
             }
             m.size = Math.max(i.size(), 1e-3);
             m.live = i.state() == MachineState.LIVE;
@@ -390,8 +399,9 @@
         }
         sides.clear();
         Map<Integer, List<Machine>> builds = new LinkedHashMap<>();
-        machines.values().stream().filter(m -> m.live)
-                .forEach(m -> builds.computeIfAbsent(m.build, k -> new ArrayList<>()).add(m));
+        machines.values().stream().filter(m -> m.live).forEach(m -> builds.computeIfAbsent(
+                        m.build, k -> new ArrayList<>())
+                .add(m));
         builds.forEach((build, live) -> {
             Side side = new Side(live);
             side.rotate(rotation);
@@ -403,7 +413,10 @@
             }
         });
         newestLive = sides.keySet().stream().mapToInt(b -> b).max().orElse(Integer.MIN_VALUE);
-        liveSize = machines.values().stream().filter(m -> m.live).mapToDouble(m -> m.size).sum();
+        liveSize = machines.values().stream()
+                .filter(m -> m.live)
+                .mapToDouble(m -> m.size)
+                .sum();
     }
 
     private void readNews(ReleaseNews n) {
@@ -436,7 +449,9 @@
     }
 
     private double warmth(Machine m) {
-        double share = m.started == 0 ? 1 : Math.min(1, (now - m.started) / (double) set.limits().coldFor());
+        double share = m.started == 0
+                ? 1
+                : Math.min(1, (now - m.started) / (double) set.limits().coldFor());
         return set.limits().coldFrom() + (1 - set.limits().coldFrom()) * Math.max(0, share);
     }
 
@@ -530,8 +545,10 @@
 
     /** A build that leaves the list ahead of its news, or is passed, and returns, has its tries still. */
     private ArrayDeque<Long> exposed(int build, int route) {
-        return exposed.computeIfAbsent(build,
-                k -> set.routes().stream().map(r -> new ArrayDeque<Long>()).toList()).get(scope(route));
+        return exposed.computeIfAbsent(build, k -> set.routes().stream()
+                        .map(r -> new ArrayDeque<Long>())
+                        .toList())
+                .get(scope(route));
     }
 
     private boolean trialOpen(Rq rq, boolean pinned) {
@@ -634,8 +651,8 @@
             case TIMEOUT, BROKEN, NO_CONNECTION -> {
                 if (t.outcome() != Outcome.TIMEOUT || now < rq.endBy) {
                     m.strikes++;
-                    m.outUntil = m.strikes < 2 ? 0
-                            : now + Math.min(4 * SECOND, SECOND / 2 << Math.min(4, m.strikes - 2));
+                    m.outUntil =
+                            m.strikes < 2 ? 0 : now + Math.min(4 * SECOND, SECOND / 2 << Math.min(4, m.strikes - 2));
                     m.side.plain = false;
                 }
             }
@@ -647,7 +664,7 @@
                 m.errs += (1 - m.errs) * ERRS_RATE;
                 m.outUntil = m.errsAlone ? now + SECOND : m.outUntil;
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -747,9 +764,10 @@
 
     private boolean mayResend(Rq rq) {
         Route route = set.routes().get(rq.is.route());
-        return rq.tries < set.allowed().tries() && (rq.firstMayHaveRun == null
-                || route.effect() == Effect.RETRIABLE
-                || route.effect() == Effect.DEDUPED && inWindow(rq.firstMayHaveRun, route));
+        return rq.tries < set.allowed().tries()
+                && (rq.firstMayHaveRun == null
+                        || route.effect() == Effect.RETRIABLE
+                        || route.effect() == Effect.DEDUPED && inWindow(rq.firstMayHaveRun, route));
     }
 
     private boolean inWindow(Try first, Route route) {
@@ -768,8 +786,9 @@
     private boolean shedAllowed(Rq rq) {
         Route route = set.routes().get(rq.is.route());
         Try first = rq.firstMayHaveRun == null ? rq.out : rq.firstMayHaveRun;
-        return first == null || route.effect() == Effect.RETRIABLE || route.effect() == Effect.DEDUPED
-                && route.group() == Group.ALL && inWindow(first, route);
+        return first == null
+                || route.effect() == Effect.RETRIABLE
+                || route.effect() == Effect.DEDUPED && route.group() == Group.ALL && inWindow(first, route);
     }
 
     /** Sets what is wanted for one req: a send, an end, or to go on waiting. */
@@ -791,7 +810,8 @@
             // a route whose answers all come late only holds places, whatever keeps them; but two tries
             // go out at any wait: a front that only sheds would never learn of its end
             Times t = times.get(rq.is.route());
-            if (rq.want != null && t.open >= 2
+            if (rq.want != null
+                    && t.open >= 2
                     && (t.recent > route.objective() || expectedWait(rq.want) > yieldAt(rq.is.route()))) {
                 rq.want = null;
             }
@@ -831,7 +851,8 @@
         for (int r = 0; r < set.routes().size(); r++) {
             slack = Math.min(slack, slack(r));
         }
-        int most = sides.values().stream().mapToInt(side -> side.all.length).max().orElse(0);
+        int most =
+                sides.values().stream().mapToInt(side -> side.all.length).max().orElse(0);
         boolean notable = rotation.adapt(open, wait > WAITING * slack, most);
         for (Side side : sides.values()) {
             if (notable || side.needsOthers()) {
@@ -869,7 +890,9 @@
             if (!m.weighed) {
                 weigh(m);
             }
-            side.plain &= m.weighed && !m.ill() && now >= m.fullUntil
+            side.plain &= m.weighed
+                    && !m.ill()
+                    && now >= m.fullUntil
                     && (m.started == 0 || now - m.started >= set.limits().coldFor() + SECOND);
             if (m.started != 0 && coldFull(m) || bound && !sameGroup(rq, m)) {
                 continue;
@@ -938,7 +961,8 @@
     private long limit(Rq rq) {
         Route route = set.routes().get(rq.is.route());
         long left = rq.endBy - now;
-        boolean again = route.effect() != Effect.NON_RETRIABLE && rq.tries + 1 < set.allowed().tries();
+        boolean again = route.effect() != Effect.NON_RETRIABLE
+                && rq.tries + 1 < set.allowed().tries();
         Times t = times.get(rq.is.route());
         int level = level(rq.want.open);
         double typical = t.seen[level] < 8 ? t.calm : t.usual[level];
@@ -967,7 +991,8 @@
 
     private Cell cell(TreeMap<Long, Second> of, long at, int build, int route) {
         Second second = of.computeIfAbsent(at / SECOND, k -> new Second());
-        Cell[] cells = second.builds.computeIfAbsent(build, k -> new Cell[set.routes().size()]);
+        Cell[] cells =
+                second.builds.computeIfAbsent(build, k -> new Cell[set.routes().size()]);
         cells[route] = cells[route] == null ? new Cell() : cells[route];
         return cells[route];
     }
@@ -1003,13 +1028,16 @@
         // where reqs fail on the earlier build too, only one that another try cured speaks of its build
         boolean cured = !beside || earlier[routes].fails > OWN_FAULT * earlier[routes].tries;
         // one machine is no build: where several of it are seen, at least two must have erred of late
-        List<Machine> of = machines.values().stream().filter(m -> m.live && m.build == cand).toList();
+        List<Machine> of = machines.values().stream()
+                .filter(m -> m.live && m.build == cand)
+                .toList();
         boolean one = of.stream().filter(m -> m.heard >= ERRS_HEARD).count() > 1
                 && of.stream().filter(m -> m.errs > ERRS_RATE / 10).count() < 2;
         for (int r = 0; r <= routes; r++) {
             int least = r < routes ? LEAST / 2 : LEAST;
             boolean errs = leads(over, cand, rev, r, c -> cured ? c.cured : c.fails, least, fails, 1e9);
-            errs |= all != null && own[r].fails > 0
+            errs |= all != null
+                    && own[r].fails > 0
                     && leads(all, cand, rev, r, c -> c.fails, least, LEAST_FAILS, of.size());
             errs &= !one;
             if (errs || leads(over, cand, rev, r, c -> c.complaints, LEAST, LEAST_COMPLAINTS, 1e9)) {
@@ -1017,8 +1045,9 @@
             }
         }
         // after the release no seconds are shared, and other loads than then pass for a slow build
-        String slow = beside ? slower(cand, total(seconds.values(), cand, rev)[routes],
-                total(seconds.values(), rev, cand)[routes]) : null;
+        String slow = beside
+                ? slower(cand, total(seconds.values(), cand, rev)[routes], total(seconds.values(), rev, cand)[routes])
+                : null;
         return slow == null ? slowsAll() : slow;
     }
 
@@ -1053,8 +1082,11 @@
      */
     private String slowsAll() {
         double before = paceBefore();
-        double usual = seconds.values().stream().filter(s -> s.trialSends == 0).mapToInt(s -> s.taken)
-                .average().orElse(0);
+        double usual = seconds.values().stream()
+                .filter(s -> s.trialSends == 0)
+                .mapToInt(s -> s.taken)
+                .average()
+                .orElse(0);
         int load = 0, seen = 0, slow = 0;
         for (Second s : seconds.tailMap(now / SECOND - LASTING).values()) {
             double pace = s.pace();
@@ -1070,22 +1102,27 @@
     }
 
     private double paceBefore() {
-        return seconds.values().stream().filter(s -> s.trialSends == 0).mapToDouble(Second::pace)
-                .filter(p -> p > 0).map(p -> Math.max(0.8, p)).average().orElse(0);
+        return seconds.values().stream()
+                .filter(s -> s.trialSends == 0)
+                .mapToDouble(Second::pace)
+                .filter(p -> p > 0)
+                .map(p -> Math.max(0.8, p))
+                .average()
+                .orElse(0);
     }
 
     /** Slow is a build surely slower by its answers and on most of its machines: one machine is no build. */
     private String slower(int cand, Cell a, Cell b) {
         List<Machine> seen = machines.values().stream()
-                .filter(m -> m.live && m.build == cand && m.paced >= LEAST / 4).toList();
+                .filter(m -> m.live && m.build == cand && m.paced >= LEAST / 4)
+                .toList();
         long most = seen.stream().filter(m -> m.pace > (1 + SLOWER) / 2).count();
         if (a.rated < 2 * LEAST || b.rated < 2 * LEAST || most < 2 || most * 6 < seen.size() * 5) {
             return null;
         }
         double x = a.ratio / a.rated;
         double y = Math.max(1, b.ratio / b.rated);
-        double doubt =
-                Math.sqrt((a.square / a.rated - x * x) / a.rated + (b.square / b.rated - y * y) / b.rated);
+        double doubt = Math.sqrt((a.square / a.rated - x * x) / a.rated + (b.square / b.rated - y * y) / b.rated);
         boolean slow = x > SLOWER * y && x - (1 + SLOWER) / 2 * y > sure * doubt;
         return slow ? "slow " + x + " of " + a.rated + ", earlier " + y + " of " + b.rated : null;
     }
@@ -1097,8 +1134,15 @@
      * @param machines of cand, where they cannot be told apart: a few that always fail are no build, so no
      *     more outcomes than that count as independent
      */
-    private boolean leads(Collection<Map<Integer, Cell[]>> over, int cand, int rev, int route,
-            ToIntFunction<Cell> what, int least, int leastHits, double machines) {
+    private boolean leads(
+            Collection<Map<Integer, Cell[]>> over,
+            int cand,
+            int rev,
+            int route,
+            ToIntFunction<Cell> what,
+            int least,
+            int leastHits,
+            double machines) {
         double lead = 0, weight = 0, tries = 0, hits = 0, all = 0, allHits = 0;
         for (Map<Integer, Cell[]> second : over) {
             Cell[] x = second.get(cand), y = second.get(rev);
@@ -1130,8 +1174,11 @@
     }
 
     private long newest(int build) {
-        return machines.values().stream().filter(m -> m.live && m.build == build).mapToLong(m -> m.started)
-                .max().orElse(0);
+        return machines.values().stream()
+                .filter(m -> m.live && m.build == build)
+                .mapToLong(m -> m.started)
+                .max()
+                .orElse(0);
     }
 
     private Verdict verdict() {
@@ -1154,7 +1201,9 @@
         }
         nextVerdict = now + SECOND / 4;
         Verdict v = verdict();
-        boolean same = stands != null && stands.build() == newsBuild && stands.verdict() == v
+        boolean same = stands != null
+                && stands.build() == newsBuild
+                && stands.verdict() == v
                 && (v != Verdict.ON || stands.stage() == stage);
         if (v == Verdict.NONE || same && now < stoodAt + set.rollout().voteLife() * 6 / 10) {
             return null;
@@ -1193,8 +1242,10 @@
     private void settle(Rq rq) {
         boolean answer = rq.wantEnd && !rq.ended;
         if (answer) {
-            out.add(shedAllowed(rq) ? new Action.Shed(rq.is.id(), set.allowed().longestRetryAfter())
-                    : new Action.Err(rq.is.id()));
+            out.add(
+                    shedAllowed(rq)
+                            ? new Action.Shed(rq.is.id(), set.allowed().longestRetryAfter())
+                            : new Action.Err(rq.is.id()));
             rq.ended = true;
             if (rq.is.key() != null) {
                 given.put(rq.is.key(), now);
--- a/src/main/java/laurelkeel/front/Base.java
+++ b/src/main/java/laurelkeel/front/Base.java
@@ -17,7 +17,12 @@
  * @param inbox what the front's sources have learned
  * @param shared runs the sockets of all sides; null where each side has threads of its own
  */
-public record Base(String life, Loop loop, Inbox inbox, ExecutorService socketThreads, ScheduledExecutorService timer,
+public record Base(
+        String life,
+        Loop loop,
+        Inbox inbox,
+        ExecutorService socketThreads,
+        ScheduledExecutorService timer,
         SimpleIoProcessorPool<NioSession> shared) {
     /** The front's clock begins here, so that what began before the front did still has a moment above 0. */
     private static final long ORIGIN = 36_000_000;
@@ -32,8 +37,13 @@
 
     public static Base of(LongSupplier clock) {
         Loop loop = new Loop(clock);
-        return new Base(newLife(), loop, new Inbox(), Threads.many(loop, "front-sockets"),
-                Threads.timer(loop, "front-timer"), null);
+        return new Base(
+                newLife(),
+                loop,
+                new Inbox(),
+                Threads.many(loop, "front-sockets"),
+                Threads.timer(loop, "front-timer"),
+                null);
     }
 
     /** For a machine with one core or less: one thread has all sockets. */
@@ -44,7 +54,8 @@
 
     /** So many socket threads for one side, or the one that all share. */
     public SimpleIoProcessorPool<NioSession> processors(int threads) {
-        return shared != null ? shared
+        return shared != null
+                ? shared
                 : new SimpleIoProcessorPool<>(LookingProcessor.class, socketThreads, threads, null);
     }
 
--- a/src/main/java/laurelkeel/front/ClassPreloader.java
+++ b/src/main/java/laurelkeel/front/ClassPreloader.java
@@ -19,11 +19,12 @@
     private static final Logger LOG = LoggerFactory.getLogger(ClassPreloader.class);
     /** Found nowhere, so that every archive on the class path is looked into. */
     private static final String ABSENT = "laurelkeel/front/absent";
+
     private static final String CLASS_FILE = ".class";
 
     private static boolean done;
 
-    private ClassPreloader() { }
+    private ClassPreloader() {}
 
     /**
      * Opens every archive on the class path, which the class loader then holds open. Where this program is a directory of
@@ -54,7 +55,10 @@
         }
         for (Path file : files) {
             String path = directory.relativize(file).toString();
-            load(path.substring(0, path.length() - CLASS_FILE.length()).replace(file.getFileSystem().getSeparator(), "."), loader);
+            load(
+                    path.substring(0, path.length() - CLASS_FILE.length())
+                            .replace(file.getFileSystem().getSeparator(), "."),
+                    loader);
         }
     }
 
--- a/src/main/java/laurelkeel/front/Counts.java
+++ b/src/main/java/laurelkeel/front/Counts.java
@@ -27,9 +27,11 @@
     private final Map<End, Counter> ends = new EnumMap<>(End.class);
     private final DistributionSummary took = DistributionSummary.builder("laurelkeel_answer_ms")
             .description("time from taking a req to its final answer")
-            .serviceLevelObjectives(1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10_000).register(registry);
+            .serviceLevelObjectives(1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10_000)
+            .register(registry);
     private final DistributionSummary turn = DistributionSummary.builder("laurelkeel_turn_events")
-            .description("events handed to the decider at once").register(registry);
+            .description("events handed to the decider at once")
+            .register(registry);
 
     Counts(List<String> routes) {
         for (String route : routes) {
--- a/src/main/java/laurelkeel/front/Front.java
+++ b/src/main/java/laurelkeel/front/Front.java
@@ -16,8 +16,8 @@
 import java.util.function.LongSupplier;
 import laurelkeel.api.Action;
 import laurelkeel.api.Decider;
-import laurelkeel.api.Event.Outcome;
 import laurelkeel.api.Event;
+import laurelkeel.api.Event.Outcome;
 import laurelkeel.api.Settings;
 import laurelkeel.front.ingress.Asked;
 import laurelkeel.front.ingress.ClientConn;
@@ -53,6 +53,7 @@
     private static final long LISTEN_NANOS = 10_000_000_000L, LISTEN_AGAIN_NANOS = 100_000_000L;
     /** Connections are given so long to take their last answers before the rest is closed as it is. */
     private static final long REFUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+
     private static final long REFUSE_AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
     /** Totals are logged this often, and at the end. */
     private static final long TOTALS_EVERY = 600_000;
@@ -77,6 +78,7 @@
     private final Map<String, Held> held = new HashMap<>();
     /** The clients' own names of the reqs held. */
     private final Set<String> named = new HashSet<>();
+
     private long ids;
     private boolean draining;
     private boolean decidesNoMore;
@@ -107,8 +109,8 @@
         this(set, door, upstream, base, outfit, true);
     }
 
-    private Front(Settings set, IngressSettings door, UpstreamSettings upstream, Base base, Outfit outfit,
-            boolean guarded) {
+    private Front(
+            Settings set, IngressSettings door, UpstreamSettings upstream, Base base, Outfit outfit, boolean guarded) {
         this.set = set;
         this.base = base;
         this.outfit = outfit;
@@ -160,8 +162,14 @@
     }
 
     private void logTotals() {
-        LOG.info("totals: {}, clients' connections {}, closed {}, failed accepts {}, machines' connections {}, failed tasks {}",
-                totals, ingress.connections(), ingress.closed(), ingress.failedAccepts(), pools.open(), loop.failures());
+        LOG.info(
+                "totals: {}, clients' connections {}, closed {}, failed accepts {}, machines' connections {}, failed tasks {}",
+                totals,
+                ingress.connections(),
+                ingress.closed(),
+                ingress.failedAccepts(),
+                pools.open(),
+                loop.failures());
     }
 
     private void logTotalsAgain() {
@@ -221,10 +229,17 @@
     /** What the decider has out at each machine beside what its sockets have: the two must agree. */
     private void trace() {
         Map<String, Integer> out = new TreeMap<>();
-        held.values().forEach(h -> h.sent.stream().filter(t -> !t.over)
+        held.values().forEach(h -> h.sent.stream()
+                .filter(t -> !t.over)
                 .forEach(t -> out.merge(outfit.place(t.machine).key(), 1, Integer::sum)));
-        LOG.info("trace held {}, clients' connections {}, machines' {}, backlog {}, tries out {}, sockets {}", held.size(),
-                ingress.connections(), pools.open(), loop.backlog(), out, pools.told());
+        LOG.info(
+                "trace held {}, clients' connections {}, machines' {}, backlog {}, tries out {}, sockets {}",
+                held.size(),
+                ingress.connections(),
+                pools.open(),
+                loop.backlog(),
+                out,
+                pools.told());
         loop.at(loop.now() + 10_000, this::trace);
     }
 
@@ -242,7 +257,9 @@
     /** Closes all that was opened, once; also where the start stopped half way. */
     private void finish(Throwable failed) {
         Throwable failure = failed;
-        enter(FrontState.CLOSING, failure != null ? "it failed: " + failure : "it has drained or its time for that is over");
+        enter(
+                FrontState.CLOSING,
+                failure != null ? "it failed: " + failure : "it has drained or its time for that is over");
         logTotals();
         CompletableFuture.delayedExecutor(CLOSE_LIMIT_MS, TimeUnit.MILLISECONDS).execute(() -> giveUpClosing(failed));
         List<Runnable> ends = new ArrayList<>(List.of(this::endHeld, ingress::close, pools::close));
@@ -263,7 +280,8 @@
 
     /** Never half alive: who waits for its end must not wait for a part that never closes. */
     private void giveUpClosing(Throwable failed) {
-        TimeoutException late = new TimeoutException("not all of the front was closed within " + CLOSE_LIMIT_MS + " ms");
+        TimeoutException late =
+                new TimeoutException("not all of the front was closed within " + CLOSE_LIMIT_MS + " ms");
         if (ended.complete(failed == null ? late : failed)) {
             LOG.error("it ends as it is", late);
         }
@@ -324,8 +342,10 @@
         // also before the start, which then serves for as long as a drain does, and ends
         loop.post(() -> {
             if (state == FrontState.SERVING) {
-                enter(FrontState.DRAINING, "asked to; " + held.size() + " requests held, " + ingress.connections()
-                        + " clients' connections");
+                enter(
+                        FrontState.DRAINING,
+                        "asked to; " + held.size() + " requests held, " + ingress.connections()
+                                + " clients' connections");
                 if (lameDuck > 0) {
                     loop.at(loop.now() + lameDuck, this::takeNoMore);
                 } else {
@@ -345,7 +365,8 @@
             }
             loop.post(() -> listening = false);
         });
-        long longest = set.routes().stream().mapToLong(Settings.Route::timeout).max().orElse(0);
+        long longest =
+                set.routes().stream().mapToLong(Settings.Route::timeout).max().orElse(0);
         loop.at(loop.now() + Math.max(longest, drainMost), loop::stop);
         if (lameDuck > 0) {
             again();
@@ -421,8 +442,12 @@
                 ended(h, sent, sent.exchange.end(Outcome.STOPPED), null);
             }
         } else if (a instanceof Action.Shed s) {
-            answer(held.get(s.req()), End.SHED, words.shed(set.allowed().retryAfter() ? s.retryAfter() : 0,
-                    "shed: nothing was done, or a repeat does no harm"));
+            answer(
+                    held.get(s.req()),
+                    End.SHED,
+                    words.shed(
+                            set.allowed().retryAfter() ? s.retryAfter() : 0,
+                            "shed: nothing was done, or a repeat does no harm"));
         } else if (a instanceof Action.Err s) {
             answer(held.get(s.req()), End.ERRORED, words.errored(false, "errored: the req may have run"));
         } else if (a instanceof Action.Timer t) {
@@ -488,7 +513,10 @@
         outfit.tried(h.asked.route());
         long limit = s.within() == 0 ? h.leaves : Math.min(h.leaves, loop.now() + Math.max(0, s.within()));
         try {
-            sent.exchange = pools.start(outfit.place(s.machine()), () -> upstream(h, sent, limit), h.asked.toHead(),
+            sent.exchange = pools.start(
+                    outfit.place(s.machine()),
+                    () -> upstream(h, sent, limit),
+                    h.asked.toHead(),
                     (outcome, came) -> ended(h, sent, outcome, came));
         } catch (RuntimeException e) {
             // before a byte of it was handed to a connection: that is the last thing that start does
@@ -528,7 +556,13 @@
         outfit.tryEnded(s.machine, s.at, h.asked, outcome);
         totals.attemptEnded(outcome);
         if (outcome != Outcome.COMPLETED) {
-            LOG.info("request {} ({}) attempt {} at {}: {} after {} ms", h.id, h.asked.id(), s.no, s.machine, outcome,
+            LOG.info(
+                    "request {} ({}) attempt {} at {}: {} after {} ms",
+                    h.id,
+                    h.asked.id(),
+                    s.no,
+                    s.machine,
+                    outcome,
                     (loop.now() - s.at) / 10.0);
         }
         if (outcome == Outcome.COMPLETED && !h.answered) {
@@ -549,8 +583,14 @@
         if (h == null || guarded && h.answered) {
             return;
         }
-        LOG.info("request {} ({}) on connection {}: {} after {} ms and {} attempts", h.id, h.asked.id(), h.conn.id(), how,
-                (loop.now() - h.takenAt) / 10.0, h.sent.size());
+        LOG.info(
+                "request {} ({}) on connection {}: {} after {} ms and {} attempts",
+                h.id,
+                h.asked.id(),
+                h.conn.id(),
+                how,
+                (loop.now() - h.takenAt) / 10.0,
+                h.sent.size());
         close(h, how);
         ingress.answer(h.conn, h.asked.last(), with);
         forget(h);
@@ -613,8 +653,8 @@
             if (guarded) {
                 h.lastCall = loop.at(leaves - 10, () -> overdue(h));
             }
-            inbox.learn(new Event.Req(id, asked.route(), asked.customer(), asked.key(), leaves, asked.cost(),
-                    asked.repeat()));
+            inbox.learn(new Event.Req(
+                    id, asked.route(), asked.customer(), asked.key(), leaves, asked.cost(), asked.repeat()));
         }
 
         @Override
--- a/src/main/java/laurelkeel/front/FrontSettings.java
+++ b/src/main/java/laurelkeel/front/FrontSettings.java
@@ -24,13 +24,30 @@
  * @param state the folder that keeps the last list over a restart
  * @param records the file for what this front was told; null for none
  */
-public record FrontSettings(Settings decisions, long seed, List<String> zones, RouteTable routes, IngressSettings ingress,
-        UpstreamSettings upstream, InetSocketAddress admin, InetSocketAddress list, InetSocketAddress release,
-        InetSocketAddress notes, Map<Integer, InetSocketAddress> peers, Path state, Path records) {
+public record FrontSettings(
+        Settings decisions,
+        long seed,
+        List<String> zones,
+        RouteTable routes,
+        IngressSettings ingress,
+        UpstreamSettings upstream,
+        InetSocketAddress admin,
+        InetSocketAddress list,
+        InetSocketAddress release,
+        InetSocketAddress notes,
+        Map<Integer, InetSocketAddress> peers,
+        Path state,
+        Path records) {
 
-    private enum ListMode { PUSH, ASK }
+    private enum ListMode {
+        PUSH,
+        ASK
+    }
 
-    private enum EarningsBy { REQ, WORK }
+    private enum EarningsBy {
+        REQ,
+        WORK
+    }
 
     /** Reads and checks a front's file; all its faults are told at once. */
     public static FrontSettings read(Path file) throws BadSettings {
@@ -41,8 +58,14 @@
     }
 
     /** What all fronts of a fleet share: routes, customers, limits, what is allowed, prices, the rollout. */
-    public record Common(List<Settings.Route> routes, RouteTable table, List<Settings.Customer> customers,
-            Settings.Limits limits, Settings.Allowed allowed, Settings.Prices prices, Settings.Rollout rollout) {
+    public record Common(
+            List<Settings.Route> routes,
+            RouteTable table,
+            List<Settings.Customer> customers,
+            Settings.Limits limits,
+            Settings.Allowed allowed,
+            Settings.Prices prices,
+            Settings.Rollout rollout) {
 
         /** The sections that hold it, for those who pass them on. */
         public static final List<String> SECTIONS =
@@ -55,8 +78,8 @@
             ini.each("route").forEach((name, s) -> {
                 Settings.Route r = route(s);
                 routes.add(r);
-                table.add(new RouteTable.Entry(name, s.text("method", "GET"), path(s),
-                        r.effect() == Settings.Effect.DEDUPED));
+                table.add(new RouteTable.Entry(
+                        name, s.text("method", "GET"), path(s), r.effect() == Settings.Effect.DEDUPED));
             });
             if (routes.isEmpty()) {
                 ini.missing("no route is set; add a section [route NAME] with path, effect, objective and timeout");
@@ -70,7 +93,10 @@
             Section doors = ini.section("clients", true);
             ingress(new InetSocketAddress("127.0.0.1", 0), doors);
             upstream(ini.section("machines", true));
-            return new Common(List.copyOf(routes), new RouteTable(table, names), List.copyOf(customers),
+            return new Common(
+                    List.copyOf(routes),
+                    new RouteTable(table, names),
+                    List.copyOf(customers),
                     FrontSettings.limits(ini.section("limits", true)),
                     FrontSettings.allowed(ini.section("allowed", true), listAsked),
                     FrontSettings.prices(ini.section("prices", true)),
@@ -93,8 +119,16 @@
         Section list = ini.section("list", true);
         boolean asked = list.choice("mode", "push", ListMode.class) == ListMode.ASK;
         Common c = Common.read(ini, asked);
-        Settings decisions = new Settings(self, fronts, Math.max(0, zones.indexOf(zone)), c.routes(), c.customers(),
-                c.limits(), c.allowed(), c.prices(), c.rollout(),
+        Settings decisions = new Settings(
+                self,
+                fronts,
+                Math.max(0, zones.indexOf(zone)),
+                c.routes(),
+                c.customers(),
+                c.limits(),
+                c.allowed(),
+                c.prices(),
+                c.rollout(),
                 front.choice("earnings-by", "req", EarningsBy.class) == EarningsBy.WORK);
         Path base = file.toAbsolutePath().getParent();
         Section peers = ini.section("peers", true);
@@ -106,10 +140,18 @@
                 peers.fault(k, "is no front's number; write as '1 = 127.0.0.1:9101'");
             }
         }
-        return new FrontSettings(decisions, front.whole("seed", Integer.toString(self + 1), 0, Long.MAX_VALUE), zones, c.table(),
+        return new FrontSettings(
+                decisions,
+                front.whole("seed", Integer.toString(self + 1), 0, Long.MAX_VALUE),
+                zones,
+                c.table(),
                 ingress(front.address("listen", null), ini.section("clients", true)),
-                upstream(ini.section("machines", true)), optional(front, "admin"), optional(list, "address"),
-                optional(ini.section("release", true), "address"), optional(front, "notes"), at,
+                upstream(ini.section("machines", true)),
+                optional(front, "admin"),
+                optional(list, "address"),
+                optional(ini.section("release", true), "address"),
+                optional(front, "notes"),
+                at,
                 base.resolve(front.text("state", "state")),
                 front.has("records") ? base.resolve(front.text("records", null)) : null);
     }
@@ -134,55 +176,106 @@
         if (objective > timeout) {
             s.fault("objective", "is longer than the route's timeout; make it shorter");
         }
-        return new Settings.Route(effect, s.choice("group", "all", Settings.Group.class), objective, timeout,
-                s.number("earnings", "1", 0, 1e9), s.number("late-share", "0", 0, 1), window);
+        return new Settings.Route(
+                effect,
+                s.choice("group", "all", Settings.Group.class),
+                objective,
+                timeout,
+                s.number("earnings", "1", 0, 1e9),
+                s.number("late-share", "0", 0, 1),
+                window);
     }
 
     private static Settings.Limits limits(Section s) {
-        return new Settings.Limits(s.time("drain-grace", "1 s", "0 ms", "1 h"), s.time("cold-for", "5 s", "0 ms", "1 h"),
-                s.number("cold-from", "0.4", 0.01, 1), s.time("tip-after", "2 s", "10 ms", "1 h"),
-                s.number("tip-multiple", "2.5", 1, 1000), s.time("ask-within", "10 s", "100 ms", "1 h"));
+        return new Settings.Limits(
+                s.time("drain-grace", "1 s", "0 ms", "1 h"),
+                s.time("cold-for", "5 s", "0 ms", "1 h"),
+                s.number("cold-from", "0.4", 0.01, 1),
+                s.time("tip-after", "2 s", "10 ms", "1 h"),
+                s.number("tip-multiple", "2.5", 1, 1000),
+                s.time("ask-within", "10 s", "100 ms", "1 h"));
     }
 
     private static Settings.Allowed allowed(Section s, boolean asked) {
-        return new Settings.Allowed(s.small("tries", "4", 1, 100), s.on("probes", "yes"), s.on("notes", "yes"),
-                s.on("stops", "yes"), s.on("retry-after", "yes"),
-                s.time("longest-retry-after", "1 s", "0 ms", "1 h"), asked);
+        return new Settings.Allowed(
+                s.small("tries", "4", 1, 100),
+                s.on("probes", "yes"),
+                s.on("notes", "yes"),
+                s.on("stops", "yes"),
+                s.on("retry-after", "yes"),
+                s.time("longest-retry-after", "1 s", "0 ms", "1 h"),
+                asked);
     }
 
     private static Settings.Prices prices(Section s) {
-        return new Settings.Prices(s.number("cross-zone", "0", 0, 100), s.number("probe", "0", 0, 100),
-                s.number("note", "0", 0, 100), s.number("behind", "0.5", 0, 100), s.number("harm", "2", 0, 100));
+        return new Settings.Prices(
+                s.number("cross-zone", "0", 0, 100),
+                s.number("probe", "0", 0, 100),
+                s.number("note", "0", 0, 100),
+                s.number("behind", "0.5", 0, 100),
+                s.number("harm", "2", 0, 100));
     }
 
     private static Settings.Rollout rollout(Section s) {
-        return new Settings.Rollout(s.choice("control", "count", Settings.Control.class),
-                s.small("on-votes", "1", 0, 100_000), s.small("back-votes", "1", 1, 100_000),
-                s.small("hold-votes", "0", 0, 100_000), s.time("vote-life", "6 s", "100 ms", "1 h"),
-                s.time("vote-timeout", "1 s", "10 ms", "1 h"), s.number("votes-per-second", "100", 0.1, 1e6),
-                s.numbers("stage-caps", null, 0, 1), s.time("least-stage", "2 s", "0 ms", "24 h"),
-                s.small("guarded-stages", "0", 0, 100), s.on("keys-stay", "yes"),
-                s.time("window", "4 s", "100 ms", "1 h"), s.number("free", "3", 0, 1e6), s.on("per-route", "no"),
-                s.time("counts-every", "0 ms", "0 ms", "1 h"), s.number("complaint-share", "0", 0, 1));
+        return new Settings.Rollout(
+                s.choice("control", "count", Settings.Control.class),
+                s.small("on-votes", "1", 0, 100_000),
+                s.small("back-votes", "1", 1, 100_000),
+                s.small("hold-votes", "0", 0, 100_000),
+                s.time("vote-life", "6 s", "100 ms", "1 h"),
+                s.time("vote-timeout", "1 s", "10 ms", "1 h"),
+                s.number("votes-per-second", "100", 0.1, 1e6),
+                s.numbers("stage-caps", null, 0, 1),
+                s.time("least-stage", "2 s", "0 ms", "24 h"),
+                s.small("guarded-stages", "0", 0, 100),
+                s.on("keys-stay", "yes"),
+                s.time("window", "4 s", "100 ms", "1 h"),
+                s.number("free", "3", 0, 1e6),
+                s.on("per-route", "no"),
+                s.time("counts-every", "0 ms", "0 ms", "1 h"),
+                s.number("complaint-share", "0", 0, 1));
     }
 
     private static IngressSettings ingress(InetSocketAddress listen, Section s) {
-        HttpLimits limits = new HttpLimits((int) s.bytes("line", "8 KiB", "64 B", "1 MiB"),
-                (int) s.bytes("header-bytes", "32 KiB", "256 B", "4 MiB"), s.small("headers", "100", 4, 10_000),
+        HttpLimits limits = new HttpLimits(
+                (int) s.bytes("line", "8 KiB", "64 B", "1 MiB"),
+                (int) s.bytes("header-bytes", "32 KiB", "256 B", "4 MiB"),
+                s.small("headers", "100", 4, 10_000),
                 (int) s.bytes("body", "1 MiB", "0 B", "256 MiB"));
-        return new IngressSettings(listen, limits, s.small("connections", "20000", 1, 1_000_000), 0,
-                s.small("open-reqs", "20000", 1, 1_000_000), s.small("backlog", "8192", 16, 1_000_000),
-                s.small("pipelined", "16", 1, 10_000), s.time("idle-close", "60 s", "100 ms", "24 h"),
-                s.time("write-timeout", "10 s", "100 ms", "1 h"), s.small("threads", "2", 1, 64),
-                s.time("drain-most", "30 s", "0 ms", "24 h"), 0, 0, 0, 0);
+        return new IngressSettings(
+                listen,
+                limits,
+                s.small("connections", "20000", 1, 1_000_000),
+                0,
+                s.small("open-reqs", "20000", 1, 1_000_000),
+                s.small("backlog", "8192", 16, 1_000_000),
+                s.small("pipelined", "16", 1, 10_000),
+                s.time("idle-close", "60 s", "100 ms", "24 h"),
+                s.time("write-timeout", "10 s", "100 ms", "1 h"),
+                s.small("threads", "2", 1, 64),
+                s.time("drain-most", "30 s", "0 ms", "24 h"),
+                0,
+                0,
+                0,
+                0);
     }
 
     private static UpstreamSettings upstream(Section s) {
-        HttpLimits limits = new HttpLimits(8 << 10, (int) s.bytes("header-bytes", "32 KiB", "256 B", "4 MiB"),
-                s.small("headers", "100", 4, 10_000), (int) s.bytes("body", "4 MiB", "1 B", "256 MiB"));
-        return new UpstreamSettings(limits, s.small("connections", "64", 1, 100_000), Integer.MAX_VALUE,
-                s.small("waiting", "256", 0, 1_000_000), s.time("dial-timeout", "250 ms", "1 ms", "1 min"),
-                s.time("idle-close", "15 s", "100 ms", "24 h"), s.small("threads", "2", 1, 64),
-                s.text("probe-path", "/health"), s.time("probe-timeout", "1 s", "1 ms", "1 min"), 0);
+        HttpLimits limits = new HttpLimits(
+                8 << 10,
+                (int) s.bytes("header-bytes", "32 KiB", "256 B", "4 MiB"),
+                s.small("headers", "100", 4, 10_000),
+                (int) s.bytes("body", "4 MiB", "1 B", "256 MiB"));
+        return new UpstreamSettings(
+                limits,
+                s.small("connections", "64", 1, 100_000),
+                Integer.MAX_VALUE,
+                s.small("waiting", "256", 0, 1_000_000),
+                s.time("dial-timeout", "250 ms", "1 ms", "1 min"),
+                s.time("idle-close", "15 s", "100 ms", "24 h"),
+                s.small("threads", "2", 1, 64),
+                s.text("probe-path", "/health"),
+                s.time("probe-timeout", "1 s", "1 ms", "1 min"),
+                0);
     }
 }
--- a/src/main/java/laurelkeel/front/Held.java
+++ b/src/main/java/laurelkeel/front/Held.java
@@ -29,6 +29,7 @@
     final String id;
     /** Its number among this life's reqs, of which the id is made. */
     final long number;
+
     final ClientConn conn;
     final Asked asked;
     final long takenAt, leaves;
--- a/src/main/java/laurelkeel/front/LastList.java
+++ b/src/main/java/laurelkeel/front/LastList.java
@@ -42,7 +42,7 @@
             if (!Files.exists(file)) {
                 return List.of();
             }
-            List<ListLine.Machine> kept = JSON.readValue(file.toFile(), new TypeReference<>() { });
+            List<ListLine.Machine> kept = JSON.readValue(file.toFile(), new TypeReference<>() {});
             String fault = kept == null ? "it is empty" : new ListLine("full", 0, 0, kept).fault();
             if (fault != null) {
                 LOG.warn("{} cannot be followed; starting without a list: {}", file, fault);
