--- a/src/main/java/laurelkeel/front/Outfit.java
+++ b/src/main/java/laurelkeel/front/Outfit.java
@@ -49,15 +49,15 @@
 
     // ---- what the front saw
 
-    default void turn(int events) { }
+    default void turn(int events) {}
 
-    default void tried(int route) { }
+    default void tried(int route) {}
 
-    default void tryEnded(String machine, long begunAt, Asked asked, Outcome outcome) { }
+    default void tryEnded(String machine, long begunAt, Asked asked, Outcome outcome) {}
 
-    default void completed(long number, String machine, long begunAt, Asked asked) { }
+    default void completed(long number, String machine, long begunAt, Asked asked) {}
 
-    default void answered(End how, long tenths) { }
+    default void answered(End how, long tenths) {}
 
-    default void overdue(int route) { }
+    default void overdue(int route) {}
 }
--- a/src/main/java/laurelkeel/front/Own.java
+++ b/src/main/java/laurelkeel/front/Own.java
@@ -70,53 +70,77 @@
         life = base.life();
         loop = base.loop();
         inbox = base.inbox();
-        counts = new Counts(set.routes().entries().stream().map(RouteTable.Entry::name).toList());
+        counts = new Counts(
+                set.routes().entries().stream().map(RouteTable.Entry::name).toList());
         lanes = new Lanes(set.decisions(), set.seed(), maker);
         decider = guarded ? lanes : maker.make(set.decisions(), set.seed());
         List<Settings.Route> routes = set.decisions().routes();
         int self = set.decisions().self();
-        dialect = new OwnDialect(set.routes(), r -> routes.get(r).timeout(), self + "/" + life,
+        dialect = new OwnDialect(
+                set.routes(),
+                r -> routes.get(r).timeout(),
+                self + "/" + life,
                 set.upstream().probePath());
         httpThreads = Threads.some(loop, "front-news", 2);
-        HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).executor(httpThreads)
-                .connectTimeout(Duration.ofSeconds(2)).build();
+        HttpClient http = HttpClient.newBuilder()
+                .version(HttpClient.Version.HTTP_1_1)
+                .executor(httpThreads)
+                .connectTimeout(Duration.ofSeconds(2))
+                .build();
         told = new Told(set, life, loop, new LastList(set.state(), base.timer()));
         // by number too: fronts set to one seed would still come back in step
         long pauses = 2 * (set.seed() * 100_003 + self);
-        list = set.list() == null ? null : new ListSource(http, base(set.list()), base.timer(), loop,
-                !set.decisions().allowed().listAsked(), pauses, new ListSource.Sink() {
-                    @Override
-                    public void list(laurelkeel.front.news.ListLine line, long arrived) {
-                        Event.MachineList l = told.list(line, arrived);
-                        reports.list(l);
-                        inbox.learn(l);
-                    }
+        list = set.list() == null
+                ? null
+                : new ListSource(
+                        http,
+                        base(set.list()),
+                        base.timer(),
+                        loop,
+                        !set.decisions().allowed().listAsked(),
+                        pauses,
+                        new ListSource.Sink() {
+                            @Override
+                            public void list(laurelkeel.front.news.ListLine line, long arrived) {
+                                Event.MachineList l = told.list(line, arrived);
+                                reports.list(l);
+                                inbox.learn(l);
+                            }
 
-                    @Override
-                    public void failed() {
-                        inbox.learn(new Event.MachineList(Event.ListKind.FAILED, List.of()));
-                    }
-                });
-        release = set.release() == null ? null : new ReleaseSource(http, base(set.release()), self, base.timer(), loop,
-                pauses + 1, new ReleaseSource.Sink() {
-                    @Override
-                    public void news(ReleaseLine line, long arrived) {
-                        told.news(line, arrived).forEach(inbox::learn);
-                        blamed(line);
-                    }
+                            @Override
+                            public void failed() {
+                                inbox.learn(new Event.MachineList(Event.ListKind.FAILED, List.of()));
+                            }
+                        });
+        release = set.release() == null
+                ? null
+                : new ReleaseSource(
+                        http, base(set.release()), self, base.timer(), loop, pauses + 1, new ReleaseSource.Sink() {
+                            @Override
+                            public void news(ReleaseLine line, long arrived) {
+                                told.news(line, arrived).forEach(inbox::learn);
+                                blamed(line);
+                            }
 
-                    @Override
-                    public void voted(String answer, int build, ReleaseLine line, long arrived) {
-                        inbox.learn(told.voted(answer, build, line, arrived));
-                    }
-                });
+                            @Override
+                            public void voted(String answer, int build, ReleaseLine line, long arrived) {
+                                inbox.learn(told.voted(answer, build, line, arrived));
+                            }
+                        });
         reports = new Reports(set.decisions(), life, r -> {
             if (release != null) {
                 release.report(r);
             }
         });
-        notes = set.notes() == null ? null : new Notes(set.decisions().self(), set.notes(), set.peers(), loop,
-                base.socketThreads(), (from, bytes) -> inbox.learn(new Event.Note(from, bytes)));
+        notes = set.notes() == null
+                ? null
+                : new Notes(
+                        set.decisions().self(),
+                        set.notes(),
+                        set.peers(),
+                        loop,
+                        base.socketThreads(),
+                        (from, bytes) -> inbox.learn(new Event.Note(from, bytes)));
         // the list kept from the life before is known from the first turn on
         Event.MachineList kept = told.remembered();
         reports.list(kept);
@@ -146,7 +170,10 @@
         counts.gauge("laurelkeel_loop_failures", loop::failures);
         counts.gauge("laurelkeel_turned_away", front::turnedAway);
         for (CloseReason why : CloseReason.values()) {
-            counts.gauge("laurelkeel_client_connections_closed", "reason", why.name().toLowerCase(Locale.ROOT),
+            counts.gauge(
+                    "laurelkeel_client_connections_closed",
+                    "reason",
+                    why.name().toLowerCase(Locale.ROOT),
                     () -> front.closedConnections().getOrDefault(why, 0L));
         }
         counts.gauge("laurelkeel_body_bytes_held", front::bodies);
@@ -206,7 +233,8 @@
     private void blamed(ReleaseLine line) {
         Lanes.Blame word;
         try {
-            word = line.blame() == null ? Lanes.Blame.NONE
+            word = line.blame() == null
+                    ? Lanes.Blame.NONE
                     : Lanes.Blame.valueOf(line.blame().toUpperCase(Locale.ROOT).replace('-', '_'));
         } catch (IllegalArgumentException e) {
             LOG.warn("the release line's blame '{}' is unknown and counts for none", line.blame());
@@ -245,8 +273,8 @@
         String ref = new String(http.body(), StandardCharsets.UTF_8).strip();
         Refs.Answer c = refs.take(numberOf(ref));
         if (c == null) {
-            return OwnDialect.plain(404, "no answer of this front has that " + Names.REF
-                    + ", or it was too long ago or told before");
+            return OwnDialect.plain(
+                    404, "no answer of this front has that " + Names.REF + ", or it was too long ago or told before");
         }
         inbox.learn(new Event.Complaint(c.machine(), loop.now() - c.sentAt(), c.route()));
         reports.wrong(c.sentAt(), c.machine(), c.route(), c.customer());
@@ -271,7 +299,8 @@
             inbox.learn(new Event.ReleaseNews(Event.Answer.ERROR, 0, 0, 0, Event.Phase.TRIAL, 0, true));
             return;
         }
-        release.vote(new ReleaseLine.Ballot(set.decisions().self(), v.build(), v.stage(), verdict),
+        release.vote(
+                new ReleaseLine.Ballot(set.decisions().self(), v.build(), v.stage(), verdict),
                 Math.max(1, set.decisions().rollout().voteTimeout() / 10));
     }
 
--- a/src/main/java/laurelkeel/front/OwnDialect.java
+++ b/src/main/java/laurelkeel/front/OwnDialect.java
@@ -17,6 +17,7 @@
 final class OwnDialect implements Dialect {
     /** Where clients complain of an answer; a path of the front's own. */
     static final String COMPLAINTS = "/.laurelkeel/complaints";
+
     private static final long RETRY_AT_DOOR = 1000;
 
     private final RouteTable table;
@@ -77,7 +78,9 @@
     }
 
     static HttpAnswer plain(int status, String text) {
-        return new HttpAnswer(status, Headers.of("Content-Type", "text/plain; charset=utf-8"),
+        return new HttpAnswer(
+                status,
+                Headers.of("Content-Type", "text/plain; charset=utf-8"),
                 (text + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
@@ -93,8 +96,10 @@
 
     @Override
     public void upstream(Lines to, String machine, int tryNo, long left, long within) {
-        to.line("Host", machine).line(Names.REMAINING, Long.toString(Math.max(0, left / 10)))
-                .line(Names.TRY, Integer.toString(tryNo)).line(Names.FRONT, fullName);
+        to.line("Host", machine)
+                .line(Names.REMAINING, Long.toString(Math.max(0, left / 10)))
+                .line(Names.TRY, Integer.toString(tryNo))
+                .line(Names.FRONT, fullName);
     }
 
     @Override
@@ -104,6 +109,11 @@
 
     @Override
     public byte[] probe(Lines to, String machine) {
-        return to.text("GET ").text(probePath).text(" HTTP/1.1\r\n").line("Host", machine).text("\r\n").take();
+        return to.text("GET ")
+                .text(probePath)
+                .text(" HTTP/1.1\r\n")
+                .line("Host", machine)
+                .text("\r\n")
+                .take();
     }
 }
--- a/src/main/java/laurelkeel/front/Refs.java
+++ b/src/main/java/laurelkeel/front/Refs.java
@@ -6,7 +6,7 @@
  */
 final class Refs {
     /** An answer that a complaint may be about. */
-    record Answer(String machine, long sentAt, int route, int customer) { }
+    record Answer(String machine, long sentAt, int route, int customer) {}
 
     private final int mask;
     private final long[] req, sentAt;
--- a/src/main/java/laurelkeel/front/Reports.java
+++ b/src/main/java/laurelkeel/front/Reports.java
@@ -22,9 +22,9 @@
     private static final long WAITS = 2;
 
     /** As it goes over the wire. */
-    record Told(int front, String life, long second, double agoMs, List<Report.Cell> cells) { }
+    record Told(int front, String life, long second, double agoMs, List<Report.Cell> cells) {}
 
-    private record Place(int build, int route, String machine, int customer) { }
+    private record Place(int build, int route, String machine, int customer) {}
 
     private static final class Sum {
         int tries, fails, silent, wrongs, rated;
@@ -113,8 +113,18 @@
             List<Report.Cell> cells = new ArrayList<>();
             first.getValue().forEach((p, s) -> {
                 if (s.tries > 0) {
-                    cells.add(new Report.Cell(p.build, p.route, p.machine, p.customer, s.tries, s.fails, s.silent, s.wrongs,
-                            s.rated, s.log, s.square));
+                    cells.add(new Report.Cell(
+                            p.build,
+                            p.route,
+                            p.machine,
+                            p.customer,
+                            s.tries,
+                            s.fails,
+                            s.silent,
+                            s.wrongs,
+                            s.rated,
+                            s.log,
+                            s.square));
                 }
             });
             to.accept(new Told(set.self(), life, first.getKey(), (now - (first.getKey() + 1) * SECOND) / 10.0, cells));
--- a/src/main/java/laurelkeel/front/Told.java
+++ b/src/main/java/laurelkeel/front/Told.java
@@ -26,7 +26,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Told.class);
     private static final long LONG_AGO = 3_600_000;
 
-    private record Start(long run, long at) { }
+    private record Start(long run, long at) {}
 
     private final FrontSettings set;
     private final String life;
@@ -128,8 +128,15 @@
             if (state == Event.MachineState.GONE) {
                 starts.remove(m.machine());
             }
-            listed.add(new Event.Listed(m.machine(), m.build(), zone(m.zone()), m.cell(), m.kind(),
-                    m.size() > 0 ? m.size() : 1, state, start.at));
+            listed.add(new Event.Listed(
+                    m.machine(),
+                    m.build(),
+                    zone(m.zone()),
+                    m.cell(),
+                    m.kind(),
+                    m.size() > 0 ? m.size() : 1,
+                    state,
+                    start.at));
             entries.add(new Rec.Entry(m.machine(), m.run(), m.build(), Rec.State.valueOf(state.name())));
         }
         if (records != null) {
@@ -159,8 +166,13 @@
     /** What a line says; first the end of what it no longer names. */
     List<Event> news(ReleaseLine line, long arrived) {
         if ("counts".equals(line.kind())) {
-            return List.of(new Event.BuildCounts(line.build(), line.route(), line.tries(), line.errors(),
-                    (long) (line.meanMs() * 10), age(line, arrived)));
+            return List.of(new Event.BuildCounts(
+                    line.build(),
+                    line.route(),
+                    line.tries(),
+                    line.errors(),
+                    (long) (line.meanMs() * 10),
+                    age(line, arrived)));
         }
         List<Event> out = new ArrayList<>();
         List<Integer> standing = line.standing() == null ? List.of(line.build()) : line.standing();
@@ -168,7 +180,11 @@
             // a watch that was away may have missed its end
             boolean passed = line.standing() != null || was.build() < line.build();
             if (passed && was.build() != line.build() && !standing.contains(was.build())) {
-                out.add(news(Event.Answer.OK, ReleaseLine.news(was.build(), was.stage(), 0, "withdrawn", 0), arrived, false));
+                out.add(news(
+                        Event.Answer.OK,
+                        ReleaseLine.news(was.build(), was.stage(), 0, "withdrawn", 0),
+                        arrived,
+                        false));
             }
         }
         out.add(news(Event.Answer.OK, line, arrived, false));
@@ -176,30 +192,38 @@
     }
 
     private Event.ReleaseNews news(Event.Answer answer, ReleaseLine line, long arrived, boolean toVote) {
-        Event.Phase phase = Event.Phase.valueOf(line.phase().toUpperCase(Locale.ROOT).replace('-', '_'));
+        Event.Phase phase =
+                Event.Phase.valueOf(line.phase().toUpperCase(Locale.ROOT).replace('-', '_'));
         if (answer == Event.Answer.OK) {
             if (phase == Event.Phase.TRIAL) {
                 onTrial.put(line.build(), line);
             } else {
                 onTrial.remove(line.build());
             }
-            record(new Rec.ToldNews(hostTime(arrived), self(), life, line.build(), line.stage(), line.cap(),
+            record(new Rec.ToldNews(
+                    hostTime(arrived),
+                    self(),
+                    life,
+                    line.build(),
+                    line.stage(),
+                    line.cap(),
                     Rec.Phase.valueOf(phase.name())));
         }
         return new Event.ReleaseNews(answer, line.stage(), line.cap(), age(line, arrived), phase, line.build(), toVote);
     }
 
     Event voted(String answer, int build, ReleaseLine line, long arrived) {
-        Event.Answer a = switch (answer) {
-            case "ok" -> Event.Answer.OK;
-            case "moot" -> Event.Answer.MOOT;
-            case "over-limit" -> Event.Answer.OVER_LIMIT;
-            case "timeout" -> Event.Answer.TIMEOUT;
-            default -> Event.Answer.ERROR;
-        };
+        Event.Answer a =
+                switch (answer) {
+                    case "ok" -> Event.Answer.OK;
+                    case "moot" -> Event.Answer.MOOT;
+                    case "over-limit" -> Event.Answer.OVER_LIMIT;
+                    case "timeout" -> Event.Answer.TIMEOUT;
+                    default -> Event.Answer.ERROR;
+                };
         if (line == null || line.phase() == null) {
-            return new Event.ReleaseNews(a == Event.Answer.OK ? Event.Answer.ERROR : a, 0, 0, 0, Event.Phase.TRIAL,
-                    build, true);
+            return new Event.ReleaseNews(
+                    a == Event.Answer.OK ? Event.Answer.ERROR : a, 0, 0, 0, Event.Phase.TRIAL, build, true);
         }
         return news(a, line, arrived, true);
     }
--- a/src/main/java/laurelkeel/front/ingress/Asked.java
+++ b/src/main/java/laurelkeel/front/ingress/Asked.java
@@ -20,15 +20,26 @@
  * @param remaining tenths of a millisecond, at most the route's timeout
  * @param cost 0 where the client did not say
  */
-public record Asked(String id, Crossing crossing, boolean toHead, boolean last, int route, int customer, String key,
-        long remaining, double cost, boolean repeat) {
+public record Asked(
+        String id,
+        Crossing crossing,
+        boolean toHead,
+        boolean last,
+        int route,
+        int customer,
+        String key,
+        long remaining,
+        double cost,
+        boolean repeat) {
     /** What only a front says: a peer that says it is not believed, and what it says ends here. */
     private static final Collection<String> OWN = HopByHop.names(Names.REMAINING, Names.TRY, Names.FRONT);
+
     private static final int LONGEST_KEY = 256;
     private static final Set<String> YES = Set.of("1", "true");
 
     /** Reads the names; a 4xx says which header is wrong and what it should hold. */
-    public static Asked read(HttpReq http, RouteTable table, java.util.function.IntToLongFunction timeouts) throws BadHttp {
+    public static Asked read(HttpReq http, RouteTable table, java.util.function.IntToLongFunction timeouts)
+            throws BadHttp {
         int route = table.route(http.method(), http.path());
         if (route == -1) {
             throw new BadHttp(404, "no route has this path");
@@ -51,7 +62,16 @@
         // deadlines round down: the client must never be answered later than it waits
         long remaining = Math.min(timeouts.applyAsLong(route), (long) Math.floor(left * 10));
         String again = http.headers().get(Names.REPEAT);
-        return new Asked(null, Crossing.of(http, OWN), http.method().equals("HEAD"), http.last(), route, customer, key, remaining, number(http, Names.COST, 0),
+        return new Asked(
+                null,
+                Crossing.of(http, OWN),
+                http.method().equals("HEAD"),
+                http.last(),
+                route,
+                customer,
+                key,
+                remaining,
+                number(http, Names.COST, 0),
                 again != null && YES.contains(again));
     }
 
--- a/src/main/java/laurelkeel/front/ingress/ClientAcceptor.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientAcceptor.java
@@ -23,6 +23,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(ClientAcceptor.class);
     /** After the first failure in a row none, then a millisecond more each time. */
     private static final int LONGEST_PAUSE_MS = 10;
+
     private static final long LOOK_AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
     /** Looked for room that often before the listener is looked at again, which may be asked to close. */
     private static final int LOOKS = 200;
@@ -120,7 +121,7 @@
             // woken ahead, so that it looks without waiting
             wakeup();
             more = select() > 0;
-            for (Iterator<ServerSocketChannel> ready = selectedHandles(); ready.hasNext();) {
+            for (Iterator<ServerSocketChannel> ready = selectedHandles(); ready.hasNext(); ) {
                 ServerSocketChannel each = ready.next();
                 ready.remove();
                 NioSession session = accept(processors, each);
--- a/src/main/java/laurelkeel/front/ingress/ClientConn.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientConn.java
@@ -15,7 +15,7 @@
  */
 public final class ClientConn {
 
-    record Waiting(Object message, long arrived) { }
+    record Waiting(Object message, long arrived) {}
 
     final IoSession session;
     final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
@@ -25,6 +25,7 @@
     volatile boolean retiring;
     /** Set as it opens, by the thread that has it. */
     boolean turnedAway;
+
     volatile boolean lastSaid;
     boolean busy, gone, toHead;
     /** Requests read off it, whole or refused; counted by the thread that has the connection, before they are owed. */
@@ -33,6 +34,7 @@
     final AtomicBoolean counted = new AtomicBoolean(true);
     /** When it opened, or its last answer was handed over. */
     volatile long restsSince;
+
     Object current;
     private long writtenBefore = -1;
     private long writtenAt;
--- a/src/main/java/laurelkeel/front/ingress/Ingress.java
+++ b/src/main/java/laurelkeel/front/ingress/Ingress.java
@@ -50,8 +50,13 @@
     private final ArrayList<Runnable> writes = new ArrayList<>();
 
     /** @param processors run its sockets */
-    public Ingress(IngressSettings set, ClientWords words, Loop loop, Executor threads,
-            SimpleIoProcessorPool<NioSession> processors, Door door) {
+    public Ingress(
+            IngressSettings set,
+            ClientWords words,
+            Loop loop,
+            Executor threads,
+            SimpleIoProcessorPool<NioSession> processors,
+            Door door) {
         this.set = set;
         this.words = words;
         this.loop = loop;
@@ -185,7 +190,8 @@
         for (IoSession s : acceptor.getManagedSessions().values()) {
             if (s.getAttribute(CONN) instanceof ClientConn c && c != newest) {
                 int requests = c.requests;
-                if (mayGiveItsPlace(c, requests) && (first == null || goesBefore(c, requests, first, requestsOfFirst))) {
+                if (mayGiveItsPlace(c, requests)
+                        && (first == null || goesBefore(c, requests, first, requestsOfFirst))) {
                     first = c;
                     requestsOfFirst = requests;
                 }
@@ -225,8 +231,9 @@
     /** Closes all, after what is written has left or a second has passed. */
     public void close() {
         long end = System.nanoTime() + 1_000_000_000L;
-        while (System.nanoTime() < end && acceptor.getManagedSessions().values().stream()
-                .anyMatch(s -> s.isConnected() && s.getScheduledWriteMessages() > 0)) {
+        while (System.nanoTime() < end
+                && acceptor.getManagedSessions().values().stream()
+                        .anyMatch(s -> s.isConnected() && s.getScheduledWriteMessages() > 0)) {
             LockSupport.parkNanos(2_000_000);
         }
         acceptor.dispose(false);
@@ -256,7 +263,9 @@
 
     /** Connections of which a req has come in part. */
     int halfRead() {
-        return (int) acceptor.getManagedSessions().values().stream().filter(s -> HttpCodec.halfSince(s) != 0).count();
+        return (int) acceptor.getManagedSessions().values().stream()
+                .filter(s -> HttpCodec.halfSince(s) != 0)
+                .count();
     }
 
     NioSocketAcceptor acceptor() {
@@ -318,8 +327,8 @@
                     readOn(conn);
                 }
                 // all that the names say is read here, so that the one thread that decides need not
-                Object read = message instanceof HttpReq http ? understood(session, http)
-                        : refusal((BadHttp) message, null);
+                Object read =
+                        message instanceof HttpReq http ? understood(session, http) : refusal((BadHttp) message, null);
                 if (message instanceof HttpReq http && !(read instanceof Asked)) {
                     room.give(http.body().length);
                 }
@@ -366,7 +375,10 @@
             closed.incrementAndGet(conn.closeReason().ordinal());
             int unanswered = conn.owed.get();
             if (unanswered > 0) {
-                LOG.info("client connection {} ended: {}, {} requests on it unanswered", conn.id(), conn.closeReason(),
+                LOG.info(
+                        "client connection {} ended: {}, {} requests on it unanswered",
+                        conn.id(),
+                        conn.closeReason(),
                         unanswered);
             }
             loop.post(() -> {
@@ -380,7 +392,7 @@
     }
 
     /** An answer at the door, to what no route takes. */
-    private record Refusal(HttpAnswer answer, boolean toHead, boolean last) { }
+    private record Refusal(HttpAnswer answer, boolean toHead, boolean last) {}
 
     /** An Asked, a Refusal, or the HttpReq itself where it is for the front. */
     private Object understood(IoSession session, HttpReq http) {
@@ -400,7 +412,8 @@
             refused.incrementAndGet();
             return new Refusal(shedAtDoor("this front has no room for more bodies", true), false, true);
         }
-        return new Refusal(words.refusal(bad, http), http != null && http.method().equals("HEAD"), http == null || http.last());
+        return new Refusal(
+                words.refusal(bad, http), http != null && http.method().equals("HEAD"), http == null || http.last());
     }
 
     // ---- on the front's thread
@@ -433,7 +446,9 @@
         }
         for (ClientConn.Waiting waits : conn.waiting) {
             boolean refused = waits.message() instanceof Refusal;
-            conn.write(refused ? ((Refusal) waits.message()).answer : words.atDoor("its client ended the connection"), false);
+            conn.write(
+                    refused ? ((Refusal) waits.message()).answer : words.atDoor("its client ended the connection"),
+                    false);
         }
         empty(conn);
         conn.owed.set(0);
--- a/src/main/java/laurelkeel/front/ingress/IngressSettings.java
+++ b/src/main/java/laurelkeel/front/ingress/IngressSettings.java
@@ -17,6 +17,19 @@
  * @param keep an idle connection is kept so long after an answer even where another needs its place; 0: connections
  *     that come when all places are taken are turned away
  */
-public record IngressSettings(InetSocketAddress listen, HttpLimits limits, int connections, int spare, int openReqs,
-        int backlog, int pipelined, long idleClose, long writeTimeout, int threads, long drainMost, long lameDuck,
-        long firstReq, long halfReq, long keep) { }
+public record IngressSettings(
+        InetSocketAddress listen,
+        HttpLimits limits,
+        int connections,
+        int spare,
+        int openReqs,
+        int backlog,
+        int pipelined,
+        long idleClose,
+        long writeTimeout,
+        int threads,
+        long drainMost,
+        long lameDuck,
+        long firstReq,
+        long halfReq,
+        long keep) {}
--- a/src/main/java/laurelkeel/front/ingress/RouteTable.java
+++ b/src/main/java/laurelkeel/front/ingress/RouteTable.java
@@ -9,7 +9,7 @@
 public final class RouteTable {
 
     /** marked: reqs of the route must carry a mark against repeats. */
-    public record Entry(String name, String method, String prefix, boolean marked) { }
+    public record Entry(String name, String method, String prefix, boolean marked) {}
 
     private final List<Entry> entries;
     private final Map<String, Integer> customers = new HashMap<>();
@@ -26,8 +26,8 @@
     }
 
     private static boolean under(String path, String prefix) {
-        return path.startsWith(prefix) && (path.length() == prefix.length() || prefix.endsWith("/")
-                || path.charAt(prefix.length()) == '/');
+        return path.startsWith(prefix)
+                && (path.length() == prefix.length() || prefix.endsWith("/") || path.charAt(prefix.length()) == '/');
     }
 
     /** The number of the route, -1 for an unknown path, -2 for a known path under another method. */
@@ -38,7 +38,8 @@
             Entry e = entries.get(i);
             if (under(path, e.prefix)) {
                 known = true;
-                boolean longer = best < 0 || e.prefix.length() > entries.get(best).prefix.length();
+                boolean longer =
+                        best < 0 || e.prefix.length() > entries.get(best).prefix.length();
                 best = e.method.equals(method) && longer ? i : best;
             }
         }
--- a/src/main/java/laurelkeel/front/news/Lined.java
+++ b/src/main/java/laurelkeel/front/news/Lined.java
@@ -40,8 +40,8 @@
     }
 
     /** Asks for a whole body as text, in so many milliseconds; past them the answer is cancelled. */
-    static CompletableFuture<HttpResponse<String>> ask(HttpClient http, HttpRequest ask, ScheduledExecutorService timer,
-            long ms) {
+    static CompletableFuture<HttpResponse<String>> ask(
+            HttpClient http, HttpRequest ask, ScheduledExecutorService timer, long ms) {
         CompletableFuture<HttpResponse<String>> answer = http.sendAsync(ask, i -> new Lined(null, Runnable::run));
         // the time set in a request ends with the headers: a body may come for ever
         ScheduledFuture<?> limit = timer.schedule(() -> answer.cancel(true), ms, TimeUnit.MILLISECONDS);
--- a/src/main/java/laurelkeel/front/news/ListLine.java
+++ b/src/main/java/laurelkeel/front/news/ListLine.java
@@ -34,8 +34,16 @@
      * @param ageMs how long ago that start was, when the line was written; below 0: long ago
      */
     @JsonIgnoreProperties(ignoreUnknown = true)
-    public record Machine(String machine, int build, String zone, int cell, int kind, double size, String state,
-            long run, double ageMs) {
+    public record Machine(
+            String machine,
+            int build,
+            String zone,
+            int cell,
+            int kind,
+            double size,
+            String state,
+            long run,
+            double ageMs) {
 
         /** The same machine so much later. */
         public Machine aged(double ms) {
--- a/src/main/java/laurelkeel/front/news/ListSource.java
+++ b/src/main/java/laurelkeel/front/news/ListSource.java
@@ -41,8 +41,14 @@
     private long version = -1;
     private boolean closed, fetching;
 
-    public ListSource(HttpClient http, String base, ScheduledExecutorService timer, Loop loop, boolean pushed,
-            long seed, Sink sink) {
+    public ListSource(
+            HttpClient http,
+            String base,
+            ScheduledExecutorService timer,
+            Loop loop,
+            boolean pushed,
+            long seed,
+            Sink sink) {
         this.http = http;
         this.base = base;
         this.timer = timer;
@@ -80,8 +86,8 @@
         if (!closed) {
             String after = version < 0 ? "" : "?after=" + version;
             try {
-                watch = Watch.open(http, URI.create(base + "/list/watch" + after), timer, loop,
-                        l -> line(l, false), this::ended);
+                watch = Watch.open(
+                        http, URI.create(base + "/list/watch" + after), timer, loop, l -> line(l, false), this::ended);
             } catch (RuntimeException e) {
                 ended(e.toString());
             }
@@ -112,7 +118,9 @@
         CompletableFuture<HttpResponse<String>> answer;
         try {
             HttpRequest ask = HttpRequest.newBuilder(URI.create(base + "/list"))
-                    .timeout(Duration.ofMillis(Watch.SILENCE_MS)).GET().build();
+                    .timeout(Duration.ofMillis(Watch.SILENCE_MS))
+                    .GET()
+                    .build();
             answer = Lined.ask(http, ask, timer, 2 * Watch.SILENCE_MS);
         } catch (RuntimeException e) {
             answer = CompletableFuture.failedFuture(e);
@@ -122,7 +130,8 @@
                 fetching = false;
             }
             if (failure != null || r.statusCode() != 200) {
-                LOG.warn("the machine list could not be fetched: {}",
+                LOG.warn(
+                        "the machine list could not be fetched: {}",
                         failure == null ? "status " + r.statusCode() : failure.getMessage());
                 loop.postNews(sink::failed);
             } else {
--- a/src/main/java/laurelkeel/front/news/Notes.java
+++ b/src/main/java/laurelkeel/front/news/Notes.java
@@ -29,7 +29,12 @@
     private final InetSocketAddress at;
 
     /** @param heard on the front's thread: sender and bytes */
-    public Notes(int self, InetSocketAddress at, Map<Integer, InetSocketAddress> peers, Loop loop, Executor threads,
+    public Notes(
+            int self,
+            InetSocketAddress at,
+            Map<Integer, InetSocketAddress> peers,
+            Loop loop,
+            Executor threads,
             BiConsumer<Integer, byte[]> heard) {
         this.self = self;
         this.at = at;
--- a/src/main/java/laurelkeel/front/news/ReleaseLine.java
+++ b/src/main/java/laurelkeel/front/news/ReleaseLine.java
@@ -17,17 +17,33 @@
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 @JsonInclude(JsonInclude.Include.NON_NULL)
-public record ReleaseLine(String kind, String answer, int build, int stage, double cap, String phase, double ageMs,
-        int route, long tries, long errors, double meanMs, List<Integer> standing, String blame) {
+public record ReleaseLine(
+        String kind,
+        String answer,
+        int build,
+        int stage,
+        double cap,
+        String phase,
+        double ageMs,
+        int route,
+        long tries,
+        long errors,
+        double meanMs,
+        List<Integer> standing,
+        String blame) {
 
     private static final List<String> PHASES = List.of("trial", "going-back", "released", "withdrawn");
 
     /** Why it cannot be followed; null where it can. */
     public String fault() {
         boolean counts = "counts".equals(kind);
-        return counts ? null : phase == null || !PHASES.contains(phase) ? "its phase is '" + phase + "'"
-                : stage < 0 || !(cap >= 0 && cap <= 1) ? "its stage is " + stage + ", its cap " + cap
-                : standing != null && standing.contains(null) ? "a standing build is none" : null;
+        return counts
+                ? null
+                : phase == null || !PHASES.contains(phase)
+                        ? "its phase is '" + phase + "'"
+                        : stage < 0 || !(cap >= 0 && cap <= 1)
+                                ? "its stage is " + stage + ", its cap " + cap
+                                : standing != null && standing.contains(null) ? "a standing build is none" : null;
     }
 
     public static ReleaseLine news(int build, int stage, double cap, String phase, double ageMs) {
@@ -35,13 +51,24 @@
     }
 
     public static ReleaseLine vote(String answer, ReleaseLine now) {
-        return new ReleaseLine("vote", answer, now.build, now.stage, now.cap, now.phase, now.ageMs, 0, 0, 0, 0,
-                now.standing, now.blame);
+        return new ReleaseLine(
+                "vote",
+                answer,
+                now.build,
+                now.stage,
+                now.cap,
+                now.phase,
+                now.ageMs,
+                0,
+                0,
+                0,
+                0,
+                now.standing,
+                now.blame);
     }
 
     public static ReleaseLine counts(int build, int route, long tries, long errors, double meanMs, double ageMs) {
-        return new ReleaseLine("counts", null, build, 0, 0, null, ageMs, route, tries, errors, meanMs,
-                null, null);
+        return new ReleaseLine("counts", null, build, 0, 0, null, ageMs, route, tries, errors, meanMs, null, null);
     }
 
     public static ReleaseLine beat() {
@@ -49,5 +76,5 @@
     }
 
     /** A vote as it is sent. */
-    public record Ballot(int front, int build, int stage, String verdict) { }
+    public record Ballot(int front, int build, int stage, String verdict) {}
 }
--- a/src/main/java/laurelkeel/front/news/ReleaseSource.java
+++ b/src/main/java/laurelkeel/front/news/ReleaseSource.java
@@ -8,8 +8,8 @@
 import java.net.http.HttpResponse;
 import java.net.http.HttpTimeoutException;
 import java.time.Duration;
-import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CancellationException;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
@@ -40,8 +40,8 @@
     private Watch watch;
     private boolean closed;
 
-    public ReleaseSource(HttpClient http, String base, int front, ScheduledExecutorService timer, Loop loop,
-            long seed, Sink sink) {
+    public ReleaseSource(
+            HttpClient http, String base, int front, ScheduledExecutorService timer, Loop loop, long seed, Sink sink) {
         this.http = http;
         this.base = base;
         this.front = front;
@@ -56,8 +56,8 @@
             return;
         }
         try {
-            watch = Watch.open(http, URI.create(base + "/release/watch?front=" + front), timer, loop,
-                    this::line, this::ended);
+            watch = Watch.open(
+                    http, URI.create(base + "/release/watch?front=" + front), timer, loop, this::line, this::ended);
         } catch (RuntimeException e) {
             ended(e.toString());
         }
@@ -99,9 +99,11 @@
     /** Sends what this front saw in one second; lost where the line does not answer, for the next says more. */
     public void report(Object report) {
         try {
-            HttpRequest ask = HttpRequest.newBuilder(URI.create(base + "/release/reports")).timeout(Duration.ofSeconds(2))
+            HttpRequest ask = HttpRequest.newBuilder(URI.create(base + "/release/reports"))
+                    .timeout(Duration.ofSeconds(2))
                     .header("Content-Type", "application/json")
-                    .POST(HttpRequest.BodyPublishers.ofByteArray(JSON.writeValueAsBytes(report))).build();
+                    .POST(HttpRequest.BodyPublishers.ofByteArray(JSON.writeValueAsBytes(report)))
+                    .build();
             http.sendAsync(ask, HttpResponse.BodyHandlers.discarding());
         } catch (JsonProcessingException | RuntimeException e) {
             LOG.warn("a report could not be sent: {}", e.toString());
@@ -112,9 +114,11 @@
     public void vote(ReleaseLine.Ballot ballot, long timeoutMs) {
         CompletableFuture<HttpResponse<String>> asked;
         try {
-            HttpRequest ask = HttpRequest.newBuilder(URI.create(base + "/release/votes")).timeout(Duration.ofMillis(timeoutMs))
+            HttpRequest ask = HttpRequest.newBuilder(URI.create(base + "/release/votes"))
+                    .timeout(Duration.ofMillis(timeoutMs))
                     .header("Content-Type", "application/json")
-                    .POST(HttpRequest.BodyPublishers.ofByteArray(JSON.writeValueAsBytes(ballot))).build();
+                    .POST(HttpRequest.BodyPublishers.ofByteArray(JSON.writeValueAsBytes(ballot)))
+                    .build();
             asked = Lined.ask(http, ask, timer, timeoutMs);
         } catch (JsonProcessingException | RuntimeException e) {
             asked = CompletableFuture.failedFuture(e);
--- a/src/main/java/laurelkeel/front/news/Watch.java
+++ b/src/main/java/laurelkeel/front/news/Watch.java
@@ -34,11 +34,19 @@
     }
 
     /** @param ended told once, with the reason, unless cancelled from here */
-    static Watch open(HttpClient http, URI uri, ScheduledExecutorService timer, Loop loop, Consumer<String> line,
+    static Watch open(
+            HttpClient http,
+            URI uri,
+            ScheduledExecutorService timer,
+            Loop loop,
+            Consumer<String> line,
             Consumer<String> ended) {
         Watch w = new Watch(loop, line, ended);
         w.silence = timer.scheduleWithFixedDelay(w::look, SILENCE_MS / 4, SILENCE_MS / 4, TimeUnit.MILLISECONDS);
-        HttpRequest ask = HttpRequest.newBuilder(uri).timeout(Duration.ofMillis(SILENCE_MS)).GET().build();
+        HttpRequest ask = HttpRequest.newBuilder(uri)
+                .timeout(Duration.ofMillis(SILENCE_MS))
+                .GET()
+                .build();
         http.sendAsync(ask, info -> info.statusCode() == 200 ? w.body : HttpResponse.BodySubscribers.replacing(null))
                 .whenComplete((r, failure) -> {
                     if (failure != null) {
--- a/src/main/java/laurelkeel/front/upstream/Came.java
+++ b/src/main/java/laurelkeel/front/upstream/Came.java
@@ -18,15 +18,19 @@
  */
 public record Came(Outcome outcome, Crossing crossing, Map<String, Double> load, boolean last) {
     /** What only a front says: a machine that says it is not believed. Its load is for the front alone. */
-    private static final Collection<String> OWN = HopByHop.names(Names.LOAD, Names.ANSWER, Names.RETRY,
-            Names.RETRY_AFTER_MS, Names.TAKEN, Names.REF, Names.RAN);
+    private static final Collection<String> OWN = HopByHop.names(
+            Names.LOAD, Names.ANSWER, Names.RETRY, Names.RETRY_AFTER_MS, Names.TAKEN, Names.REF, Names.RAN);
 
     public static Came of(HttpAnswer a) {
-        boolean refused = (a.status() == 503 || a.status() == 429) && "no".equals(a.headers().get(Names.RAN));
+        boolean refused = (a.status() == 503 || a.status() == 429)
+                && "no".equals(a.headers().get(Names.RAN));
         Outcome outcome = refused ? Outcome.FULL : a.status() < 500 ? Outcome.COMPLETED : Outcome.ERROR;
         // only what completed goes on to a client
-        return new Came(outcome, outcome == Outcome.COMPLETED ? Crossing.of(a, OWN) : null,
-                load(a.headers().get(Names.LOAD)), a.last());
+        return new Came(
+                outcome,
+                outcome == Outcome.COMPLETED ? Crossing.of(a, OWN) : null,
+                load(a.headers().get(Names.LOAD)),
+                a.last());
     }
 
     private static Map<String, Double> load(String told) {
@@ -38,7 +42,9 @@
             int eq = pair.indexOf('=');
             try {
                 if (eq > 0) {
-                    out.put(pair.substring(0, eq).strip(), Double.parseDouble(pair.substring(eq + 1).strip()));
+                    out.put(
+                            pair.substring(0, eq).strip(),
+                            Double.parseDouble(pair.substring(eq + 1).strip()));
                 }
             } catch (NumberFormatException e) {
                 // one value that is no number: the rest still tell
--- a/src/main/java/laurelkeel/front/upstream/Dial.java
+++ b/src/main/java/laurelkeel/front/upstream/Dial.java
@@ -52,8 +52,14 @@
      * @param prepare run on the new session before anything is read from it
      * @throws RuntimeException where nothing was started; outcome is not told then
      */
-    public static void start(NioSocketConnector connector, Loop loop, Consumer<Runnable> post, long limit, SocketAddress to,
-            Consumer<IoSession> prepare, Outcome outcome) {
+    public static void start(
+            NioSocketConnector connector,
+            Loop loop,
+            Consumer<Runnable> post,
+            long limit,
+            SocketAddress to,
+            Consumer<IoSession> prepare,
+            Outcome outcome) {
         Dial dial = new Dial(outcome);
         IoSessionInitializer<ConnectFuture> initializer = (session, future) -> {
             session.setAttribute(DIAL, dial);
--- a/src/main/java/laurelkeel/front/upstream/Exchange.java
+++ b/src/main/java/laurelkeel/front/upstream/Exchange.java
@@ -16,6 +16,7 @@
     final Pool pool;
     /** Its bytes at the moment they are written, for they tell what time is left; null where it may not be any more. */
     final Supplier<byte[]> message;
+
     final boolean toHead;
     final Heard heard;
     Conn on;
--- a/src/main/java/laurelkeel/front/upstream/Pool.java
+++ b/src/main/java/laurelkeel/front/upstream/Pool.java
@@ -7,6 +7,7 @@
     final Place place;
     /** Last used first: the rest grow old and are closed. */
     final ArrayDeque<Conn> idle = new ArrayDeque<>();
+
     final ArrayDeque<Exchange> waiting = new ArrayDeque<>();
     int open, dialling;
 
--- a/src/main/java/laurelkeel/front/upstream/Pools.java
+++ b/src/main/java/laurelkeel/front/upstream/Pools.java
@@ -51,10 +51,15 @@
     private final Map<String, Pool> pools = new HashMap<>();
     /** Those with tries that wait until a connection to another machine gives its place up. */
     private final LinkedHashSet<Pool> starved = new LinkedHashSet<>();
+
     private int open, dialling;
 
     /** @param processors run its sockets */
-    public Pools(UpstreamSettings set, MachineWords words, Loop loop, Executor threads,
+    public Pools(
+            UpstreamSettings set,
+            MachineWords words,
+            Loop loop,
+            Executor threads,
             SimpleIoProcessorPool<NioSession> processors) {
         this.set = set;
         this.words = words;
@@ -130,7 +135,7 @@
     }
 
     private void place(Exchange e) {
-        for (Iterator<Conn> idle = e.pool.idle.iterator(); idle.hasNext();) {
+        for (Iterator<Conn> idle = e.pool.idle.iterator(); idle.hasNext(); ) {
             Conn c = idle.next();
             if (c.gone || c.session.isClosing()) {
                 idle.remove();
@@ -192,8 +197,14 @@
             pool.dialling++;
             dialling++;
             try {
-                Dial.start(connector, loop, loop::post, Math.max(10, set.dialTimeout() * DIAL_OUTLASTS), pool.place.at(),
-                        session -> { }, new Dial.Outcome() {
+                Dial.start(
+                        connector,
+                        loop,
+                        loop::post,
+                        Math.max(10, set.dialTimeout() * DIAL_OUTLASTS),
+                        pool.place.at(),
+                        session -> {},
+                        new Dial.Outcome() {
                             @Override
                             public void connected(IoSession session) {
                                 dialled(pool, session);
--- a/src/main/java/laurelkeel/front/upstream/UpstreamSettings.java
+++ b/src/main/java/laurelkeel/front/upstream/UpstreamSettings.java
@@ -10,5 +10,14 @@
  * @param waiting exchanges that wait for a connection, a machine; past them an exchange ends without one
  * @param rest what a connection rests after an answer, so that what comes behind it is not taken for the next one
  */
-public record UpstreamSettings(HttpLimits limits, int connections, int most, int waiting, long dialTimeout, long idleClose,
-        int threads, String probePath, long probeTimeout, long rest) { }
+public record UpstreamSettings(
+        HttpLimits limits,
+        int connections,
+        int most,
+        int waiting,
+        long dialTimeout,
+        long idleClose,
+        int threads,
+        String probePath,
+        long probeTimeout,
+        long rest) {}
--- a/src/main/java/laurelkeel/lanes/Lane.java
+++ b/src/main/java/laurelkeel/lanes/Lane.java
@@ -20,10 +20,12 @@
     int knows = -1;
     /** Builds that it has been told are sent back; of others it would take one for a base. */
     final Set<Integer> back = new HashSet<>();
+
     boolean closing;
     double toldCap = Double.NaN;
     /** Ids of machines it has been shown. */
     Set<String> shown = new HashSet<>();
+
     List<Event> events = new ArrayList<>();
     private List<Event> spare = new ArrayList<>();
     int held;
--- a/src/main/java/laurelkeel/lanes/Lanes.java
+++ b/src/main/java/laurelkeel/lanes/Lanes.java
@@ -35,6 +35,7 @@
 public final class Lanes implements Decider {
     /** Releases on trial at once; a further one gets no reqs until one of them ends. */
     public static final int MOST = 3;
+
     private static final int MOST_KEYS = 600_000;
     /** A build that may have all serves beside later releases once it is so many times the one before it. */
     private static final double GROWN = 2;
@@ -42,7 +43,13 @@
     private static final long DOUBT = 150_000;
 
     /** What is held against one release from outside, as the release line pools it. */
-    public enum Blame { NONE, GUILTY, CLEARED, OPEN, SET_ASIDE }
+    public enum Blame {
+        NONE,
+        GUILTY,
+        CLEARED,
+        OPEN,
+        SET_ASIDE
+    }
 
     /** One req, until it is answered and its tries have ended. */
     private static final class Held {
@@ -61,7 +68,7 @@
     }
 
     /** The lane of a key and the latest build that answered it there. */
-    private record Kept(int lane, int build) { }
+    private record Kept(int lane, int build) {}
 
     private final Settings set;
     private final Maker maker;
@@ -72,6 +79,7 @@
 
     /** The first one leads: it follows the list for all. */
     private final List<Lane> lanes = new ArrayList<>();
+
     private final TreeMap<Integer, Release> releases = new TreeMap<>();
     private final Map<Integer, Blame> blame = new HashMap<>();
     private final Map<Integer, Long> doubtedSince = new HashMap<>();
@@ -84,9 +92,11 @@
     private final TriesOut triesOut = new TriesOut();
     /** A build on trial that has taken over for a lane which is gone: nobody goes below it any more. */
     private int least = -1;
+
     private final Taken all;
     /** Tries at each build on trial, whichever lane's: it may serve beside others, whose deciders do not bound it. */
     private final Map<Integer, Taken> tries = new HashMap<>();
+
     private boolean keptBack;
     private int nextLane, complaints;
     private int released = -1;
@@ -105,7 +115,8 @@
     }
 
     private Taken taken(boolean tries) {
-        return new Taken(set.routes().size(), set.rollout().window(), set.rollout().perRoute(), tries);
+        return new Taken(
+                set.routes().size(), set.rollout().window(), set.rollout().perRoute(), tries);
     }
 
     /** How many lanes take reqs. */
@@ -179,9 +190,12 @@
         } else if (e instanceof Event.Complaint c) {
             complained(c);
         } else if (e instanceof Event.Probed p) {
-            lanes.stream().filter(l -> lanes.size() == 1 || l.shown.contains(p.machine())).forEach(l -> l.events.add(e));
+            lanes.stream()
+                    .filter(l -> lanes.size() == 1 || l.shown.contains(p.machine()))
+                    .forEach(l -> l.events.add(e));
         } else if (e instanceof Event.BuildCounts c) {
-            lanes.stream().filter(l -> l.build < 0 || l.build == c.build() || l.floor == c.build())
+            lanes.stream()
+                    .filter(l -> l.build < 0 || l.build == c.build() || l.floor == c.build())
                     .forEach(l -> l.events.add(e));
         } else {
             lanes.forEach(l -> l.events.add(e));
@@ -253,8 +267,18 @@
             toHolder(t.req(), t);
             return;
         }
-        toHolder(t.req(), h.keptBack == 0 ? t : new Event.TryEnded(t.req(), t.tryNo() + h.keptBack, t.machine(), t.outcome(),
-                t.took(), t.reqOver(), t.load()));
+        toHolder(
+                t.req(),
+                h.keptBack == 0
+                        ? t
+                        : new Event.TryEnded(
+                                t.req(),
+                                t.tryNo() + h.keptBack,
+                                t.machine(),
+                                t.outcome(),
+                                t.took(),
+                                t.reqOver(),
+                                t.load()));
         h.out--;
         h.answered |= t.outcome() == Outcome.COMPLETED || t.reqOver();
         if (h.key != null) {
@@ -284,7 +308,9 @@
             lanes.get(0).events.add(c);
             return;
         }
-        List<Lane> shown = lanes.stream().filter(l -> !l.closing && l.shown.contains(c.machine())).toList();
+        List<Lane> shown = lanes.stream()
+                .filter(l -> !l.closing && l.shown.contains(c.machine()))
+                .toList();
         if (!shown.isEmpty()) {
             // of a shared machine none can tell whose answer it was: each lane has its turn
             shown.get(complaints++ % shown.size()).events.add(c);
@@ -320,7 +346,14 @@
                     seen.add(m);
                 } else if (lane.shown.remove(m.machine())) {
                     // started anew with a build that is not this lane's: to its decider it is gone
-                    seen.add(new Listed(m.machine(), m.build(), m.zone(), m.cell(), m.kind(), m.size(), MachineState.GONE,
+                    seen.add(new Listed(
+                            m.machine(),
+                            m.build(),
+                            m.zone(),
+                            m.cell(),
+                            m.kind(),
+                            m.size(),
+                            MachineState.GONE,
                             m.started()));
                 }
             }
@@ -345,8 +378,10 @@
     }
 
     private double size(int build) {
-        return list.values().stream().filter(m -> m.build() == build && m.state() == MachineState.LIVE)
-                .mapToDouble(Listed::size).sum();
+        return list.values().stream()
+                .filter(m -> m.build() == build && m.state() == MachineState.LIVE)
+                .mapToDouble(Listed::size)
+                .sum();
     }
 
     /** What serves beside a lane's release: the released build, or a trial that may have all and has grown past it. */
@@ -356,7 +391,8 @@
             // no news of a released build yet: the largest that no news puts on trial
             double most = 0;
             Map<Integer, Double> sizes = new TreeMap<>();
-            list.values().stream().filter(m -> m.state() == MachineState.LIVE)
+            list.values().stream()
+                    .filter(m -> m.state() == MachineState.LIVE)
                     .forEach(m -> sizes.merge(m.build(), m.size(), Double::sum));
             for (var e : sizes.entrySet()) {
                 if (!releases.containsKey(e.getKey()) && e.getValue() > most) {
@@ -367,7 +403,8 @@
         }
         double before = size(floor);
         for (Release r : releases.values()) {
-            boolean whole = r.onTrial() && r.cap() >= 1 && r.stage() >= set.rollout().guardedStages();
+            boolean whole =
+                    r.onTrial() && r.cap() >= 1 && r.stage() >= set.rollout().guardedStages();
             if (whole && r.build() < build && r.build() > floor && size(r.build()) >= GROWN * before) {
                 floor = r.build();
             }
@@ -381,7 +418,8 @@
     private void news(ReleaseNews n) {
         if (n.toVote() && n.answer() != Answer.OK) {
             // a refusal says nothing but whose vote it was, where it says that
-            lanes.stream().filter(l -> lanes.size() == 1 || n.build() == 0 || l.build == n.build())
+            lanes.stream()
+                    .filter(l -> lanes.size() == 1 || n.build() == 0 || l.build == n.build())
                     .forEach(l -> l.events.add(n));
             return;
         }
@@ -515,8 +553,7 @@
         if (r == null || !r.onTrial()) {
             return;
         }
-        double cap = lanes.size() == 1 ? r.cap()
-                : Math.min(1, r.cap() * Taken.times(all, lane.taken, now, open()));
+        double cap = lanes.size() == 1 ? r.cap() : Math.min(1, r.cap() * Taken.times(all, lane.taken, now, open()));
         boolean told = !Double.isNaN(lane.toldCap);
         if (told ? cap != lane.toldCap : cap != r.cap()) {
             lane.events.add(new ReleaseNews(Answer.OK, r.stage(), cap, 0, r.phase(), r.build(), false));
@@ -559,8 +596,8 @@
         Listed to = list.get(s.machine());
         int build = to == null ? -1 : to.build();
         if (h != null && (wentAhead(h, lane, build) || overCap(h, build))) {
-            lane.events.add(new Event.TryEnded(s.req(), h.sent + h.keptBack, s.machine(), Outcome.NOT_SENT, 0, h.answered,
-                    Map.of()));
+            lane.events.add(new Event.TryEnded(
+                    s.req(), h.sent + h.keptBack, s.machine(), Outcome.NOT_SENT, 0, h.answered, Map.of()));
             h.keptBack++;
             keptBack = true;
             return;
@@ -624,12 +661,14 @@
             return;
         }
         Blame own = blame.getOrDefault(v.build(), Blame.NONE);
-        boolean otherGuilty = blame.entrySet().stream()
-                .anyMatch(e -> e.getKey() != v.build() && e.getValue() == Blame.GUILTY);
+        boolean otherGuilty =
+                blame.entrySet().stream().anyMatch(e -> e.getKey() != v.build() && e.getValue() == Blame.GUILTY);
         boolean open = blame.containsValue(Blame.OPEN);
         if (v.verdict() == Verdict.ON && (open || otherGuilty || own == Blame.GUILTY)) {
             refuse(lane, v, "holds while blame is open");
-        } else if (v.verdict() == Verdict.BACK && own != Blame.GUILTY && (otherGuilty || own == Blame.CLEARED || open)
+        } else if (v.verdict() == Verdict.BACK
+                && own != Blame.GUILTY
+                && (otherGuilty || own == Blame.CLEARED || open)
                 && now < doubtedSince.computeIfAbsent(v.build(), b -> now) + DOUBT) {
             refuse(lane, v, "blame does not fall on it");
         } else {
@@ -640,7 +679,8 @@
     /** The decider asks again; an answer that counts for nothing comes with its next events. */
     private void refuse(Lane lane, Action.Vote v, String why) {
         lane.events.add(new ReleaseNews(Answer.MOOT, 0, 0, 0, Phase.TRIAL, 0, true));
-        out.add(new Action.Log("build " + v.build() + " stage " + v.stage() + " " + v.verdict() + " not voted: " + why));
+        out.add(new Action.Log(
+                "build " + v.build() + " stage " + v.stage() + " " + v.verdict() + " not voted: " + why));
     }
 
     /** The guilty one is voted back whatever its own lane has seen, as long as it is on trial. */
@@ -648,13 +688,17 @@
         blame.forEach((build, b) -> {
             Release r = releases.get(build);
             Long at = votedBack.get(build);
-            if ((b == Blame.GUILTY || b == Blame.SET_ASIDE) && r != null && r.onTrial()
+            if ((b == Blame.GUILTY || b == Blame.SET_ASIDE)
+                    && r != null
+                    && r.onTrial()
                     && (at == null || now >= at + set.rollout().voteLife() * 6 / 10)) {
                 votedBack.put(build, now);
                 out.add(new Action.Vote(build, r.stage(), Verdict.BACK));
                 if (at == null) {
-                    out.add(new Action.Log("votes back on build " + build + (b == Blame.GUILTY ? ": blame falls on it"
-                            : ": set aside, to tell whether the harm ends with it")));
+                    out.add(new Action.Log("votes back on build " + build
+                            + (b == Blame.GUILTY
+                                    ? ": blame falls on it"
+                                    : ": set aside, to tell whether the harm ends with it")));
                 }
             }
         });
--- a/src/main/java/laurelkeel/lanes/TriesOut.java
+++ b/src/main/java/laurelkeel/lanes/TriesOut.java
@@ -31,7 +31,11 @@
     /** The latest build, of those that count, at which an attempt with the key is out. */
     int latest(String key, IntPredicate counting) {
         TreeMap<Integer, Integer> builds = counts.get(key);
-        return builds == null ? NONE
-                : builds.descendingKeySet().stream().filter(counting::test).findFirst().orElse(NONE);
+        return builds == null
+                ? NONE
+                : builds.descendingKeySet().stream()
+                        .filter(counting::test)
+                        .findFirst()
+                        .orElse(NONE);
     }
 }
--- a/src/main/java/laurelkeel/logs/Sparing.java
+++ b/src/main/java/laurelkeel/logs/Sparing.java
@@ -23,13 +23,15 @@
  * nobody reads would stop the front's only thread. Of alike lines a few a second go out and the rest are counted;
  * what the queue cannot hold is counted; both counts are logged, and stand in the metrics.
  */
-public final class Sparing extends UnsynchronizedAppenderBase<ILoggingEvent> implements AppenderAttachable<ILoggingEvent> {
+public final class Sparing extends UnsynchronizedAppenderBase<ILoggingEvent>
+        implements AppenderAttachable<ILoggingEvent> {
     /** Alike lines a second: enough to see that it happens again and again, and to whom. */
     private static final int ALIKE = 5;
     /** A second of many different lines, at a few hundred bytes each. */
     private static final int QUEUE = 2048;
     /** Kinds of lines told apart a second; past them all count as one. */
     private static final int KINDS = 256;
+
     private static final AtomicLong LEFT_OUT = new AtomicLong();
     private static volatile Sparing started;
 
@@ -65,13 +67,15 @@
     /** Alike are those of one place in the code; for texts that a decider made, those that differ in numbers only. */
     private static String kind(ILoggingEvent e) {
         String text = e.getMessage();
-        return e.getLoggerName() + ": " + ("{}".equals(text) ? e.getFormattedMessage().replaceAll("[0-9.]+", "#") : text);
+        return e.getLoggerName() + ": "
+                + ("{}".equals(text) ? e.getFormattedMessage().replaceAll("[0-9.]+", "#") : text);
     }
 
     @Override
     protected void append(ILoggingEvent e) {
         String kind = kind(e);
-        AtomicInteger n = kinds.size() < KINDS ? kinds.computeIfAbsent(kind, k -> new AtomicInteger())
+        AtomicInteger n = kinds.size() < KINDS
+                ? kinds.computeIfAbsent(kind, k -> new AtomicInteger())
                 : kinds.getOrDefault(kind, kinds.computeIfAbsent("of further kinds", k -> new AtomicInteger()));
         if (n.incrementAndGet() > ALIKE) {
             LEFT_OUT.incrementAndGet();
@@ -123,8 +127,7 @@
 
     private void say(String text) {
         Logger of = ((LoggerContext) getContext()).getLogger(Sparing.class);
-        within.appendLoopOnAppenders(new LoggingEvent(Sparing.class.getName(), of, Level.WARN, text,
-                null, null));
+        within.appendLoopOnAppenders(new LoggingEvent(Sparing.class.getName(), of, Level.WARN, text, null, null));
     }
 
     @Override
--- a/src/main/java/laurelkeel/loop/Loop.java
+++ b/src/main/java/laurelkeel/loop/Loop.java
@@ -56,6 +56,7 @@
     private volatile Throwable failure;
     /** Counted by the loop's thread alone. */
     private volatile int failures;
+
     private Thread thread;
 
     /** @param clock tenths of a millisecond, only advancing */
--- a/src/main/java/laurelkeel/loop/Threads.java
+++ b/src/main/java/laurelkeel/loop/Threads.java
@@ -13,7 +13,7 @@
  * user would go on without sockets or without news, and call itself well.
  */
 public final class Threads {
-    private Threads() { }
+    private Threads() {}
 
     private static ThreadFactory named(Loop loop, String name) {
         return r -> {
--- a/src/main/java/laurelkeel/options/Numbers.java
+++ b/src/main/java/laurelkeel/options/Numbers.java
@@ -2,7 +2,7 @@
 
 /** How the bench writes numbers. */
 public final class Numbers {
-    private Numbers() { }
+    private Numbers() {}
 
     public static double finite(String s) {
         double d = Double.parseDouble(s);
--- a/src/main/java/laurelkeel/options/Options.java
+++ b/src/main/java/laurelkeel/options/Options.java
@@ -31,8 +31,7 @@
     private static final Map<String, Boolean> ASKED = Map.of("push", false, "ask", true);
     private static final Map<String, Boolean> PER_ROUTE = Map.of("all", false, "each_class", true);
     private static final Map<String, Boolean> BY_WORK = Map.of("request", false, "work", true);
-    private static final Map<String, Group> GROUPS =
-            Map.of("all", Group.ALL, "zone", Group.ZONE, "cell", Group.CELL);
+    private static final Map<String, Group> GROUPS = Map.of("all", Group.ALL, "zone", Group.ZONE, "cell", Group.CELL);
 
     /**
      * What only a front with real sockets needs beside the decider's settings. Times are tenths of a millisecond; 0
@@ -40,8 +39,15 @@
      *
      * @param marksRepeats clients mark the reqs that they send again
      */
-    public record Real(List<String> routes, List<String> customers, List<String> zones, List<String> kinds,
-            boolean marksRepeats, long dialTimeout, long idleClose, int mostOpen) { }
+    public record Real(
+            List<String> routes,
+            List<String> customers,
+            List<String> zones,
+            List<String> kinds,
+            boolean marksRepeats,
+            long dialTimeout,
+            long idleClose,
+            int mostOpen) {}
 
     private final Map<String, String> pairs;
 
@@ -55,8 +61,14 @@
 
     public static Real real(Map<String, String> pairs) {
         Options o = new Options(pairs);
-        return new Real(o.names("services"), o.names("orgs"), o.words("zones"), o.words("kinds"),
-                o.on("callers.marksRetry"), o.time("allowed.dialTimeout"), o.time("allowed.idleClose"),
+        return new Real(
+                o.names("services"),
+                o.names("orgs"),
+                o.words("zones"),
+                o.words("kinds"),
+                o.on("callers.marksRetry"),
+                o.time("allowed.dialTimeout"),
+                o.time("allowed.idleClose"),
                 o.whole("allowed.maxOpen"));
     }
 
@@ -102,37 +114,77 @@
     }
 
     private List<Double> numbers(String path) {
-        return get(path, "", "list of numbers", s -> s.isEmpty() ? List.of()
-                : Arrays.stream(s.split(",")).map(Numbers::finite).toList());
+        return get(
+                path,
+                "",
+                "list of numbers",
+                s -> s.isEmpty()
+                        ? List.of()
+                        : Arrays.stream(s.split(",")).map(Numbers::finite).toList());
     }
 
     private Settings settings() {
         List<Route> routes = new ArrayList<>();
         for (int i = 0; i < whole("services.count"); i++) {
             String p = "services." + i + ".";
-            routes.add(new Route(get(p + "effect", "", "effect", EFFECTS::get),
-                    get(p + "dedupScope", "all", "group", GROUPS::get), time(p + "onTime"), time(p + "deadline"),
-                    number(p + "points"), number(p + "lateValue"), time(p + "repeatWindow")));
+            routes.add(new Route(
+                    get(p + "effect", "", "effect", EFFECTS::get),
+                    get(p + "dedupScope", "all", "group", GROUPS::get),
+                    time(p + "onTime"),
+                    time(p + "deadline"),
+                    number(p + "points"),
+                    number(p + "lateValue"),
+                    time(p + "repeatWindow")));
         }
         List<Customer> customers = new ArrayList<>();
         for (int i = 0; i < whole("orgs.count"); i++) {
             customers.add(new Customer(number("orgs." + i + ".quotaRps")));
         }
         String r = "familyInfo.";
-        return new Settings(whole("selfIndex"), whole("balancers"), whole("zone"), routes, customers,
-                new Limits(time("rules.drainGrace"), time("rules.cold"), number("rules.coldFrom"),
-                        time("rules.tipAfter"), number("rules.tipMultiple"), time("rules.askWithin")),
-                new Allowed(whole("allowed.maxAttempts"), on("allowed.mayProbe"), on("allowed.mayTell"),
-                        on("allowed.cancel"), on("allowed.retryAfter"),
-                        time("allowed.maxRetryAfter"), get("membershipMode", "push", "mode", ASKED::get)),
-                new Prices(number("prices.crossZone"), number("prices.probe"), number("prices.peer"),
-                        number(r + "staleBuildPrice"), number(r + "damagePrice")),
-                new Rollout(get(r + "gateMode", "first_voice", "mode", CONTROLS::get), whole(r + "votesToGo"),
-                        whole(r + "noesNeeded"), whole(r + "toPause"), time(r + "voteTtl"), time(r + "callTimeout"),
-                        number(r + "votesPerS"), numbers(r + "stageCap"), time(r + "leastStage"),
-                        whole(r + "guardedStages"), on(r + "keysStay"), time(r + "countedOver"),
-                        number(r + "uncounted"), get(r + "capScope", "all", "scope", PER_ROUTE::get),
-                        time(r + "tally"), number(r + "complaintShare")),
+        return new Settings(
+                whole("selfIndex"),
+                whole("balancers"),
+                whole("zone"),
+                routes,
+                customers,
+                new Limits(
+                        time("rules.drainGrace"),
+                        time("rules.cold"),
+                        number("rules.coldFrom"),
+                        time("rules.tipAfter"),
+                        number("rules.tipMultiple"),
+                        time("rules.askWithin")),
+                new Allowed(
+                        whole("allowed.maxAttempts"),
+                        on("allowed.mayProbe"),
+                        on("allowed.mayTell"),
+                        on("allowed.cancel"),
+                        on("allowed.retryAfter"),
+                        time("allowed.maxRetryAfter"),
+                        get("membershipMode", "push", "mode", ASKED::get)),
+                new Prices(
+                        number("prices.crossZone"),
+                        number("prices.probe"),
+                        number("prices.peer"),
+                        number(r + "staleBuildPrice"),
+                        number(r + "damagePrice")),
+                new Rollout(
+                        get(r + "gateMode", "first_voice", "mode", CONTROLS::get),
+                        whole(r + "votesToGo"),
+                        whole(r + "noesNeeded"),
+                        whole(r + "toPause"),
+                        time(r + "voteTtl"),
+                        time(r + "callTimeout"),
+                        number(r + "votesPerS"),
+                        numbers(r + "stageCap"),
+                        time(r + "leastStage"),
+                        whole(r + "guardedStages"),
+                        on(r + "keysStay"),
+                        time(r + "countedOver"),
+                        number(r + "uncounted"),
+                        get(r + "capScope", "all", "scope", PER_ROUTE::get),
+                        time(r + "tally"),
+                        number(r + "complaintShare")),
                 get("valueBy", "request", "way", BY_WORK::get));
     }
 }
--- a/src/main/java/laurelkeel/platform/Addresses.java
+++ b/src/main/java/laurelkeel/platform/Addresses.java
@@ -6,7 +6,7 @@
 
 /** Addresses as the platform writes them: four numbers and a port. There is no DNS, so no name is ever looked up. */
 final class Addresses {
-    private Addresses() { }
+    private Addresses() {}
 
     /** null where it is no such address. */
     static InetSocketAddress of(String s) {
@@ -22,7 +22,8 @@
                 ip[i] = (byte) n;
             }
             int port = Integer.parseInt(s.substring(colon + 1));
-            return parts.length != 4 || port < 0 || port > 65535 ? null
+            return parts.length != 4 || port < 0 || port > 65535
+                    ? null
                     : new InetSocketAddress(InetAddress.getByAddress(ip), port);
         } catch (NumberFormatException | ArrayIndexOutOfBoundsException | UnknownHostException e) {
             return null;
--- a/src/main/java/laurelkeel/platform/Config.java
+++ b/src/main/java/laurelkeel/platform/Config.java
@@ -22,8 +22,17 @@
  * @param known the machine list as this node last had it; null where there is none
  * @param sockets descriptors that the process may hold
  */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress desk,
-        long seed, int sockets, JsonNode news, JsonNode known, Settings settings, Options.Real real) {
+public record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        InetSocketAddress desk,
+        long seed,
+        int sockets,
+        JsonNode news,
+        JsonNode known,
+        Settings settings,
+        Options.Real real) {
     static final ObjectMapper JSON = new ObjectMapper();
 
     /** @param env the environment, whose RELAY_NAME and RELAY_LISTEN stand for fields that the file lacks */
@@ -62,12 +71,17 @@
             if (set.rollout().stageCaps().isEmpty()) {
                 throw new BadConfig("settings.familyInfo.stageCap: is missing");
             }
-            return new Config(text(all, "name", env.get("RELAY_NAME")),
+            return new Config(
+                    text(all, "name", env.get("RELAY_NAME")),
                     address("listen", text(all, "listen", env.get("RELAY_LISTEN"))),
                     address("discovery", text(all, "discovery", env.get("RELAY_DISCOVERY"))),
                     address("rollouts.address", rollouts.path("address").asText(null)),
-                    seed(all.path("seed").asText("")), sockets.intValue(), object(rollouts.get("news")),
-                    object(all.get("known")), set, Options.real(pairs));
+                    seed(all.path("seed").asText("")),
+                    sockets.intValue(),
+                    object(rollouts.get("news")),
+                    object(all.get("known")),
+                    set,
+                    Options.real(pairs));
         } catch (BadOption e) {
             throw new BadConfig("settings." + e.getMessage());
         }
--- a/src/main/java/laurelkeel/platform/Desk.java
+++ b/src/main/java/laurelkeel/platform/Desk.java
@@ -23,12 +23,27 @@
     private static final long SILENCE = 35_000;
     /** The desk closes what has been idle for some ten seconds; ours must not meet that with a vote. */
     private static final long VOTES_IDLE = 40_000;
-    private static final Map<String, Phase> PHASES = Map.of("Progressing", Phase.TRIAL, "Aborting", Phase.GOING_BACK,
-            "Healthy", Phase.RELEASED, "Aborted", Phase.WITHDRAWN);
+
+    private static final Map<String, Phase> PHASES = Map.of(
+            "Progressing",
+            Phase.TRIAL,
+            "Aborting",
+            Phase.GOING_BACK,
+            "Healthy",
+            Phase.RELEASED,
+            "Aborted",
+            Phase.WITHDRAWN);
     private static final Map<Verdict, String> VERDICTS =
             Map.of(Verdict.NONE, "clear", Verdict.ON, "approve", Verdict.HOLD, "wait", Verdict.BACK, "reject");
-    private static final Map<String, Answer> ERRORS = Map.of("too_many_calls", Answer.OVER_LIMIT, "out_of_date",
-            Answer.MOOT, "unavailable", Answer.ERROR, "bad_request", Answer.ERROR);
+    private static final Map<String, Answer> ERRORS = Map.of(
+            "too_many_calls",
+            Answer.OVER_LIMIT,
+            "out_of_date",
+            Answer.MOOT,
+            "unavailable",
+            Answer.ERROR,
+            "bad_request",
+            Answer.ERROR);
 
     private final Links links;
     private final Loop loop;
@@ -78,7 +93,12 @@
                     vote = null;
                     limit.cancel();
                     idleSince = loop.now();
-                    LOG.info("a vote was answered {}: build {} stage {} {}", n.answer(), n.build(), n.stage(), n.phase());
+                    LOG.info(
+                            "a vote was answered {}: build {} stage {} {}",
+                            n.answer(),
+                            n.build(),
+                            n.stage(),
+                            n.phase());
                     to.accept(n);
                 });
             } catch (Spoilt e) {
@@ -107,8 +127,14 @@
         }
     }
 
-    Desk(Links links, Loop loop, long seed, long voteTimeout, ToIntFunction<String> routes,
-            InetSocketAddress at, Consumer<Event> to) {
+    Desk(
+            Links links,
+            Loop loop,
+            long seed,
+            long voteTimeout,
+            ToIntFunction<String> routes,
+            InetSocketAddress at,
+            Consumer<Event> to) {
         this.links = links;
         this.loop = loop;
         this.voteTimeout = voteTimeout;
@@ -210,8 +236,13 @@
             if (route < 0) {
                 throw new Spoilt("no route: " + Spoilt.shown(text));
             }
-            to.accept(new Event.BuildCounts((int) whole(w[2]), route, whole(w[4]), whole(w[5]),
-                    (long) (number(w[6]) * 10), age(w[7], arrived)));
+            to.accept(new Event.BuildCounts(
+                    (int) whole(w[2]),
+                    route,
+                    whole(w[4]),
+                    whole(w[5]),
+                    (long) (number(w[6]) * 10),
+                    age(w[7], arrived)));
         } else if (!(w[0].equals("*") && w[1].equals("complaint"))) {
             throw new Spoilt(Spoilt.shown(text));
         }
@@ -223,8 +254,8 @@
         if (phase == null || cap > 1) {
             throw new Spoilt(Spoilt.shown(String.join(" ", w)));
         }
-        return new Event.ReleaseNews(Answer.OK, (int) whole(w[i + 1]), cap, age(w[i + 4], arrived), phase,
-                (int) whole(w[i]), toVote);
+        return new Event.ReleaseNews(
+                Answer.OK, (int) whole(w[i + 1]), cap, age(w[i + 4], arrived), phase, (int) whole(w[i]), toVote);
     }
 
     /** Counted from when the bytes came, not from when the loop got to them. */
@@ -259,8 +290,15 @@
     /** The state that the configuration holds; null where it holds none that can be read. */
     static Event.ReleaseNews known(JsonNode n) {
         Phase phase = n == null ? null : PHASES.get(n.path("phase").asText(""));
-        return phase == null || !n.path("build").isIntegralNumber() ? null
-                : new Event.ReleaseNews(Answer.OK, n.path("stage").asInt(0), n.path("cap").asDouble(0),
-                (long) (n.path("age_ms").asDouble(0) * 10), phase, n.path("build").asInt(), false);
+        return phase == null || !n.path("build").isIntegralNumber()
+                ? null
+                : new Event.ReleaseNews(
+                        Answer.OK,
+                        n.path("stage").asInt(0),
+                        n.path("cap").asDouble(0),
+                        (long) (n.path("age_ms").asDouble(0) * 10),
+                        phase,
+                        n.path("build").asInt(),
+                        false);
     }
 }
--- a/src/main/java/laurelkeel/platform/Discovery.java
+++ b/src/main/java/laurelkeel/platform/Discovery.java
@@ -25,6 +25,7 @@
     private static final long SILENCE = 30_000;
     /** Some 200 bytes a machine, twice that where they come indented, for thousands of machines. */
     private static final int LARGEST = 1 << 20;
+
     private static final HttpLimits LIMITS = new HttpLimits(1 << 10, 8 << 10, 64, LARGEST);
 
     private static final Logger LOG = LoggerFactory.getLogger(Discovery.class);
@@ -71,11 +72,19 @@
         this.machines = machines;
         this.to = to;
         String host = at.getHostString();
-        feed = new Feed("discovery", links, loop, seed, at, SILENCE, () -> {
-            String after = machines.version() < 0 ? "" : "&after=" + machines.version();
-            return ("GET /v1/servers?watch=1" + after + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")
-                    .getBytes(StandardCharsets.US_ASCII);
-        }, Reading::new);
+        feed = new Feed(
+                "discovery",
+                links,
+                loop,
+                seed,
+                at,
+                SILENCE,
+                () -> {
+                    String after = machines.version() < 0 ? "" : "&after=" + machines.version();
+                    return ("GET /v1/servers?watch=1" + after + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII);
+                },
+                Reading::new);
     }
 
     private void told(JsonNode value) throws Spoilt {
--- a/src/main/java/laurelkeel/platform/Feed.java
+++ b/src/main/java/laurelkeel/platform/Feed.java
@@ -44,6 +44,7 @@
         private final long since = loop.now();
         /** When it last told something, and when bytes of it last came, which may be of something not yet whole. */
         private long toldAt = since, bytesAt = since;
+
         private final Links.Link link = links.open(at, opening.get(), this);
 
         @Override
@@ -90,7 +91,15 @@
      * @param at where the source is, until it moves
      * @param silence after so long with nothing told another connection is opened beside
      */
-    Feed(String name, Links links, Loop loop, long seed, InetSocketAddress at, long silence, Supplier<byte[]> opening, Supplier<Ear> ears) {
+    Feed(
+            String name,
+            Links links,
+            Loop loop,
+            long seed,
+            InetSocketAddress at,
+            long silence,
+            Supplier<byte[]> opening,
+            Supplier<Ear> ears) {
         this.name = name;
         this.links = links;
         this.loop = loop;
--- a/src/main/java/laurelkeel/platform/Links.java
+++ b/src/main/java/laurelkeel/platform/Links.java
@@ -83,24 +83,31 @@
     Link open(InetSocketAddress at, byte[] opening, Heard heard) {
         Link link = new Link(heard);
         try {
-            Dial.start(connector, loop, loop::postNews, DIAL, at, session -> session.setAttribute(LINK, link), new Dial.Outcome() {
-                @Override
-                public void connected(IoSession session) {
-                    link.connected(session, opening);
-                }
-
-                @Override
-                public void failed(Throwable why) {
-                    LOG.info("{} could not be reached: {}", at, String.valueOf(why));
-                    ended(link, false);
-                }
-
-                @Override
-                public void timedOut() {
-                    LOG.info("{} did not come up in time", at);
-                    ended(link, false);
-                }
-            });
+            Dial.start(
+                    connector,
+                    loop,
+                    loop::postNews,
+                    DIAL,
+                    at,
+                    session -> session.setAttribute(LINK, link),
+                    new Dial.Outcome() {
+                        @Override
+                        public void connected(IoSession session) {
+                            link.connected(session, opening);
+                        }
+
+                        @Override
+                        public void failed(Throwable why) {
+                            LOG.info("{} could not be reached: {}", at, String.valueOf(why));
+                            ended(link, false);
+                        }
+
+                        @Override
+                        public void timedOut() {
+                            LOG.info("{} did not come up in time", at);
+                            ended(link, false);
+                        }
+                    });
         } catch (RuntimeException e) {
             LOG.warn("{} could not be dialled: {}", at, e.toString());
             loop.postNews(() -> ended(link, false));
--- a/src/main/java/laurelkeel/platform/Loads.java
+++ b/src/main/java/laurelkeel/platform/Loads.java
@@ -7,10 +7,21 @@
 
 /** Load reports, by the names that the decider knows their values under. One that cannot be read is none. */
 final class Loads {
-    private static final Map<String, String> NAMES = Map.of("inflight", "concurrent", "queue", "depth", "util",
-            "load_share", "latency_ms", "mean_ms", "qps", "tps", "eps", "err_ps");
+    private static final Map<String, String> NAMES = Map.of(
+            "inflight",
+            "concurrent",
+            "queue",
+            "depth",
+            "util",
+            "load_share",
+            "latency_ms",
+            "mean_ms",
+            "qps",
+            "tps",
+            "eps",
+            "err_ps");
 
-    private Loads() { }
+    private Loads() {}
 
     static Map<String, Double> read(String told) {
         if (told == null) {
@@ -21,7 +32,9 @@
             Map<String, Double> out = new HashMap<>();
             all.properties().forEach(e -> {
                 if (e.getValue().isNumber()) {
-                    out.put(NAMES.getOrDefault(e.getKey(), e.getKey()), e.getValue().doubleValue());
+                    out.put(
+                            NAMES.getOrDefault(e.getKey(), e.getKey()),
+                            e.getValue().doubleValue());
                 }
             });
             return out;
--- a/src/main/java/laurelkeel/platform/Machines.java
+++ b/src/main/java/laurelkeel/platform/Machines.java
@@ -18,11 +18,12 @@
 final class Machines {
     /** What discovery knows has come after six seconds: who is older still then has begun anew. */
     private static final long CATCH_UP = 60_000;
-    private static final Map<String, MachineState> STATES = Map.of("active", MachineState.LIVE, "leaving",
-            MachineState.DRAINING, "left", MachineState.GONE);
+
+    private static final Map<String, MachineState> STATES =
+            Map.of("active", MachineState.LIVE, "leaving", MachineState.DRAINING, "left", MachineState.GONE);
 
     /** A machine as it was last listed, with its start as discovery told it; changed is when it came to stand so. */
-    private record Entry(Listed is, Place place, long startedMs, long changed) { }
+    private record Entry(Listed is, Place place, long startedMs, long changed) {}
 
     private final List<String> zones, kinds;
     private final StartClock starts;
@@ -115,7 +116,8 @@
             });
         }
         version = to;
-        return new Event.MachineList(remembered ? ListKind.REMEMBERED : full ? ListKind.FULL : ListKind.CHANGES,
+        return new Event.MachineList(
+                remembered ? ListKind.REMEMBERED : full ? ListKind.FULL : ListKind.CHANGES,
                 told.stream().map(Entry::is).toList());
     }
 
@@ -129,13 +131,25 @@
         long startedMs = s.path("started_ms").asLong(0);
         Entry was = entries.get(id);
         // the moment of one start is worked out once, or jitter would pass for a new start
-        long started = was != null && was.startedMs == startedMs ? was.is.started()
+        long started = was != null && was.startedMs == startedMs
+                ? was.is.started()
                 : starts.moment(startedMs, now, change && state != MachineState.GONE);
-        Listed is = new Listed(id, s.path("revision_no").asInt(0), number(zones, s.path("zone").asText("")),
-                s.path("cell").asInt(0), number(kinds, s.path("kind").asText("")), size > 0 ? size : 1, state, started);
+        Listed is = new Listed(
+                id,
+                s.path("revision_no").asInt(0),
+                number(zones, s.path("zone").asText("")),
+                s.path("cell").asInt(0),
+                number(kinds, s.path("kind").asText("")),
+                size > 0 ? size : 1,
+                state,
+                started);
         String addr = s.path("addr").asText("");
         // the same machine anew, with another build or elsewhere gets no connection of its forerunner
-        return new Entry(is, new Place(id + "@" + addr + "/" + is.build() + "/" + is.started(), Addresses.of(addr)), startedMs, now);
+        return new Entry(
+                is,
+                new Place(id + "@" + addr + "/" + is.build() + "/" + is.started(), Addresses.of(addr)),
+                startedMs,
+                now);
     }
 
     /** Names are numbered in the settings' order, and any others as they are met. */
--- a/src/main/java/laurelkeel/platform/Node.java
+++ b/src/main/java/laurelkeel/platform/Node.java
@@ -34,6 +34,7 @@
     private static final int OWN_SOCKETS = 48;
     /** Of the rest, what clients may hold; a quarter of that comes on top while others make room. */
     private static final double CLIENTS = 0.44;
+
     private static final int SPARE = 4;
     /** New connections come for 0.4 s after SIGTERM, and clients' reqs count as owed for 0.7 s. */
     private static final long LAME_DUCK = 5_500;
@@ -61,6 +62,7 @@
     private final long startedAt;
     /** Made for this node, which itself never calls it: set before anybody has the node. */
     private Front front;
+
     private int newsBuild = -1;
     private double newsCap;
     private long loweredAt = Long.MIN_VALUE;
@@ -74,12 +76,17 @@
         startedAt = loop.now();
         words = new Words(config.settings(), config.real());
         long epoch = loop.clock() - System.currentTimeMillis() * 10;
-        machines = new Machines(config.real().zones(), config.real().kinds(), new StartClock(epoch),
-                inbox::leave);
+        machines = new Machines(config.real().zones(), config.real().kinds(), new StartClock(epoch), inbox::leave);
         links = new Links(loop, base.socketThreads(), base.shared());
         discovery = new Discovery(links, loop, config.seed() * 2, machines, config.discovery(), inbox::learn);
-        desk = new Desk(links, loop, config.seed() * 2 + 1, config.settings().rollout().voteTimeout(), words::route,
-                config.desk(), this::news);
+        desk = new Desk(
+                links,
+                loop,
+                config.seed() * 2 + 1,
+                config.settings().rollout().voteTimeout(),
+                words::route,
+                config.desk(),
+                this::news);
         learnConfiguration();
     }
 
@@ -137,16 +144,38 @@
         int open = clientConnections(c.sockets());
         int held = c.real().mostOpen() > 0 ? Math.min(c.real().mostOpen(), open * 2) : open * 2;
         // a drain takes as long as the longest route at least, and need not take longer
-        return new IngressSettings(c.listen(), new HttpLimits(2 << 10, 8 << 10, 64, BODY), open, open / SPARE, held, 8192,
-                4, 600_000, 100_000, 1, 0, LAME_DUCK, FIRST_REQ, HALF_REQ, KEEP);
+        return new IngressSettings(
+                c.listen(),
+                new HttpLimits(2 << 10, 8 << 10, 64, BODY),
+                open,
+                open / SPARE,
+                held,
+                8192,
+                4,
+                600_000,
+                100_000,
+                1,
+                0,
+                LAME_DUCK,
+                FIRST_REQ,
+                HALF_REQ,
+                KEEP);
     }
 
     private static UpstreamSettings machineSide(Config c) {
         int most = machineConnections(c.sockets());
         long idle = c.real().idleClose() > 0 ? c.real().idleClose() : 100_000;
-        return new UpstreamSettings(new HttpLimits(1 << 10, 8 << 10, 64, BODY), most, most, 1024,
-                c.real().dialTimeout() > 0 ? c.real().dialTimeout() : 2_500, Math.max(idle / 2, idle - IDLE_SOONER), 1,
-                "/load", 2_500, REST);
+        return new UpstreamSettings(
+                new HttpLimits(1 << 10, 8 << 10, 64, BODY),
+                most,
+                most,
+                1024,
+                c.real().dialTimeout() > 0 ? c.real().dialTimeout() : 2_500,
+                Math.max(idle / 2, idle - IDLE_SOONER),
+                1,
+                "/load",
+                2_500,
+                REST);
     }
 
     @Override
@@ -206,8 +235,8 @@
 
     @Override
     public HttpAnswer own(HttpReq http, String health) {
-        boolean ready = !machines.empty() && (discovery.heard() && desk.heard()
-                || loop.now() > startedAt + READY_ANYWAY);
+        boolean ready =
+                !machines.empty() && (discovery.heard() && desk.heard() || loop.now() > startedAt + READY_ANYWAY);
         boolean well = ready && health.equals("ok");
         String text = well ? "ok\n" : ready ? health + "\n" : "starting\n";
         return new HttpAnswer(well ? 200 : 503, new Headers(), text.getBytes(StandardCharsets.US_ASCII));
@@ -220,12 +249,12 @@
 
     /** Discovery is followed all the time. */
     @Override
-    public void watchList(boolean on) { }
+    public void watchList(boolean on) {}
 
     @Override
-    public void fetchList() { }
+    public void fetchList() {}
 
     /** The platform's settings allow no notes. */
     @Override
-    public void tell(int to, byte[] bytes) { }
+    public void tell(int to, byte[] bytes) {}
 }
--- a/src/main/java/laurelkeel/platform/Words.java
+++ b/src/main/java/laurelkeel/platform/Words.java
@@ -21,8 +21,13 @@
 /** The platform's words on both sides of a front node. */
 final class Words implements Dialect {
     static final String HEALTH = "/healthz";
-    private static final String ID = "X-Correlation-Id", CUSTOMER = "X-Account", KEY = "X-Session-Key",
-            LEFT = "X-Time-Left", REPEAT = "X-Repeat", MARK = "Idempotency-Key", NOT_RUN = "X-Unprocessed",
+    private static final String ID = "X-Correlation-Id",
+            CUSTOMER = "X-Account",
+            KEY = "X-Session-Key",
+            LEFT = "X-Time-Left",
+            REPEAT = "X-Repeat",
+            MARK = "Idempotency-Key",
+            NOT_RUN = "X-Unprocessed",
             LOAD = "X-Backend-Load";
     /** What a name may have: more than any that the platform makes, and few enough to keep thousands of them. */
     private static final int LONGEST_NAME = 128;
@@ -84,14 +89,23 @@
         if (mark != null) {
             crossing.add(MARK, mark);
         }
-        return new Asked(id, Crossing.of(new HttpReq(http.method(), http.target(), 1, crossing, http.body()), List.of()),
-                false, http.last(), route, customer, name(http, KEY), left(http, set.get(route).timeout()), 0,
+        return new Asked(
+                id,
+                Crossing.of(new HttpReq(http.method(), http.target(), 1, crossing, http.body()), List.of()),
+                false,
+                http.last(),
+                route,
+                customer,
+                name(http, KEY),
+                left(http, set.get(route).timeout()),
+                0,
                 marksRepeats && "1".equals(http.headers().get(REPEAT)));
     }
 
     private static String name(HttpReq http, String header) throws BadHttp {
         String s = http.headers().get(header);
-        if (s != null && (s.isEmpty() || s.length() > LONGEST_NAME || http.headers().count(header) > 1)) {
+        if (s != null
+                && (s.isEmpty() || s.length() > LONGEST_NAME || http.headers().count(header) > 1)) {
             throw new BadHttp(400, header + " must stand once, with 1 to " + LONGEST_NAME + " characters");
         }
         return s;
@@ -112,8 +126,8 @@
     }
 
     private static HttpAnswer plain(int status, String text) {
-        return new HttpAnswer(status, Headers.of("Content-Type", "text/plain"),
-                (text + "\n").getBytes(StandardCharsets.UTF_8));
+        return new HttpAnswer(
+                status, Headers.of("Content-Type", "text/plain"), (text + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
@@ -146,10 +160,12 @@
 
     @Override
     public Came came(HttpAnswer a) {
-        boolean neverRan = (a.status() == 503 || a.status() == 504) && "1".equals(a.headers().get(NOT_RUN));
+        boolean neverRan = (a.status() == 503 || a.status() == 504)
+                && "1".equals(a.headers().get(NOT_RUN));
         Outcome outcome = neverRan ? Outcome.FULL : a.status() == 200 ? Outcome.COMPLETED : Outcome.ERROR;
         // the body alone is the client's: what else a machine says is for the front
-        Crossing crossing = outcome != Outcome.COMPLETED ? null
+        Crossing crossing = outcome != Outcome.COMPLETED
+                ? null
                 : Crossing.of(new HttpAnswer(200, new Headers(), a.body()), List.of());
         return new Came(outcome, crossing, Loads.read(a.headers().get(LOAD)), a.last());
     }
@@ -167,10 +183,13 @@
     }
 
     @Override
-    public void completed(Lines to, String id) { }
+    public void completed(Lines to, String id) {}
 
     @Override
     public byte[] probe(Lines to, String machine) {
-        return to.text("GET /load HTTP/1.1\r\n").line("Host", "app.svc").text("\r\n").take();
+        return to.text("GET /load HTTP/1.1\r\n")
+                .line("Host", "app.svc")
+                .text("\r\n")
+                .take();
     }
 }
--- a/src/main/java/laurelkeel/records/Recorder.java
+++ b/src/main/java/laurelkeel/records/Recorder.java
@@ -38,6 +38,7 @@
     private final ByteArrayOutputStream lines = new ByteArrayOutputStream();
     /** Null while it could not be opened. */
     private FileChannel out;
+
     private long openedAt = System.nanoTime();
     private int waiting;
     private long lost, lostUntold;
@@ -125,7 +126,7 @@
     }
 
     private void write(byte[] bytes) throws IOException {
-        for (ByteBuffer left = ByteBuffer.wrap(bytes); left.hasRemaining();) {
+        for (ByteBuffer left = ByteBuffer.wrap(bytes); left.hasRemaining(); ) {
             out.write(left);
         }
     }
--- a/src/main/java/laurelkeel/soak/Backend.java
+++ b/src/main/java/laurelkeel/soak/Backend.java
@@ -10,13 +10,25 @@
 final class Backend extends TcpServer {
     /** How it may answer one attempt. The first serves it; of the others each fails it in a way of its own. */
     private enum Answer {
-        WHOLE, WHOLE_UNTIL_CLOSE, WHOLE_IN_PIECES, UNTIL_CLOSE_RESET, LENGTH_RESET, LENGTH_CUT_SHORT, CHUNKS_RESET, NOISE, SILENCE,
-        EXTRA_BYTES, CLOSED_UNANSWERED, UNPROCESSED, ERROR
+        WHOLE,
+        WHOLE_UNTIL_CLOSE,
+        WHOLE_IN_PIECES,
+        UNTIL_CLOSE_RESET,
+        LENGTH_RESET,
+        LENGTH_CUT_SHORT,
+        CHUNKS_RESET,
+        NOISE,
+        SILENCE,
+        EXTRA_BYTES,
+        CLOSED_UNANSWERED,
+        UNPROCESSED,
+        ERROR
     }
 
     private static final Answer[] ANSWERS = Answer.values();
     /** How long a client may have gone before an attempt for it begins, and how late a drained server may be asked. */
     private static final double SLACK_SECONDS = 0.25;
+
     private static final int SILENT_MS = 4_000;
     /** A second copy of an answer comes some milliseconds behind it, and no later where this host runs late. */
     private static final long EXTRA_NANOS = 7_000_000;
@@ -42,7 +54,8 @@
 
     /** The one body that this server makes for a request; its length varies with the request. */
     static String body(String server, String requestId) {
-        return "made by " + server + " for " + requestId + " " + "x".repeat(Math.floorMod(requestId.hashCode(), 2_000)) + " end";
+        return "made by " + server + " for " + requestId + " " + "x".repeat(Math.floorMod(requestId.hashCode(), 2_000))
+                + " end";
     }
 
     private synchronized Answer draw() {
@@ -63,7 +76,8 @@
                 return;
             }
             String requestId = headers.get("x-correlation-id");
-            ledger.attempted(this, requestId, Double.parseDouble(headers.getOrDefault("x-time-left", "0")), SLACK_SECONDS);
+            ledger.attempted(
+                    this, requestId, Double.parseDouble(headers.getOrDefault("x-time-left", "0")), SLACK_SECONDS);
             Thread.sleep(2 + drawBelow(30));
             if (!answer(socket, draw(), body(id, requestId))) {
                 return;
@@ -90,8 +104,12 @@
             case UNTIL_CLOSE_RESET -> cut(socket, untilClose + part, true);
             case LENGTH_RESET -> cut(socket, length + part, true);
             case LENGTH_CUT_SHORT -> cut(socket, length + part, false);
-            case CHUNKS_RESET -> cut(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                    + Integer.toHexString(body.length()) + "\r\n" + part, true);
+            case CHUNKS_RESET ->
+                cut(
+                        socket,
+                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(body.length())
+                                + "\r\n" + part,
+                        true);
             case NOISE -> write(socket, "\u0001\u0002 noise\r\n\r\n");
             case SILENCE -> Thread.sleep(SILENT_MS);
             case EXTRA_BYTES -> {
@@ -106,7 +124,8 @@
             case CLOSED_UNANSWERED -> {
                 return false;
             }
-            case UNPROCESSED -> write(socket, "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
+            case UNPROCESSED ->
+                write(socket, "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
             case ERROR -> write(socket, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
         }
         return !socket.isClosed();
--- a/src/main/java/laurelkeel/soak/ChangeFeed.java
+++ b/src/main/java/laurelkeel/soak/ChangeFeed.java
@@ -14,12 +14,17 @@
 /** Discovery that tells changes: a whole list where it is asked for, and on a watch what has changed since. */
 final class ChangeFeed extends TcpServer {
     /** Where a machine stands; one that has left is told once and listed no more. */
-    enum State { ACTIVE, LEAVING, LEFT }
+    enum State {
+        ACTIVE,
+        LEAVING,
+        LEFT
+    }
 
     /** One machine of the list, in discovery's form. */
     record Entry(String id, String address, State state, long startedMs, int build) {
         String json() {
-            return "{\"id\":\"" + id + "\",\"addr\":\"" + address + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,\"state\":\""
+            return "{\"id\":\"" + id + "\",\"addr\":\"" + address
+                    + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,\"state\":\""
                     + state.name().toLowerCase(Locale.ROOT) + "\",\"weight\":1.0,\"started_ms\":" + startedMs
                     + ",\"revision_no\":" + build + "}";
         }
--- a/src/main/java/laurelkeel/soak/FaultLibrary.java
+++ b/src/main/java/laurelkeel/soak/FaultLibrary.java
@@ -13,7 +13,7 @@
     private static final String SOURCE = "/soak/faults.c";
     private static final int COMPILE_SECONDS = 60;
 
-    private FaultLibrary() { }
+    private FaultLibrary() {}
 
     /** Empty where there is no compiler, or it fails. */
     public static Optional<Path> build(Path folder) throws IOException, InterruptedException {
@@ -23,8 +23,11 @@
             Files.copy(in, source, StandardCopyOption.REPLACE_EXISTING);
         }
         try {
-            Process compiler = new ProcessBuilder("cc", "-shared", "-fPIC", "-O1", "-o", library.toString(), source.toString(), "-ldl")
-                    .redirectErrorStream(true).redirectOutput(folder.resolve("faults.log").toFile()).start();
+            Process compiler = new ProcessBuilder(
+                            "cc", "-shared", "-fPIC", "-O1", "-o", library.toString(), source.toString(), "-ldl")
+                    .redirectErrorStream(true)
+                    .redirectOutput(folder.resolve("faults.log").toFile())
+                    .start();
             boolean built = compiler.waitFor(COMPILE_SECONDS, TimeUnit.SECONDS) && compiler.exitValue() == 0;
             return built ? Optional.of(library) : Optional.empty();
         } catch (IOException e) {
--- a/src/main/java/laurelkeel/soak/Ledger.java
+++ b/src/main/java/laurelkeel/soak/Ledger.java
@@ -8,13 +8,14 @@
 final class Ledger {
     /** A node tells its server at most what is left to the client, with this slack (seconds). */
     private static final double TIME_LEFT_SLACK = 0.15;
+
     private static final int REMEMBERED = 50_000;
 
     private static final long MEASURED_AFTER_MS = 50;
 
-    private record Sent(double at, double within) { }
+    private record Sent(double at, double within) {}
 
-    private record Attempt(String server, String requestId, double at, double timeLeft, Sent request) { }
+    private record Attempt(String server, String requestId, double at, double timeLeft, Sent request) {}
 
     private final Violations violations;
     private final Map<String, Sent> sent = new ConcurrentHashMap<>();
--- a/src/main/java/laurelkeel/soak/NodeImage.java
+++ b/src/main/java/laurelkeel/soak/NodeImage.java
@@ -20,15 +20,31 @@
  */
 public final class NodeImage {
     /** As deploy/node.args. */
-    static final List<String> JVM = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xshare:auto", "-Xms24m",
-            "-Xmx48m", "-Xss256k", "-XX:MaxMetaspaceSize=48m", "-XX:ReservedCodeCacheSize=24m",
-            "-XX:MaxDirectMemorySize=8m", "-XX:-UsePerfData", "-Djava.net.preferIPv4Stack=true");
+    static final List<String> JVM = List.of(
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
+            "-Xshare:auto",
+            "-Xms24m",
+            "-Xmx48m",
+            "-Xss256k",
+            "-XX:MaxMetaspaceSize=48m",
+            "-XX:ReservedCodeCacheSize=24m",
+            "-XX:MaxDirectMemorySize=8m",
+            "-XX:-UsePerfData",
+            "-Djava.net.preferIPv4Stack=true");
+
     private static final String MAIN = "laurelkeel.cli.Main";
     /** One class of each library that a node needs. */
-    private static final List<String> LIBRARIES = List.of("org.apache.mina.core.session.IoSession", "org.slf4j.Logger",
-            "ch.qos.logback.classic.Logger", "ch.qos.logback.core.Appender", "com.fasterxml.jackson.databind.ObjectMapper",
-            "com.fasterxml.jackson.core.JsonParser", "com.fasterxml.jackson.annotation.JsonProperty",
+    private static final List<String> LIBRARIES = List.of(
+            "org.apache.mina.core.session.IoSession",
+            "org.slf4j.Logger",
+            "ch.qos.logback.classic.Logger",
+            "ch.qos.logback.core.Appender",
+            "com.fasterxml.jackson.databind.ObjectMapper",
+            "com.fasterxml.jackson.core.JsonParser",
+            "com.fasterxml.jackson.annotation.JsonProperty",
             "org.jctools.queues.MpscUnboundedArrayQueue");
+
     private static final int REHEARSAL_SECONDS = 60;
 
     private final List<String> command;
@@ -68,7 +84,10 @@
         List<String> command = new ArrayList<>(List.of(java(), "-XX:ArchiveClassesAtExit=" + archive));
         command.addAll(common);
         command.add("rehearse");
-        Process rehearsal = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile()).start();
+        Process rehearsal = new ProcessBuilder(command)
+                .redirectErrorStream(true)
+                .redirectOutput(log.toFile())
+                .start();
         if (!rehearsal.waitFor(REHEARSAL_SECONDS, TimeUnit.SECONDS) || rehearsal.exitValue() != 0) {
             rehearsal.destroyForcibly();
             throw new IOException("the rehearsal failed; see " + log);
@@ -81,8 +100,11 @@
 
     private static Path location(String className) throws IOException {
         try {
-            return Path.of(Class.forName(className, false, NodeImage.class.getClassLoader()).getProtectionDomain().getCodeSource()
-                    .getLocation().toURI());
+            return Path.of(Class.forName(className, false, NodeImage.class.getClassLoader())
+                    .getProtectionDomain()
+                    .getCodeSource()
+                    .getLocation()
+                    .toURI());
         } catch (ClassNotFoundException | URISyntaxException e) {
             throw new IOException("no library holds " + className, e);
         }
@@ -94,7 +116,8 @@
             return classes;
         }
         Path jar = folder.resolve("node.jar");
-        try (OutputStream file = Files.newOutputStream(jar); JarOutputStream out = new JarOutputStream(file);
+        try (OutputStream file = Files.newOutputStream(jar);
+                JarOutputStream out = new JarOutputStream(file);
                 Stream<Path> all = Files.walk(classes)) {
             for (Path each : (Iterable<Path>) all.filter(Files::isRegularFile)::iterator) {
                 out.putNextEntry(new JarEntry(classes.relativize(each).toString()));
--- a/src/main/java/laurelkeel/soak/NodeLife.java
+++ b/src/main/java/laurelkeel/soak/NodeLife.java
@@ -13,10 +13,12 @@
     final NodeProcess process;
     /** Clients may open connections to it. */
     volatile boolean admitted;
+
     volatile double terminatedAt = NEVER;
     volatile double killedAt = NEVER;
     /** An end of it was asked for, in whatever way. */
     volatile boolean endAsked;
+
     private Map<String, Double> waits = Map.of();
     private double starved;
 
@@ -32,8 +34,10 @@
      */
     double starved() {
         Map<String, Double> now = process.waitsForCore();
-        double longest = now.entrySet().stream().mapToDouble(e -> e.getValue() - waits.getOrDefault(e.getKey(), e.getValue()))
-                .max().orElse(0);
+        double longest = now.entrySet().stream()
+                .mapToDouble(e -> e.getValue() - waits.getOrDefault(e.getKey(), e.getValue()))
+                .max()
+                .orElse(0);
         waits = now;
         starved = longest > LEAST_WAIT ? starved + longest : 0;
         return starved;
--- a/src/main/java/laurelkeel/soak/NodeProcess.java
+++ b/src/main/java/laurelkeel/soak/NodeProcess.java
@@ -31,9 +31,11 @@
      * @param environment added to that of this process
      * @param descriptors what it may hold, as the system's limit
      */
-    public static NodeProcess start(NodeImage image, Path config, Path log, Map<String, String> environment, int descriptors)
+    public static NodeProcess start(
+            NodeImage image, Path config, Path log, Map<String, String> environment, int descriptors)
             throws IOException {
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", "ulimit -n " + descriptors + " && exec \"$@\"", "sh");
+        ProcessBuilder builder =
+                new ProcessBuilder("/bin/sh", "-c", "ulimit -n " + descriptors + " && exec \"$@\"", "sh");
         builder.command().addAll(image.command());
         builder.environment().put("RELAY_CONFIG", config.toString());
         builder.environment().putAll(environment);
@@ -45,7 +47,9 @@
     /** Sends a signal by its name, as HUP, TERM or KILL; one that has ended is left alone. */
     public void signal(String name) throws IOException, InterruptedException {
         if (process.isAlive()) {
-            new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
+            new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                    .start()
+                    .waitFor();
         }
     }
 
@@ -91,7 +95,8 @@
         try (Stream<Path> threads = Files.list(Path.of("/proc", Long.toString(process.pid()), "task"))) {
             for (Path thread : (Iterable<Path>) threads::iterator) {
                 // nanoseconds run, nanoseconds waited, time slices
-                String[] figures = Files.readString(thread.resolve("schedstat")).strip().split(" ");
+                String[] figures =
+                        Files.readString(thread.resolve("schedstat")).strip().split(" ");
                 waits.put(thread.getFileName().toString(), Long.parseLong(figures[1]) / 1e9);
             }
         } catch (IOException | java.io.UncheckedIOException e) {
@@ -103,7 +108,10 @@
 
     /** Processor time of it since its start, in seconds; 0 where it has ended. */
     public double cpuSeconds() {
-        return process.info().totalCpuDuration().map(spent -> spent.toMillis() / 1e3).orElse(0.0);
+        return process.info()
+                .totalCpuDuration()
+                .map(spent -> spent.toMillis() / 1e3)
+                .orElse(0.0);
     }
 
     /** Its peak memory in megabytes; 0 where it has ended. */
@@ -111,7 +119,9 @@
         try (Stream<String> status = Files.lines(Path.of("/proc", Long.toString(process.pid()), "status"))) {
             return status.filter(line -> line.startsWith(PEAK))
                     .map(line -> line.substring(PEAK.length()).strip().split(" ")[0])
-                    .mapToInt(kilobytes -> Integer.parseInt(kilobytes) >> 10).findFirst().orElse(0);
+                    .mapToInt(kilobytes -> Integer.parseInt(kilobytes) >> 10)
+                    .findFirst()
+                    .orElse(0);
         } catch (IOException | java.io.UncheckedIOException e) {
             return 0;
         }
--- a/src/main/java/laurelkeel/soak/Reply.java
+++ b/src/main/java/laurelkeel/soak/Reply.java
@@ -26,6 +26,9 @@
             throw new IOException("an answer that stopped short");
         }
         int status = Integer.parseInt(first.substring(STATUS_FROM, STATUS_TO));
-        return new Reply(status, new String(body, StandardCharsets.ISO_8859_1), "close".equalsIgnoreCase(headers.get("connection")));
+        return new Reply(
+                status,
+                new String(body, StandardCharsets.ISO_8859_1),
+                "close".equalsIgnoreCase(headers.get("connection")));
     }
 }
--- a/src/main/java/laurelkeel/soak/ScaleBench.java
+++ b/src/main/java/laurelkeel/soak/ScaleBench.java
@@ -17,6 +17,7 @@
 public final class ScaleBench {
     /** What the acceptance allows at more machines, from what the usual size takes. */
     private static final double CPU_TIMES = 1.4, CPU_PLUS = 0.02, CPU_A_THOUSAND = 0.12;
+
     private static final double MEMORY_TIMES = 1.5, MEMORY_PLUS = 8, MEMORY_A_THOUSAND = 4;
     private static final double DESCRIPTORS_TIMES = 2, DESCRIPTORS_PLUS = 40;
     private static final double CONNECTIONS_TIMES = 2.5, CONNECTIONS_PLUS = 40;
@@ -24,8 +25,9 @@
     private static final double SERVED_TIMES = 0.85;
 
     /** Of the table that run prints. */
-    public static final String HEADER = "| profile | scale | machines | CPU s | memory MB | descriptors | connections | lists KB "
-            + "| whole lists | requests | served |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
+    public static final String HEADER =
+            "| profile | scale | machines | CPU s | memory MB | descriptors | connections | lists KB "
+                    + "| whole lists | requests | served |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
 
     private static final int BUILD = ControlServer.TRIAL_BUILD - 1;
     private static final int MEMORY_MB = 160;
@@ -33,9 +35,11 @@
     private static final int CLIENTS = 24;
     /** Requests that a machine of the usual size serves at a time. */
     private static final int USUAL_PLACES = 16;
+
     private static final int READY_MS = 10_000;
     /** Machines are replaced in steps, and one that leaves is gone so many steps later. */
     private static final int STEP_MS = 500, STEPS_TO_GO = 2;
+
     private static final int BEAT_STEPS = 4;
     private static final int SAMPLE_MS = 20;
 
@@ -67,17 +71,35 @@
      * @param listBytes told by discovery
      * @param served share of all requests
      */
-    public record Figures(Profile profile, int scale, int machines, double cpuSeconds, int memoryMb, int descriptors, int connections,
-            long listBytes, int wholeLists, int requests, double served) {
+    public record Figures(
+            Profile profile,
+            int scale,
+            int machines,
+            double cpuSeconds,
+            int memoryMb,
+            int descriptors,
+            int connections,
+            long listBytes,
+            int wholeLists,
+            int requests,
+            double served) {
         /** What of this goes past what the acceptance allows, given the usual size's figures. */
         public List<String> overLimits(Figures usual) {
             double thousands = machines / 1e3;
             List<String> over = new ArrayList<>();
             most(over, "CPU seconds", cpuSeconds, CPU_TIMES * usual.cpuSeconds + CPU_PLUS + CPU_A_THOUSAND * thousands);
-            most(over, "peak memory", memoryMb, MEMORY_TIMES * usual.memoryMb + MEMORY_PLUS + MEMORY_A_THOUSAND * thousands);
+            most(
+                    over,
+                    "peak memory",
+                    memoryMb,
+                    MEMORY_TIMES * usual.memoryMb + MEMORY_PLUS + MEMORY_A_THOUSAND * thousands);
             most(over, "descriptors", descriptors, DESCRIPTORS_TIMES * usual.descriptors + DESCRIPTORS_PLUS);
             most(over, "connections", connections, CONNECTIONS_TIMES * usual.connections + CONNECTIONS_PLUS);
-            most(over, "bytes of lists", listBytes, LIST_TIMES * usual.listBytes + LIST_PLUS + LIST_A_THOUSAND * thousands);
+            most(
+                    over,
+                    "bytes of lists",
+                    listBytes,
+                    LIST_TIMES * usual.listBytes + LIST_PLUS + LIST_A_THOUSAND * thousands);
             if (served < SERVED_TIMES * usual.served) {
                 over.add(String.format(Locale.ROOT, "share served %.3f of %.3f", served, SERVED_TIMES * usual.served));
             }
@@ -91,9 +113,20 @@
         }
 
         String row() {
-            return String.format(Locale.ROOT, "| %s | %d | %d | %.2f | %d | %d | %d | %.0f | %d | %d | %.4f |",
-                    profile.name().toLowerCase(Locale.ROOT), scale, machines, cpuSeconds, memoryMb, descriptors, connections,
-                    listBytes / 1024.0, wholeLists, requests, served);
+            return String.format(
+                    Locale.ROOT,
+                    "| %s | %d | %d | %.2f | %d | %d | %d | %.0f | %d | %d | %.4f |",
+                    profile.name().toLowerCase(Locale.ROOT),
+                    scale,
+                    machines,
+                    cpuSeconds,
+                    memoryMb,
+                    descriptors,
+                    connections,
+                    listBytes / 1024.0,
+                    wholeLists,
+                    requests,
+                    served);
         }
     }
 
@@ -113,8 +146,15 @@
     }
 
     /** Runs a profile at each scale, the first of which is the usual size, and prints a table with what is over its limits. */
-    public static List<Figures> run(Profile profile, List<Integer> scales, int seconds, long seed, NodeImage image, Path folder,
-            PrintStream out) throws IOException, InterruptedException {
+    public static List<Figures> run(
+            Profile profile,
+            List<Integer> scales,
+            int seconds,
+            long seed,
+            NodeImage image,
+            Path folder,
+            PrintStream out)
+            throws IOException, InterruptedException {
         List<Figures> all = new ArrayList<>();
         for (int scale : scales) {
             Path own = folder.resolve(profile.name().toLowerCase(Locale.ROOT) + "-" + scale);
@@ -137,7 +177,8 @@
             for (int i = 0; i < machines; i++) {
                 entries.add(entry(fleet, BUILD, 0));
             }
-            try (ChangeFeed discovery = new ChangeFeed(entries); ControlServer control = new ControlServer(violations, seed, 0)) {
+            try (ChangeFeed discovery = new ChangeFeed(entries);
+                    ControlServer control = new ControlServer(violations, seed, 0)) {
                 discovery.start();
                 control.start();
                 return measure(image, fleet, discovery, control);
@@ -154,8 +195,18 @@
             throws IOException, InterruptedException {
         int port = Soak.freePort();
         Path config = folder.resolve("node.json");
-        Files.writeString(config, Soak.configuration("n0", 0, port, discovery.address(), Long.toHexString(seed), MEMORY_MB, DESCRIPTORS,
-                control.address(), discovery.whole()));
+        Files.writeString(
+                config,
+                Soak.configuration(
+                        "n0",
+                        0,
+                        port,
+                        discovery.address(),
+                        Long.toHexString(seed),
+                        MEMORY_MB,
+                        DESCRIPTORS,
+                        control.address(),
+                        discovery.whole()));
         NodeProcess node = NodeProcess.start(image, config, folder.resolve("node.log"), Map.of(), DESCRIPTORS);
         try {
             awaitReady(node, port);
@@ -170,8 +221,18 @@
             replaceMachines(fleet, discovery);
             load.join();
             sampler.interrupt();
-            return new Figures(profile, scale, profile.machines * scale, node.cpuSeconds(), node.peakMemory(), descriptors.get(),
-                    fleet.connections(), discovery.bytes(), discovery.wholeLists(), load.asked(), (double) load.served() / load.asked());
+            return new Figures(
+                    profile,
+                    scale,
+                    profile.machines * scale,
+                    node.cpuSeconds(),
+                    node.peakMemory(),
+                    descriptors.get(),
+                    fleet.connections(),
+                    discovery.bytes(),
+                    discovery.wholeLists(),
+                    load.asked(),
+                    (double) load.served() / load.asked());
         } finally {
             node.kill();
         }
@@ -189,9 +250,12 @@
             List<ChangeFeed.Entry> changed = new ArrayList<>();
             List<ChangeFeed.Entry> goes = new ArrayList<>();
             List<ChangeFeed.Entry> old = discovery.entries().stream()
-                    .filter(entry -> entry.build() == BUILD && entry.state() == ChangeFeed.State.ACTIVE).limit(due - replaced).toList();
+                    .filter(entry -> entry.build() == BUILD && entry.state() == ChangeFeed.State.ACTIVE)
+                    .limit(due - replaced)
+                    .toList();
             for (ChangeFeed.Entry each : old) {
-                ChangeFeed.Entry leaves = new ChangeFeed.Entry(each.id(), each.address(), ChangeFeed.State.LEAVING, 0, BUILD);
+                ChangeFeed.Entry leaves =
+                        new ChangeFeed.Entry(each.id(), each.address(), ChangeFeed.State.LEAVING, 0, BUILD);
                 changed.add(leaves);
                 goes.add(new ChangeFeed.Entry(each.id(), each.address(), ChangeFeed.State.LEFT, 0, BUILD));
                 changed.add(entry(fleet, ControlServer.TRIAL_BUILD, System.currentTimeMillis()));
--- a/src/main/java/laurelkeel/soak/ScaleLoad.java
+++ b/src/main/java/laurelkeel/soak/ScaleLoad.java
@@ -37,7 +37,8 @@
         ScaleLoad load = new ScaleLoad(port, now + seconds * 1_000_000_000L);
         long interval = clients * 1_000_000_000L / perSecond;
         for (int i = 0; i < clients; i++) {
-            Client client = load.new Client("c" + i, new Random(seed * 1_000 + i), now + i * interval / clients, interval);
+            Client client =
+                    load.new Client("c" + i, new Random(seed * 1_000 + i), now + i * interval / clients, interval);
             load.clients.add(TcpServer.daemon("client", client));
         }
         return load;
--- a/src/main/java/laurelkeel/soak/Shrinker.java
+++ b/src/main/java/laurelkeel/soak/Shrinker.java
@@ -9,7 +9,7 @@
         boolean breaks(SoakPlan plan) throws Exception;
     }
 
-    private Shrinker() { }
+    private Shrinker() {}
 
     /**
      * A plan with fewer parts that still breaks a rule; the same one where each part is needed, or where the failure does not
--- a/src/main/java/laurelkeel/soak/Soak.java
+++ b/src/main/java/laurelkeel/soak/Soak.java
@@ -25,6 +25,7 @@
     private static final long KILL_AFTER_MS = 3_700;
     /** New connections come for so long after SIGTERM (seconds). */
     private static final double ADMITTED_AFTER_TERM = 0.3;
+
     private static final double READY_SECONDS = 10;
     private static final int SERVERS = 6, CLIENTS = 12;
     private static final int MEMORY_MB = 192;
@@ -34,6 +35,7 @@
     private static final double TOLD_SECONDS = 6;
     /** The old addresses close their open connections so long after SIGHUP. */
     private static final long OLD_ADDRESS_MS = 1_500;
+
     private static final int CROWD = 500;
     /** The longest that a node is held up between two of its steps. */
     private static final int HELD_UP_MS = 150;
@@ -42,7 +44,8 @@
     /** Discovery is down for half of this to one and a half times it. */
     private static final int DOWN_MS = 5_000;
 
-    private static final String SETTINGS = """
+    private static final String SETTINGS =
+            """
             {"selfIndex":%d,"balancers":3,"zone":0,"zones":["a"],"kinds":["m"],"membershipMode":"push",
              "services":[{"name":"look","effect":"safe","onTime":300.0,"deadline":2000.0,"points":2.0},
               {"name":"pay","effect":"keyed","dedupScope":"all","onTime":300.0,"deadline":2000.0,"points":1.0,
@@ -61,7 +64,7 @@
      * @param counts what was seen, for a reader
      * @param plan what happened
      */
-    public record Result(SoakPlan plan, List<String> broken, String counts) { }
+    public record Result(SoakPlan plan, List<String> broken, String counts) {}
 
     private final SoakPlan plan;
     private final Random random;
@@ -95,7 +98,8 @@
      * @param faults the library that lets calls fail and clocks step; without it both are left out
      * @param folder for configurations and logs of this run
      */
-    public static Result run(SoakPlan plan, NodeImage image, Optional<Path> faults, Path folder) throws IOException, InterruptedException {
+    public static Result run(SoakPlan plan, NodeImage image, Optional<Path> faults, Path folder)
+            throws IOException, InterruptedException {
         Files.createDirectories(folder);
         Soak soak = new Soak(plan, image, folder, faults);
         try {
@@ -138,8 +142,17 @@
         Thread lateness = TcpServer.daemon("lateness", violations::measureLateness);
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            clients.add(TcpServer.daemon("client", new SoakClient("c" + i, random.nextLong(), violations, ledger, this::admitted,
-                    () -> crowded, plan::breaksReads, () -> ends)));
+            clients.add(TcpServer.daemon(
+                    "client",
+                    new SoakClient(
+                            "c" + i,
+                            random.nextLong(),
+                            violations,
+                            ledger,
+                            this::admitted,
+                            () -> crowded,
+                            plan::breaksReads,
+                            () -> ends)));
         }
         playEvents();
         ends = true;
@@ -149,8 +162,12 @@
         }
         lateness.interrupt();
         watch.interrupt();
-        StringBuilder counts = new StringBuilder(String.format("host late by %.0f ms at most", violations.worstLateness() * 1000));
-        violations.counts().forEach((what, count) -> counts.append(counts.isEmpty() ? "" : ", ").append(what).append(' ').append(count));
+        StringBuilder counts =
+                new StringBuilder(String.format("host late by %.0f ms at most", violations.worstLateness() * 1000));
+        violations.counts().forEach((what, count) -> counts.append(counts.isEmpty() ? "" : ", ")
+                .append(what)
+                .append(' ')
+                .append(count));
         return new Result(plan, violations.found(), counts.toString());
     }
 
@@ -168,7 +185,9 @@
 
     private NodeLife admitted(Random of) {
         NodeLife node = nodes[of.nextInt(SoakPlan.NODES)];
-        boolean open = node != null && node.admitted && violations.seconds() < node.terminatedAt + ADMITTED_AFTER_TERM
+        boolean open = node != null
+                && node.admitted
+                && violations.seconds() < node.terminatedAt + ADMITTED_AFTER_TERM
                 && !node.wasKilled();
         return open ? node : null;
     }
@@ -176,8 +195,16 @@
     // ---- nodes
 
     /** What the platform hands a node. */
-    static String configuration(String name, int index, int port, String discovery, String seed, int memoryMb, int descriptors,
-            String control, String known) {
+    static String configuration(
+            String name,
+            int index,
+            int port,
+            String discovery,
+            String seed,
+            int memoryMb,
+            int descriptors,
+            String control,
+            String known) {
         return "{\"name\":\"" + name + "\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"" + discovery
                 + "\",\"seed\":\"" + seed + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":" + memoryMb
                 + ",\"sockets\":" + descriptors + "},\"rollouts\":{\"address\":\"" + control
@@ -188,8 +215,16 @@
 
     private void writeConfig(int i) throws IOException {
         String nodeSeed = Long.toHexString(plan.seed() << 16 | configurations.incrementAndGet());
-        String config = configuration("n" + i, i, ports[i], discovery[i].address(), nodeSeed, MEMORY_MB, DESCRIPTORS,
-                control[i].address(), directory.list());
+        String config = configuration(
+                "n" + i,
+                i,
+                ports[i],
+                discovery[i].address(),
+                nodeSeed,
+                MEMORY_MB,
+                DESCRIPTORS,
+                control[i].address(),
+                directory.list());
         Path aside = folder.resolve("n" + i + ".json.new");
         Files.writeString(aside, config);
         Files.move(aside, config(i), StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
@@ -201,7 +236,9 @@
 
     private NodeLife launch(int i) throws IOException {
         writeConfig(i);
-        NodeLife life = new NodeLife("n" + i, ports[i],
+        NodeLife life = new NodeLife(
+                "n" + i,
+                ports[i],
                 NodeProcess.start(image, config(i), folder.resolve("n" + i + ".log"), environment, DESCRIPTORS));
         nodes[i] = life;
         return life;
--- a/src/main/java/laurelkeel/soak/SoakClient.java
+++ b/src/main/java/laurelkeel/soak/SoakClient.java
@@ -26,11 +26,18 @@
     private static final double TAKEN_AFTER_TERM = 0.7;
     /** A client that sends half a request has its error or the end of its connection within this (seconds). */
     private static final double BAD_CLIENT_SECONDS = 3;
+
     private static final int CONNECT_MS = 1_000;
     private static final int SHOWN = 40;
 
     /** How a client behaves with one request. */
-    private enum Manner { WAITS, LEAVES, HALF_CLOSES, HURRIES, STOPS }
+    private enum Manner {
+        WAITS,
+        LEAVES,
+        HALF_CLOSES,
+        HURRIES,
+        STOPS
+    }
 
     private final Violations violations;
     private final Ledger ledger;
@@ -52,8 +59,15 @@
      * @param broken connections break under their requests on the nodes' side, as a read that fails shows it
      * @param ends asks it to end
      */
-    SoakClient(String name, long seed, Violations violations, Ledger ledger, Function<Random, NodeLife> nodes,
-            BooleanSupplier crowded, BooleanSupplier broken, BooleanSupplier ends) {
+    SoakClient(
+            String name,
+            long seed,
+            Violations violations,
+            Ledger ledger,
+            Function<Random, NodeLife> nodes,
+            BooleanSupplier crowded,
+            BooleanSupplier broken,
+            BooleanSupplier ends) {
         this.name = name;
         this.random = new Random(seed);
         this.violations = violations;
@@ -163,8 +177,10 @@
             violations.count(reply == null ? "stopped half way: closed" : "stopped half way: " + reply.status());
         } catch (SocketTimeoutException e) {
             if (node.process.isAlive() && violations.lateness() < HOST_SECONDS) {
-                violations.add("half", "a client that stopped half way at " + node.name + " heard nothing for "
-                        + String.format(Locale.ROOT, "%.1f", violations.seconds() - before) + " s");
+                violations.add(
+                        "half",
+                        "a client that stopped half way at " + node.name + " heard nothing for "
+                                + String.format(Locale.ROOT, "%.1f", violations.seconds() - before) + " s");
             }
         } catch (IOException e) {
             violations.count("stopped half way: reset");
@@ -184,17 +200,25 @@
         return (safe ? "GET /look/" : "POST /pay/") + id + " HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: " + id
                 + "\r\nX-Account: acme\r\nX-Session-Key: " + key + "\r\nX-Time-Left: "
                 + String.format(Locale.ROOT, "%.3f", within) + "\r\n"
-                + (safe ? "" : "Idempotency-Key: m-" + id + "\r\nContent-Length: " + body.length() + "\r\n") + "\r\n" + body;
+                + (safe ? "" : "Idempotency-Key: m-" + id + "\r\nContent-Length: " + body.length() + "\r\n") + "\r\n"
+                + body;
     }
 
     private void judge(String id, Reply reply, Manner manner) throws IOException {
         if (reply == null) {
             throw new IOException("ended in order");
         }
-        violations.count(reply.status() == 200 ? "served" : reply.status() == 503 || reply.status() == 429 ? "refused" : "failed");
+        violations.count(
+                reply.status() == 200
+                        ? "served"
+                        : reply.status() == 503 || reply.status() == 429 ? "refused" : "failed");
         if (reply.status() == 200 && !madeFor(id, reply.body())) {
-            violations.add("lost", id + " was served by " + node.name + " with what no server made for it: "
-                    + reply.body().substring(0, Math.min(SHOWN, reply.body().length())) + " (" + reply.body().length() + " bytes)");
+            violations.add(
+                    "lost",
+                    id + " was served by " + node.name + " with what no server made for it: "
+                            + reply.body()
+                                    .substring(0, Math.min(SHOWN, reply.body().length())) + " ("
+                            + reply.body().length() + " bytes)");
         }
         if (reply.last() || manner == Manner.HALF_CLOSES) {
             close();
@@ -215,7 +239,11 @@
         } else if (reset && (crowded.getAsBoolean() || node.wasTerminated())) {
             violations.count("closed unread");
         } else {
-            lost(id, sentAt, "its connection ended after " + Math.round(after * 1000) + " ms: " + how + ", request " + asked + " on it");
+            lost(
+                    id,
+                    sentAt,
+                    "its connection ended after " + Math.round(after * 1000) + " ms: " + how + ", request " + asked
+                            + " on it");
         }
     }
 
--- a/src/main/java/laurelkeel/soak/SoakPlan.java
+++ b/src/main/java/laurelkeel/soak/SoakPlan.java
@@ -21,8 +21,15 @@
  * @param breaksReads connections break under their requests, as a read that fails shows it
  * @param leftOut names of the parts that were drawn and do not happen
  */
-public record SoakPlan(long seed, int quietSeconds, int seconds, List<Planned> events, String clockSteps, String callFaults,
-        boolean breaksReads, Set<String> leftOut) {
+public record SoakPlan(
+        long seed,
+        int quietSeconds,
+        int seconds,
+        List<Planned> events,
+        String clockSteps,
+        String callFaults,
+        boolean breaksReads,
+        Set<String> leftOut) {
     static final int NODES = 3;
     /** The parts beside the events, which have numbers. */
     public static final String CLOCK = "clock", CALLS = "calls";
@@ -33,17 +40,40 @@
      * Linux's numbers of errors that may come for a moment, by call; 0: a transfer that is short. Not EMFILE (24) for accept: it
      * says that a process is at its own limit, and MINA waits for 50 ms there.
      */
-    private static final Map<String, int[]> ERRORS = Map.of("accept", new int[] {103, 23, 105}, "socket", new int[] {23, 24, 105},
-            "connect", new int[] {99, 101, 105}, "wait", new int[] {4}, "read", new int[] {0, 110, 113}, "write", new int[] {0},
-            "open", new int[] {23, 24, 5});
+    private static final Map<String, int[]> ERRORS = Map.of(
+            "accept",
+            new int[] {103, 23, 105},
+            "socket",
+            new int[] {23, 24, 105},
+            "connect",
+            new int[] {99, 101, 105},
+            "wait",
+            new int[] {4},
+            "read",
+            new int[] {0, 110, 113},
+            "write",
+            new int[] {0},
+            "open",
+            new int[] {23, 24, 5});
     /** A read that fails breaks a connection under its requests, which is no fault of a node: rarely, then. */
-    private static final Map<String, Integer> PERCENT = Map.of("accept", 40, "socket", 30, "connect", 30, "wait", 20, "read", 5,
-            "write", 20, "open", 60);
+    private static final Map<String, Integer> PERCENT =
+            Map.of("accept", 40, "socket", 30, "connect", 30, "wait", 20, "read", 5, "write", 20, "open", 60);
 
     /** What may happen at one moment of a run. */
     public enum Event {
-        RESTART, KILL, TERM_AT_START, NEW_CONFIGURATIONS, NEW_CONFIGURATION_AND_RESTART, NEW_CONFIGURATION_WHILE_DRAINING,
-        DISCOVERY_SILENT, DISCOVERY_DOWN, DISCOVERY_SPOILT, SERVER_DRAINS, SERVER_HANGS, CROWD, HELD_UP
+        RESTART,
+        KILL,
+        TERM_AT_START,
+        NEW_CONFIGURATIONS,
+        NEW_CONFIGURATION_AND_RESTART,
+        NEW_CONFIGURATION_WHILE_DRAINING,
+        DISCOVERY_SILENT,
+        DISCOVERY_DOWN,
+        DISCOVERY_SPOILT,
+        SERVER_DRAINS,
+        SERVER_HANGS,
+        CROWD,
+        HELD_UP
     }
 
     /**
@@ -53,7 +83,7 @@
      * @param at seconds after the start of the run
      * @param draws its details are drawn from this
      */
-    public record Planned(int number, double at, Event event, int node, long draws) { }
+    public record Planned(int number, double at, Event event, int node, long draws) {}
 
     /** Draws a run. */
     public static SoakPlan draw(long seed, int quietSeconds, int seconds) {
@@ -61,7 +91,8 @@
         String steps = "";
         if (random.nextInt(3) == 0) {
             steps = (500 + random.nextInt(seconds * 500)) + ":" + OFFSETS_MS[random.nextInt(OFFSETS_MS.length)] + ","
-                    + (seconds * 500 + random.nextInt(seconds * 500)) + ":" + OFFSETS_MS[random.nextInt(OFFSETS_MS.length)];
+                    + (seconds * 500 + random.nextInt(seconds * 500)) + ":"
+                    + OFFSETS_MS[random.nextInt(OFFSETS_MS.length)];
         }
         String faults = "";
         boolean breaksReads = false;
@@ -70,10 +101,17 @@
             String call = calls.get(random.nextInt(calls.size()));
             int error = ERRORS.get(call)[random.nextInt(ERRORS.get(call).length)];
             breaksReads = call.equals("read") && error != 0;
-            faults = call + ":" + error + ":" + (1_000 + random.nextInt(2_000)) + ":" + (500 + random.nextInt(3_000)) + ":"
-                    + PERCENT.get(call);
+            faults = call + ":" + error + ":" + (1_000 + random.nextInt(2_000)) + ":" + (500 + random.nextInt(3_000))
+                    + ":" + PERCENT.get(call);
         }
-        return new SoakPlan(seed, quietSeconds, seconds, drawEvents(random, quietSeconds, seconds), steps, faults, breaksReads,
+        return new SoakPlan(
+                seed,
+                quietSeconds,
+                seconds,
+                drawEvents(random, quietSeconds, seconds),
+                steps,
+                faults,
+                breaksReads,
                 Set.of());
     }
 
@@ -105,10 +143,19 @@
     public SoakPlan without(Set<String> names) {
         Set<String> out = new TreeSet<>(leftOut);
         out.addAll(names);
-        List<Planned> rest = events.stream().filter(event -> !names.contains(Integer.toString(event.number))).toList();
+        List<Planned> rest = events.stream()
+                .filter(event -> !names.contains(Integer.toString(event.number)))
+                .toList();
         boolean calls = names.contains(CALLS);
-        return new SoakPlan(seed, quietSeconds, seconds, rest, names.contains(CLOCK) ? "" : clockSteps, calls ? "" : callFaults,
-                !calls && breaksReads, out);
+        return new SoakPlan(
+                seed,
+                quietSeconds,
+                seconds,
+                rest,
+                names.contains(CLOCK) ? "" : clockSteps,
+                calls ? "" : callFaults,
+                !calls && breaksReads,
+                out);
     }
 
     /** One line, with the name of each part. */
@@ -121,7 +168,8 @@
         if (!callFaults.isEmpty()) {
             lines.add("calls " + callFaults);
         }
-        events.forEach(e -> lines.add(String.format(Locale.ROOT, "%d: %.1f s %s n%d", e.number, e.at, e.event, e.node)));
+        events.forEach(
+                e -> lines.add(String.format(Locale.ROOT, "%d: %.1f s %s n%d", e.number, e.at, e.event, e.node)));
         if (!leftOut.isEmpty()) {
             lines.add("left out: " + String.join(" ", leftOut));
         }
--- a/src/main/java/laurelkeel/soak/TcpServer.java
+++ b/src/main/java/laurelkeel/soak/TcpServer.java
@@ -46,7 +46,8 @@
      */
     private static InetAddress nextAddress() throws IOException {
         int n = ADDRESSES.getAndIncrement();
-        return InetAddress.getByAddress(new byte[] {127, (byte) (1 + n / 16_384 % 126), (byte) (n / 128 % 128), (byte) (1 + n % 128)});
+        return InetAddress.getByAddress(
+                new byte[] {127, (byte) (1 + n / 16_384 % 126), (byte) (n / 128 % 128), (byte) (1 + n % 128)});
     }
 
     /** Called once, when the stand-in is complete. */
@@ -97,15 +98,17 @@
     }
 
     static Thread daemon(String name, Task task) {
-        Thread thread = new Thread(() -> {
-            try {
-                task.run();
-            } catch (IOException e) {
-                // the other side or the end of the run has closed it
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }, "soak-" + name);
+        Thread thread = new Thread(
+                () -> {
+                    try {
+                        task.run();
+                    } catch (IOException e) {
+                        // the other side or the end of the run has closed it
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                },
+                "soak-" + name);
         thread.setDaemon(true);
         thread.start();
         return thread;
@@ -133,7 +136,9 @@
         for (String header = line(in); header != null && !header.isEmpty(); header = line(in)) {
             int colon = header.indexOf(':');
             if (colon > 0) {
-                headers.put(header.substring(0, colon).toLowerCase(Locale.ROOT), header.substring(colon + 1).strip());
+                headers.put(
+                        header.substring(0, colon).toLowerCase(Locale.ROOT),
+                        header.substring(colon + 1).strip());
             }
         }
         return headers;
--- a/src/main/java/laurelkeel/standin/Blaming.java
+++ b/src/main/java/laurelkeel/standin/Blaming.java
@@ -18,6 +18,7 @@
     private final Blame blame;
     /** A front counts its own seconds; when its first report of a life came says which of the line's they are. */
     private final Map<String, Long> offsets = new HashMap<>();
+
     private List<Finding> findings = List.of();
 
     Blaming(int routes) {
@@ -40,7 +41,10 @@
     String take(JsonNode r, long now) {
         int front = r.path("front").asInt(-1);
         String life = r.path("life").asText("");
-        if (front < 0 || life.isEmpty() || !r.path("second").isIntegralNumber() || !r.path("cells").isArray()) {
+        if (front < 0
+                || life.isEmpty()
+                || !r.path("second").isIntegralNumber()
+                || !r.path("cells").isArray()) {
             return "a report has front, life, second, agoMs and cells";
         }
         long own = r.path("second").asLong();
@@ -52,10 +56,18 @@
         long offset = offsets.merge(name, mine - own, (was, is) -> Math.abs(was - is) > 2 ? is : was);
         List<Report.Cell> cells = new ArrayList<>();
         for (JsonNode c : r.path("cells")) {
-            cells.add(new Report.Cell(c.path("build").asInt(-1), c.path("route").asInt(-1), c.path("machine").asText(null),
-                    c.path("customer").asInt(-1), c.path("tries").asInt(), c.path("fails").asInt(),
-                    c.path("silent").asInt(), c.path("wrongs").asInt(), c.path("rated").asInt(),
-                    c.path("logTime").asDouble(), c.path("logSquare").asDouble()));
+            cells.add(new Report.Cell(
+                    c.path("build").asInt(-1),
+                    c.path("route").asInt(-1),
+                    c.path("machine").asText(null),
+                    c.path("customer").asInt(-1),
+                    c.path("tries").asInt(),
+                    c.path("fails").asInt(),
+                    c.path("silent").asInt(),
+                    c.path("wrongs").asInt(),
+                    c.path("rated").asInt(),
+                    c.path("logTime").asDouble(),
+                    c.path("logSquare").asDouble()));
         }
         return blame.take(new Report(front, life, own + offset, cells), now / 10_000) ? null : "left out";
     }
@@ -72,8 +84,13 @@
     /** The word that goes with the news of a build. */
     String word(int build) {
         Finding f = of(build);
-        return f == null ? "none" : f.verdict() == Finding.Verdict.GUILTY ? "guilty" : f.setAside() ? "set-aside"
-                : f.hold() ? "open" : f.verdict() == Finding.Verdict.CLEARED ? "cleared" : "none";
+        return f == null
+                ? "none"
+                : f.verdict() == Finding.Verdict.GUILTY
+                        ? "guilty"
+                        : f.setAside()
+                                ? "set-aside"
+                                : f.hold() ? "open" : f.verdict() == Finding.Verdict.CLEARED ? "cleared" : "none";
     }
 
     Map<String, Object> told() {
--- a/src/main/java/laurelkeel/standin/Build.java
+++ b/src/main/java/laurelkeel/standin/Build.java
@@ -14,8 +14,16 @@
  * @param togetherWith failing acts only while that build has machines too; 0 for always
  * @param harmsAll how many times slower all machines are where this build has all of them
  */
-public record Build(int number, double work, Map<String, Double> failing, double failingBusy, double wrong,
-        double workBusy, long failsAfter, int togetherWith, double harmsAll) {
+public record Build(
+        int number,
+        double work,
+        Map<String, Double> failing,
+        double failingBusy,
+        double wrong,
+        double workBusy,
+        long failsAfter,
+        int togetherWith,
+        double harmsAll) {
     public static Build good(int number) {
         return new Build(number, 1, Map.of(), 0, 0, 1, 0, 0, 1);
     }
--- a/src/main/java/laurelkeel/standin/Clients.java
+++ b/src/main/java/laurelkeel/standin/Clients.java
@@ -37,10 +37,18 @@
     private static final long WAY = 1000;
 
     /** timeout in tenths of a millisecond; share of all reqs. */
-    public record Route(String name, String method, String path, Rec.RouteRule rule, long timeout, double share) { }
-
-    public record Rule(List<Route> routes, Map<String, Double> customers, double rate, int keys, double popular,
-            double keyless, int retries, double leaveEarly, double complain) { }
+    public record Route(String name, String method, String path, Rec.RouteRule rule, long timeout, double share) {}
+
+    public record Rule(
+            List<Route> routes,
+            Map<String, Double> customers,
+            double rate,
+            int keys,
+            double popular,
+            double keyless,
+            int retries,
+            double leaveEarly,
+            double complain) {}
 
     /** What callers met, by route. */
     public static final class Tally {
@@ -211,8 +219,10 @@
             return;
         }
         Route route = drawn(rule.routes(), Route::share);
-        String customer = rule.customers().isEmpty() ? null
-                : drawn(new ArrayList<>(rule.customers().entrySet()), Map.Entry::getValue).getKey();
+        String customer = rule.customers().isEmpty()
+                ? null
+                : drawn(new ArrayList<>(rule.customers().entrySet()), Map.Entry::getValue)
+                        .getKey();
         String key = random.nextDouble() < rule.keyless() ? null : key();
         Call c = new Call("c" + ids++, route, customer, key);
         c.tally.reqs++;
@@ -253,19 +263,31 @@
         open++;
         c.tally.tries++;
         connected(front, t, conn -> {
-            records.accept(new Rec.Asked(Recorder.now(), t.id, c.of, front, c.route.name(), c.customer, c.key, c.mark,
-                    Recorder.now() + (t.leaves - loop.clock()), again));
+            records.accept(new Rec.Asked(
+                    Recorder.now(),
+                    t.id,
+                    c.of,
+                    front,
+                    c.route.name(),
+                    c.customer,
+                    c.key,
+                    c.mark,
+                    Recorder.now() + (t.leaves - loop.clock()),
+                    again));
             conn.session.write(http(c, t, again));
             t.end = loop.at(t.leaves + SLACK, () -> giveUp(conn, t, false));
             if (random.nextDouble() < rule.leaveEarly()) {
-                t.early = loop.at(loop.now() + (long) (random.nextDouble() * Math.min(left / 4, 400)),
+                t.early = loop.at(
+                        loop.now() + (long) (random.nextDouble() * Math.min(left / 4, 400)),
                         () -> giveUp(conn, t, true));
             }
         });
     }
 
     private HttpReq http(Call c, Try t, boolean again) {
-        Headers h = new Headers().add("Host", "front").add(Names.REQ_ID, t.id)
+        Headers h = new Headers()
+                .add("Host", "front")
+                .add(Names.REQ_ID, t.id)
                 .add(Names.REMAINING, Double.toString(Math.max(10, t.leaves - WAY - loop.clock()) / 10.0));
         if (c.customer != null) {
             h.add(Names.CUSTOMER, c.customer);
@@ -280,7 +302,11 @@
             h.add(Names.REPEAT, "1");
         }
         boolean body = !c.route.method().equals("GET");
-        return new HttpReq(c.route.method(), c.route.path() + "/" + t.id, 1, h,
+        return new HttpReq(
+                c.route.method(),
+                c.route.path() + "/" + t.id,
+                1,
+                h,
                 body ? "change".getBytes(StandardCharsets.US_ASCII) : new byte[0]);
     }
 
@@ -294,23 +320,25 @@
                 return;
             }
         }
-        connector.connect(fronts.get(front)).addListener(f -> loop.post(() -> {
-            ConnectFuture connected = (ConnectFuture) f;
-            if (!connected.isConnected() || !connected.getSession().isConnected()) {
-                t.call.tally.unreachable++;
-                over(t);
-                if (++t.call.unreached < 6) {
-                    ask(t.call, t.call.again > 0);
-                }
-                return;
-            }
-            Conn c = new Conn(front);
-            c.session = connected.getSession();
-            c.session.setAttribute(CONN, c);
-            c.current = t;
-            c.lastReq = t.id;
-            then.accept(c);
-        }));
+        connector
+                .connect(fronts.get(front))
+                .addListener(f -> loop.post(() -> {
+                    ConnectFuture connected = (ConnectFuture) f;
+                    if (!connected.isConnected() || !connected.getSession().isConnected()) {
+                        t.call.tally.unreachable++;
+                        over(t);
+                        if (++t.call.unreached < 6) {
+                            ask(t.call, t.call.again > 0);
+                        }
+                        return;
+                    }
+                    Conn c = new Conn(front);
+                    c.session = connected.getSession();
+                    c.session.setAttribute(CONN, c);
+                    c.current = t;
+                    c.lastReq = t.id;
+                    then.accept(c);
+                }));
     }
 
     private void over(Try t) {
@@ -362,9 +390,10 @@
         }
         Tally tally = t.call.tally;
         String how = a.headers().get(Names.ANSWER);
-        Rec.Final is = "completed".equals(how) ? Rec.Final.COMPLETED : "shed".equals(how) ? Rec.Final.SHED
-                : Rec.Final.ERRORED;
-        records.accept(new Rec.Answered(at, t.id, a.status(), is, "no".equals(a.headers().get(Names.TAKEN))));
+        Rec.Final is =
+                "completed".equals(how) ? Rec.Final.COMPLETED : "shed".equals(how) ? Rec.Final.SHED : Rec.Final.ERRORED;
+        records.accept(new Rec.Answered(
+                at, t.id, a.status(), is, "no".equals(a.headers().get(Names.TAKEN))));
         switch (is) {
             case COMPLETED -> {
                 tally.completed++;
@@ -390,7 +419,11 @@
 
     private void complain(int front, Call c, String ref) {
         Try t = new Try(c, "complaint", front, loop.now() + 10_000, true);
-        HttpReq http = new HttpReq("POST", "/.laurelkeel/complaints", 1, Headers.of("Host", "front"),
+        HttpReq http = new HttpReq(
+                "POST",
+                "/.laurelkeel/complaints",
+                1,
+                Headers.of("Host", "front"),
                 String.valueOf(ref).getBytes(StandardCharsets.US_ASCII));
         loop.at(loop.now() + 3_000, () -> connected(front, t, conn -> conn.session.write(http)));
     }
@@ -401,7 +434,8 @@
         c.mayHaveRunAt = c.mayHaveRunAt == Long.MIN_VALUE ? loop.now() : c.mayHaveRunAt;
         Rec.RouteRule r = c.route.rule();
         // the machines' memory began with a try that ran later than the first ask
-        boolean marked = r.effect() == Rec.Effect.DEDUPED && r.group() == Rec.Group.ALL
+        boolean marked = r.effect() == Rec.Effect.DEDUPED
+                && r.group() == Rec.Group.ALL
                 && loop.now() < c.firstAt + r.window() / 2;
         if (r.effect() == Rec.Effect.RETRIABLE || marked) {
             retry(c, 200);
--- a/src/main/java/laurelkeel/standin/Fleet.java
+++ b/src/main/java/laurelkeel/standin/Fleet.java
@@ -34,21 +34,21 @@
         t.setDaemon(true);
         return t;
     });
-    final SimpleIoProcessorPool<NioSession> processors = 
+    final SimpleIoProcessorPool<NioSession> processors =
             new SimpleIoProcessorPool<>(NioProcessor.class, executor, 2, null);
     private final SplittableRandom random;
     private final Consumer<Rec> records;
     private final Map<String, String> routes;
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final Map<String, Marks> marks = new HashMap<>();
-    private BiConsumer<Machine, Rec.State> watcher = (m, s) -> { };
+    private BiConsumer<Machine, Rec.State> watcher = (m, s) -> {};
     private long runs;
     private long slowUntil;
     private double slowBy = 1;
 
     /** @param routes route names by path prefix */
-    public Fleet(Loop loop, Shape shape, List<String> zones, Map<String, String> routes, long seed,
-            Consumer<Rec> records) {
+    public Fleet(
+            Loop loop, Shape shape, List<String> zones, Map<String, String> routes, long seed, Consumer<Rec> records) {
         this.loop = loop;
         this.shape = shape;
         this.zones = List.copyOf(zones);
@@ -85,11 +85,12 @@
     }
 
     Marks marks(Rec.Group group, Machine m) {
-        String of = switch (group) {
-            case ALL -> "all";
-            case ZONE -> "zone " + m.zone;
-            case CELL -> "cell " + m.cell;
-        };
+        String of =
+                switch (group) {
+                    case ALL -> "all";
+                    case ZONE -> "zone " + m.zone;
+                    case CELL -> "cell " + m.cell;
+                };
         return marks.computeIfAbsent(of, k -> new Marks());
     }
 
@@ -111,7 +112,9 @@
     }
 
     public List<Machine> live() {
-        return machines.values().stream().filter(m -> !m.dead && m.state == Rec.State.LIVE).toList();
+        return machines.values().stream()
+                .filter(m -> !m.dead && m.state == Rec.State.LIVE)
+                .toList();
     }
 
     public List<Machine> live(int build) {
@@ -121,8 +124,14 @@
     /** Starts a machine; at null gives it a free port. */
     public Machine start(InetSocketAddress at, Build build, int place, boolean cold) {
         try {
-            Machine m = new Machine(this, at == null ? new InetSocketAddress("127.0.0.1", Ports.free()) : at, ++runs,
-                    zones.get(place % zones.size()), place % zones.size(), build, cold);
+            Machine m = new Machine(
+                    this,
+                    at == null ? new InetSocketAddress("127.0.0.1", Ports.free()) : at,
+                    ++runs,
+                    zones.get(place % zones.size()),
+                    place % zones.size(),
+                    build,
+                    cold);
             machines.put(m.id, m);
             watcher.accept(m, Rec.State.LIVE);
             return m;
--- a/src/main/java/laurelkeel/standin/ListService.java
+++ b/src/main/java/laurelkeel/standin/ListService.java
@@ -19,7 +19,7 @@
 public final class ListService {
     private static final int KEPT = 500;
 
-    private record Change(long version, Map<String, Object> machine) { }
+    private record Change(long version, Map<String, Object> machine) {}
 
     private final Loop loop;
     private final LineService service = new LineService();
@@ -153,11 +153,17 @@
         long after = query != null && query.startsWith("after=") ? Long.parseLong(query.substring(6)) : -1;
         LineService.Watcher w = new LineService.Watcher();
         synchronized (this) {
-            boolean known = after >= 0 && after <= version
+            boolean known = after >= 0
+                    && after <= version
                     && (after == version || !changes.isEmpty() && changes.peekFirst().version <= after + 1);
             if (known) {
-                w.tell(line("changes", after,
-                        changes.stream().filter(c -> c.version > after).map(Change::machine).toList()));
+                w.tell(line(
+                        "changes",
+                        after,
+                        changes.stream()
+                                .filter(c -> c.version > after)
+                                .map(Change::machine)
+                                .toList()));
             } else {
                 w.tell(whole());
             }
--- a/src/main/java/laurelkeel/standin/Machine.java
+++ b/src/main/java/laurelkeel/standin/Machine.java
@@ -28,7 +28,14 @@
 public final class Machine {
 
     /** What can be wrong with a machine for a while. */
-    public enum Fault { HANG, SLOW, LOSE_ANSWERS, RESET, HALF, REFUSE }
+    public enum Fault {
+        HANG,
+        SLOW,
+        LOSE_ANSWERS,
+        RESET,
+        HALF,
+        REFUSE
+    }
 
     private static final class Job {
         final IoSession from;
@@ -90,8 +97,19 @@
         acceptor.bind(at);
         this.at = acceptor.getLocalAddress();
         this.id = "127.0.0.1:" + this.at.getPort();
-        fleet.record(new Rec.MachineUp(fleet.time(), id, run, build.number(), fleet.zones.indexOf(zone), cell,
-                shape.capacity(), shape.coldFrom(), shape.coldFor(), shape.tipMultiple(), shape.tipAfter(), cold));
+        fleet.record(new Rec.MachineUp(
+                fleet.time(),
+                id,
+                run,
+                build.number(),
+                fleet.zones.indexOf(zone),
+                cell,
+                shape.capacity(),
+                shape.coldFrom(),
+                shape.coldFor(),
+                shape.tipMultiple(),
+                shape.tipAfter(),
+                cold));
     }
 
     public Build build() {
@@ -208,8 +226,15 @@
         String front = String.valueOf(http.headers().get(Names.FRONT));
         int slash = front.indexOf('/');
         int no = whole(http.headers().get(Names.TRY));
-        fleet.record(new Rec.Arrived(t, id, run, build.number(), req, no,
-                slash < 0 ? -1 : whole(front.substring(0, slash)), slash < 0 ? front : front.substring(slash + 1)));
+        fleet.record(new Rec.Arrived(
+                t,
+                id,
+                run,
+                build.number(),
+                req,
+                no,
+                slash < 0 ? -1 : whole(front.substring(0, slash)),
+                slash < 0 ? front : front.substring(slash + 1)));
         if (toppled()) {
             return;
         }
@@ -267,7 +292,9 @@
             boolean crowded = busy >= shape.cores();
             Rec.RouteRule rule = shape.rules().get(j.route);
             String mark = j.http.headers().get(Names.MARK);
-            boolean repeat = rule != null && rule.effect() == Rec.Effect.DEDUPED && mark != null
+            boolean repeat = rule != null
+                    && rule.effect() == Rec.Effect.DEDUPED
+                    && mark != null
                     && fleet.marks(rule.group(), this).repeat(mark, fleet.loop.now(), rule.window());
             fleet.record(new Rec.Ran(fleet.time(), id, run, j.req, j.no, repeat));
             long took = repeat ? 10 : work(j);
@@ -276,7 +303,9 @@
     }
 
     private long work(Job j) {
-        double work = shape.work().getOrDefault(j.route, 100L) * build.work() * (0.5 + fleet.chance())
+        double work = shape.work().getOrDefault(j.route, 100L)
+                * build.work()
+                * (0.5 + fleet.chance())
                 * (busy >= shape.cores() && !room.isEmpty() ? build.workBusy() : 1);
         String key = j.http.headers().get(Names.KEY);
         if (key != null) {
@@ -312,7 +341,8 @@
             return;
         }
         boolean acts = fleet.loop.now() - startedAt >= build.failsAfter()
-                && (build.togetherWith() == 0 || !fleet.live(build.togetherWith()).isEmpty());
+                && (build.togetherWith() == 0
+                        || !fleet.live(build.togetherWith()).isEmpty());
         boolean fails = acts && fleet.chance() < build.failing().getOrDefault(j.route, 0.0)
                 || crowded && fleet.chance() < build.failingBusy();
         String text = fleet.chance() < build.wrong() ? "wrong" : "right";
@@ -348,8 +378,15 @@
         byte[] body = filler == null || filler.length == 0 ? text.getBytes() : filler;
         byte[] start = text.getBytes();
         System.arraycopy(start, 0, body, 0, Math.min(start.length, body.length));
-        return new HttpAnswer(status, Headers.of("Content-Type", "text/plain", Names.BUILD,
-                Integer.toString(build.number()), Names.LOAD,
-                String.format(Locale.ROOT, "concurrent=%.0f,mean_ms=%.1f", loadTold, meanTold)), body);
+        return new HttpAnswer(
+                status,
+                Headers.of(
+                        "Content-Type",
+                        "text/plain",
+                        Names.BUILD,
+                        Integer.toString(build.number()),
+                        Names.LOAD,
+                        String.format(Locale.ROOT, "concurrent=%.0f,mean_ms=%.1f", loadTold, meanTold)),
+                body);
     }
 }
--- a/src/main/java/laurelkeel/standin/Marks.java
+++ b/src/main/java/laurelkeel/standin/Marks.java
@@ -13,7 +13,7 @@
     boolean repeat(String mark, long now, long window) {
         if (now >= sweepAt) {
             sweepAt = now + 10_000;
-            for (Iterator<Long> i = until.values().iterator(); i.hasNext();) {
+            for (Iterator<Long> i = until.values().iterator(); i.hasNext(); ) {
                 if (i.next() < now) {
                     i.remove();
                 }
--- a/src/main/java/laurelkeel/standin/Offer.java
+++ b/src/main/java/laurelkeel/standin/Offer.java
@@ -10,7 +10,7 @@
 /** One release object of the line: a build, the stage it is in, and the votes on it. */
 final class Offer {
 
-    private record Ballot(int stage, String verdict, long until) { }
+    private record Ballot(int stage, String verdict, long until) {}
 
     final Build build;
     int stage;
@@ -61,8 +61,9 @@
     }
 
     long count(String verdict, long now) {
-        return votes.values().stream().filter(v -> v.until > now && v.verdict.equals(verdict)
-                && (!verdict.equals("on") || v.stage == stage)).count();
+        return votes.values().stream()
+                .filter(v -> v.until > now && v.verdict.equals(verdict) && (!verdict.equals("on") || v.stage == stage))
+                .count();
     }
 
     Rec.Stage record() {
--- a/src/main/java/laurelkeel/standin/Ports.java
+++ b/src/main/java/laurelkeel/standin/Ports.java
@@ -15,7 +15,7 @@
     private static final AtomicInteger NEXT =
             new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % COUNT));
 
-    private Ports() { }
+    private Ports() {}
 
     public static int free() throws IOException {
         for (int i = 0; i < COUNT; i++) {
--- a/src/main/java/laurelkeel/standin/ReleaseLine.java
+++ b/src/main/java/laurelkeel/standin/ReleaseLine.java
@@ -25,14 +25,34 @@
  */
 public final class ReleaseLine {
 
-    public enum Control { ANY, COUNT, CLOCK }
+    public enum Control {
+        ANY,
+        COUNT,
+        CLOCK
+    }
 
-    public enum Style { REPLACE, BESIDE }
+    public enum Style {
+        REPLACE,
+        BESIDE
+    }
 
     /** Times in tenths of a millisecond. shares and caps by stage; together: builds on trial at once. */
-    public record Rule(List<Double> shares, List<Double> caps, Control control, Style style, int onVotes,
-            int backVotes, int holdVotes, long leastStage, long voteLife, double votesPerSecond, long newsLag,
-            long newsEvery, long startTime, long drainMost, int together) { }
+    public record Rule(
+            List<Double> shares,
+            List<Double> caps,
+            Control control,
+            Style style,
+            int onVotes,
+            int backVotes,
+            int holdVotes,
+            long leastStage,
+            long voteLife,
+            double votesPerSecond,
+            long newsLag,
+            long newsEvery,
+            long startTime,
+            long drainMost,
+            int together) {}
 
     private static final long BLAME_EVERY = 10_000, LAST_REPORTS = 80_000;
 
@@ -116,8 +136,13 @@
     public String standing() {
         StringBuilder s = new StringBuilder();
         for (Offer o : offers.values()) {
-            s.append(s.length() == 0 ? "" : "; ").append("build ").append(o.build.number()).append(" stage ")
-                    .append(o.stage).append(' ').append(o.phase.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' '));
+            s.append(s.length() == 0 ? "" : "; ")
+                    .append("build ")
+                    .append(o.build.number())
+                    .append(" stage ")
+                    .append(o.stage)
+                    .append(' ')
+                    .append(o.phase.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' '));
         }
         return s.toString();
     }
@@ -158,7 +183,8 @@
         }
         if (o.over()) {
             // votes can be quicker than reports: what is on its way still says whether they were right
-            loop.at(loop.now() + (as == Rec.Phase.RELEASED ? 0 : LAST_REPORTS),
+            loop.at(
+                    loop.now() + (as == Rec.Phase.RELEASED ? 0 : LAST_REPORTS),
                     () -> blaming.ended(o.build.number(), as == Rec.Phase.RELEASED));
             // the news of what has ended is still told for a while
             loop.at(loop.now() + 20 * 10_000, () -> {
@@ -180,13 +206,16 @@
             }
         }
         // beside: the earlier machines go only now
-        fleet.live().stream().filter(m -> m.build.number() < o.build.number())
+        fleet.live().stream()
+                .filter(m -> m.build.number() < o.build.number())
                 .forEach(m -> fleet.drain(m, rule.drainMost()));
     }
 
     private int liveOnOtherTrials(Offer o) {
-        return offers.values().stream().filter(x -> x != o && x.onTrial())
-                .mapToInt(x -> fleet.live(x.build.number()).size() + x.replacing).sum();
+        return offers.values().stream()
+                .filter(x -> x != o && x.onTrial())
+                .mapToInt(x -> fleet.live(x.build.number()).size() + x.replacing)
+                .sum();
     }
 
     /** Starts as many machines as the stage asks for, one by one, each in place of an earlier one. */
@@ -215,20 +244,29 @@
 
     /** A machine to give way: of the build that serves beside, and of other trials only once nothing else is left. */
     private Machine earlier(Offer o) {
-        List<Machine> all = fleet.live().stream().filter(m -> m.build.number() < o.build.number()).toList();
-        return all.stream().filter(m -> {
-            Offer of = offers.get(m.build.number());
-            return of == null || !of.onTrial();
-        }).findFirst().orElse(all.isEmpty() || onTrial() > 1 ? null : all.get(0));
+        List<Machine> all = fleet.live().stream()
+                .filter(m -> m.build.number() < o.build.number())
+                .toList();
+        return all.stream()
+                .filter(m -> {
+                    Offer of = offers.get(m.build.number());
+                    return of == null || !of.onTrial();
+                })
+                .findFirst()
+                .orElse(all.isEmpty() || onTrial() > 1 ? null : all.get(0));
     }
 
     private void back(Offer o) {
         move(o, o.stage, Rec.Phase.GOING_BACK);
-        int missing = places - fleet.live().stream().mapToInt(m -> m.build.number() != o.build.number() ? 1 : 0).sum();
+        int missing = places
+                - fleet.live().stream()
+                        .mapToInt(m -> m.build.number() != o.build.number() ? 1 : 0)
+                        .sum();
         Build b = base;
         for (int i = 0; i < missing; i++) {
             int place = i;
-            loop.at(loop.now() + rule.startTime() / 2 + (long) (fleet.chance() * rule.startTime() / 2),
+            loop.at(
+                    loop.now() + rule.startTime() / 2 + (long) (fleet.chance() * rule.startTime() / 2),
                     () -> fleet.start(null, b, place, true));
         }
         fleet.live(o.build.number()).forEach(m -> fleet.drain(m, rule.drainMost()));
@@ -265,7 +303,9 @@
         if ((o.onTrial() || late) && o.count("back", loop.now()) >= Math.max(1, rule.backVotes())) {
             if (late) {
                 int before = o.build.number();
-                base = offers.headMap(before).isEmpty() ? Build.good(before - 1) : offers.lowerEntry(before).getValue().build;
+                base = offers.headMap(before).isEmpty()
+                        ? Build.good(before - 1)
+                        : offers.lowerEntry(before).getValue().build;
             }
             back(o);
             return;
@@ -275,14 +315,15 @@
         }
         boolean held = rule.control() == Control.CLOCK
                 && (rule.holdVotes() > 0 && o.count("hold", loop.now()) >= rule.holdVotes()
-                || onTrial() > 1 && blaming.word(o.build.number()).equals("open"));
+                        || onTrial() > 1 && blaming.word(o.build.number()).equals("open"));
         o.held(held, loop.now());
         boolean longEnough = loop.now() >= Math.max(o.since, o.readyAt) + rule.leastStage() + o.heldFor;
-        boolean voted = switch (rule.control()) {
-            case ANY -> o.count("on", loop.now()) >= 1;
-            case COUNT -> o.count("on", loop.now()) >= Math.max(1, rule.onVotes());
-            case CLOCK -> !held;
-        };
+        boolean voted =
+                switch (rule.control()) {
+                    case ANY -> o.count("on", loop.now()) >= 1;
+                    case COUNT -> o.count("on", loop.now()) >= Math.max(1, rule.onVotes());
+                    case CLOCK -> !held;
+                };
         if (longEnough && voted) {
             if (o.stage + 1 < rule.shares().size()) {
                 move(o, o.stage + 1, Rec.Phase.TRIAL);
@@ -294,10 +335,17 @@
 
     private Map<String, Object> news(Offer o, String kind, String answer) {
         Map<String, Object> n = o.news(kind, answer, loop.clock());
-        n.put("standing", offers.values().stream().filter(x -> x.phase != Rec.Phase.WITHDRAWN)
-                .map(x -> x.build.number()).toList());
-        n.put("blame", onTrial() > 1 || blaming.word(o.build.number()).equals("guilty")
-                ? blaming.word(o.build.number()) : "none");
+        n.put(
+                "standing",
+                offers.values().stream()
+                        .filter(x -> x.phase != Rec.Phase.WITHDRAWN)
+                        .map(x -> x.build.number())
+                        .toList());
+        n.put(
+                "blame",
+                onTrial() > 1 || blaming.word(o.build.number()).equals("guilty")
+                        ? blaming.word(o.build.number())
+                        : "none");
         return n;
     }
 
@@ -312,16 +360,18 @@
             return;
         }
         long seenAt = loop.now();
-        List<Map<String, Object>> all = offers.values().stream().map(o -> news(o, "news", null)).toList();
+        List<Map<String, Object>> all =
+                offers.values().stream().map(o -> news(o, "news", null)).toList();
         for (LineService.Watcher w : new ArrayList<>(service.watchers)) {
-            long lag = (long) (rule.newsLag() * (0.5 + fleet.chance() / 2))
-                    + (loop.now() < lateUntil ? lateBy : 0);
+            long lag = (long) (rule.newsLag() * (0.5 + fleet.chance() / 2)) + (loop.now() < lateUntil ? lateBy : 0);
             w.lastDue = Math.max(w.lastDue, loop.now() + lag);
-            loop.at(w.lastDue, () -> all.forEach(n -> {
-                Map<String, Object> late = new LinkedHashMap<>(n);
-                late.put("ageMs", (double) n.get("ageMs") + (loop.now() - seenAt) / 10.0);
-                w.tell(late);
-            }));
+            loop.at(
+                    w.lastDue,
+                    () -> all.forEach(n -> {
+                        Map<String, Object> late = new LinkedHashMap<>(n);
+                        late.put("ageMs", (double) n.get("ageMs") + (loop.now() - seenAt) / 10.0);
+                        w.tell(late);
+                    }));
         }
     }
 
@@ -340,7 +390,8 @@
         loop.post(() -> answer.complete(what.get()));
         try {
             return answer.get(5, TimeUnit.SECONDS);
-        } catch (InterruptedException | java.util.concurrent.ExecutionException
+        } catch (InterruptedException
+                | java.util.concurrent.ExecutionException
                 | java.util.concurrent.TimeoutException e) {
             throw new IOException(e);
         }
@@ -359,8 +410,11 @@
 
     private void voted(HttpExchange x) throws IOException {
         JsonNode v = LineService.JSON.readTree(x.getRequestBody());
-        Map<String, Object> a = asked(() -> vote(v.path("front").asInt(), v.path("build").asInt(),
-                v.path("stage").asInt(), v.path("verdict").asText()));
+        Map<String, Object> a = asked(() -> vote(
+                v.path("front").asInt(),
+                v.path("build").asInt(),
+                v.path("stage").asInt(),
+                v.path("verdict").asText()));
         if (a == null) {
             // no answer at all: the caller's own time-out ends it
             try {
@@ -374,8 +428,8 @@
     }
 
     private Map<String, Object> vote(int front, int build, int at, String verdict) {
-        tokens = Math.min(2 * rule.votesPerSecond(),
-                tokens + (loop.now() - tokensAt) / 10_000.0 * rule.votesPerSecond());
+        tokens = Math.min(
+                2 * rule.votesPerSecond(), tokens + (loop.now() - tokensAt) / 10_000.0 * rule.votesPerSecond());
         tokensAt = loop.now();
         String answer;
         boolean stalled = loop.now() < stalledUntil;
--- a/src/main/java/laurelkeel/standin/Shape.java
+++ b/src/main/java/laurelkeel/standin/Shape.java
@@ -11,13 +11,25 @@
  * @param rules by route, for the memory of marks
  * @param warmKeys the part of the work that a key met within keyMemory saves
  */
-public record Shape(int cores, int room, int connections, Map<String, Long> work, Map<String, Rec.RouteRule> rules,
-        double coldFrom, long coldFor, double tipMultiple, long tipAfter, double warmKeys, long keyMemory,
-        long loadEvery, int answerBytes) {
+public record Shape(
+        int cores,
+        int room,
+        int connections,
+        Map<String, Long> work,
+        Map<String, Rec.RouteRule> rules,
+        double coldFrom,
+        long coldFor,
+        double tipMultiple,
+        long tipAfter,
+        double warmKeys,
+        long keyMemory,
+        long loadEvery,
+        int answerBytes) {
 
     /** Reqs a second of one warm machine, were all routes asked alike. */
     public double capacity() {
-        double mean = work.values().stream().mapToLong(Long::longValue).average().orElse(1);
+        double mean =
+                work.values().stream().mapToLong(Long::longValue).average().orElse(1);
         return cores * 10_000 / mean;
     }
 }
--- a/src/main/java/laurelkeel/wire/HopByHop.java
+++ b/src/main/java/laurelkeel/wire/HopByHop.java
@@ -10,18 +10,28 @@
     private static final TreeSet<String> NAMES = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
 
     static {
-        NAMES.addAll(List.of("Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Content-Length", "TE",
-                "Trailer", "Upgrade", "Host", "Expect"));
+        NAMES.addAll(List.of(
+                "Connection",
+                "Keep-Alive",
+                "Proxy-Connection",
+                "Transfer-Encoding",
+                "Content-Length",
+                "TE",
+                "Trailer",
+                "Upgrade",
+                "Host",
+                "Expect"));
     }
 
-    private HopByHop() { }
+    private HopByHop() {}
 
     /** Adds what may cross from one connection to another, but for the names left out. */
     static void lines(Headers from, Lines to, Collection<String> leftOut) {
         boolean named = from.get("Connection") != null;
         for (int i = 0; i < from.size(); i++) {
             String name = from.name(i);
-            boolean ends = NAMES.contains(name) || leftOut.contains(name)
+            boolean ends = NAMES.contains(name)
+                    || leftOut.contains(name)
                     || named && from.has("Connection", name.toLowerCase(Locale.ROOT));
             if (!ends) {
                 to.line(name, from.value(i));
--- a/src/main/java/laurelkeel/wire/HttpCodec.java
+++ b/src/main/java/laurelkeel/wire/HttpCodec.java
@@ -19,10 +19,12 @@
 public final class HttpCodec implements ProtocolCodecFactory {
 
     /** Bytes as they are, for peers that misbehave on purpose. */
-    public record Raw(byte[] bytes) { }
+    public record Raw(byte[] bytes) {}
 
     /** No bytes: what is written for it is told by the thread that has the connection, once all before it has left. */
-    public enum Mark { MARK }
+    public enum Mark {
+        MARK
+    }
 
     private static final AttributeKey READER = new AttributeKey(HttpCodec.class, "reader");
     private static final AttributeKey TO_ASK = new AttributeKey(HttpCodec.class, "toAsk");
@@ -56,8 +58,7 @@
 
     /** The filter for the side that takes answers. */
     public static ProtocolCodecFilter client(HttpLimits limits) {
-        return new AnswerFilter(
-                new HttpCodec(HttpParser.Side.ANSWERS, limits, new Room(Long.MAX_VALUE), false));
+        return new AnswerFilter(new HttpCodec(HttpParser.Side.ANSWERS, limits, new Room(Long.MAX_VALUE), false));
     }
 
     /** For connections with one request at a time, each told by toAsk: bytes that nothing asked for end them. Needs LookingProcessor. */
@@ -197,7 +198,7 @@
         }
 
         @Override
-        public void dispose(IoSession session) { }
+        public void dispose(IoSession session) {}
     }
 
     private static final class Writer implements ProtocolEncoder {
@@ -215,6 +216,6 @@
         }
 
         @Override
-        public void dispose(IoSession session) { }
+        public void dispose(IoSession session) {}
     }
 }
--- a/src/main/java/laurelkeel/wire/HttpParser.java
+++ b/src/main/java/laurelkeel/wire/HttpParser.java
@@ -14,15 +14,29 @@
 public final class HttpParser {
 
     /** Which side of HTTP it reads. */
-    public enum Side { REQS, ANSWERS }
+    public enum Side {
+        REQS,
+        ANSWERS
+    }
 
-    private enum At { START, HEADERS, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, UNTIL_CLOSE, BROKEN }
+    private enum At {
+        START,
+        HEADERS,
+        BODY,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILERS,
+        UNTIL_CLOSE,
+        BROKEN
+    }
 
     private final Side side;
     private final HttpLimits limits;
     private final Room room;
     /** Given the bytes of bodies as they come, where those are streams; null where bodies are held whole. */
     private final Consumer<byte[]> parts;
+
     private At at = At.START;
     private byte[] line = new byte[256];
     private int lineLength;
@@ -199,7 +213,8 @@
                     throw new BadHttp(400, "a zero byte in a line");
                 }
                 if (lineLength >= most) {
-                    throw new BadHttp(at == At.START ? 414 : at == At.CHUNK_SIZE ? 400 : 431,
+                    throw new BadHttp(
+                            at == At.START ? 414 : at == At.CHUNK_SIZE ? 400 : 431,
                             "a line is over " + most + " bytes");
                 }
                 if (lineLength == line.length) {
@@ -300,7 +315,9 @@
     static boolean token(String s) {
         for (int i = 0; i < s.length(); i++) {
             char c = s.charAt(i);
-            boolean ok = c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+            boolean ok = c >= 'a' && c <= 'z'
+                    || c >= 'A' && c <= 'Z'
+                    || c >= '0' && c <= '9'
                     || "!#$%&'*+-.^_`|~".indexOf(c) >= 0;
             if (!ok) {
                 return false;
@@ -312,8 +329,9 @@
     private void header(String text, Headers into) throws BadHttp {
         headerBytes += text.length() + 2;
         if (headerBytes > limits.headerBytes() || into.size() >= limits.headers()) {
-            throw new BadHttp(431, "more than " + limits.headers() + " header lines or " + limits.headerBytes()
-                    + " bytes of them");
+            throw new BadHttp(
+                    431,
+                    "more than " + limits.headers() + " header lines or " + limits.headerBytes() + " bytes of them");
         }
         int colon = text.indexOf(':');
         String name = colon < 0 ? text : text.substring(0, colon);
@@ -345,8 +363,11 @@
         if (chunked && (lengths > 0 || minor == 0)) {
             throw new BadHttp(400, "Transfer-Encoding beside Content-Length or in HTTP/1.0");
         }
-        if (chunked && (headers.count("Transfer-Encoding") > 1
-                || !headers.get("Transfer-Encoding").toLowerCase(Locale.ROOT).equals("chunked"))) {
+        if (chunked
+                && (headers.count("Transfer-Encoding") > 1
+                        || !headers.get("Transfer-Encoding")
+                                .toLowerCase(Locale.ROOT)
+                                .equals("chunked"))) {
             throw new BadHttp(501, "Transfer-Encoding other than chunked");
         }
         if (lengths > 1) {
@@ -414,7 +435,8 @@
         body = new byte[0];
         boolean head = bodiless;
         bodiless = false;
-        return side == Side.REQS ? new HttpReq(first, second, minor, headers, whole)
+        return side == Side.REQS
+                ? new HttpReq(first, second, minor, headers, whole)
                 : new HttpAnswer(status, minor, headers, whole, head);
     }
 }
--- a/src/main/java/laurelkeel/wire/HttpWriter.java
+++ b/src/main/java/laurelkeel/wire/HttpWriter.java
@@ -6,16 +6,27 @@
 
 /** Writes whole messages as HTTP/1.1; the length is always told, so that the connection can go on. */
 public final class HttpWriter {
-    private static final Map<Integer, String> REASONS = Map.ofEntries(Map.entry(200, "OK"), Map.entry(202, "Accepted"),
-            Map.entry(204, "No Content"), Map.entry(400, "Bad Request"), Map.entry(404, "Not Found"),
-            Map.entry(405, "Method Not Allowed"), Map.entry(408, "Request Timeout"),
-            Map.entry(409, "Conflict"), Map.entry(413, "Content Too Large"), Map.entry(414, "URI Too Long"),
-            Map.entry(429, "Too Many Requests"), Map.entry(431, "Request Header Fields Too Large"),
-            Map.entry(500, "Internal Server Error"), Map.entry(501, "Not Implemented"),
-            Map.entry(502, "Bad Gateway"), Map.entry(503, "Service Unavailable"),
-            Map.entry(504, "Gateway Timeout"), Map.entry(505, "HTTP Version Not Supported"));
+    private static final Map<Integer, String> REASONS = Map.ofEntries(
+            Map.entry(200, "OK"),
+            Map.entry(202, "Accepted"),
+            Map.entry(204, "No Content"),
+            Map.entry(400, "Bad Request"),
+            Map.entry(404, "Not Found"),
+            Map.entry(405, "Method Not Allowed"),
+            Map.entry(408, "Request Timeout"),
+            Map.entry(409, "Conflict"),
+            Map.entry(413, "Content Too Large"),
+            Map.entry(414, "URI Too Long"),
+            Map.entry(429, "Too Many Requests"),
+            Map.entry(431, "Request Header Fields Too Large"),
+            Map.entry(500, "Internal Server Error"),
+            Map.entry(501, "Not Implemented"),
+            Map.entry(502, "Bad Gateway"),
+            Map.entry(503, "Service Unavailable"),
+            Map.entry(504, "Gateway Timeout"),
+            Map.entry(505, "HTTP Version Not Supported"));
 
-    private HttpWriter() { }
+    private HttpWriter() {}
 
     static boolean framing(String name) {
         return name.equalsIgnoreCase("Content-Length") || name.equalsIgnoreCase("Transfer-Encoding");
@@ -45,7 +56,10 @@
         for (int i = 0; i < headers.size(); i++) {
             // the reader's framing ended with the reader: this message has its own
             if (!framing(headers.name(i))) {
-                head.append(headers.name(i)).append(": ").append(headers.value(i)).append("\r\n");
+                head.append(headers.name(i))
+                        .append(": ")
+                        .append(headers.value(i))
+                        .append("\r\n");
             }
         }
         if (length) {
--- a/src/main/java/laurelkeel/wire/Names.java
+++ b/src/main/java/laurelkeel/wire/Names.java
@@ -4,6 +4,7 @@
 public final class Names {
     /** The client's own id of one try; passed on to machines. */
     public static final String REQ_ID = "X-Request-Id";
+
     public static final String CUSTOMER = "Laurelkeel-Customer";
     public static final String KEY = "Laurelkeel-Key";
     /** The mark against repeats. */
@@ -19,6 +20,7 @@
     public static final String ANSWER = "Laurelkeel-Answer";
     /** "harmless" on a shed: nothing ran, or a repeat does no harm. */
     public static final String RETRY = "Laurelkeel-Retry";
+
     public static final String RETRY_AFTER = "Retry-After";
     public static final String RETRY_AFTER_MS = "Laurelkeel-Retry-After-Ms";
     /** "no" where the front turned the req away at its door, before any decision on it. */
@@ -34,7 +36,8 @@
     public static final String RAN = "Laurelkeel-Ran";
     /** A machine's load: name=value pairs with commas between. */
     public static final String LOAD = "Laurelkeel-Load";
+
     public static final String BUILD = "Laurelkeel-Build";
 
-    private Names() { }
+    private Names() {}
 }
--- a/src/test/java/laurelkeel/DefenceTest.java
+++ b/src/test/java/laurelkeel/DefenceTest.java
@@ -27,7 +27,9 @@
         Play play = new Play(Play.settings(false, 0, Settings.Control.COUNT), 1);
         play.begin(2);
         play.tells(2, 2, 1, Phase.TRIAL);
-        play.lists(Play.machine("t0", 2, 0, MachineState.LIVE, 1), Play.machine("m0", 1, 0, MachineState.GONE, 0),
+        play.lists(
+                Play.machine("t0", 2, 0, MachineState.LIVE, 1),
+                Play.machine("m0", 1, 0, MachineState.GONE, 0),
                 Play.machine("m1", 1, 1, MachineState.GONE, 0));
         play.tells(2, 2, 1, Phase.RELEASED);
         assertNotNull(play.outOf(play.req(0, "a")), "the released build serves");
@@ -57,7 +59,9 @@
                 spoilt++;
                 play.ends(first, i % 2 == 0 ? Outcome.BROKEN : Outcome.TIMEOUT);
                 Play.Sent again = play.outOf(first.req());
-                assertTrue(again == null || again.build() == 2, key + " had its answer of build 2, though nobody could read it");
+                assertTrue(
+                        again == null || again.build() == 2,
+                        key + " had its answer of build 2, though nobody could read it");
                 Play.Sent next = play.outOf(play.req(0, key));
                 assertTrue(next == null || next.build() == 2, key + " came again");
             } else if (first != null) {
@@ -81,7 +85,9 @@
                 // more of them than the cap lets through
                 for (int again = 0; again < 20; again++) {
                     Play.Sent next = play.outOf(play.req(0, key));
-                    assertTrue(next == null || next.build() == 2, key + " came again, and went to build " + (next == null ? 0 : next.build()));
+                    assertTrue(
+                            next == null || next.build() == 2,
+                            key + " came again, and went to build " + (next == null ? 0 : next.build()));
                     if (next != null) {
                         play.ends(next, Outcome.NO_CONNECTION);
                     }
@@ -117,7 +123,9 @@
         }
         assertTrue(tries[0] > 5, "they had their part at first: " + tries[0]);
         assertTrue(late[0] < late[1] / 20, "two of eight machines had " + late[0] + " tries, the others " + late[1]);
-        assertTrue(play.votes.stream().noneMatch(v -> v.verdict() == Verdict.BACK), "the build is as good as its other machine");
+        assertTrue(
+                play.votes.stream().noneMatch(v -> v.verdict() == Verdict.BACK),
+                "the build is as good as its other machine");
         assertEquals(List.of(), play.broken);
     }
 
@@ -149,12 +157,17 @@
         Play play = new Play(Play.settings(false, 0, Settings.Control.COUNT), 1);
         play.begin(4);
         play.traffic(4 * Play.SECOND, 25, 1000, 0, 0, new Random(5));
-        play.lists(Play.machine("c", 1, 0, MachineState.LIVE, play.now), Play.machine("m0", 1, 0, MachineState.GONE, 0),
-                Play.machine("m1", 1, 1, MachineState.GONE, 0), Play.machine("m2", 1, 0, MachineState.GONE, 0),
+        play.lists(
+                Play.machine("c", 1, 0, MachineState.LIVE, play.now),
+                Play.machine("m0", 1, 0, MachineState.GONE, 0),
+                Play.machine("m1", 1, 1, MachineState.GONE, 0),
+                Play.machine("m2", 1, 0, MachineState.GONE, 0),
                 Play.machine("m3", 1, 1, MachineState.GONE, 0));
         long from = play.now;
         play.traffic(2 * Play.SECOND, 25, 1000, 0, 0, new Random(6));
-        long sent = play.all.stream().filter(s -> s.machine().equals("c") && s.at() > from).count();
+        long sent = play.all.stream()
+                .filter(s -> s.machine().equals("c") && s.at() > from)
+                .count();
         assertTrue(sent > 0 && sent < 30, "80 reqs came, 20 in the span are a machine's usual: sent " + sent);
     }
 
@@ -259,8 +272,12 @@
     void theCountsOfAllFrontsSpeakWhereOneSeesFewTriesAndAnErrorOfItsOwn() {
         assertTrue(counted(Outcome.ERROR, 3, 8).contains(Verdict.BACK));
         assertFalse(counted(Outcome.ERROR, 0, 8).contains(Verdict.BACK), "an error of its own alone");
-        assertFalse(counted(Outcome.TIMEOUT, 3, 8).contains(Verdict.BACK), "cold machines let tries time out, and that is counted");
-        assertFalse(counted(Outcome.ERROR, 3, 2).contains(Verdict.BACK), "half of so few machines may be sick by themselves");
+        assertFalse(
+                counted(Outcome.TIMEOUT, 3, 8).contains(Verdict.BACK),
+                "cold machines let tries time out, and that is counted");
+        assertFalse(
+                counted(Outcome.ERROR, 3, 2).contains(Verdict.BACK),
+                "half of so few machines may be sick by themselves");
     }
 
     /** All verdicts of a front that sees a req each half second, where the platform counts some failures of the trial build. */
@@ -274,7 +291,8 @@
         int trials = 0;
         for (int i = 0; i < 30; i++) {
             play.pass(Play.SECOND / 2);
-            play.step(List.of(new Event.BuildCounts(1, 0, 30, 0, 100, 0), new Event.BuildCounts(2, 0, 6, failures, 100, 0)));
+            play.step(List.of(
+                    new Event.BuildCounts(1, 0, 30, 0, 100, 0), new Event.BuildCounts(2, 0, 6, failures, 100, 0)));
             Play.Sent sent = play.outOf(play.req(0, "k" + i));
             if (sent != null) {
                 boolean fails = sent.build() == 2 && trials++ == 0;
@@ -345,7 +363,7 @@
     }
 
     private static void paced(Play play, long span, long trial, long beside, Random chance) {
-        for (long end = play.now + span; play.now < end;) {
+        for (long end = play.now + span; play.now < end; ) {
             play.now += 20 * Play.MS;
             for (Play.Sent s : List.copyOf(play.out)) {
                 if (play.now >= s.at() + (s.build() == 2 ? trial : beside) + chance.nextInt(200)) {
@@ -395,8 +413,12 @@
             play.now += 100 * Play.MS;
             play.ends(s, s.machine().equals("m0") && i < 150 ? Outcome.BROKEN : Outcome.COMPLETED);
         }
-        long sick = play.all.subList(20, 150).stream().filter(s -> s.machine().equals("m0")).count();
-        long well = play.all.subList(500, 600).stream().filter(s -> s.machine().equals("m0")).count();
+        long sick = play.all.subList(20, 150).stream()
+                .filter(s -> s.machine().equals("m0"))
+                .count();
+        long well = play.all.subList(500, 600).stream()
+                .filter(s -> s.machine().equals("m0"))
+                .count();
         assertTrue(sick < 20, "while sick " + sick);
         assertFalse(well == 0, "it is met again");
     }
--- a/src/test/java/laurelkeel/KnownRedTest.java
+++ b/src/test/java/laurelkeel/KnownRedTest.java
@@ -13,12 +13,13 @@
 
 /** CI passes over the tests that KNOWN-RED.txt names, and over no others. */
 class KnownRedTest {
-    private static final String ONE = "laurelkeel.KnownRedTest#noFileOrAnEmptyOneExcludesNothing | a cause | issue 26\n";
+    private static final String ONE =
+            "laurelkeel.KnownRedTest#noFileOrAnEmptyOneExcludesNothing | a cause | issue 26\n";
 
     @TempDir
     Path folder;
 
-    private record Said(int exit, String out, String err) { }
+    private record Said(int exit, String out, String err) {}
 
     private Said known(String file) throws Exception {
         Path list = folder.resolve("KNOWN-RED.txt");
@@ -51,9 +52,15 @@
 
     @Test
     void whatIsNoListOfAtMostThreeTestsIsRefused() throws Exception {
-        for (String bad : new String[] {ONE.repeat(4), "\n", "laurelkeel.KnownRedTest | a cause | issue\n",
-            ONE.replace("a cause", ""), ONE.replace("noFile", "noSuch"), ONE.replace("laurelkeel.", "elsewhere."),
-            ONE.replace("| issue 26", "")}) {
+        for (String bad : new String[] {
+            ONE.repeat(4),
+            "\n",
+            "laurelkeel.KnownRedTest | a cause | issue\n",
+            ONE.replace("a cause", ""),
+            ONE.replace("noFile", "noSuch"),
+            ONE.replace("laurelkeel.", "elsewhere."),
+            ONE.replace("| issue 26", "")
+        }) {
             assertEquals(2, known(bad).exit, bad);
         }
     }
