--- a/src/test/java/laurelkeel/Play.java
+++ b/src/test/java/laurelkeel/Play.java
@@ -28,7 +28,7 @@
     static final long SECOND = 10_000;
 
     /** One try as the plain model sees it. */
-    record Sent(String req, int no, String machine, int build, int zone, long at, long dueBy) { }
+    record Sent(String req, int no, String machine, int build, int zone, long at, long dueBy) {}
 
     final Settings set;
     final Decider module;
@@ -49,11 +49,13 @@
     final TreeMap<Integer, Event.ReleaseNews> told = new TreeMap<>();
     /** What the module asked to be woken for. */
     private final TreeMap<Long, Set<Long>> timers = new TreeMap<>();
+
     final List<Action.Vote> votes = new ArrayList<>();
     final List<Action> answers = new ArrayList<>();
     Event.ReleaseNews news = new Event.ReleaseNews(Event.Answer.OK, 0, 1, 0, Phase.RELEASED, 1, false);
     /** Draws the tries whose time-out is never told; null for none. */
     Random silent;
+
     long now = SECOND;
     int ids;
 
@@ -68,13 +70,36 @@
 
     /** Three routes, one of each kind; stages of a tenth, a half and all. */
     static Settings settings(boolean perRoute, int guarded, Settings.Control control) {
-        return new Settings(0, 2, 0, List.of(new Route(Effect.RETRIABLE, Group.ALL, 800 * MS, 2500 * MS, 2, 0, 0),
-                new Route(Effect.DEDUPED, Group.ZONE, SECOND, 4 * SECOND, 3, 0.2, 2 * SECOND),
-                new Route(Effect.NON_RETRIABLE, Group.ALL, SECOND, 3 * SECOND, 1, 0, 0)), List.of(),
+        return new Settings(
+                0,
+                2,
+                0,
+                List.of(
+                        new Route(Effect.RETRIABLE, Group.ALL, 800 * MS, 2500 * MS, 2, 0, 0),
+                        new Route(Effect.DEDUPED, Group.ZONE, SECOND, 4 * SECOND, 3, 0.2, 2 * SECOND),
+                        new Route(Effect.NON_RETRIABLE, Group.ALL, SECOND, 3 * SECOND, 1, 0, 0)),
+                List.of(),
                 new Settings.Limits(SECOND, 5 * SECOND, 0.4, 2 * SECOND, 3, 10 * SECOND),
                 new Settings.Allowed(4, true, false, true, true, SECOND, false),
-                new Settings.Prices(0.05, 0.01, 0.01, 0.5, 3), new Settings.Rollout(control, 1, 1, 0, 5 * SECOND, SECOND,
-                        40, List.of(0.1, 0.5, 1.0), 2 * SECOND, guarded, true, 4 * SECOND, 2, perRoute, 0, 0.3), false);
+                new Settings.Prices(0.05, 0.01, 0.01, 0.5, 3),
+                new Settings.Rollout(
+                        control,
+                        1,
+                        1,
+                        0,
+                        5 * SECOND,
+                        SECOND,
+                        40,
+                        List.of(0.1, 0.5, 1.0),
+                        2 * SECOND,
+                        guarded,
+                        true,
+                        4 * SECOND,
+                        2,
+                        perRoute,
+                        0,
+                        0.3),
+                false);
     }
 
     static Listed machine(String id, int build, int zone, MachineState state, long started) {
@@ -124,7 +149,7 @@
 
     /** Lets time pass: tries past their limit time out, and the module is woken. */
     void pass(long span) {
-        for (long end = now + span; now < end;) {
+        for (long end = now + span; now < end; ) {
             now += 5 * MS;
             for (Sent s : List.copyOf(out)) {
                 if (s.dueBy <= now) {
@@ -137,7 +162,7 @@
 
     /** A busy while: reqs come, and tries end well after took, or by chance as the builds' error shares say. */
     void traffic(long span, int everyMs, long took, double oldErrors, double newErrors, Random chance) {
-        for (long end = now + span; now < end;) {
+        for (long end = now + span; now < end; ) {
             now += everyMs * MS;
             for (Sent s : List.copyOf(out)) {
                 if (now >= s.at + took) {
@@ -180,11 +205,15 @@
                     int build = tries.get(t.req()).get(t.tryNo()).build;
                     // of a build passed over by the news a front cannot know that it is new
                     boolean known = told.containsKey(build) || build > told.lastKey();
-                    answeredBy.merge(key == null ? "" : key, key == null || off.contains(build) || !known ? 0 : build, Math::max);
+                    answeredBy.merge(
+                            key == null ? "" : key,
+                            key == null || off.contains(build) || !known ? 0 : build,
+                            Math::max);
                 }
             }
         }
-        told.values().stream().filter(n -> n.phase() == Phase.GOING_BACK || n.phase() == Phase.WITHDRAWN)
+        told.values().stream()
+                .filter(n -> n.phase() == Phase.GOING_BACK || n.phase() == Phase.WITHDRAWN)
                 .forEach(n -> off.add(n.build()));
         answeredBy.values().removeIf(off::contains);
         lastDone.clear();
@@ -203,14 +232,26 @@
             } else if (a instanceof Action.Vote v) {
                 votes.add(v);
             } else if (a instanceof Action.Timer w) {
-                timers.computeIfAbsent(Math.max(w.when(), now + 1), k -> new HashSet<>()).add(w.handle());
+                timers.computeIfAbsent(Math.max(w.when(), now + 1), k -> new HashSet<>())
+                        .add(w.handle());
             } else if (a instanceof Action.StopTry s) {
-                out.stream().filter(o -> o.req.equals(s.req()) && o.no == s.tryNo()).toList().forEach(o -> {
-                    out.remove(o);
-                    outcomes.get(o.req).add(Outcome.STOPPED);
-                    module.decide(now, List.of(new Event.TryEnded(o.req, o.no, o.machine, Outcome.STOPPED, now - o.at,
-                            !owed.containsKey(o.req), Map.of())));
-                });
+                out.stream()
+                        .filter(o -> o.req.equals(s.req()) && o.no == s.tryNo())
+                        .toList()
+                        .forEach(o -> {
+                            out.remove(o);
+                            outcomes.get(o.req).add(Outcome.STOPPED);
+                            module.decide(
+                                    now,
+                                    List.of(new Event.TryEnded(
+                                            o.req,
+                                            o.no,
+                                            o.machine,
+                                            Outcome.STOPPED,
+                                            now - o.at,
+                                            !owed.containsKey(o.req),
+                                            Map.of())));
+                        });
             }
         }
         Set<String> tried = new HashSet<>();
@@ -273,9 +314,11 @@
             return true;
         }
         Route route = set.routes().get(r.route());
-        return mayHaveRun(id) == null || route.effect() == Effect.RETRIABLE
-                || route.effect() == Effect.DEDUPED && route.group() == Group.ALL
-                && now <= mayHaveRun(id).at + route.repeatWindow();
+        return mayHaveRun(id) == null
+                || route.effect() == Effect.RETRIABLE
+                || route.effect() == Effect.DEDUPED
+                        && route.group() == Group.ALL
+                        && now <= mayHaveRun(id).at + route.repeatWindow();
     }
 
     /** A build is on trial until news says otherwise, also one that no news names yet; with one release the latest only. */
@@ -295,8 +338,12 @@
     /** Exposure within the window, counted afresh and slowly, were one more try sent now. */
     boolean exposureAllows(int build, int route) {
         long from = now - set.rollout().window();
-        long tried = all.stream().filter(s -> s.build == build && s.at >= from && counts(s.req, route)).count();
-        long reqs = taken.stream().filter(t -> t[0] >= from && (!set.rollout().perRoute() || t[1] == route)).count();
+        long tried = all.stream()
+                .filter(s -> s.build == build && s.at >= from && counts(s.req, route))
+                .count();
+        long reqs = taken.stream()
+                .filter(t -> t[0] >= from && (!set.rollout().perRoute() || t[1] == route))
+                .count();
         return tried + 1 <= set.rollout().free() + cap(build) * reqs;
     }
 
@@ -325,19 +372,41 @@
         Route route = set.routes().get(r.route());
         Sent first = mayHaveRun(s.req());
         check(2, first == null || route.effect() != Effect.NON_RETRIABLE, "a non-retriable req ran twice");
-        check(2, first == null || route.effect() != Effect.DEDUPED || now <= first.at + route.repeatWindow()
-                && (route.group() == Group.ALL || first.zone == m.zone()),
+        check(
+                2,
+                first == null
+                        || route.effect() != Effect.DEDUPED
+                        || now <= first.at + route.repeatWindow()
+                                && (route.group() == Group.ALL || first.zone == m.zone()),
                 "a deduped req outside its group or window");
         if (onTrial(m.build())) {
-            check(5, cap(m.build()) > 0 && exposureAllows(m.build(), r.route()), "exposure over the cap of build " + m.build());
+            check(
+                    5,
+                    cap(m.build()) > 0 && exposureAllows(m.build(), r.route()),
+                    "exposure over the cap of build " + m.build());
             int stage = told.containsKey(m.build()) ? told.get(m.build()).stage() : 0;
             check(5, stage >= set.rollout().guardedStages() || route.effect() == Effect.RETRIABLE, "guarded stage");
         }
         check(5, r.key() == null || m.build() >= answeredBy.getOrDefault(r.key(), 0), "a one-way key went back");
-        check(5, r.key() == null || out.stream().noneMatch(o -> o.at < now && r.key().equals(keys.get(o.req)) && ahead(o.build)
-                && m.build() < o.build), "a one-way key went back while a later build may have answered it");
-        Sent sent = new Sent(s.req(), tries.get(s.req()).size(), s.machine(), m.build(), m.zone(), now,
-                silent != null && silent.nextInt(10) == 0 ? Long.MAX_VALUE : now + Math.min(s.within(), r.clientLeaves() - now));
+        check(
+                5,
+                r.key() == null
+                        || out.stream()
+                                .noneMatch(o -> o.at < now
+                                        && r.key().equals(keys.get(o.req))
+                                        && ahead(o.build)
+                                        && m.build() < o.build),
+                "a one-way key went back while a later build may have answered it");
+        Sent sent = new Sent(
+                s.req(),
+                tries.get(s.req()).size(),
+                s.machine(),
+                m.build(),
+                m.zone(),
+                now,
+                silent != null && silent.nextInt(10) == 0
+                        ? Long.MAX_VALUE
+                        : now + Math.min(s.within(), r.clientLeaves() - now));
         tries.get(s.req()).add(sent);
         out.add(sent);
         all.add(sent);
--- a/src/test/java/laurelkeel/RulesTest.java
+++ b/src/test/java/laurelkeel/RulesTest.java
@@ -25,8 +25,17 @@
  * The module, alone and behind lanes, beside a plain model of the rules: one property a rule, on generated days. The model is Play's.
  */
 class RulesTest {
-    private static final Outcome[] ENDS = {Outcome.COMPLETED, Outcome.COMPLETED, Outcome.COMPLETED, Outcome.COMPLETED,
-        Outcome.ERROR, Outcome.FULL, Outcome.NO_CONNECTION, Outcome.BROKEN, Outcome.NOT_SENT};
+    private static final Outcome[] ENDS = {
+        Outcome.COMPLETED,
+        Outcome.COMPLETED,
+        Outcome.COMPLETED,
+        Outcome.COMPLETED,
+        Outcome.ERROR,
+        Outcome.FULL,
+        Outcome.NO_CONNECTION,
+        Outcome.BROKEN,
+        Outcome.NOT_SENT
+    };
 
     /** What a generated day is made of; the same seed is the same day. */
     private static Play day(long seed, boolean lanes) {
@@ -60,10 +69,18 @@
 
     /** Up to the tick at which a window, a grace or a req's time ends, one before or one after. */
     private static long edge(Play play, Random chance) {
-        long[] spans = {play.set.rollout().window(), play.set.limits().drainGrace(), play.set.routes().get(1).repeatWindow(),
-            2 * Play.SECOND, 800 * Play.MS};
-        long since = play.all.isEmpty() ? play.now : play.all.get(play.all.size() - 1 - chance.nextInt(Math.min(5,
-                play.all.size()))).at();
+        long[] spans = {
+            play.set.rollout().window(),
+            play.set.limits().drainGrace(),
+            play.set.routes().get(1).repeatWindow(),
+            2 * Play.SECOND,
+            800 * Play.MS
+        };
+        long since = play.all.isEmpty()
+                ? play.now
+                : play.all
+                        .get(play.all.size() - 1 - chance.nextInt(Math.min(5, play.all.size())))
+                        .at();
         return Math.max(0, since + spans[chance.nextInt(spans.length)] + chance.nextInt(3) - 1 - play.now);
     }
 
@@ -71,14 +88,17 @@
     private static void lie(Play play, int newest, Random chance) {
         MachineState state = MachineState.values()[chance.nextInt(3)];
         int build = Math.max(1, newest + chance.nextInt(3) - 1);
-        Event.Listed m = Play.machine("m" + chance.nextInt(9), build, chance.nextInt(2), state,
-                play.now + chance.nextInt(70_000) - 60_000);
+        Event.Listed m = Play.machine(
+                "m" + chance.nextInt(9), build, chance.nextInt(2), state, play.now + chance.nextInt(70_000) - 60_000);
         if (chance.nextInt(4) == 0) {
-            List<Event.Listed> some = new ArrayList<>(play.list.values().stream().filter(x -> chance.nextInt(4) > 0)
-                    .sorted(java.util.Comparator.comparing(Event.Listed::machine)).toList());
+            List<Event.Listed> some = new ArrayList<>(play.list.values().stream()
+                    .filter(x -> chance.nextInt(4) > 0)
+                    .sorted(java.util.Comparator.comparing(Event.Listed::machine))
+                    .toList());
             some.removeIf(x -> x.machine().equals(m.machine()));
             some.add(m);
-            play.step(List.of(new Event.MachineList(chance.nextBoolean() ? Event.ListKind.FULL : Event.ListKind.REMEMBERED, some)));
+            play.step(List.of(new Event.MachineList(
+                    chance.nextBoolean() ? Event.ListKind.FULL : Event.ListKind.REMEMBERED, some)));
         } else {
             play.lists(m);
         }
@@ -113,8 +133,8 @@
                 int build = ++newest;
                 stages.put(build, 0);
                 for (int i = 0; i < 2; i++) {
-                    play.lists(Play.machine("b" + build + "." + i, build, i, MachineState.LIVE,
-                            chance.nextBoolean() ? 0 : play.now));
+                    play.lists(Play.machine(
+                            "b" + build + "." + i, build, i, MachineState.LIVE, chance.nextBoolean() ? 0 : play.now));
                 }
                 trial(build);
                 return;
@@ -241,17 +261,27 @@
         double usual = set.limits().tipAfter() / (double) (everyMs * Play.MS) / machines;
         for (int i = 0; i < cold; i++) {
             String id = "c" + i;
-            List<Long> at = all.stream().flatMap(p -> p.all.stream()).filter(s -> s.machine().equals(id)).map(Play.Sent::at)
-                    .sorted().toList();
+            List<Long> at = all.stream()
+                    .flatMap(p -> p.all.stream())
+                    .filter(s -> s.machine().equals(id))
+                    .map(Play.Sent::at)
+                    .sorted()
+                    .toList();
             for (int from = 0, to = 0; to < at.size(); to++) {
                 while (at.get(from) <= at.get(to) - set.limits().tipAfter()) {
                     from++;
                 }
-                double warm = set.limits().coldFrom() + (1 - set.limits().coldFrom())
-                        * Math.min(1, (at.get(to) - coldAt) / (double) set.limits().coldFor());
+                double warm = set.limits().coldFrom()
+                        + (1 - set.limits().coldFrom())
+                                * Math.min(
+                                        1,
+                                        (at.get(to) - coldAt)
+                                                / (double) set.limits().coldFor());
                 // each front rounds what is under one try by chance: three standard deviations of their sum
                 double most = set.limits().tipMultiple() * warm * usual + 1.5 * Math.sqrt(fronts);
-                assertTrue(to - from + 1 <= most, id + " got " + (to - from + 1) + " of " + most + ", " + fronts + " fronts");
+                assertTrue(
+                        to - from + 1 <= most,
+                        id + " got " + (to - from + 1) + " of " + most + ", " + fronts + " fronts");
             }
         }
     }
@@ -301,8 +331,12 @@
         int both = 0;
         int first = 0;
         List<Play> plays = List.of(trial(1, 0.5, 0), trial(2, 0.5, 0));
-        plays.get(1).lists(Play.machine("u0", 3, 0, MachineState.LIVE, 1), Play.machine("u1", 3, 1, MachineState.LIVE, 1),
-                Play.machine("u2", 3, 0, MachineState.LIVE, 1), Play.machine("u3", 3, 1, MachineState.LIVE, 1));
+        plays.get(1)
+                .lists(
+                        Play.machine("u0", 3, 0, MachineState.LIVE, 1),
+                        Play.machine("u1", 3, 1, MachineState.LIVE, 1),
+                        Play.machine("u2", 3, 0, MachineState.LIVE, 1),
+                        Play.machine("u3", 3, 1, MachineState.LIVE, 1));
         plays.get(1).tells(3, 1, 0.5, Phase.TRIAL);
         plays.get(1).pass(Play.SECOND);
         for (int i = 0; i < 600; i++) {
--- a/src/test/java/laurelkeel/SameActionsTest.java
+++ b/src/test/java/laurelkeel/SameActionsTest.java
@@ -15,9 +15,23 @@
 class SameActionsTest {
     @Test
     void actionsAreThoseOfTheSlowerModule() {
-        Map.of(100, "2782 actions 2d371cdb", 101, "18895 actions fdd1818", 102, "18065 actions 608fb0d0", 103,
-                "2696 actions 12d3cd0f", 106, "2965 actions d94f1f40", 109, "2769 actions d631a71a", 112,
-                "3000 actions c1a0d0eb", 115, "2710 actions aba928eb")
+        Map.of(
+                        100,
+                        "2782 actions 2d371cdb",
+                        101,
+                        "18895 actions fdd1818",
+                        102,
+                        "18065 actions 608fb0d0",
+                        103,
+                        "2696 actions 12d3cd0f",
+                        106,
+                        "2965 actions d94f1f40",
+                        109,
+                        "2769 actions d631a71a",
+                        112,
+                        "3000 actions c1a0d0eb",
+                        115,
+                        "2710 actions aba928eb")
                 .forEach((seed, sum) -> assertEquals(sum, Streams.sum(Shifter::new, seed), "stream " + seed));
     }
 }
--- a/src/test/java/laurelkeel/WireTest.java
+++ b/src/test/java/laurelkeel/WireTest.java
@@ -13,7 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 class WireTest {
-    private static final String START = """
+    private static final String START =
+            """
             round 1000.25 1
             create 0 7 balancers=1 services.count=1 services.0.effect=safe services.0.onTime=800.0 unknown.key=3 \
             allowed.maxAttempts=3 familyInfo.stageCap=0.1,1.0 familyInfo.gateMode=first_voice selfIndex=0
@@ -39,9 +40,14 @@
 
     @Test
     void malformedInputNamesLineAndField() {
-        for (String[] c : new String[][] {{"round x 2\ncommit\n", "round.clock"}, {"round 1 2\n", "commit"},
-            {"round 1 2\nring 0\ncommit\n", "ring"}, {"round 1 2\nhello 0\ncommit\n", "hello"},
-            {"round 1 2\nring 0 1.5\ncommit\n", "ring.handle"}, {"round 1 2\nring 9 1\ncommit\n", "ring.front"}}) {
+        for (String[] c : new String[][] {
+            {"round x 2\ncommit\n", "round.clock"},
+            {"round 1 2\n", "commit"},
+            {"round 1 2\nring 0\ncommit\n", "ring"},
+            {"round 1 2\nhello 0\ncommit\n", "hello"},
+            {"round 1 2\nring 0 1.5\ncommit\n", "ring.handle"},
+            {"round 1 2\nring 9 1\ncommit\n", "ring.front"}
+        }) {
             Malformed e = assertThrows(Malformed.class, () -> play(START + c[0]));
             assertTrue(e.getMessage().contains(c[1]) && e.getMessage().contains("line "), e.getMessage());
         }
@@ -51,8 +57,9 @@
     void aFailingDeciderBecomesAFaultOfItsFrontOnly() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new BenchLink((set, seed) -> (now, events) -> {
-            throw new IllegalStateException("boom\nhere");
-        }).run(new ByteArrayInputStream(START.getBytes(StandardCharsets.UTF_8)), out);
+                    throw new IllegalStateException("boom\nhere");
+                })
+                .run(new ByteArrayInputStream(START.getBytes(StandardCharsets.UTF_8)), out);
         assertEquals("fault 0 java.lang.IllegalStateException: boom here\nack 1\n", out.toString());
     }
 }
--- a/src/test/java/laurelkeel/blame/BlameTest.java
+++ b/src/test/java/laurelkeel/blame/BlameTest.java
@@ -24,10 +24,10 @@
     private static final int BASE = 8;
 
     /** What one try meets: whether it fails, gets no answer, and the logarithm of its time. */
-    private record Met(boolean fails, boolean silent, double log) { }
+    private record Met(boolean fails, boolean silent, double log) {}
 
     /** One machine's ways in one second. */
-    private interface World extends BiFunction<Integer, String, Met> { }
+    private interface World extends BiFunction<Integer, String, Met> {}
 
     private final Random random = new Random(4);
     private final Blame blame = new Blame(2, 2);
@@ -64,8 +64,18 @@
         List<Cell> out = new ArrayList<>();
         sums.forEach((k, v) -> {
             String[] p = k.split("/");
-            out.add(new Cell(Integer.parseInt(p[0]), Integer.parseInt(p[1]), p[2], -1, (int) v[0], (int) v[1], (int) v[2],
-                    0, (int) v[3], v[4], v[5]));
+            out.add(new Cell(
+                    Integer.parseInt(p[0]),
+                    Integer.parseInt(p[1]),
+                    p[2],
+                    -1,
+                    (int) v[0],
+                    (int) v[1],
+                    (int) v[2],
+                    0,
+                    (int) v[3],
+                    v[4],
+                    v[5]));
         });
         return out;
     }
@@ -75,7 +85,11 @@
     }
 
     private Verdict of(int build) {
-        return found.stream().filter(f -> f.build() == build).findFirst().orElseThrow().verdict();
+        return found.stream()
+                .filter(f -> f.build() == build)
+                .findFirst()
+                .orElseThrow()
+                .verdict();
     }
 
     private void offered(int... builds) {
@@ -107,7 +121,12 @@
         offered(2, 3);
         play(30, 4, List.of(2, 3), 3, (b, m) -> m.equals("2m1") ? new Met(false, true, 0) : usual());
         assertFalse(found.stream().anyMatch(f -> f.verdict() == Verdict.GUILTY), found.toString());
-        play(30, 4, List.of(2, 3), 3, (b, m) -> m.equals("2m1") && random.nextBoolean() ? new Met(true, false, 0) : usual());
+        play(
+                30,
+                4,
+                List.of(2, 3),
+                3,
+                (b, m) -> m.equals("2m1") && random.nextBoolean() ? new Met(true, false, 0) : usual());
         assertFalse(found.stream().anyMatch(f -> f.verdict() == Verdict.GUILTY), found.toString());
         assertTrue(found.get(0).considered().toString().contains("2m1"), found.toString());
     }
@@ -124,7 +143,12 @@
         offered(2, 3);
         play(25, 4, List.of(2, 3), 3, (b, m) -> m.equals("3m0") ? new Met(false, false, 4.2) : usual());
         assertFalse(found.stream().anyMatch(f -> f.verdict() == Verdict.GUILTY), found.toString());
-        play(30, 4, List.of(2, 3), 3, (b, m) -> b == 3 ? new Met(false, false, 3.9 + 0.4 * random.nextGaussian()) : usual());
+        play(
+                30,
+                4,
+                List.of(2, 3),
+                3,
+                (b, m) -> b == 3 ? new Met(false, false, 3.9 + 0.4 * random.nextGaussian()) : usual());
         assertEquals(Verdict.GUILTY, of(3));
         assertTrue(of(2) != Verdict.GUILTY);
     }
@@ -136,8 +160,20 @@
             for (int f = 0; f < 5; f++) {
                 List<Cell> cells = cells(List.of(2), 2, (b, m) -> usual());
                 if (f == 3) {
-                    cells = cells.stream().map(c -> new Cell(c.build(), c.route(), c.machine(), -1, c.tries() * 10,
-                            c.build() == 2 ? c.tries() * 5 : 0, 0, 0, c.rated(), c.logTime(), c.logSquare())).toList();
+                    cells = cells.stream()
+                            .map(c -> new Cell(
+                                    c.build(),
+                                    c.route(),
+                                    c.machine(),
+                                    -1,
+                                    c.tries() * 10,
+                                    c.build() == 2 ? c.tries() * 5 : 0,
+                                    0,
+                                    0,
+                                    c.rated(),
+                                    c.logTime(),
+                                    c.logSquare()))
+                            .toList();
                 }
                 blame.take(new Report(f, "x", now, cells), now);
             }
@@ -163,8 +199,14 @@
         List<Report> all = new ArrayList<>();
         for (int s = 0; s < 12; s++) {
             for (int f = 0; f < 4; f++) {
-                all.add(new Report(f, "x", s, cells(List.of(2), 2,
-                        (b, m) -> b == 2 && random.nextInt(5) == 0 ? new Met(true, false, 0) : usual())));
+                all.add(new Report(
+                        f,
+                        "x",
+                        s,
+                        cells(
+                                List.of(2),
+                                2,
+                                (b, m) -> b == 2 && random.nextInt(5) == 0 ? new Met(true, false, 0) : usual())));
             }
         }
         one.offered(2, 0);
@@ -193,8 +235,10 @@
 
     /** The mean of the ratio under chance is 1: what makes looking at it any time safe. */
     @Property(tries = 200)
-    void ratiosOfOddsAverageToOneUnderChance(@ForAll @IntRange(min = 1, max = 60) int own,
-            @ForAll @IntRange(min = 1, max = 200) int others, @ForAll @DoubleRange(min = 1.5, max = 40) double odds,
+    void ratiosOfOddsAverageToOneUnderChance(
+            @ForAll @IntRange(min = 1, max = 60) int own,
+            @ForAll @IntRange(min = 1, max = 200) int others,
+            @ForAll @DoubleRange(min = 1.5, max = 40) double odds,
             @ForAll @IntRange(min = 1, max = 50) int hits) {
         int all = own + others;
         int hit = Math.min(hits, all);
--- a/src/test/java/laurelkeel/cli/RereadTest.java
+++ b/src/test/java/laurelkeel/cli/RereadTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/laurelkeel/cli/StartTest.java
+++ b/src/test/java/laurelkeel/cli/StartTest.java
@@ -71,8 +71,10 @@
     private String config(int port) {
         String servers = "";
         for (int i = 0; i < 4; i++) {
-            servers += (i == 0 ? "" : ",") + "{\"id\":\"s-" + i + "\",\"addr\":\"127.0.0.1:1\",\"zone\":\"a\",\"kind\":\"m1\","
-                    + "\"cell\":0,\"state\":\"active\",\"weight\":1.0,\"started_ms\":0,\"revision_no\":" + (23 + i % 2) + "}";
+            servers += (i == 0 ? "" : ",") + "{\"id\":\"s-" + i
+                    + "\",\"addr\":\"127.0.0.1:1\",\"zone\":\"a\",\"kind\":\"m1\","
+                    + "\"cell\":0,\"state\":\"active\",\"weight\":1.0,\"started_ms\":0,\"revision_no\":" + (23 + i % 2)
+                    + "}";
         }
         return "{\"name\":\"n\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"" + discovery.address()
                 + "\",\"limits\":{\"sockets\":256},\"rollouts\":{\"address\":\"" + control.address()
--- a/src/test/java/laurelkeel/config/IniTest.java
+++ b/src/test/java/laurelkeel/config/IniTest.java
@@ -16,7 +16,8 @@
     @TempDir
     Path folder;
 
-    private static final String GOOD = """
+    private static final String GOOD =
+            """
             [front]
             number = 0
             fronts = 2
@@ -34,7 +35,8 @@
         Path f = folder.resolve("f.ini");
         Files.writeString(f, text);
         return assertThrows(BadSettings.class, () -> FrontSettings.read(f)).faults().stream()
-                .map(s -> s.substring(s.indexOf("f.ini"))).toList();
+                .map(s -> s.substring(s.indexOf("f.ini")))
+                .toList();
     }
 
     @Test
@@ -51,7 +53,8 @@
     void eachFaultNamesLineAndMend() throws Exception {
         for (String[] c : new String[][] {
             {"timeout = 2 s", "timeout = 2", "f.ini:9: 'timeout' is '2'; write a time with its unit"},
-            {"timeout = 2 s", "timeuot = 2 s", "f.ini:9: 'timeuot' is unknown in [route look]; did you mean 'timeout'?"},
+            {"timeout = 2 s", "timeuot = 2 s", "f.ini:9: 'timeuot' is unknown in [route look]; did you mean 'timeout'?"
+            },
             {"timeout = 2 s", "", "f.ini:5: 'timeout' is missing in [route look]; add a line"},
             {"timeout = 2 s", "timeout = 100 ms", "f.ini:8: 'objective' is longer than the route's timeout"},
             {"effect = retriable", "effect = safe", "write one of retriable, deduped, non-retriable"},
@@ -63,7 +66,8 @@
             {"[rollout]", "[rolout]", "section [rolout] is unknown; did you mean 'rollout'?"},
             {"[rollout]", "[rollout", "'[rollout' is no section; write [name]"},
             {"stage-caps = 0.1, 1", "stage-caps = 0.1, 7", "write numbers from 0.0 to 1.0"},
-            {"stage-caps = 0.1, 1", "what is this", "neither a section, a key = value nor a comment"}}) {
+            {"stage-caps = 0.1, 1", "what is this", "neither a section, a key = value nor a comment"}
+        }) {
             List<String> f = faults(GOOD.replace(c[0], c[1]));
             assertTrue(f.stream().anyMatch(s -> s.contains(c[2])), c[1] + " -> " + f);
         }
@@ -71,10 +75,13 @@
 
     @Test
     void allFaultsAreToldAtOnceInTheirOrder() throws Exception {
-        List<String> f = faults(GOOD.replace("number = 0", "number = x").replace("retriable", "safe")
+        List<String> f = faults(GOOD.replace("number = 0", "number = x")
+                .replace("retriable", "safe")
                 .replace("0.1, 1", "one"));
         assertEquals(3, f.size(), f.toString());
-        assertTrue(f.get(0).startsWith("f.ini:2") && f.get(1).startsWith("f.ini:7") && f.get(2).startsWith("f.ini:11"));
+        assertTrue(f.get(0).startsWith("f.ini:2")
+                && f.get(1).startsWith("f.ini:7")
+                && f.get(2).startsWith("f.ini:11"));
     }
 
     @Test
@@ -82,11 +89,18 @@
         for (String day : DayPlan.SHIPPED) {
             assertTrue(DayPlan.find(day).troubles().size() > 2);
         }
-        BadSettings e = assertThrows(BadSettings.class, () -> DayPlan.find(folder.resolve("none.ini").toString()));
+        BadSettings e = assertThrows(
+                BadSettings.class, () -> DayPlan.find(folder.resolve("none.ini").toString()));
         assertTrue(e.getMessage().contains("there is no such file"));
-        e = assertThrows(BadSettings.class, () -> DayPlan.read(Ini.parse("d.ini", GOOD.replace("[front]", "[day]")
-                .replaceAll("number.*\nfronts.*\nlisten.*\n", "") + "[work]\nlook = 5 ms\n[line]\nshares = 1\n"
-                + "[event e]\nat = 3 s\nwhat = offer\nbuild = 9\n"), "d"));
+        e = assertThrows(
+                BadSettings.class,
+                () -> DayPlan.read(
+                        Ini.parse(
+                                "d.ini",
+                                GOOD.replace("[front]", "[day]").replaceAll("number.*\nfronts.*\nlisten.*\n", "")
+                                        + "[work]\nlook = 5 ms\n[line]\nshares = 1\n"
+                                        + "[event e]\nat = 3 s\nwhat = offer\nbuild = 9\n"),
+                        "d"));
         assertTrue(e.getMessage().contains("'shares' has 1 stages and stage-caps of [rollout] has 2"), e.getMessage());
         assertTrue(e.getMessage().contains("add a section [build 9]"), e.getMessage());
     }
--- a/src/test/java/laurelkeel/day/DayTest.java
+++ b/src/test/java/laurelkeel/day/DayTest.java
@@ -16,7 +16,8 @@
     @TempDir
     Path folder;
 
-    private static final String SMALL = """
+    private static final String SMALL =
+            """
             [day]
             length = 10 s
             fronts = 3
@@ -68,9 +69,13 @@
     /** line: more of the release line's settings. */
     private Judgement play(String line, String more) throws Exception {
         ByteArrayOutputStream said = new ByteArrayOutputStream();
-        Judgement j = new Day(DayPlan.read(Ini.parse("small.ini",
-                SMALL.replace("[line]\n", "[line]\n" + line) + more), "small"), 5, folder,
-                new PrintStream(said)).play();
+        Judgement j = new Day(
+                        DayPlan.read(
+                                Ini.parse("small.ini", SMALL.replace("[line]\n", "[line]\n" + line) + more), "small"),
+                        5,
+                        folder,
+                        new PrintStream(said))
+                .play();
         assertEquals(5, j.kept(), said.toString());
         assertEquals(0, j.unanswered(), said.toString());
         assertTrue(j.asked() > 300, said.toString());
@@ -80,7 +85,8 @@
 
     @Test
     void aKilledFrontABadBuildAndDeadMachines() throws Exception {
-        play("""
+        play(
+                """
                 [build 2]
                 failing = 0.5
                 [event offer]
@@ -105,7 +111,8 @@
 
     @Test
     void lostAnswersAStalledLineAndAStoppedFront() throws Exception {
-        play("""
+        play(
+                """
                 [build 2]
                 work = 1
                 [event lost]
@@ -147,7 +154,9 @@
 
     @Test
     void twoReleasesOneOfThemBad() throws Exception {
-        play("together = 2\n", """
+        play(
+                "together = 2\n",
+                """
                 [build 2]
                 work = 1
                 [build 3]
--- a/src/test/java/laurelkeel/decision/RotationTest.java
+++ b/src/test/java/laurelkeel/decision/RotationTest.java
@@ -17,7 +17,9 @@
     private static final boolean[] NONE = new boolean[MANY + 1];
 
     private static double[] places(int from, int to) {
-        return IntStream.range(from, to).mapToDouble(i -> Rotation.placeOf("s-" + i)).toArray();
+        return IntStream.range(from, to)
+                .mapToDouble(i -> Rotation.placeOf("s-" + i))
+                .toArray();
     }
 
     private static boolean[] near(int machines, int zones) {
@@ -63,7 +65,8 @@
         double[] after = places(0, MANY + 1);
         int[] was = rotation.choose(before, near(MANY, 1), NONE, NONE);
         int[] is = rotation.choose(after, near(MANY + 1, 1), NONE, NONE);
-        long kept = Arrays.stream(is).filter(i -> Arrays.binarySearch(was, i) >= 0).count();
+        long kept =
+                Arrays.stream(is).filter(i -> Arrays.binarySearch(was, i) >= 0).count();
         assertTrue(kept >= Rotation.LEAST - 1, "kept " + kept);
     }
 
@@ -92,7 +95,8 @@
         for (int i : rotation.choose(places(0, MANY), near(MANY, 1), suspect, NONE)) {
             suspect[i] = true;
         }
-        assertTrue(Arrays.stream(rotation.choose(places(0, MANY), near(MANY, 1), suspect, NONE)).noneMatch(i -> suspect[i]));
+        assertTrue(Arrays.stream(rotation.choose(places(0, MANY), near(MANY, 1), suspect, NONE))
+                .noneMatch(i -> suspect[i]));
         Arrays.fill(suspect, true);
         assertEquals(Rotation.LEAST, rotation.choose(places(0, MANY), near(MANY, 1), suspect, NONE).length);
     }
--- a/src/test/java/laurelkeel/front/BadPeersTest.java
+++ b/src/test/java/laurelkeel/front/BadPeersTest.java
@@ -27,6 +27,7 @@
 /** Peers that stay half open, trickle, pour, or go without a word: nobody else waits and no place is kept for ever. */
 class BadPeersTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
+
     @TempDir
     Path folder;
 
@@ -80,19 +81,23 @@
 
     @Test
     void aClientThatWaitsForALateAnswerKeepsItsPlace() throws Exception {
-        try (Peers p = new Peers(folder, "[clients]\nidle-close = 1 s\n", Peers::once); Socket c = p.client()) {
+        try (Peers p = new Peers(folder, "[clients]\nidle-close = 1 s\n", Peers::once);
+                Socket c = p.client()) {
             Peers.say(c, Peers.look(""));
             Socket m = p.call();
             Peers.hear(m);
             // longer than it may be idle, and less than its route's time
-            assertFalse(closedOnTrickle(c, "\r\n".repeat(1)) && p.events.stream().noneMatch(e -> e instanceof Event.TryEnded));
+            assertFalse(closedOnTrickle(c, "\r\n".repeat(1))
+                    && p.events.stream().noneMatch(e -> e instanceof Event.TryEnded));
         }
     }
 
     @Test
     void nothingOfAClientTurnedAwayIsTaken() throws Exception {
-        try (Peers p = new Peers(folder, "[clients]\nconnections = 1\n", (peers, e) -> e instanceof Event.Req r
-                ? List.of(new Action.Err(r.id())) : List.of())) {
+        try (Peers p = new Peers(
+                folder,
+                "[clients]\nconnections = 1\n",
+                (peers, e) -> e instanceof Event.Req r ? List.of(new Action.Err(r.id())) : List.of())) {
             Socket in = p.client();
             Peers.say(in, Peers.look(""));
             Peers.hear(in);
@@ -106,7 +111,8 @@
             }
             Peers.say(in, Peers.look(""));
             Peers.hear(in);
-            assertEquals(2, p.events.stream().filter(e -> e instanceof Event.Req).count(), "told: not taken");
+            assertEquals(
+                    2, p.events.stream().filter(e -> e instanceof Event.Req).count(), "told: not taken");
         }
     }
 
@@ -115,17 +121,19 @@
         int admin = Ports.free();
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch stalled = new CountDownLatch(1);
-        try (Peers p = new Peers(folder, "[clients]\npipelined = 16\n", List.of("admin = 127.0.0.1:" + admin), (peers, e) -> {
-            if (e instanceof Event.Req r && r.key() != null) {
-                stalled.countDown();
-                try {
-                    held.await(30, TimeUnit.SECONDS);
-                } catch (InterruptedException x) {
-                    Thread.currentThread().interrupt();
-                }
-            }
-            return e instanceof Event.Req r ? List.of(new Action.Shed(r.id(), 0)) : List.of();
-        }); Socket watch = new Socket("127.0.0.1", admin)) {
+        try (Peers p = new Peers(
+                        folder, "[clients]\npipelined = 16\n", List.of("admin = 127.0.0.1:" + admin), (peers, e) -> {
+                            if (e instanceof Event.Req r && r.key() != null) {
+                                stalled.countDown();
+                                try {
+                                    held.await(30, TimeUnit.SECONDS);
+                                } catch (InterruptedException x) {
+                                    Thread.currentThread().interrupt();
+                                }
+                            }
+                            return e instanceof Event.Req r ? List.of(new Action.Shed(r.id(), 0)) : List.of();
+                        });
+                Socket watch = new Socket("127.0.0.1", admin)) {
             Peers.say(p.client(), Peers.look("Laurelkeel-Key: stall\r\n"));
             assertTrue(stalled.await(10, TimeUnit.SECONDS));
             Socket c = p.client();
@@ -158,9 +166,14 @@
 
     @Test
     void aMachineGoneWithoutAWordCostsOneTimeOutAndNotOneAConnection() throws Exception {
-        try (Peers p = new Peers(folder, "", (peers, e) -> e instanceof Event.Req r
-                ? List.of(new Action.Send(r.id(), peers.machineId(), 3_000)) : e instanceof Event.TryEnded t && !t.reqOver()
-                        ? List.of(new Action.Err(t.req())) : List.of())) {
+        try (Peers p = new Peers(
+                folder,
+                "",
+                (peers, e) -> e instanceof Event.Req r
+                        ? List.of(new Action.Send(r.id(), peers.machineId(), 3_000))
+                        : e instanceof Event.TryEnded t && !t.reqOver()
+                                ? List.of(new Action.Err(t.req()))
+                                : List.of())) {
             List<Socket> clients = new ArrayList<>();
             List<Socket> machine = new ArrayList<>();
             for (int i = 0; i < 5; i++) {
@@ -181,8 +194,11 @@
             Peers.hear(fresh);
             Peers.say(fresh, OK);
             assertTrue(Peers.hear(clients.get(1)).endsWith("hi"), "an old connection was used");
-            assertEquals(1, p.events.stream().filter(e -> e instanceof Event.TryEnded t
-                    && t.outcome() == Outcome.TIMEOUT).count());
+            assertEquals(
+                    1,
+                    p.events.stream()
+                            .filter(e -> e instanceof Event.TryEnded t && t.outcome() == Outcome.TIMEOUT)
+                            .count());
         }
     }
 
@@ -203,9 +219,13 @@
         t.start();
         java.nio.file.Files.writeString(folder.resolve("f.ini"), Peers.SETTINGS.formatted(""));
         FrontSettings set = FrontSettings.read(folder.resolve("f.ini"));
-        OwnDialect words = new OwnDialect(new RouteTable(set.routes().entries(), List.of()), r -> {
-            throw made;
-        }, "0/a", "/health");
+        OwnDialect words = new OwnDialect(
+                new RouteTable(set.routes().entries(), List.of()),
+                r -> {
+                    throw made;
+                },
+                "0/a",
+                "/health");
         Ingress in = new Ingress(set.ingress(), words, loop, base.socketThreads(), base.processors(1), null);
         InetSocketAddress at = in.open();
         try (Socket c = new Socket(at.getAddress(), at.getPort())) {
--- a/src/test/java/laurelkeel/front/BreakingTest.java
+++ b/src/test/java/laurelkeel/front/BreakingTest.java
@@ -37,8 +37,14 @@
         List<Breach> of = j.breaches().stream().filter(b -> b.rule() == rule).toList();
         assertFalse(of.isEmpty(), "rule " + rule + " was broken unseen");
         assertTrue(of.stream().anyMatch(b -> b.what().contains(text)), of.get(0).what());
-        assertEquals(List.of(), j.breaches().stream().filter(b -> b.rule() != rule).map(Breach::what).distinct()
-                .limit(3).toList());
+        assertEquals(
+                List.of(),
+                j.breaches().stream()
+                        .filter(b -> b.rule() != rule)
+                        .map(Breach::what)
+                        .distinct()
+                        .limit(3)
+                        .toList());
         Set<String> reqs = new HashSet<>();
         rig.records.forEach(r -> {
             if (r instanceof Rec.Asked a) {
@@ -138,7 +144,9 @@
             rig.load();
             answered(rig, 100);
             rig.befall("what = drain\n");
-            Rig.await("it is gone", () -> rig.count(Rec.MachineDown.class, m -> m.why().equals("drained")) > 0);
+            Rig.await(
+                    "it is gone",
+                    () -> rig.count(Rec.MachineDown.class, m -> m.why().equals("drained")) > 0);
             only(rig, 3, "after it was told that it drains");
         }
     }
@@ -156,7 +164,9 @@
             rig.load();
             answered(rig, 100);
             rig.befall("what = crash\nback-after = 100 ms\n");
-            Rig.await("it tips", () -> rig.count(Rec.MachineDown.class, m -> m.why().equals("tipped")) > 0);
+            Rig.await(
+                    "it tips",
+                    () -> rig.count(Rec.MachineDown.class, m -> m.why().equals("tipped")) > 0);
             only(rig, 4, "was pushed over");
         }
     }
@@ -165,7 +175,8 @@
         return new Naive() {
             @Override
             boolean uses(Listed m, Event.Req r) {
-                boolean trial = r.route() == 0 && turn % trialOneIn == 0
+                boolean trial = r.route() == 0
+                        && turn % trialOneIn == 0
                         && machines.values().stream().anyMatch(o -> o.build() == 2);
                 return m.state() == Event.MachineState.LIVE && m.build() == (trial ? 2 : 1);
             }
@@ -185,9 +196,9 @@
         try (Rig rig = rig("", () -> new Naive() {
             @Override
             boolean uses(Listed m, Event.Req r) {
-                boolean trial = r.key() != null
-                        && machines.values().stream().anyMatch(o -> o.build() == 2);
-                return m.state() == Event.MachineState.LIVE && (trial ? m.build() == 2 && r.route() == 0 : m.build() == 1);
+                boolean trial = r.key() != null && machines.values().stream().anyMatch(o -> o.build() == 2);
+                return m.state() == Event.MachineState.LIVE
+                        && (trial ? m.build() == 2 && r.route() == 0 : m.build() == 1);
             }
         })) {
             offered(rig);
@@ -201,7 +212,9 @@
         try (Rig rig = rig("", () -> new Naive() {
             @Override
             boolean uses(Listed m, Event.Req r) {
-                int slice = r.key() == null || r.route() != 0 ? 0 : Math.floorMod(r.key().hashCode(), 16);
+                int slice = r.key() == null || r.route() != 0
+                        ? 0
+                        : Math.floorMod(r.key().hashCode(), 16);
                 int wanted = slice == 1 ? 2 : slice > 1 ? 3 : 1;
                 boolean there = machines.values().stream().anyMatch(o -> o.build() == wanted);
                 return m.state() == Event.MachineState.LIVE && m.build() == (there ? wanted : 1);
@@ -211,9 +224,12 @@
             answered(rig, 50);
             rig.befall("what = offer\nbuild = 2\n");
             rig.befall("what = offer\nbuild = 3\n");
-            Rig.await("both have traffic", () -> rig.count(Rec.Arrived.class, a -> a.build() == 2) > 5
-                    && rig.count(Rec.Arrived.class, a -> a.build() == 3) > 120);
-            assertTrue(only(rig, 5, "tries at build 3").stream().noneMatch(b -> b.what().contains("tries at build 2")));
+            Rig.await(
+                    "both have traffic",
+                    () -> rig.count(Rec.Arrived.class, a -> a.build() == 2) > 5
+                            && rig.count(Rec.Arrived.class, a -> a.build() == 3) > 120);
+            assertTrue(only(rig, 5, "tries at build 3").stream()
+                    .noneMatch(b -> b.what().contains("tries at build 2")));
         }
     }
 
@@ -230,7 +246,8 @@
         try (Rig rig = rig("", () -> new Naive() {
             @Override
             boolean uses(Listed m, Event.Req r) {
-                boolean trial = r.key() == null && turn % 12 == 0
+                boolean trial = r.key() == null
+                        && turn % 12 == 0
                         && machines.values().stream().anyMatch(o -> o.build() == 2);
                 return m.state() == Event.MachineState.LIVE && m.build() == (trial ? 2 : 1);
             }
--- a/src/test/java/laurelkeel/front/Child.java
+++ b/src/test/java/laurelkeel/front/Child.java
@@ -39,8 +39,11 @@
         Path file = folder.resolve("child.ini");
         Files.createDirectories(folder.resolve("state"));
         Files.writeString(folder.resolve("state/list.json"), "[" + Peers.listed(machineId(), "live") + "]");
-        Files.writeString(file, "[front]\nnumber = 0\nfronts = 1\nlisten = 127.0.0.1:" + port + "\nadmin = 127.0.0.1:"
-                + admin + "\nrecords = child.jsonl\n" + """
+        Files.writeString(
+                file,
+                "[front]\nnumber = 0\nfronts = 1\nlisten = 127.0.0.1:" + port + "\nadmin = 127.0.0.1:"
+                        + admin + "\nrecords = child.jsonl\n"
+                        + """
                 [route look]
                 path = /look
                 effect = retriable
@@ -54,11 +57,15 @@
                 timeout = 5 s
                 [rollout]
                 stage-caps = 0.2, 1
-                """ + extra);
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"));
+                """
+                        + extra);
+        List<String> command = new ArrayList<>(List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1"));
         command.addAll(java);
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "laurelkeel.cli.Main", "front", file.toString()));
+        command.addAll(
+                List.of("-cp", System.getProperty("java.class.path"), "laurelkeel.cli.Main", "front", file.toString()));
         ProcessBuilder b = new ProcessBuilder("bash", "-c", limits + "; exec \"$@\"", "bash");
         b.command().addAll(command);
         b.redirectOutput(ProcessBuilder.Redirect.DISCARD);
--- a/src/test/java/laurelkeel/front/FrontEndsTest.java
+++ b/src/test/java/laurelkeel/front/FrontEndsTest.java
@@ -54,7 +54,9 @@
             assertEquals("<end>", Peers.hear(first));
             assertTrue(Peers.hear(other).startsWith("HTTP/1.1 503 "), "it was read and not begun");
             assertEquals("<end>", Peers.hear(other));
-            assertEquals("made to fail", peers.front.ended().get(10, TimeUnit.SECONDS).getMessage());
+            assertEquals(
+                    "made to fail",
+                    peers.front.ended().get(10, TimeUnit.SECONDS).getMessage());
         }
     }
 }
--- a/src/test/java/laurelkeel/front/FrontRulesTest.java
+++ b/src/test/java/laurelkeel/front/FrontRulesTest.java
@@ -29,7 +29,7 @@
  */
 class FrontRulesTest {
     /** What one client's req met, in the order it was asked. */
-    private record Asked(String id, String route) { }
+    private record Asked(String id, String route) {}
 
     private static final class World implements AutoCloseable {
         final Path folder;
@@ -38,6 +38,7 @@
         final List<Socket> open = new CopyOnWriteArrayList<>();
         /** When each req ran, by its id. */
         final Map<String, List<Long>> ran = new ConcurrentHashMap<>();
+
         final Map<String, String> routes = new ConcurrentHashMap<>();
         final List<String> broken = Collections.synchronizedList(new ArrayList<>());
         final Front front;
@@ -56,7 +57,10 @@
             }
             Files.createDirectories(folder.resolve("state"));
             Files.writeString(folder.resolve("state/list.json"), list + "]");
-            Files.writeString(folder.resolve("f.ini"), Peers.SETTINGS.formatted("") + """
+            Files.writeString(
+                    folder.resolve("f.ini"),
+                    Peers.SETTINGS.formatted("")
+                            + """
                     [route put]
                     path = /put
                     method = POST
@@ -100,7 +104,8 @@
                         continue;
                     }
                     String id = req.replaceAll("(?s).*X-Request-Id: (\\S+).*", "$1");
-                    ran.computeIfAbsent(id, k -> Collections.synchronizedList(new ArrayList<>())).add(System.nanoTime());
+                    ran.computeIfAbsent(id, k -> Collections.synchronizedList(new ArrayList<>()))
+                            .add(System.nanoTime());
                     if (what == 1) {
                         return;
                     } else if (what == 2) {
@@ -139,9 +144,16 @@
                 long waits = 60 + chance.nextInt(900);
                 routes.put(id, route);
                 asked.add(new Asked(id, route));
-                all.append(route.equals("look") ? "GET" : "POST").append(" /").append(route).append(" HTTP/1.1\r\nHost: f\r\n")
-                        .append("X-Request-Id: ").append(id).append("\r\nIdempotency-Key: ").append(id)
-                        .append("\r\nLaurelkeel-Remaining-Ms: ").append(waits)
+                all.append(route.equals("look") ? "GET" : "POST")
+                        .append(" /")
+                        .append(route)
+                        .append(" HTTP/1.1\r\nHost: f\r\n")
+                        .append("X-Request-Id: ")
+                        .append(id)
+                        .append("\r\nIdempotency-Key: ")
+                        .append(id)
+                        .append("\r\nLaurelkeel-Remaining-Ms: ")
+                        .append(waits)
                         .append(route.equals("look") ? "\r\n\r\n" : "\r\nContent-Length: 2\r\n\r\nhi");
             }
             Peers.say(s, all.toString());
@@ -218,8 +230,9 @@
                 if (times.size() > 1 && w.routes.get(id).equals("put")) {
                     w.broken.add("rule 2: a non-retriable req ran " + times.size() + " times: " + id);
                 }
-                if (times.size() > 1 && w.routes.get(id).equals("pay") && times.get(times.size() - 1) - times.get(0)
-                        > 1_000_000_000L) {
+                if (times.size() > 1
+                        && w.routes.get(id).equals("pay")
+                        && times.get(times.size() - 1) - times.get(0) > 1_000_000_000L) {
                     w.broken.add("rule 2: a deduped req ran again after its window: " + id);
                 }
             });
--- a/src/test/java/laurelkeel/front/FrontTest.java
+++ b/src/test/java/laurelkeel/front/FrontTest.java
@@ -19,7 +19,9 @@
 
 /** One front against peers that do what they should not. */
 class FrontTest {
-    private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nLaurelkeel-Load: concurrent=3, x=y\r\n\r\nhi";
+    private static final String OK =
+            "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nLaurelkeel-Load: concurrent=3, x=y\r\n\r\nhi";
+
     @TempDir
     Path folder;
 
@@ -29,7 +31,8 @@
 
     /** What the decider hears of a try to which the machine does that. */
     private Outcome outcome(String said, boolean reset) throws Exception {
-        try (Peers p = once(); Socket c = p.client()) {
+        try (Peers p = once();
+                Socket c = p.client()) {
             Peers.say(c, Peers.look(""));
             Socket m = p.call();
             Peers.hear(m);
@@ -43,7 +46,9 @@
             Event.TryEnded t = p.event(Event.TryEnded.class);
             assertEquals(t.outcome() == Outcome.COMPLETED, t.reqOver());
             String answer = Peers.hear(c);
-            assertTrue(answer.contains(t.reqOver() ? "Laurelkeel-Answer: completed" : "Laurelkeel-Answer: errored"), answer);
+            assertTrue(
+                    answer.contains(t.reqOver() ? "Laurelkeel-Answer: completed" : "Laurelkeel-Answer: errored"),
+                    answer);
             assertFalse(answer.contains("harmless"), answer);
             return t.outcome();
         }
@@ -55,8 +60,10 @@
         assertEquals(Outcome.COMPLETED, outcome("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n", false));
         assertEquals(Outcome.ERROR, outcome("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", false));
         assertEquals(Outcome.ERROR, outcome("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false));
-        assertEquals(Outcome.FULL, outcome("HTTP/1.1 503 No\r\nLaurelkeel-Ran: no\r\nContent-Length: 0\r\n\r\n", false));
-        assertEquals(Outcome.ERROR, outcome("HTTP/1.1 500 No\r\nLaurelkeel-Ran: no\r\nContent-Length: 0\r\n\r\n", false));
+        assertEquals(
+                Outcome.FULL, outcome("HTTP/1.1 503 No\r\nLaurelkeel-Ran: no\r\nContent-Length: 0\r\n\r\n", false));
+        assertEquals(
+                Outcome.ERROR, outcome("HTTP/1.1 500 No\r\nLaurelkeel-Ran: no\r\nContent-Length: 0\r\n\r\n", false));
         assertEquals(Outcome.ERROR, outcome("what is this\r\n", false));
         assertEquals(Outcome.ERROR, outcome("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", false));
         assertEquals(Outcome.BROKEN, outcome("", false));
@@ -65,7 +72,8 @@
 
     @Test
     void aRefusedConnectionProvesThatNothingRan() throws Exception {
-        try (Peers p = once(); Socket c = p.client()) {
+        try (Peers p = once();
+                Socket c = p.client()) {
             p.machine.close();
             Peers.say(c, Peers.look(""));
             assertEquals(Outcome.NO_CONNECTION, p.event(Event.TryEnded.class).outcome());
@@ -75,7 +83,8 @@
 
     @Test
     void aReusedConnectionThatDiesUnderAReqMayHaveRunIt() throws Exception {
-        try (Peers p = once(); Socket c = p.client()) {
+        try (Peers p = once();
+                Socket c = p.client()) {
             Peers.say(c, Peers.look(""));
             Socket m = p.call();
             Peers.hear(m);
@@ -84,8 +93,16 @@
             Peers.say(c, Peers.look(""));
             Peers.hear(m);
             m.close();
-            Rig.await("two ends", () -> p.events.stream().filter(e -> e instanceof Event.TryEnded).count() == 2);
-            Event.TryEnded t = (Event.TryEnded) p.events.stream().filter(e -> e instanceof Event.TryEnded).toList().get(1);
+            Rig.await(
+                    "two ends",
+                    () -> p.events.stream()
+                                    .filter(e -> e instanceof Event.TryEnded)
+                                    .count()
+                            == 2);
+            Event.TryEnded t = (Event.TryEnded) p.events.stream()
+                    .filter(e -> e instanceof Event.TryEnded)
+                    .toList()
+                    .get(1);
             assertEquals(Outcome.BROKEN, t.outcome());
             Peers.hear(c);
             // the next one gets a new connection
@@ -99,16 +116,24 @@
 
     @Test
     void aTryPastItsLimitEndsAndItsLateAnswerReachesNobody() throws Exception {
-        try (Peers p = new Peers(folder, "", (peers, e) -> e instanceof Event.Req r
-                ? List.of(new Action.Send(r.id(), peers.machineId(), 500)) : e instanceof Event.TryEnded t
-                        ? List.of(new Action.Shed(t.req(), 1230)) : List.of()); Socket c = p.client()) {
+        try (Peers p = new Peers(
+                        folder,
+                        "",
+                        (peers, e) -> e instanceof Event.Req r
+                                ? List.of(new Action.Send(r.id(), peers.machineId(), 500))
+                                : e instanceof Event.TryEnded t ? List.of(new Action.Shed(t.req(), 1230)) : List.of());
+                Socket c = p.client()) {
             Peers.say(c, Peers.look(""));
             Socket m = p.call();
             Peers.hear(m);
             assertEquals(Outcome.TIMEOUT, p.event(Event.TryEnded.class).outcome());
             String shed = Peers.hear(c);
-            for (String s : List.of("HTTP/1.1 503", "Laurelkeel-Answer: shed", "Laurelkeel-Retry: harmless",
-                    "Retry-After: 1\r", "Laurelkeel-Retry-After-Ms: 123\r")) {
+            for (String s : List.of(
+                    "HTTP/1.1 503",
+                    "Laurelkeel-Answer: shed",
+                    "Laurelkeel-Retry: harmless",
+                    "Retry-After: 1\r",
+                    "Laurelkeel-Retry-After-Ms: 123\r")) {
                 assertTrue(shed.contains(s), s + " in " + shed);
             }
             try {
@@ -124,9 +149,14 @@
 
     @Test
     void aClientThatLeavesIsToldOfAndItsTryIsStopped() throws Exception {
-        try (Peers p = new Peers(folder, "", (peers, e) -> e instanceof Event.ClientLeft l
-                ? List.of(new Action.StopTry(l.req(), 0)) : e instanceof Event.Req r
-                        ? List.of(new Action.Send(r.id(), peers.machineId(), 0)) : List.of())) {
+        try (Peers p = new Peers(
+                folder,
+                "",
+                (peers, e) -> e instanceof Event.ClientLeft l
+                        ? List.of(new Action.StopTry(l.req(), 0))
+                        : e instanceof Event.Req r
+                                ? List.of(new Action.Send(r.id(), peers.machineId(), 0))
+                                : List.of())) {
             Socket c = p.client();
             Peers.say(c, Peers.look(""));
             Socket m = p.call();
@@ -143,7 +173,8 @@
 
     @Test
     void aDeciderThatDoesNothingIsAnsweredForInTime() throws Exception {
-        try (Peers p = new Peers(folder, "", (peers, e) -> List.of()); Socket c = p.client()) {
+        try (Peers p = new Peers(folder, "", (peers, e) -> List.of());
+                Socket c = p.client()) {
             Peers.say(c, Peers.look("Laurelkeel-Remaining-Ms: 200\r\n"));
             String answer = Peers.hear(c);
             assertTrue(answer.startsWith("HTTP/1.1 504") && answer.contains("errored"), answer);
@@ -153,9 +184,18 @@
 
     @Test
     void twoAnswersOfTheDeciderReachTheClientAsOne() throws Exception {
-        try (Peers p = new Peers(folder, "", (peers, e) -> e instanceof Event.Req r ? List.of(new Action.Send(r.id(),
-                peers.machineId(), 0), new Action.Err(r.id()), new Action.Shed(r.id(), 0), new Action.Err("nobody"),
-                new Action.Send(r.id(), peers.machineId(), 0)) : List.of()); Socket c = p.client()) {
+        try (Peers p = new Peers(
+                        folder,
+                        "",
+                        (peers, e) -> e instanceof Event.Req r
+                                ? List.of(
+                                        new Action.Send(r.id(), peers.machineId(), 0),
+                                        new Action.Err(r.id()),
+                                        new Action.Shed(r.id(), 0),
+                                        new Action.Err("nobody"),
+                                        new Action.Send(r.id(), peers.machineId(), 0))
+                                : List.of());
+                Socket c = p.client()) {
             Peers.say(c, Peers.look(""));
             assertTrue(Peers.hear(c).startsWith("HTTP/1.1 502"));
             assertEquals(Outcome.NOT_SENT, p.event(Event.TryEnded.class).outcome());
@@ -185,10 +225,13 @@
 
     @Test
     void pipelinedReqsAreAnsweredInTheirOrder() throws Exception {
-        try (Peers p = once(); Socket c = p.client()) {
-            Peers.say(c, "POST /pay/1 HTTP/1.1\r\nHost: f\r\nIdempotency-Key: a\r\nTransfer-Encoding: chunked\r\n\r\n"
-                    + "3\r\nabc\r\n0\r\n\r\n" + Peers.look("X: 2\r\n") + "GET /pay HTTP/1.1\r\nHost: f\r\n\r\n"
-                    + Peers.look("X: 4\r\n") + "rubbish\r\n");
+        try (Peers p = once();
+                Socket c = p.client()) {
+            Peers.say(
+                    c,
+                    "POST /pay/1 HTTP/1.1\r\nHost: f\r\nIdempotency-Key: a\r\nTransfer-Encoding: chunked\r\n\r\n"
+                            + "3\r\nabc\r\n0\r\n\r\n" + Peers.look("X: 2\r\n") + "GET /pay HTTP/1.1\r\nHost: f\r\n\r\n"
+                            + Peers.look("X: 4\r\n") + "rubbish\r\n");
             Socket m = p.call();
             String first = Peers.hear(m);
             assertTrue(first.endsWith("abc") && first.contains("Content-Length: 3"), first);
@@ -210,13 +253,16 @@
 
     @Test
     void badNamesGetClearAnswersAndTheConnectionGoesOn() throws Exception {
-        try (Peers p = new Peers(folder, "[customer mill]\nquota = 5\n", Peers::once); Socket c = p.client()) {
+        try (Peers p = new Peers(folder, "[customer mill]\nquota = 5\n", Peers::once);
+                Socket c = p.client()) {
             String mill = "Laurelkeel-Customer: mill\r\n";
-            for (String[] x : new String[][] {{Peers.look(""), "Laurelkeel-Customer"},
+            for (String[] x : new String[][] {
+                {Peers.look(""), "Laurelkeel-Customer"},
                 {Peers.look("Laurelkeel-Customer: nobody\r\n"), "Laurelkeel-Customer"},
                 {Peers.look(mill + "Laurelkeel-Remaining-Ms: soon\r\n"), "number of milliseconds"},
                 {Peers.look(mill + "Laurelkeel-Key: \r\n"), "1 to 256"},
-                {"POST /pay HTTP/1.1\r\nHost: f\r\n" + mill + "Content-Length: 0\r\n\r\n", "Idempotency-Key"}}) {
+                {"POST /pay HTTP/1.1\r\nHost: f\r\n" + mill + "Content-Length: 0\r\n\r\n", "Idempotency-Key"}
+            }) {
                 Peers.say(c, x[0]);
                 String a = Peers.hear(c);
                 assertTrue(a.startsWith("HTTP/1.1 400") && a.contains(x[1]), a);
@@ -227,15 +273,16 @@
 
     @Test
     void aFullFrontShedsAtItsDoor() throws Exception {
-        try (Peers p = new Peers(folder, "[clients]\nopen-reqs = 2\nconnections = 4\n",
-                (peers, e) -> List.of())) {
+        try (Peers p = new Peers(folder, "[clients]\nopen-reqs = 2\nconnections = 4\n", (peers, e) -> List.of())) {
             List<Socket> held = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
                 Socket c = p.client();
                 Peers.say(c, Peers.look(""));
                 held.add(c);
             }
-            Rig.await("two held", () -> p.events.stream().filter(e -> e instanceof Event.Req).count() == 2);
+            Rig.await(
+                    "two held",
+                    () -> p.events.stream().filter(e -> e instanceof Event.Req).count() == 2);
             Socket third = p.client();
             Peers.say(third, Peers.look(""));
             String a = Peers.hear(third);
@@ -250,7 +297,8 @@
 
     @Test
     void anAnswerLargerThanAnyBufferReachesASlowClientWhole() throws Exception {
-        try (Peers p = once(); Socket c = p.client()) {
+        try (Peers p = once();
+                Socket c = p.client()) {
             c.setReceiveBufferSize(16 << 10);
             Peers.say(c, Peers.look(""));
             Socket m = p.call();
@@ -266,15 +314,16 @@
     void probesIdleClosesAndComplaintsAreCarried() throws Exception {
         String[] ref = new String[1];
         try (Peers p = new Peers(folder, "", (peers, e) -> {
-            List<Action> out = new ArrayList<>(Peers.once(peers, e));
-            if (e instanceof Event.TryEnded t) {
-                out.add(new Action.CloseIdle(t.machine()));
-                out.add(new Action.Log("closing idle ones"));
-            } else if (e instanceof Event.Complaint) {
-                out.add(new Action.Probe(peers.machineId()));
-            }
-            return out;
-        }); Socket c = p.client()) {
+                    List<Action> out = new ArrayList<>(Peers.once(peers, e));
+                    if (e instanceof Event.TryEnded t) {
+                        out.add(new Action.CloseIdle(t.machine()));
+                        out.add(new Action.Log("closing idle ones"));
+                    } else if (e instanceof Event.Complaint) {
+                        out.add(new Action.Probe(peers.machineId()));
+                    }
+                    return out;
+                });
+                Socket c = p.client()) {
             Peers.say(c, Peers.look(""));
             Socket m = p.call();
             Peers.hear(m);
@@ -301,8 +350,8 @@
 
     @Test
     void manyConnectionsAtOnceAreTakenAndGivenBack() throws Exception {
-        try (Peers p = new Peers(folder, "", (peers, e) -> e instanceof Event.Req r
-                ? List.of(new Action.Shed(r.id(), 0)) : List.of())) {
+        try (Peers p = new Peers(
+                folder, "", (peers, e) -> e instanceof Event.Req r ? List.of(new Action.Shed(r.id(), 0)) : List.of())) {
             List<Socket> all = new ArrayList<>();
             for (int i = 0; i < 5000; i++) {
                 all.add(p.client());
--- a/src/test/java/laurelkeel/front/NewsTest.java
+++ b/src/test/java/laurelkeel/front/NewsTest.java
@@ -37,11 +37,19 @@
 class NewsTest {
     private static final String LIVE = "{\"machine\":\"127.0.0.1:9\",\"build\":4,\"zone\":\"here\",\"state\":\"live\","
             + "\"run\":%d,\"ageMs\":%s,\"size\":1}";
+
     @TempDir
     Path folder;
+
     private HttpServer server;
-    private final Map<String, BlockingQueue<String>> says = Map.of("/list/watch", new LinkedBlockingQueue<>(), "/list",
-            new LinkedBlockingQueue<>(), "/release/watch", new LinkedBlockingQueue<>(), "/release/votes",
+    private final Map<String, BlockingQueue<String>> says = Map.of(
+            "/list/watch",
+            new LinkedBlockingQueue<>(),
+            "/list",
+            new LinkedBlockingQueue<>(),
+            "/release/watch",
+            new LinkedBlockingQueue<>(),
+            "/release/votes",
             new LinkedBlockingQueue<>());
     private final List<String> asked = new java.util.concurrent.CopyOnWriteArrayList<>();
 
@@ -85,12 +93,16 @@
     }
 
     private String sources(String mode) {
-        return "[list]\nmode = " + mode + "\naddress = 127.0.0.1:" + server.getAddress().getPort()
-                + "\n[release]\naddress = 127.0.0.1:" + server.getAddress().getPort() + "\n";
+        return "[list]\nmode = " + mode + "\naddress = 127.0.0.1:"
+                + server.getAddress().getPort() + "\n[release]\naddress = 127.0.0.1:"
+                + server.getAddress().getPort() + "\n";
     }
 
     private static List<Event.MachineList> lists(Peers p) {
-        return p.events.stream().filter(e -> e instanceof Event.MachineList).map(e -> (Event.MachineList) e).toList();
+        return p.events.stream()
+                .filter(e -> e instanceof Event.MachineList)
+                .map(e -> (Event.MachineList) e)
+                .toList();
     }
 
     @Test
@@ -105,7 +117,8 @@
             says.get("/list").add("{\"kind\":\"full\",\"version\":12,\"machines\":[" + LIVE.formatted(2, "0") + "]}");
             Rig.await("four lists", () -> lists(p).size() == 4);
             List<Event.MachineList> l = lists(p);
-            assertEquals(List.of(ListKind.REMEMBERED, ListKind.FULL, ListKind.CHANGES, ListKind.FULL),
+            assertEquals(
+                    List.of(ListKind.REMEMBERED, ListKind.FULL, ListKind.CHANGES, ListKind.FULL),
                     l.stream().map(Event.MachineList::kind).toList());
             assertEquals(List.of(), l.get(0).machines());
             Event.Listed first = l.get(1).machines().get(0);
@@ -125,9 +138,15 @@
 
     @Test
     void anAskedListIsOnlyAskedForAndFailuresAreTold() throws Exception {
-        try (Peers p = new Peers(folder, sources("ask"), (x, e) -> e instanceof Event.Req r
-                ? List.of(r.repeat() ? new Action.FetchList() : new Action.WatchList(true), new Action.Err(r.id()))
-                : List.of()); java.net.Socket c = p.client()) {
+        try (Peers p = new Peers(
+                        folder,
+                        sources("ask"),
+                        (x, e) -> e instanceof Event.Req r
+                                ? List.of(
+                                        r.repeat() ? new Action.FetchList() : new Action.WatchList(true),
+                                        new Action.Err(r.id()))
+                                : List.of());
+                java.net.Socket c = p.client()) {
             p.event(Event.MachineList.class);
             assertTrue(asked.stream().noneMatch(a -> a.startsWith("/list")));
             says.get("/list").add("no");
@@ -138,20 +157,27 @@
             Rig.await("an answer", () -> lists(p).size() == 3);
             says.get("/list/watch").add("cut");
             Rig.await("the broken watch is told", () -> lists(p).size() == 4);
-            assertEquals(List.of(ListKind.REMEMBERED, ListKind.FAILED, ListKind.FULL, ListKind.FAILED),
+            assertEquals(
+                    List.of(ListKind.REMEMBERED, ListKind.FAILED, ListKind.FULL, ListKind.FAILED),
                     lists(p).stream().map(Event.MachineList::kind).toList());
         }
     }
 
     @Test
     void newsCountsAndEveryAnswerToAVote() throws Exception {
-        try (Peers p = new Peers(folder, sources("push"), (x, e) -> e instanceof Event.Req r
-                ? List.of(new Action.Vote(9, 1, Verdict.BACK), new Action.Err(r.id())) : List.of());
+        try (Peers p = new Peers(
+                        folder,
+                        sources("push"),
+                        (x, e) -> e instanceof Event.Req r
+                                ? List.of(new Action.Vote(9, 1, Verdict.BACK), new Action.Err(r.id()))
+                                : List.of());
                 java.net.Socket c = p.client()) {
-            says.get("/release/watch").add("{\"kind\":\"news\",\"build\":9,\"stage\":1,\"cap\":0.4,\"phase\":"
-                    + "\"going-back\",\"ageMs\":100}");
-            says.get("/release/watch").add("{\"kind\":\"counts\",\"build\":9,\"route\":1,\"tries\":50,\"errors\":3,"
-                    + "\"meanMs\":12.5,\"ageMs\":40}");
+            says.get("/release/watch")
+                    .add("{\"kind\":\"news\",\"build\":9,\"stage\":1,\"cap\":0.4,\"phase\":"
+                            + "\"going-back\",\"ageMs\":100}");
+            says.get("/release/watch")
+                    .add("{\"kind\":\"counts\",\"build\":9,\"route\":1,\"tries\":50,\"errors\":3,"
+                            + "\"meanMs\":12.5,\"ageMs\":40}");
             Event.ReleaseNews n = p.event(Event.ReleaseNews.class);
             assertEquals(Event.Phase.GOING_BACK, n.phase());
             assertTrue(n.age() >= 1000 && !n.toVote() && n.build() == 9 && n.cap() == 0.4);
@@ -160,18 +186,37 @@
             List<Event.Answer> got = new ArrayList<>();
             for (String a : List.of("ok", "moot", "over-limit", "error", "no", "late")) {
                 if (!a.equals("late")) {
-                    says.get("/release/votes").add(a.equals("no") ? a : "{\"answer\":\"" + a + "\",\"build\":9,"
-                            + "\"stage\":1,\"cap\":0.4,\"phase\":\"trial\",\"ageMs\":1}");
+                    says.get("/release/votes")
+                            .add(
+                                    a.equals("no")
+                                            ? a
+                                            : "{\"answer\":\"" + a + "\",\"build\":9,"
+                                                    + "\"stage\":1,\"cap\":0.4,\"phase\":\"trial\",\"ageMs\":1}");
                 }
                 Peers.say(c, Peers.look(""));
                 Peers.hear(c);
                 int want = got.size() + 2;
-                Rig.await("answer " + a, () -> p.events.stream().filter(e -> e instanceof Event.ReleaseNews).count() == want);
-                got.add(p.events.stream().filter(e -> e instanceof Event.ReleaseNews r && r.toVote())
-                        .map(e -> ((Event.ReleaseNews) e).answer()).reduce((x, y) -> y).orElseThrow());
+                Rig.await(
+                        "answer " + a,
+                        () -> p.events.stream()
+                                        .filter(e -> e instanceof Event.ReleaseNews)
+                                        .count()
+                                == want);
+                got.add(p.events.stream()
+                        .filter(e -> e instanceof Event.ReleaseNews r && r.toVote())
+                        .map(e -> ((Event.ReleaseNews) e).answer())
+                        .reduce((x, y) -> y)
+                        .orElseThrow());
             }
-            assertEquals(List.of(Event.Answer.OK, Event.Answer.MOOT, Event.Answer.OVER_LIMIT, Event.Answer.ERROR,
-                    Event.Answer.ERROR, Event.Answer.TIMEOUT), got);
+            assertEquals(
+                    List.of(
+                            Event.Answer.OK,
+                            Event.Answer.MOOT,
+                            Event.Answer.OVER_LIMIT,
+                            Event.Answer.ERROR,
+                            Event.Answer.ERROR,
+                            Event.Answer.TIMEOUT),
+                    got);
         }
     }
 
@@ -232,8 +277,12 @@
             }
             x.close();
         });
-        try (Peers p = new Peers(folder, sources("push"), (x, e) -> e instanceof Event.Req r
-                ? List.of(new Action.Vote(9, 1, Verdict.BACK), new Action.Err(r.id())) : List.of());
+        try (Peers p = new Peers(
+                        folder,
+                        sources("push"),
+                        (x, e) -> e instanceof Event.Req r
+                                ? List.of(new Action.Vote(9, 1, Verdict.BACK), new Action.Err(r.id()))
+                                : List.of());
                 java.net.Socket c = p.client()) {
             Peers.say(c, Peers.look(""));
             assertEquals(Event.Answer.TIMEOUT, p.event(Event.ReleaseNews.class).answer());
@@ -244,8 +293,18 @@
     void aWatchThatGoesSilentIsOpenedAnew() throws Exception {
         try (Peers p = new Peers(folder, sources("push"), (x, e) -> List.of())) {
             // each says one beat and nothing more
-            Rig.await("the list is asked again", () -> asked.stream().filter(a -> a.startsWith("/list/watch")).count() > 1);
-            Rig.await("the release line too", () -> asked.stream().filter(a -> a.startsWith("/release/watch")).count() > 1);
+            Rig.await(
+                    "the list is asked again",
+                    () -> asked.stream()
+                                    .filter(a -> a.startsWith("/list/watch"))
+                                    .count()
+                            > 1);
+            Rig.await(
+                    "the release line too",
+                    () -> asked.stream()
+                                    .filter(a -> a.startsWith("/release/watch"))
+                                    .count()
+                            > 1);
         }
     }
 
@@ -283,8 +342,20 @@
         Thread t = new Thread(() -> loop.run(() -> false));
         t.start();
         BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-        Notes first = new Notes(0, a, peers, loop, Executors.newCachedThreadPool(), (from, bytes) -> heard.add(from + ":" + bytes.length));
-        Notes second = new Notes(1, b, peers, loop, Executors.newCachedThreadPool(), (from, bytes) -> heard.add(from + ":" + bytes.length));
+        Notes first = new Notes(
+                0,
+                a,
+                peers,
+                loop,
+                Executors.newCachedThreadPool(),
+                (from, bytes) -> heard.add(from + ":" + bytes.length));
+        Notes second = new Notes(
+                1,
+                b,
+                peers,
+                loop,
+                Executors.newCachedThreadPool(),
+                (from, bytes) -> heard.add(from + ":" + bytes.length));
         first.open();
         second.open();
         try (java.net.DatagramSocket stranger = new java.net.DatagramSocket()) {
@@ -295,8 +366,8 @@
             second.tell(0, new byte[0]);
             assertEquals("1:0", heard.poll(10, TimeUnit.SECONDS));
             assertTrue(heard.isEmpty());
-            org.junit.jupiter.api.Assertions.assertThrows(IllegalArgumentException.class,
-                    () -> first.tell(1, new byte[257]));
+            org.junit.jupiter.api.Assertions.assertThrows(
+                    IllegalArgumentException.class, () -> first.tell(1, new byte[257]));
         } finally {
             first.close();
             second.close();
@@ -311,8 +382,9 @@
         try (Rig rig = new Rig(folder, "", 2, 5, Shifter::new, true, mine, () -> mine.getAsLong() + 99_999_999_999L)) {
             rig.load();
             rig.befall("what = offer\nbuild = 2\n");
-            Rig.await("released", () -> rig.count(Rec.Stage.class, s -> s.build() == 2
-                    && s.phase() == Rec.Phase.RELEASED) > 0);
+            Rig.await(
+                    "released",
+                    () -> rig.count(Rec.Stage.class, s -> s.build() == 2 && s.phase() == Rec.Phase.RELEASED) > 0);
             Judgement j = rig.judge();
             assertEquals(List.of(), j.breaches());
             assertEquals(0, j.unanswered());
--- a/src/test/java/laurelkeel/front/Peers.java
+++ b/src/test/java/laurelkeel/front/Peers.java
@@ -24,7 +24,8 @@
 /** A front between a machine whose every byte a test writes and clients that are plain sockets. */
 public final class Peers implements AutoCloseable {
     /** Of one front; with lines of its own in its first section. */
-    static final String SETTINGS = """
+    static final String SETTINGS =
+            """
             [front]
             number = 0
             fronts = 2
@@ -123,8 +124,9 @@
 
     /** A machine of build 1 as a list has it. */
     static String listed(String machine, String state) {
-        return "{\"machine\":\"" + machine + "\",\"build\":1,\"zone\":\"here\",\"cell\":0,\"kind\":0,\"size\":1,\"state\":\""
-                + state + "\",\"run\":1,\"ageMs\":-1}";
+        return "{\"machine\":\"" + machine
+                + "\",\"build\":1,\"zone\":\"here\",\"cell\":0,\"kind\":0,\"size\":1,\"state\":\"" + state
+                + "\",\"run\":1,\"ageMs\":-1}";
     }
 
     static String look(String more) {
@@ -145,7 +147,8 @@
             }
             head.append((char) b);
         }
-        java.util.regex.Matcher m = java.util.regex.Pattern.compile("(?i)Content-Length: (\\d+)").matcher(head);
+        java.util.regex.Matcher m =
+                java.util.regex.Pattern.compile("(?i)Content-Length: (\\d+)").matcher(head);
         byte[] body = in.readNBytes(m.find() ? Integer.parseInt(m.group(1)) : 0);
         return head + new String(body, StandardCharsets.ISO_8859_1);
     }
@@ -161,7 +164,11 @@
 
     <E extends Event> E event(Class<E> kind) {
         Rig.await(kind.getSimpleName(), () -> events.stream().anyMatch(kind::isInstance));
-        return events.stream().filter(kind::isInstance).map(kind::cast).findFirst().orElseThrow();
+        return events.stream()
+                .filter(kind::isInstance)
+                .map(kind::cast)
+                .findFirst()
+                .orElseThrow();
     }
 
     @Override
--- a/src/test/java/laurelkeel/front/Rig.java
+++ b/src/test/java/laurelkeel/front/Rig.java
@@ -23,7 +23,8 @@
 
 /** The end-to-end tests' one helper: fronts of this process between stand-ins, played until a condition holds. */
 public final class Rig implements AutoCloseable {
-    static final String COMMON = """
+    static final String COMMON =
+            """
             [day]
             fronts = %d
             machines = %d
@@ -84,18 +85,28 @@
     final List<InetSocketAddress> at = new ArrayList<>();
     private final Path folder;
 
-    Rig(Path folder, String extra, int count, int machines, Decider.Maker maker, boolean guarded,
-            LongSupplier... clocks) throws Exception {
+    Rig(
+            Path folder,
+            String extra,
+            int count,
+            int machines,
+            Decider.Maker maker,
+            boolean guarded,
+            LongSupplier... clocks)
+            throws Exception {
         this.folder = folder;
         DayPlan plan = DayPlan.read(Ini.parse("rig.ini", COMMON.formatted(count, machines) + extra), "rig");
         world = new World(plan, 7, records::add);
         world.start();
         for (int i = 0; i < count; i++) {
             Path file = folder.resolve("front-" + i + ".ini");
-            Files.writeString(file, "[front]\nnumber = " + i + "\nfronts = " + count + "\nlisten = 127.0.0.1:0\n"
-                    + "state = state-" + i + "\nrecords = front-" + i + ".jsonl\n" + plan.frontSections()
-                    + "[list]\naddress = 127.0.0.1:" + world.listAt().getPort() + "\n[release]\naddress = 127.0.0.1:"
-                    + world.lineAt().getPort() + "\n");
+            Files.writeString(
+                    file,
+                    "[front]\nnumber = " + i + "\nfronts = " + count + "\nlisten = 127.0.0.1:0\n"
+                            + "state = state-" + i + "\nrecords = front-" + i + ".jsonl\n" + plan.frontSections()
+                            + "[list]\naddress = 127.0.0.1:" + world.listAt().getPort()
+                            + "\n[release]\naddress = 127.0.0.1:"
+                            + world.lineAt().getPort() + "\n");
             Front f = new Front(FrontSettings.read(file), maker, i < clocks.length ? clocks[i] : Base.clock(), guarded);
             fronts.add(f);
             at.add(f.start());
@@ -107,14 +118,18 @@
     }
 
     void befall(String event) throws Exception {
-        DayPlan p = DayPlan.read(Ini.parse("event.ini", COMMON.formatted(fronts.size(), 1) + "[event e]\nat = 0 ms\n"
-                + event), "event");
+        DayPlan p = DayPlan.read(
+                Ini.parse("event.ini", COMMON.formatted(fronts.size(), 1) + "[event e]\nat = 0 ms\n" + event), "event");
         Trouble t = p.troubles().get(0);
         world.befall(t);
     }
 
     <T extends Rec> long count(Class<T> kind, java.util.function.Predicate<T> which) {
-        return records.stream().filter(kind::isInstance).map(kind::cast).filter(which).count();
+        return records.stream()
+                .filter(kind::isInstance)
+                .map(kind::cast)
+                .filter(which)
+                .count();
     }
 
     /** Runs a loop on a thread of its own, until it is stopped. */
--- a/src/test/java/laurelkeel/front/ScarceTest.java
+++ b/src/test/java/laurelkeel/front/ScarceTest.java
@@ -45,7 +45,10 @@
                 harmless += Peers.hear(s).contains("harmless") ? 1 : 0;
             }
             assertTrue(harmless >= 10, "where nothing left the front, asking again is harmless: " + harmless);
-            assertEquals(0, Child.figure(admin, "laurelkeel_outcomes_total{outcome=\"no_connection\"}"), "held against the machine");
+            assertEquals(
+                    0,
+                    Child.figure(admin, "laurelkeel_outcomes_total{outcome=\"no_connection\"}"),
+                    "held against the machine");
             assertTrue(Child.figure(admin, "laurelkeel_outcomes_total{outcome=\"not_sent\"}") > 0, "as never sent");
             child.silent = false;
             for (Socket s : crowd) {
@@ -161,8 +164,8 @@
     }
 
     private static String listed(int version, String first, int others, String state) {
-        StringBuilder s = new StringBuilder("{\"kind\":\"full\",\"version\":" + version + ",\"machines\":["
-                + Peers.listed(first, "live"));
+        StringBuilder s = new StringBuilder(
+                "{\"kind\":\"full\",\"version\":" + version + ",\"machines\":[" + Peers.listed(first, "live"));
         for (int i = 0; i < others; i++) {
             s.append(',').append(Peers.listed("127.0.0.1:" + (i + 1), state));
         }
@@ -173,8 +176,12 @@
     void aStandardErrorThatNobodyReadsStopsNothing() throws Exception {
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
         HttpServer list = list(lines);
-        try (Child child = new Child(folder, ":", List.of(), "[list]\naddress = 127.0.0.1:" + list.getAddress().getPort()
-                + "\n", null)) {
+        try (Child child = new Child(
+                folder,
+                ":",
+                List.of(),
+                "[list]\naddress = 127.0.0.1:" + list.getAddress().getPort() + "\n",
+                null)) {
             Socket admin = child.call(child.admin);
             assertTrue(child.completes());
             // each of these is worth a warning a machine: far more than a pipe holds
@@ -197,8 +204,12 @@
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
         HttpServer list = list(lines);
         // 64 KiB a file: one list of so many machines is more
-        try (Child child = new Child(folder, "ulimit -S -f 64", List.of("-XX:-UsePerfData"), "[list]\naddress = 127.0.0.1:"
-                + list.getAddress().getPort() + "\n", folder.resolve("log"))) {
+        try (Child child = new Child(
+                folder,
+                "ulimit -S -f 64",
+                List.of("-XX:-UsePerfData"),
+                "[list]\naddress = 127.0.0.1:" + list.getAddress().getPort() + "\n",
+                folder.resolve("log"))) {
             Socket admin = child.call(child.admin);
             for (int i = 0; i < 5; i++) {
                 lines.add(listed(i + 1, child.machineId(), 900, "draining"));
@@ -209,8 +220,11 @@
             }
             Path kept = folder.resolve("state/list.json");
             assertTrue(Files.size(kept) < 64 << 10, "what was kept before stands");
-            assertEquals(0, new ProcessBuilder("prlimit", "--pid", Long.toString(child.process.pid()),
-                    "--fsize=unlimited").start().waitFor());
+            assertEquals(
+                    0,
+                    new ProcessBuilder("prlimit", "--pid", Long.toString(child.process.pid()), "--fsize=unlimited")
+                            .start()
+                            .waitFor());
             Rig.await("with room the list is kept, though none came since", () -> {
                 try {
                     return Files.size(kept) > 64 << 10;
@@ -221,8 +235,9 @@
             lines.add(listed(9, child.machineId(), 1, "draining"));
             Rig.await("and records are", () -> {
                 try {
-                    return Recorder.readAll(folder).stream().anyMatch(r -> r instanceof Rec.ToldList l
-                            && l.machines().size() == 2);
+                    return Recorder.readAll(folder).stream()
+                            .anyMatch(r ->
+                                    r instanceof Rec.ToldList l && l.machines().size() == 2);
                 } catch (IOException e) {
                     return false;
                 }
--- a/src/test/java/laurelkeel/front/ingress/ConnectionEndsTest.java
+++ b/src/test/java/laurelkeel/front/ingress/ConnectionEndsTest.java
@@ -45,9 +45,28 @@
     private int port;
 
     private void made(int connections, long idleClose) {
-        ingress = new Ingress(new IngressSettings(new InetSocketAddress("127.0.0.1", 0), new HttpLimits(2048, 8192, 64, 1024),
-                connections, 4, 100, 8192, 4, idleClose, 100_000, 1, 0, 5_500, 24_000, 20_000, 21_000), words, loop,
-                threads, new SimpleIoProcessorPool<>(NioProcessor.class, threads, 1, null), new Answering());
+        ingress = new Ingress(
+                new IngressSettings(
+                        new InetSocketAddress("127.0.0.1", 0),
+                        new HttpLimits(2048, 8192, 64, 1024),
+                        connections,
+                        4,
+                        100,
+                        8192,
+                        4,
+                        idleClose,
+                        100_000,
+                        1,
+                        0,
+                        5_500,
+                        24_000,
+                        20_000,
+                        21_000),
+                words,
+                loop,
+                threads,
+                new SimpleIoProcessorPool<>(NioProcessor.class, threads, 1, null),
+                new Answering());
     }
 
     private void opened(int connections, long idleClose) throws IOException {
@@ -57,9 +76,10 @@
 
     private void runLoop() {
         new Thread(() -> loop.run(() -> {
-            ingress.flush();
-            return false;
-        })).start();
+                    ingress.flush();
+                    return false;
+                }))
+                .start();
     }
 
     private Socket client() throws IOException {
@@ -118,7 +138,7 @@
     /** Answers each at once. */
     private final class Answering implements Door {
         @Override
-        public void taken(ClientConn from, Asked asked, long arrived) { }
+        public void taken(ClientConn from, Asked asked, long arrived) {}
 
         @Override
         public void own(ClientConn from, HttpReq http) {
@@ -126,7 +146,7 @@
         }
 
         @Override
-        public void left(Object current) { }
+        public void left(Object current) {}
 
         @Override
         public int held() {
@@ -356,8 +376,9 @@
         }
         Thread ends = new Thread(ingress::unbind);
         ends.start();
-        Rig.await("it waits to be unbound", () -> ends.getState() == Thread.State.WAITING
-                || ends.getState() == Thread.State.TIMED_WAITING);
+        Rig.await(
+                "it waits to be unbound",
+                () -> ends.getState() == Thread.State.WAITING || ends.getState() == Thread.State.TIMED_WAITING);
         slow.go.countDown();
         ends.join();
         for (Socket s : behind) {
--- a/src/test/java/laurelkeel/front/upstream/DialTest.java
+++ b/src/test/java/laurelkeel/front/upstream/DialTest.java
@@ -33,7 +33,7 @@
     @BeforeEach
     void run() {
         connector.setConnectTimeoutMillis(Dial.MINA_TIMEOUT_MS);
-        connector.setHandler(new Dial.Handler() { });
+        connector.setHandler(new Dial.Handler() {});
         Rig.run(loop);
     }
 
@@ -52,7 +52,7 @@
     }
 
     private void begin(InetSocketAddress to) {
-        Dial.start(connector, loop, loop::post, LIMIT, to, session -> { }, new Dial.Outcome() {
+        Dial.start(connector, loop, loop::post, LIMIT, to, session -> {}, new Dial.Outcome() {
             @Override
             public void connected(IoSession session) {
                 told.add(session);
--- a/src/test/java/laurelkeel/front/upstream/PoolsTest.java
+++ b/src/test/java/laurelkeel/front/upstream/PoolsTest.java
@@ -46,8 +46,14 @@
     private final Loop loop = new Loop(Base.clock());
     private final ExecutorService threads = Threads.many(loop, "test-sockets");
     /** The dial's time is far longer than a test. */
-    private final Pools pools = new Pools(new UpstreamSettings(new HttpLimits(1024, 8192, 64, 1024), 8, 8, 8, 600_000, 600_000, 1,
-            "/load", 2_500, 100), WORDS, loop, threads, new SimpleIoProcessorPool<>(LookingProcessor.class, threads, 1, null));
+    private final Pools pools = new Pools(
+            new UpstreamSettings(
+                    new HttpLimits(1024, 8192, 64, 1024), 8, 8, 8, 600_000, 600_000, 1, "/load", 2_500, 100),
+            WORDS,
+            loop,
+            threads,
+            new SimpleIoProcessorPool<>(LookingProcessor.class, threads, 1, null));
+
     private final Thread runs = new Thread(() -> loop.run(() -> false));
     private final ServerSocket machine;
     private final Place at;
@@ -67,12 +73,16 @@
         machine.close();
     }
 
-    private record Ended(Outcome outcome, String body) { }
+    private record Ended(Outcome outcome, String body) {}
 
     private CompletableFuture<Ended> start() {
         CompletableFuture<Ended> ended = new CompletableFuture<>();
-        loop.post(() -> pools.start(at, () -> "GET / HTTP/1.1\r\n\r\n".getBytes(), false, (outcome, came) ->
-                ended.complete(new Ended(outcome, came == null ? "" : new String(came.crossing().body())))));
+        loop.post(() -> pools.start(
+                at,
+                () -> "GET / HTTP/1.1\r\n\r\n".getBytes(),
+                false,
+                (outcome, came) -> ended.complete(new Ended(
+                        outcome, came == null ? "" : new String(came.crossing().body())))));
         return ended;
     }
 
--- a/src/test/java/laurelkeel/lanes/LanesTest.java
+++ b/src/test/java/laurelkeel/lanes/LanesTest.java
@@ -35,13 +35,35 @@
     private static final long WINDOW = 4 * SECOND;
 
     private static Settings settings(boolean perRoute, int guarded) {
-        return new Settings(0, 2, 0, List.of(new Settings.Route(Effect.RETRIABLE, Group.ALL, 800 * MS, 2500 * MS, 2, 0, 0),
-                new Settings.Route(Effect.NON_RETRIABLE, Group.ALL, SECOND, 3 * SECOND, 1, 0, 0)), List.of(),
+        return new Settings(
+                0,
+                2,
+                0,
+                List.of(
+                        new Settings.Route(Effect.RETRIABLE, Group.ALL, 800 * MS, 2500 * MS, 2, 0, 0),
+                        new Settings.Route(Effect.NON_RETRIABLE, Group.ALL, SECOND, 3 * SECOND, 1, 0, 0)),
+                List.of(),
                 new Settings.Limits(SECOND, 5 * SECOND, 0.4, 2 * SECOND, 3, 10 * SECOND),
                 new Settings.Allowed(4, true, false, true, true, SECOND, false),
-                new Settings.Prices(0, 0.01, 0.01, 0.5, 3), new Settings.Rollout(Settings.Control.COUNT, 1, 1, 0,
-                        5 * SECOND, SECOND, 40, List.of(0.1, 0.4, 1.0), 2 * SECOND, guarded, true, WINDOW, FREE,
-                        perRoute, 0, 0.3), false);
+                new Settings.Prices(0, 0.01, 0.01, 0.5, 3),
+                new Settings.Rollout(
+                        Settings.Control.COUNT,
+                        1,
+                        1,
+                        0,
+                        5 * SECOND,
+                        SECOND,
+                        40,
+                        List.of(0.1, 0.4, 1.0),
+                        2 * SECOND,
+                        guarded,
+                        true,
+                        WINDOW,
+                        FREE,
+                        perRoute,
+                        0,
+                        0.3),
+                false);
     }
 
     /** A front's world in miniature: lists, news and answers as told, and a book of all that was sent. */
@@ -77,15 +99,18 @@
         void machines(int build, int n) {
             List<Listed> named = new ArrayList<>();
             for (int i = 0; i < n; i++) {
-                named.add(new Listed("b" + build + "." + i, build, 0, 0, 0, 1, MachineState.LIVE, build == 1 ? 0 : now));
+                named.add(
+                        new Listed("b" + build + "." + i, build, 0, 0, 0, 1, MachineState.LIVE, build == 1 ? 0 : now));
             }
             lists(named);
         }
 
         void gone(int build) {
             List<Listed> named = new ArrayList<>();
-            list.values().stream().filter(m -> m.build() == build).forEach(m -> named.add(new Listed(m.machine(), build,
-                    0, 0, 0, 1, MachineState.GONE, m.started())));
+            list.values().stream()
+                    .filter(m -> m.build() == build)
+                    .forEach(
+                            m -> named.add(new Listed(m.machine(), build, 0, 0, 0, 1, MachineState.GONE, m.started())));
             lists(named);
         }
 
@@ -101,12 +126,16 @@
         }
 
         void tells(int build, int stage, Phase phase) {
-            double cap = phase == Phase.RELEASED ? 1 : phase == Phase.TRIAL ? set.rollout().stageCaps().get(stage) : 0;
+            double cap = phase == Phase.RELEASED
+                    ? 1
+                    : phase == Phase.TRIAL ? set.rollout().stageCaps().get(stage) : 0;
             Event.ReleaseNews n = new Event.ReleaseNews(Answer.OK, stage, cap, 0, phase, build, false);
             news.put(build, n);
             // an answer to a vote tells what stands when it comes
-            due.values().forEach(l -> l.replaceAll(e -> e instanceof Event.ReleaseNews v && v.build() == build
-                    ? new Event.ReleaseNews(Answer.OK, stage, cap, 0, phase, build, true) : e));
+            due.values()
+                    .forEach(l -> l.replaceAll(e -> e instanceof Event.ReleaseNews v && v.build() == build
+                            ? new Event.ReleaseNews(Answer.OK, stage, cap, 0, phase, build, true)
+                            : e));
             if (phase == Phase.RELEASED) {
                 news.headMap(build).clear();
             }
@@ -127,7 +156,14 @@
                 // a few popular keys, and many
                 String key = random.nextInt(8) == 0 ? null : "k" + (int) Math.pow(200, random.nextDouble());
                 int route = random.nextInt(set.routes().size());
-                Event.Req r = new Event.Req("r" + ids++, route, 0, key, now + set.routes().get(route).timeout(), 0, false);
+                Event.Req r = new Event.Req(
+                        "r" + ids++,
+                        route,
+                        0,
+                        key,
+                        now + set.routes().get(route).timeout(),
+                        0,
+                        false);
                 reqs.put(r.id(), r);
                 taken.get(set.rollout().perRoute() ? route : 0).addLast(now);
                 events.add(r);
@@ -158,16 +194,24 @@
                     ended(s.req());
                 } else if (a instanceof Action.Vote v) {
                     votes.add(v);
-                    due.computeIfAbsent(now + 50 * MS, k -> new ArrayList<>()).add(new Event.ReleaseNews(Answer.OK,
-                            news.get(v.build()).stage(), news.get(v.build()).cap(), 0, news.get(v.build()).phase(),
-                            v.build(), true));
+                    due.computeIfAbsent(now + 50 * MS, k -> new ArrayList<>())
+                            .add(new Event.ReleaseNews(
+                                    Answer.OK,
+                                    news.get(v.build()).stage(),
+                                    news.get(v.build()).cap(),
+                                    0,
+                                    news.get(v.build()).phase(),
+                                    v.build(),
+                                    true));
                 } else if (a instanceof Action.Timer t) {
                     due.computeIfAbsent(Math.max(now + 1, t.when()), k -> new ArrayList<>())
                             .add(new Event.TimerDue(t.handle()));
                 } else if (a instanceof Action.StopTry s) {
-                    due.values().forEach(l -> l.removeIf(e -> e instanceof Event.TryEnded t && t.req().equals(s.req())));
-                    due.computeIfAbsent(now + 1, k -> new ArrayList<>()).add(new Event.TryEnded(s.req(), s.tryNo(),
-                            "b1.0", Outcome.STOPPED, 1, true, Map.of()));
+                    due.values()
+                            .forEach(l -> l.removeIf(e ->
+                                    e instanceof Event.TryEnded t && t.req().equals(s.req())));
+                    due.computeIfAbsent(now + 1, k -> new ArrayList<>())
+                            .add(new Event.TryEnded(s.req(), s.tryNo(), "b1.0", Outcome.STOPPED, 1, true, Map.of()));
                 }
             }
         }
@@ -211,20 +255,22 @@
             }
             if (n != null && n.phase() == Phase.TRIAL) {
                 exposed(m.build(), r.route(), n);
-                if (n.stage() < set.rollout().guardedStages() && set.routes().get(r.route()).effect() != Effect.RETRIABLE) {
+                if (n.stage() < set.rollout().guardedStages()
+                        && set.routes().get(r.route()).effect() != Effect.RETRIABLE) {
                     broken.add(now + ": guarded stage");
                 }
             }
-            Outcome o = random.nextDouble() < errorShare && m.build() == 2 ? Outcome.ERROR
+            Outcome o = random.nextDouble() < errorShare && m.build() == 2
+                    ? Outcome.ERROR
                     : unreadableShare > 0 && random.nextDouble() < unreadableShare ? Outcome.BROKEN : Outcome.COMPLETED;
             due.computeIfAbsent(now + 8 * MS + random.nextInt(100), k -> new ArrayList<>())
-                    .add(new Event.TryEnded(s.req(), no, s.machine(), o, 80, o == Outcome.COMPLETED,
-                            Map.of()));
+                    .add(new Event.TryEnded(s.req(), no, s.machine(), o, 80, o == Outcome.COMPLETED, Map.of()));
         }
 
         private void exposed(int build, int route, Event.ReleaseNews n) {
             int scope = set.rollout().perRoute() ? route : 0;
-            List<ArrayDeque<Long>> of = sends.computeIfAbsent(build, k -> List.of(new ArrayDeque<>(), new ArrayDeque<>()));
+            List<ArrayDeque<Long>> of =
+                    sends.computeIfAbsent(build, k -> List.of(new ArrayDeque<>(), new ArrayDeque<>()));
             of.get(scope).addLast(now);
             for (ArrayDeque<Long> q : List.of(of.get(scope), taken.get(scope))) {
                 while (!q.isEmpty() && q.peekFirst() <= now - WINDOW) {
@@ -262,8 +308,10 @@
     @Test
     void withOneReleaseAllActionsAreThoseOfTheDeciderAlone() {
         for (int seed : new int[] {100, 103, 106, 109}) {
-            assertEquals(Streams.sum(Shifter::new, seed),
-                    Streams.sum((set, s) -> new Lanes(set, s, Shifter::new), seed), "stream " + seed);
+            assertEquals(
+                    Streams.sum(Shifter::new, seed),
+                    Streams.sum((set, s) -> new Lanes(set, s, Shifter::new), seed),
+                    "stream " + seed);
         }
     }
 
@@ -401,9 +449,13 @@
 
     /** A decider that sends each req to the machine named and does nothing else. */
     private static Lanes sendingTo(String machine) {
-        return new Lanes(settings(false, 0), 1, (set, seed) -> (now, events) -> events.stream()
-                .filter(e -> e instanceof Event.Req).map(e -> (Action) new Action.Send(((Event.Req) e).id(), machine, 0))
-                .toList());
+        return new Lanes(
+                settings(false, 0),
+                1,
+                (set, seed) -> (now, events) -> events.stream()
+                        .filter(e -> e instanceof Event.Req)
+                        .map(e -> (Action) new Action.Send(((Event.Req) e).id(), machine, 0))
+                        .toList());
     }
 
     private static void answered(Lanes lanes, long now, String key) {
@@ -428,15 +480,24 @@
     void keysOfReleasesThatHaveEndedAreForgottenAndMakeRoomForThoseThatStand() {
         Lanes lanes = sendingTo("m");
         long now = SECOND;
-        lanes.decide(now, List.of(new Event.MachineList(ListKind.FULL, List.of(
-                new Listed("m", 2, 0, 0, 0, 1, MachineState.LIVE, 0))), news(1, Phase.RELEASED), news(2, Phase.TRIAL)));
+        lanes.decide(
+                now,
+                List.of(
+                        new Event.MachineList(
+                                ListKind.FULL, List.of(new Listed("m", 2, 0, 0, 0, 1, MachineState.LIVE, 0))),
+                        news(1, Phase.RELEASED),
+                        news(2, Phase.TRIAL)));
         for (int i = 0; i < 600_001; i++) {
             answered(lanes, now, "k" + i);
         }
         lanes.decide(now, List.of(news(2, Phase.RELEASED)));
         assertEquals(0, lanes.keysKept(), "the release is over");
-        lanes.decide(now, List.of(new Event.MachineList(ListKind.FULL, List.of(
-                new Listed("m", 3, 0, 0, 0, 1, MachineState.LIVE, 0))), news(3, Phase.TRIAL)));
+        lanes.decide(
+                now,
+                List.of(
+                        new Event.MachineList(
+                                ListKind.FULL, List.of(new Listed("m", 3, 0, 0, 0, 1, MachineState.LIVE, 0))),
+                        news(3, Phase.TRIAL)));
         answered(lanes, now, "new");
         assertEquals(1, lanes.keysKept(), "a build on trial answered it: it must not be cut anew");
     }
@@ -474,13 +535,20 @@
             int[] mine = new int[1];
             heard.add(mine);
             return (now, events) -> {
-                mine[0] += (int) events.stream().filter(e -> e instanceof Event.Complaint).count();
+                mine[0] += (int) events.stream()
+                        .filter(e -> e instanceof Event.Complaint)
+                        .count();
                 return List.of();
             };
         });
-        lanes.decide(SECOND, List.of(new Event.MachineList(ListKind.FULL, List.of(
-                new Listed("m", 1, 0, 0, 0, 1, MachineState.LIVE, 0))), news(1, Phase.RELEASED), news(2, Phase.TRIAL),
-                news(3, Phase.TRIAL)));
+        lanes.decide(
+                SECOND,
+                List.of(
+                        new Event.MachineList(
+                                ListKind.FULL, List.of(new Listed("m", 1, 0, 0, 0, 1, MachineState.LIVE, 0))),
+                        news(1, Phase.RELEASED),
+                        news(2, Phase.TRIAL),
+                        news(3, Phase.TRIAL)));
         for (int i = 0; i < 10; i++) {
             lanes.decide(SECOND, List.of(new Event.Complaint("m", 5, 0)));
         }
--- a/src/test/java/laurelkeel/logs/SparingTest.java
+++ b/src/test/java/laurelkeel/logs/SparingTest.java
@@ -66,8 +66,10 @@
         await("\\d+ more lines like 'front: build # stage # TRIAL, pace #'");
         long shown = written.stream().filter(w -> w.endsWith("in its time")).count();
         assertTrue(shown >= 5 && shown < 100, "shown " + shown);
-        long told = written.stream().filter(w -> w.contains(" more lines like "))
-                .mapToLong(w -> Long.parseLong(w.substring(0, w.indexOf(' ')))).sum();
+        long told = written.stream()
+                .filter(w -> w.contains(" more lines like "))
+                .mapToLong(w -> Long.parseLong(w.substring(0, w.indexOf(' '))))
+                .sum();
         assertEquals(Sparing.leftOut() - before, told, "what was left out is told");
     }
 
--- a/src/test/java/laurelkeel/platform/RareMomentsTest.java
+++ b/src/test/java/laurelkeel/platform/RareMomentsTest.java
@@ -21,10 +21,12 @@
 class RareMomentsTest {
     /** Real time, and what a test adds to it. */
     private final AtomicLong ahead = new AtomicLong();
+
     private final LongSupplier real = Base.clock();
     private final LongSupplier clock = () -> real.getAsLong() + ahead.get();
     /** Only what a test adds, until it lets the clock go. */
     private final AtomicBoolean goes = new AtomicBoolean();
+
     private final LongSupplier standing = () -> (goes.get() ? real.getAsLong() : 36_000_000) + ahead.get();
 
     // ---- lists
@@ -33,13 +35,20 @@
     void aListMayBeLaidOutOverLinesAndCutAnywhere() throws Exception {
         try (Stage p = new Stage(Stage::nothing)) {
             Socket w = p.watch();
-            String indented = Stage.list(2, false, p.entry("leaving", 1, p.machine)).replace("{", "{\r\n  ").replace(",", ",\n  ")
-                    + "\r\n" + Stage.list(3, false, p.entry("active", 1, p.machine)).replace("\":", "\" :\n ");
+            String indented = Stage.list(2, false, p.entry("leaving", 1, p.machine))
+                            .replace("{", "{\r\n  ")
+                            .replace(",", ",\n  ")
+                    + "\r\n"
+                    + Stage.list(3, false, p.entry("active", 1, p.machine)).replace("\":", "\" :\n ");
             for (char c : indented.toCharArray()) {
                 Stage.say(w, Stage.chunk(String.valueOf(c)));
             }
-            assertEquals(MachineState.DRAINING, p.event(Event.MachineList.class, 2).machines().get(0).state());
-            assertEquals(MachineState.LIVE, p.event(Event.MachineList.class, 3).machines().get(0).state());
+            assertEquals(
+                    MachineState.DRAINING,
+                    p.event(Event.MachineList.class, 2).machines().get(0).state());
+            assertEquals(
+                    MachineState.LIVE,
+                    p.event(Event.MachineList.class, 3).machines().get(0).state());
             assertEquals(3, p.node.version());
         }
     }
@@ -47,8 +56,14 @@
     @Test
     void whatIsNoListEndsTheWatchAndTheLastGoodOneStays() throws Exception {
         try (Stage p = new Stage(Stage::nothing)) {
-            for (String bad : List.of("[1]", "7 ", "{\"version\":9,\"full\":true,\"servers\":[}", "{\"version\":9,\"full\":true}",
-                    "{\"version\":9,\"full\":true,\"servers\":[{\"id\":\"s-9\"}]}", "\1\2", "{\"a\":\"" + "x".repeat(1 << 20))) {
+            for (String bad : List.of(
+                    "[1]",
+                    "7 ",
+                    "{\"version\":9,\"full\":true,\"servers\":[}",
+                    "{\"version\":9,\"full\":true}",
+                    "{\"version\":9,\"full\":true,\"servers\":[{\"id\":\"s-9\"}]}",
+                    "\1\2",
+                    "{\"a\":\"" + "x".repeat(1 << 20))) {
                 Socket w = p.discovery.call();
                 assertTrue(Stage.hear(w).contains("after=1 "), "nothing of it was followed");
                 try {
@@ -76,7 +91,8 @@
             next = p.discovery.call();
             Stage.hear(next);
             assertEquals(2, p.all(Event.MachineList.class).size());
-            // discovery has begun anew: nothing newer comes for longer than it may take, so the silent watch is given up too
+            // discovery has begun anew: nothing newer comes for longer than it may take, so the silent watch is given
+            // up too
             ahead.addAndGet(61_000);
             assertTrue(Stage.hear(next).contains("<end>"));
             next = p.discovery.call();
@@ -194,7 +210,8 @@
 
     @Test
     void aPlaceThatBecomesFreeGoesToTheMachineThatWaitsForOne() throws Exception {
-        try (Stage.Party other = new Stage.Party(); Stage p = small("s-2")) {
+        try (Stage.Party other = new Stage.Party();
+                Stage p = small("s-2")) {
             p.watch(Stage.list(2, false, p.entry("s-2", "active", 1, other)));
             p.event(Event.MachineList.class, 2);
             List<List<Socket>> all = takeAll(p);
--- a/src/test/java/laurelkeel/platform/SourcesTest.java
+++ b/src/test/java/laurelkeel/platform/SourcesTest.java
@@ -30,7 +30,9 @@
         try (Stage p = new Stage(Stage::nothing)) {
             Event.MachineList known = p.event(Event.MachineList.class, 1);
             assertEquals(ListKind.REMEMBERED, known.kind());
-            assertEquals(new Event.Listed("s-1", 1, 1, 3, 1, 1.5, MachineState.LIVE, 0), known.machines().get(0));
+            assertEquals(
+                    new Event.Listed("s-1", 1, 1, 3, 1, 1.5, MachineState.LIVE, 0),
+                    known.machines().get(0));
             Socket w = p.discovery.call();
             assertTrue(Stage.hear(w).startsWith("GET /v1/servers?watch=1&after=1 HTTP/1.1\r\n"));
             String all = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -45,11 +47,15 @@
             for (char c : all.substring(1).toCharArray()) {
                 Stage.say(w, String.valueOf(c));
             }
-            assertEquals(MachineState.DRAINING, p.event(Event.MachineList.class, 2).machines().get(0).state());
+            assertEquals(
+                    MachineState.DRAINING,
+                    p.event(Event.MachineList.class, 2).machines().get(0).state());
             w.close();
             w = p.discovery.call();
             assertTrue(Stage.hear(w).startsWith("GET /v1/servers?watch=1&after=3 HTTP/1.1\r\n"));
-            Stage.say(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Stage.chunk(Stage.list(3, true) + "\n"));
+            Stage.say(
+                    w,
+                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Stage.chunk(Stage.list(3, true) + "\n"));
             assertEquals(ListKind.FULL, p.event(Event.MachineList.class, 3).kind());
             Stage.say(w, Stage.chunk("{\"noise\":1}\n"));
             Stage.hear(p.discovery.call());
@@ -84,13 +90,18 @@
             assertEquals("SUB", Stage.lines(d).readLine());
             Stage.say(d, "OK\r\n*\r\n* metrics 42 pay 57 2 18.5 900\r\n* progress 42 1 Progr");
             Event.BuildCounts counts = p.event(Event.BuildCounts.class, 1);
-            assertEquals(List.of(42, 1, 57L, 2L, 185L),
+            assertEquals(
+                    List.of(42, 1, 57L, 2L, 185L),
                     List.of(counts.build(), counts.route(), counts.tries(), counts.errors(), counts.meanTime()));
             Stage.say(d, "essing 0.28 310\r\n");
             Event.ReleaseNews n = p.event(Event.ReleaseNews.class, 2);
             assertEquals(List.of(42, 1, 0.28, Phase.TRIAL), List.of(n.build(), n.stage(), n.cap(), n.phase()));
-            for (String spoilt : List.of("* progress 42 1 Progressing 0.2", "* progress 42 x Progressing 0.28 1",
-                    "* progress 42 1 Nothing 0.28 1", "\1\2", "* progress 42 1 Progressing 7 1")) {
+            for (String spoilt : List.of(
+                    "* progress 42 1 Progressing 0.2",
+                    "* progress 42 x Progressing 0.28 1",
+                    "* progress 42 1 Nothing 0.28 1",
+                    "\1\2",
+                    "* progress 42 1 Progressing 7 1")) {
                 Stage.say(d, spoilt + "\r\n");
                 d = p.desk.call();
                 Stage.lines(d).readLine();
@@ -103,14 +114,24 @@
 
     /** Votes 42 at the first req, 43 at the second, and so on. */
     private static List<Action> voter(Stage p, Event e) {
-        return e instanceof Event.Req r ? List.of(new Action.Vote(41 + p.all(Event.Req.class).size(), 1, Verdict.BACK),
-                new Action.Shed(r.id(), 0)) : List.of();
+        return e instanceof Event.Req r
+                ? List.of(
+                        new Action.Vote(41 + p.all(Event.Req.class).size(), 1, Verdict.BACK),
+                        new Action.Shed(r.id(), 0))
+                : List.of();
     }
 
     private static Event.ReleaseNews answered(Stage p, int count) {
-        Stage.await(count + " votes answered",
-                () -> p.all(Event.ReleaseNews.class).stream().filter(Event.ReleaseNews::toVote).count() >= count);
-        return p.all(Event.ReleaseNews.class).stream().filter(Event.ReleaseNews::toVote).toList().get(count - 1);
+        Stage.await(
+                count + " votes answered",
+                () -> p.all(Event.ReleaseNews.class).stream()
+                                .filter(Event.ReleaseNews::toVote)
+                                .count()
+                        >= count);
+        return p.all(Event.ReleaseNews.class).stream()
+                .filter(Event.ReleaseNews::toVote)
+                .toList()
+                .get(count - 1);
     }
 
     @Test
@@ -144,7 +165,9 @@
 
     @Test
     void aNewConfigurationMovesTheSourcesAndLosesNoReq() throws Exception {
-        try (Stage p = new Stage(Stage::once); Stage.Party disco = new Stage.Party(); Stage.Party desk = new Stage.Party()) {
+        try (Stage p = new Stage(Stage::once);
+                Stage.Party disco = new Stage.Party();
+                Stage.Party desk = new Stage.Party()) {
             Socket old = p.watch(Stage.list(2, false, p.entry("active", 1, p.machine)));
             p.event(Event.MachineList.class, 2);
             Socket c = p.client();
@@ -167,7 +190,8 @@
 
     @Test
     void aVoteAfterTheDeskHasMovedGoesToItsNewAddress() throws Exception {
-        try (Stage p = new Stage(SourcesTest::voter); Stage.Party next = new Stage.Party()) {
+        try (Stage p = new Stage(SourcesTest::voter);
+                Stage.Party next = new Stage.Party()) {
             p.desk.call();
             Socket c = p.client();
             Stage.say(c, Stage.look("1", ""));
@@ -187,7 +211,9 @@
     /** The old address may go on without closing: it was looked at as heard, and the new one was not dialled again. */
     @Test
     void aNewAddressThatIsNotUpYetIsDialledAgainWhileTheOldOneStillSpeaks() throws Exception {
-        try (Stage p = new Stage(Stage::once); Stage.Party disco = new Stage.Party(); Stage.Party desk = new Stage.Party()) {
+        try (Stage p = new Stage(Stage::once);
+                Stage.Party disco = new Stage.Party();
+                Stage.Party desk = new Stage.Party()) {
             Socket old = p.watch(Stage.list(2, false, p.entry("active", 1, p.machine)));
             p.event(Event.MachineList.class, 2);
             int port = disco.at.getLocalPort();
@@ -291,18 +317,24 @@
             Config sound = p.config(p.discovery, p.desk);
             assertFalse(sound.settings().routes().isEmpty());
         }
-        String sound = "{\"name\":\"n\",\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",\"limits\":{\"sockets\":256},"
-                + "\"rollouts\":{\"address\":\"127.0.0.1:3\"},\"settings\":" + Stage.SETTINGS.formatted(800) + "}";
+        String sound =
+                "{\"name\":\"n\",\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",\"limits\":{\"sockets\":256},"
+                        + "\"rollouts\":{\"address\":\"127.0.0.1:3\"},\"settings\":" + Stage.SETTINGS.formatted(800)
+                        + "}";
         ObjectMapper json = new ObjectMapper();
         Config.of(json.readTree(sound), Map.of());
         for (String field : List.of("name", "listen", "discovery", "limits", "rollouts", "settings")) {
             ObjectNode cut = (ObjectNode) json.readTree(sound);
             cut.remove(field);
-            String told = assertThrows(BadConfig.class, () -> Config.of(cut, Map.of())).getMessage();
+            String told = assertThrows(BadConfig.class, () -> Config.of(cut, Map.of()))
+                    .getMessage();
             assertTrue(told.startsWith(field), told);
         }
-        String told = assertThrows(BadConfig.class,
-                () -> Config.of(json.readTree(sound.replace("\"effect\":\"safe\"", "\"effect\":\"odd\"")), Map.of())).getMessage();
+        String told = assertThrows(
+                        BadConfig.class,
+                        () -> Config.of(
+                                json.readTree(sound.replace("\"effect\":\"safe\"", "\"effect\":\"odd\"")), Map.of()))
+                .getMessage();
         assertTrue(told.startsWith("settings.services.0.effect"), told);
         assertThrows(BadConfig.class, () -> Config.read(java.nio.file.Path.of("no/such/file"), Map.of()));
     }
--- a/src/test/java/laurelkeel/platform/Stage.java
+++ b/src/test/java/laurelkeel/platform/Stage.java
@@ -29,7 +29,8 @@
 
 /** A front node between a machine, a discovery and a release desk whose every byte a test writes. */
 public final class Stage implements AutoCloseable {
-    public static final String SETTINGS = """
+    public static final String SETTINGS =
+            """
             {"selfIndex":0,"balancers":2,"zone":0,"zones":["a","b"],"kinds":["m1","m2"],"membershipMode":"push",
              "services":[{"name":"look","effect":"safe","onTime":300.0,"deadline":5000.0,"points":2.0},
               {"name":"pay","effect":"keyed","dedupScope":"all","onTime":300.0,"deadline":5000.0,"points":1.0,
@@ -113,7 +114,8 @@
             throws Exception {
         this.sockets = sockets;
         this.voteTimeout = voteTimeout;
-        node = Node.of(config(discovery, desk), (set, seed) -> Peers.decider(events, e -> decide.apply(this, e)), clock);
+        node = Node.of(
+                config(discovery, desk), (set, seed) -> Peers.decider(events, e -> decide.apply(this, e)), clock);
         front = node.front();
         at = "127.0.0.1:" + front.start().getPort();
     }
@@ -122,7 +124,8 @@
         String json = "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discoveryAt.address()
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":" + sockets
                 + "},\"rollouts\":{\"address\":\"" + deskAt.address() + "\",\"news\":{\"build\":1,\"stage\":0,"
-                + "\"phase\":\"Healthy\",\"cap\":1.0,\"age_ms\":50}},\"known\":" + list(1, true, entry("active", 1, machine))
+                + "\"phase\":\"Healthy\",\"cap\":1.0,\"age_ms\":50}},\"known\":"
+                + list(1, true, entry("active", 1, machine))
                 + ",\"settings\":" + SETTINGS.formatted(voteTimeout) + "}";
         return Config.of(new ObjectMapper().readTree(json), Map.of());
     }
@@ -132,8 +135,9 @@
     }
 
     String entry(String id, String state, int build, Party addr) {
-        return "{\"id\":\"" + id + "\",\"addr\":\"" + addr.address() + "\",\"zone\":\"b\",\"kind\":\"m2\",\"cell\":3,\"state\":\""
-                + state + "\",\"weight\":1.5,\"started_ms\":0,\"revision_no\":" + build + "}";
+        return "{\"id\":\"" + id + "\",\"addr\":\"" + addr.address()
+                + "\",\"zone\":\"b\",\"kind\":\"m2\",\"cell\":3,\"state\":\"" + state
+                + "\",\"weight\":1.5,\"started_ms\":0,\"revision_no\":" + build + "}";
     }
 
     static String list(int version, boolean full, String... entries) {
--- a/src/test/java/laurelkeel/platform/StartOrderTest.java
+++ b/src/test/java/laurelkeel/platform/StartOrderTest.java
@@ -60,19 +60,20 @@
 
     /** The thread that starts the sources is held up until the first turn has come, or for a second. */
     private Outfit heldUp(Outfit node) {
-        return (Outfit) Proxy.newProxyInstance(Outfit.class.getClassLoader(), new Class<?>[] {Outfit.class}, (proxy, method, args) -> {
-            if (method.getName().equals("start")) {
-                long end = System.nanoTime() + HELD_UP_NANOS;
-                while (turns.get() == 0 && System.nanoTime() < end) {
-                    LockSupport.parkNanos(1_000_000);
-                }
-            }
-            try {
-                return method.invoke(node, args);
-            } catch (InvocationTargetException e) {
-                throw e.getCause();
-            }
-        });
+        return (Outfit) Proxy.newProxyInstance(
+                Outfit.class.getClassLoader(), new Class<?>[] {Outfit.class}, (proxy, method, args) -> {
+                    if (method.getName().equals("start")) {
+                        long end = System.nanoTime() + HELD_UP_NANOS;
+                        while (turns.get() == 0 && System.nanoTime() < end) {
+                            LockSupport.parkNanos(1_000_000);
+                        }
+                    }
+                    try {
+                        return method.invoke(node, args);
+                    } catch (InvocationTargetException e) {
+                        throw e.getCause();
+                    }
+                });
     }
 
     private void votesReachTheControlService(UnaryOperator<Outfit> between) throws Exception {
@@ -80,7 +81,8 @@
         node.front().start();
         Socket first = control.call();
         Socket second = control.call();
-        List<String> said = List.of(Stage.lines(first).readLine(), Stage.lines(second).readLine());
+        List<String> said =
+                List.of(Stage.lines(first).readLine(), Stage.lines(second).readLine());
         assertTrue(said.contains("SUB") && said.contains("SAY 24 1 approve"), said.toString());
         node.front().drain();
         assertEquals(null, node.front().ended().get(30, TimeUnit.SECONDS));
@@ -115,11 +117,13 @@
     @Test
     void aVoteThatCannotBeSentIsAFailedVote() throws Exception {
         List<Event> events = new CopyOnWriteArrayList<>();
-        Decider decider = Peers.decider(events, e -> turns.getAndIncrement() == 0 ? List.of(new Vote(24, 1, Verdict.ON)) : List.of());
-        Node node = Node.of(config(discovery, control), (settings, seed) -> decider, Base.clock(), StartOrderTest::unableToVote);
+        Decider decider = Peers.decider(
+                events, e -> turns.getAndIncrement() == 0 ? List.of(new Vote(24, 1, Verdict.ON)) : List.of());
+        Node node = Node.of(
+                config(discovery, control), (settings, seed) -> decider, Base.clock(), StartOrderTest::unableToVote);
         node.front().start();
-        Stage.await("the vote has failed", () -> events.stream().anyMatch(e -> e instanceof Event.ReleaseNews n && n.toVote()
-                && n.answer() == Event.Answer.ERROR));
+        Stage.await("the vote has failed", () -> events.stream()
+                .anyMatch(e -> e instanceof Event.ReleaseNews n && n.toVote() && n.answer() == Event.Answer.ERROR));
         assertFalse(node.front().ended().isDone());
         node.front().drain();
         assertEquals(null, node.front().ended().get(30, TimeUnit.SECONDS));
@@ -131,27 +135,31 @@
 
     /** One that fails at whatever the decision module asks for by that name. */
     private static Outfit failing(Outfit node, String name) {
-        return (Outfit) Proxy.newProxyInstance(Outfit.class.getClassLoader(), new Class<?>[] {Outfit.class}, (proxy, method, args) -> {
-            if (method.getName().equals(name)) {
-                throw new IllegalArgumentException("made");
-            }
-            try {
-                return method.invoke(node, args);
-            } catch (InvocationTargetException e) {
-                throw e.getCause();
-            }
-        });
+        return (Outfit) Proxy.newProxyInstance(
+                Outfit.class.getClassLoader(), new Class<?>[] {Outfit.class}, (proxy, method, args) -> {
+                    if (method.getName().equals(name)) {
+                        throw new IllegalArgumentException("made");
+                    }
+                    try {
+                        return method.invoke(node, args);
+                    } catch (InvocationTargetException e) {
+                        throw e.getCause();
+                    }
+                });
     }
 
     @Test
     void anActionThatCannotBeCarriedOutStopsNoOther() throws Exception {
         Decider decider = (now, events) -> turns.getAndIncrement() == 0
-                ? List.of(new Action.Tell(1, new byte[0]), new Vote(24, 1, Verdict.ON)) : List.of();
-        Node node = Node.of(config(discovery, control), (settings, seed) -> decider, Base.clock(), of -> failing(of, "tell"));
+                ? List.of(new Action.Tell(1, new byte[0]), new Vote(24, 1, Verdict.ON))
+                : List.of();
+        Node node = Node.of(
+                config(discovery, control), (settings, seed) -> decider, Base.clock(), of -> failing(of, "tell"));
         node.front().start();
         Socket first = control.call();
         Socket second = control.call();
-        List<String> said = List.of(Stage.lines(first).readLine(), Stage.lines(second).readLine());
+        List<String> said =
+                List.of(Stage.lines(first).readLine(), Stage.lines(second).readLine());
         assertTrue(said.contains("SAY 24 1 approve"), said.toString());
         node.front().drain();
         assertEquals(null, node.front().ended().get(30, TimeUnit.SECONDS));
--- a/src/test/java/laurelkeel/platform/WordsTest.java
+++ b/src/test/java/laurelkeel/platform/WordsTest.java
@@ -17,8 +17,10 @@
     void aReqCrossesByteForByteAndItsAnswerComesBack() throws Exception {
         try (Stage p = new Stage(Stage::once)) {
             Socket c = p.client();
-            Stage.say(c, "POST /pay/x%20y?q=1 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: 9b1f\r\nX-Account: acme\r\n"
-                    + "X-Session-Key: k\r\nX-Time-Left: 0.480\r\nIdempotency-Key: m1\r\nContent-Length: 3\r\n\r\na\0b");
+            Stage.say(
+                    c,
+                    "POST /pay/x%20y?q=1 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: 9b1f\r\nX-Account: acme\r\n"
+                            + "X-Session-Key: k\r\nX-Time-Left: 0.480\r\nIdempotency-Key: m1\r\nContent-Length: 3\r\n\r\na\0b");
             Socket m = p.machine.call();
             String got = Stage.hear(m);
             assertTrue(got.startsWith("POST /pay/x%20y?q=1 HTTP/1.1\r\n"), got);
@@ -34,13 +36,17 @@
 
     @Test
     void eachRowOfTheOutcomeTable() throws Exception {
-        String[][] rows = {{"HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", "ERROR"},
+        String[][] rows = {
+            {"HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", "ERROR"},
             {"HTTP/1.1 503 F\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", "FULL"},
             {"HTTP/1.1 504 F\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", "FULL"},
-            {"HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", "ERROR"}, {"noise\r\n\r\n", "BROKEN"},
+            {"HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", "ERROR"},
+            {"noise\r\n\r\n", "BROKEN"},
             {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "BROKEN"},
-            {"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", "BROKEN"}, {"", "BROKEN"},
-            {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "BROKEN"}};
+            {"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", "BROKEN"},
+            {"", "BROKEN"},
+            {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "BROKEN"}
+        };
         try (Stage p = new Stage(Stage::once)) {
             Socket c = p.client();
             for (int i = 0; i < rows.length; i++) {
@@ -49,19 +55,25 @@
                 Stage.hear(m);
                 Stage.say(m, rows[i][0]);
                 m.close();
-                assertEquals(Outcome.valueOf(rows[i][1]), p.event(Event.TryEnded.class, i + 1).outcome(), rows[i][0]);
+                assertEquals(
+                        Outcome.valueOf(rows[i][1]),
+                        p.event(Event.TryEnded.class, i + 1).outcome(),
+                        rows[i][0]);
                 assertTrue(Stage.hear(c).startsWith("HTTP/1.1 502 "));
             }
             p.machine.close();
             Stage.say(c, Stage.look("last", ""));
-            assertEquals(Outcome.NO_CONNECTION, p.event(Event.TryEnded.class, rows.length + 1).outcome());
+            assertEquals(
+                    Outcome.NO_CONNECTION,
+                    p.event(Event.TryEnded.class, rows.length + 1).outcome());
         }
     }
 
     @Test
     void aShedSaysWhenToComeBackAndAnErrorDoesNot() throws Exception {
         try (Stage p = new Stage((s, e) -> e instanceof Event.Req r
-                ? List.of(r.id().endsWith("0") ? new Action.Shed(r.id(), 5_000) : new Action.Err(r.id())) : List.of())) {
+                ? List.of(r.id().endsWith("0") ? new Action.Shed(r.id(), 5_000) : new Action.Err(r.id()))
+                : List.of())) {
             Socket c = p.client();
             Stage.say(c, Stage.look("a", ""));
             String shed = Stage.hear(c);
@@ -75,14 +87,24 @@
     @Test
     void whatCannotBeUnderstoodIsRefusedAndNeverSent() throws Exception {
         String sound = Stage.look("x", "");
-        String[] bad = {sound.replace("/look", "/nowhere"), sound.replace("GET", "POST"),
-            sound.replace("X-Correlation-Id: x\r\n", ""), sound.replace("acme", "nobody"), sound.replace("4.5", "soon"),
-            sound.replace("4.5", "NaN"), sound.replace("4.5", "-1"), sound.replace("4.5", "1e999"),
-            Stage.look("x", "Content-Length: 2\r\n") + "ab", Stage.look("x", "Content-Length: -2\r\n"),
+        String[] bad = {
+            sound.replace("/look", "/nowhere"),
+            sound.replace("GET", "POST"),
+            sound.replace("X-Correlation-Id: x\r\n", ""),
+            sound.replace("acme", "nobody"),
+            sound.replace("4.5", "soon"),
+            sound.replace("4.5", "NaN"),
+            sound.replace("4.5", "-1"),
+            sound.replace("4.5", "1e999"),
+            Stage.look("x", "Content-Length: 2\r\n") + "ab",
+            Stage.look("x", "Content-Length: -2\r\n"),
             Stage.look("x", "Content-Length: 60000000\r\n"),
             Stage.look("x", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + sound,
-            sound.replace("\r\n", "\n"), Stage.look("x", "Folded: a\r\n b\r\n"), "\0\1\2\r\n\r\n",
-            "POST /pay HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: x\r\nX-Account: acme\r\nX-Time-Left: 1\r\n\r\n"};
+            sound.replace("\r\n", "\n"),
+            Stage.look("x", "Folded: a\r\n b\r\n"),
+            "\0\1\2\r\n\r\n",
+            "POST /pay HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: x\r\nX-Account: acme\r\nX-Time-Left: 1\r\n\r\n"
+        };
         try (Stage p = new Stage(Stage::once)) {
             for (String b : bad) {
                 Socket c = p.client();
--- a/src/test/java/laurelkeel/records/RecorderTest.java
+++ b/src/test/java/laurelkeel/records/RecorderTest.java
@@ -68,6 +68,7 @@
     @Test
     void aPathThatIsWrongIsToldAtTheStart() throws IOException {
         Files.writeString(folder.resolve("file"), "");
-        assertThrows(IOException.class, () -> new Recorder(folder.resolve("file").resolve("a.jsonl"), true));
+        assertThrows(
+                IOException.class, () -> new Recorder(folder.resolve("file").resolve("a.jsonl"), true));
     }
 }
--- a/src/test/java/laurelkeel/soak/FailingCallsTest.java
+++ b/src/test/java/laurelkeel/soak/FailingCallsTest.java
@@ -29,6 +29,7 @@
     private static final int DESCRIPTORS = 256;
     /** A moment, and not the second that a sleeping acceptor costs; twenty in a row. */
     private static final long MOMENT_MS = 400;
+
     private static final int ASKED = 20;
     /** The kill comes no sooner after SIGTERM. */
     private static final long KILL_AFTER_MS = 3_700;
@@ -36,6 +37,7 @@
     /** What all nodes of this class are started from. */
     @TempDir
     static Path shared;
+
     private static NodeImage image;
     private static Optional<Path> library;
 
@@ -78,8 +80,12 @@
         assumeTrue(library.isPresent(), "there is no C compiler");
         Path file = folder.resolve("config.json");
         Files.writeString(file, config());
-        node = NodeProcess.start(image, file, folder.resolve("node.log"),
-                Map.of("LD_PRELOAD", library.get().toString(), "SOAK_FAULTS", faults), DESCRIPTORS);
+        node = NodeProcess.start(
+                image,
+                file,
+                folder.resolve("node.log"),
+                Map.of("LD_PRELOAD", library.get().toString(), "SOAK_FAULTS", faults),
+                DESCRIPTORS);
     }
 
     /** True where it answers at all; it is not ready, for nobody tells it a list. */
@@ -173,7 +179,8 @@
     void aNewListenerWaitsForAnAddressThatIsStillTaken() throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(file, config());
-        try (java.net.ServerSocket taken = new java.net.ServerSocket(port, 5, java.net.InetAddress.getByName("127.0.0.1"))) {
+        try (java.net.ServerSocket taken =
+                new java.net.ServerSocket(port, 5, java.net.InetAddress.getByName("127.0.0.1"))) {
             node = NodeProcess.start(image, file, folder.resolve("node.log"), Map.of(), DESCRIPTORS);
             Rig.await("it waits, or ends", () -> heard("cannot be opened yet") || !node.isAlive());
             assertTrue(node.isAlive(), node.log());
--- a/src/test/java/laurelkeel/soak/NodeImageTest.java
+++ b/src/test/java/laurelkeel/soak/NodeImageTest.java
@@ -12,7 +12,8 @@
     @Test
     void itsOptionsAreThoseOfTheDeployment() throws Exception {
         List<String> deployed = Files.readAllLines(Path.of("deploy", "node.args")).stream()
-                .filter(line -> line.startsWith("-")).toList();
+                .filter(line -> line.startsWith("-"))
+                .toList();
         assertEquals(deployed, NodeImage.JVM);
     }
 }
--- a/src/test/java/laurelkeel/soak/ShrinkerTest.java
+++ b/src/test/java/laurelkeel/soak/ShrinkerTest.java
@@ -25,7 +25,8 @@
 
     @Test
     void eventsComeAfterTheQuiet() {
-        assertTrue(SoakPlan.draw(7, 30, SECONDS).events().stream().allMatch(event -> event.at() > 30 && event.at() < 30 + SECONDS));
+        assertTrue(SoakPlan.draw(7, 30, SECONDS).events().stream()
+                .allMatch(event -> event.at() > 30 && event.at() < 30 + SECONDS));
     }
 
     @Test
--- a/src/test/java/laurelkeel/soak/SoakTest.java
+++ b/src/test/java/laurelkeel/soak/SoakTest.java
@@ -47,7 +47,9 @@
         for (Future<Soak.Result> each : results) {
             Soak.Result result = each.get();
             System.out.println("seed " + result.plan().seed() + ": " + result.counts());
-            result.broken().forEach(what -> broken.add("seed " + result.plan().seed() + " " + what + "; drawn " + result.plan()));
+            result.broken()
+                    .forEach(what ->
+                            broken.add("seed " + result.plan().seed() + " " + what + "; drawn " + result.plan()));
         }
         assertEquals(List.of(), broken);
     }
@@ -61,8 +63,15 @@
             crowds.add(new SoakPlan.Planned(SoakPlan.NODES + node, 4.0 + node * 0.1, SoakPlan.Event.CROWD, node, node));
         }
         crowds.sort(Comparator.comparingDouble(SoakPlan.Planned::at));
-        SoakPlan plan = new SoakPlan(1, 0, SECONDS, crowds, "", "accept:23:1500:9000:30,socket:24:1500:9000:20,connect:99:1500:9000:20",
-                false, Set.of());
+        SoakPlan plan = new SoakPlan(
+                1,
+                0,
+                SECONDS,
+                crowds,
+                "",
+                "accept:23:1500:9000:30,socket:24:1500:9000:20,connect:99:1500:9000:20",
+                false,
+                Set.of());
         Soak.Result result = Soak.run(plan, image, faults, folder.resolve("crowds"));
         System.out.println("crowds: " + result.counts());
         assertEquals(List.of(), result.broken());
--- a/src/test/java/laurelkeel/wire/AnswerEndsTest.java
+++ b/src/test/java/laurelkeel/wire/AnswerEndsTest.java
@@ -23,17 +23,24 @@
 class AnswerEndsTest {
     private static final String UNTIL_CLOSE = "HTTP/1.1 200 OK\r\nX-A: b\r\n\r\nall of it";
     private static final String LENGTH = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nall of it";
-    private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nall of it\r\n0\r\n\r\n";
+    private static final String CHUNKED =
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nall of it\r\n0\r\n\r\n";
     private static final String INTERIM = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
     /** What a machine says to HEAD: the head of an answer whose body does not follow. */
-    private static final List<String> TO_HEAD = List.of("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n",
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 200 OK\r\nX-A: b\r\n\r\n");
+    private static final List<String> TO_HEAD = List.of(
+            "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n",
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+            "HTTP/1.1 200 OK\r\nX-A: b\r\n\r\n");
     /** Statuses whose answers have no body, whatever their head says. */
-    private static final List<String> WITHOUT_BODY = List.of("HTTP/1.1 204 No Content\r\n\r\n",
-            "HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n");
+    private static final List<String> WITHOUT_BODY =
+            List.of("HTTP/1.1 204 No Content\r\n\r\n", "HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n");
 
     /** How a server ends its connection, or this side does. */
-    private enum Ending { IN_ORDER, RESET, OURS }
+    private enum Ending {
+        IN_ORDER,
+        RESET,
+        OURS
+    }
 
     private final TellingHandler handler = new TellingHandler();
     private final NioSocketConnector connector = new NioSocketConnector(1);
@@ -58,7 +65,9 @@
     }
 
     private List<Object> cut(String answer, int at, Ending ending, boolean toHead) throws Exception {
-        IoSession session = connector.connect(new InetSocketAddress("127.0.0.1", server.getLocalPort())).awaitUninterruptibly()
+        IoSession session = connector
+                .connect(new InetSocketAddress("127.0.0.1", server.getLocalPort()))
+                .awaitUninterruptibly()
                 .getSession();
         try (Socket peer = server.accept()) {
             if (toHead) {
@@ -79,7 +88,9 @@
             }
         }
         List<Object> all = new java.util.ArrayList<>();
-        for (Object next = handler.told.poll(10, TimeUnit.SECONDS); next != TellingHandler.CLOSED; next = handler.told.poll(10, TimeUnit.SECONDS)) {
+        for (Object next = handler.told.poll(10, TimeUnit.SECONDS);
+                next != TellingHandler.CLOSED;
+                next = handler.told.poll(10, TimeUnit.SECONDS)) {
             assertTrue(next != null, "the connection did not end");
             all.add(next);
         }
@@ -104,7 +115,10 @@
     private void wholeAtItsLastByte(String answer, boolean toHead) throws Exception {
         for (int at = 1; at <= answer.length(); at++) {
             for (Ending ending : Ending.values()) {
-                assertEquals(at == answer.length(), whole(cut(answer, at, ending, toHead)), answer + " " + at + " " + ending);
+                assertEquals(
+                        at == answer.length(),
+                        whole(cut(answer, at, ending, toHead)),
+                        answer + " " + at + " " + ending);
             }
         }
     }
--- a/src/test/java/laurelkeel/wire/HttpParserTest.java
+++ b/src/test/java/laurelkeel/wire/HttpParserTest.java
@@ -62,11 +62,12 @@
         }
     }
 
-    record Message(String text, HttpReq is) { }
+    record Message(String text, HttpReq is) {}
 
     @Provide
     Arbitrary<Message> messages() {
-        Arbitrary<String> value = Arbitraries.strings().withCharRange(' ', '~').ofMaxLength(20).map(String::strip);
+        Arbitrary<String> value =
+                Arbitraries.strings().withCharRange(' ', '~').ofMaxLength(20).map(String::strip);
         Arbitrary<byte[]> body = Arbitraries.bytes().array(byte[].class).ofMaxSize(60);
         return Combinators.combine(value, body, Arbitraries.of(0, 1, 2)).as((v, b, form) -> {
             StringBuilder s = new StringBuilder("POST /a/b?x=1 HTTP/1.1\r\nHost: h\r\nV: " + v + "\r\n");
@@ -75,7 +76,10 @@
                 s.append("Transfer-Encoding: chunked\r\n\r\n");
                 for (int i = 0; i < b.length; i += 7) {
                     String part = raw.substring(i, Math.min(b.length, i + 7));
-                    s.append(Integer.toHexString(part.length())).append(";ext=1\r\n").append(part).append("\r\n");
+                    s.append(Integer.toHexString(part.length()))
+                            .append(";ext=1\r\n")
+                            .append(part)
+                            .append("\r\n");
                 }
                 s.append("0\r\nTrailer: t\r\n\r\n");
             } else {
@@ -86,8 +90,9 @@
     }
 
     @Property(tries = 300)
-    void pipelinedReqsReadTheSameInAnyPieces(@ForAll("messages") Message a, @ForAll("messages") Message b,
-            @ForAll int cut, @ForAll int second) throws BadHttp {
+    void pipelinedReqsReadTheSameInAnyPieces(
+            @ForAll("messages") Message a, @ForAll("messages") Message b, @ForAll int cut, @ForAll int second)
+            throws BadHttp {
         byte[] all = bytes(a.text + "\r\n" + b.text);
         int c = Math.floorMod(cut, all.length);
         List<Object> got = read(reqs(), all, c, c + Math.floorMod(second, 40));
@@ -102,8 +107,8 @@
     }
 
     @Property(tries = 2000)
-    void noInputCrashesOrIsReadOnAfterAFault(@ForAll byte[] noise, @ForAll("messages") Message m, @ForAll int at,
-            @ForAll boolean answers) {
+    void noInputCrashesOrIsReadOnAfterAFault(
+            @ForAll byte[] noise, @ForAll("messages") Message m, @ForAll int at, @ForAll boolean answers) {
         byte[] all = bytes(m.text);
         for (int i = 0; i < noise.length && i < 6; i++) {
             all[Math.floorMod(at + i * 3, all.length)] = noise[i];
@@ -125,22 +130,32 @@
     @Test
     void whatTwoReadersCouldReadDifferentlyIsRefused() {
         String head = "POST / HTTP/1.1\r\nHost: h\r\n";
-        String[][] bad = {{head + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", "400"},
+        String[][] bad = {
+            {head + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", "400"},
             {head + "Content-Length: 3\r\nContent-Length: 4\r\n\r\n", "400"},
-            {head + "Content-Length: +3\r\n\r\n", "400"}, {head + "Content-Length: 3, 3\r\n\r\n", "400"},
+            {head + "Content-Length: +3\r\n\r\n", "400"},
+            {head + "Content-Length: 3, 3\r\n\r\n", "400"},
             {head + "Transfer-Encoding: gzip, chunked\r\n\r\n", "501"},
-            {head + "Transfer-Encoding : chunked\r\n\r\n", "400"}, {head + " folded: x\r\n\r\n", "400"},
-            {head + "A: b\rC: d\r\n\r\n", "400"}, {head + "A: b\0c\r\n\r\n", "400"},
-            {"GET / HTTP/1.1\r\n\r\n", "400"}, {"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", "400"},
-            {"GET  / HTTP/1.1\r\nHost: a\r\n\r\n", "400"}, {"GET http://x/ HTTP/1.1\r\nHost: a\r\n\r\n", "400"},
-            {"GET / HTTP/2.0\r\nHost: a\r\n\r\n", "505"}, {"nonsense\r\n", "400"},
+            {head + "Transfer-Encoding : chunked\r\n\r\n", "400"},
+            {head + " folded: x\r\n\r\n", "400"},
+            {head + "A: b\rC: d\r\n\r\n", "400"},
+            {head + "A: b\0c\r\n\r\n", "400"},
+            {"GET / HTTP/1.1\r\n\r\n", "400"},
+            {"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", "400"},
+            {"GET  / HTTP/1.1\r\nHost: a\r\n\r\n", "400"},
+            {"GET http://x/ HTTP/1.1\r\nHost: a\r\n\r\n", "400"},
+            {"GET / HTTP/2.0\r\nHost: a\r\n\r\n", "505"},
+            {"nonsense\r\n", "400"},
             {"GET /" + "x".repeat(300) + " HTTP/1.1\r\n", "414"},
-            {head + "A: " + "x".repeat(600) + "\r\n\r\n", "431"}, {head + "A: b\r\n".repeat(9) + "\r\n", "431"},
-            {head + "Content-Length: 1001\r\n\r\n", "413"}, {head + "Content-Length: 99999999999\r\n\r\n", "413"},
+            {head + "A: " + "x".repeat(600) + "\r\n\r\n", "431"},
+            {head + "A: b\r\n".repeat(9) + "\r\n", "431"},
+            {head + "Content-Length: 1001\r\n\r\n", "413"},
+            {head + "Content-Length: 99999999999\r\n\r\n", "413"},
             {head + "Transfer-Encoding: chunked\r\n\r\n3e9\r\n", "413"},
             {head + "Transfer-Encoding: chunked\r\n\r\n-1\r\n", "400"},
             {head + "Transfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n", "400"},
-            {head + "Transfer-Encoding: chunked\r\n\r\n1" + "0".repeat(20) + "\r\n", "400"}};
+            {head + "Transfer-Encoding: chunked\r\n\r\n1" + "0".repeat(20) + "\r\n", "400"}
+        };
         for (String[] b : bad) {
             BadHttp e = assertThrows(BadHttp.class, () -> read(reqs(), bytes(b[0])), b[0]);
             assertEquals(b[1], Integer.toString(e.status()), b[0] + " -> " + e.getMessage());
@@ -150,13 +165,20 @@
     @Test
     void answersEndByLengthByStatusOrByTheEndOfInput() throws Exception {
         HttpParser p = new HttpParser(HttpParser.Side.ANSWERS, SMALL);
-        List<Object> got = read(p, bytes("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"
-                + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.0 200 OK\r\n\r\nto the end"));
-        assertEquals(List.of(204, 200), got.stream().map(a -> ((HttpAnswer) a).status()).toList());
+        List<Object> got = read(
+                p,
+                bytes("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"
+                        + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.0 200 OK\r\n\r\nto the end"));
+        assertEquals(
+                List.of(204, 200),
+                got.stream().map(a -> ((HttpAnswer) a).status()).toList());
         assertEquals("to the end", new String(((HttpAnswer) p.finish()).body()));
         HttpParser head = new HttpParser(HttpParser.Side.ANSWERS, SMALL);
         head.nextIsToHead();
-        assertEquals(1, read(head, bytes("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n")).size());
+        assertEquals(
+                1,
+                read(head, bytes("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n"))
+                        .size());
         assertTrue(head.idle());
     }
 }
--- a/src/test/java/laurelkeel/wire/RequestEndsTest.java
+++ b/src/test/java/laurelkeel/wire/RequestEndsTest.java
@@ -17,13 +17,18 @@
 
 /** A request counts only once its last byte has come, however its client ends the connection before (RFC 9112, 6.3 and 8). */
 class RequestEndsTest {
-    private static final List<String> REQUESTS = List.of("GET / HTTP/1.1\r\nHost: a\r\n\r\n",
+    private static final List<String> REQUESTS = List.of(
+            "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
             "HEAD / HTTP/1.1\r\nHost: a\r\n\r\n",
             "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nall of it",
             "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nall of it\r\n0\r\n\r\n");
 
     /** How the client ends its connection. */
-    private enum Ending { IN_ORDER, OUTPUT_ONLY, RESET }
+    private enum Ending {
+        IN_ORDER,
+        OUTPUT_ONLY,
+        RESET
+    }
 
     private final TellingHandler handler = new TellingHandler();
     private final NioSocketAcceptor acceptor = new NioSocketAcceptor(1);
@@ -61,7 +66,9 @@
 
     private int untilClosed() throws InterruptedException {
         int requests = 0;
-        for (Object next = handler.told.poll(10, TimeUnit.SECONDS); next != TellingHandler.CLOSED; next = handler.told.poll(10, TimeUnit.SECONDS)) {
+        for (Object next = handler.told.poll(10, TimeUnit.SECONDS);
+                next != TellingHandler.CLOSED;
+                next = handler.told.poll(10, TimeUnit.SECONDS)) {
             assertTrue(next instanceof HttpReq, "told " + next);
             requests++;
         }
@@ -73,7 +80,10 @@
         for (String request : REQUESTS) {
             for (int at = 1; at <= request.length(); at++) {
                 for (Ending ending : Ending.values()) {
-                    assertEquals(at == request.length() ? 1 : 0, readOf(request, at, ending), request + " " + at + " " + ending);
+                    assertEquals(
+                            at == request.length() ? 1 : 0,
+                            readOf(request, at, ending),
+                            request + " " + at + " " + ending);
                 }
             }
         }
