--- a/src/main/java/laurelkeel/api/Action.java
+++ b/src/main/java/laurelkeel/api/Action.java
@@ -1,37 +1,65 @@
 package laurelkeel.api;
 
-/** What a front does. Times are tenths of a millisecond. */
+/** Something a front node is to do. Actions take effect at the moment of the decision, in the order given. */
 public sealed interface Action {
 
+    /** What a front node says of a build. */
     enum Verdict {
+        /** No opinion. */
         NONE,
-        ON,
+        /** The build may go on to its next stage. */
+        PROMOTE,
+        /** The build is to stay in its stage. */
         HOLD,
-        BACK
+        /** The build is to be taken back. */
+        ROLL_BACK
     }
 
-    record Send(String req, String machine, long within) implements Action {}
+    /**
+     * Forwards a request to an endpoint. A request's attempts are numbered from 0 in the order of these actions.
+     *
+     * @param timeoutTicks after which the attempt ends as timed out; 0 for the client's deadline
+     */
+    record SendAttempt(String requestId, String endpointId, long timeoutTicks) implements Action {}
 
-    record StopTry(String req, int tryNo) implements Action {}
+    /** Stops waiting for an attempt. Whether the endpoint stops working on it is the endpoint's matter. */
+    record CancelAttempt(String requestId, int attempt) implements Action {}
 
-    record Shed(String req, long retryAfter) implements Action {}
+    /**
+     * The final answer of a request that provably had no effect: the client may repeat it.
+     *
+     * @param retryAfterTicks how long the client is asked to stay away; 0 for no advice
+     */
+    record RejectRequest(String requestId, long retryAfterTicks) implements Action {}
 
-    record Err(String req) implements Action {}
+    /** The final answer of a request that failed and may have had an effect. */
+    record FailRequest(String requestId) implements Action {}
 
-    record Timer(long when, long handle) implements Action {}
+    /** Asks for an {@link Event.TimerFired} with the same id at or after a moment. Timers are never cancelled. */
+    record StartTimer(long dueAtTicks, long timerId) implements Action {}
 
-    record Probe(String machine) implements Action {}
+    /** Asks an endpoint for its health and load. */
+    record SendHealthCheck(String endpointId) implements Action {}
 
-    record CloseIdle(String machine) implements Action {}
+    /** Closes this front node's idle connections to an endpoint. */
+    record CloseIdleConnections(String endpointId) implements Action {}
 
-    /** A short message to one other front, or to all where to is below 0. */
-    record Tell(int to, byte[] bytes) implements Action {}
+    /**
+     * Sends a short message to other front nodes.
+     *
+     * @param toNode index of the receiver; below 0 for all other nodes
+     */
+    record SendGossip(int toNode, byte[] payload) implements Action {}
 
-    record WatchList(boolean on) implements Action {}
+    /** Subscribes to changes of the endpoint list, or ends the subscription. */
+    record WatchEndpoints(boolean enabled) implements Action {}
 
-    record FetchList() implements Action {}
+    /** Asks once for the whole endpoint list. */
+    record FetchEndpoints() implements Action {}
 
-    record Vote(int build, int stage, Verdict verdict) implements Action {}
+    /** Votes on a build. A vote that is accepted takes the place of this node's earlier one. */
+    record CastVote(int build, int stage, Verdict verdict) implements Action {}
 
-    record Log(String text) implements Action {}
+    /** Writes a line to the log. */
+    record WriteLog(String message) implements Action {}
 }
--- a/src/main/java/laurelkeel/api/Decider.java
+++ b/src/main/java/laurelkeel/api/Decider.java
@@ -2,13 +2,28 @@
 
 import java.util.List;
 
-/** One front's decisions: all it has learned at a moment goes in, all it does at that moment comes out. */
+/**
+ * Takes all decisions of one front node: what it has learned at a moment goes in, what it is to do at that moment comes
+ * out. Implementations are deterministic, use no clock or random source of their own, and are called by one thread at a
+ * time.
+ */
 public interface Decider {
-    /** @param now tenths of a millisecond on a clock that only advances */
-    List<Action> decide(long now, List<Event> events);
+    /**
+     * Decides at one moment.
+     *
+     * @param nowTicks the moment, on a clock that only advances
+     * @param events all that was learned since the last call, in order of arrival
+     * @return the actions to carry out, in order
+     */
+    List<Action> decide(long nowTicks, List<Event> events);
 
-    /** Makes the decider of one front, at its start, from its settings and its own seed for chance. */
-    interface Maker {
-        Decider make(Settings settings, long seed);
+    /** Creates the decider of a front node at its start. */
+    interface Factory {
+        /**
+         * Creates a decider.
+         *
+         * @param seed of the node's own random draws
+         */
+        Decider create(Settings settings, long seed);
     }
 }
--- a/src/main/java/laurelkeel/audit/NoEffectTwice.java
+++ b/src/main/java/laurelkeel/audit/NoEffectTwice.java
@@ -84,7 +84,7 @@
                 .filter(a -> r.mayHaveRun(a, answer.t()))
                 .findFirst()
                 .orElse(null);
-        boolean harmless = ran == null || r.route.effect() == Rec.Effect.DEDUPED && r.route.group() == Rec.Group.ALL;
+        boolean harmless = ran == null || (r.route.effect() == Rec.Effect.DEDUPED && r.route.group() == Rec.Group.ALL);
         near(0, "-");
         if (!harmless) {
             breach(
--- a/src/main/java/laurelkeel/bench/BlameRun.java
+++ b/src/main/java/laurelkeel/bench/BlameRun.java
@@ -315,7 +315,11 @@
         boolean silent = machine.equals(dead) && now >= deadFrom && now < deadFrom + deadLasts;
         boolean failed = !silent && random.nextDouble() < fails;
         boolean told = wrong && !silent && !failed && random.nextDouble() < 0.3;
-        if (mine && (failed && fails > 0.01 || wrong || bad == Bad.SLOW || bad == Bad.SLOW_WHEN_BUSY && load > 1.02)
+        if ((mine
+                        && ((failed && fails > 0.01)
+                                || wrong
+                                || bad == Bad.SLOW
+                                || (bad == Bad.SLOW_WHEN_BUSY && load > 1.02)))
                 || hurt) {
             harm++;
         }
--- a/src/main/java/laurelkeel/bench/DecisionBench.java
+++ b/src/main/java/laurelkeel/bench/DecisionBench.java
@@ -2,17 +2,17 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import laurelkeel.api.Action;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.Listed;
-import laurelkeel.api.Event.MachineState;
-import laurelkeel.api.Event.Outcome;
-import laurelkeel.api.Event.Phase;
+import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.api.Event.EndpointEntry;
+import laurelkeel.api.Event.EndpointState;
+import laurelkeel.api.Event.RolloutPhase;
+import laurelkeel.api.LoadReport;
 import laurelkeel.api.Settings;
-import laurelkeel.api.Settings.Effect;
-import laurelkeel.api.Settings.Group;
+import laurelkeel.api.Settings.DeduplicationScope;
+import laurelkeel.api.Settings.Idempotency;
 import laurelkeel.api.Settings.Route;
 import laurelkeel.decision.Shifter;
 import org.openjdk.jmh.annotations.Benchmark;
@@ -58,8 +58,8 @@
     @Setup
     public void begin() {
         List<Route> routes = List.of(
-                new Route(Effect.RETRIABLE, Group.ALL, 800 * MS, 2500 * MS, 2, 0, 0),
-                new Route(Effect.NON_RETRIABLE, Group.ALL, 1000 * MS, 3000 * MS, 1, 0, 0));
+                new Route(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 800 * MS, 2500 * MS, 2, 0, 0),
+                new Route(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 1000 * MS, 3000 * MS, 1, 0, 0));
         Settings set = new Settings(
                 0,
                 4,
@@ -67,10 +67,10 @@
                 routes,
                 List.of(),
                 new Settings.Limits(10_000, 50_000, 0.4, 20_000, 3, 100_000),
-                new Settings.Allowed(4, true, false, true, true, 10_000, false),
-                new Settings.Prices(0.05, 0.01, 0.01, 0.5, 3),
+                new Settings.Capabilities(4, true, false, true, true, 10_000, false),
+                new Settings.Costs(0.05, 0.01, 0.01, 0.5, 3),
                 new Settings.Rollout(
-                        Settings.Control.COUNT,
+                        Settings.PromotionPolicy.VOTE_COUNT,
                         2,
                         2,
                         0,
@@ -89,23 +89,23 @@
                 false);
         shifter = new Shifter(set, 1);
         now = 1_000_000;
-        List<Listed> list = new ArrayList<>();
+        List<EndpointEntry> list = new ArrayList<>();
         for (int i = 0; i < machines; i++) {
             int build = when == When.TRIAL && i % 10 == 0 ? 2 : 1;
-            list.add(new Listed(
-                    "10.0." + i / 250 + "." + i % 250 + ":80", build, i % 3, i % 3, 0, 1, MachineState.LIVE, 0));
+            list.add(new EndpointEntry(
+                    "10.0." + i / 250 + "." + i % 250 + ":80", build, i % 3, i % 3, 0, 1, EndpointState.ACTIVE, 0));
         }
         boolean trial = when == When.TRIAL;
         shifter.decide(
                 now,
                 List.of(
-                        new Event.MachineList(Event.ListKind.FULL, list),
-                        new Event.ReleaseNews(
-                                Event.Answer.OK,
+                        new Event.EndpointListUpdate(Event.EndpointListKind.SNAPSHOT, list),
+                        new Event.RolloutUpdate(
+                                Event.ControlStatus.OK,
                                 0,
                                 trial ? 0.1 : 1,
                                 0,
-                                trial ? Phase.TRIAL : Phase.RELEASED,
+                                trial ? RolloutPhase.CANARY : RolloutPhase.RELEASED,
                                 trial ? 2 : 1,
                                 false)));
     }
@@ -116,12 +116,15 @@
         String id = "r" + ids++;
         int sent = 0;
         for (Action a : shifter.decide(
-                now, List.of(new Event.Req(id, (int) (ids & 1), 0, "k" + ids % 5000, now + 20_000, 0, false)))) {
-            if (a instanceof Action.Send s) {
+                now,
+                List.of(new Event.RequestReceived(id, (int) (ids & 1), 0, "k" + ids % 5000, now + 20_000, 0, false)))) {
+            if (a instanceof Action.SendAttempt s) {
                 sent++;
                 now += 10;
                 shifter.decide(
-                        now, List.of(new Event.TryEnded(id, 0, s.machine(), Outcome.COMPLETED, 10, true, Map.of())));
+                        now,
+                        List.of(new Event.AttemptEnded(
+                                id, 0, s.endpointId(), AttemptOutcome.COMPLETED, 10, true, LoadReport.NONE)));
             }
         }
         return sent;
--- a/src/main/java/laurelkeel/bench/LanesBench.java
+++ b/src/main/java/laurelkeel/bench/LanesBench.java
@@ -5,17 +5,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import java.util.Map;
 import java.util.SplittableRandom;
 import laurelkeel.api.Action;
 import laurelkeel.api.Decider;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.Listed;
-import laurelkeel.api.Event.MachineState;
-import laurelkeel.api.Event.Phase;
+import laurelkeel.api.Event.EndpointEntry;
+import laurelkeel.api.Event.EndpointState;
+import laurelkeel.api.Event.RolloutPhase;
+import laurelkeel.api.LoadReport;
 import laurelkeel.api.Settings;
-import laurelkeel.api.Settings.Effect;
-import laurelkeel.api.Settings.Group;
+import laurelkeel.api.Settings.DeduplicationScope;
+import laurelkeel.api.Settings.Idempotency;
 import laurelkeel.blame.Blame;
 import laurelkeel.blame.Report;
 import laurelkeel.decision.Shifter;
@@ -32,13 +32,14 @@
                 0,
                 170,
                 0,
-                List.of(new Settings.Route(Effect.RETRIABLE, Group.ALL, 800 * MS, 2500 * MS, 2, 0, 0)),
+                List.of(new Settings.Route(
+                        Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 800 * MS, 2500 * MS, 2, 0, 0)),
                 List.of(),
                 new Settings.Limits(SECOND, 5 * SECOND, 0.4, 2 * SECOND, 3, 10 * SECOND),
-                new Settings.Allowed(4, true, false, true, true, SECOND, false),
-                new Settings.Prices(0, 0.01, 0.01, 0.5, 3),
+                new Settings.Capabilities(4, true, false, true, true, SECOND, false),
+                new Settings.Costs(0, 0.01, 0.01, 0.5, 3),
                 new Settings.Rollout(
-                        Settings.Control.COUNT,
+                        Settings.PromotionPolicy.VOTE_COUNT,
                         1,
                         1,
                         0,
@@ -63,17 +64,19 @@
         final SplittableRandom random = new SplittableRandom(1);
         long now = 36_000_000, ids;
 
-        Load(Decider.Maker maker, int machines, int releases) {
-            decider = maker.make(settings(), 1);
-            List<Listed> list = new ArrayList<>();
+        Load(Decider.Factory maker, int machines, int releases) {
+            decider = maker.create(settings(), 1);
+            List<EndpointEntry> list = new ArrayList<>();
             for (int i = 0; i < machines; i++) {
                 int build = i % 10 < releases ? 2 + i % 10 : 1;
-                list.add(new Listed("m" + i, build, 0, 0, 0, 1, MachineState.LIVE, 0));
+                list.add(new EndpointEntry("m" + i, build, 0, 0, 0, 1, EndpointState.ACTIVE, 0));
             }
-            List<Event> events = new ArrayList<>(List.of(new Event.MachineList(Event.ListKind.REMEMBERED, list)));
-            events.add(new Event.ReleaseNews(Event.Answer.OK, 0, 1, 0, Phase.RELEASED, 1, false));
+            List<Event> events =
+                    new ArrayList<>(List.of(new Event.EndpointListUpdate(Event.EndpointListKind.CACHED, list)));
+            events.add(new Event.RolloutUpdate(Event.ControlStatus.OK, 0, 1, 0, RolloutPhase.RELEASED, 1, false));
             for (int b = 0; b < releases; b++) {
-                events.add(new Event.ReleaseNews(Event.Answer.OK, 0, 0.1, 0, Phase.TRIAL, 2 + b, false));
+                events.add(
+                        new Event.RolloutUpdate(Event.ControlStatus.OK, 0, 0.1, 0, RolloutPhase.CANARY, 2 + b, false));
             }
             decider.decide(now, events);
         }
@@ -84,16 +87,22 @@
             for (int i = 0; i < n; i++) {
                 now += 10;
                 String id = "r" + ids++;
-                List<Event> in = new ArrayList<>(
-                        List.of(new Event.Req(id, 0, 0, "k" + random.nextInt(20_000), now + 2500 * MS, 0, false)));
+                List<Event> in = new ArrayList<>(List.of(
+                        new Event.RequestReceived(id, 0, 0, "k" + random.nextInt(20_000), now + 2500 * MS, 0, false)));
                 List<Action> out = decider.decide(now, in);
                 in = new ArrayList<>();
                 for (Action a : out) {
-                    if (a instanceof Action.Send s) {
-                        in.add(new Event.TryEnded(
-                                s.req(), 0, s.machine(), Event.Outcome.COMPLETED, 80, true, Map.of()));
-                    } else if (a instanceof Action.Timer t) {
-                        in.add(new Event.TimerDue(t.handle()));
+                    if (a instanceof Action.SendAttempt s) {
+                        in.add(new Event.AttemptEnded(
+                                s.requestId(),
+                                0,
+                                s.endpointId(),
+                                Event.AttemptOutcome.COMPLETED,
+                                80,
+                                true,
+                                LoadReport.NONE));
+                    } else if (a instanceof Action.StartTimer t) {
+                        in.add(new Event.TimerFired(t.timerId()));
                     }
                 }
                 decider.decide(now + 5, in);
@@ -113,7 +122,7 @@
                 "| machines | module alone, 1 release, ns/req | lanes, 1 release | lanes, 3 releases | 1 lane to alone | 3 to 1 | heap of 3, MiB |");
         out.println("| --- | --- | --- | --- | --- | --- | --- |");
         for (int machines : new int[] {10, 300}) {
-            Decider.Maker lanes = (set, seed) -> new Lanes(set, seed, Shifter::new);
+            Decider.Factory lanes = (set, seed) -> new Lanes(set, seed, Shifter::new);
             long before = heap();
             Load three = new Load(lanes, machines, 3);
             three.reqs(reqs);
--- a/src/main/java/laurelkeel/benchlink/BenchLink.java
+++ b/src/main/java/laurelkeel/benchlink/BenchLink.java
@@ -18,58 +18,65 @@
 import laurelkeel.api.Action;
 import laurelkeel.api.Decider;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.Answer;
-import laurelkeel.api.Event.ListKind;
-import laurelkeel.api.Event.Listed;
-import laurelkeel.api.Event.MachineState;
-import laurelkeel.api.Event.Outcome;
-import laurelkeel.api.Event.Phase;
+import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.api.Event.ControlStatus;
+import laurelkeel.api.Event.EndpointEntry;
+import laurelkeel.api.Event.EndpointListKind;
+import laurelkeel.api.Event.EndpointState;
+import laurelkeel.api.Event.RolloutPhase;
 import laurelkeel.api.Settings;
 import laurelkeel.options.BadOption;
 import laurelkeel.options.Options;
 
 /** Hosts one decider a front and speaks the wire cedar-a60e for them. It decides nothing. */
 public final class BenchLink {
-    private static final Map<String, Outcome> OUTCOMES = Map.of(
+    private static final Map<String, AttemptOutcome> OUTCOMES = Map.of(
             "OK",
-            Outcome.COMPLETED,
+            AttemptOutcome.COMPLETED,
             "INTERNAL",
-            Outcome.ERROR,
+            AttemptOutcome.FAILED,
             "RESOURCE_EXHAUSTED",
-            Outcome.FULL,
+            AttemptOutcome.OVERLOADED,
             "DEADLINE_EXCEEDED",
-            Outcome.TIMEOUT,
+            AttemptOutcome.TIMED_OUT,
             "UNAVAILABLE",
-            Outcome.NO_CONNECTION,
+            AttemptOutcome.CONNECT_FAILED,
             "ABORTED",
-            Outcome.BROKEN,
+            AttemptOutcome.CONNECTION_LOST,
             "CANCELLED",
-            Outcome.STOPPED,
+            AttemptOutcome.CANCELLED,
             "TOO_LATE",
-            Outcome.NOT_SENT);
-    private static final Map<String, Answer> ANSWERS = Map.of(
+            AttemptOutcome.NOT_SENT);
+    private static final Map<String, ControlStatus> ANSWERS = Map.of(
             "OK",
-            Answer.OK,
+            ControlStatus.OK,
             "TOO_LATE",
-            Answer.MOOT,
+            ControlStatus.STALE,
             "RESOURCE_EXHAUSTED",
-            Answer.OVER_LIMIT,
+            ControlStatus.RATE_LIMITED,
             "INTERNAL",
-            Answer.ERROR,
+            ControlStatus.FAILED,
             "DEADLINE_EXCEEDED",
-            Answer.TIMEOUT);
-    private static final Map<String, ListKind> LISTS =
-            Map.of("D", ListKind.CHANGES, "F", ListKind.FULL, "C", ListKind.REMEMBERED, "X", ListKind.FAILED);
-    private static final Map<String, MachineState> STATES =
-            Map.of("live", MachineState.LIVE, "quiescing", MachineState.DRAINING, "dead", MachineState.GONE);
+            ControlStatus.TIMED_OUT);
+    private static final Map<String, EndpointListKind> LISTS = Map.of(
+            "D",
+            EndpointListKind.DELTA,
+            "F",
+            EndpointListKind.SNAPSHOT,
+            "C",
+            EndpointListKind.CACHED,
+            "X",
+            EndpointListKind.FAILED);
+    private static final Map<String, EndpointState> STATES =
+            Map.of("live", EndpointState.ACTIVE, "quiescing", EndpointState.DRAINING, "dead", EndpointState.REMOVED);
 
-    private final Decider.Maker maker;
+    private final Decider.Factory maker;
     private final Map<Integer, Decider> fronts = new HashMap<>();
-    private final Map<Integer, List<Listed>> lists = new HashMap<>();
+    private final Map<Integer, List<EndpointEntry>> lists = new HashMap<>();
     private BufferedReader in;
     private long line;
 
-    public BenchLink(Decider.Maker maker) {
+    public BenchLink(Decider.Factory maker) {
         this.maker = maker;
     }
 
@@ -118,7 +125,7 @@
                     Settings settings = settings(f);
                     news.put(front, new ArrayList<>());
                     try {
-                        fronts.put(front, maker.make(settings, seed));
+                        fronts.put(front, maker.create(settings, seed));
                     } catch (RuntimeException e) {
                         broken.put(front, told(front, e));
                     }
@@ -175,7 +182,7 @@
         f.expect(2);
         int slot = f.small("slot");
         int count = f.small("lines");
-        List<Listed> entries = new ArrayList<>();
+        List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             Fields e = inside();
             if (!e.name().equals("item")) {
@@ -187,9 +194,9 @@
             int kind = e.small("kind", 0);
             int zone = e.small("campus", 0);
             double size = e.number("nominal", 1);
-            MachineState state = e.oneOf("status", STATES);
+            EndpointState state = e.oneOf("status", STATES);
             long started = e.time("since");
-            entries.add(new Listed(e.text("machine"), build, zone, cell, kind, size, state, started));
+            entries.add(new EndpointEntry(e.text("machine"), build, zone, cell, kind, size, state, started));
         }
         lists.put(slot, entries);
     }
@@ -198,15 +205,15 @@
         switch (f.name()) {
             case "membership" -> {
                 f.expect(4);
-                ListKind kind = f.oneOf("how", LISTS);
+                EndpointListKind kind = f.oneOf("how", LISTS);
                 int slot = f.small("slot", -1);
-                if (kind == ListKind.FAILED) {
-                    return new Event.MachineList(kind, List.of());
+                if (kind == EndpointListKind.FAILED) {
+                    return new Event.EndpointListUpdate(kind, List.of());
                 }
                 if (!lists.containsKey(slot)) {
                     throw f.bad("slot", "list " + slot + " was not given");
                 }
-                return new Event.MachineList(kind, lists.get(slot));
+                return new Event.EndpointListUpdate(kind, lists.get(slot));
             }
             case "incoming" -> {
                 f.expect(9);
@@ -214,18 +221,18 @@
                 int route = f.small("qos");
                 int customer = f.small("clientGroup", 0);
                 String key = f.optionalText("partitionKey");
-                return new Event.Req(
+                return new Event.RequestReceived(
                         id, route, customer, key, f.time("notAfter"), f.number("expected", 0), f.flag("resent"));
             }
             case "under_way" -> {
                 f.expect(5);
                 String id = f.text("opId");
                 f.time("lag");
-                return new Event.AnswerBegun(id, f.small("sendNo"));
+                return new Event.ResponseStarted(id, f.small("sendNo"));
             }
             case "returned" -> {
                 f.expect(8);
-                return new Event.TryEnded(
+                return new Event.AttemptEnded(
                         f.text("opId"),
                         f.small("sendNo"),
                         f.text("machine"),
@@ -236,36 +243,38 @@
             }
             case "withdrawn" -> {
                 f.expect(2);
-                return new Event.ClientLeft(f.text("opId"));
+                return new Event.ClientDisconnected(f.text("opId"));
             }
             case "ring" -> {
                 f.expect(2);
-                return new Event.TimerDue(f.whole("handle"));
+                return new Event.TimerFired(f.whole("handle"));
             }
             case "pong" -> {
                 f.expect(5);
-                return new Event.Probed(f.text("machine"), f.oneOf("status", OUTCOMES), f.time("lag"), f.load("gauge"));
+                return new Event.HealthCheckEnded(
+                        f.text("machine"), f.oneOf("status", OUTCOMES), f.time("lag"), f.load("gauge"));
             }
             case "note_from" -> {
                 f.expect(3);
-                return new Event.Note(f.small("from"), f.bytes("bytes"));
+                return new Event.GossipReceived(f.small("from"), f.bytes("bytes"));
             }
             case "release_state" -> {
                 f.expect(8);
-                Answer answer = f.oneOf("status", ANSWERS);
+                ControlStatus answer = f.oneOf("status", ANSWERS);
                 int stage = f.small("tranche", 0);
                 double cap = f.number("ceiling", 0);
                 long age = f.time("since");
                 int phase = f.small("whereAt", 0);
-                if (phase < 0 || phase >= Phase.values().length) {
+                if (phase < 0 || phase >= RolloutPhase.values().length) {
                     throw f.bad("whereAt", phase + " is unknown");
                 }
                 int build = f.small("build", 0);
-                return new Event.ReleaseNews(answer, stage, cap, age, Phase.values()[phase], build, f.flag("sense"));
+                return new Event.RolloutUpdate(
+                        answer, stage, cap, age, RolloutPhase.values()[phase], build, f.flag("sense"));
             }
             case "counts_by_build" -> {
                 f.expect(7);
-                return new Event.BuildCounts(
+                return new Event.BuildStatistics(
                         f.small("build"),
                         f.small("qos"),
                         f.whole("count"),
@@ -275,7 +284,7 @@
             }
             case "contested" -> {
                 f.expect(4);
-                return new Event.Complaint(f.text("machine"), f.time("since"), f.small("qos", 0));
+                return new Event.ComplaintReceived(f.text("machine"), f.time("since"), f.small("qos", 0));
             }
             default -> throw f.bad(f.name(), "is no message of the wire");
         }
@@ -283,33 +292,33 @@
 
     private static void write(Writer out, int front, Action a) throws IOException {
         String head;
-        if (a instanceof Action.Send s) {
-            head = "hand_off " + front + " " + s.req() + " " + s.machine() + " " + ms(s.within());
-        } else if (a instanceof Action.StopTry s) {
-            head = "stop_attempt " + front + " " + s.req() + " " + s.tryNo();
-        } else if (a instanceof Action.Shed s) {
-            head = "deny " + front + " " + s.req() + " " + ms(s.retryAfter());
-        } else if (a instanceof Action.Err s) {
-            head = "lose " + front + " " + s.req();
-        } else if (a instanceof Action.Timer s) {
-            head = "after " + front + " " + ms(s.when()) + " " + s.handle();
-        } else if (a instanceof Action.Probe s) {
-            head = "ask_load " + front + " " + s.machine();
-        } else if (a instanceof Action.CloseIdle s) {
-            head = "disconnect " + front + " " + s.machine();
-        } else if (a instanceof Action.Tell s) {
-            String to = s.to() < 0 ? "all" : Integer.toString(s.to());
-            String hex = s.bytes().length == 0 ? "-" : HexFormat.of().formatHex(s.bytes());
+        if (a instanceof Action.SendAttempt s) {
+            head = "hand_off " + front + " " + s.requestId() + " " + s.endpointId() + " " + ms(s.timeoutTicks());
+        } else if (a instanceof Action.CancelAttempt s) {
+            head = "stop_attempt " + front + " " + s.requestId() + " " + s.attempt();
+        } else if (a instanceof Action.RejectRequest s) {
+            head = "deny " + front + " " + s.requestId() + " " + ms(s.retryAfterTicks());
+        } else if (a instanceof Action.FailRequest s) {
+            head = "lose " + front + " " + s.requestId();
+        } else if (a instanceof Action.StartTimer s) {
+            head = "after " + front + " " + ms(s.dueAtTicks()) + " " + s.timerId();
+        } else if (a instanceof Action.SendHealthCheck s) {
+            head = "ask_load " + front + " " + s.endpointId();
+        } else if (a instanceof Action.CloseIdleConnections s) {
+            head = "disconnect " + front + " " + s.endpointId();
+        } else if (a instanceof Action.SendGossip s) {
+            String to = s.toNode() < 0 ? "all" : Integer.toString(s.toNode());
+            String hex = s.payload().length == 0 ? "-" : HexFormat.of().formatHex(s.payload());
             head = "notify " + front + " " + to + " " + hex;
-        } else if (a instanceof Action.WatchList s) {
-            head = "watch " + front + " " + (s.on() ? 1 : 0);
-        } else if (a instanceof Action.FetchList) {
+        } else if (a instanceof Action.WatchEndpoints s) {
+            head = "watch " + front + " " + (s.enabled() ? 1 : 0);
+        } else if (a instanceof Action.FetchEndpoints) {
             head = "query_all " + front;
-        } else if (a instanceof Action.Vote s) {
+        } else if (a instanceof Action.CastVote s) {
             head = "say_so " + front + " " + s.build() + " " + s.stage() + " "
                     + s.verdict().ordinal();
-        } else if (a instanceof Action.Log s) {
-            head = "print " + front + " " + s.text();
+        } else if (a instanceof Action.WriteLog s) {
+            head = "print " + front + " " + s.message();
         } else {
             throw new IllegalStateException("an action the wire lacks: " + a);
         }
--- a/src/main/java/laurelkeel/benchlink/Fields.java
+++ b/src/main/java/laurelkeel/benchlink/Fields.java
@@ -3,6 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Function;
+import laurelkeel.api.LoadReport;
 import laurelkeel.options.Numbers;
 
 /** The values of one line, read in order. */
@@ -94,10 +95,10 @@
         return t;
     }
 
-    Map<String, Double> load(String field) {
+    LoadReport load(String field) {
         String s = optionalText(field);
         if (s == null) {
-            return Map.of();
+            return LoadReport.NONE;
         }
         Map<String, Double> out = new HashMap<>();
         for (String pair : s.split(",")) {
@@ -107,7 +108,7 @@
             }
             out.put(pair.substring(0, colon), parsed(field, pair.substring(colon + 1), "number", Numbers::finite));
         }
-        return out;
+        return new LoadReport(out);
     }
 
     byte[] bytes(String field) {
--- a/src/main/java/laurelkeel/blame/Trial.java
+++ b/src/main/java/laurelkeel/blame/Trial.java
@@ -73,7 +73,7 @@
             Map<Integer, Tally[]> routes = new TreeMap<>();
             for (Report.Cell c : cells) {
                 boolean own = c.build() == build;
-                if (!own
+                if ((!own
                                 && !checked.computeIfAbsent(c.build(), b -> {
                                     boolean measure = beside.test(b);
                                     if (measure) {
@@ -81,9 +81,9 @@
                                         silentOut.add(recent.mostSilent(b));
                                     }
                                     return measure;
-                                })
+                                }))
                         || out.contains(c.machine())
-                        || customer >= 0 && c.customer() == customer) {
+                        || (customer >= 0 && c.customer() == customer)) {
                     continue;
                 }
                 Tally[] sides = routes.computeIfAbsent(c.route(), k -> new Tally[] {new Tally(), new Tally()});
--- a/src/main/java/laurelkeel/cli/FrontCommand.java
+++ b/src/main/java/laurelkeel/cli/FrontCommand.java
@@ -26,7 +26,7 @@
         FrontSettings set = FrontSettings.read(file);
         Front front = new Front(set, Shifter::new);
         long most = set.decisions().routes().stream()
-                        .mapToLong(r -> r.timeout())
+                        .mapToLong(r -> r.timeoutTicks())
                         .max()
                         .orElse(0)
                 + set.ingress().drainMost();
--- a/src/main/java/laurelkeel/config/Section.java
+++ b/src/main/java/laurelkeel/config/Section.java
@@ -127,14 +127,22 @@
     }
 
     public <E extends Enum<E>> E choice(String key, String absent, Class<E> of) {
-        List<String> words = new ArrayList<>();
+        Map<String, E> values = new LinkedHashMap<>();
         for (E e : of.getEnumConstants()) {
-            words.add(word(e));
+            values.put(word(e), e);
         }
-        return get(key, absent, of.getEnumConstants()[0], "one of " + String.join(", ", words), s -> {
-            int i = words.indexOf(s);
-            return i < 0 ? null : of.getEnumConstants()[i];
-        });
+        return choice(key, absent, values);
+    }
+
+    /**
+     * One of several values.
+     *
+     * @param values by the name that each has in the file, in the order in which an error lists them; the first stands
+     *     in where the file has a fault
+     */
+    public <T> T choice(String key, String absent, Map<String, T> values) {
+        String form = "one of " + String.join(", ", values.keySet());
+        return get(key, absent, values.values().iterator().next(), form, values::get);
     }
 
     /** NON_RETRIABLE reads non-retriable. */
--- a/src/main/java/laurelkeel/day/Day.java
+++ b/src/main/java/laurelkeel/day/Day.java
@@ -179,7 +179,7 @@
         for (FrontProcess f : fronts) {
             codes.add(f.awaitEnd(40));
         }
-        if (codes.stream().anyMatch(c -> c == null || c != 0 && c != 143)) {
+        if (codes.stream().anyMatch(c -> c == null || (c != 0 && c != 143))) {
             out.println("  fronts ended with " + codes + "; see their logs in " + folder);
         }
     }
--- a/src/main/java/laurelkeel/day/DayPlan.java
+++ b/src/main/java/laurelkeel/day/DayPlan.java
@@ -15,6 +15,7 @@
 import laurelkeel.config.Ini;
 import laurelkeel.config.Section;
 import laurelkeel.front.FrontSettings.Common;
+import laurelkeel.front.WireTerms;
 import laurelkeel.front.ingress.RouteTable;
 import laurelkeel.records.Rec;
 import laurelkeel.standin.Build;
@@ -86,13 +87,13 @@
             Settings.Route r = common.routes().get(i);
             Rec.RouteRule rule = new Rec.RouteRule(
                     e.name(),
-                    Rec.Effect.valueOf(r.effect().name()),
-                    Rec.Group.valueOf(r.group().name()),
-                    r.repeatWindow());
+                    WireTerms.recorded(r.idempotency()),
+                    WireTerms.recorded(r.deduplicationScope()),
+                    r.deduplicationWindowTicks());
             rules.put(e.name(), rule);
             works.put(e.name(), work.time(e.name(), null, "1 ms", "1 min"));
             routes.add(new Clients.Route(
-                    e.name(), e.method(), e.prefix(), rule, r.timeout(), share.number(e.name(), "1", 0, 1e6)));
+                    e.name(), e.method(), e.prefix(), rule, r.timeoutTicks(), share.number(e.name(), "1", 0, 1e6)));
         }
         Map<String, Double> customers = new LinkedHashMap<>();
         Section asks = ini.section("asks", true);
@@ -173,35 +174,43 @@
                 s.small("connections", "400", 1, 1_000_000),
                 works,
                 rules,
-                l.coldFrom(),
-                l.coldFor(),
-                l.tipMultiple(),
-                l.tipAfter(),
+                l.warmUpInitialShare(),
+                l.warmUpTicks(),
+                l.overloadMultiple(),
+                l.overloadWindowTicks(),
                 s.number("warm-keys", "0.2", 0, 0.99),
                 s.time("key-memory", "5 s", "0 ms", "1 h"),
                 s.time("load-every", "200 ms", "0 ms", "1 min"),
                 (int) s.bytes("answer", "200 B", "0 B", "1 MiB"));
     }
 
+    private static ReleaseLine.Control control(Settings.PromotionPolicy policy) {
+        return switch (policy) {
+            case FIRST_VOTE -> ReleaseLine.Control.ANY;
+            case VOTE_COUNT -> ReleaseLine.Control.COUNT;
+            case AUTOMATIC -> ReleaseLine.Control.CLOCK;
+        };
+    }
+
     private static ReleaseLine.Rule line(Ini ini, Settings.Rollout r) {
         Section s = ini.section("line", true);
         List<Double> shares = s.numbers("shares", "0.1, 0.4, 1", 0.001, 1);
-        if (shares.size() != r.stageCaps().size()) {
+        if (shares.size() != r.stageExposureCaps().size()) {
             s.fault(
                     "shares",
                     "has " + shares.size() + " stages and stage-caps of [rollout] has "
-                            + r.stageCaps().size() + "; give both as many");
+                            + r.stageExposureCaps().size() + "; give both as many");
         }
         return new ReleaseLine.Rule(
                 shares,
-                r.stageCaps(),
-                ReleaseLine.Control.valueOf(r.control().name()),
+                r.stageExposureCaps(),
+                control(r.promotionPolicy()),
                 s.choice("style", "replace", ReleaseLine.Style.class),
-                r.onVotes(),
-                r.backVotes(),
+                r.promoteVotes(),
+                r.rollBackVotes(),
                 r.holdVotes(),
-                r.leastStage(),
-                r.voteLife(),
+                r.minStageTicks(),
+                r.voteLifetimeTicks(),
                 r.votesPerSecond(),
                 s.time("news-lag", "300 ms", "0 ms", "1 h"),
                 s.time("news-every", "3 s", "100 ms", "1 h"),
@@ -216,12 +225,12 @@
         return new Rec.Rules(
                 0,
                 load.routes().stream().map(Clients.Route::rule).toList(),
-                common.limits().drainGrace(),
-                r.window(),
-                r.free(),
-                r.perRoute(),
+                common.limits().drainGraceTicks(),
+                r.exposureWindowTicks(),
+                r.exposureAllowance(),
+                r.exposurePerRoute(),
                 r.guardedStages(),
-                r.keysStay(),
-                r.stageCaps());
+                r.stickyKeys(),
+                r.stageExposureCaps());
     }
 }
--- a/src/main/java/laurelkeel/day/Report.java
+++ b/src/main/java/laurelkeel/day/Report.java
@@ -36,7 +36,7 @@
                 "of reqs");
         tallies.forEach((route, t) -> {
             Histogram h = t.completedTenths;
-            long objective = plan.common().routes().get(routeOf(plan, route)).objective();
+            long objective = plan.common().routes().get(routeOf(plan, route)).latencyObjectiveTicks();
             double within = t.reqs == 0 ? 0 : h.getCountBetweenValues(0, objective) / (double) t.reqs;
             row(
                     s,
--- a/src/main/java/laurelkeel/decision/Shifter.java
+++ b/src/main/java/laurelkeel/decision/Shifter.java
@@ -69,7 +69,7 @@
 
     /** One req this front has taken. */
     private static final class Rq {
-        final Req is;
+        final RequestReceived is;
         final long takenAt, endBy;
         final double fraction;
         int tries;
@@ -82,11 +82,11 @@
         Machine want;
         long within;
 
-        Rq(Req is, long takenAt, double fraction) {
+        Rq(RequestReceived is, long takenAt, double fraction) {
             this.is = is;
             this.takenAt = takenAt;
             this.fraction = fraction;
-            this.endBy = is.clientLeaves() - LAST_CALL;
+            this.endBy = is.deadlineTicks() - LAST_CALL;
         }
     }
 
@@ -109,14 +109,14 @@
         int at;
         final ArrayDeque<Long> sends = new ArrayDeque<>();
 
-        Machine(Listed is, double far) {
+        Machine(EndpointEntry is, double far) {
             this.far = far;
-            ringPlace = Rotation.placeOf(is.machine());
-            id = is.machine();
+            ringPlace = Rotation.placeOf(is.endpointId());
+            id = is.endpointId();
             build = is.build();
             zone = is.zone();
             cell = is.cell();
-            started = is.started();
+            started = is.startedAtTicks();
         }
 
         boolean ill() {
@@ -252,7 +252,7 @@
 
     // the trial
     private int newsBuild = -1;
-    private Phase phase = Phase.WITHDRAWN;
+    private RolloutPhase phase = RolloutPhase.ROLLED_BACK;
     private int stage;
     private double cap;
     private long stageSince;
@@ -269,7 +269,7 @@
     private final TreeMap<Long, Second> counted = new TreeMap<>();
 
     // the vote
-    private Action.Vote stands, asked;
+    private Action.CastVote stands, asked;
     private long askedAt = Long.MIN_VALUE / 2;
     private long stoodAt, nextVerdict;
     private String reason;
@@ -282,17 +282,17 @@
 
     public Shifter(Settings settings, long seed) {
         this.set = settings;
-        this.rotation = new Rotation(settings.self(), settings.fronts());
+        this.rotation = new Rotation(settings.nodeIndex(), settings.nodeCount());
         this.seed = Long.toString(seed).getBytes(StandardCharsets.US_ASCII);
         // of many fronts, some see a lead by mere chance: the fewer votes send a build back, the surer each
-        int enough = Math.max(1, settings.rollout().backVotes());
-        sure = Math.sqrt(SURE * SURE + 2 * Math.log(Math.max(1, settings.fronts() / (double) enough)));
+        int enough = Math.max(1, settings.rollout().rollBackVotes());
+        sure = Math.sqrt(SURE * SURE + 2 * Math.log(Math.max(1, settings.nodeCount() / (double) enough)));
         // until answers tell: an even part of what the customers may ask
         double quota =
-                settings.customers().stream().mapToDouble(Customer::quota).sum();
-        answered = quota > 0 ? quota / settings.fronts() : 1;
+                settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
+        answered = quota > 0 ? quota / settings.nodeCount() : 1;
         for (Route route : settings.routes()) {
-            times.add(new Times(route.objective() / 5.0));
+            times.add(new Times(route.latencyObjectiveTicks() / 5.0));
             taken.add(new ArrayDeque<>());
         }
     }
@@ -326,71 +326,71 @@
     }
 
     private void learn(Event e) {
-        if (e instanceof Req r) {
+        if (e instanceof RequestReceived r) {
             take(r);
-        } else if (e instanceof TryEnded t) {
+        } else if (e instanceof AttemptEnded t) {
             tryEnded(t);
-        } else if (e instanceof ClientLeft c) {
-            Rq rq = reqs.get(c.req());
+        } else if (e instanceof ClientDisconnected c) {
+            Rq rq = reqs.get(c.requestId());
             if (rq != null) {
                 rq.ended = true;
                 touched.add(rq);
             }
-        } else if (e instanceof MachineList l) {
+        } else if (e instanceof EndpointListUpdate l) {
             readList(l);
-        } else if (e instanceof ReleaseNews n) {
+        } else if (e instanceof RolloutUpdate n) {
             readNews(n);
-        } else if (e instanceof Complaint c) {
-            Machine m = machines.get(c.machine());
+        } else if (e instanceof ComplaintReceived c) {
+            Machine m = machines.get(c.endpointId());
             if (m != null) {
-                cell(seconds, now - c.sentAgo(), m.build, c.route()).complaints++;
+                cell(seconds, now - c.sentAgoTicks(), m.build, c.route()).complaints++;
             }
-        } else if (e instanceof BuildCounts b) {
-            Cell c = cell(counted, now - b.age(), b.build(), b.route());
-            c.tries += b.tries();
+        } else if (e instanceof BuildStatistics b) {
+            Cell c = cell(counted, now - b.ageTicks(), b.build(), b.route());
+            c.tries += b.attempts();
             c.fails += b.errors();
-        } else if (e instanceof TimerDue) {
+        } else if (e instanceof TimerFired) {
             armedFor = Long.MAX_VALUE;
         }
     }
 
     // ---- the list
 
-    private void readList(MachineList l) {
-        if (l.kind() == ListKind.FAILED) {
+    private void readList(EndpointListUpdate l) {
+        if (l.kind() == EndpointListKind.FAILED) {
             listAsked = false;
             listAskAt = now + listPause;
             listPause = Math.min(listPause * 2, 4 * SECOND);
             return;
         }
-        if (l.kind() != ListKind.REMEMBERED) {
+        if (l.kind() != EndpointListKind.CACHED) {
             listPause = SECOND / 2;
             if (listAsked) {
                 listAsked = false;
-                listAskAt = now + set.limits().askWithin() / 2;
+                listAskAt = now + set.limits().maxPollIntervalTicks() / 2;
             }
         }
         Set<String> named = new HashSet<>();
-        for (Listed i : l.machines()) {
-            named.add(i.machine());
-            Machine m = machines.get(i.machine());
-            if (m == null || m.started != i.started() || m.build != i.build()) {
+        for (EndpointEntry i : l.entries()) {
+            named.add(i.endpointId());
+            Machine m = machines.get(i.endpointId());
+            if (m == null || m.started != i.startedAtTicks() || m.build != i.build()) {
                 // what was learned of the id before says nothing of the machine that now has it
                 // a crossing counts as so much held
                 m = new Machine(
-                        i, i.zone() == set.zone() ? 0 : CROSS * set.prices().crossZone());
+                        i, i.zone() == set.zone() ? 0 : CROSS * set.costs().crossZone());
                 machines.put(m.id, m);
                 m.luck = chance();
-                m.luckUntil = now + set.limits().tipAfter();
+                m.luckUntil = now + set.limits().overloadWindowTicks();
                 // fronts that all began their turns at the same machine would meet there
                 m.credit = (chance() - 0.5)
-                        * i.size()
-                        * Math.max(machines.size(), l.machines().size());
+                        * i.weight()
+                        * Math.max(machines.size(), l.entries().size());
             }
-            m.size = Math.max(i.size(), 1e-3);
-            m.live = i.state() == MachineState.LIVE;
+            m.size = Math.max(i.weight(), 1e-3);
+            m.live = i.state() == EndpointState.ACTIVE;
         }
-        if (l.kind() != ListKind.CHANGES) {
+        if (l.kind() != EndpointListKind.DELTA) {
             machines.values().forEach(m -> m.live &= named.contains(m.id));
         }
         machines.values().removeIf(m -> !m.live && m.open == 0 && !named.contains(m.id));
@@ -419,30 +419,30 @@
                 .sum();
     }
 
-    private void readNews(ReleaseNews n) {
-        if (n.toVote() && asked != null) {
-            if (n.answer() == Answer.OK) {
+    private void readNews(RolloutUpdate n) {
+        if (n.answersVote() && asked != null) {
+            if (n.status() == ControlStatus.OK) {
                 stands = asked;
                 stoodAt = askedAt;
             }
             asked = null;
         }
-        if (n.answer() != Answer.OK || n.build() < newsBuild) {
+        if (n.status() != ControlStatus.OK || n.build() < newsBuild) {
             return;
         }
         if (n.build() != newsBuild || n.stage() != stage || n.phase() != phase) {
-            stageSince = now - n.age();
-            out.add(new Action.Log("build " + n.build() + " stage " + n.stage() + " " + n.phase()));
+            stageSince = now - n.ageTicks();
+            out.add(new Action.WriteLog("build " + n.build() + " stage " + n.stage() + " " + n.phase()));
         }
         newsBuild = n.build();
         stage = n.stage();
         phase = n.phase();
-        cap = n.cap();
-        if (phase == Phase.GOING_BACK || phase == Phase.WITHDRAWN) {
+        cap = n.exposureCap();
+        if (phase == RolloutPhase.ROLLING_BACK || phase == RolloutPhase.ROLLED_BACK) {
             takenOff.add(newsBuild);
             released.remove(newsBuild);
             pins.sentBack(newsBuild);
-        } else if (phase == Phase.RELEASED) {
+        } else if (phase == RolloutPhase.RELEASED) {
             released.add(newsBuild);
             pins.released(newsBuild);
         }
@@ -451,12 +451,12 @@
     private double warmth(Machine m) {
         double share = m.started == 0
                 ? 1
-                : Math.min(1, (now - m.started) / (double) set.limits().coldFor());
-        return set.limits().coldFrom() + (1 - set.limits().coldFrom()) * Math.max(0, share);
+                : Math.min(1, (now - m.started) / (double) set.limits().warmUpTicks());
+        return set.limits().warmUpInitialShare() + (1 - set.limits().warmUpInitialShare()) * Math.max(0, share);
     }
 
     private boolean warm(Machine m) {
-        return m.started == 0 || now - m.started >= set.limits().coldFor();
+        return m.started == 0 || now - m.started >= set.limits().warmUpTicks();
     }
 
     private double warmSize(int build) {
@@ -471,9 +471,9 @@
     /** Which build is on trial and which is the earlier one; a build not yet in the news is on trial. */
     private void findBuilds() {
         int newest = Math.max(newsBuild, newestLive);
-        int onTrial = phase == Phase.TRIAL ? newsBuild : newest > newsBuild && newsBuild >= 0 ? newest : -1;
+        int onTrial = phase == RolloutPhase.CANARY ? newsBuild : newest > newsBuild && newsBuild >= 0 ? newest : -1;
         int earlier = -1;
-        if (phase == Phase.RELEASED) {
+        if (phase == RolloutPhase.RELEASED) {
             earlier = newsBuild;
         } else {
             double most = 0;
@@ -502,7 +502,7 @@
     // ---- exposure
 
     private double trialCap() {
-        return trial > newsBuild ? set.rollout().stageCaps().get(0) : cap;
+        return trial > newsBuild ? set.rollout().stageExposureCaps().get(0) : cap;
     }
 
     private int trialStage() {
@@ -523,7 +523,7 @@
         CRC32 crc = new CRC32();
         crc.update(seed);
         crc.update(Long.toString(draws++).getBytes(StandardCharsets.US_ASCII));
-        return (crc.getValue() * 0x9E3779B97F4A7C15L >>> 11) * 0x1.0p-53;
+        return ((crc.getValue() * 0x9E3779B97F4A7C15L) >>> 11) * 0x1.0p-53;
     }
 
     private void raiseThreshold() {
@@ -540,7 +540,7 @@
     }
 
     private int scope(int route) {
-        return set.rollout().perRoute() ? route : 0;
+        return set.rollout().exposurePerRoute() ? route : 0;
     }
 
     /** A build that leaves the list ahead of its news, or is passed, and returns, has its tries still. */
@@ -554,15 +554,15 @@
     private boolean trialOpen(Rq rq, boolean pinned) {
         Route route = set.routes().get(rq.is.route());
         boolean guarded = trialStage() < set.rollout().guardedStages();
-        if (trialCap() <= 0 || guarded && route.effect() != Effect.RETRIABLE) {
+        if (trialCap() <= 0 || (guarded && route.idempotency() != Idempotency.IDEMPOTENT)) {
             return false;
         }
         int s = scope(rq.is.route());
-        long window = set.rollout().window();
+        long window = set.rollout().exposureWindowTicks();
         int tries = countSince(exposed(trial, rq.is.route()), now - window - WINDOW_EDGE);
         double share = trialCap() * countSince(taken.get(s), now - window + WINDOW_EDGE);
         double reserve = pinned ? 0 : RESERVE * share;
-        return tries + 1 + reserve <= set.rollout().free() + share;
+        return tries + 1 + reserve <= set.rollout().exposureAllowance() + share;
     }
 
     /** Each list is asked with moments that only advance, so what is older is never asked for again. */
@@ -577,22 +577,22 @@
         alarms.computeIfAbsent(Math.max(at, now + 1), k -> new ArrayList<>(2)).add(rq);
     }
 
-    private void take(Req r) {
+    private void take(RequestReceived r) {
         taken.get(scope(r.route())).addLast(now);
         retryTokens = Math.min(RETRY_MOST, retryTokens + RETRY_RATE);
-        Rq rq = new Rq(r, now, r.key() == null ? chance() : -1);
+        Rq rq = new Rq(r, now, r.partitionKey() == null ? chance() : -1);
         // clients ask again for what was shed: neither more load nor further evidence
-        rq.repeat = r.repeat() || r.key() != null && given.containsKey(r.key());
+        rq.repeat = r.clientRetry() || (r.partitionKey() != null && given.containsKey(r.partitionKey()));
         second(now).taken += rq.repeat ? 0 : 1;
-        reqs.put(r.id(), rq);
+        reqs.put(r.requestId(), rq);
         alarm(rq, rq.endBy);
-        alarm(rq, now + set.routes().get(r.route()).objective() - LAST_CALL);
+        alarm(rq, now + set.routes().get(r.route()).latencyObjectiveTicks() - LAST_CALL);
         touched.add(rq);
     }
 
-    private void tryEnded(TryEnded t) {
-        Rq rq = reqs.get(t.req());
-        if (rq == null || rq.out == null || rq.out.no != t.tryNo()) {
+    private void tryEnded(AttemptEnded t) {
+        Rq rq = reqs.get(t.requestId());
+        if (rq == null || rq.out == null || rq.out.no != t.attempt()) {
             return;
         }
         Try was = rq.out;
@@ -601,27 +601,27 @@
         Times usual = times.get(rq.is.route());
         usual.open--;
         // answers only: silence at some machines says nothing of the others
-        usual.recent += t.outcome() == Outcome.COMPLETED ? (t.took() - usual.recent) * 0.1 : 0;
-        rq.ended |= t.reqOver();
-        if (!t.outcome().neverRan() && rq.firstMayHaveRun == null) {
+        usual.recent += t.outcome() == AttemptOutcome.COMPLETED ? (t.durationTicks() - usual.recent) * 0.1 : 0;
+        rq.ended |= t.requestEnded();
+        if (!t.outcome().provablyNeverRan() && rq.firstMayHaveRun == null) {
             rq.firstMayHaveRun = was;
         }
-        Double inHand = t.load().get("concurrent");
+        Double inHand = t.loadReport().concurrentRequests();
         if (inHand != null) {
             was.to.others = Math.max(0, inHand - was.to.open - 1);
             opened(was.to, 0);
         }
         judgeMachine(was, t, rq);
         judgeBuild(was, t, rq);
-        if (rq.is.key() != null) {
-            pins.ended(rq.is.key(), was.to.build);
+        if (rq.is.partitionKey() != null) {
+            pins.ended(rq.is.partitionKey(), was.to.build);
         }
         if (t.outcome().mayHaveServed() && binds(rq, was.to.build)) {
             // by the build that answered: one not announced yet can leave the list before its answer comes;
             // an answer that could not be read, or came as the front gave it up, was one all the same
-            pins.answered(rq.is.key(), was.to.build);
+            pins.answered(rq.is.partitionKey(), was.to.build);
         }
-        if (t.outcome() == Outcome.COMPLETED) {
+        if (t.outcome() == AttemptOutcome.COMPLETED) {
             answeredNow++;
         } else {
             rq.keptOffTrial |= was.to.build == trial;
@@ -633,10 +633,10 @@
 
     /** An answer of that build to this req keeps its key from earlier ones. */
     private boolean binds(Rq rq, int build) {
-        return rq.is.key() != null && set.rollout().keysStay() && build > base && !takenOff.contains(build);
+        return rq.is.partitionKey() != null && set.rollout().stickyKeys() && build > base && !takenOff.contains(build);
     }
 
-    private void judgeMachine(Try was, TryEnded t, Rq rq) {
+    private void judgeMachine(Try was, AttemptEnded t, Rq rq) {
         Machine m = was.to;
         int r = rq.is.route();
         m.heard++;
@@ -645,22 +645,22 @@
                 m.errs -= m.errs * ERRS_RATE;
                 m.strikes = 0;
                 m.outUntil = 0;
-                learnPace(m, was, t.took(), r);
-                learnWait(m, was, t.took(), r);
+                learnPace(m, was, t.durationTicks(), r);
+                learnWait(m, was, t.durationTicks(), r);
             }
-            case TIMEOUT, BROKEN, NO_CONNECTION -> {
-                if (t.outcome() != Outcome.TIMEOUT || now < rq.endBy) {
+            case TIMED_OUT, CONNECTION_LOST, CONNECT_FAILED -> {
+                if (t.outcome() != AttemptOutcome.TIMED_OUT || now < rq.endBy) {
                     m.strikes++;
                     m.outUntil =
-                            m.strikes < 2 ? 0 : now + Math.min(4 * SECOND, SECOND / 2 << Math.min(4, m.strikes - 2));
+                            m.strikes < 2 ? 0 : now + Math.min(4 * SECOND, (SECOND / 2) << Math.min(4, m.strikes - 2));
                     m.side.plain = false;
                 }
             }
-            case FULL -> {
+            case OVERLOADED -> {
                 m.fullUntil = now + SECOND / 5;
                 m.side.plain = false;
             }
-            case ERROR -> {
+            case FAILED -> {
                 m.errs += (1 - m.errs) * ERRS_RATE;
                 m.outUntil = m.errsAlone ? now + SECOND : m.outUntil;
             }
@@ -701,7 +701,7 @@
             m.pace += (ratio - m.pace) * 0.06;
             weigh(m);
             // warm by the settings' own word: a machine still warming up is slow for no fault of its build
-            if (m.started == 0 || was.sentAt >= m.started + set.limits().coldFor()) {
+            if (m.started == 0 || was.sentAt >= m.started + set.limits().warmUpTicks()) {
                 m.paced++;
                 cell(seconds, now, was.to.build, r).rate(ratio);
             }
@@ -713,7 +713,7 @@
             t.spread += (Math.abs(ratio - 1) - t.spread) * 0.02;
         }
         // while a build is on trial the usual stands still, or harm that both builds share would become usual
-        if (judged() < 0 || was.to.build != judged() && t.seen[was.level] < 8) {
+        if (judged() < 0 || (was.to.build != judged() && t.seen[was.level] < 8)) {
             t.seen[was.level]++;
             t.usual[was.level] += (took - t.usual[was.level]) * Math.max(0.05, 1.0 / t.seen[was.level]);
         }
@@ -743,11 +743,11 @@
     }
 
     private double slack(int r) {
-        return set.routes().get(r).objective() - 1.5 * times.get(r).calm;
+        return set.routes().get(r).latencyObjectiveTicks() - 1.5 * times.get(r).calm;
     }
 
     private double density(int r) {
-        return set.routes().get(r).earnings() / (set.earningsByWork() ? 1 : times.get(r).calm);
+        return set.routes().get(r).priorityWeight() / (set.valueByWork() ? 1 : times.get(r).calm);
     }
 
     /** The wait at which a route gives way: its own slack, or less for the sake of routes that earn more. */
@@ -764,31 +764,37 @@
 
     private boolean mayResend(Rq rq) {
         Route route = set.routes().get(rq.is.route());
-        return rq.tries < set.allowed().tries()
+        return rq.tries < set.capabilities().maxAttempts()
                 && (rq.firstMayHaveRun == null
-                        || route.effect() == Effect.RETRIABLE
-                        || route.effect() == Effect.DEDUPED && inWindow(rq.firstMayHaveRun, route));
+                        || route.idempotency() == Idempotency.IDEMPOTENT
+                        || (route.idempotency() == Idempotency.DEDUPLICATED && inWindow(rq.firstMayHaveRun, route)));
     }
 
     private boolean inWindow(Try first, Route route) {
-        return now + TICK < first.sentAt + route.repeatWindow();
+        return now + TICK < first.sentAt + route.deduplicationWindowTicks();
     }
 
     private boolean sameGroup(Rq rq, Machine m) {
         Route route = set.routes().get(rq.is.route());
-        if (rq.firstMayHaveRun == null || route.effect() != Effect.DEDUPED || route.group() == Group.ALL) {
+        if (rq.firstMayHaveRun == null
+                || route.idempotency() != Idempotency.DEDUPLICATED
+                || route.deduplicationScope() == DeduplicationScope.ALL) {
             return true;
         }
         Try first = rq.firstMayHaveRun;
-        return route.group() == Group.ZONE ? first.to.zone == m.zone : first.to.cell == m.cell;
+        return route.deduplicationScope() == DeduplicationScope.ZONE
+                ? first.to.zone == m.zone
+                : first.to.cell == m.cell;
     }
 
     private boolean shedAllowed(Rq rq) {
         Route route = set.routes().get(rq.is.route());
         Try first = rq.firstMayHaveRun == null ? rq.out : rq.firstMayHaveRun;
         return first == null
-                || route.effect() == Effect.RETRIABLE
-                || route.effect() == Effect.DEDUPED && route.group() == Group.ALL && inWindow(first, route);
+                || route.idempotency() == Idempotency.IDEMPOTENT
+                || (route.idempotency() == Idempotency.DEDUPLICATED
+                        && route.deduplicationScope() == DeduplicationScope.ALL
+                        && inWindow(first, route));
     }
 
     /** Sets what is wanted for one req: a send, an end, or to go on waiting. */
@@ -799,7 +805,7 @@
         Route route = set.routes().get(rq.is.route());
         if (now >= rq.endBy) {
             rq.wantEnd = true;
-        } else if (rq.out != null && now >= rq.takenAt + route.objective() - LAST_CALL) {
+        } else if (rq.out != null && now >= rq.takenAt + route.latencyObjectiveTicks() - LAST_CALL) {
             // queues that only hold late answers never empty; against every cause of a standing queue
             rq.wantEnd = expectedWait(rq.out.to) > slack(rq.is.route()) / 2;
         } else if (rq.out == null) {
@@ -812,7 +818,7 @@
             Times t = times.get(rq.is.route());
             if (rq.want != null
                     && t.open >= 2
-                    && (t.recent > route.objective() || expectedWait(rq.want) > yieldAt(rq.is.route()))) {
+                    && (t.recent > route.latencyObjectiveTicks() || expectedWait(rq.want) > yieldAt(rq.is.route()))) {
                 rq.want = null;
             }
             rq.wantEnd = rq.want == null;
@@ -825,11 +831,11 @@
     }
 
     private Machine choose(Rq rq) {
-        int pin = rq.is.key() == null ? KeyPins.NONE : pins.of(rq.is.key());
+        int pin = rq.is.partitionKey() == null ? KeyPins.NONE : pins.of(rq.is.partitionKey());
         if (pin > base) {
             return pin == trial && trialOpen(rq, true) ? pick(trial, rq) : null;
         }
-        double at = rq.fraction >= 0 ? rq.fraction : fractionOf(rq.is.key(), trial);
+        double at = rq.fraction >= 0 ? rq.fraction : fractionOf(rq.is.partitionKey(), trial);
         boolean room = trial >= 0 && pins.size() < MOST_PINS && trialOpen(rq, false);
         Machine m = null;
         if (room && at < threshold && !rq.keptOffTrial) {
@@ -893,11 +899,11 @@
             side.plain &= m.weighed
                     && !m.ill()
                     && now >= m.fullUntil
-                    && (m.started == 0 || now - m.started >= set.limits().coldFor() + SECOND);
-            if (m.started != 0 && coldFull(m) || bound && !sameGroup(rq, m)) {
+                    && (m.started == 0 || now - m.started >= set.limits().warmUpTicks() + SECOND);
+            if ((m.started != 0 && coldFull(m)) || (bound && !sameGroup(rq, m))) {
                 continue;
             }
-            boolean sick = m.ill() && (now < m.outUntil || m.open > 0) || now < m.fullUntil;
+            boolean sick = (m.ill() && (now < m.outUntil || m.open > 0)) || now < m.fullUntil;
             if (sick || rq.met.contains(m)) {
                 side.struck[side.strucks++] = i;
             } else {
@@ -947,27 +953,27 @@
     }
 
     private boolean coldFull(Machine m) {
-        if (now - m.started >= set.limits().coldFor() + SECOND) {
+        if (now - m.started >= set.limits().warmUpTicks() + SECOND) {
             return false;
         }
         // answers, not reqs taken: in overload the reqs say nothing of what a machine can do
-        long window = set.limits().tipAfter();
+        long window = set.limits().overloadWindowTicks();
         double usual = answered * window / SECOND * m.size / Math.max(places, 1e-9);
         // under one a window, chance rounds: one from each of many fronts would topple it
-        double most = Math.floor(COLD_USE * set.limits().tipMultiple() * warmth(m) * usual + m.luck);
+        double most = Math.floor(COLD_USE * set.limits().overloadMultiple() * warmth(m) * usual + m.luck);
         return countSince(m.sends, now - window) + 1 > most;
     }
 
     private long limit(Rq rq) {
         Route route = set.routes().get(rq.is.route());
         long left = rq.endBy - now;
-        boolean again = route.effect() != Effect.NON_RETRIABLE
-                && rq.tries + 1 < set.allowed().tries();
+        boolean again = route.idempotency() != Idempotency.NOT_IDEMPOTENT
+                && rq.tries + 1 < set.capabilities().maxAttempts();
         Times t = times.get(rq.is.route());
         int level = level(rq.want.open);
         double typical = t.seen[level] < 8 ? t.calm : t.usual[level];
-        double patient = Math.max(typical * (1 + 6 * t.spread), 0.35 * route.objective());
-        boolean waits = !again || patient + typical > route.objective() || retryTokens < 2;
+        double patient = Math.max(typical * (1 + 6 * t.spread), 0.35 * route.latencyObjectiveTicks());
+        boolean waits = !again || patient + typical > route.latencyObjectiveTicks() || retryTokens < 2;
         return waits ? left : Math.min(left, (long) patient);
     }
 
@@ -997,12 +1003,12 @@
         return cells[route];
     }
 
-    private void judgeBuild(Try was, TryEnded t, Rq rq) {
-        boolean error = t.outcome() == Outcome.ERROR;
-        if (t.outcome() == Outcome.COMPLETED && rq.failedIn != null) {
+    private void judgeBuild(Try was, AttemptEnded t, Rq rq) {
+        boolean error = t.outcome() == AttemptOutcome.FAILED;
+        if (t.outcome() == AttemptOutcome.COMPLETED && rq.failedIn != null) {
             rq.failedIn.cured++;
         }
-        boolean counts = error || t.outcome() == Outcome.COMPLETED || t.outcome() == Outcome.TIMEOUT;
+        boolean counts = error || t.outcome() == AttemptOutcome.COMPLETED || t.outcome() == AttemptOutcome.TIMED_OUT;
         if (was.settled && counts && was.to.strikes < 2 && !was.to.errsAlone && !rq.repeat) {
             // by when it was sent: errors come quickly, so a build whose share just rose has them first
             Cell c = cell(seconds, was.sentAt, was.to.build, rq.is.route());
@@ -1015,7 +1021,7 @@
     /** What speaks against cand beside the earlier build, over the seconds both were seen; or null. */
     private String against(int cand, int rev) {
         // after the release nothing serves beside it: then the earlier build's last seconds stand
-        boolean beside = phase == Phase.TRIAL;
+        boolean beside = phase == RolloutPhase.CANARY;
         int routes = set.routes().size();
         Cell[] earlier = total(seconds.values(), rev, -1);
         List<Map<Integer, Cell[]>> over = spans(seconds, cand, rev, beside ? SPAN : MEMORY);
@@ -1024,7 +1030,7 @@
         Cell[] own = total(seconds.values(), cand, -1);
         var all = own[routes].tries < LEAST ? spans(counted, cand, rev, beside ? SPAN : MEMORY) : null;
         // one front's finding alone must be surer than one that others must share
-        int fails = set.rollout().backVotes() > 1 ? LEAST_FAILS - 1 : LEAST_FAILS;
+        int fails = set.rollout().rollBackVotes() > 1 ? LEAST_FAILS - 1 : LEAST_FAILS;
         // where reqs fail on the earlier build too, only one that another try cured speaks of its build
         boolean cured = !beside || earlier[routes].fails > OWN_FAULT * earlier[routes].tries;
         // one machine is no build: where several of it are seen, at least two must have erred of late
@@ -1169,7 +1175,7 @@
 
     /** The build under judgement: on trial, or released a short while ago, when it can still be sent back. */
     private int judged() {
-        boolean late = phase == Phase.RELEASED && rival >= 0 && now < stageSince + AFTER_RELEASE;
+        boolean late = phase == RolloutPhase.RELEASED && rival >= 0 && now < stageSince + AFTER_RELEASE;
         return trial >= 0 ? trial : late ? newsBuild : -1;
     }
 
@@ -1187,15 +1193,16 @@
         }
         reason = rival == newsBuild ? null : against(newsBuild, rival);
         if (reason != null) {
-            return Verdict.BACK;
+            return Verdict.ROLL_BACK;
         }
         boolean waited = now >= Math.max(stageSince, newest(newsBuild)) + READY;
-        boolean on = phase == Phase.TRIAL && waited && set.rollout().control() != Control.CLOCK;
-        return on ? Verdict.ON : Verdict.NONE;
+        boolean on =
+                phase == RolloutPhase.CANARY && waited && set.rollout().promotionPolicy() != PromotionPolicy.AUTOMATIC;
+        return on ? Verdict.PROMOTE : Verdict.NONE;
     }
 
-    private Action.Vote wantedVote() {
-        boolean waits = asked != null && now < askedAt + set.rollout().voteTimeout() + SECOND / 2;
+    private Action.CastVote wantedVote() {
+        boolean waits = asked != null && now < askedAt + set.rollout().voteTimeoutTicks() + SECOND / 2;
         if (newsBuild < 0 || now < nextVerdict || waits) {
             return null;
         }
@@ -1204,16 +1211,16 @@
         boolean same = stands != null
                 && stands.build() == newsBuild
                 && stands.verdict() == v
-                && (v != Verdict.ON || stands.stage() == stage);
-        if (v == Verdict.NONE || same && now < stoodAt + set.rollout().voteLife() * 6 / 10) {
+                && (v != Verdict.PROMOTE || stands.stage() == stage);
+        if (v == Verdict.NONE || (same && now < stoodAt + set.rollout().voteLifetimeTicks() * 6 / 10)) {
             return null;
         }
-        return new Action.Vote(newsBuild, stage, v);
+        return new Action.CastVote(newsBuild, stage, v);
     }
 
     // ---- wanted against present
 
-    private void emit(Action.Vote vote) {
+    private void emit(Action.CastVote vote) {
         for (Rq rq : touched) {
             settle(rq);
         }
@@ -1223,19 +1230,19 @@
             askedAt = now;
             nextVerdict = now + SECOND / 2;
             out.add(vote);
-            if (vote.verdict() == Verdict.BACK) {
-                out.add(new Action.Log("votes back on build " + vote.build() + ": " + reason));
+            if (vote.verdict() == Verdict.ROLL_BACK) {
+                out.add(new Action.WriteLog("votes back on build " + vote.build() + ": " + reason));
             }
         }
-        if (set.allowed().listAsked() && now >= listAskAt) {
+        if (set.capabilities().endpointPolling() && now >= listAskAt) {
             listAsked = true;
             listAskAt = now + 5 * SECOND;
-            out.add(new Action.WatchList(true));
+            out.add(new Action.WatchEndpoints(true));
         }
         long wake = alarms.isEmpty() ? nextTick : Math.min(nextTick, alarms.firstKey());
         if (wake < armedFor) {
             armedFor = wake;
-            out.add(new Action.Timer(wake, 0));
+            out.add(new Action.StartTimer(wake, 0));
         }
     }
 
@@ -1244,29 +1251,30 @@
         if (answer) {
             out.add(
                     shedAllowed(rq)
-                            ? new Action.Shed(rq.is.id(), set.allowed().longestRetryAfter())
-                            : new Action.Err(rq.is.id()));
+                            ? new Action.RejectRequest(
+                                    rq.is.requestId(), set.capabilities().maxRetryAfterTicks())
+                            : new Action.FailRequest(rq.is.requestId()));
             rq.ended = true;
-            if (rq.is.key() != null) {
-                given.put(rq.is.key(), now);
+            if (rq.is.partitionKey() != null) {
+                given.put(rq.is.partitionKey(), now);
             }
         }
-        if (rq.ended && rq.out != null && !rq.stopped && set.allowed().stops()) {
+        if (rq.ended && rq.out != null && !rq.stopped && set.capabilities().cancellation()) {
             rq.stopped = true;
-            out.add(new Action.StopTry(rq.is.id(), rq.out.no));
+            out.add(new Action.CancelAttempt(rq.is.requestId(), rq.out.no));
         }
         if (rq.want != null && !rq.ended) {
             boolean settled = rq.want.started == 0 || now >= rq.want.started + READY;
             int open = rq.want.open;
             rq.out = new Try(rq.tries++, rq.want, now, settled, open, level(open + rq.want.others));
             if (binds(rq, rq.want.build)) {
-                pins.sent(rq.is.key(), rq.want.build);
+                pins.sent(rq.is.partitionKey(), rq.want.build);
             }
-            out.add(new Action.Send(rq.is.id(), rq.want.id, rq.within));
+            out.add(new Action.SendAttempt(rq.is.requestId(), rq.want.id, rq.within));
         }
         rq.want = null;
         if (rq.ended && rq.out == null) {
-            reqs.remove(rq.is.id());
+            reqs.remove(rq.is.requestId());
         }
     }
 
@@ -1277,14 +1285,14 @@
         answered += (answeredNow - answered * past) / Math.max(past, span);
         answeredNow = 0;
         tickedAt = now;
-        long keep = Math.max(set.rollout().window(), set.limits().tipAfter()) + SECOND;
+        long keep = Math.max(set.rollout().exposureWindowTicks(), set.limits().overloadWindowTicks()) + SECOND;
         taken.forEach(times -> forget(times, now - keep));
         exposed.values().forEach(routes -> routes.forEach(times -> forget(times, now - keep)));
         exposed.values().removeIf(routes -> routes.stream().allMatch(ArrayDeque::isEmpty));
         for (Machine m : machines.values()) {
             if (now >= m.luckUntil) {
                 m.luck = chance();
-                m.luckUntil = now + set.limits().tipAfter();
+                m.luckUntil = now + set.limits().overloadWindowTicks();
             }
             forget(m.sends, now - keep);
         }
--- a/src/main/java/laurelkeel/front/Counts.java
+++ b/src/main/java/laurelkeel/front/Counts.java
@@ -12,7 +12,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.Supplier;
-import laurelkeel.api.Event.Outcome;
+import laurelkeel.api.Event.AttemptOutcome;
 
 /**
  * What a front counts of itself, in Prometheus' text form. Names: docs/front.md. What every req counts is registered
@@ -23,7 +23,7 @@
     private final Map<String, Counter> rare = new HashMap<>();
     private final List<Counter> tries = new ArrayList<>();
     private final List<Counter> overdue = new ArrayList<>();
-    private final Map<Outcome, Counter> outcomes = new EnumMap<>(Outcome.class);
+    private final Map<AttemptOutcome, Counter> outcomes = new EnumMap<>(AttemptOutcome.class);
     private final Map<End, Counter> ends = new EnumMap<>(End.class);
     private final DistributionSummary took = DistributionSummary.builder("laurelkeel_answer_ms")
             .description("time from taking a req to its final answer")
@@ -38,8 +38,8 @@
             tries.add(counter("laurelkeel_tries_total", "route", route));
             overdue.add(counter("laurelkeel_overdue_total", "route", route));
         }
-        for (Outcome o : Outcome.values()) {
-            outcomes.put(o, counter("laurelkeel_outcomes_total", "outcome", word(o)));
+        for (AttemptOutcome o : AttemptOutcome.values()) {
+            outcomes.put(o, counter("laurelkeel_outcomes_total", "outcome", WireTerms.metricLabel(o)));
         }
         for (End e : End.values()) {
             ends.put(e, counter("laurelkeel_answers_total", "answer", word(e)));
@@ -67,7 +67,7 @@
         overdue.get(route).increment();
     }
 
-    void ended(Outcome outcome) {
+    void ended(AttemptOutcome outcome) {
         outcomes.get(outcome).increment();
     }
 
--- a/src/main/java/laurelkeel/front/Front.java
+++ b/src/main/java/laurelkeel/front/Front.java
@@ -17,7 +17,8 @@
 import laurelkeel.api.Action;
 import laurelkeel.api.Decider;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.Outcome;
+import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.api.LoadReport;
 import laurelkeel.api.Settings;
 import laurelkeel.front.ingress.Asked;
 import laurelkeel.front.ingress.ClientConn;
@@ -87,7 +88,7 @@
     private final RequestTotals totals = new RequestTotals();
     private final CompletableFuture<Throwable> ended = new CompletableFuture<>();
 
-    public Front(FrontSettings set, Decider.Maker maker) throws IOException {
+    public Front(FrontSettings set, Decider.Factory maker) throws IOException {
         this(set, maker, Base.clock(), true);
     }
 
@@ -96,11 +97,11 @@
      * @param guarded false leaves out the front's own guard of final answers and the lanes, so that the audit can be
      *     proved on a decider that breaks the rules
      */
-    Front(FrontSettings set, Decider.Maker maker, LongSupplier clock, boolean guarded) throws IOException {
+    Front(FrontSettings set, Decider.Factory maker, LongSupplier clock, boolean guarded) throws IOException {
         this(set, maker, Base.of(clock), guarded);
     }
 
-    private Front(FrontSettings set, Decider.Maker maker, Base base, boolean guarded) throws IOException {
+    private Front(FrontSettings set, Decider.Factory maker, Base base, boolean guarded) throws IOException {
         this(set.decisions(), set.ingress(), set.upstream(), base, new Own(set, maker, base, guarded), guarded);
     }
 
@@ -157,7 +158,7 @@
     }
 
     private void enter(FrontState next, String why) {
-        LOG.info("front {} life {}: {} -> {}, {}", set.self(), base.life(), state, next, why);
+        LOG.info("front {} life {}: {} -> {}, {}", set.nodeIndex(), base.life(), state, next, why);
         state = next;
     }
 
@@ -204,9 +205,9 @@
             finish(e);
             throw e;
         }
-        LOG.info("front {} of {} takes reqs on {}, life {}", set.self(), set.fronts(), at, base.life());
+        LOG.info("front {} of {} takes reqs on {}, life {}", set.nodeIndex(), set.nodeCount(), at, base.life());
         enter(FrontState.SERVING, "the listener is open");
-        new Thread(this::live, "front-" + set.self()).start();
+        new Thread(this::live, "front-" + set.nodeIndex()).start();
         return at;
     }
 
@@ -299,7 +300,7 @@
         for (Held h : List.copyOf(held.values())) {
             for (Held.Sent s : h.sent) {
                 if (!s.over && s.exchange != null) {
-                    s.exchange.end(Outcome.STOPPED);
+                    s.exchange.end(AttemptOutcome.CANCELLED);
                 }
             }
             if (!h.answered) {
@@ -365,8 +366,10 @@
             }
             loop.post(() -> listening = false);
         });
-        long longest =
-                set.routes().stream().mapToLong(Settings.Route::timeout).max().orElse(0);
+        long longest = set.routes().stream()
+                .mapToLong(Settings.Route::timeoutTicks)
+                .max()
+                .orElse(0);
         loop.at(loop.now() + Math.max(longest, drainMost), loop::stop);
         if (lameDuck > 0) {
             again();
@@ -387,7 +390,7 @@
      * @param busy the last moment at which something was left
      */
     private void awaitDrained(long busy) {
-        boolean connected = listening || lameDuck > 0 && ingress.connections() > 0;
+        boolean connected = listening || (lameDuck > 0 && ingress.connections() > 0);
         boolean owes = held.values().stream().anyMatch(h -> !h.answered);
         long lastBusy = connected || owes ? loop.now() : busy;
         if (loop.now() - lastBusy >= QUIET_BEFORE_END) {
@@ -433,49 +436,50 @@
     }
 
     private void perform(Action a) {
-        if (a instanceof Action.Send s) {
+        if (a instanceof Action.SendAttempt s) {
             send(s);
-        } else if (a instanceof Action.StopTry s) {
-            Held h = held.get(s.req());
-            if (h != null && s.tryNo() < h.sent.size() && !h.sent.get(s.tryNo()).over) {
-                Held.Sent sent = h.sent.get(s.tryNo());
-                ended(h, sent, sent.exchange.end(Outcome.STOPPED), null);
+        } else if (a instanceof Action.CancelAttempt s) {
+            Held h = held.get(s.requestId());
+            if (h != null && s.attempt() < h.sent.size() && !h.sent.get(s.attempt()).over) {
+                Held.Sent sent = h.sent.get(s.attempt());
+                ended(h, sent, sent.exchange.end(AttemptOutcome.CANCELLED), null);
             }
-        } else if (a instanceof Action.Shed s) {
+        } else if (a instanceof Action.RejectRequest s) {
             answer(
-                    held.get(s.req()),
+                    held.get(s.requestId()),
                     End.SHED,
                     words.shed(
-                            set.allowed().retryAfter() ? s.retryAfter() : 0,
+                            set.capabilities().retryAfter() ? s.retryAfterTicks() : 0,
                             "shed: nothing was done, or a repeat does no harm"));
-        } else if (a instanceof Action.Err s) {
-            answer(held.get(s.req()), End.ERRORED, words.errored(false, "errored: the req may have run"));
-        } else if (a instanceof Action.Timer t) {
-            loop.at(Math.max(t.when(), loop.now() + 1), () -> inbox.learn(new Event.TimerDue(t.handle())));
-        } else if (a instanceof Action.Probe p) {
-            probe(p.machine());
-        } else if (a instanceof Action.CloseIdle c) {
-            pools.closeIdle(outfit.place(c.machine()).key());
-        } else if (a instanceof Action.Tell t) {
-            outfit.tell(t.to(), t.bytes());
-        } else if (a instanceof Action.WatchList w) {
-            outfit.watchList(w.on());
-        } else if (a instanceof Action.FetchList) {
+        } else if (a instanceof Action.FailRequest s) {
+            answer(held.get(s.requestId()), End.ERRORED, words.errored(false, "errored: the req may have run"));
+        } else if (a instanceof Action.StartTimer t) {
+            loop.at(Math.max(t.dueAtTicks(), loop.now() + 1), () -> inbox.learn(new Event.TimerFired(t.timerId())));
+        } else if (a instanceof Action.SendHealthCheck p) {
+            probe(p.endpointId());
+        } else if (a instanceof Action.CloseIdleConnections c) {
+            pools.closeIdle(outfit.place(c.endpointId()).key());
+        } else if (a instanceof Action.SendGossip t) {
+            outfit.tell(t.toNode(), t.payload());
+        } else if (a instanceof Action.WatchEndpoints w) {
+            outfit.watchList(w.enabled());
+        } else if (a instanceof Action.FetchEndpoints) {
             outfit.fetchList();
-        } else if (a instanceof Action.Vote v) {
+        } else if (a instanceof Action.CastVote v) {
             vote(v);
-        } else if (a instanceof Action.Log l) {
-            DECIDER.info("{}", l.text());
+        } else if (a instanceof Action.WriteLog l) {
+            DECIDER.info("{}", l.message());
         }
     }
 
     /** A vote that cannot even be tried has failed like one that could not connect. */
-    private void vote(Action.Vote vote) {
+    private void vote(Action.CastVote vote) {
         try {
             outfit.vote(vote);
         } catch (RuntimeException e) {
             LOG.error("a vote on build {} could not be sent", vote.build(), e);
-            inbox.learn(new Event.ReleaseNews(Event.Answer.ERROR, 0, 0, 0, Event.Phase.TRIAL, 0, true));
+            inbox.learn(
+                    new Event.RolloutUpdate(Event.ControlStatus.FAILED, 0, 0, 0, Event.RolloutPhase.CANARY, 0, true));
         }
     }
 
@@ -485,47 +489,49 @@
         Exchange e = pools.start(outfit.place(machine), () -> words.probe(lines, machine), false, (outcome, came) -> {
             over[0] = true;
             pools.over(came);
-            inbox.learn(new Event.Probed(machine, outcome, loop.now() - at, load(came)));
+            inbox.learn(new Event.HealthCheckEnded(machine, outcome, loop.now() - at, load(came)));
         });
         loop.at(at + probeTimeout, () -> {
             if (!over[0]) {
-                inbox.learn(new Event.Probed(machine, e.end(Outcome.TIMEOUT), loop.now() - at, Map.of()));
+                inbox.learn(new Event.HealthCheckEnded(
+                        machine, e.end(AttemptOutcome.TIMED_OUT), loop.now() - at, LoadReport.NONE));
             }
         });
     }
 
     // ---- upstream tries
 
-    private void send(Action.Send s) {
-        Held h = held.get(s.req());
+    private void send(Action.SendAttempt s) {
+        Held h = held.get(s.requestId());
         if (h == null) {
-            LOG.error("the decider sends for a req that is not held: {}", s.req());
+            LOG.error("the decider sends for a req that is not held: {}", s.requestId());
             return;
         }
-        Held.Sent sent = new Held.Sent(h.sent.size(), s.machine(), loop.now());
+        Held.Sent sent = new Held.Sent(h.sent.size(), s.endpointId(), loop.now());
         h.sent.add(sent);
         boolean late = loop.now() >= h.leaves;
-        if (guarded && (h.answered || late) || h.sent.size() > set.allowed().tries()) {
+        if ((guarded && (h.answered || late))
+                || h.sent.size() > set.capabilities().maxAttempts()) {
             sent.over = true;
-            inbox.learn(over(h, sent, Outcome.NOT_SENT, Map.of()));
+            inbox.learn(over(h, sent, AttemptOutcome.NOT_SENT, LoadReport.NONE));
             return;
         }
         outfit.tried(h.asked.route());
-        long limit = s.within() == 0 ? h.leaves : Math.min(h.leaves, loop.now() + Math.max(0, s.within()));
+        long limit = s.timeoutTicks() == 0 ? h.leaves : Math.min(h.leaves, loop.now() + Math.max(0, s.timeoutTicks()));
         try {
             sent.exchange = pools.start(
-                    outfit.place(s.machine()),
+                    outfit.place(s.endpointId()),
                     () -> upstream(h, sent, limit),
                     h.asked.toHead(),
                     (outcome, came) -> ended(h, sent, outcome, came));
         } catch (RuntimeException e) {
             // before a byte of it was handed to a connection: that is the last thing that start does
-            LOG.error("request {} attempt {} at {} could not begin", h.id, sent.no, s.machine(), e);
+            LOG.error("request {} attempt {} at {} could not begin", h.id, sent.no, s.endpointId(), e);
             sent.over = true;
-            inbox.learn(over(h, sent, Outcome.NOT_SENT, Map.of()));
+            inbox.learn(over(h, sent, AttemptOutcome.NOT_SENT, LoadReport.NONE));
             return;
         }
-        sent.limit = loop.at(limit, () -> ended(h, sent, sent.exchange.end(Outcome.TIMEOUT), null));
+        sent.limit = loop.at(limit, () -> ended(h, sent, sent.exchange.end(AttemptOutcome.TIMED_OUT), null));
     }
 
     /** Null where the try had to wait, and may not be written any more. */
@@ -537,15 +543,15 @@
         return h.asked.crossing().with(lines, true);
     }
 
-    private Event.TryEnded over(Held h, Held.Sent s, Outcome outcome, Map<String, Double> load) {
-        return new Event.TryEnded(h.id, s.no, s.machine, outcome, loop.now() - s.at, h.answered, load);
+    private Event.AttemptEnded over(Held h, Held.Sent s, AttemptOutcome outcome, LoadReport load) {
+        return new Event.AttemptEnded(h.id, s.no, s.machine, outcome, loop.now() - s.at, h.answered, load);
     }
 
-    private static Map<String, Double> load(Came came) {
-        return came == null ? Map.of() : came.load();
+    private static LoadReport load(Came came) {
+        return came == null ? LoadReport.NONE : came.load();
     }
 
-    private void ended(Held h, Held.Sent s, Outcome outcome, Came came) {
+    private void ended(Held h, Held.Sent s, AttemptOutcome outcome, Came came) {
         if (s.over) {
             return;
         }
@@ -555,7 +561,7 @@
         }
         outfit.tryEnded(s.machine, s.at, h.asked, outcome);
         totals.attemptEnded(outcome);
-        if (outcome != Outcome.COMPLETED) {
+        if (outcome != AttemptOutcome.COMPLETED) {
             LOG.info(
                     "request {} ({}) attempt {} at {}: {} after {} ms",
                     h.id,
@@ -565,7 +571,7 @@
                     outcome,
                     (loop.now() - s.at) / 10.0);
         }
-        if (outcome == Outcome.COMPLETED && !h.answered) {
+        if (outcome == AttemptOutcome.COMPLETED && !h.answered) {
             outfit.completed(h.number, s.machine, s.at, h.asked);
             close(h, End.COMPLETED);
             words.completed(lines, h.id);
@@ -580,7 +586,7 @@
     // ---- final answers
 
     private void answer(Held h, End how, HttpAnswer with) {
-        if (h == null || guarded && h.answered) {
+        if (h == null || (guarded && h.answered)) {
             return;
         }
         LOG.info(
@@ -617,7 +623,7 @@
             LOG.error("req {} had no decision in its time; the front errors it", h.id);
             outfit.overdue(h.asked.route());
             answer(h, End.ERRORED, words.errored(true, "errored: no answer in time; the req may have run"));
-            inbox.learn(new Event.ClientLeft(h.id));
+            inbox.learn(new Event.ClientDisconnected(h.id));
         }
     }
 
@@ -653,7 +659,7 @@
             if (guarded) {
                 h.lastCall = loop.at(leaves - 10, () -> overdue(h));
             }
-            inbox.learn(new Event.Req(
+            inbox.learn(new Event.RequestReceived(
                     id, asked.route(), asked.customer(), asked.key(), leaves, asked.cost(), asked.repeat()));
         }
 
@@ -667,7 +673,7 @@
         public void left(Object current) {
             if (current instanceof Held h && !h.answered) {
                 close(h, End.LEFT);
-                inbox.learn(new Event.ClientLeft(h.id));
+                inbox.learn(new Event.ClientDisconnected(h.id));
                 forget(h);
             }
         }
--- a/src/main/java/laurelkeel/front/FrontSettings.java
+++ b/src/main/java/laurelkeel/front/FrontSettings.java
@@ -61,10 +61,10 @@
     public record Common(
             List<Settings.Route> routes,
             RouteTable table,
-            List<Settings.Customer> customers,
+            List<Settings.Tenant> customers,
             Settings.Limits limits,
-            Settings.Allowed allowed,
-            Settings.Prices prices,
+            Settings.Capabilities allowed,
+            Settings.Costs prices,
             Settings.Rollout rollout) {
 
         /** The sections that hold it, for those who pass them on. */
@@ -79,16 +79,16 @@
                 Settings.Route r = route(s);
                 routes.add(r);
                 table.add(new RouteTable.Entry(
-                        name, s.text("method", "GET"), path(s), r.effect() == Settings.Effect.DEDUPED));
+                        name, s.text("method", "GET"), path(s), r.idempotency() == Settings.Idempotency.DEDUPLICATED));
             });
             if (routes.isEmpty()) {
                 ini.missing("no route is set; add a section [route NAME] with path, effect, objective and timeout");
             }
-            List<Settings.Customer> customers = new ArrayList<>();
+            List<Settings.Tenant> customers = new ArrayList<>();
             List<String> names = new ArrayList<>();
             ini.each("customer").forEach((name, s) -> {
                 names.add(name);
-                customers.add(new Settings.Customer(s.number("quota", null, 0, 1e9)));
+                customers.add(new Settings.Tenant(s.number("quota", null, 0, 1e9)));
             });
             Section doors = ini.section("clients", true);
             ingress(new InetSocketAddress("127.0.0.1", 0), doors);
@@ -169,16 +169,17 @@
     }
 
     private static Settings.Route route(Section s) {
-        Settings.Effect effect = s.choice("effect", null, Settings.Effect.class);
+        Settings.Idempotency effect = s.choice("effect", null, WireTerms.IDEMPOTENCY);
         long objective = s.time("objective", null, "1 ms", "1 h");
         long timeout = s.time("timeout", null, "20 ms", "24 h");
-        long window = s.time("repeat-window", effect == Settings.Effect.DEDUPED ? null : "0 ms", "0 ms", "24 h");
+        long window =
+                s.time("repeat-window", effect == Settings.Idempotency.DEDUPLICATED ? null : "0 ms", "0 ms", "24 h");
         if (objective > timeout) {
             s.fault("objective", "is longer than the route's timeout; make it shorter");
         }
         return new Settings.Route(
                 effect,
-                s.choice("group", "all", Settings.Group.class),
+                s.choice("group", "all", WireTerms.DEDUPLICATION_SCOPE),
                 objective,
                 timeout,
                 s.number("earnings", "1", 0, 1e9),
@@ -196,8 +197,8 @@
                 s.time("ask-within", "10 s", "100 ms", "1 h"));
     }
 
-    private static Settings.Allowed allowed(Section s, boolean asked) {
-        return new Settings.Allowed(
+    private static Settings.Capabilities allowed(Section s, boolean asked) {
+        return new Settings.Capabilities(
                 s.small("tries", "4", 1, 100),
                 s.on("probes", "yes"),
                 s.on("notes", "yes"),
@@ -207,8 +208,8 @@
                 asked);
     }
 
-    private static Settings.Prices prices(Section s) {
-        return new Settings.Prices(
+    private static Settings.Costs prices(Section s) {
+        return new Settings.Costs(
                 s.number("cross-zone", "0", 0, 100),
                 s.number("probe", "0", 0, 100),
                 s.number("note", "0", 0, 100),
@@ -218,7 +219,7 @@
 
     private static Settings.Rollout rollout(Section s) {
         return new Settings.Rollout(
-                s.choice("control", "count", Settings.Control.class),
+                s.choice("control", "count", WireTerms.PROMOTION_POLICY),
                 s.small("on-votes", "1", 0, 100_000),
                 s.small("back-votes", "1", 1, 100_000),
                 s.small("hold-votes", "0", 0, 100_000),
--- a/src/main/java/laurelkeel/front/Outfit.java
+++ b/src/main/java/laurelkeel/front/Outfit.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import laurelkeel.api.Action;
 import laurelkeel.api.Decider;
-import laurelkeel.api.Event.Outcome;
+import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.front.ingress.Asked;
 import laurelkeel.front.upstream.Place;
 import laurelkeel.wire.HttpAnswer;
@@ -39,7 +39,7 @@
 
     // ---- what the decider asks for
 
-    void vote(Action.Vote vote);
+    void vote(Action.CastVote vote);
 
     void watchList(boolean on);
 
@@ -53,7 +53,7 @@
 
     default void tried(int route) {}
 
-    default void tryEnded(String machine, long begunAt, Asked asked, Outcome outcome) {}
+    default void tryEnded(String machine, long begunAt, Asked asked, AttemptOutcome outcome) {}
 
     default void completed(long number, String machine, long begunAt, Asked asked) {}
 
--- a/src/main/java/laurelkeel/front/Own.java
+++ b/src/main/java/laurelkeel/front/Own.java
@@ -16,7 +16,7 @@
 import laurelkeel.api.Action;
 import laurelkeel.api.Decider;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.Outcome;
+import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.api.Settings;
 import laurelkeel.config.Section;
 import laurelkeel.front.ingress.Asked;
@@ -64,7 +64,7 @@
     private final Notes notes;
     private Admin admin;
 
-    Own(FrontSettings set, Decider.Maker maker, Base base, boolean guarded) throws IOException {
+    Own(FrontSettings set, Decider.Factory maker, Base base, boolean guarded) throws IOException {
         this.set = set;
         this.base = base;
         life = base.life();
@@ -73,12 +73,12 @@
         counts = new Counts(
                 set.routes().entries().stream().map(RouteTable.Entry::name).toList());
         lanes = new Lanes(set.decisions(), set.seed(), maker);
-        decider = guarded ? lanes : maker.make(set.decisions(), set.seed());
+        decider = guarded ? lanes : maker.create(set.decisions(), set.seed());
         List<Settings.Route> routes = set.decisions().routes();
-        int self = set.decisions().self();
+        int self = set.decisions().nodeIndex();
         dialect = new OwnDialect(
                 set.routes(),
-                r -> routes.get(r).timeout(),
+                r -> routes.get(r).timeoutTicks(),
                 self + "/" + life,
                 set.upstream().probePath());
         httpThreads = Threads.some(loop, "front-news", 2);
@@ -97,19 +97,19 @@
                         base(set.list()),
                         base.timer(),
                         loop,
-                        !set.decisions().allowed().listAsked(),
+                        !set.decisions().capabilities().endpointPolling(),
                         pauses,
                         new ListSource.Sink() {
                             @Override
                             public void list(laurelkeel.front.news.ListLine line, long arrived) {
-                                Event.MachineList l = told.list(line, arrived);
+                                Event.EndpointListUpdate l = told.list(line, arrived);
                                 reports.list(l);
                                 inbox.learn(l);
                             }
 
                             @Override
                             public void failed() {
-                                inbox.learn(new Event.MachineList(Event.ListKind.FAILED, List.of()));
+                                inbox.learn(new Event.EndpointListUpdate(Event.EndpointListKind.FAILED, List.of()));
                             }
                         });
         release = set.release() == null
@@ -135,14 +135,14 @@
         notes = set.notes() == null
                 ? null
                 : new Notes(
-                        set.decisions().self(),
+                        set.decisions().nodeIndex(),
                         set.notes(),
                         set.peers(),
                         loop,
                         base.socketThreads(),
-                        (from, bytes) -> inbox.learn(new Event.Note(from, bytes)));
+                        (from, bytes) -> inbox.learn(new Event.GossipReceived(from, bytes)));
         // the list kept from the life before is known from the first turn on
-        Event.MachineList kept = told.remembered();
+        Event.EndpointListUpdate kept = told.remembered();
         reports.list(kept);
         inbox.learn(kept);
     }
@@ -276,7 +276,7 @@
             return OwnDialect.plain(
                     404, "no answer of this front has that " + Names.REF + ", or it was too long ago or told before");
         }
-        inbox.learn(new Event.Complaint(c.machine(), loop.now() - c.sentAt(), c.route()));
+        inbox.learn(new Event.ComplaintReceived(c.machine(), loop.now() - c.sentAt(), c.route()));
         reports.wrong(c.sentAt(), c.machine(), c.route(), c.customer());
         counts.add("laurelkeel_complaints_total", "known", "yes");
         return OwnDialect.plain(202, "noted");
@@ -292,16 +292,17 @@
     }
 
     @Override
-    public void vote(Action.Vote v) {
-        String verdict = v.verdict().name().toLowerCase(Locale.ROOT);
+    public void vote(Action.CastVote v) {
+        String verdict = WireTerms.verdict(v.verdict());
         counts.add("laurelkeel_votes_total", "verdict", verdict);
         if (release == null) {
-            inbox.learn(new Event.ReleaseNews(Event.Answer.ERROR, 0, 0, 0, Event.Phase.TRIAL, 0, true));
+            inbox.learn(
+                    new Event.RolloutUpdate(Event.ControlStatus.FAILED, 0, 0, 0, Event.RolloutPhase.CANARY, 0, true));
             return;
         }
         release.vote(
-                new ReleaseLine.Ballot(set.decisions().self(), v.build(), v.stage(), verdict),
-                Math.max(1, set.decisions().rollout().voteTimeout() / 10));
+                new ReleaseLine.Ballot(set.decisions().nodeIndex(), v.build(), v.stage(), verdict),
+                Math.max(1, set.decisions().rollout().voteTimeoutTicks() / 10));
     }
 
     @Override
@@ -320,7 +321,7 @@
 
     @Override
     public void tell(int to, byte[] bytes) {
-        if (notes != null && set.decisions().allowed().notes()) {
+        if (notes != null && set.decisions().capabilities().gossip()) {
             notes.tell(to, bytes);
             counts.add("laurelkeel_notes_total", "way", "out");
         }
@@ -337,7 +338,7 @@
     }
 
     @Override
-    public void tryEnded(String machine, long begunAt, Asked asked, Outcome outcome) {
+    public void tryEnded(String machine, long begunAt, Asked asked, AttemptOutcome outcome) {
         counts.ended(outcome);
         reports.ended(begunAt, loop.now(), machine, asked.route(), asked.customer(), outcome);
     }
--- a/src/main/java/laurelkeel/front/OwnDialect.java
+++ b/src/main/java/laurelkeel/front/OwnDialect.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.function.IntToLongFunction;
-import laurelkeel.api.Event.Outcome;
+import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.front.ingress.Asked;
 import laurelkeel.front.ingress.RouteTable;
 import laurelkeel.front.upstream.Came;
@@ -90,8 +90,8 @@
     }
 
     @Override
-    public Outcome unreadable() {
-        return Outcome.ERROR;
+    public AttemptOutcome unreadable() {
+        return AttemptOutcome.FAILED;
     }
 
     @Override
--- a/src/main/java/laurelkeel/front/Reports.java
+++ b/src/main/java/laurelkeel/front/Reports.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.Listed;
-import laurelkeel.api.Event.Outcome;
+import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.api.Event.EndpointEntry;
 import laurelkeel.api.Settings;
 import laurelkeel.blame.Report;
 
@@ -34,7 +34,7 @@
     private final Settings set;
     private final String life;
     private final Consumer<Told> to;
-    private final Map<String, Listed> machines = new HashMap<>();
+    private final Map<String, EndpointEntry> machines = new HashMap<>();
     private final TreeMap<Long, Map<Place, Sum>> seconds = new TreeMap<>();
     private long toldTo = -1;
     long leftOut;
@@ -45,18 +45,18 @@
         this.to = to;
     }
 
-    void list(Event.MachineList list) {
-        for (Listed m : list.machines()) {
+    void list(Event.EndpointListUpdate list) {
+        for (EndpointEntry m : list.entries()) {
             // one that is gone is kept while its last tries end, and not for ever
             if (machines.size() > 20_000) {
                 machines.clear();
             }
-            machines.put(m.machine(), m);
+            machines.put(m.endpointId(), m);
         }
     }
 
     private Sum sum(long at, String machine, int route, int customer) {
-        Listed m = machines.get(machine);
+        EndpointEntry m = machines.get(machine);
         long second = at / SECOND;
         if (m == null || second <= toldTo) {
             leftOut++;
@@ -76,9 +76,11 @@
         return s;
     }
 
-    void ended(long sentAt, long now, String machine, int route, int customer, Outcome outcome) {
-        boolean silent = outcome == Outcome.TIMEOUT || outcome == Outcome.BROKEN || outcome == Outcome.NO_CONNECTION;
-        if (!silent && outcome != Outcome.COMPLETED && outcome != Outcome.ERROR) {
+    void ended(long sentAt, long now, String machine, int route, int customer, AttemptOutcome outcome) {
+        boolean silent = outcome == AttemptOutcome.TIMED_OUT
+                || outcome == AttemptOutcome.CONNECTION_LOST
+                || outcome == AttemptOutcome.CONNECT_FAILED;
+        if (!silent && outcome != AttemptOutcome.COMPLETED && outcome != AttemptOutcome.FAILED) {
             return;
         }
         Sum s = sum(sentAt, machine, route, customer);
@@ -87,10 +89,11 @@
         }
         s.tries++;
         s.silent += silent ? 1 : 0;
-        s.fails += outcome == Outcome.ERROR ? 1 : 0;
-        Listed m = machines.get(machine);
-        boolean warm = m.started() == 0 || sentAt >= m.started() + set.limits().coldFor();
-        if (outcome == Outcome.COMPLETED && warm) {
+        s.fails += outcome == AttemptOutcome.FAILED ? 1 : 0;
+        EndpointEntry m = machines.get(machine);
+        boolean warm = m.startedAtTicks() == 0
+                || sentAt >= m.startedAtTicks() + set.limits().warmUpTicks();
+        if (outcome == AttemptOutcome.COMPLETED && warm) {
             double log = Math.log(Math.max(0.1, (now - sentAt) / 10.0));
             s.rated++;
             s.log += log;
@@ -127,7 +130,8 @@
                             s.square));
                 }
             });
-            to.accept(new Told(set.self(), life, first.getKey(), (now - (first.getKey() + 1) * SECOND) / 10.0, cells));
+            to.accept(new Told(
+                    set.nodeIndex(), life, first.getKey(), (now - (first.getKey() + 1) * SECOND) / 10.0, cells));
         }
     }
 }
--- a/src/main/java/laurelkeel/front/RequestTotals.java
+++ b/src/main/java/laurelkeel/front/RequestTotals.java
@@ -2,12 +2,12 @@
 
 import java.util.EnumMap;
 import java.util.Map;
-import laurelkeel.api.Event.Outcome;
+import laurelkeel.api.Event.AttemptOutcome;
 
 /** Counts of requests and attempts since the start, for the log; on the front's thread. */
 final class RequestTotals {
     private final Map<End, Long> answers = new EnumMap<>(End.class);
-    private final Map<Outcome, Long> attempts = new EnumMap<>(Outcome.class);
+    private final Map<AttemptOutcome, Long> attempts = new EnumMap<>(AttemptOutcome.class);
     private long taken;
 
     void taken() {
@@ -18,7 +18,7 @@
         answers.merge(how, 1L, Long::sum);
     }
 
-    void attemptEnded(Outcome outcome) {
+    void attemptEnded(AttemptOutcome outcome) {
         attempts.merge(outcome, 1L, Long::sum);
     }
 
--- a/src/main/java/laurelkeel/front/Told.java
+++ b/src/main/java/laurelkeel/front/Told.java
@@ -6,7 +6,6 @@
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import laurelkeel.api.Event;
@@ -48,7 +47,7 @@
     }
 
     private int self() {
-        return set.decisions().self();
+        return set.decisions().nodeIndex();
     }
 
     private void record(Rec r) {
@@ -79,16 +78,16 @@
     }
 
     /** The list kept from the life before. */
-    Event.MachineList remembered() {
+    Event.EndpointListUpdate remembered() {
         List<ListLine.Machine> kept = last.read();
-        Event.MachineList e = event(Event.ListKind.REMEMBERED, kept, loop.clock());
+        Event.EndpointListUpdate e = event(Event.EndpointListKind.CACHED, kept, loop.clock());
         // the first real list tells better ages
         starts.clear();
         now.clear();
         return e;
     }
 
-    Event.MachineList list(ListLine line, long arrived) {
+    Event.EndpointListUpdate list(ListLine line, long arrived) {
         boolean full = line.kind().equals("full");
         if (full) {
             now.clear();
@@ -105,19 +104,19 @@
             }
         }
         last.keep(now.values());
-        return event(full ? Event.ListKind.FULL : Event.ListKind.CHANGES, line.machines(), arrived);
+        return event(full ? Event.EndpointListKind.SNAPSHOT : Event.EndpointListKind.DELTA, line.machines(), arrived);
     }
 
-    private Event.MachineList event(Event.ListKind kind, List<ListLine.Machine> machines, long arrived) {
-        List<Event.Listed> listed = new ArrayList<>();
+    private Event.EndpointListUpdate event(Event.EndpointListKind kind, List<ListLine.Machine> machines, long arrived) {
+        List<Event.EndpointEntry> listed = new ArrayList<>();
         List<Rec.Entry> entries = new ArrayList<>();
         for (ListLine.Machine m : machines) {
-            Event.MachineState state;
+            Event.EndpointState state;
             try {
-                state = Event.MachineState.valueOf(m.state().toUpperCase(Locale.ROOT));
+                state = WireTerms.endpointState(m.state());
             } catch (IllegalArgumentException e) {
                 LOG.warn("machine {} has the unknown state '{}' and is taken as draining", m.machine(), m.state());
-                state = Event.MachineState.DRAINING;
+                state = Event.EndpointState.DRAINING;
             }
             Start start = starts.get(m.machine());
             if (start == null || start.run != m.run()) {
@@ -125,10 +124,10 @@
                 start = new Start(m.run(), age > LONG_AGO * 10 ? 0 : Math.max(1, arrived - age));
                 starts.put(m.machine(), start);
             }
-            if (state == Event.MachineState.GONE) {
+            if (state == Event.EndpointState.REMOVED) {
                 starts.remove(m.machine());
             }
-            listed.add(new Event.Listed(
+            listed.add(new Event.EndpointEntry(
                     m.machine(),
                     m.build(),
                     zone(m.zone()),
@@ -137,12 +136,12 @@
                     m.size() > 0 ? m.size() : 1,
                     state,
                     start.at));
-            entries.add(new Rec.Entry(m.machine(), m.run(), m.build(), Rec.State.valueOf(state.name())));
+            entries.add(new Rec.Entry(m.machine(), m.run(), m.build(), WireTerms.recorded(state)));
         }
         if (records != null) {
-            record(new Rec.ToldList(hostTime(arrived), self(), life, Rec.ListKind.valueOf(kind.name()), entries));
+            record(new Rec.ToldList(hostTime(arrived), self(), life, WireTerms.recorded(kind), entries));
         }
-        return new Event.MachineList(kind, listed);
+        return new Event.EndpointListUpdate(kind, listed);
     }
 
     /** Zones are numbered as they are met, this front's own first. */
@@ -166,7 +165,7 @@
     /** What a line says; first the end of what it no longer names. */
     List<Event> news(ReleaseLine line, long arrived) {
         if ("counts".equals(line.kind())) {
-            return List.of(new Event.BuildCounts(
+            return List.of(new Event.BuildStatistics(
                     line.build(),
                     line.route(),
                     line.tries(),
@@ -181,21 +180,20 @@
             boolean passed = line.standing() != null || was.build() < line.build();
             if (passed && was.build() != line.build() && !standing.contains(was.build())) {
                 out.add(news(
-                        Event.Answer.OK,
+                        Event.ControlStatus.OK,
                         ReleaseLine.news(was.build(), was.stage(), 0, "withdrawn", 0),
                         arrived,
                         false));
             }
         }
-        out.add(news(Event.Answer.OK, line, arrived, false));
+        out.add(news(Event.ControlStatus.OK, line, arrived, false));
         return out;
     }
 
-    private Event.ReleaseNews news(Event.Answer answer, ReleaseLine line, long arrived, boolean toVote) {
-        Event.Phase phase =
-                Event.Phase.valueOf(line.phase().toUpperCase(Locale.ROOT).replace('-', '_'));
-        if (answer == Event.Answer.OK) {
-            if (phase == Event.Phase.TRIAL) {
+    private Event.RolloutUpdate news(Event.ControlStatus answer, ReleaseLine line, long arrived, boolean toVote) {
+        Event.RolloutPhase phase = WireTerms.phase(line.phase());
+        if (answer == Event.ControlStatus.OK) {
+            if (phase == Event.RolloutPhase.CANARY) {
                 onTrial.put(line.build(), line);
             } else {
                 onTrial.remove(line.build());
@@ -207,23 +205,23 @@
                     line.build(),
                     line.stage(),
                     line.cap(),
-                    Rec.Phase.valueOf(phase.name())));
+                    WireTerms.recorded(phase)));
         }
-        return new Event.ReleaseNews(answer, line.stage(), line.cap(), age(line, arrived), phase, line.build(), toVote);
+        return new Event.RolloutUpdate(
+                answer, line.stage(), line.cap(), age(line, arrived), phase, line.build(), toVote);
     }
 
     Event voted(String answer, int build, ReleaseLine line, long arrived) {
-        Event.Answer a =
-                switch (answer) {
-                    case "ok" -> Event.Answer.OK;
-                    case "moot" -> Event.Answer.MOOT;
-                    case "over-limit" -> Event.Answer.OVER_LIMIT;
-                    case "timeout" -> Event.Answer.TIMEOUT;
-                    default -> Event.Answer.ERROR;
-                };
+        Event.ControlStatus a = WireTerms.controlStatus(answer);
         if (line == null || line.phase() == null) {
-            return new Event.ReleaseNews(
-                    a == Event.Answer.OK ? Event.Answer.ERROR : a, 0, 0, 0, Event.Phase.TRIAL, build, true);
+            return new Event.RolloutUpdate(
+                    a == Event.ControlStatus.OK ? Event.ControlStatus.FAILED : a,
+                    0,
+                    0,
+                    0,
+                    Event.RolloutPhase.CANARY,
+                    build,
+                    true);
         }
         return news(a, line, arrived, true);
     }
--- /dev/null
+++ b/src/main/java/laurelkeel/front/WireTerms.java
@@ -0,0 +1,183 @@
+package laurelkeel.front;
+
+import java.util.LinkedHashMap;
+import java.util.Locale;
+import java.util.Map;
+import laurelkeel.api.Action.Verdict;
+import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.api.Event.ControlStatus;
+import laurelkeel.api.Event.EndpointListKind;
+import laurelkeel.api.Event.EndpointState;
+import laurelkeel.api.Event.RolloutPhase;
+import laurelkeel.api.Settings.DeduplicationScope;
+import laurelkeel.api.Settings.Idempotency;
+import laurelkeel.api.Settings.PromotionPolicy;
+import laurelkeel.records.Rec;
+
+/**
+ * Maps the names that stand on the wire, in settings files, in records and in metric labels to the terms of the API.
+ * Those names are part of the product's interface and stay as they are; this class is the only place that knows both.
+ */
+public final class WireTerms {
+    /** Values of {@code effect} in a route's section, in the order in which errors list them. */
+    static final Map<String, Idempotency> IDEMPOTENCY = inOrder(
+            Map.entry("retriable", Idempotency.IDEMPOTENT),
+            Map.entry("deduped", Idempotency.DEDUPLICATED),
+            Map.entry("non-retriable", Idempotency.NOT_IDEMPOTENT));
+
+    /** Values of {@code group} in a route's section. */
+    static final Map<String, DeduplicationScope> DEDUPLICATION_SCOPE = inOrder(
+            Map.entry("all", DeduplicationScope.ALL),
+            Map.entry("zone", DeduplicationScope.ZONE),
+            Map.entry("cell", DeduplicationScope.CELL));
+
+    /** Values of {@code control} in the rollout's section. */
+    static final Map<String, PromotionPolicy> PROMOTION_POLICY = inOrder(
+            Map.entry("any", PromotionPolicy.FIRST_VOTE),
+            Map.entry("count", PromotionPolicy.VOTE_COUNT),
+            Map.entry("clock", PromotionPolicy.AUTOMATIC));
+
+    private static final Map<String, EndpointState> ENDPOINT_STATES =
+            Map.of("live", EndpointState.ACTIVE, "draining", EndpointState.DRAINING, "gone", EndpointState.REMOVED);
+
+    private static final Map<String, RolloutPhase> PHASES = Map.of(
+            "trial",
+            RolloutPhase.CANARY,
+            "going-back",
+            RolloutPhase.ROLLING_BACK,
+            "released",
+            RolloutPhase.RELEASED,
+            "withdrawn",
+            RolloutPhase.ROLLED_BACK);
+
+    private static final Map<String, ControlStatus> CONTROL_STATUSES = Map.of(
+            "ok",
+            ControlStatus.OK,
+            "moot",
+            ControlStatus.STALE,
+            "over-limit",
+            ControlStatus.RATE_LIMITED,
+            "timeout",
+            ControlStatus.TIMED_OUT);
+
+    private WireTerms() {}
+
+    @SafeVarargs
+    private static <T> Map<String, T> inOrder(Map.Entry<String, T>... entries) {
+        Map<String, T> map = new LinkedHashMap<>();
+        for (Map.Entry<String, T> entry : entries) {
+            map.put(entry.getKey(), entry.getValue());
+        }
+        return map;
+    }
+
+    private static String normalized(String name) {
+        return name.toLowerCase(Locale.ROOT).replace('_', '-');
+    }
+
+    /**
+     * Reads an endpoint's state as endpoint lists name it.
+     *
+     * @throws IllegalArgumentException where the state is unknown
+     */
+    static EndpointState endpointState(String name) {
+        EndpointState state = ENDPOINT_STATES.get(normalized(name));
+        if (state == null) {
+            throw new IllegalArgumentException("unknown endpoint state '" + name + "'");
+        }
+        return state;
+    }
+
+    /**
+     * Reads a rollout's phase as the release line names it.
+     *
+     * @throws IllegalArgumentException where the phase is unknown
+     */
+    static RolloutPhase phase(String name) {
+        RolloutPhase phase = PHASES.get(normalized(name));
+        if (phase == null) {
+            throw new IllegalArgumentException("unknown rollout phase '" + name + "'");
+        }
+        return phase;
+    }
+
+    /** Reads the answer to a vote; one that is not known counts as failed. */
+    static ControlStatus controlStatus(String name) {
+        return CONTROL_STATUSES.getOrDefault(name, ControlStatus.FAILED);
+    }
+
+    /** The verdict of a vote as it is written in a ballot and in the label of the metric of votes. */
+    static String verdict(Verdict verdict) {
+        return switch (verdict) {
+            case NONE -> "none";
+            case PROMOTE -> "on";
+            case HOLD -> "hold";
+            case ROLL_BACK -> "back";
+        };
+    }
+
+    /** The label of an attempt's outcome in {@code laurelkeel_outcomes_total}. */
+    static String metricLabel(AttemptOutcome outcome) {
+        return switch (outcome) {
+            case COMPLETED -> "completed";
+            case FAILED -> "error";
+            case OVERLOADED -> "full";
+            case TIMED_OUT -> "timeout";
+            case CONNECT_FAILED -> "no_connection";
+            case CONNECTION_LOST -> "broken";
+            case CANCELLED -> "stopped";
+            case NOT_SENT -> "not_sent";
+        };
+    }
+
+    /** An endpoint's state as records keep it. */
+    static Rec.State recorded(EndpointState state) {
+        return switch (state) {
+            case ACTIVE -> Rec.State.LIVE;
+            case DRAINING -> Rec.State.DRAINING;
+            case REMOVED -> Rec.State.GONE;
+        };
+    }
+
+    /**
+     * The kind of an endpoint list as records keep it.
+     *
+     * @throws IllegalArgumentException for a failed call, which brings no list to record
+     */
+    static Rec.ListKind recorded(EndpointListKind kind) {
+        return switch (kind) {
+            case DELTA -> Rec.ListKind.CHANGES;
+            case SNAPSHOT -> Rec.ListKind.FULL;
+            case CACHED -> Rec.ListKind.REMEMBERED;
+            case FAILED -> throw new IllegalArgumentException("a failed call brings no list to record");
+        };
+    }
+
+    /** A rollout's phase as records keep it. */
+    static Rec.Phase recorded(RolloutPhase phase) {
+        return switch (phase) {
+            case CANARY -> Rec.Phase.TRIAL;
+            case ROLLING_BACK -> Rec.Phase.GOING_BACK;
+            case RELEASED -> Rec.Phase.RELEASED;
+            case ROLLED_BACK -> Rec.Phase.WITHDRAWN;
+        };
+    }
+
+    /** A route's idempotency as records keep it. */
+    public static Rec.Effect recorded(Idempotency idempotency) {
+        return switch (idempotency) {
+            case IDEMPOTENT -> Rec.Effect.RETRIABLE;
+            case DEDUPLICATED -> Rec.Effect.DEDUPED;
+            case NOT_IDEMPOTENT -> Rec.Effect.NON_RETRIABLE;
+        };
+    }
+
+    /** The scope of a route's deduplication as records keep it. */
+    public static Rec.Group recorded(DeduplicationScope scope) {
+        return switch (scope) {
+            case ALL -> Rec.Group.ALL;
+            case ZONE -> Rec.Group.ZONE;
+            case CELL -> Rec.Group.CELL;
+        };
+    }
+}
--- a/src/main/java/laurelkeel/front/ingress/Ingress.java
+++ b/src/main/java/laurelkeel/front/ingress/Ingress.java
@@ -478,7 +478,7 @@
             conn.toHead = asked.toHead();
             // the time a pipelined req waited for its turn is time its client has waited
             boolean full = door.held() >= set.openReqs() || loop.backlog() >= set.backlog();
-            if (door.ended() || door.draining() && set.lameDuck() == 0 || full) {
+            if (door.ended() || (door.draining() && set.lameDuck() == 0) || full) {
                 refused.incrementAndGet();
                 over(asked);
                 boolean last = door.draining() || asked.last();
--- a/src/main/java/laurelkeel/front/news/Pause.java
+++ b/src/main/java/laurelkeel/front/news/Pause.java
@@ -36,7 +36,7 @@
     public synchronized long ms() {
         CRC32 crc = new CRC32();
         crc.update(ByteBuffer.allocate(16).putLong(seed).putLong(draws++).array());
-        double chance = (crc.getValue() * 0x9E3779B97F4A7C15L >>> 11) * 0x1.0p-53;
+        double chance = ((crc.getValue() * 0x9E3779B97F4A7C15L) >>> 11) * 0x1.0p-53;
         long ms = (long) (next * (0.5 + 0.5 * chance));
         next = Math.min(most, next * 2);
         return ms;
--- a/src/main/java/laurelkeel/front/news/ReleaseSource.java
+++ b/src/main/java/laurelkeel/front/news/ReleaseSource.java
@@ -132,7 +132,7 @@
             if (failure == null && r.statusCode() == 200) {
                 try {
                     ReleaseLine said = JSON.readValue(r.body(), ReleaseLine.class);
-                    if (said == null || said.phase() != null && said.fault() != null) {
+                    if (said == null || (said.phase() != null && said.fault() != null)) {
                         LOG.warn("the answer to a vote is passed over: {}", said == null ? "empty" : said.fault());
                     } else {
                         line = said;
--- a/src/main/java/laurelkeel/front/upstream/Came.java
+++ b/src/main/java/laurelkeel/front/upstream/Came.java
@@ -3,7 +3,8 @@
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
-import laurelkeel.api.Event.Outcome;
+import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.api.LoadReport;
 import laurelkeel.wire.Crossing;
 import laurelkeel.wire.HopByHop;
 import laurelkeel.wire.HttpAnswer;
@@ -16,7 +17,7 @@
  * @param load what the machine told of its load, by name; empty for nothing
  * @param last the machine ends the connection with it
  */
-public record Came(Outcome outcome, Crossing crossing, Map<String, Double> load, boolean last) {
+public record Came(AttemptOutcome outcome, Crossing crossing, LoadReport load, boolean last) {
     /** What only a front says: a machine that says it is not believed. Its load is for the front alone. */
     private static final Collection<String> OWN = HopByHop.names(
             Names.LOAD, Names.ANSWER, Names.RETRY, Names.RETRY_AFTER_MS, Names.TAKEN, Names.REF, Names.RAN);
@@ -24,18 +25,20 @@
     public static Came of(HttpAnswer a) {
         boolean refused = (a.status() == 503 || a.status() == 429)
                 && "no".equals(a.headers().get(Names.RAN));
-        Outcome outcome = refused ? Outcome.FULL : a.status() < 500 ? Outcome.COMPLETED : Outcome.ERROR;
+        AttemptOutcome outcome = refused
+                ? AttemptOutcome.OVERLOADED
+                : a.status() < 500 ? AttemptOutcome.COMPLETED : AttemptOutcome.FAILED;
         // only what completed goes on to a client
         return new Came(
                 outcome,
-                outcome == Outcome.COMPLETED ? Crossing.of(a, OWN) : null,
+                outcome == AttemptOutcome.COMPLETED ? Crossing.of(a, OWN) : null,
                 load(a.headers().get(Names.LOAD)),
                 a.last());
     }
 
-    private static Map<String, Double> load(String told) {
+    private static LoadReport load(String told) {
         if (told == null) {
-            return Map.of();
+            return LoadReport.NONE;
         }
         Map<String, Double> out = new HashMap<>();
         for (String pair : told.split(",")) {
@@ -50,6 +53,6 @@
                 // one value that is no number: the rest still tell
             }
         }
-        return out;
+        return new LoadReport(out);
     }
 }
--- a/src/main/java/laurelkeel/front/upstream/Exchange.java
+++ b/src/main/java/laurelkeel/front/upstream/Exchange.java
@@ -1,7 +1,7 @@
 package laurelkeel.front.upstream;
 
 import java.util.function.Supplier;
-import laurelkeel.api.Event.Outcome;
+import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.loop.Loop;
 
 /** One upstream try on its way: waiting for a connection, written to one, or over. Front's thread only. */
@@ -10,7 +10,7 @@
     /** Told once, on the front's thread, but never from within start or end. */
     public interface Heard {
         /** came is null unless an answer came whole. */
-        void ended(Outcome outcome, Came came);
+        void ended(AttemptOutcome outcome, Came came);
     }
 
     final Pool pool;
@@ -38,7 +38,7 @@
      * @param asked how it is to count if it may have run
      * @return that, or what it was in truth where no byte of it was ever handed to a connection
      */
-    public Outcome end(Outcome asked) {
+    public AttemptOutcome end(AttemptOutcome asked) {
         boolean left = on != null;
         over = true;
         if (dialLimit != null) {
@@ -49,17 +49,19 @@
             on = null;
             c.current = null;
             c.session.closeNow();
-            if (asked == Outcome.TIMEOUT) {
+            if (asked == AttemptOutcome.TIMED_OUT) {
                 // a machine that went without a word leaves them all like this one: each would cost its req a time-out
                 pool.closeIdle(writtenAt);
             }
         } else {
             pool.waiting.remove(this);
         }
-        return left ? asked : asked == Outcome.TIMEOUT ? Outcome.NO_CONNECTION : Outcome.NOT_SENT;
+        return left
+                ? asked
+                : asked == AttemptOutcome.TIMED_OUT ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT;
     }
 
-    void tell(Outcome outcome, Came came) {
+    void tell(AttemptOutcome outcome, Came came) {
         if (!over) {
             over = true;
             if (dialLimit != null) {
--- a/src/main/java/laurelkeel/front/upstream/MachineWords.java
+++ b/src/main/java/laurelkeel/front/upstream/MachineWords.java
@@ -1,6 +1,6 @@
 package laurelkeel.front.upstream;
 
-import laurelkeel.api.Event.Outcome;
+import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.wire.HttpAnswer;
 
 /** What one protocol's machines mean. Called on any thread. */
@@ -8,5 +8,5 @@
     Came came(HttpAnswer answer);
 
     /** What an answer counts as that cannot be read. */
-    Outcome unreadable();
+    AttemptOutcome unreadable();
 }
--- a/src/main/java/laurelkeel/front/upstream/Pools.java
+++ b/src/main/java/laurelkeel/front/upstream/Pools.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.Executor;
 import java.util.function.Supplier;
-import laurelkeel.api.Event.Outcome;
+import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.loop.Loop;
 import laurelkeel.wire.BadHttp;
 import laurelkeel.wire.HttpAnswer;
@@ -126,8 +126,8 @@
     public Exchange start(Place place, Supplier<byte[]> message, boolean toHead, Exchange.Heard heard) {
         Pool pool = pools.computeIfAbsent(place.key(), k -> new Pool(place));
         Exchange e = new Exchange(pool, message, toHead, heard);
-        if (place.at() == null || pool.waiting.size() >= set.waiting() && pool.idle.isEmpty()) {
-            loop.post(() -> e.tell(Outcome.NO_CONNECTION, null));
+        if (place.at() == null || (pool.waiting.size() >= set.waiting() && pool.idle.isEmpty())) {
+            loop.post(() -> e.tell(AttemptOutcome.CONNECT_FAILED, null));
         } else {
             place(e);
         }
@@ -151,7 +151,7 @@
         if (e.dialLimit == null) {
             e.dialLimit = loop.at(loop.now() + set.dialTimeout(), () -> {
                 e.pool.waiting.remove(e);
-                e.tell(starved.contains(e.pool) ? Outcome.NOT_SENT : Outcome.NO_CONNECTION, null);
+                e.tell(starved.contains(e.pool) ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED, null);
             });
         }
         dial(e.pool);
@@ -167,7 +167,7 @@
             bytes = null;
         }
         if (bytes == null) {
-            loop.post(() -> e.tell(Outcome.NOT_SENT, null));
+            loop.post(() -> e.tell(AttemptOutcome.NOT_SENT, null));
             return false;
         }
         if (e.dialLimit != null) {
@@ -290,7 +290,7 @@
         } else {
             if (first != null) {
                 pool.waiting.pollFirst();
-                first.tell(theirs ? Outcome.NO_CONNECTION : Outcome.NOT_SENT, null);
+                first.tell(theirs ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT, null);
             }
             dial(pool);
         }
@@ -351,7 +351,7 @@
             if (neverLeft && ++e.dials < MOST_DIALS) {
                 place(e);
             } else {
-                e.tell(neverLeft ? Outcome.NO_CONNECTION : Outcome.BROKEN, null);
+                e.tell(neverLeft ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.CONNECTION_LOST, null);
             }
         }
         if (!c.used) {
@@ -366,7 +366,7 @@
         Exchange first = pool.waiting.peekFirst();
         if (first != null && ++first.dials >= MOST_DIALS) {
             pool.waiting.pollFirst();
-            first.tell(Outcome.NO_CONNECTION, null);
+            first.tell(AttemptOutcome.CONNECT_FAILED, null);
         }
     }
 
@@ -391,7 +391,7 @@
         e.tell(came.outcome(), came);
     }
 
-    private void unreadable(Conn c, Outcome as) {
+    private void unreadable(Conn c, AttemptOutcome as) {
         Exchange e = c.current;
         c.current = null;
         c.session.closeNow();
@@ -434,7 +434,7 @@
                     answered(c, came);
                 } else if (message instanceof BadHttp b) {
                     // a front without room for an answer gave it up; that is no error of the machine's build
-                    unreadable(c, b.status() == 503 ? Outcome.STOPPED : words.unreadable());
+                    unreadable(c, b.status() == 503 ? AttemptOutcome.CANCELLED : words.unreadable());
                 }
             });
         }
--- a/src/main/java/laurelkeel/lanes/Lanes.java
+++ b/src/main/java/laurelkeel/lanes/Lanes.java
@@ -14,13 +14,14 @@
 import laurelkeel.api.Action.Verdict;
 import laurelkeel.api.Decider;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.Answer;
-import laurelkeel.api.Event.ListKind;
-import laurelkeel.api.Event.Listed;
-import laurelkeel.api.Event.MachineState;
-import laurelkeel.api.Event.Outcome;
-import laurelkeel.api.Event.Phase;
-import laurelkeel.api.Event.ReleaseNews;
+import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.api.Event.ControlStatus;
+import laurelkeel.api.Event.EndpointEntry;
+import laurelkeel.api.Event.EndpointListKind;
+import laurelkeel.api.Event.EndpointState;
+import laurelkeel.api.Event.RolloutPhase;
+import laurelkeel.api.Event.RolloutUpdate;
+import laurelkeel.api.LoadReport;
 import laurelkeel.api.Settings;
 
 /**
@@ -71,7 +72,7 @@
     private record Kept(int lane, int build) {}
 
     private final Settings set;
-    private final Maker maker;
+    private final Factory maker;
     private final long seed;
     private final byte[] salt;
     private long draws;
@@ -84,7 +85,7 @@
     private final Map<Integer, Blame> blame = new HashMap<>();
     private final Map<Integer, Long> doubtedSince = new HashMap<>();
     private final Map<Integer, Long> votedBack = new HashMap<>();
-    private final Map<String, Listed> list = new LinkedHashMap<>();
+    private final Map<String, EndpointEntry> list = new LinkedHashMap<>();
     private final Map<String, Held> held = new HashMap<>();
     /** Keys that a build on trial has answered, and in which lane: they are never cut anew while that is open. */
     private final Map<String, Kept> laneOfKey = new HashMap<>();
@@ -104,19 +105,22 @@
     private final List<Action> out = new ArrayList<>();
 
     /** @param maker makes the decider of one lane; lane 0 gets the front's own seed */
-    public Lanes(Settings set, long seed, Maker maker) {
+    public Lanes(Settings set, long seed, Factory maker) {
         this.set = set;
         this.maker = maker;
         this.seed = seed;
         this.salt = ("lanes/" + seed).getBytes(StandardCharsets.US_ASCII);
         this.all = taken(false);
-        lanes.add(new Lane(nextLane, -1, maker.make(set, seed), taken(false)));
+        lanes.add(new Lane(nextLane, -1, maker.create(set, seed), taken(false)));
         nextLane++;
     }
 
     private Taken taken(boolean tries) {
         return new Taken(
-                set.routes().size(), set.rollout().window(), set.rollout().perRoute(), tries);
+                set.routes().size(),
+                set.rollout().exposureWindowTicks(),
+                set.rollout().exposurePerRoute(),
+                tries);
     }
 
     /** How many lanes take reqs. */
@@ -167,33 +171,33 @@
     // ---- events
 
     private void learn(Event e) {
-        if (e instanceof Event.Req r) {
+        if (e instanceof Event.RequestReceived r) {
             take(r);
-        } else if (e instanceof Event.TryEnded t) {
+        } else if (e instanceof Event.AttemptEnded t) {
             ended(t);
-        } else if (e instanceof Event.AnswerBegun b) {
-            Held h = held.get(b.req());
-            toHolder(b.req(), h == null ? e : new Event.AnswerBegun(b.req(), b.tryNo() + h.keptBack));
-        } else if (e instanceof Event.ClientLeft c) {
-            toHolder(c.req(), e);
-            over(c.req());
-        } else if (e instanceof Event.TimerDue t) {
+        } else if (e instanceof Event.ResponseStarted b) {
+            Held h = held.get(b.requestId());
+            toHolder(b.requestId(), h == null ? e : new Event.ResponseStarted(b.requestId(), b.attempt() + h.keptBack));
+        } else if (e instanceof Event.ClientDisconnected c) {
+            toHolder(c.requestId(), e);
+            over(c.requestId());
+        } else if (e instanceof Event.TimerFired t) {
             for (Lane l : lanes) {
-                if (l.id == t.handle()) {
-                    l.events.add(new Event.TimerDue(0));
+                if (l.id == t.timerId()) {
+                    l.events.add(new Event.TimerFired(0));
                 }
             }
-        } else if (e instanceof Event.MachineList l) {
+        } else if (e instanceof Event.EndpointListUpdate l) {
             listed(l);
-        } else if (e instanceof ReleaseNews n) {
+        } else if (e instanceof RolloutUpdate n) {
             news(n);
-        } else if (e instanceof Event.Complaint c) {
+        } else if (e instanceof Event.ComplaintReceived c) {
             complained(c);
-        } else if (e instanceof Event.Probed p) {
+        } else if (e instanceof Event.HealthCheckEnded p) {
             lanes.stream()
-                    .filter(l -> lanes.size() == 1 || l.shown.contains(p.machine()))
+                    .filter(l -> lanes.size() == 1 || l.shown.contains(p.endpointId()))
                     .forEach(l -> l.events.add(e));
-        } else if (e instanceof Event.BuildCounts c) {
+        } else if (e instanceof Event.BuildStatistics c) {
             lanes.stream()
                     .filter(l -> l.build < 0 || l.build == c.build() || l.floor == c.build())
                     .forEach(l -> l.events.add(e));
@@ -207,10 +211,10 @@
         (h == null ? lanes.get(0) : h.lane).events.add(e);
     }
 
-    private void take(Event.Req r) {
-        Lane lane = laneOf(r.key());
+    private void take(Event.RequestReceived r) {
+        Lane lane = laneOf(r.partitionKey());
         all.add(r.route(), now);
-        held.put(r.id(), new Held(lane, r.key(), r.route()));
+        held.put(r.requestId(), new Held(lane, r.partitionKey(), r.route()));
         lane.held++;
         lane.taken.add(r.route(), now);
         lane.events.add(r);
@@ -261,26 +265,26 @@
         return ((h ^ h >>> 29) >>> 11) * 0x1.0p-53;
     }
 
-    private void ended(Event.TryEnded t) {
-        Held h = held.get(t.req());
+    private void ended(Event.AttemptEnded t) {
+        Held h = held.get(t.requestId());
         if (h == null) {
-            toHolder(t.req(), t);
+            toHolder(t.requestId(), t);
             return;
         }
         toHolder(
-                t.req(),
+                t.requestId(),
                 h.keptBack == 0
                         ? t
-                        : new Event.TryEnded(
-                                t.req(),
-                                t.tryNo() + h.keptBack,
-                                t.machine(),
+                        : new Event.AttemptEnded(
+                                t.requestId(),
+                                t.attempt() + h.keptBack,
+                                t.endpointId(),
                                 t.outcome(),
-                                t.took(),
-                                t.reqOver(),
-                                t.load()));
+                                t.durationTicks(),
+                                t.requestEnded(),
+                                t.loadReport()));
         h.out--;
-        h.answered |= t.outcome() == Outcome.COMPLETED || t.reqOver();
+        h.answered |= t.outcome() == AttemptOutcome.COMPLETED || t.requestEnded();
         if (h.key != null) {
             triesOut.ended(h.key, h.build);
         }
@@ -288,12 +292,12 @@
             // an answer under way while lanes were cut anew may come late, from an earlier build
             laneOfKey.merge(h.key, new Kept(h.lane.id, h.build), (was, is) -> was.build > is.build ? was : is);
         }
-        forget(t.req(), h);
+        forget(t.requestId(), h);
     }
 
     /** An answer of that build keeps the key, where there is one, from earlier builds. */
     private boolean binds(String key, int build) {
-        return key != null && set.rollout().keysStay() && stands(build);
+        return key != null && set.rollout().stickyKeys() && stands(build);
     }
 
     private void forget(String req, Held h) {
@@ -303,13 +307,13 @@
         }
     }
 
-    private void complained(Event.Complaint c) {
+    private void complained(Event.ComplaintReceived c) {
         if (lanes.size() == 1) {
             lanes.get(0).events.add(c);
             return;
         }
         List<Lane> shown = lanes.stream()
-                .filter(l -> !l.closing && l.shown.contains(c.machine()))
+                .filter(l -> !l.closing && l.shown.contains(c.endpointId()))
                 .toList();
         if (!shown.isEmpty()) {
             // of a shared machine none can tell whose answer it was: each lane has its turn
@@ -319,45 +323,45 @@
 
     // ---- the list, and what of it each lane sees
 
-    private void listed(Event.MachineList l) {
-        if (l.kind() == ListKind.FULL || l.kind() == ListKind.REMEMBERED) {
+    private void listed(Event.EndpointListUpdate l) {
+        if (l.kind() == EndpointListKind.SNAPSHOT || l.kind() == EndpointListKind.CACHED) {
             Set<String> named = new HashSet<>();
-            l.machines().forEach(m -> named.add(m.machine()));
+            l.entries().forEach(m -> named.add(m.endpointId()));
             list.keySet().retainAll(named);
         }
-        for (Listed m : l.machines()) {
-            if (m.state() == MachineState.GONE) {
-                list.remove(m.machine());
+        for (EndpointEntry m : l.entries()) {
+            if (m.state() == EndpointState.REMOVED) {
+                list.remove(m.endpointId());
             } else {
-                list.put(m.machine(), m);
+                list.put(m.endpointId(), m);
             }
         }
         recut |= cutNow();
         for (Lane lane : lanes) {
             if (!cutNow() && seesAll(lane)) {
                 lane.events.add(l);
-                l.machines().forEach(m -> lane.shown.add(m.machine()));
+                l.entries().forEach(m -> lane.shown.add(m.endpointId()));
                 continue;
             }
-            List<Listed> seen = new ArrayList<>();
-            for (Listed m : l.machines()) {
+            List<EndpointEntry> seen = new ArrayList<>();
+            for (EndpointEntry m : l.entries()) {
                 if (sees(lane, m)) {
-                    lane.shown.add(m.machine());
+                    lane.shown.add(m.endpointId());
                     seen.add(m);
-                } else if (lane.shown.remove(m.machine())) {
+                } else if (lane.shown.remove(m.endpointId())) {
                     // started anew with a build that is not this lane's: to its decider it is gone
-                    seen.add(new Listed(
-                            m.machine(),
+                    seen.add(new EndpointEntry(
+                            m.endpointId(),
                             m.build(),
                             m.zone(),
                             m.cell(),
                             m.kind(),
-                            m.size(),
-                            MachineState.GONE,
-                            m.started()));
+                            m.weight(),
+                            EndpointState.REMOVED,
+                            m.startedAtTicks()));
                 }
             }
-            lane.events.add(new Event.MachineList(l.kind(), seen));
+            lane.events.add(new Event.EndpointListUpdate(l.kind(), seen));
         }
     }
 
@@ -366,7 +370,7 @@
         return lanes.size() > 1 || lanes.get(0).floor >= 0;
     }
 
-    private boolean sees(Lane lane, Listed m) {
+    private boolean sees(Lane lane, EndpointEntry m) {
         Release r = releases.get(m.build());
         // its decider was never told of releases that had lanes of their own: those sent back must not pass for a base
         boolean any = lane.floor < 0 && (r == null || !r.sentBack() || lane.back.contains(m.build()));
@@ -379,8 +383,8 @@
 
     private double size(int build) {
         return list.values().stream()
-                .filter(m -> m.build() == build && m.state() == MachineState.LIVE)
-                .mapToDouble(Listed::size)
+                .filter(m -> m.build() == build && m.state() == EndpointState.ACTIVE)
+                .mapToDouble(EndpointEntry::weight)
                 .sum();
     }
 
@@ -392,8 +396,8 @@
             double most = 0;
             Map<Integer, Double> sizes = new TreeMap<>();
             list.values().stream()
-                    .filter(m -> m.state() == MachineState.LIVE)
-                    .forEach(m -> sizes.merge(m.build(), m.size(), Double::sum));
+                    .filter(m -> m.state() == EndpointState.ACTIVE)
+                    .forEach(m -> sizes.merge(m.build(), m.weight(), Double::sum));
             for (var e : sizes.entrySet()) {
                 if (!releases.containsKey(e.getKey()) && e.getValue() > most) {
                     most = e.getValue();
@@ -415,8 +419,8 @@
 
     // ---- news
 
-    private void news(ReleaseNews n) {
-        if (n.toVote() && n.answer() != Answer.OK) {
+    private void news(RolloutUpdate n) {
+        if (n.answersVote() && n.status() != ControlStatus.OK) {
             // a refusal says nothing but whose vote it was, where it says that
             lanes.stream()
                     .filter(l -> lanes.size() == 1 || n.build() == 0 || l.build == n.build())
@@ -425,7 +429,7 @@
         }
         Release now = Release.of(n);
         Release before = releases.put(n.build(), now);
-        if (n.phase() == Phase.RELEASED && n.build() > released) {
+        if (n.phase() == RolloutPhase.RELEASED && n.build() > released) {
             released = n.build();
             releases.keySet().removeIf(b -> b < released);
             least = least <= released ? -1 : least;
@@ -442,7 +446,7 @@
         }
         for (Lane l : lanes) {
             // a later build's release ends all that is below it
-            boolean ends = n.phase() == Phase.RELEASED && l.build < n.build();
+            boolean ends = n.phase() == RolloutPhase.RELEASED && l.build < n.build();
             if (l == lane || ends) {
                 l.toldCap = Double.NaN;
                 l.events.add(n);
@@ -450,7 +454,9 @@
                     l.back.add(n.build());
                 }
                 // of a build before its own it was told for nothing: it passes that over
-                l.knows = n.phase() == Phase.RELEASED && n.build() >= l.build ? Math.max(l.knows, n.build()) : l.knows;
+                l.knows = n.phase() == RolloutPhase.RELEASED && n.build() >= l.build
+                        ? Math.max(l.knows, n.build())
+                        : l.knows;
             }
         }
         if (lane != null) {
@@ -503,17 +509,17 @@
         return free ? only : null;
     }
 
-    private Lane openLane(ReleaseNews n) {
+    private Lane openLane(RolloutUpdate n) {
         if (n.build() <= released || open() >= MOST) {
             return null;
         }
-        Lane lane = new Lane(nextLane, n.build(), maker.make(set, seed * 31 + nextLane), taken(false));
+        Lane lane = new Lane(nextLane, n.build(), maker.create(set, seed * 31 + nextLane), taken(false));
         nextLane++;
         lanes.add(lane);
         closeEnded();
         lane.floor = floorFor(n.build());
         if (lane.floor >= 0) {
-            lane.events.add(new ReleaseNews(Answer.OK, 0, 1, 0, Phase.RELEASED, lane.floor, false));
+            lane.events.add(new RolloutUpdate(ControlStatus.OK, 0, 1, 0, RolloutPhase.RELEASED, lane.floor, false));
             lane.knows = lane.floor;
         }
         show(lane);
@@ -523,11 +529,12 @@
 
     /** Shows a lane all that it may see, and nothing else. */
     private void show(Lane lane) {
-        List<Listed> seen = list.values().stream().filter(m -> sees(lane, m)).toList();
+        List<EndpointEntry> seen =
+                list.values().stream().filter(m -> sees(lane, m)).toList();
         lane.shown.clear();
-        seen.forEach(m -> lane.shown.add(m.machine()));
+        seen.forEach(m -> lane.shown.add(m.endpointId()));
         // remembered: no news of the list itself, only of what of it is the lane's
-        lane.events.add(new Event.MachineList(ListKind.REMEMBERED, seen));
+        lane.events.add(new Event.EndpointListUpdate(EndpointListKind.CACHED, seen));
     }
 
     /** After a change of releases or machines: what serves beside each, and what each sees. */
@@ -556,7 +563,7 @@
         double cap = lanes.size() == 1 ? r.cap() : Math.min(1, r.cap() * Taken.times(all, lane.taken, now, open()));
         boolean told = !Double.isNaN(lane.toldCap);
         if (told ? cap != lane.toldCap : cap != r.cap()) {
-            lane.events.add(new ReleaseNews(Answer.OK, r.stage(), cap, 0, r.phase(), r.build(), false));
+            lane.events.add(new RolloutUpdate(ControlStatus.OK, r.stage(), cap, 0, r.phase(), r.build(), false));
         }
         lane.toldCap = cap;
     }
@@ -564,40 +571,46 @@
     // ---- actions
 
     private void act(Lane lane, Action a) {
-        if (a instanceof Action.Send s) {
+        if (a instanceof Action.SendAttempt s) {
             send(lane, s);
-        } else if (a instanceof Action.Shed s) {
-            over(s.req());
+        } else if (a instanceof Action.RejectRequest s) {
+            over(s.requestId());
             out.add(a);
-        } else if (a instanceof Action.Err s) {
-            over(s.req());
+        } else if (a instanceof Action.FailRequest s) {
+            over(s.requestId());
             out.add(a);
-        } else if (a instanceof Action.StopTry s) {
-            Held h = held.get(s.req());
-            out.add(h == null ? a : new Action.StopTry(s.req(), s.tryNo() - h.keptBack));
-        } else if (a instanceof Action.Timer t) {
-            out.add(new Action.Timer(t.when(), lane.id));
-        } else if (a instanceof Action.Vote v) {
+        } else if (a instanceof Action.CancelAttempt s) {
+            Held h = held.get(s.requestId());
+            out.add(h == null ? a : new Action.CancelAttempt(s.requestId(), s.attempt() - h.keptBack));
+        } else if (a instanceof Action.StartTimer t) {
+            out.add(new Action.StartTimer(t.dueAtTicks(), lane.id));
+        } else if (a instanceof Action.CastVote v) {
             vote(lane, v);
-        } else if (a instanceof Action.WatchList || a instanceof Action.FetchList) {
+        } else if (a instanceof Action.WatchEndpoints || a instanceof Action.FetchEndpoints) {
             if (lane == lanes.get(0)) {
                 out.add(a);
             }
-        } else if (a instanceof Action.Log l) {
-            out.add(lanes.size() == 1 ? l : new Action.Log("lane " + lane.id + ": " + l.text()));
+        } else if (a instanceof Action.WriteLog l) {
+            out.add(lanes.size() == 1 ? l : new Action.WriteLog("lane " + lane.id + ": " + l.message()));
         } else {
             out.add(a);
         }
     }
 
     /** Passes a try on, or keeps it back: its decider hears that it was not sent, and places the req anew or answers it. */
-    private void send(Lane lane, Action.Send s) {
-        Held h = held.get(s.req());
-        Listed to = list.get(s.machine());
+    private void send(Lane lane, Action.SendAttempt s) {
+        Held h = held.get(s.requestId());
+        EndpointEntry to = list.get(s.endpointId());
         int build = to == null ? -1 : to.build();
         if (h != null && (wentAhead(h, lane, build) || overCap(h, build))) {
-            lane.events.add(new Event.TryEnded(
-                    s.req(), h.sent + h.keptBack, s.machine(), Outcome.NOT_SENT, 0, h.answered, Map.of()));
+            lane.events.add(new Event.AttemptEnded(
+                    s.requestId(),
+                    h.sent + h.keptBack,
+                    s.endpointId(),
+                    AttemptOutcome.NOT_SENT,
+                    0,
+                    h.answered,
+                    LoadReport.NONE));
             h.keptBack++;
             keptBack = true;
             return;
@@ -618,13 +631,13 @@
      * knows of none.
      */
     private boolean wentAhead(Held h, Lane lane, int build) {
-        if (h.key == null || !set.rollout().keysStay()) {
+        if (h.key == null || !set.rollout().stickyKeys()) {
             return false;
         }
         Kept by = laneOfKey.get(h.key);
         boolean answered = by != null && by.lane != lane.id && build < by.build && stands(by.build);
         // a try that is out may have been answered already, and that not been read
-        return answered || lanes.size() > 1 && build < triesOut.latest(h.key, this::stands);
+        return answered || (lanes.size() > 1 && build < triesOut.latest(h.key, this::stands));
     }
 
     /**
@@ -637,9 +650,10 @@
         if (!ahead && (r == null || !r.onTrial())) {
             return false;
         }
-        double cap = ahead ? set.rollout().stageCaps().get(0) : r.cap();
+        double cap = ahead ? set.rollout().stageExposureCaps().get(0) : r.cap();
         Taken sent = tries.computeIfAbsent(build, k -> taken(true));
-        if (lanes.size() > 1 && sent.of(h.route, now) + 1 > set.rollout().free() + cap * all.of(h.route, now)) {
+        if (lanes.size() > 1
+                && sent.of(h.route, now) + 1 > set.rollout().exposureAllowance() + cap * all.of(h.route, now)) {
             return true;
         }
         sent.add(h.route, now);
@@ -655,7 +669,7 @@
     }
 
     /** A lane's decider compares its release with the build beside it; among several the blame has a word too. */
-    private void vote(Lane lane, Action.Vote v) {
+    private void vote(Lane lane, Action.CastVote v) {
         if (open() == 1) {
             out.add(v);
             return;
@@ -664,9 +678,9 @@
         boolean otherGuilty =
                 blame.entrySet().stream().anyMatch(e -> e.getKey() != v.build() && e.getValue() == Blame.GUILTY);
         boolean open = blame.containsValue(Blame.OPEN);
-        if (v.verdict() == Verdict.ON && (open || otherGuilty || own == Blame.GUILTY)) {
+        if (v.verdict() == Verdict.PROMOTE && (open || otherGuilty || own == Blame.GUILTY)) {
             refuse(lane, v, "holds while blame is open");
-        } else if (v.verdict() == Verdict.BACK
+        } else if (v.verdict() == Verdict.ROLL_BACK
                 && own != Blame.GUILTY
                 && (otherGuilty || own == Blame.CLEARED || open)
                 && now < doubtedSince.computeIfAbsent(v.build(), b -> now) + DOUBT) {
@@ -677,9 +691,9 @@
     }
 
     /** The decider asks again; an answer that counts for nothing comes with its next events. */
-    private void refuse(Lane lane, Action.Vote v, String why) {
-        lane.events.add(new ReleaseNews(Answer.MOOT, 0, 0, 0, Phase.TRIAL, 0, true));
-        out.add(new Action.Log(
+    private void refuse(Lane lane, Action.CastVote v, String why) {
+        lane.events.add(new RolloutUpdate(ControlStatus.STALE, 0, 0, 0, RolloutPhase.CANARY, 0, true));
+        out.add(new Action.WriteLog(
                 "build " + v.build() + " stage " + v.stage() + " " + v.verdict() + " not voted: " + why));
     }
 
@@ -691,11 +705,11 @@
             if ((b == Blame.GUILTY || b == Blame.SET_ASIDE)
                     && r != null
                     && r.onTrial()
-                    && (at == null || now >= at + set.rollout().voteLife() * 6 / 10)) {
+                    && (at == null || now >= at + set.rollout().voteLifetimeTicks() * 6 / 10)) {
                 votedBack.put(build, now);
-                out.add(new Action.Vote(build, r.stage(), Verdict.BACK));
+                out.add(new Action.CastVote(build, r.stage(), Verdict.ROLL_BACK));
                 if (at == null) {
-                    out.add(new Action.Log("votes back on build " + build
+                    out.add(new Action.WriteLog("votes back on build " + build
                             + (b == Blame.GUILTY
                                     ? ": blame falls on it"
                                     : ": set aside, to tell whether the harm ends with it")));
--- a/src/main/java/laurelkeel/lanes/Release.java
+++ b/src/main/java/laurelkeel/lanes/Release.java
@@ -1,20 +1,20 @@
 package laurelkeel.lanes;
 
-import laurelkeel.api.Event.Phase;
-import laurelkeel.api.Event.ReleaseNews;
+import laurelkeel.api.Event.RolloutPhase;
+import laurelkeel.api.Event.RolloutUpdate;
 
 /** Where one build stands, by the last news of it. */
-record Release(int build, int stage, double cap, Phase phase) {
+record Release(int build, int stage, double cap, RolloutPhase phase) {
 
-    static Release of(ReleaseNews n) {
-        return new Release(n.build(), n.stage(), n.cap(), n.phase());
+    static Release of(RolloutUpdate n) {
+        return new Release(n.build(), n.stage(), n.exposureCap(), n.phase());
     }
 
     boolean onTrial() {
-        return phase == Phase.TRIAL;
+        return phase == RolloutPhase.CANARY;
     }
 
     boolean sentBack() {
-        return phase == Phase.GOING_BACK || phase == Phase.WITHDRAWN;
+        return phase == RolloutPhase.ROLLING_BACK || phase == RolloutPhase.ROLLED_BACK;
     }
 }
--- a/src/main/java/laurelkeel/options/Options.java
+++ b/src/main/java/laurelkeel/options/Options.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 import java.util.function.Function;
 import laurelkeel.api.Settings;
-import laurelkeel.api.Settings.Allowed;
-import laurelkeel.api.Settings.Control;
-import laurelkeel.api.Settings.Customer;
-import laurelkeel.api.Settings.Effect;
-import laurelkeel.api.Settings.Group;
+import laurelkeel.api.Settings.Capabilities;
+import laurelkeel.api.Settings.Costs;
+import laurelkeel.api.Settings.DeduplicationScope;
+import laurelkeel.api.Settings.Idempotency;
 import laurelkeel.api.Settings.Limits;
-import laurelkeel.api.Settings.Prices;
+import laurelkeel.api.Settings.PromotionPolicy;
 import laurelkeel.api.Settings.Rollout;
 import laurelkeel.api.Settings.Route;
+import laurelkeel.api.Settings.Tenant;
 
 /**
  * The bench's options, path=value, as settings. A list of plain values is joined by commas; a list of objects has its
@@ -23,15 +23,21 @@
  * that are not known are passed over.
  */
 public final class Options {
-    private static final Map<String, Effect> EFFECTS =
-            Map.of("safe", Effect.RETRIABLE, "keyed", Effect.DEDUPED, "unsafe", Effect.NON_RETRIABLE);
-    private static final Map<String, Control> CONTROLS =
-            Map.of("first_voice", Control.ANY, "by_count", Control.COUNT, "automatic", Control.CLOCK);
+    private static final Map<String, Idempotency> EFFECTS = Map.of(
+            "safe", Idempotency.IDEMPOTENT, "keyed", Idempotency.DEDUPLICATED, "unsafe", Idempotency.NOT_IDEMPOTENT);
+    private static final Map<String, PromotionPolicy> CONTROLS = Map.of(
+            "first_voice",
+            PromotionPolicy.FIRST_VOTE,
+            "by_count",
+            PromotionPolicy.VOTE_COUNT,
+            "automatic",
+            PromotionPolicy.AUTOMATIC);
     private static final Map<String, Boolean> BOOLS = Map.of("true", true, "1", true, "false", false, "0", false);
     private static final Map<String, Boolean> ASKED = Map.of("push", false, "ask", true);
     private static final Map<String, Boolean> PER_ROUTE = Map.of("all", false, "each_class", true);
     private static final Map<String, Boolean> BY_WORK = Map.of("request", false, "work", true);
-    private static final Map<String, Group> GROUPS = Map.of("all", Group.ALL, "zone", Group.ZONE, "cell", Group.CELL);
+    private static final Map<String, DeduplicationScope> GROUPS =
+            Map.of("all", DeduplicationScope.ALL, "zone", DeduplicationScope.ZONE, "cell", DeduplicationScope.CELL);
 
     /**
      * What only a front with real sockets needs beside the decider's settings. Times are tenths of a millisecond; 0
@@ -136,9 +142,9 @@
                     number(p + "lateValue"),
                     time(p + "repeatWindow")));
         }
-        List<Customer> customers = new ArrayList<>();
+        List<Tenant> customers = new ArrayList<>();
         for (int i = 0; i < whole("orgs.count"); i++) {
-            customers.add(new Customer(number("orgs." + i + ".quotaRps")));
+            customers.add(new Tenant(number("orgs." + i + ".quotaRps")));
         }
         String r = "familyInfo.";
         return new Settings(
@@ -154,7 +160,7 @@
                         time("rules.tipAfter"),
                         number("rules.tipMultiple"),
                         time("rules.askWithin")),
-                new Allowed(
+                new Capabilities(
                         whole("allowed.maxAttempts"),
                         on("allowed.mayProbe"),
                         on("allowed.mayTell"),
@@ -162,7 +168,7 @@
                         on("allowed.retryAfter"),
                         time("allowed.maxRetryAfter"),
                         get("membershipMode", "push", "mode", ASKED::get)),
-                new Prices(
+                new Costs(
                         number("prices.crossZone"),
                         number("prices.probe"),
                         number("prices.peer"),
--- a/src/main/java/laurelkeel/platform/Config.java
+++ b/src/main/java/laurelkeel/platform/Config.java
@@ -68,7 +68,7 @@
             if (set.routes().isEmpty()) {
                 throw new BadConfig("settings.services: names no route");
             }
-            if (set.rollout().stageCaps().isEmpty()) {
+            if (set.rollout().stageExposureCaps().isEmpty()) {
                 throw new BadConfig("settings.familyInfo.stageCap: is missing");
             }
             return new Config(
--- a/src/main/java/laurelkeel/platform/Desk.java
+++ b/src/main/java/laurelkeel/platform/Desk.java
@@ -9,8 +9,8 @@
 import laurelkeel.api.Action;
 import laurelkeel.api.Action.Verdict;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.Answer;
-import laurelkeel.api.Event.Phase;
+import laurelkeel.api.Event.ControlStatus;
+import laurelkeel.api.Event.RolloutPhase;
 import laurelkeel.loop.Loop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -24,26 +24,26 @@
     /** The desk closes what has been idle for some ten seconds; ours must not meet that with a vote. */
     private static final long VOTES_IDLE = 40_000;
 
-    private static final Map<String, Phase> PHASES = Map.of(
+    private static final Map<String, RolloutPhase> PHASES = Map.of(
             "Progressing",
-            Phase.TRIAL,
+            RolloutPhase.CANARY,
             "Aborting",
-            Phase.GOING_BACK,
+            RolloutPhase.ROLLING_BACK,
             "Healthy",
-            Phase.RELEASED,
+            RolloutPhase.RELEASED,
             "Aborted",
-            Phase.WITHDRAWN);
-    private static final Map<Verdict, String> VERDICTS =
-            Map.of(Verdict.NONE, "clear", Verdict.ON, "approve", Verdict.HOLD, "wait", Verdict.BACK, "reject");
-    private static final Map<String, Answer> ERRORS = Map.of(
+            RolloutPhase.ROLLED_BACK);
+    private static final Map<Verdict, String> VERDICTS = Map.of(
+            Verdict.NONE, "clear", Verdict.PROMOTE, "approve", Verdict.HOLD, "wait", Verdict.ROLL_BACK, "reject");
+    private static final Map<String, ControlStatus> ERRORS = Map.of(
             "too_many_calls",
-            Answer.OVER_LIMIT,
+            ControlStatus.RATE_LIMITED,
             "out_of_date",
-            Answer.MOOT,
+            ControlStatus.STALE,
             "unavailable",
-            Answer.ERROR,
+            ControlStatus.FAILED,
             "bad_request",
-            Answer.ERROR);
+            ControlStatus.FAILED);
 
     private final Links links;
     private final Loop loop;
@@ -60,11 +60,11 @@
         private final Cutter cutter = new Cutter(LONGEST_LINE);
         private final InetSocketAddress where = at;
         private final Links.Link link;
-        private Action.Vote vote;
+        private Action.CastVote vote;
         private Loop.Alarm limit;
         private long idleSince;
 
-        Ballots(Action.Vote first) {
+        Ballots(Action.CastVote first) {
             vote = first;
             link = links.open(where, said(first), this);
         }
@@ -74,7 +74,7 @@
             return link.open() && where.equals(at) && loop.now() <= idleSince + VOTES_IDLE;
         }
 
-        void say(Action.Vote next) {
+        void say(Action.CastVote next) {
             vote = next;
             link.write(said(next));
         }
@@ -89,13 +89,13 @@
                     if (vote == null) {
                         throw new Spoilt("an answer that nothing asked for: " + Spoilt.shown(text));
                     }
-                    Event.ReleaseNews n = answer(text, arrived);
+                    Event.RolloutUpdate n = answer(text, arrived);
                     vote = null;
                     limit.cancel();
                     idleSince = loop.now();
                     LOG.info(
                             "a vote was answered {}: build {} stage {} {}",
-                            n.answer(),
+                            n.status(),
                             n.build(),
                             n.stage(),
                             n.phase());
@@ -103,17 +103,17 @@
                 });
             } catch (Spoilt e) {
                 LOG.warn("the release desk answered a vote with what cannot be read: {}", e.getMessage());
-                end(Answer.TIMEOUT);
+                end(ControlStatus.TIMED_OUT);
             }
         }
 
         @Override
         public void closed(boolean written) {
-            end(written ? Answer.TIMEOUT : Answer.ERROR);
+            end(written ? ControlStatus.TIMED_OUT : ControlStatus.FAILED);
         }
 
         /** The connection is of no further use; a vote that awaits its answer there has none. */
-        void end(Answer as) {
+        void end(ControlStatus as) {
             link.close();
             ballots = ballots == this ? null : ballots;
             if (limit != null) {
@@ -166,14 +166,14 @@
         at = to;
         feed.move(to);
         if (ballots != null && ballots.vote == null) {
-            ballots.end(Answer.ERROR);
+            ballots.end(ControlStatus.FAILED);
         }
     }
 
     void close() {
         feed.close();
         if (ballots != null) {
-            ballots.end(Answer.ERROR);
+            ballots.end(ControlStatus.FAILED);
         }
     }
 
@@ -184,14 +184,14 @@
 
     // ---- votes
 
-    void vote(Action.Vote v) {
+    void vote(Action.CastVote v) {
         LOG.info("votes {} on build {} stage {}", v.verdict(), v.build(), v.stage());
         if (ballots != null && ballots.vote == null && !ballots.useful()) {
-            ballots.end(Answer.ERROR);
+            ballots.end(ControlStatus.FAILED);
         }
         if (ballots != null && ballots.vote != null) {
             // its answer may still come there, and must not be matched to this one
-            ballots.end(Answer.TIMEOUT);
+            ballots.end(ControlStatus.TIMED_OUT);
         }
         if (ballots == null) {
             ballots = new Ballots(v);
@@ -199,23 +199,23 @@
             ballots.say(v);
         }
         Ballots mine = ballots;
-        mine.limit = loop.at(loop.now() + voteTimeout, () -> mine.end(Answer.TIMEOUT));
+        mine.limit = loop.at(loop.now() + voteTimeout, () -> mine.end(ControlStatus.TIMED_OUT));
     }
 
-    private static byte[] said(Action.Vote v) {
+    private static byte[] said(Action.CastVote v) {
         return bytes("SAY " + v.build() + " " + v.stage() + " " + VERDICTS.get(v.verdict()) + "\r\n");
     }
 
-    private static Event.ReleaseNews unanswered(Answer as) {
-        return new Event.ReleaseNews(as, 0, 0, 0, Phase.TRIAL, 0, true);
+    private static Event.RolloutUpdate unanswered(ControlStatus as) {
+        return new Event.RolloutUpdate(as, 0, 0, 0, RolloutPhase.CANARY, 0, true);
     }
 
-    private Event.ReleaseNews answer(String text, long arrived) throws Spoilt {
+    private Event.RolloutUpdate answer(String text, long arrived) throws Spoilt {
         String[] w = text.split(" ", -1);
         if (w[0].equals("OK") && w.length == 6) {
             return news(w, 1, arrived, true);
         }
-        Answer as = w[0].equals("ERR") && w.length == 2 ? ERRORS.get(w[1]) : null;
+        ControlStatus as = w[0].equals("ERR") && w.length == 2 ? ERRORS.get(w[1]) : null;
         if (as == null) {
             throw new Spoilt(Spoilt.shown(text));
         }
@@ -236,7 +236,7 @@
             if (route < 0) {
                 throw new Spoilt("no route: " + Spoilt.shown(text));
             }
-            to.accept(new Event.BuildCounts(
+            to.accept(new Event.BuildStatistics(
                     (int) whole(w[2]),
                     route,
                     whole(w[4]),
@@ -248,14 +248,14 @@
         }
     }
 
-    private Event.ReleaseNews news(String[] w, int i, long arrived, boolean toVote) throws Spoilt {
-        Phase phase = PHASES.get(w[i + 2]);
+    private Event.RolloutUpdate news(String[] w, int i, long arrived, boolean toVote) throws Spoilt {
+        RolloutPhase phase = PHASES.get(w[i + 2]);
         double cap = number(w[i + 3]);
         if (phase == null || cap > 1) {
             throw new Spoilt(Spoilt.shown(String.join(" ", w)));
         }
-        return new Event.ReleaseNews(
-                Answer.OK, (int) whole(w[i + 1]), cap, age(w[i + 4], arrived), phase, (int) whole(w[i]), toVote);
+        return new Event.RolloutUpdate(
+                ControlStatus.OK, (int) whole(w[i + 1]), cap, age(w[i + 4], arrived), phase, (int) whole(w[i]), toVote);
     }
 
     /** Counted from when the bytes came, not from when the loop got to them. */
@@ -288,12 +288,12 @@
     }
 
     /** The state that the configuration holds; null where it holds none that can be read. */
-    static Event.ReleaseNews known(JsonNode n) {
-        Phase phase = n == null ? null : PHASES.get(n.path("phase").asText(""));
+    static Event.RolloutUpdate known(JsonNode n) {
+        RolloutPhase phase = n == null ? null : PHASES.get(n.path("phase").asText(""));
         return phase == null || !n.path("build").isIntegralNumber()
                 ? null
-                : new Event.ReleaseNews(
-                        Answer.OK,
+                : new Event.RolloutUpdate(
+                        ControlStatus.OK,
                         n.path("stage").asInt(0),
                         n.path("cap").asDouble(0),
                         (long) (n.path("age_ms").asDouble(0) * 10),
--- a/src/main/java/laurelkeel/platform/Discovery.java
+++ b/src/main/java/laurelkeel/platform/Discovery.java
@@ -88,7 +88,7 @@
     }
 
     private void told(JsonNode value) throws Spoilt {
-        Event.MachineList list = machines.told(value, loop.now());
+        Event.EndpointListUpdate list = machines.told(value, loop.now());
         heard = true;
         if (Front.TRACE) {
             String text = value.toString();
--- a/src/main/java/laurelkeel/platform/Loads.java
+++ b/src/main/java/laurelkeel/platform/Loads.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashMap;
 import java.util.Map;
+import laurelkeel.api.LoadReport;
 
 /** Load reports, by the names that the decider knows their values under. One that cannot be read is none. */
 final class Loads {
@@ -23,9 +24,9 @@
 
     private Loads() {}
 
-    static Map<String, Double> read(String told) {
+    static LoadReport read(String told) {
         if (told == null) {
-            return Map.of();
+            return LoadReport.NONE;
         }
         try {
             JsonNode all = Config.JSON.readTree(told);
@@ -37,9 +38,9 @@
                             e.getValue().doubleValue());
                 }
             });
-            return out;
+            return new LoadReport(out);
         } catch (JsonProcessingException e) {
-            return Map.of();
+            return LoadReport.NONE;
         }
     }
 }
--- a/src/main/java/laurelkeel/platform/Machines.java
+++ b/src/main/java/laurelkeel/platform/Machines.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.ListKind;
-import laurelkeel.api.Event.Listed;
-import laurelkeel.api.Event.MachineState;
+import laurelkeel.api.Event.EndpointEntry;
+import laurelkeel.api.Event.EndpointListKind;
+import laurelkeel.api.Event.EndpointState;
 import laurelkeel.front.upstream.Place;
 
 /** Discovery's list: what it says of each machine, and where each is reached. Loop only. */
@@ -19,11 +19,11 @@
     /** What discovery knows has come after six seconds: who is older still then has begun anew. */
     private static final long CATCH_UP = 60_000;
 
-    private static final Map<String, MachineState> STATES =
-            Map.of("active", MachineState.LIVE, "leaving", MachineState.DRAINING, "left", MachineState.GONE);
+    private static final Map<String, EndpointState> STATES =
+            Map.of("active", EndpointState.ACTIVE, "leaving", EndpointState.DRAINING, "left", EndpointState.REMOVED);
 
     /** A machine as it was last listed, with its start as discovery told it; changed is when it came to stand so. */
-    private record Entry(Listed is, Place place, long startedMs, long changed) {}
+    private record Entry(EndpointEntry is, Place place, long startedMs, long changed) {}
 
     private final List<String> zones, kinds;
     private final StartClock starts;
@@ -55,16 +55,16 @@
     }
 
     /** What the watch tells as an event; null where it is nothing new. */
-    Event.MachineList told(JsonNode value, long now) throws Spoilt {
+    Event.EndpointListUpdate told(JsonNode value, long now) throws Spoilt {
         return read(value, false, now);
     }
 
     /** The list of the configuration, as this node last had it. */
-    Event.MachineList known(JsonNode known, long now) throws Spoilt {
+    Event.EndpointListUpdate known(JsonNode known, long now) throws Spoilt {
         return read(known, true, now);
     }
 
-    private Event.MachineList read(JsonNode line, boolean remembered, long now) throws Spoilt {
+    private Event.EndpointListUpdate read(JsonNode line, boolean remembered, long now) throws Spoilt {
         JsonNode servers = line == null ? null : line.get("servers");
         if (servers == null || !servers.isArray() || !line.path("version").isIntegralNumber()) {
             throw new Spoilt("no list: " + Spoilt.shown(String.valueOf(line)));
@@ -90,14 +90,14 @@
         watched |= !remembered;
         Set<String> named = new HashSet<>();
         for (Entry e : told) {
-            String id = e.is.machine();
+            String id = e.is.endpointId();
             named.add(id);
             Entry was = entries.get(id);
             boolean there = was != null && was.place.equals(e.place);
             if (was != null && !there) {
                 left.accept(was.place.key());
             }
-            if (e.is.state() == MachineState.GONE) {
+            if (e.is.state() == EndpointState.REMOVED) {
                 entries.remove(id);
                 left.accept(e.place.key());
             } else if (!there || was.is.state() != e.is.state()) {
@@ -108,7 +108,7 @@
         }
         if (full) {
             entries.values().removeIf(e -> {
-                boolean gone = !named.contains(e.is.machine());
+                boolean gone = !named.contains(e.is.endpointId());
                 if (gone) {
                     left.accept(e.place.key());
                 }
@@ -116,14 +116,14 @@
             });
         }
         version = to;
-        return new Event.MachineList(
-                remembered ? ListKind.REMEMBERED : full ? ListKind.FULL : ListKind.CHANGES,
+        return new Event.EndpointListUpdate(
+                remembered ? EndpointListKind.CACHED : full ? EndpointListKind.SNAPSHOT : EndpointListKind.DELTA,
                 told.stream().map(Entry::is).toList());
     }
 
     private Entry entry(JsonNode s, long now, boolean change) throws Spoilt {
         String id = s.path("id").asText("");
-        MachineState state = STATES.get(s.path("state").asText(""));
+        EndpointState state = STATES.get(s.path("state").asText(""));
         if (id.isEmpty() || state == null) {
             throw new Spoilt("a machine without id or state: " + Spoilt.shown(s.toString()));
         }
@@ -132,9 +132,9 @@
         Entry was = entries.get(id);
         // the moment of one start is worked out once, or jitter would pass for a new start
         long started = was != null && was.startedMs == startedMs
-                ? was.is.started()
-                : starts.moment(startedMs, now, change && state != MachineState.GONE);
-        Listed is = new Listed(
+                ? was.is.startedAtTicks()
+                : starts.moment(startedMs, now, change && state != EndpointState.REMOVED);
+        EndpointEntry is = new EndpointEntry(
                 id,
                 s.path("revision_no").asInt(0),
                 number(zones, s.path("zone").asText("")),
@@ -147,7 +147,7 @@
         // the same machine anew, with another build or elsewhere gets no connection of its forerunner
         return new Entry(
                 is,
-                new Place(id + "@" + addr + "/" + is.build() + "/" + is.started(), Addresses.of(addr)),
+                new Place(id + "@" + addr + "/" + is.build() + "/" + is.startedAtTicks(), Addresses.of(addr)),
                 startedMs,
                 now);
     }
@@ -171,6 +171,6 @@
     /** The build of a machine that stands as it did at a moment and takes new reqs; -1 for any other. */
     int sameSince(String machine, long moment) {
         Entry e = entries.get(machine);
-        return e == null || e.is.state() != MachineState.LIVE || e.changed > moment ? -1 : e.is.build();
+        return e == null || e.is.state() != EndpointState.ACTIVE || e.changed > moment ? -1 : e.is.build();
     }
 }
--- a/src/main/java/laurelkeel/platform/Node.java
+++ b/src/main/java/laurelkeel/platform/Node.java
@@ -7,7 +7,7 @@
 import laurelkeel.api.Action;
 import laurelkeel.api.Decider;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.Phase;
+import laurelkeel.api.Event.RolloutPhase;
 import laurelkeel.front.Base;
 import laurelkeel.front.Dialect;
 import laurelkeel.front.Front;
@@ -67,9 +67,9 @@
     private double newsCap;
     private long loweredAt = Long.MIN_VALUE;
 
-    private Node(Config config, Decider.Maker maker, Base base) {
+    private Node(Config config, Decider.Factory maker, Base base) {
         this.config = config;
-        decider = maker.make(config.settings(), config.seed());
+        decider = maker.create(config.settings(), config.seed());
         this.base = base;
         loop = base.loop();
         inbox = base.inbox();
@@ -83,7 +83,7 @@
                 links,
                 loop,
                 config.seed() * 2 + 1,
-                config.settings().rollout().voteTimeout(),
+                config.settings().rollout().voteTimeoutTicks(),
                 words::route,
                 config.desk(),
                 this::news);
@@ -99,24 +99,24 @@
         } catch (Spoilt e) {
             LOG.warn("known: the list of the configuration cannot be read; waiting for discovery: {}", e.getMessage());
         }
-        Event.ReleaseNews news = Desk.known(config.news());
+        Event.RolloutUpdate news = Desk.known(config.news());
         if (news != null) {
             news(news);
         }
     }
 
     /** A front node with the decider that maker makes; it runs once its front is started. */
-    public static Node of(Config config, Decider.Maker maker) {
+    public static Node of(Config config, Decider.Factory maker) {
         return of(config, maker, Base.clock());
     }
 
     /** @param clock tenths of a millisecond that only advance */
-    static Node of(Config config, Decider.Maker maker, LongSupplier clock) {
+    static Node of(Config config, Decider.Factory maker, LongSupplier clock) {
         return of(config, maker, clock, node -> node);
     }
 
     /** @param between what the front is handed for the node: a test may stand between the two */
-    static Node of(Config config, Decider.Maker maker, LongSupplier clock, UnaryOperator<Outfit> between) {
+    static Node of(Config config, Decider.Factory maker, LongSupplier clock, UnaryOperator<Outfit> between) {
         Node node = new Node(config, maker, Base.small(clock));
         node.front = new Front(config.settings(), door(config), machineSide(config), node.base, between.apply(node));
         return node;
@@ -201,8 +201,8 @@
     }
 
     private void news(Event e) {
-        if (e instanceof Event.ReleaseNews n && n.answer() == Event.Answer.OK && n.build() >= newsBuild) {
-            double cap = n.phase() == Phase.TRIAL || n.phase() == Phase.RELEASED ? n.cap() : 0;
+        if (e instanceof Event.RolloutUpdate n && n.status() == Event.ControlStatus.OK && n.build() >= newsBuild) {
+            double cap = n.phase() == RolloutPhase.CANARY || n.phase() == RolloutPhase.RELEASED ? n.exposureCap() : 0;
             if (n.build() > newsBuild || cap < newsCap) {
                 loweredAt = loop.now();
             }
@@ -236,14 +236,14 @@
     @Override
     public HttpAnswer own(HttpReq http, String health) {
         boolean ready =
-                !machines.empty() && (discovery.heard() && desk.heard() || loop.now() > startedAt + READY_ANYWAY);
+                !machines.empty() && ((discovery.heard() && desk.heard()) || loop.now() > startedAt + READY_ANYWAY);
         boolean well = ready && health.equals("ok");
         String text = well ? "ok\n" : ready ? health + "\n" : "starting\n";
         return new HttpAnswer(well ? 200 : 503, new Headers(), text.getBytes(StandardCharsets.US_ASCII));
     }
 
     @Override
-    public void vote(Action.Vote vote) {
+    public void vote(Action.CastVote vote) {
         desk.vote(vote);
     }
 
--- a/src/main/java/laurelkeel/platform/StartClock.java
+++ b/src/main/java/laurelkeel/platform/StartClock.java
@@ -35,7 +35,7 @@
             return 0;
         }
         long age = startedMs > LATEST_MS ? -MOST_CORRECTION - 1 : now - (epoch + startedMs * 10);
-        boolean wrong = age < 0 || fresh && age > LATEST_NEWS;
+        boolean wrong = age < 0 || (fresh && age > LATEST_NEWS);
         if (wrong && Math.abs(age) <= MOST_CORRECTION) {
             epoch += age;
             return now;
--- a/src/main/java/laurelkeel/platform/Words.java
+++ b/src/main/java/laurelkeel/platform/Words.java
@@ -4,9 +4,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import laurelkeel.api.Event.Outcome;
+import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.api.Settings;
-import laurelkeel.api.Settings.Effect;
+import laurelkeel.api.Settings.Idempotency;
 import laurelkeel.front.Dialect;
 import laurelkeel.front.ingress.Asked;
 import laurelkeel.front.upstream.Came;
@@ -34,14 +34,14 @@
 
     private final Map<String, Integer> routes = new HashMap<>(), customers = new HashMap<>();
     private final List<Settings.Route> set;
-    private final Settings.Allowed allowed;
+    private final Settings.Capabilities allowed;
     private final boolean marksRepeats;
 
     Words(Settings settings, Options.Real real) {
         real.routes().forEach(r -> routes.put(r, routes.size()));
         real.customers().forEach(c -> customers.put(c, customers.size()));
         set = settings.routes();
-        allowed = settings.allowed();
+        allowed = settings.capabilities();
         marksRepeats = real.marksRepeats();
     }
 
@@ -65,7 +65,7 @@
         if (route < 0) {
             throw new BadHttp(404, "no route has this path");
         }
-        boolean safe = set.get(route).effect() == Effect.RETRIABLE;
+        boolean safe = set.get(route).idempotency() == Idempotency.IDEMPOTENT;
         if (!http.method().equals(safe ? "GET" : "POST")) {
             throw new BadHttp(405, "this path takes " + (safe ? "GET" : "POST"));
         }
@@ -77,7 +77,7 @@
             throw new BadHttp(400, ID + " is missing");
         }
         String mark = name(http, MARK);
-        if (mark == null && set.get(route).effect() == Effect.DEDUPED) {
+        if (mark == null && set.get(route).idempotency() == Idempotency.DEDUPLICATED) {
             throw new BadHttp(400, MARK + " is missing");
         }
         String of = name(http, CUSTOMER);
@@ -97,7 +97,7 @@
                 route,
                 customer,
                 name(http, KEY),
-                left(http, set.get(route).timeout()),
+                left(http, set.get(route).timeoutTicks()),
                 0,
                 marksRepeats && "1".equals(http.headers().get(REPEAT)));
     }
@@ -137,7 +137,7 @@
 
     @Override
     public HttpAnswer atDoor(String why) {
-        return shed(allowed.retryAfter() ? allowed.longestRetryAfter() : 0, why);
+        return shed(allowed.retryAfter() ? allowed.maxRetryAfterTicks() : 0, why);
     }
 
     @Override
@@ -162,9 +162,11 @@
     public Came came(HttpAnswer a) {
         boolean neverRan = (a.status() == 503 || a.status() == 504)
                 && "1".equals(a.headers().get(NOT_RUN));
-        Outcome outcome = neverRan ? Outcome.FULL : a.status() == 200 ? Outcome.COMPLETED : Outcome.ERROR;
+        AttemptOutcome outcome = neverRan
+                ? AttemptOutcome.OVERLOADED
+                : a.status() == 200 ? AttemptOutcome.COMPLETED : AttemptOutcome.FAILED;
         // the body alone is the client's: what else a machine says is for the front
-        Crossing crossing = outcome != Outcome.COMPLETED
+        Crossing crossing = outcome != AttemptOutcome.COMPLETED
                 ? null
                 : Crossing.of(new HttpAnswer(200, new Headers(), a.body()), List.of());
         return new Came(outcome, crossing, Loads.read(a.headers().get(LOAD)), a.last());
@@ -172,8 +174,8 @@
 
     /** Noise may come from any machine alike and says nothing of its build; the req has run. */
     @Override
-    public Outcome unreadable() {
-        return Outcome.BROKEN;
+    public AttemptOutcome unreadable() {
+        return AttemptOutcome.CONNECTION_LOST;
     }
 
     @Override
--- a/src/main/java/laurelkeel/soak/SoakClient.java
+++ b/src/main/java/laurelkeel/soak/SoakClient.java
@@ -233,8 +233,8 @@
     /** The connection ended without an answer to this request. */
     private void ended(String id, double sentAt, String how) {
         double after = violations.seconds() - sentAt;
-        boolean reset = how == null || !how.equals("ended in order") && !how.equals("an answer that stopped short");
-        if (reset && asked > 1 || asked > 1 && after < CROSSING_SECONDS) {
+        boolean reset = how == null || (!how.equals("ended in order") && !how.equals("an answer that stopped short"));
+        if ((reset && asked > 1) || (asked > 1 && after < CROSSING_SECONDS)) {
             violations.count("crossed by the end of a resting connection");
         } else if (reset && (crowded.getAsBoolean() || node.wasTerminated())) {
             violations.count("closed unread");
--- a/src/main/java/laurelkeel/standin/Clients.java
+++ b/src/main/java/laurelkeel/standin/Clients.java
@@ -1,5 +1,7 @@
 package laurelkeel.standin;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
@@ -399,7 +401,7 @@
                 tally.completed++;
                 tally.reqsCompleted++;
                 tally.completedTenths.recordValue(Math.max(0, loop.now() - t.call.firstAt));
-                boolean wrong = a.body().length >= 5 && new String(a.body(), 0, 5).equals("wrong");
+                boolean wrong = a.body().length >= 5 && new String(a.body(), 0, 5, UTF_8).equals("wrong");
                 if (wrong && random.nextDouble() < rule.complain()) {
                     complain(t.front, t.call, a.headers().get(Names.REF));
                 }
--- a/src/main/java/laurelkeel/standin/ListService.java
+++ b/src/main/java/laurelkeel/standin/ListService.java
@@ -155,7 +155,7 @@
         synchronized (this) {
             boolean known = after >= 0
                     && after <= version
-                    && (after == version || !changes.isEmpty() && changes.peekFirst().version <= after + 1);
+                    && (after == version || (!changes.isEmpty() && changes.peekFirst().version <= after + 1));
             if (known) {
                 w.tell(line(
                         "changes",
--- a/src/main/java/laurelkeel/standin/Machine.java
+++ b/src/main/java/laurelkeel/standin/Machine.java
@@ -1,5 +1,7 @@
 package laurelkeel.standin;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -243,7 +245,7 @@
         if (has(Fault.HANG)) {
             return;
         }
-        if (state != Rec.State.LIVE || room.size() >= shape.room() && busy >= shape.cores()) {
+        if (state != Rec.State.LIVE || (room.size() >= shape.room() && busy >= shape.cores())) {
             inHand.remove(from);
             fleet.record(new Rec.TurnedAway(fleet.time(), id, run, req, no));
             HttpAnswer a = answer(503, "no room\n", null);
@@ -343,8 +345,8 @@
         boolean acts = fleet.loop.now() - startedAt >= build.failsAfter()
                 && (build.togetherWith() == 0
                         || !fleet.live(build.togetherWith()).isEmpty());
-        boolean fails = acts && fleet.chance() < build.failing().getOrDefault(j.route, 0.0)
-                || crowded && fleet.chance() < build.failingBusy();
+        boolean fails = (acts && fleet.chance() < build.failing().getOrDefault(j.route, 0.0))
+                || (crowded && fleet.chance() < build.failingBusy());
         String text = fleet.chance() < build.wrong() ? "wrong" : "right";
         HttpAnswer a = answer(fails ? 500 : 200, fails ? "failed" : text, new byte[shape.answerBytes()]);
         if (has(Fault.RESET) || has(Fault.HALF)) {
@@ -375,8 +377,8 @@
             loadTold = held();
             meanTold = meanMs;
         }
-        byte[] body = filler == null || filler.length == 0 ? text.getBytes() : filler;
-        byte[] start = text.getBytes();
+        byte[] body = filler == null || filler.length == 0 ? text.getBytes(UTF_8) : filler;
+        byte[] start = text.getBytes(UTF_8);
         System.arraycopy(start, 0, body, 0, Math.min(start.length, body.length));
         return new HttpAnswer(
                 status,
--- a/src/main/java/laurelkeel/standin/ReleaseLine.java
+++ b/src/main/java/laurelkeel/standin/ReleaseLine.java
@@ -314,8 +314,8 @@
             return;
         }
         boolean held = rule.control() == Control.CLOCK
-                && (rule.holdVotes() > 0 && o.count("hold", loop.now()) >= rule.holdVotes()
-                        || onTrial() > 1 && blaming.word(o.build.number()).equals("open"));
+                && ((rule.holdVotes() > 0 && o.count("hold", loop.now()) >= rule.holdVotes())
+                        || (onTrial() > 1 && blaming.word(o.build.number()).equals("open")));
         o.held(held, loop.now());
         boolean longEnough = loop.now() >= Math.max(o.since, o.readyAt) + rule.leastStage() + o.heldFor;
         boolean voted =
@@ -435,10 +435,10 @@
         boolean stalled = loop.now() < stalledUntil;
         boolean counts = !stalled || fleet.chance() < 0.5;
         Offer o = offers.get(build);
-        boolean judged = o != null && (o.onTrial() || o.phase == Rec.Phase.RELEASED && verdict.equals("back"));
+        boolean judged = o != null && (o.onTrial() || (o.phase == Rec.Phase.RELEASED && verdict.equals("back")));
         if (tokens < 1) {
             answer = "over-limit";
-        } else if (!judged || verdict.equals("on") && (at != o.stage || rule.control() == Control.CLOCK)) {
+        } else if (!judged || (verdict.equals("on") && (at != o.stage || rule.control() == Control.CLOCK))) {
             answer = "moot";
         } else {
             answer = "ok";
--- a/src/main/java/laurelkeel/wire/HopByHop.java
+++ b/src/main/java/laurelkeel/wire/HopByHop.java
@@ -32,7 +32,7 @@
             String name = from.name(i);
             boolean ends = NAMES.contains(name)
                     || leftOut.contains(name)
-                    || named && from.has("Connection", name.toLowerCase(Locale.ROOT));
+                    || (named && from.has("Connection", name.toLowerCase(Locale.ROOT)));
             if (!ends) {
                 to.line(name, from.value(i));
             }
--- a/src/main/java/laurelkeel/wire/HttpParser.java
+++ b/src/main/java/laurelkeel/wire/HttpParser.java
@@ -315,9 +315,9 @@
     static boolean token(String s) {
         for (int i = 0; i < s.length(); i++) {
             char c = s.charAt(i);
-            boolean ok = c >= 'a' && c <= 'z'
-                    || c >= 'A' && c <= 'Z'
-                    || c >= '0' && c <= '9'
+            boolean ok = (c >= 'a' && c <= 'z')
+                    || (c >= 'A' && c <= 'Z')
+                    || (c >= '0' && c <= '9')
                     || "!#$%&'*+-.^_`|~".indexOf(c) >= 0;
             if (!ok) {
                 return false;
@@ -341,7 +341,7 @@
         String value = text.substring(colon + 1).strip();
         for (int i = 0; i < value.length(); i++) {
             char c = value.charAt(i);
-            if (c < ' ' && c != '\t' || c == 127) {
+            if ((c < ' ' && c != '\t') || c == 127) {
                 throw new BadHttp(400, "a control character in header " + name);
             }
         }
--- a/src/main/java/laurelkeel/wire/HttpWriter.java
+++ b/src/main/java/laurelkeel/wire/HttpWriter.java
@@ -39,7 +39,7 @@
     }
 
     static boolean tellsLength(HttpReq r) {
-        return r.body().length > 0 || !r.method().equals("GET") && !r.method().equals("HEAD");
+        return r.body().length > 0 || (!r.method().equals("GET") && !r.method().equals("HEAD"));
     }
 
     static String statusLine(int status) {
--- a/src/test/java/laurelkeel/ArrowsTest.java
+++ b/src/test/java/laurelkeel/ArrowsTest.java
@@ -77,6 +77,7 @@
                             "laurelkeel.lanes..",
                             "laurelkeel.blame..",
                             "org.apache.commons.math3..",
+                            "org.jspecify.annotations",
                             "java.lang..",
                             "java.util",
                             "java.util.function..",
