--- a/src/test/java/laurelkeel/DefenceTest.java
+++ b/src/test/java/laurelkeel/DefenceTest.java
@@ -13,9 +13,9 @@
 import laurelkeel.api.Action;
 import laurelkeel.api.Action.Verdict;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.MachineState;
-import laurelkeel.api.Event.Outcome;
-import laurelkeel.api.Event.Phase;
+import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.api.Event.EndpointState;
+import laurelkeel.api.Event.RolloutPhase;
 import laurelkeel.api.Settings;
 import org.junit.jupiter.api.Test;
 
@@ -24,26 +24,27 @@
 
     @Test
     void aBuildCalledBackAfterItsReleaseGetsNothing() {
-        Play play = new Play(Play.settings(false, 0, Settings.Control.COUNT), 1);
+        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(2);
-        play.tells(2, 2, 1, Phase.TRIAL);
+        play.tells(2, 2, 1, RolloutPhase.CANARY);
         play.lists(
-                Play.machine("t0", 2, 0, MachineState.LIVE, 1),
-                Play.machine("m0", 1, 0, MachineState.GONE, 0),
-                Play.machine("m1", 1, 1, MachineState.GONE, 0));
-        play.tells(2, 2, 1, Phase.RELEASED);
+                Play.machine("t0", 2, 0, EndpointState.ACTIVE, 1),
+                Play.machine("m0", 1, 0, EndpointState.REMOVED, 0),
+                Play.machine("m1", 1, 1, EndpointState.REMOVED, 0));
+        play.tells(2, 2, 1, RolloutPhase.RELEASED);
         assertNotNull(play.outOf(play.req(0, "a")), "the released build serves");
-        play.tells(2, 2, 0, Phase.GOING_BACK);
+        play.tells(2, 2, 0, RolloutPhase.ROLLING_BACK);
         assertNull(play.outOf(play.req(0, "b")));
         assertEquals(List.of(), play.broken);
     }
 
     /** Two machines of a build on trial beside four, with a cap of a half. */
     private static Play trialOfHalf() {
-        Play play = new Play(Play.settings(false, 0, Settings.Control.COUNT), 1);
+        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(4);
-        play.tells(2, 1, 0.5, Phase.TRIAL);
-        play.lists(Play.machine("t0", 2, 0, MachineState.LIVE, 1), Play.machine("t1", 2, 0, MachineState.LIVE, 1));
+        play.tells(2, 1, 0.5, RolloutPhase.CANARY);
+        play.lists(
+                Play.machine("t0", 2, 0, EndpointState.ACTIVE, 1), Play.machine("t1", 2, 0, EndpointState.ACTIVE, 1));
         return play;
     }
 
@@ -57,7 +58,7 @@
             Play.Sent first = play.outOf(play.req(0, key));
             if (first != null && first.build() == 2) {
                 spoilt++;
-                play.ends(first, i % 2 == 0 ? Outcome.BROKEN : Outcome.TIMEOUT);
+                play.ends(first, i % 2 == 0 ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.TIMED_OUT);
                 Play.Sent again = play.outOf(first.req());
                 assertTrue(
                         again == null || again.build() == 2,
@@ -65,7 +66,7 @@
                 Play.Sent next = play.outOf(play.req(0, key));
                 assertTrue(next == null || next.build() == 2, key + " came again");
             } else if (first != null) {
-                play.ends(first, Outcome.COMPLETED);
+                play.ends(first, AttemptOutcome.COMPLETED);
             }
         }
         assertTrue(spoilt > 3, "the trial had traffic: " + spoilt);
@@ -89,13 +90,13 @@
                             next == null || next.build() == 2,
                             key + " came again, and went to build " + (next == null ? 0 : next.build()));
                     if (next != null) {
-                        play.ends(next, Outcome.NO_CONNECTION);
+                        play.ends(next, AttemptOutcome.CONNECT_FAILED);
                     }
                 }
-                play.ends(first, Outcome.ERROR);
+                play.ends(first, AttemptOutcome.FAILED);
                 assertEquals(List.of(), play.broken);
             } else if (first != null) {
-                play.ends(first, Outcome.COMPLETED);
+                play.ends(first, AttemptOutcome.COMPLETED);
             }
         }
         assertTrue(out > 3, "the trial had traffic: " + out);
@@ -104,10 +105,11 @@
     /** On the sockets such machines drew a fifth of all tries, and one of them had a good build sent back. */
     @Test
     void aMachineThatErrsAloneLeavesTheRotationAndCondemnsNoBuild() {
-        Play play = new Play(Play.settings(false, 0, Settings.Control.COUNT), 1);
+        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(6);
-        play.tells(2, 1, 0.5, Phase.TRIAL);
-        play.lists(Play.machine("t0", 2, 0, MachineState.LIVE, 1), Play.machine("t1", 2, 0, MachineState.LIVE, 1));
+        play.tells(2, 1, 0.5, RolloutPhase.CANARY);
+        play.lists(
+                Play.machine("t0", 2, 0, EndpointState.ACTIVE, 1), Play.machine("t1", 2, 0, EndpointState.ACTIVE, 1));
         Set<String> sick = Set.of("t0", "m0");
         int[] tries = new int[2], late = new int[2];
         for (int i = 0; i < 3000; i++) {
@@ -117,24 +119,24 @@
                 boolean ill = sick.contains(sent.machine());
                 tries[ill ? 0 : 1]++;
                 late[ill ? 0 : 1] += i > 500 ? 1 : 0;
-                play.ends(sent, ill ? Outcome.ERROR : Outcome.COMPLETED);
+                play.ends(sent, ill ? AttemptOutcome.FAILED : AttemptOutcome.COMPLETED);
                 sent = play.outOf(sent.req());
             }
         }
         assertTrue(tries[0] > 5, "they had their part at first: " + tries[0]);
         assertTrue(late[0] < late[1] / 20, "two of eight machines had " + late[0] + " tries, the others " + late[1]);
         assertTrue(
-                play.votes.stream().noneMatch(v -> v.verdict() == Verdict.BACK),
+                play.votes.stream().noneMatch(v -> v.verdict() == Verdict.ROLL_BACK),
                 "the build is as good as its other machine");
         assertEquals(List.of(), play.broken);
     }
 
     @Test
     void aBuildThatLeavesTheListAndReturnsHasNoNewAllowance() {
-        Play play = new Play(Play.settings(false, 0, Settings.Control.COUNT), 1);
+        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(4);
         for (int flaps = 0; flaps < 6; flaps++) {
-            play.lists(Play.machine("t0", 2, 0, MachineState.LIVE, 1));
+            play.lists(Play.machine("t0", 2, 0, EndpointState.ACTIVE, 1));
             play.pass(Play.SECOND / 5);
             // the last key's slice asks for more than the cap allows
             String key = "k" + flaps;
@@ -143,10 +145,10 @@
                 boolean there = sent != null && sent.build() == 2;
                 key = there ? key : "k" + flaps + "-" + i;
                 if (sent != null) {
-                    play.ends(sent, Outcome.COMPLETED);
+                    play.ends(sent, AttemptOutcome.COMPLETED);
                 }
             }
-            play.lists(Play.machine("t0", 2, 0, MachineState.GONE, 0));
+            play.lists(Play.machine("t0", 2, 0, EndpointState.REMOVED, 0));
         }
         assertTrue(play.all.stream().anyMatch(s -> s.build() == 2), "ahead of its news it has its share");
         assertEquals(List.of(), play.broken);
@@ -154,15 +156,15 @@
 
     @Test
     void aColdMachineIsNotFloodedWhenAllElseDies() {
-        Play play = new Play(Play.settings(false, 0, Settings.Control.COUNT), 1);
+        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(4);
         play.traffic(4 * Play.SECOND, 25, 1000, 0, 0, new Random(5));
         play.lists(
-                Play.machine("c", 1, 0, MachineState.LIVE, play.now),
-                Play.machine("m0", 1, 0, MachineState.GONE, 0),
-                Play.machine("m1", 1, 1, MachineState.GONE, 0),
-                Play.machine("m2", 1, 0, MachineState.GONE, 0),
-                Play.machine("m3", 1, 1, MachineState.GONE, 0));
+                Play.machine("c", 1, 0, EndpointState.ACTIVE, play.now),
+                Play.machine("m0", 1, 0, EndpointState.REMOVED, 0),
+                Play.machine("m1", 1, 1, EndpointState.REMOVED, 0),
+                Play.machine("m2", 1, 0, EndpointState.REMOVED, 0),
+                Play.machine("m3", 1, 1, EndpointState.REMOVED, 0));
         long from = play.now;
         play.traffic(2 * Play.SECOND, 25, 1000, 0, 0, new Random(6));
         long sent = play.all.stream()
@@ -175,13 +177,13 @@
     void manyQuietFrontsTogetherSpareAColdMachine() {
         int sent = 0;
         for (int front = 0; front < 60; front++) {
-            Play play = new Play(Play.settings(false, 0, Settings.Control.COUNT), front);
+            Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), front);
             play.begin(30);
             play.traffic(10 * Play.SECOND, 1000, 1000, 0, 0, new Random(front));
             for (int i = 0; i < 30; i++) {
-                play.lists(Play.machine("m" + i, 1, 0, MachineState.GONE, 0));
+                play.lists(Play.machine("m" + i, 1, 0, EndpointState.REMOVED, 0));
             }
-            play.lists(Play.machine("c", 1, 0, MachineState.LIVE, play.now));
+            play.lists(Play.machine("c", 1, 0, EndpointState.ACTIVE, play.now));
             play.traffic(2 * Play.SECOND, 1000, 1000, 0, 0, new Random(front));
             sent += play.all.stream().filter(s -> s.machine().equals("c")).count();
         }
@@ -192,7 +194,7 @@
     void frontsBeginTheirTurnsAtDifferentMachines() {
         Set<String> first = new HashSet<>();
         for (int front = 0; front < 20; front++) {
-            Play play = new Play(Play.settings(false, 0, Settings.Control.COUNT), front);
+            Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), front);
             play.begin(30);
             first.add(play.outOf(play.req(0, "k")).machine());
         }
@@ -201,16 +203,16 @@
 
     @Test
     void aSmallIdleMachineGetsItsTurnsToo() {
-        Play play = new Play(Play.settings(false, 0, Settings.Control.COUNT), 1);
+        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(2);
-        play.lists(new Event.Listed("small", 1, 0, 0, 0, 0.5, MachineState.LIVE, 0));
+        play.lists(new Event.EndpointEntry("small", 1, 0, 0, 0, 0.5, EndpointState.ACTIVE, 0));
         play.traffic(5 * Play.SECOND, 100, 500, 0, 0, new Random(1));
         assertTrue(play.all.stream().filter(s -> s.machine().equals("small")).count() >= 5, "of 50 reqs");
     }
 
     @Test
     void aFrontThatShedsFindsOutWhenTheFleetIsWellAgain() {
-        Play play = new Play(Play.settings(false, 0, Settings.Control.COUNT), 1);
+        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(2);
         play.traffic(5 * Play.SECOND, 20, 1000, 0, 0, new Random(1));
         play.traffic(6 * Play.SECOND, 20, 15_000, 0, 0, new Random(2));
@@ -224,27 +226,28 @@
     void badReqsThatFailOnBothBuildsSendNoBuildBack() {
         Play play = RulesTest.trial(5, 0.5, 0);
         play.traffic(8 * Play.SECOND, 20, 1000, 0.3, 0.3, new Random(5));
-        play.tells(2, 2, 1, Phase.RELEASED);
-        play.lists(Play.machine("m0", 1, 0, MachineState.GONE, 0), Play.machine("m1", 1, 1, MachineState.GONE, 0));
+        play.tells(2, 2, 1, RolloutPhase.RELEASED);
+        play.lists(
+                Play.machine("m0", 1, 0, EndpointState.REMOVED, 0), Play.machine("m1", 1, 1, EndpointState.REMOVED, 0));
         for (int i = 0; i < 300; i++) {
             play.now += 20 * Play.MS;
             String id = play.req(0, "b" + i);
             while (play.outOf(id) != null) {
-                play.ends(play.outOf(id), i % 2 == 0 ? Outcome.ERROR : Outcome.COMPLETED);
+                play.ends(play.outOf(id), i % 2 == 0 ? AttemptOutcome.FAILED : AttemptOutcome.COMPLETED);
             }
         }
-        assertTrue(play.votes.stream().noneMatch(v -> v.verdict() == Verdict.BACK), play.votes.toString());
+        assertTrue(play.votes.stream().noneMatch(v -> v.verdict() == Verdict.ROLL_BACK), play.votes.toString());
     }
 
     @Test
     void aFullFleetIsNotAskedByEveryReqAtEveryMachine() {
-        Play play = new Play(Play.settings(false, 0, Settings.Control.COUNT), 1);
+        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(6);
         for (int i = 0; i < 200; i++) {
             play.now += 10 * Play.MS;
             String id = play.req(0, "k" + i);
             while (play.outOf(id) != null) {
-                play.ends(play.outOf(id), Outcome.FULL);
+                play.ends(play.outOf(id), AttemptOutcome.OVERLOADED);
             }
         }
         assertTrue(play.all.size() < 200 * 1.3, "tries " + play.all.size());
@@ -252,54 +255,60 @@
 
     @Test
     void standingQueuesAreAnsweredBySheddingEarly() {
-        Play play = new Play(Play.settings(false, 0, Settings.Control.COUNT), 1);
+        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(2);
         play.traffic(5 * Play.SECOND, 20, 1000, 0, 0, new Random(1));
         assertEquals(0, play.answers.size(), "nothing is shed in calm");
         play.traffic(6 * Play.SECOND, 20, 15_000, 0, 0, new Random(2));
-        assertTrue(play.answers.stream().filter(a -> a instanceof Action.Shed).count() > 50, "sheds");
+        assertTrue(
+                play.answers.stream()
+                                .filter(a -> a instanceof Action.RejectRequest)
+                                .count()
+                        > 50,
+                "sheds");
     }
 
     @Test
     void aBuildThatFailsIsVotedBackAndAGoodOneOn() {
-        assertTrue(judged(0.2, 7).contains(Verdict.BACK));
+        assertTrue(judged(0.2, 7).contains(Verdict.ROLL_BACK));
         List<Verdict> good = judged(0, 7);
-        assertTrue(good.contains(Verdict.ON) && !good.contains(Verdict.BACK), good.toString());
+        assertTrue(good.contains(Verdict.PROMOTE) && !good.contains(Verdict.ROLL_BACK), good.toString());
     }
 
     /** Of a hundred fronts none has tries enough of its own before a build that fails is released. */
     @Test
     void theCountsOfAllFrontsSpeakWhereOneSeesFewTriesAndAnErrorOfItsOwn() {
-        assertTrue(counted(Outcome.ERROR, 3, 8).contains(Verdict.BACK));
-        assertFalse(counted(Outcome.ERROR, 0, 8).contains(Verdict.BACK), "an error of its own alone");
+        assertTrue(counted(AttemptOutcome.FAILED, 3, 8).contains(Verdict.ROLL_BACK));
+        assertFalse(counted(AttemptOutcome.FAILED, 0, 8).contains(Verdict.ROLL_BACK), "an error of its own alone");
         assertFalse(
-                counted(Outcome.TIMEOUT, 3, 8).contains(Verdict.BACK),
+                counted(AttemptOutcome.TIMED_OUT, 3, 8).contains(Verdict.ROLL_BACK),
                 "cold machines let tries time out, and that is counted");
         assertFalse(
-                counted(Outcome.ERROR, 3, 2).contains(Verdict.BACK),
+                counted(AttemptOutcome.FAILED, 3, 2).contains(Verdict.ROLL_BACK),
                 "half of so few machines may be sick by themselves");
     }
 
     /** All verdicts of a front that sees a req each half second, where the platform counts some failures of the trial build. */
-    private static Set<Verdict> counted(Outcome first, int failures, int machines) {
-        Play play = new Play(Play.settings(false, 0, Settings.Control.COUNT), 1);
+    private static Set<Verdict> counted(AttemptOutcome first, int failures, int machines) {
+        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(machines);
-        play.tells(2, 1, 0.5, Phase.TRIAL);
+        play.tells(2, 1, 0.5, RolloutPhase.CANARY);
         for (int i = 0; i < machines; i++) {
-            play.lists(Play.machine("t" + i, 2, 0, MachineState.LIVE, 0));
+            play.lists(Play.machine("t" + i, 2, 0, EndpointState.ACTIVE, 0));
         }
         int trials = 0;
         for (int i = 0; i < 30; i++) {
             play.pass(Play.SECOND / 2);
             play.step(List.of(
-                    new Event.BuildCounts(1, 0, 30, 0, 100, 0), new Event.BuildCounts(2, 0, 6, failures, 100, 0)));
+                    new Event.BuildStatistics(1, 0, 30, 0, 100, 0),
+                    new Event.BuildStatistics(2, 0, 6, failures, 100, 0)));
             Play.Sent sent = play.outOf(play.req(0, "k" + i));
             if (sent != null) {
                 boolean fails = sent.build() == 2 && trials++ == 0;
-                play.ends(sent, fails ? first : Outcome.COMPLETED);
+                play.ends(sent, fails ? first : AttemptOutcome.COMPLETED);
                 Play.Sent again = play.outOf(sent.req());
                 if (again != null) {
-                    play.ends(again, Outcome.COMPLETED);
+                    play.ends(again, AttemptOutcome.COMPLETED);
                 }
             }
         }
@@ -313,16 +322,16 @@
     void aBuildThatFailsOnlyAfterItsReleaseIsVotedBack() {
         Play play = RulesTest.trial(4, 0.5, 0);
         play.traffic(6 * Play.SECOND, 20, 1000, 0, 0, new Random(3));
-        play.tells(2, 2, 1, Phase.RELEASED);
+        play.tells(2, 2, 1, RolloutPhase.RELEASED);
         play.votes.clear();
         play.traffic(6 * Play.SECOND, 20, 1000, 0, 0.2, new Random(3));
-        assertTrue(play.votes.stream().anyMatch(v -> v.verdict() == Verdict.BACK), play.votes.toString());
+        assertTrue(play.votes.stream().anyMatch(v -> v.verdict() == Verdict.ROLL_BACK), play.votes.toString());
     }
 
     @Test
     void aBuildThatAnswersWronglyIsVotedBackByComplaintsAlone() {
-        assertTrue(complained(0.25).contains(Verdict.BACK));
-        assertFalse(complained(0).contains(Verdict.BACK), "as many complaints of both builds");
+        assertTrue(complained(0.25).contains(Verdict.ROLL_BACK));
+        assertFalse(complained(0).contains(Verdict.ROLL_BACK), "as many complaints of both builds");
     }
 
     /** Verdicts where so many of the trial build's answers, and 2% of all, are complained of. */
@@ -333,33 +342,33 @@
             play.now += 20 * Play.MS;
             Play.Sent s = play.outOf(play.req(0, "k" + i));
             play.now += 5 * Play.MS;
-            play.ends(s, Outcome.COMPLETED);
+            play.ends(s, AttemptOutcome.COMPLETED);
             if (chance.nextDouble() < 0.02 + (s.build() == 2 ? wrong : 0)) {
-                play.step(List.of(new Event.Complaint(s.machine(), play.now - s.at(), 0)));
+                play.step(List.of(new Event.ComplaintReceived(s.machine(), play.now - s.at(), 0)));
             }
         }
-        return play.votes.stream().map(Action.Vote::verdict).toList();
+        return play.votes.stream().map(Action.CastVote::verdict).toList();
     }
 
     @Test
     void aBuildThatIsSlowByItselfIsVotedBackAndOneAmongAllSlowIsToo() {
-        assertTrue(slowed(3000, 1000).contains(Verdict.BACK), "slow beside the other");
-        assertTrue(slowed(2200, 2200).contains(Verdict.BACK), "all slow since it has traffic");
-        assertFalse(slowed(1000, 1000).contains(Verdict.BACK), "as before");
+        assertTrue(slowed(3000, 1000).contains(Verdict.ROLL_BACK), "slow beside the other");
+        assertTrue(slowed(2200, 2200).contains(Verdict.ROLL_BACK), "all slow since it has traffic");
+        assertFalse(slowed(1000, 1000).contains(Verdict.ROLL_BACK), "as before");
     }
 
     /** Verdicts where tries take 100 ms before the trial and so long in it, at the trial build and beside it. */
     private static List<Verdict> slowed(long trial, long beside) {
-        Play play = new Play(Play.settings(false, 0, Settings.Control.ANY), 6);
+        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.FIRST_VOTE), 6);
         play.begin(4);
         Random chance = new Random(6);
         paced(play, 12 * Play.SECOND, 1000, 1000, chance);
         for (int i = 0; i < 4; i++) {
-            play.lists(Play.machine("t" + i, 2, i % 2, MachineState.LIVE, 1));
+            play.lists(Play.machine("t" + i, 2, i % 2, EndpointState.ACTIVE, 1));
         }
-        play.tells(2, 1, 0.5, Phase.TRIAL);
+        play.tells(2, 1, 0.5, RolloutPhase.CANARY);
         paced(play, 18 * Play.SECOND, trial, beside, chance);
-        return play.votes.stream().map(Action.Vote::verdict).toList();
+        return play.votes.stream().map(Action.CastVote::verdict).toList();
     }
 
     private static void paced(Play play, long span, long trial, long beside, Random chance) {
@@ -367,7 +376,7 @@
             play.now += 20 * Play.MS;
             for (Play.Sent s : List.copyOf(play.out)) {
                 if (play.now >= s.at() + (s.build() == 2 ? trial : beside) + chance.nextInt(200)) {
-                    play.ends(s, Outcome.COMPLETED);
+                    play.ends(s, AttemptOutcome.COMPLETED);
                 }
             }
             play.req(0, "k" + chance.nextInt(400));
@@ -382,7 +391,7 @@
             play.now += 20 * Play.MS;
             Play.Sent s = play.outOf(play.req(0, "" + (char) ('à' + i % 20) + (char) ('à' + i / 20)));
             went += s.build() == 2 ? 1 : 0;
-            play.ends(s, Outcome.COMPLETED);
+            play.ends(s, AttemptOutcome.COMPLETED);
         }
         assertTrue(went > 40 && went < 120, "to the trial build " + went);
     }
@@ -394,7 +403,7 @@
             play.now += 20 * Play.MS;
             String id = play.req(0, "x" + i);
             Play.Sent first = play.outOf(id);
-            play.ends(first, first.build() == 2 ? Outcome.ERROR : Outcome.COMPLETED);
+            play.ends(first, first.build() == 2 ? AttemptOutcome.FAILED : AttemptOutcome.COMPLETED);
             if (first.build() == 2) {
                 assertEquals(1, play.outOf(id).build());
                 return;
@@ -405,13 +414,14 @@
 
     @Test
     void aSilentMachineLeavesTheRotationAndComesBack() {
-        Play play = new Play(Play.settings(false, 0, Settings.Control.COUNT), 1);
+        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(4);
         for (int i = 0; i < 600; i++) {
             play.now += 20 * Play.MS;
             Play.Sent s = play.outOf(play.req(2, "x" + i));
             play.now += 100 * Play.MS;
-            play.ends(s, s.machine().equals("m0") && i < 150 ? Outcome.BROKEN : Outcome.COMPLETED);
+            play.ends(
+                    s, s.machine().equals("m0") && i < 150 ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.COMPLETED);
         }
         long sick = play.all.subList(20, 150).stream()
                 .filter(s -> s.machine().equals("m0"))
@@ -426,6 +436,6 @@
     private static List<Verdict> judged(double errors, long seed) {
         Play play = RulesTest.trial(seed, 0.5, 0);
         play.traffic(6 * Play.SECOND, 20, 1000, 0, errors, new Random(seed));
-        return play.votes.stream().map(Action.Vote::verdict).toList();
+        return play.votes.stream().map(Action.CastVote::verdict).toList();
     }
 }
--- a/src/test/java/laurelkeel/KnownRedTest.java
+++ b/src/test/java/laurelkeel/KnownRedTest.java
@@ -13,8 +13,8 @@
 
 /** CI passes over the tests that KNOWN-RED.txt names, and over no others. */
 class KnownRedTest {
-    private static final String ONE =
-            "laurelkeel.KnownRedTest#noFileOrAnEmptyOneExcludesNothing | a cause | issue 26\n";
+    private static final String ONE = "laurelkeel.KnownRedTest#noFileOrAnEmptyOneExcludesNothing"
+            + " | mvn test, seed 7 | a time-out | issue 26\n";
 
     @TempDir
     Path folder;
@@ -55,11 +55,13 @@
         for (String bad : new String[] {
             ONE.repeat(4),
             "\n",
-            "laurelkeel.KnownRedTest | a cause | issue\n",
-            ONE.replace("a cause", ""),
+            "laurelkeel.KnownRedTest | mvn test, seed 7 | a time-out | issue 26\n",
+            ONE.replace("mvn test, seed 7", ""),
+            ONE.replace("a time-out", ""),
+            ONE.replace("| issue 26", ""),
+            ONE.replace("| a time-out ", ""),
             ONE.replace("noFile", "noSuch"),
-            ONE.replace("laurelkeel.", "elsewhere."),
-            ONE.replace("| issue 26", "")
+            ONE.replace("laurelkeel.", "elsewhere.")
         }) {
             assertEquals(2, known(bad).exit, bad);
         }
--- a/src/test/java/laurelkeel/ManyMachinesTest.java
+++ b/src/test/java/laurelkeel/ManyMachinesTest.java
@@ -6,7 +6,7 @@
 
 import java.util.HashSet;
 import java.util.Set;
-import laurelkeel.api.Event.Outcome;
+import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.api.Settings;
 import org.junit.jupiter.api.Test;
 
@@ -15,7 +15,7 @@
     private static final int MACHINES = 1_000;
     private static final long ANSWER = 20 * 10;
 
-    private final Play play = new Play(Play.settings(false, 0, Settings.Control.COUNT), 1);
+    private final Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
 
     /** Requests one after the other, each served; the machines that were asked. */
     private Set<String> asked(int requests, long answer) {
@@ -25,7 +25,7 @@
             assertNotNull(sent);
             machines.add(sent.machine());
             play.pass(answer);
-            play.ends(sent, Outcome.COMPLETED);
+            play.ends(sent, AttemptOutcome.COMPLETED);
         }
         return machines;
     }
@@ -59,7 +59,7 @@
                 play.pass(ANSWER);
                 boolean fails = failing.contains(sent.machine());
                 served += fails ? 0 : 1;
-                play.ends(sent, fails ? Outcome.NO_CONNECTION : Outcome.COMPLETED);
+                play.ends(sent, fails ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.COMPLETED);
                 sent = play.outOf(sent.req());
             }
         }
--- a/src/test/java/laurelkeel/Play.java
+++ b/src/test/java/laurelkeel/Play.java
@@ -11,13 +11,14 @@
 import laurelkeel.api.Action;
 import laurelkeel.api.Decider;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.Listed;
-import laurelkeel.api.Event.MachineState;
-import laurelkeel.api.Event.Outcome;
-import laurelkeel.api.Event.Phase;
+import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.api.Event.EndpointEntry;
+import laurelkeel.api.Event.EndpointState;
+import laurelkeel.api.Event.RolloutPhase;
+import laurelkeel.api.LoadReport;
 import laurelkeel.api.Settings;
-import laurelkeel.api.Settings.Effect;
-import laurelkeel.api.Settings.Group;
+import laurelkeel.api.Settings.DeduplicationScope;
+import laurelkeel.api.Settings.Idempotency;
 import laurelkeel.api.Settings.Route;
 import laurelkeel.decision.Shifter;
 import laurelkeel.lanes.Lanes;
@@ -34,11 +35,11 @@
     final Decider module;
     final List<String> broken = new ArrayList<>();
     final List<Action> lastDone = new ArrayList<>();
-    final Map<String, Listed> list = new HashMap<>();
+    final Map<String, EndpointEntry> list = new HashMap<>();
     final Map<String, Long> toldGone = new HashMap<>();
-    final Map<String, Event.Req> owed = new HashMap<>();
+    final Map<String, Event.RequestReceived> owed = new HashMap<>();
     final Map<String, List<Sent>> tries = new HashMap<>();
-    final Map<String, List<Outcome>> outcomes = new HashMap<>();
+    final Map<String, List<AttemptOutcome>> outcomes = new HashMap<>();
     final List<Sent> out = new ArrayList<>();
     final List<Sent> all = new ArrayList<>();
     final List<long[]> taken = new ArrayList<>();
@@ -46,13 +47,14 @@
     private final Map<String, String> keys = new HashMap<>();
     final Set<Integer> off = new HashSet<>();
     /** What the front was last told of each build. */
-    final TreeMap<Integer, Event.ReleaseNews> told = new TreeMap<>();
+    final TreeMap<Integer, Event.RolloutUpdate> told = new TreeMap<>();
     /** What the module asked to be woken for. */
     private final TreeMap<Long, Set<Long>> timers = new TreeMap<>();
 
-    final List<Action.Vote> votes = new ArrayList<>();
+    final List<Action.CastVote> votes = new ArrayList<>();
     final List<Action> answers = new ArrayList<>();
-    Event.ReleaseNews news = new Event.ReleaseNews(Event.Answer.OK, 0, 1, 0, Phase.RELEASED, 1, false);
+    Event.RolloutUpdate news =
+            new Event.RolloutUpdate(Event.ControlStatus.OK, 0, 1, 0, RolloutPhase.RELEASED, 1, false);
     /** Draws the tries whose time-out is never told; null for none. */
     Random silent;
 
@@ -69,19 +71,26 @@
     }
 
     /** Three routes, one of each kind; stages of a tenth, a half and all. */
-    static Settings settings(boolean perRoute, int guarded, Settings.Control control) {
+    static Settings settings(boolean perRoute, int guarded, Settings.PromotionPolicy control) {
         return new Settings(
                 0,
                 2,
                 0,
                 List.of(
-                        new Route(Effect.RETRIABLE, Group.ALL, 800 * MS, 2500 * MS, 2, 0, 0),
-                        new Route(Effect.DEDUPED, Group.ZONE, SECOND, 4 * SECOND, 3, 0.2, 2 * SECOND),
-                        new Route(Effect.NON_RETRIABLE, Group.ALL, SECOND, 3 * SECOND, 1, 0, 0)),
+                        new Route(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 800 * MS, 2500 * MS, 2, 0, 0),
+                        new Route(
+                                Idempotency.DEDUPLICATED,
+                                DeduplicationScope.ZONE,
+                                SECOND,
+                                4 * SECOND,
+                                3,
+                                0.2,
+                                2 * SECOND),
+                        new Route(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, SECOND, 3 * SECOND, 1, 0, 0)),
                 List.of(),
                 new Settings.Limits(SECOND, 5 * SECOND, 0.4, 2 * SECOND, 3, 10 * SECOND),
-                new Settings.Allowed(4, true, false, true, true, SECOND, false),
-                new Settings.Prices(0.05, 0.01, 0.01, 0.5, 3),
+                new Settings.Capabilities(4, true, false, true, true, SECOND, false),
+                new Settings.Costs(0.05, 0.01, 0.01, 0.5, 3),
                 new Settings.Rollout(
                         control,
                         1,
@@ -102,33 +111,33 @@
                 false);
     }
 
-    static Listed machine(String id, int build, int zone, MachineState state, long started) {
-        return new Listed(id, build, zone, zone, 0, 1, state, started);
+    static EndpointEntry machine(String id, int build, int zone, EndpointState state, long started) {
+        return new EndpointEntry(id, build, zone, zone, 0, 1, state, started);
     }
 
     /** Machines of build 1, in two zones, that have run for long, and news that build 1 is released. */
     void begin(int machines) {
         List<Event> events = new ArrayList<>();
-        List<Listed> named = new ArrayList<>();
+        List<EndpointEntry> named = new ArrayList<>();
         for (int i = 0; i < machines; i++) {
-            named.add(machine("m" + i, 1, i % 2, MachineState.LIVE, 0));
+            named.add(machine("m" + i, 1, i % 2, EndpointState.ACTIVE, 0));
         }
-        events.add(new Event.MachineList(Event.ListKind.REMEMBERED, named));
+        events.add(new Event.EndpointListUpdate(Event.EndpointListKind.CACHED, named));
         events.add(news);
         step(events);
     }
 
-    void lists(Listed... changed) {
-        step(List.of(new Event.MachineList(Event.ListKind.CHANGES, List.of(changed))));
+    void lists(EndpointEntry... changed) {
+        step(List.of(new Event.EndpointListUpdate(Event.EndpointListKind.DELTA, List.of(changed))));
     }
 
-    void tells(int build, int stage, double cap, Phase phase) {
-        step(List.of(new Event.ReleaseNews(Event.Answer.OK, stage, cap, 0, phase, build, false)));
+    void tells(int build, int stage, double cap, RolloutPhase phase) {
+        step(List.of(new Event.RolloutUpdate(Event.ControlStatus.OK, stage, cap, 0, phase, build, false)));
     }
 
     String req(int route, String key) {
         String id = "r" + ids++;
-        step(List.of(new Event.Req(id, route, 0, key, now + 2 * SECOND, 0, false)));
+        step(List.of(new Event.RequestReceived(id, route, 0, key, now + 2 * SECOND, 0, false)));
         return id;
     }
 
@@ -136,15 +145,15 @@
         return out.stream().filter(s -> s.req.equals(id)).findFirst().orElse(null);
     }
 
-    void ends(Sent s, Outcome outcome) {
+    void ends(Sent s, AttemptOutcome outcome) {
         out.remove(s);
-        boolean over = outcome == Outcome.COMPLETED || !owed.containsKey(s.req);
-        step(List.of(new Event.TryEnded(s.req, s.no, s.machine, outcome, now - s.at, over, Map.of())));
+        boolean over = outcome == AttemptOutcome.COMPLETED || !owed.containsKey(s.req);
+        step(List.of(new Event.AttemptEnded(s.req, s.no, s.machine, outcome, now - s.at, over, LoadReport.NONE)));
     }
 
     void leaves(String id) {
         owed.remove(id);
-        step(List.of(new Event.ClientLeft(id)));
+        step(List.of(new Event.ClientDisconnected(id)));
     }
 
     /** Lets time pass: tries past their limit time out, and the module is woken. */
@@ -153,10 +162,10 @@
             now += 5 * MS;
             for (Sent s : List.copyOf(out)) {
                 if (s.dueBy <= now) {
-                    ends(s, Outcome.TIMEOUT);
+                    ends(s, AttemptOutcome.TIMED_OUT);
                 }
             }
-            step(List.of(new Event.TimerDue(0)));
+            step(List.of(new Event.TimerFired(0)));
         }
     }
 
@@ -167,7 +176,7 @@
             for (Sent s : List.copyOf(out)) {
                 if (now >= s.at + took) {
                     double errors = s.build > 1 ? newErrors : oldErrors;
-                    ends(s, chance.nextDouble() < errors ? Outcome.ERROR : Outcome.COMPLETED);
+                    ends(s, chance.nextDouble() < errors ? AttemptOutcome.FAILED : AttemptOutcome.COMPLETED);
                 }
             }
             req(chance.nextInt(2) * 2, "k" + chance.nextInt(400));
@@ -176,33 +185,33 @@
 
     void step(List<Event> events) {
         for (Event e : events) {
-            if (e instanceof Event.MachineList l) {
-                for (Listed m : l.machines()) {
-                    list.put(m.machine(), m);
-                    boolean gone = m.state() != MachineState.LIVE;
-                    toldGone.compute(m.machine(), (k, was) -> gone ? was == null ? now : was : null);
+            if (e instanceof Event.EndpointListUpdate l) {
+                for (EndpointEntry m : l.entries()) {
+                    list.put(m.endpointId(), m);
+                    boolean gone = m.state() != EndpointState.ACTIVE;
+                    toldGone.compute(m.endpointId(), (k, was) -> gone ? was == null ? now : was : null);
                 }
-                if (l.kind() == Event.ListKind.FULL) {
+                if (l.kind() == Event.EndpointListKind.SNAPSHOT) {
                     // what a whole list does not name is gone
                     Set<String> named = new HashSet<>();
-                    l.machines().forEach(m -> named.add(m.machine()));
+                    l.entries().forEach(m -> named.add(m.endpointId()));
                     list.keySet().stream().filter(m -> !named.contains(m)).forEach(m -> toldGone.putIfAbsent(m, now));
                 }
-            } else if (e instanceof Event.ReleaseNews n && n.answer() == Event.Answer.OK) {
+            } else if (e instanceof Event.RolloutUpdate n && n.status() == Event.ControlStatus.OK) {
                 news = n;
                 told.put(n.build(), n);
                 answeredBy.values().removeIf(b -> b < n.build() && !told.containsKey(b));
-            } else if (e instanceof Event.Req r) {
-                owed.put(r.id(), r);
-                keys.put(r.id(), r.key());
-                tries.put(r.id(), new ArrayList<>());
-                outcomes.put(r.id(), new ArrayList<>());
+            } else if (e instanceof Event.RequestReceived r) {
+                owed.put(r.requestId(), r);
+                keys.put(r.requestId(), r.partitionKey());
+                tries.put(r.requestId(), new ArrayList<>());
+                outcomes.put(r.requestId(), new ArrayList<>());
                 taken.add(new long[] {now, r.route()});
-            } else if (e instanceof Event.TryEnded t) {
-                outcomes.get(t.req()).add(t.outcome());
-                if (t.outcome() == Outcome.COMPLETED && owed.containsKey(t.req())) {
-                    String key = owed.remove(t.req()).key();
-                    int build = tries.get(t.req()).get(t.tryNo()).build;
+            } else if (e instanceof Event.AttemptEnded t) {
+                outcomes.get(t.requestId()).add(t.outcome());
+                if (t.outcome() == AttemptOutcome.COMPLETED && owed.containsKey(t.requestId())) {
+                    String key = owed.remove(t.requestId()).partitionKey();
+                    int build = tries.get(t.requestId()).get(t.attempt()).build;
                     // of a build passed over by the news a front cannot know that it is new
                     boolean known = told.containsKey(build) || build > told.lastKey();
                     answeredBy.merge(
@@ -213,52 +222,52 @@
             }
         }
         told.values().stream()
-                .filter(n -> n.phase() == Phase.GOING_BACK || n.phase() == Phase.WITHDRAWN)
+                .filter(n -> n.phase() == RolloutPhase.ROLLING_BACK || n.phase() == RolloutPhase.ROLLED_BACK)
                 .forEach(n -> off.add(n.build()));
         answeredBy.values().removeIf(off::contains);
         lastDone.clear();
         lastDone.addAll(module.decide(now, events));
         for (Action a : lastDone) {
-            if (a instanceof Action.Send s) {
+            if (a instanceof Action.SendAttempt s) {
                 sent(s);
-            } else if (a instanceof Action.Shed s) {
-                check(1, owed.containsKey(s.req()), "a second answer to " + s.req());
-                check(2, shedAllowed(s.req()), "shed though it may have run: " + s.req());
-                owed.remove(s.req());
+            } else if (a instanceof Action.RejectRequest s) {
+                check(1, owed.containsKey(s.requestId()), "a second answer to " + s.requestId());
+                check(2, shedAllowed(s.requestId()), "shed though it may have run: " + s.requestId());
+                owed.remove(s.requestId());
                 answers.add(a);
-            } else if (a instanceof Action.Err s) {
-                check(1, owed.remove(s.req()) != null, "a second answer to " + s.req());
+            } else if (a instanceof Action.FailRequest s) {
+                check(1, owed.remove(s.requestId()) != null, "a second answer to " + s.requestId());
                 answers.add(a);
-            } else if (a instanceof Action.Vote v) {
+            } else if (a instanceof Action.CastVote v) {
                 votes.add(v);
-            } else if (a instanceof Action.Timer w) {
-                timers.computeIfAbsent(Math.max(w.when(), now + 1), k -> new HashSet<>())
-                        .add(w.handle());
-            } else if (a instanceof Action.StopTry s) {
+            } else if (a instanceof Action.StartTimer w) {
+                timers.computeIfAbsent(Math.max(w.dueAtTicks(), now + 1), k -> new HashSet<>())
+                        .add(w.timerId());
+            } else if (a instanceof Action.CancelAttempt s) {
                 out.stream()
-                        .filter(o -> o.req.equals(s.req()) && o.no == s.tryNo())
+                        .filter(o -> o.req.equals(s.requestId()) && o.no == s.attempt())
                         .toList()
                         .forEach(o -> {
                             out.remove(o);
-                            outcomes.get(o.req).add(Outcome.STOPPED);
+                            outcomes.get(o.req).add(AttemptOutcome.CANCELLED);
                             module.decide(
                                     now,
-                                    List.of(new Event.TryEnded(
+                                    List.of(new Event.AttemptEnded(
                                             o.req,
                                             o.no,
                                             o.machine,
-                                            Outcome.STOPPED,
+                                            AttemptOutcome.CANCELLED,
                                             now - o.at,
                                             !owed.containsKey(o.req),
-                                            Map.of())));
+                                            LoadReport.NONE)));
                         });
             }
         }
         Set<String> tried = new HashSet<>();
         out.forEach(s -> tried.add(s.req));
         owed.values().forEach(r -> {
-            check(1, now < r.clientLeaves(), "no answer in time to " + r.id());
-            check(1, tried.contains(r.id()), "neither tried nor answered at once: " + r.id());
+            check(1, now < r.deadlineTicks(), "no answer in time to " + r.requestId());
+            check(1, tried.contains(r.requestId()), "neither tried nor answered at once: " + r.requestId());
         });
     }
 
@@ -286,12 +295,12 @@
             now = Math.max(now, at);
             for (Sent s : List.copyOf(out)) {
                 if (s.dueBy <= now && out.contains(s)) {
-                    ends(s, Outcome.TIMEOUT);
+                    ends(s, AttemptOutcome.TIMED_OUT);
                 }
             }
             while (!timers.isEmpty() && timers.firstKey() <= now) {
                 for (long handle : timers.pollFirstEntry().getValue()) {
-                    step(List.of(new Event.TimerDue(handle)));
+                    step(List.of(new Event.TimerFired(handle)));
                 }
             }
         }
@@ -300,8 +309,8 @@
     private Sent mayHaveRun(String req) {
         List<Sent> sent = tries.get(req);
         for (int i = 0; i < sent.size(); i++) {
-            Outcome o = i < outcomes.get(req).size() ? outcomes.get(req).get(i) : null;
-            if (o != Outcome.FULL && o != Outcome.NO_CONNECTION && o != Outcome.NOT_SENT) {
+            AttemptOutcome o = i < outcomes.get(req).size() ? outcomes.get(req).get(i) : null;
+            if (o != AttemptOutcome.OVERLOADED && o != AttemptOutcome.CONNECT_FAILED && o != AttemptOutcome.NOT_SENT) {
                 return sent.get(i);
             }
         }
@@ -309,48 +318,50 @@
     }
 
     private boolean shedAllowed(String id) {
-        Event.Req r = owed.get(id);
+        Event.RequestReceived r = owed.get(id);
         if (r == null) {
             return true;
         }
         Route route = set.routes().get(r.route());
         return mayHaveRun(id) == null
-                || route.effect() == Effect.RETRIABLE
-                || route.effect() == Effect.DEDUPED
-                        && route.group() == Group.ALL
-                        && now <= mayHaveRun(id).at + route.repeatWindow();
+                || route.idempotency() == Idempotency.IDEMPOTENT
+                || (route.idempotency() == Idempotency.DEDUPLICATED
+                        && route.deduplicationScope() == DeduplicationScope.ALL
+                        && now <= mayHaveRun(id).at + route.deduplicationWindowTicks());
     }
 
     /** A build is on trial until news says otherwise, also one that no news names yet; with one release the latest only. */
     boolean onTrial(int build) {
-        Event.ReleaseNews n = told.get(build);
+        Event.RolloutUpdate n = told.get(build);
         int latest = told.isEmpty() ? 1 : told.lastKey();
-        boolean passed = !(module instanceof Lanes) && build < latest
-                || told.tailMap(build, false).values().stream().anyMatch(r -> r.phase() == Phase.RELEASED);
-        return off.contains(build) || !passed && (n == null ? build > latest : n.phase() != Phase.RELEASED);
+        boolean passed = (!(module instanceof Lanes) && build < latest)
+                || told.tailMap(build, false).values().stream().anyMatch(r -> r.phase() == RolloutPhase.RELEASED);
+        return off.contains(build) || (!passed && (n == null ? build > latest : n.phase() != RolloutPhase.RELEASED));
     }
 
     double cap(int build) {
-        Event.ReleaseNews n = told.get(build);
-        return n == null ? set.rollout().stageCaps().get(0) : n.phase() == Phase.TRIAL ? n.cap() : 0;
+        Event.RolloutUpdate n = told.get(build);
+        return n == null
+                ? set.rollout().stageExposureCaps().get(0)
+                : n.phase() == RolloutPhase.CANARY ? n.exposureCap() : 0;
     }
 
     /** Exposure within the window, counted afresh and slowly, were one more try sent now. */
     boolean exposureAllows(int build, int route) {
-        long from = now - set.rollout().window();
+        long from = now - set.rollout().exposureWindowTicks();
         long tried = all.stream()
                 .filter(s -> s.build == build && s.at >= from && counts(s.req, route))
                 .count();
         long reqs = taken.stream()
-                .filter(t -> t[0] >= from && (!set.rollout().perRoute() || t[1] == route))
+                .filter(t -> t[0] >= from && (!set.rollout().exposurePerRoute() || t[1] == route))
                 .count();
-        return tried + 1 <= set.rollout().free() + cap(build) * reqs;
+        return tried + 1 <= set.rollout().exposureAllowance() + cap(build) * reqs;
     }
 
     private final Map<String, Integer> routeOf = new HashMap<>();
 
     private boolean counts(String req, int route) {
-        return !set.rollout().perRoute() || routeOf.get(req) == route;
+        return !set.rollout().exposurePerRoute() || routeOf.get(req) == route;
     }
 
     /** A build whose answers bind their keys; of one passed over by the news a front cannot know that it is new. */
@@ -358,26 +369,26 @@
         return !off.contains(build) && (told.containsKey(build) || build > told.lastKey());
     }
 
-    private void sent(Action.Send s) {
-        Event.Req r = owed.get(s.req());
-        check(1, r != null, "sent though answered: " + s.req());
+    private void sent(Action.SendAttempt s) {
+        Event.RequestReceived r = owed.get(s.requestId());
+        check(1, r != null, "sent though answered: " + s.requestId());
         if (r == null) {
             return;
         }
-        routeOf.put(s.req(), r.route());
-        Listed m = list.get(s.machine());
-        Long gone = toldGone.get(s.machine());
-        check(3, gone == null || now <= gone + set.limits().drainGrace(), "sent to a draining machine");
-        check(2, out.stream().noneMatch(o -> o.req.equals(s.req())), "two tries at once");
+        routeOf.put(s.requestId(), r.route());
+        EndpointEntry m = list.get(s.endpointId());
+        Long gone = toldGone.get(s.endpointId());
+        check(3, gone == null || now <= gone + set.limits().drainGraceTicks(), "sent to a draining machine");
+        check(2, out.stream().noneMatch(o -> o.req.equals(s.requestId())), "two tries at once");
         Route route = set.routes().get(r.route());
-        Sent first = mayHaveRun(s.req());
-        check(2, first == null || route.effect() != Effect.NON_RETRIABLE, "a non-retriable req ran twice");
+        Sent first = mayHaveRun(s.requestId());
+        check(2, first == null || route.idempotency() != Idempotency.NOT_IDEMPOTENT, "a non-retriable req ran twice");
         check(
                 2,
                 first == null
-                        || route.effect() != Effect.DEDUPED
-                        || now <= first.at + route.repeatWindow()
-                                && (route.group() == Group.ALL || first.zone == m.zone()),
+                        || route.idempotency() != Idempotency.DEDUPLICATED
+                        || (now <= first.at + route.deduplicationWindowTicks()
+                                && (route.deduplicationScope() == DeduplicationScope.ALL || first.zone == m.zone())),
                 "a deduped req outside its group or window");
         if (onTrial(m.build())) {
             check(
@@ -385,29 +396,35 @@
                     cap(m.build()) > 0 && exposureAllows(m.build(), r.route()),
                     "exposure over the cap of build " + m.build());
             int stage = told.containsKey(m.build()) ? told.get(m.build()).stage() : 0;
-            check(5, stage >= set.rollout().guardedStages() || route.effect() == Effect.RETRIABLE, "guarded stage");
+            check(
+                    5,
+                    stage >= set.rollout().guardedStages() || route.idempotency() == Idempotency.IDEMPOTENT,
+                    "guarded stage");
         }
-        check(5, r.key() == null || m.build() >= answeredBy.getOrDefault(r.key(), 0), "a one-way key went back");
         check(
                 5,
-                r.key() == null
+                r.partitionKey() == null || m.build() >= answeredBy.getOrDefault(r.partitionKey(), 0),
+                "a one-way key went back");
+        check(
+                5,
+                r.partitionKey() == null
                         || out.stream()
                                 .noneMatch(o -> o.at < now
-                                        && r.key().equals(keys.get(o.req))
+                                        && r.partitionKey().equals(keys.get(o.req))
                                         && ahead(o.build)
                                         && m.build() < o.build),
                 "a one-way key went back while a later build may have answered it");
         Sent sent = new Sent(
-                s.req(),
-                tries.get(s.req()).size(),
-                s.machine(),
+                s.requestId(),
+                tries.get(s.requestId()).size(),
+                s.endpointId(),
                 m.build(),
                 m.zone(),
                 now,
                 silent != null && silent.nextInt(10) == 0
                         ? Long.MAX_VALUE
-                        : now + Math.min(s.within(), r.clientLeaves() - now));
-        tries.get(s.req()).add(sent);
+                        : now + Math.min(s.timeoutTicks(), r.deadlineTicks() - now));
+        tries.get(s.requestId()).add(sent);
         out.add(sent);
         all.add(sent);
     }
--- a/src/test/java/laurelkeel/RulesTest.java
+++ b/src/test/java/laurelkeel/RulesTest.java
@@ -11,9 +11,9 @@
 import java.util.TreeSet;
 import laurelkeel.api.Action;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.MachineState;
-import laurelkeel.api.Event.Outcome;
-import laurelkeel.api.Event.Phase;
+import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.api.Event.EndpointState;
+import laurelkeel.api.Event.RolloutPhase;
 import laurelkeel.api.Settings;
 import laurelkeel.decision.Shifter;
 import laurelkeel.lanes.Lanes;
@@ -25,22 +25,22 @@
  * The module, alone and behind lanes, beside a plain model of the rules: one property a rule, on generated days. The model is Play's.
  */
 class RulesTest {
-    private static final Outcome[] ENDS = {
-        Outcome.COMPLETED,
-        Outcome.COMPLETED,
-        Outcome.COMPLETED,
-        Outcome.COMPLETED,
-        Outcome.ERROR,
-        Outcome.FULL,
-        Outcome.NO_CONNECTION,
-        Outcome.BROKEN,
-        Outcome.NOT_SENT
+    private static final AttemptOutcome[] ENDS = {
+        AttemptOutcome.COMPLETED,
+        AttemptOutcome.COMPLETED,
+        AttemptOutcome.COMPLETED,
+        AttemptOutcome.COMPLETED,
+        AttemptOutcome.FAILED,
+        AttemptOutcome.OVERLOADED,
+        AttemptOutcome.CONNECT_FAILED,
+        AttemptOutcome.CONNECTION_LOST,
+        AttemptOutcome.NOT_SENT
     };
 
     /** What a generated day is made of; the same seed is the same day. */
     private static Play day(long seed, boolean lanes) {
         Random chance = new Random(seed);
-        Settings set = Play.settings(chance.nextBoolean(), chance.nextInt(3), Settings.Control.ANY);
+        Settings set = Play.settings(chance.nextBoolean(), chance.nextInt(3), Settings.PromotionPolicy.FIRST_VOTE);
         Play play = new Play(set, lanes ? new Lanes(set, seed, Shifter::new) : new Shifter(set, seed));
         play.silent = new Random(seed);
         play.begin(6);
@@ -70,9 +70,9 @@
     /** Up to the tick at which a window, a grace or a req's time ends, one before or one after. */
     private static long edge(Play play, Random chance) {
         long[] spans = {
-            play.set.rollout().window(),
-            play.set.limits().drainGrace(),
-            play.set.routes().get(1).repeatWindow(),
+            play.set.rollout().exposureWindowTicks(),
+            play.set.limits().drainGraceTicks(),
+            play.set.routes().get(1).deduplicationWindowTicks(),
             2 * Play.SECOND,
             800 * Play.MS
         };
@@ -86,19 +86,19 @@
 
     /** Lists lie: of machines, states, builds, starts ahead of the clock; whole ones leave machines out. */
     private static void lie(Play play, int newest, Random chance) {
-        MachineState state = MachineState.values()[chance.nextInt(3)];
+        EndpointState state = EndpointState.values()[chance.nextInt(3)];
         int build = Math.max(1, newest + chance.nextInt(3) - 1);
-        Event.Listed m = Play.machine(
+        Event.EndpointEntry m = Play.machine(
                 "m" + chance.nextInt(9), build, chance.nextInt(2), state, play.now + chance.nextInt(70_000) - 60_000);
         if (chance.nextInt(4) == 0) {
-            List<Event.Listed> some = new ArrayList<>(play.list.values().stream()
+            List<Event.EndpointEntry> some = new ArrayList<>(play.list.values().stream()
                     .filter(x -> chance.nextInt(4) > 0)
-                    .sorted(java.util.Comparator.comparing(Event.Listed::machine))
+                    .sorted(java.util.Comparator.comparing(Event.EndpointEntry::endpointId))
                     .toList());
-            some.removeIf(x -> x.machine().equals(m.machine()));
+            some.removeIf(x -> x.endpointId().equals(m.endpointId()));
             some.add(m);
-            play.step(List.of(new Event.MachineList(
-                    chance.nextBoolean() ? Event.ListKind.FULL : Event.ListKind.REMEMBERED, some)));
+            play.step(List.of(new Event.EndpointListUpdate(
+                    chance.nextBoolean() ? Event.EndpointListKind.SNAPSHOT : Event.EndpointListKind.CACHED, some)));
         } else {
             play.lists(m);
         }
@@ -134,7 +134,11 @@
                 stages.put(build, 0);
                 for (int i = 0; i < 2; i++) {
                     play.lists(Play.machine(
-                            "b" + build + "." + i, build, i, MachineState.LIVE, chance.nextBoolean() ? 0 : play.now));
+                            "b" + build + "." + i,
+                            build,
+                            i,
+                            EndpointState.ACTIVE,
+                            chance.nextBoolean() ? 0 : play.now));
                 }
                 trial(build);
                 return;
@@ -143,20 +147,20 @@
             int stage = stages.get(build);
             if (chance.nextInt(4) == 0) {
                 stages.remove(build);
-                over(build, stage, Phase.GOING_BACK);
-                over(build, stage, Phase.WITHDRAWN);
-            } else if (stage + 1 < play.set.rollout().stageCaps().size()) {
+                over(build, stage, RolloutPhase.ROLLING_BACK);
+                over(build, stage, RolloutPhase.ROLLED_BACK);
+            } else if (stage + 1 < play.set.rollout().stageExposureCaps().size()) {
                 stages.put(build, stage + 1);
                 trial(build);
             } else {
                 // all that is older ends with it, and the line says so first
                 for (int older : List.copyOf(stages.headMap(build).keySet())) {
-                    over(older, stages.remove(older), Phase.WITHDRAWN);
+                    over(older, stages.remove(older), RolloutPhase.ROLLED_BACK);
                 }
                 stages.remove(build);
                 released = build;
                 if (!lost) {
-                    play.tells(build, stage, 1, Phase.RELEASED);
+                    play.tells(build, stage, 1, RolloutPhase.RELEASED);
                 }
             }
         }
@@ -164,23 +168,23 @@
         private void trial(int build) {
             if (!lost) {
                 int stage = stages.get(build);
-                play.tells(build, stage, play.set.rollout().stageCaps().get(stage), Phase.TRIAL);
+                play.tells(build, stage, play.set.rollout().stageExposureCaps().get(stage), RolloutPhase.CANARY);
             }
         }
 
-        private void over(int build, int stage, Phase phase) {
+        private void over(int build, int stage, RolloutPhase phase) {
             if (!lost) {
                 play.tells(build, stage, 0, phase);
             }
         }
 
         private void catchUp() {
-            for (Event.ReleaseNews n : List.copyOf(play.told.values())) {
-                if (n.phase() == Phase.TRIAL && !stages.containsKey(n.build()) && n.build() != released) {
-                    play.tells(n.build(), n.stage(), 0, Phase.WITHDRAWN);
+            for (Event.RolloutUpdate n : List.copyOf(play.told.values())) {
+                if (n.phase() == RolloutPhase.CANARY && !stages.containsKey(n.build()) && n.build() != released) {
+                    play.tells(n.build(), n.stage(), 0, RolloutPhase.ROLLED_BACK);
                 }
             }
-            play.tells(released, 0, 1, Phase.RELEASED);
+            play.tells(released, 0, 1, RolloutPhase.RELEASED);
             List.copyOf(stages.keySet()).forEach(this::trial);
         }
     }
@@ -222,7 +226,7 @@
         int machines = 4 + chance.nextInt(12);
         int everyMs = 1 + chance.nextInt(12);
         boolean lanes = chance.nextBoolean();
-        Settings set = Play.settings(false, 0, Settings.Control.COUNT);
+        Settings set = Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT);
         List<Play> all = new ArrayList<>();
         for (int f = 0; f < fronts; f++) {
             all.add(new Play(set, lanes ? new Lanes(set, f, Shifter::new) : new Shifter(set, f)));
@@ -242,10 +246,10 @@
                 for (Play p : all) {
                     p.now = now;
                     for (int i = stay; i < machines; i++) {
-                        p.lists(Play.machine("m" + i, 1, i % 2, MachineState.GONE, 0));
+                        p.lists(Play.machine("m" + i, 1, i % 2, EndpointState.REMOVED, 0));
                     }
                     for (int i = 0; i < cold; i++) {
-                        p.lists(Play.machine("c" + i, 1, i % 2, MachineState.LIVE, now));
+                        p.lists(Play.machine("c" + i, 1, i % 2, EndpointState.ACTIVE, now));
                     }
                 }
             }
@@ -253,12 +257,12 @@
             p.now = now;
             for (Play.Sent s : List.copyOf(p.out)) {
                 if (now >= s.at() + 40 * Play.MS) {
-                    p.ends(s, Outcome.COMPLETED);
+                    p.ends(s, AttemptOutcome.COMPLETED);
                 }
             }
             p.req(chance.nextInt(2) * 2, "k" + n++);
         }
-        double usual = set.limits().tipAfter() / (double) (everyMs * Play.MS) / machines;
+        double usual = set.limits().overloadWindowTicks() / (double) (everyMs * Play.MS) / machines;
         for (int i = 0; i < cold; i++) {
             String id = "c" + i;
             List<Long> at = all.stream()
@@ -268,17 +272,17 @@
                     .sorted()
                     .toList();
             for (int from = 0, to = 0; to < at.size(); to++) {
-                while (at.get(from) <= at.get(to) - set.limits().tipAfter()) {
+                while (at.get(from) <= at.get(to) - set.limits().overloadWindowTicks()) {
                     from++;
                 }
-                double warm = set.limits().coldFrom()
-                        + (1 - set.limits().coldFrom())
+                double warm = set.limits().warmUpInitialShare()
+                        + (1 - set.limits().warmUpInitialShare())
                                 * Math.min(
                                         1,
                                         (at.get(to) - coldAt)
-                                                / (double) set.limits().coldFor());
+                                                / (double) set.limits().warmUpTicks());
                 // each front rounds what is under one try by chance: three standard deviations of their sum
-                double most = set.limits().tipMultiple() * warm * usual + 1.5 * Math.sqrt(fronts);
+                double most = set.limits().overloadMultiple() * warm * usual + 1.5 * Math.sqrt(fronts);
                 assertTrue(
                         to - from + 1 <= most,
                         id + " got " + (to - from + 1) + " of " + most + ", " + fronts + " fronts");
@@ -296,20 +300,20 @@
             String id = play.req(0, "k" + i);
             assertTrue(play.outOf(id) != null, play.now + " not sent: " + play.lastDone);
             went += play.outOf(id) != null && play.outOf(id).build() == 2 ? 1 : 0;
-            play.ends(play.outOf(id), Outcome.COMPLETED);
+            play.ends(play.outOf(id), AttemptOutcome.COMPLETED);
         }
         assertTrue(went > 0.3 * 300 && went < 0.5 * 300, "share of the trial build " + went / 300.0);
         assertEquals(List.of(), play.broken);
     }
 
     static Play trial(long seed, double cap, int guarded) {
-        Play play = new Play(Play.settings(false, guarded, Settings.Control.ANY), seed);
+        Play play = new Play(Play.settings(false, guarded, Settings.PromotionPolicy.FIRST_VOTE), seed);
         play.begin(4);
         for (int i = 0; i < 4; i++) {
-            play.lists(Play.machine("t" + i, 2, i % 2, MachineState.LIVE, 1));
+            play.lists(Play.machine("t" + i, 2, i % 2, EndpointState.ACTIVE, 1));
         }
         play.now += 20 * Play.SECOND;
-        play.tells(2, guarded > 0 ? 0 : 1, cap, Phase.TRIAL);
+        play.tells(2, guarded > 0 ? 0 : 1, cap, RolloutPhase.CANARY);
         play.pass(Play.SECOND);
         return play;
     }
@@ -333,11 +337,11 @@
         List<Play> plays = List.of(trial(1, 0.5, 0), trial(2, 0.5, 0));
         plays.get(1)
                 .lists(
-                        Play.machine("u0", 3, 0, MachineState.LIVE, 1),
-                        Play.machine("u1", 3, 1, MachineState.LIVE, 1),
-                        Play.machine("u2", 3, 0, MachineState.LIVE, 1),
-                        Play.machine("u3", 3, 1, MachineState.LIVE, 1));
-        plays.get(1).tells(3, 1, 0.5, Phase.TRIAL);
+                        Play.machine("u0", 3, 0, EndpointState.ACTIVE, 1),
+                        Play.machine("u1", 3, 1, EndpointState.ACTIVE, 1),
+                        Play.machine("u2", 3, 0, EndpointState.ACTIVE, 1),
+                        Play.machine("u3", 3, 1, EndpointState.ACTIVE, 1));
+        plays.get(1).tells(3, 1, 0.5, RolloutPhase.CANARY);
         plays.get(1).pass(Play.SECOND);
         for (int i = 0; i < 600; i++) {
             boolean[] in = new boolean[2];
@@ -346,7 +350,7 @@
                 play.now += 20 * Play.MS;
                 Play.Sent s = play.outOf(play.req(0, "key" + i));
                 in[p] = s.build() == 2 + p;
-                play.ends(s, Outcome.COMPLETED);
+                play.ends(s, AttemptOutcome.COMPLETED);
             }
             first += in[0] ? 1 : 0;
             both += in[0] && in[1] ? 1 : 0;
--- a/src/test/java/laurelkeel/WireTest.java
+++ b/src/test/java/laurelkeel/WireTest.java
@@ -1,5 +1,6 @@
 package laurelkeel;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -60,6 +61,6 @@
                     throw new IllegalStateException("boom\nhere");
                 })
                 .run(new ByteArrayInputStream(START.getBytes(StandardCharsets.UTF_8)), out);
-        assertEquals("fault 0 java.lang.IllegalStateException: boom here\nack 1\n", out.toString());
+        assertEquals("fault 0 java.lang.IllegalStateException: boom here\nack 1\n", out.toString(UTF_8));
     }
 }
--- a/src/test/java/laurelkeel/blame/BlameTest.java
+++ b/src/test/java/laurelkeel/blame/BlameTest.java
@@ -215,7 +215,7 @@
             List<Report> two = new ArrayList<>(all.subList(s * 4, s * 4 + 8));
             int at = s + 1;
             two.forEach(r -> one.take(r, at));
-            two.addAll(two);
+            two.addAll(List.copyOf(two));
             java.util.Collections.shuffle(two, random);
             two.forEach(r -> other.take(r, at));
             assertEquals(one.judge(at).toString(), other.judge(at).toString());
--- a/src/test/java/laurelkeel/cli/RereadTest.java
+++ b/src/test/java/laurelkeel/cli/RereadTest.java
@@ -1,5 +1,6 @@
 package laurelkeel.cli;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.OutputStream;
@@ -87,7 +88,7 @@
             Files.move(next, file, StandardCopyOption.REPLACE_EXISTING);
             Thread newer = signalled();
             Rig.await("it is done, or waits", () -> newer.getState() == Thread.State.BLOCKED || !newer.isAlive());
-            held.write(config(second).getBytes());
+            held.write(config(second).getBytes(UTF_8));
         }
         older.join();
         // an address that says nothing is dialled again and again, and only the last one followed is
--- a/src/test/java/laurelkeel/config/IniTest.java
+++ b/src/test/java/laurelkeel/config/IniTest.java
@@ -44,8 +44,8 @@
         Path f = folder.resolve("f.ini");
         Files.writeString(f, GOOD);
         FrontSettings s = FrontSettings.read(f);
-        assertEquals(3000, s.decisions().routes().get(0).objective());
-        assertEquals(List.of(0.1, 1.0), s.decisions().rollout().stageCaps());
+        assertEquals(3000, s.decisions().routes().get(0).latencyObjectiveTicks());
+        assertEquals(List.of(0.1, 1.0), s.decisions().rollout().stageExposureCaps());
         assertEquals(folder.resolve("state"), s.state());
     }
 
--- a/src/test/java/laurelkeel/day/DayTest.java
+++ b/src/test/java/laurelkeel/day/DayTest.java
@@ -1,5 +1,6 @@
 package laurelkeel.day;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -76,10 +77,10 @@
                         folder,
                         new PrintStream(said))
                 .play();
-        assertEquals(5, j.kept(), said.toString());
-        assertEquals(0, j.unanswered(), said.toString());
-        assertTrue(j.asked() > 300, said.toString());
-        assertTrue(said.toString().strip().endsWith(", unanswered 0"), said.toString());
+        assertEquals(5, j.kept(), said.toString(UTF_8));
+        assertEquals(0, j.unanswered(), said.toString(UTF_8));
+        assertTrue(j.asked() > 300, said.toString(UTF_8));
+        assertTrue(said.toString(UTF_8).strip().endsWith(", unanswered 0"), said.toString(UTF_8));
         return j;
     }
 
--- a/src/test/java/laurelkeel/front/BadPeersTest.java
+++ b/src/test/java/laurelkeel/front/BadPeersTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import laurelkeel.api.Action;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.Outcome;
+import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.front.ingress.Ingress;
 import laurelkeel.front.ingress.RouteTable;
 import laurelkeel.loop.Loop;
@@ -88,7 +88,7 @@
             Peers.hear(m);
             // longer than it may be idle, and less than its route's time
             assertFalse(closedOnTrickle(c, "\r\n".repeat(1))
-                    && p.events.stream().noneMatch(e -> e instanceof Event.TryEnded));
+                    && p.events.stream().noneMatch(e -> e instanceof Event.AttemptEnded));
         }
     }
 
@@ -97,7 +97,9 @@
         try (Peers p = new Peers(
                 folder,
                 "[clients]\nconnections = 1\n",
-                (peers, e) -> e instanceof Event.Req r ? List.of(new Action.Err(r.id())) : List.of())) {
+                (peers, e) -> e instanceof Event.RequestReceived r
+                        ? List.of(new Action.FailRequest(r.requestId()))
+                        : List.of())) {
             Socket in = p.client();
             Peers.say(in, Peers.look(""));
             Peers.hear(in);
@@ -112,7 +114,11 @@
             Peers.say(in, Peers.look(""));
             Peers.hear(in);
             assertEquals(
-                    2, p.events.stream().filter(e -> e instanceof Event.Req).count(), "told: not taken");
+                    2,
+                    p.events.stream()
+                            .filter(e -> e instanceof Event.RequestReceived)
+                            .count(),
+                    "told: not taken");
         }
     }
 
@@ -123,7 +129,7 @@
         CountDownLatch stalled = new CountDownLatch(1);
         try (Peers p = new Peers(
                         folder, "[clients]\npipelined = 16\n", List.of("admin = 127.0.0.1:" + admin), (peers, e) -> {
-                            if (e instanceof Event.Req r && r.key() != null) {
+                            if (e instanceof Event.RequestReceived r && r.partitionKey() != null) {
                                 stalled.countDown();
                                 try {
                                     held.await(30, TimeUnit.SECONDS);
@@ -131,7 +137,9 @@
                                     Thread.currentThread().interrupt();
                                 }
                             }
-                            return e instanceof Event.Req r ? List.of(new Action.Shed(r.id(), 0)) : List.of();
+                            return e instanceof Event.RequestReceived r
+                                    ? List.of(new Action.RejectRequest(r.requestId(), 0))
+                                    : List.of();
                         });
                 Socket watch = new Socket("127.0.0.1", admin)) {
             Peers.say(p.client(), Peers.look("Laurelkeel-Key: stall\r\n"));
@@ -169,10 +177,10 @@
         try (Peers p = new Peers(
                 folder,
                 "",
-                (peers, e) -> e instanceof Event.Req r
-                        ? List.of(new Action.Send(r.id(), peers.machineId(), 3_000))
-                        : e instanceof Event.TryEnded t && !t.reqOver()
-                                ? List.of(new Action.Err(t.req()))
+                (peers, e) -> e instanceof Event.RequestReceived r
+                        ? List.of(new Action.SendAttempt(r.requestId(), peers.machineId(), 3_000))
+                        : e instanceof Event.AttemptEnded t && !t.requestEnded()
+                                ? List.of(new Action.FailRequest(t.requestId()))
                                 : List.of())) {
             List<Socket> clients = new ArrayList<>();
             List<Socket> machine = new ArrayList<>();
@@ -197,7 +205,7 @@
             assertEquals(
                     1,
                     p.events.stream()
-                            .filter(e -> e instanceof Event.TryEnded t && t.outcome() == Outcome.TIMEOUT)
+                            .filter(e -> e instanceof Event.AttemptEnded t && t.outcome() == AttemptOutcome.TIMED_OUT)
                             .count());
         }
     }
--- a/src/test/java/laurelkeel/front/BreakingTest.java
+++ b/src/test/java/laurelkeel/front/BreakingTest.java
@@ -12,7 +12,7 @@
 import laurelkeel.api.Action;
 import laurelkeel.api.Decider;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.Listed;
+import laurelkeel.api.Event.EndpointEntry;
 import laurelkeel.audit.Breach;
 import laurelkeel.audit.Judgement;
 import laurelkeel.records.Rec;
@@ -70,11 +70,11 @@
     void twoAnswersToOneReq() throws Exception {
         try (Rig rig = rig("", () -> new Naive() {
             @Override
-            void taken(Event.Req r) {
+            void taken(Event.RequestReceived r) {
                 super.taken(r);
                 if (turn % 20 == 0) {
-                    out.add(new Action.Err(r.id()));
-                    out.add(new Action.Err(r.id()));
+                    out.add(new Action.FailRequest(r.requestId()));
+                    out.add(new Action.FailRequest(r.requestId()));
                 }
             }
         })) {
@@ -88,7 +88,7 @@
     void noAnswerAtAll() throws Exception {
         try (Rig rig = rig("", () -> new Naive() {
             @Override
-            void taken(Event.Req r) {
+            void taken(Event.RequestReceived r) {
                 if (++seen % 50 != 0) {
                     send(r);
                 }
@@ -104,8 +104,8 @@
     void aNonRetriableReqSentTwice() throws Exception {
         try (Rig rig = rig("[build 1]\nfailing-pay = 0.3\n", () -> new Naive() {
             @Override
-            void failed(Event.Req r, Event.TryEnded t) {
-                if (r.route() == 1 && t.tryNo() == 0) {
+            void failed(Event.RequestReceived r, Event.AttemptEnded t) {
+                if (r.route() == 1 && t.attempt() == 0) {
                     send(r);
                 } else {
                     super.failed(r, t);
@@ -122,9 +122,9 @@
     void aShedThatIsNotHarmless() throws Exception {
         try (Rig rig = rig("[build 1]\nfailing-pay = 0.3\n", () -> new Naive() {
             @Override
-            void failed(Event.Req r, Event.TryEnded t) {
-                held.remove(r.id());
-                out.add(new Action.Shed(r.id(), 0));
+            void failed(Event.RequestReceived r, Event.AttemptEnded t) {
+                held.remove(r.requestId());
+                out.add(new Action.RejectRequest(r.requestId(), 0));
             }
         })) {
             rig.load();
@@ -137,8 +137,8 @@
     void sendsToADrainingMachine() throws Exception {
         try (Rig rig = rig("", () -> new Naive() {
             @Override
-            boolean uses(Listed m, Event.Req r) {
-                return m.state() != Event.MachineState.GONE && m.build() == 1;
+            boolean uses(EndpointEntry m, Event.RequestReceived r) {
+                return m.state() != Event.EndpointState.REMOVED && m.build() == 1;
             }
         })) {
             rig.load();
@@ -155,10 +155,10 @@
     void aColdMachineFlooded() throws Exception {
         try (Rig rig = rig("[fleet]\ncores = 1\n", () -> new Naive() {
             @Override
-            boolean uses(Listed m, Event.Req r) {
+            boolean uses(EndpointEntry m, Event.RequestReceived r) {
                 boolean cold = machines.values().stream()
-                        .anyMatch(o -> o.started() > 0 && o.state() == Event.MachineState.LIVE);
-                return super.uses(m, r) && (!cold || m.started() > 0);
+                        .anyMatch(o -> o.startedAtTicks() > 0 && o.state() == Event.EndpointState.ACTIVE);
+                return super.uses(m, r) && (!cold || m.startedAtTicks() > 0);
             }
         })) {
             rig.load();
@@ -174,11 +174,11 @@
     private static Naive either(int trialOneIn) {
         return new Naive() {
             @Override
-            boolean uses(Listed m, Event.Req r) {
+            boolean uses(EndpointEntry m, Event.RequestReceived r) {
                 boolean trial = r.route() == 0
                         && turn % trialOneIn == 0
                         && machines.values().stream().anyMatch(o -> o.build() == 2);
-                return m.state() == Event.MachineState.LIVE && m.build() == (trial ? 2 : 1);
+                return m.state() == Event.EndpointState.ACTIVE && m.build() == (trial ? 2 : 1);
             }
         };
     }
@@ -195,9 +195,10 @@
         // all keys, always to the same build, and never an effect in the guarded stage
         try (Rig rig = rig("", () -> new Naive() {
             @Override
-            boolean uses(Listed m, Event.Req r) {
-                boolean trial = r.key() != null && machines.values().stream().anyMatch(o -> o.build() == 2);
-                return m.state() == Event.MachineState.LIVE
+            boolean uses(EndpointEntry m, Event.RequestReceived r) {
+                boolean trial =
+                        r.partitionKey() != null && machines.values().stream().anyMatch(o -> o.build() == 2);
+                return m.state() == Event.EndpointState.ACTIVE
                         && (trial ? m.build() == 2 && r.route() == 0 : m.build() == 1);
             }
         })) {
@@ -211,13 +212,13 @@
         // of two builds on trial the first has a sixteenth of a route's keys, the second the most; the cap is a fifth
         try (Rig rig = rig("", () -> new Naive() {
             @Override
-            boolean uses(Listed m, Event.Req r) {
-                int slice = r.key() == null || r.route() != 0
+            boolean uses(EndpointEntry m, Event.RequestReceived r) {
+                int slice = r.partitionKey() == null || r.route() != 0
                         ? 0
-                        : Math.floorMod(r.key().hashCode(), 16);
+                        : Math.floorMod(r.partitionKey().hashCode(), 16);
                 int wanted = slice == 1 ? 2 : slice > 1 ? 3 : 1;
                 boolean there = machines.values().stream().anyMatch(o -> o.build() == wanted);
-                return m.state() == Event.MachineState.LIVE && m.build() == (there ? wanted : 1);
+                return m.state() == Event.EndpointState.ACTIVE && m.build() == (there ? wanted : 1);
             }
         })) {
             rig.load();
@@ -245,11 +246,11 @@
     void aGuardedStage() throws Exception {
         try (Rig rig = rig("", () -> new Naive() {
             @Override
-            boolean uses(Listed m, Event.Req r) {
-                boolean trial = r.key() == null
+            boolean uses(EndpointEntry m, Event.RequestReceived r) {
+                boolean trial = r.partitionKey() == null
                         && turn % 12 == 0
                         && machines.values().stream().anyMatch(o -> o.build() == 2);
-                return m.state() == Event.MachineState.LIVE && m.build() == (trial ? 2 : 1);
+                return m.state() == Event.EndpointState.ACTIVE && m.build() == (trial ? 2 : 1);
             }
         })) {
             rig.load();
--- a/src/test/java/laurelkeel/front/FrontEndsTest.java
+++ b/src/test/java/laurelkeel/front/FrontEndsTest.java
@@ -25,7 +25,7 @@
 
     /** Holds the loop up at the first request, and fails once it is let go. */
     private List<Action> fail(Event event) {
-        if (!(event instanceof Event.Req) || failed.getAndSet(true)) {
+        if (!(event instanceof Event.RequestReceived) || failed.getAndSet(true)) {
             return List.of();
         }
         entered.countDown();
--- a/src/test/java/laurelkeel/front/FrontTest.java
+++ b/src/test/java/laurelkeel/front/FrontTest.java
@@ -11,9 +11,10 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import laurelkeel.api.Action;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.Outcome;
+import laurelkeel.api.Event.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -30,7 +31,7 @@
     }
 
     /** What the decider hears of a try to which the machine does that. */
-    private Outcome outcome(String said, boolean reset) throws Exception {
+    private AttemptOutcome outcome(String said, boolean reset) throws Exception {
         try (Peers p = once();
                 Socket c = p.client()) {
             Peers.say(c, Peers.look(""));
@@ -43,11 +44,11 @@
             if (reset || said.isEmpty()) {
                 m.close();
             }
-            Event.TryEnded t = p.event(Event.TryEnded.class);
-            assertEquals(t.outcome() == Outcome.COMPLETED, t.reqOver());
+            Event.AttemptEnded t = p.event(Event.AttemptEnded.class);
+            assertEquals(t.outcome() == AttemptOutcome.COMPLETED, t.requestEnded());
             String answer = Peers.hear(c);
             assertTrue(
-                    answer.contains(t.reqOver() ? "Laurelkeel-Answer: completed" : "Laurelkeel-Answer: errored"),
+                    answer.contains(t.requestEnded() ? "Laurelkeel-Answer: completed" : "Laurelkeel-Answer: errored"),
                     answer);
             assertFalse(answer.contains("harmless"), answer);
             return t.outcome();
@@ -56,18 +57,20 @@
 
     @Test
     void outcomesAreProvedNotGuessed() throws Exception {
-        assertEquals(Outcome.COMPLETED, outcome(OK, false));
-        assertEquals(Outcome.COMPLETED, outcome("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n", false));
-        assertEquals(Outcome.ERROR, outcome("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", false));
-        assertEquals(Outcome.ERROR, outcome("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false));
+        assertEquals(AttemptOutcome.COMPLETED, outcome(OK, false));
+        assertEquals(AttemptOutcome.COMPLETED, outcome("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n", false));
+        assertEquals(AttemptOutcome.FAILED, outcome("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", false));
+        assertEquals(AttemptOutcome.FAILED, outcome("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false));
         assertEquals(
-                Outcome.FULL, outcome("HTTP/1.1 503 No\r\nLaurelkeel-Ran: no\r\nContent-Length: 0\r\n\r\n", false));
+                AttemptOutcome.OVERLOADED,
+                outcome("HTTP/1.1 503 No\r\nLaurelkeel-Ran: no\r\nContent-Length: 0\r\n\r\n", false));
         assertEquals(
-                Outcome.ERROR, outcome("HTTP/1.1 500 No\r\nLaurelkeel-Ran: no\r\nContent-Length: 0\r\n\r\n", false));
-        assertEquals(Outcome.ERROR, outcome("what is this\r\n", false));
-        assertEquals(Outcome.ERROR, outcome("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", false));
-        assertEquals(Outcome.BROKEN, outcome("", false));
-        assertEquals(Outcome.BROKEN, outcome("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true));
+                AttemptOutcome.FAILED,
+                outcome("HTTP/1.1 500 No\r\nLaurelkeel-Ran: no\r\nContent-Length: 0\r\n\r\n", false));
+        assertEquals(AttemptOutcome.FAILED, outcome("what is this\r\n", false));
+        assertEquals(AttemptOutcome.FAILED, outcome("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", false));
+        assertEquals(AttemptOutcome.CONNECTION_LOST, outcome("", false));
+        assertEquals(AttemptOutcome.CONNECTION_LOST, outcome("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true));
     }
 
     @Test
@@ -76,7 +79,9 @@
                 Socket c = p.client()) {
             p.machine.close();
             Peers.say(c, Peers.look(""));
-            assertEquals(Outcome.NO_CONNECTION, p.event(Event.TryEnded.class).outcome());
+            assertEquals(
+                    AttemptOutcome.CONNECT_FAILED,
+                    p.event(Event.AttemptEnded.class).outcome());
             Peers.hear(c);
         }
     }
@@ -96,14 +101,14 @@
             Rig.await(
                     "two ends",
                     () -> p.events.stream()
-                                    .filter(e -> e instanceof Event.TryEnded)
+                                    .filter(e -> e instanceof Event.AttemptEnded)
                                     .count()
                             == 2);
-            Event.TryEnded t = (Event.TryEnded) p.events.stream()
-                    .filter(e -> e instanceof Event.TryEnded)
+            Event.AttemptEnded t = (Event.AttemptEnded) p.events.stream()
+                    .filter(e -> e instanceof Event.AttemptEnded)
                     .toList()
                     .get(1);
-            assertEquals(Outcome.BROKEN, t.outcome());
+            assertEquals(AttemptOutcome.CONNECTION_LOST, t.outcome());
             Peers.hear(c);
             // the next one gets a new connection
             Peers.say(c, Peers.look(""));
@@ -119,14 +124,17 @@
         try (Peers p = new Peers(
                         folder,
                         "",
-                        (peers, e) -> e instanceof Event.Req r
-                                ? List.of(new Action.Send(r.id(), peers.machineId(), 500))
-                                : e instanceof Event.TryEnded t ? List.of(new Action.Shed(t.req(), 1230)) : List.of());
+                        (peers, e) -> e instanceof Event.RequestReceived r
+                                ? List.of(new Action.SendAttempt(r.requestId(), peers.machineId(), 500))
+                                : e instanceof Event.AttemptEnded t
+                                        ? List.of(new Action.RejectRequest(t.requestId(), 1230))
+                                        : List.of());
                 Socket c = p.client()) {
             Peers.say(c, Peers.look(""));
             Socket m = p.call();
             Peers.hear(m);
-            assertEquals(Outcome.TIMEOUT, p.event(Event.TryEnded.class).outcome());
+            assertEquals(
+                    AttemptOutcome.TIMED_OUT, p.event(Event.AttemptEnded.class).outcome());
             String shed = Peers.hear(c);
             for (String s : List.of(
                     "HTTP/1.1 503",
@@ -152,20 +160,20 @@
         try (Peers p = new Peers(
                 folder,
                 "",
-                (peers, e) -> e instanceof Event.ClientLeft l
-                        ? List.of(new Action.StopTry(l.req(), 0))
-                        : e instanceof Event.Req r
-                                ? List.of(new Action.Send(r.id(), peers.machineId(), 0))
+                (peers, e) -> e instanceof Event.ClientDisconnected l
+                        ? List.of(new Action.CancelAttempt(l.requestId(), 0))
+                        : e instanceof Event.RequestReceived r
+                                ? List.of(new Action.SendAttempt(r.requestId(), peers.machineId(), 0))
                                 : List.of())) {
             Socket c = p.client();
             Peers.say(c, Peers.look(""));
             Socket m = p.call();
             Peers.hear(m);
             c.close();
-            p.event(Event.ClientLeft.class);
-            Event.TryEnded t = p.event(Event.TryEnded.class);
-            assertEquals(Outcome.STOPPED, t.outcome());
-            assertTrue(t.reqOver());
+            p.event(Event.ClientDisconnected.class);
+            Event.AttemptEnded t = p.event(Event.AttemptEnded.class);
+            assertEquals(AttemptOutcome.CANCELLED, t.outcome());
+            assertTrue(t.requestEnded());
             m.setSoTimeout(10_000);
             assertEquals(-1, m.getInputStream().read(), "the machine is not told");
         }
@@ -178,7 +186,7 @@
             Peers.say(c, Peers.look("Laurelkeel-Remaining-Ms: 200\r\n"));
             String answer = Peers.hear(c);
             assertTrue(answer.startsWith("HTTP/1.1 504") && answer.contains("errored"), answer);
-            p.event(Event.ClientLeft.class);
+            p.event(Event.ClientDisconnected.class);
         }
     }
 
@@ -187,18 +195,19 @@
         try (Peers p = new Peers(
                         folder,
                         "",
-                        (peers, e) -> e instanceof Event.Req r
+                        (peers, e) -> e instanceof Event.RequestReceived r
                                 ? List.of(
-                                        new Action.Send(r.id(), peers.machineId(), 0),
-                                        new Action.Err(r.id()),
-                                        new Action.Shed(r.id(), 0),
-                                        new Action.Err("nobody"),
-                                        new Action.Send(r.id(), peers.machineId(), 0))
+                                        new Action.SendAttempt(r.requestId(), peers.machineId(), 0),
+                                        new Action.FailRequest(r.requestId()),
+                                        new Action.RejectRequest(r.requestId(), 0),
+                                        new Action.FailRequest("nobody"),
+                                        new Action.SendAttempt(r.requestId(), peers.machineId(), 0))
                                 : List.of());
                 Socket c = p.client()) {
             Peers.say(c, Peers.look(""));
             assertTrue(Peers.hear(c).startsWith("HTTP/1.1 502"));
-            assertEquals(Outcome.NOT_SENT, p.event(Event.TryEnded.class).outcome());
+            assertEquals(
+                    AttemptOutcome.NOT_SENT, p.event(Event.AttemptEnded.class).outcome());
             Peers.say(c, "GET /nowhere HTTP/1.1\r\nHost: f\r\n\r\n");
             assertTrue(Peers.hear(c).startsWith("HTTP/1.1 404"), "bytes of a second answer came first");
         }
@@ -207,7 +216,7 @@
     @Test
     void aDeciderThatFailsEndsTheFrontWithAllHeldErrored() throws Exception {
         Peers p = new Peers(folder, "", (peers, e) -> {
-            if (e instanceof Event.Req r && r.key() != null) {
+            if (e instanceof Event.RequestReceived r && r.partitionKey() != null) {
                 throw new IllegalStateException("made to fail");
             }
             return Peers.once(peers, e);
@@ -235,7 +244,7 @@
             Socket m = p.call();
             String first = Peers.hear(m);
             assertTrue(first.endsWith("abc") && first.contains("Content-Length: 3"), first);
-            assertFalse(first.toLowerCase().contains("transfer-encoding"), first);
+            assertFalse(first.toLowerCase(Locale.ROOT).contains("transfer-encoding"), first);
             Peers.say(m, OK);
             assertTrue(Peers.hear(c).endsWith("hi"));
             assertTrue(Peers.hear(m).contains("X: 2"));
@@ -267,7 +276,7 @@
                 String a = Peers.hear(c);
                 assertTrue(a.startsWith("HTTP/1.1 400") && a.contains(x[1]), a);
             }
-            assertTrue(p.events.stream().noneMatch(e -> e instanceof Event.Req));
+            assertTrue(p.events.stream().noneMatch(e -> e instanceof Event.RequestReceived));
         }
     }
 
@@ -282,7 +291,10 @@
             }
             Rig.await(
                     "two held",
-                    () -> p.events.stream().filter(e -> e instanceof Event.Req).count() == 2);
+                    () -> p.events.stream()
+                                    .filter(e -> e instanceof Event.RequestReceived)
+                                    .count()
+                            == 2);
             Socket third = p.client();
             Peers.say(third, Peers.look(""));
             String a = Peers.hear(third);
@@ -305,7 +317,7 @@
             Peers.hear(m);
             String big = "x".repeat(400 << 10);
             Peers.say(m, "HTTP/1.1 200 OK\r\nContent-Length: " + big.length() + "\r\n\r\n" + big);
-            p.event(Event.TryEnded.class);
+            p.event(Event.AttemptEnded.class);
             assertTrue(Peers.hear(c).endsWith("\r\n\r\n" + big));
         }
     }
@@ -315,11 +327,11 @@
         String[] ref = new String[1];
         try (Peers p = new Peers(folder, "", (peers, e) -> {
                     List<Action> out = new ArrayList<>(Peers.once(peers, e));
-                    if (e instanceof Event.TryEnded t) {
-                        out.add(new Action.CloseIdle(t.machine()));
-                        out.add(new Action.Log("closing idle ones"));
-                    } else if (e instanceof Event.Complaint) {
-                        out.add(new Action.Probe(peers.machineId()));
+                    if (e instanceof Event.AttemptEnded t) {
+                        out.add(new Action.CloseIdleConnections(t.endpointId()));
+                        out.add(new Action.WriteLog("closing idle ones"));
+                    } else if (e instanceof Event.ComplaintReceived) {
+                        out.add(new Action.SendHealthCheck(peers.machineId()));
                     }
                     return out;
                 });
@@ -330,7 +342,7 @@
             Peers.say(m, OK);
             String a = Peers.hear(c);
             ref[0] = a.replaceAll("(?s).*Laurelkeel-Ref: (\\S+).*", "$1");
-            assertEquals(3.0, p.event(Event.TryEnded.class).load().get("concurrent"));
+            assertEquals(3.0, p.event(Event.AttemptEnded.class).loadReport().concurrentRequests());
             assertFalse(a.contains("Laurelkeel-Load"), "a machine's load is not the client's matter");
             assertEquals(-1, m.getInputStream().read(), "the idle connection stays");
             String complaint = "POST /.laurelkeel/complaints HTTP/1.1\r\nHost: f\r\nContent-Length: " + ref[0].length()
@@ -338,20 +350,24 @@
             Peers.say(c, complaint + complaint);
             assertTrue(Peers.hear(c).startsWith("HTTP/1.1 202"));
             assertTrue(Peers.hear(c).startsWith("HTTP/1.1 404"), "one answer is complained of once");
-            assertEquals(p.machineId(), p.event(Event.Complaint.class).machine());
+            assertEquals(p.machineId(), p.event(Event.ComplaintReceived.class).endpointId());
             Socket probe = p.call();
             assertTrue(Peers.hear(probe).startsWith("GET /health"));
             Peers.say(probe, OK);
-            Event.Probed probed = p.event(Event.Probed.class);
-            assertEquals(Outcome.COMPLETED, probed.outcome());
-            assertEquals(3.0, probed.load().get("concurrent"));
+            Event.HealthCheckEnded probed = p.event(Event.HealthCheckEnded.class);
+            assertEquals(AttemptOutcome.COMPLETED, probed.outcome());
+            assertEquals(3.0, probed.loadReport().concurrentRequests());
         }
     }
 
     @Test
     void manyConnectionsAtOnceAreTakenAndGivenBack() throws Exception {
         try (Peers p = new Peers(
-                folder, "", (peers, e) -> e instanceof Event.Req r ? List.of(new Action.Shed(r.id(), 0)) : List.of())) {
+                folder,
+                "",
+                (peers, e) -> e instanceof Event.RequestReceived r
+                        ? List.of(new Action.RejectRequest(r.requestId(), 0))
+                        : List.of())) {
             List<Socket> all = new ArrayList<>();
             for (int i = 0; i < 5000; i++) {
                 all.add(p.client());
@@ -363,7 +379,7 @@
                 assertTrue(Peers.hear(s).contains("shed"));
                 s.close();
             }
-            assertNotNull(p.event(Event.Req.class));
+            assertNotNull(p.event(Event.RequestReceived.class));
         }
     }
 }
--- a/src/test/java/laurelkeel/front/Naive.java
+++ b/src/test/java/laurelkeel/front/Naive.java
@@ -8,12 +8,12 @@
 import laurelkeel.api.Action;
 import laurelkeel.api.Decider;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.Listed;
+import laurelkeel.api.Event.EndpointEntry;
 
 /** A decider without sense, in whose ways each rule can be broken; what is not overridden keeps them. */
 class Naive implements Decider {
-    final Map<String, Listed> machines = new TreeMap<>();
-    final Map<String, Event.Req> held = new HashMap<>();
+    final Map<String, EndpointEntry> machines = new TreeMap<>();
+    final Map<String, Event.RequestReceived> held = new HashMap<>();
     final List<Action> out = new ArrayList<>();
     int turn, seen;
 
@@ -21,46 +21,48 @@
     public List<Action> decide(long now, List<Event> events) {
         out.clear();
         for (Event e : events) {
-            if (e instanceof Event.MachineList l) {
-                l.machines().forEach(m -> machines.put(m.machine(), m));
-            } else if (e instanceof Event.Req r) {
-                held.put(r.id(), r);
+            if (e instanceof Event.EndpointListUpdate l) {
+                l.entries().forEach(m -> machines.put(m.endpointId(), m));
+            } else if (e instanceof Event.RequestReceived r) {
+                held.put(r.requestId(), r);
                 taken(r);
-            } else if (e instanceof Event.TryEnded t) {
-                Event.Req r = held.get(t.req());
-                if (t.reqOver()) {
-                    held.remove(t.req());
+            } else if (e instanceof Event.AttemptEnded t) {
+                Event.RequestReceived r = held.get(t.requestId());
+                if (t.requestEnded()) {
+                    held.remove(t.requestId());
                 } else if (r != null) {
                     failed(r, t);
                 }
-            } else if (e instanceof Event.ClientLeft c) {
-                held.remove(c.req());
+            } else if (e instanceof Event.ClientDisconnected c) {
+                held.remove(c.requestId());
             }
         }
         return List.copyOf(out);
     }
 
-    void taken(Event.Req r) {
+    void taken(Event.RequestReceived r) {
         send(r);
     }
 
-    void failed(Event.Req r, Event.TryEnded t) {
-        held.remove(r.id());
-        out.add(new Action.Err(r.id()));
+    void failed(Event.RequestReceived r, Event.AttemptEnded t) {
+        held.remove(r.requestId());
+        out.add(new Action.FailRequest(r.requestId()));
     }
 
     /** Which machines it would use for a req. */
-    boolean uses(Listed m, Event.Req r) {
-        return m.state() == Event.MachineState.LIVE && m.build() == 1;
+    boolean uses(EndpointEntry m, Event.RequestReceived r) {
+        return m.state() == Event.EndpointState.ACTIVE && m.build() == 1;
     }
 
-    void send(Event.Req r) {
-        List<Listed> from = machines.values().stream().filter(m -> uses(m, r)).toList();
+    void send(Event.RequestReceived r) {
+        List<EndpointEntry> from =
+                machines.values().stream().filter(m -> uses(m, r)).toList();
         if (from.isEmpty()) {
-            held.remove(r.id());
-            out.add(new Action.Shed(r.id(), 1000));
+            held.remove(r.requestId());
+            out.add(new Action.RejectRequest(r.requestId(), 1000));
         } else {
-            out.add(new Action.Send(r.id(), from.get(turn++ % from.size()).machine(), 0));
+            out.add(new Action.SendAttempt(
+                    r.requestId(), from.get(turn++ % from.size()).endpointId(), 0));
         }
     }
 }
--- a/src/test/java/laurelkeel/front/NewsTest.java
+++ b/src/test/java/laurelkeel/front/NewsTest.java
@@ -1,5 +1,6 @@
 package laurelkeel.front;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -21,8 +22,8 @@
 import laurelkeel.api.Action;
 import laurelkeel.api.Action.Verdict;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.ListKind;
-import laurelkeel.api.Event.MachineState;
+import laurelkeel.api.Event.EndpointListKind;
+import laurelkeel.api.Event.EndpointState;
 import laurelkeel.audit.Judgement;
 import laurelkeel.decision.Shifter;
 import laurelkeel.front.news.Notes;
@@ -98,10 +99,10 @@
                 + server.getAddress().getPort() + "\n";
     }
 
-    private static List<Event.MachineList> lists(Peers p) {
+    private static List<Event.EndpointListUpdate> lists(Peers p) {
         return p.events.stream()
-                .filter(e -> e instanceof Event.MachineList)
-                .map(e -> (Event.MachineList) e)
+                .filter(e -> e instanceof Event.EndpointListUpdate)
+                .map(e -> (Event.EndpointListUpdate) e)
                 .toList();
     }
 
@@ -116,23 +117,27 @@
             watch.add("{\"kind\":\"changes\",\"version\":12,\"previous\":11,\"machines\":[]}");
             says.get("/list").add("{\"kind\":\"full\",\"version\":12,\"machines\":[" + LIVE.formatted(2, "0") + "]}");
             Rig.await("four lists", () -> lists(p).size() == 4);
-            List<Event.MachineList> l = lists(p);
+            List<Event.EndpointListUpdate> l = lists(p);
             assertEquals(
-                    List.of(ListKind.REMEMBERED, ListKind.FULL, ListKind.CHANGES, ListKind.FULL),
-                    l.stream().map(Event.MachineList::kind).toList());
-            assertEquals(List.of(), l.get(0).machines());
-            Event.Listed first = l.get(1).machines().get(0);
-            assertEquals(MachineState.DRAINING, l.get(2).machines().get(0).state());
-            assertEquals(first.started(), l.get(2).machines().get(0).started(), "one start, two moments");
-            assertTrue(l.get(3).machines().get(0).started() > first.started(), "a new run is a new start");
+                    List.of(
+                            EndpointListKind.CACHED,
+                            EndpointListKind.SNAPSHOT,
+                            EndpointListKind.DELTA,
+                            EndpointListKind.SNAPSHOT),
+                    l.stream().map(Event.EndpointListUpdate::kind).toList());
+            assertEquals(List.of(), l.get(0).entries());
+            Event.EndpointEntry first = l.get(1).entries().get(0);
+            assertEquals(EndpointState.DRAINING, l.get(2).entries().get(0).state());
+            assertEquals(first.startedAtTicks(), l.get(2).entries().get(0).startedAtTicks(), "one start, two moments");
+            assertTrue(l.get(3).entries().get(0).startedAtTicks() > first.startedAtTicks(), "a new run is a new start");
             watch.add("cut");
             Rig.await("it subscribes again from what it has", () -> asked.contains("/list/watch?after=12"));
             Rig.await("the list is kept", () -> java.nio.file.Files.exists(folder.resolve("state/list.json")));
         }
         try (Peers p = new Peers(folder, "", (x, e) -> List.of())) {
-            Event.MachineList kept = p.event(Event.MachineList.class);
-            assertEquals(ListKind.REMEMBERED, kept.kind());
-            assertEquals("127.0.0.1:9", kept.machines().get(0).machine());
+            Event.EndpointListUpdate kept = p.event(Event.EndpointListUpdate.class);
+            assertEquals(EndpointListKind.CACHED, kept.kind());
+            assertEquals("127.0.0.1:9", kept.entries().get(0).endpointId());
         }
     }
 
@@ -141,13 +146,13 @@
         try (Peers p = new Peers(
                         folder,
                         sources("ask"),
-                        (x, e) -> e instanceof Event.Req r
+                        (x, e) -> e instanceof Event.RequestReceived r
                                 ? List.of(
-                                        r.repeat() ? new Action.FetchList() : new Action.WatchList(true),
-                                        new Action.Err(r.id()))
+                                        r.clientRetry() ? new Action.FetchEndpoints() : new Action.WatchEndpoints(true),
+                                        new Action.FailRequest(r.requestId()))
                                 : List.of());
                 java.net.Socket c = p.client()) {
-            p.event(Event.MachineList.class);
+            p.event(Event.EndpointListUpdate.class);
             assertTrue(asked.stream().noneMatch(a -> a.startsWith("/list")));
             says.get("/list").add("no");
             Peers.say(c, Peers.look("Laurelkeel-Repeat: 1\r\n"));
@@ -158,8 +163,12 @@
             says.get("/list/watch").add("cut");
             Rig.await("the broken watch is told", () -> lists(p).size() == 4);
             assertEquals(
-                    List.of(ListKind.REMEMBERED, ListKind.FAILED, ListKind.FULL, ListKind.FAILED),
-                    lists(p).stream().map(Event.MachineList::kind).toList());
+                    List.of(
+                            EndpointListKind.CACHED,
+                            EndpointListKind.FAILED,
+                            EndpointListKind.SNAPSHOT,
+                            EndpointListKind.FAILED),
+                    lists(p).stream().map(Event.EndpointListUpdate::kind).toList());
         }
     }
 
@@ -168,8 +177,10 @@
         try (Peers p = new Peers(
                         folder,
                         sources("push"),
-                        (x, e) -> e instanceof Event.Req r
-                                ? List.of(new Action.Vote(9, 1, Verdict.BACK), new Action.Err(r.id()))
+                        (x, e) -> e instanceof Event.RequestReceived r
+                                ? List.of(
+                                        new Action.CastVote(9, 1, Verdict.ROLL_BACK),
+                                        new Action.FailRequest(r.requestId()))
                                 : List.of());
                 java.net.Socket c = p.client()) {
             says.get("/release/watch")
@@ -178,12 +189,12 @@
             says.get("/release/watch")
                     .add("{\"kind\":\"counts\",\"build\":9,\"route\":1,\"tries\":50,\"errors\":3,"
                             + "\"meanMs\":12.5,\"ageMs\":40}");
-            Event.ReleaseNews n = p.event(Event.ReleaseNews.class);
-            assertEquals(Event.Phase.GOING_BACK, n.phase());
-            assertTrue(n.age() >= 1000 && !n.toVote() && n.build() == 9 && n.cap() == 0.4);
-            Event.BuildCounts b = p.event(Event.BuildCounts.class);
-            assertEquals(List.of(50L, 3L, 125L), List.of(b.tries(), b.errors(), b.meanTime()));
-            List<Event.Answer> got = new ArrayList<>();
+            Event.RolloutUpdate n = p.event(Event.RolloutUpdate.class);
+            assertEquals(Event.RolloutPhase.ROLLING_BACK, n.phase());
+            assertTrue(n.ageTicks() >= 1000 && !n.answersVote() && n.build() == 9 && n.exposureCap() == 0.4);
+            Event.BuildStatistics b = p.event(Event.BuildStatistics.class);
+            assertEquals(List.of(50L, 3L, 125L), List.of(b.attempts(), b.errors(), b.meanDurationTicks()));
+            List<Event.ControlStatus> got = new ArrayList<>();
             for (String a : List.of("ok", "moot", "over-limit", "error", "no", "late")) {
                 if (!a.equals("late")) {
                     says.get("/release/votes")
@@ -199,23 +210,23 @@
                 Rig.await(
                         "answer " + a,
                         () -> p.events.stream()
-                                        .filter(e -> e instanceof Event.ReleaseNews)
+                                        .filter(e -> e instanceof Event.RolloutUpdate)
                                         .count()
                                 == want);
                 got.add(p.events.stream()
-                        .filter(e -> e instanceof Event.ReleaseNews r && r.toVote())
-                        .map(e -> ((Event.ReleaseNews) e).answer())
+                        .filter(e -> e instanceof Event.RolloutUpdate r && r.answersVote())
+                        .map(e -> ((Event.RolloutUpdate) e).status())
                         .reduce((x, y) -> y)
                         .orElseThrow());
             }
             assertEquals(
                     List.of(
-                            Event.Answer.OK,
-                            Event.Answer.MOOT,
-                            Event.Answer.OVER_LIMIT,
-                            Event.Answer.ERROR,
-                            Event.Answer.ERROR,
-                            Event.Answer.TIMEOUT),
+                            Event.ControlStatus.OK,
+                            Event.ControlStatus.STALE,
+                            Event.ControlStatus.RATE_LIMITED,
+                            Event.ControlStatus.FAILED,
+                            Event.ControlStatus.FAILED,
+                            Event.ControlStatus.TIMED_OUT),
                     got);
         }
     }
@@ -238,9 +249,9 @@
             line.add("{\"kind\":\"news\",\"build\":9,\"stage\":0,\"cap\":7,\"phase\":\"trial\"}");
             line.add("{\"kind\":\"news\",\"build\":9,\"phase\":\"trial\",\"standing\":[null]}");
             line.add("{\"kind\":\"news\",\"build\":9,\"stage\":1,\"cap\":0.4,\"phase\":\"trial\"}");
-            assertEquals(1, p.event(Event.ReleaseNews.class).stage());
+            assertEquals(1, p.event(Event.RolloutUpdate.class).stage());
             Rig.await("the list", () -> lists(p).size() == 2);
-            assertEquals(4, lists(p).get(1).machines().get(0).build());
+            assertEquals(4, lists(p).get(1).entries().get(0).build());
             assertTrue(!p.front.ended().isDone());
         }
     }
@@ -280,12 +291,16 @@
         try (Peers p = new Peers(
                         folder,
                         sources("push"),
-                        (x, e) -> e instanceof Event.Req r
-                                ? List.of(new Action.Vote(9, 1, Verdict.BACK), new Action.Err(r.id()))
+                        (x, e) -> e instanceof Event.RequestReceived r
+                                ? List.of(
+                                        new Action.CastVote(9, 1, Verdict.ROLL_BACK),
+                                        new Action.FailRequest(r.requestId()))
                                 : List.of());
                 java.net.Socket c = p.client()) {
             Peers.say(c, Peers.look(""));
-            assertEquals(Event.Answer.TIMEOUT, p.event(Event.ReleaseNews.class).answer());
+            assertEquals(
+                    Event.ControlStatus.TIMED_OUT,
+                    p.event(Event.RolloutUpdate.class).status());
         }
     }
 
@@ -359,8 +374,8 @@
         first.open();
         second.open();
         try (java.net.DatagramSocket stranger = new java.net.DatagramSocket()) {
-            stranger.send(new java.net.DatagramPacket("LK1\0\0\0\7x".getBytes(), 8, b));
-            stranger.send(new java.net.DatagramPacket("noise".getBytes(), 5, b));
+            stranger.send(new java.net.DatagramPacket("LK1\0\0\0\7x".getBytes(UTF_8), 8, b));
+            stranger.send(new java.net.DatagramPacket("noise".getBytes(UTF_8), 5, b));
             first.tell(-1, new byte[256]);
             assertEquals("0:256", heard.poll(10, TimeUnit.SECONDS));
             second.tell(0, new byte[0]);
--- a/src/test/java/laurelkeel/front/Peers.java
+++ b/src/test/java/laurelkeel/front/Peers.java
@@ -104,10 +104,12 @@
 
     /** Sends each req once to the machine and errors it if that fails. */
     static List<Action> once(Peers p, Event e) {
-        if (e instanceof Event.Req r) {
-            return List.of(new Action.Send(r.id(), p.machineId(), 0));
+        if (e instanceof Event.RequestReceived r) {
+            return List.of(new Action.SendAttempt(r.requestId(), p.machineId(), 0));
         }
-        return e instanceof Event.TryEnded t && !t.reqOver() ? List.of(new Action.Err(t.req())) : List.of();
+        return e instanceof Event.AttemptEnded t && !t.requestEnded()
+                ? List.of(new Action.FailRequest(t.requestId()))
+                : List.of();
     }
 
     Socket client() throws IOException {
--- a/src/test/java/laurelkeel/front/Rig.java
+++ b/src/test/java/laurelkeel/front/Rig.java
@@ -90,7 +90,7 @@
             String extra,
             int count,
             int machines,
-            Decider.Maker maker,
+            Decider.Factory maker,
             boolean guarded,
             LongSupplier... clocks)
             throws Exception {
--- a/src/test/java/laurelkeel/front/ScarceTest.java
+++ b/src/test/java/laurelkeel/front/ScarceTest.java
@@ -1,5 +1,6 @@
 package laurelkeel.front;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -152,7 +153,7 @@
             x.sendResponseHeaders(200, 0);
             try {
                 for (String s = "{\"kind\":\"beat\"}"; ; s = lines.poll(500, TimeUnit.MILLISECONDS)) {
-                    x.getResponseBody().write(((s == null ? "{\"kind\":\"beat\"}" : s) + "\n").getBytes());
+                    x.getResponseBody().write(((s == null ? "{\"kind\":\"beat\"}" : s) + "\n").getBytes(UTF_8));
                     x.getResponseBody().flush();
                 }
             } catch (IOException | InterruptedException e) {
--- a/src/test/java/laurelkeel/front/upstream/PoolsTest.java
+++ b/src/test/java/laurelkeel/front/upstream/PoolsTest.java
@@ -1,5 +1,6 @@
 package laurelkeel.front.upstream;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.IOException;
@@ -8,13 +9,13 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import laurelkeel.api.Event.Outcome;
+import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.api.LoadReport;
 import laurelkeel.front.Base;
 import laurelkeel.front.Peers;
 import laurelkeel.loop.Loop;
@@ -34,12 +35,12 @@
     private static final MachineWords WORDS = new MachineWords() {
         @Override
         public Came came(HttpAnswer answer) {
-            return new Came(Outcome.COMPLETED, Crossing.of(answer, List.of()), Map.of(), answer.last());
+            return new Came(AttemptOutcome.COMPLETED, Crossing.of(answer, List.of()), LoadReport.NONE, answer.last());
         }
 
         @Override
-        public Outcome unreadable() {
-            return Outcome.BROKEN;
+        public AttemptOutcome unreadable() {
+            return AttemptOutcome.CONNECTION_LOST;
         }
     };
 
@@ -73,16 +74,16 @@
         machine.close();
     }
 
-    private record Ended(Outcome outcome, String body) {}
+    private record Ended(AttemptOutcome outcome, String body) {}
 
     private CompletableFuture<Ended> start() {
         CompletableFuture<Ended> ended = new CompletableFuture<>();
         loop.post(() -> pools.start(
                 at,
-                () -> "GET / HTTP/1.1\r\n\r\n".getBytes(),
+                () -> "GET / HTTP/1.1\r\n\r\n".getBytes(UTF_8),
                 false,
                 (outcome, came) -> ended.complete(new Ended(
-                        outcome, came == null ? "" : new String(came.crossing().body())))));
+                        outcome, came == null ? "" : new String(came.crossing().body(), UTF_8)))));
         return ended;
     }
 
@@ -112,7 +113,7 @@
         Socket m = machine.accept();
         Peers.hear(m);
         answer(m, "first");
-        assertEquals(new Ended(Outcome.COMPLETED, "first"), told(first));
+        assertEquals(new Ended(AttemptOutcome.COMPLETED, "first"), told(first));
         what.machine(m);
         CountDownLatch rested = new CountDownLatch(1);
         loop.post(() -> loop.at(loop.now() + 200, rested::countDown));
@@ -125,7 +126,7 @@
         Socket again = machine.accept();
         Peers.hear(again);
         answer(again, "second");
-        assertEquals(new Ended(Outcome.COMPLETED, "second"), told(second));
+        assertEquals(new Ended(AttemptOutcome.COMPLETED, "second"), told(second));
     }
 
     @Test
@@ -150,7 +151,7 @@
                 next.sessionCreated(session);
             }
         });
-        assertEquals(Outcome.NO_CONNECTION, told(start()).outcome);
+        assertEquals(AttemptOutcome.CONNECT_FAILED, told(start()).outcome);
         assertEquals(3, dials.get());
     }
 }
--- a/src/test/java/laurelkeel/lanes/LanesTest.java
+++ b/src/test/java/laurelkeel/lanes/LanesTest.java
@@ -15,15 +15,16 @@
 import laurelkeel.api.Action;
 import laurelkeel.api.Action.Verdict;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.Answer;
-import laurelkeel.api.Event.ListKind;
-import laurelkeel.api.Event.Listed;
-import laurelkeel.api.Event.MachineState;
-import laurelkeel.api.Event.Outcome;
-import laurelkeel.api.Event.Phase;
+import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.api.Event.ControlStatus;
+import laurelkeel.api.Event.EndpointEntry;
+import laurelkeel.api.Event.EndpointListKind;
+import laurelkeel.api.Event.EndpointState;
+import laurelkeel.api.Event.RolloutPhase;
+import laurelkeel.api.LoadReport;
 import laurelkeel.api.Settings;
-import laurelkeel.api.Settings.Effect;
-import laurelkeel.api.Settings.Group;
+import laurelkeel.api.Settings.DeduplicationScope;
+import laurelkeel.api.Settings.Idempotency;
 import laurelkeel.bench.Streams;
 import laurelkeel.decision.Shifter;
 import org.junit.jupiter.api.Test;
@@ -40,14 +41,16 @@
                 2,
                 0,
                 List.of(
-                        new Settings.Route(Effect.RETRIABLE, Group.ALL, 800 * MS, 2500 * MS, 2, 0, 0),
-                        new Settings.Route(Effect.NON_RETRIABLE, Group.ALL, SECOND, 3 * SECOND, 1, 0, 0)),
+                        new Settings.Route(
+                                Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 800 * MS, 2500 * MS, 2, 0, 0),
+                        new Settings.Route(
+                                Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, SECOND, 3 * SECOND, 1, 0, 0)),
                 List.of(),
                 new Settings.Limits(SECOND, 5 * SECOND, 0.4, 2 * SECOND, 3, 10 * SECOND),
-                new Settings.Allowed(4, true, false, true, true, SECOND, false),
-                new Settings.Prices(0, 0.01, 0.01, 0.5, 3),
+                new Settings.Capabilities(4, true, false, true, true, SECOND, false),
+                new Settings.Costs(0, 0.01, 0.01, 0.5, 3),
                 new Settings.Rollout(
-                        Settings.Control.COUNT,
+                        Settings.PromotionPolicy.VOTE_COUNT,
                         1,
                         1,
                         0,
@@ -72,19 +75,19 @@
         final Lanes lanes;
         final Random random;
         long now = 36_000_000;
-        final Map<String, Listed> list = new HashMap<>();
-        final TreeMap<Integer, Event.ReleaseNews> news = new TreeMap<>();
+        final Map<String, EndpointEntry> list = new HashMap<>();
+        final TreeMap<Integer, Event.RolloutUpdate> news = new TreeMap<>();
         final Map<Integer, List<ArrayDeque<Long>>> sends = new HashMap<>();
         final List<ArrayDeque<Long>> taken = new ArrayList<>();
         final Map<String, Integer> answeredBy = new HashMap<>();
         final Map<Integer, Integer> all = new TreeMap<>();
-        final Map<String, Event.Req> reqs = new HashMap<>();
+        final Map<String, Event.RequestReceived> reqs = new HashMap<>();
         final Map<String, Integer> tries = new HashMap<>();
         final Map<String, Integer> toMachine = new HashMap<>();
         final Set<String> ended = new HashSet<>();
         final TreeMap<Long, List<Event>> due = new TreeMap<>();
         final List<String> broken = new ArrayList<>();
-        final List<Action.Vote> votes = new ArrayList<>();
+        final List<Action.CastVote> votes = new ArrayList<>();
         int ids;
 
         World(Settings set, long seed) {
@@ -97,49 +100,51 @@
         }
 
         void machines(int build, int n) {
-            List<Listed> named = new ArrayList<>();
+            List<EndpointEntry> named = new ArrayList<>();
             for (int i = 0; i < n; i++) {
-                named.add(
-                        new Listed("b" + build + "." + i, build, 0, 0, 0, 1, MachineState.LIVE, build == 1 ? 0 : now));
+                named.add(new EndpointEntry(
+                        "b" + build + "." + i, build, 0, 0, 0, 1, EndpointState.ACTIVE, build == 1 ? 0 : now));
             }
             lists(named);
         }
 
         void gone(int build) {
-            List<Listed> named = new ArrayList<>();
+            List<EndpointEntry> named = new ArrayList<>();
             list.values().stream()
                     .filter(m -> m.build() == build)
-                    .forEach(
-                            m -> named.add(new Listed(m.machine(), build, 0, 0, 0, 1, MachineState.GONE, m.started())));
+                    .forEach(m -> named.add(new EndpointEntry(
+                            m.endpointId(), build, 0, 0, 0, 1, EndpointState.REMOVED, m.startedAtTicks())));
             lists(named);
         }
 
-        void lists(List<Listed> named) {
-            for (Listed m : named) {
-                if (m.state() == MachineState.GONE) {
-                    list.remove(m.machine());
+        void lists(List<EndpointEntry> named) {
+            for (EndpointEntry m : named) {
+                if (m.state() == EndpointState.REMOVED) {
+                    list.remove(m.endpointId());
                 } else {
-                    list.put(m.machine(), m);
+                    list.put(m.endpointId(), m);
                 }
             }
-            step(List.of(new Event.MachineList(ListKind.CHANGES, named)));
+            step(List.of(new Event.EndpointListUpdate(EndpointListKind.DELTA, named)));
         }
 
-        void tells(int build, int stage, Phase phase) {
-            double cap = phase == Phase.RELEASED
+        void tells(int build, int stage, RolloutPhase phase) {
+            double cap = phase == RolloutPhase.RELEASED
                     ? 1
-                    : phase == Phase.TRIAL ? set.rollout().stageCaps().get(stage) : 0;
-            Event.ReleaseNews n = new Event.ReleaseNews(Answer.OK, stage, cap, 0, phase, build, false);
+                    : phase == RolloutPhase.CANARY
+                            ? set.rollout().stageExposureCaps().get(stage)
+                            : 0;
+            Event.RolloutUpdate n = new Event.RolloutUpdate(ControlStatus.OK, stage, cap, 0, phase, build, false);
             news.put(build, n);
             // an answer to a vote tells what stands when it comes
             due.values()
-                    .forEach(l -> l.replaceAll(e -> e instanceof Event.ReleaseNews v && v.build() == build
-                            ? new Event.ReleaseNews(Answer.OK, stage, cap, 0, phase, build, true)
+                    .forEach(l -> l.replaceAll(e -> e instanceof Event.RolloutUpdate v && v.build() == build
+                            ? new Event.RolloutUpdate(ControlStatus.OK, stage, cap, 0, phase, build, true)
                             : e));
-            if (phase == Phase.RELEASED) {
+            if (phase == RolloutPhase.RELEASED) {
                 news.headMap(build).clear();
             }
-            if (phase != Phase.TRIAL && phase != Phase.RELEASED) {
+            if (phase != RolloutPhase.CANARY && phase != RolloutPhase.RELEASED) {
                 answeredBy.values().removeIf(b -> b == build);
             }
             step(List.of(n));
@@ -156,16 +161,16 @@
                 // a few popular keys, and many
                 String key = random.nextInt(8) == 0 ? null : "k" + (int) Math.pow(200, random.nextDouble());
                 int route = random.nextInt(set.routes().size());
-                Event.Req r = new Event.Req(
+                Event.RequestReceived r = new Event.RequestReceived(
                         "r" + ids++,
                         route,
                         0,
                         key,
-                        now + set.routes().get(route).timeout(),
+                        now + set.routes().get(route).timeoutTicks(),
                         0,
                         false);
-                reqs.put(r.id(), r);
-                taken.get(set.rollout().perRoute() ? route : 0).addLast(now);
+                reqs.put(r.requestId(), r);
+                taken.get(set.rollout().exposurePerRoute() ? route : 0).addLast(now);
                 events.add(r);
                 errorShare = errors;
                 step(events);
@@ -178,49 +183,58 @@
 
         void step(List<Event> events) {
             for (Event e : events) {
-                if (e instanceof Event.TryEnded t && t.outcome() == Outcome.COMPLETED) {
-                    ended(t.req());
+                if (e instanceof Event.AttemptEnded t && t.outcome() == AttemptOutcome.COMPLETED) {
+                    ended(t.requestId());
                     answered(t);
-                } else if (e instanceof Event.TryEnded t && t.outcome() == Outcome.BROKEN) {
+                } else if (e instanceof Event.AttemptEnded t && t.outcome() == AttemptOutcome.CONNECTION_LOST) {
                     answered(t);
                 }
             }
             for (Action a : lanes.decide(now, events)) {
-                if (a instanceof Action.Send s) {
+                if (a instanceof Action.SendAttempt s) {
                     sent(s);
-                } else if (a instanceof Action.Shed s) {
-                    ended(s.req());
-                } else if (a instanceof Action.Err s) {
-                    ended(s.req());
-                } else if (a instanceof Action.Vote v) {
+                } else if (a instanceof Action.RejectRequest s) {
+                    ended(s.requestId());
+                } else if (a instanceof Action.FailRequest s) {
+                    ended(s.requestId());
+                } else if (a instanceof Action.CastVote v) {
                     votes.add(v);
                     due.computeIfAbsent(now + 50 * MS, k -> new ArrayList<>())
-                            .add(new Event.ReleaseNews(
-                                    Answer.OK,
+                            .add(new Event.RolloutUpdate(
+                                    ControlStatus.OK,
                                     news.get(v.build()).stage(),
-                                    news.get(v.build()).cap(),
+                                    news.get(v.build()).exposureCap(),
                                     0,
                                     news.get(v.build()).phase(),
                                     v.build(),
                                     true));
-                } else if (a instanceof Action.Timer t) {
-                    due.computeIfAbsent(Math.max(now + 1, t.when()), k -> new ArrayList<>())
-                            .add(new Event.TimerDue(t.handle()));
-                } else if (a instanceof Action.StopTry s) {
+                } else if (a instanceof Action.StartTimer t) {
+                    due.computeIfAbsent(Math.max(now + 1, t.dueAtTicks()), k -> new ArrayList<>())
+                            .add(new Event.TimerFired(t.timerId()));
+                } else if (a instanceof Action.CancelAttempt s) {
                     due.values()
-                            .forEach(l -> l.removeIf(e ->
-                                    e instanceof Event.TryEnded t && t.req().equals(s.req())));
+                            .forEach(l -> l.removeIf(e -> e instanceof Event.AttemptEnded t
+                                    && t.requestId().equals(s.requestId())));
                     due.computeIfAbsent(now + 1, k -> new ArrayList<>())
-                            .add(new Event.TryEnded(s.req(), s.tryNo(), "b1.0", Outcome.STOPPED, 1, true, Map.of()));
+                            .add(new Event.AttemptEnded(
+                                    s.requestId(),
+                                    s.attempt(),
+                                    "b1.0",
+                                    AttemptOutcome.CANCELLED,
+                                    1,
+                                    true,
+                                    LoadReport.NONE));
                 }
             }
         }
 
-        private void answered(Event.TryEnded t) {
-            String key = reqs.get(t.req()).key();
-            int build = Integer.parseInt(t.machine().substring(1, t.machine().indexOf('.')));
-            Event.ReleaseNews n = news.get(build);
-            boolean stands = build > 1 && n != null && (n.phase() == Phase.TRIAL || n.phase() == Phase.RELEASED);
+        private void answered(Event.AttemptEnded t) {
+            String key = reqs.get(t.requestId()).partitionKey();
+            int build =
+                    Integer.parseInt(t.endpointId().substring(1, t.endpointId().indexOf('.')));
+            Event.RolloutUpdate n = news.get(build);
+            boolean stands =
+                    build > 1 && n != null && (n.phase() == RolloutPhase.CANARY || n.phase() == RolloutPhase.RELEASED);
             if (key != null && stands) {
                 answeredBy.merge(key, build, Math::max);
             }
@@ -232,43 +246,46 @@
             }
         }
 
-        private void sent(Action.Send s) {
-            Listed m = list.get(s.machine());
-            Event.Req r = reqs.get(s.req());
+        private void sent(Action.SendAttempt s) {
+            EndpointEntry m = list.get(s.endpointId());
+            Event.RequestReceived r = reqs.get(s.requestId());
             if (m == null) {
-                broken.add(now + ": sent to " + s.machine() + ", which is gone");
+                broken.add(now + ": sent to " + s.endpointId() + ", which is gone");
                 return;
             }
-            if (ended.contains(s.req())) {
+            if (ended.contains(s.requestId())) {
                 broken.add(now + ": sent after its end");
             }
-            int no = tries.merge(s.req(), 1, Integer::sum) - 1;
+            int no = tries.merge(s.requestId(), 1, Integer::sum) - 1;
             all.merge(m.build(), 1, Integer::sum);
-            toMachine.merge(s.machine(), 1, Integer::sum);
-            Event.ReleaseNews n = news.get(m.build());
-            Integer by = r.key() == null ? null : answeredBy.get(r.key());
+            toMachine.merge(s.endpointId(), 1, Integer::sum);
+            Event.RolloutUpdate n = news.get(m.build());
+            Integer by = r.partitionKey() == null ? null : answeredBy.get(r.partitionKey());
             if (by != null && m.build() < by) {
-                broken.add(now + ": key " + r.key() + " of build " + by + " went to " + m.build());
+                broken.add(now + ": key " + r.partitionKey() + " of build " + by + " went to " + m.build());
             }
-            if (n != null && (n.phase() == Phase.GOING_BACK || n.phase() == Phase.WITHDRAWN)) {
+            if (n != null && (n.phase() == RolloutPhase.ROLLING_BACK || n.phase() == RolloutPhase.ROLLED_BACK)) {
                 broken.add(now + ": sent to build " + m.build() + ", which was sent back");
             }
-            if (n != null && n.phase() == Phase.TRIAL) {
+            if (n != null && n.phase() == RolloutPhase.CANARY) {
                 exposed(m.build(), r.route(), n);
                 if (n.stage() < set.rollout().guardedStages()
-                        && set.routes().get(r.route()).effect() != Effect.RETRIABLE) {
+                        && set.routes().get(r.route()).idempotency() != Idempotency.IDEMPOTENT) {
                     broken.add(now + ": guarded stage");
                 }
             }
-            Outcome o = random.nextDouble() < errorShare && m.build() == 2
-                    ? Outcome.ERROR
-                    : unreadableShare > 0 && random.nextDouble() < unreadableShare ? Outcome.BROKEN : Outcome.COMPLETED;
+            AttemptOutcome o = random.nextDouble() < errorShare && m.build() == 2
+                    ? AttemptOutcome.FAILED
+                    : unreadableShare > 0 && random.nextDouble() < unreadableShare
+                            ? AttemptOutcome.CONNECTION_LOST
+                            : AttemptOutcome.COMPLETED;
             due.computeIfAbsent(now + 8 * MS + random.nextInt(100), k -> new ArrayList<>())
-                    .add(new Event.TryEnded(s.req(), no, s.machine(), o, 80, o == Outcome.COMPLETED, Map.of()));
+                    .add(new Event.AttemptEnded(
+                            s.requestId(), no, s.endpointId(), o, 80, o == AttemptOutcome.COMPLETED, LoadReport.NONE));
         }
 
-        private void exposed(int build, int route, Event.ReleaseNews n) {
-            int scope = set.rollout().perRoute() ? route : 0;
+        private void exposed(int build, int route, Event.RolloutUpdate n) {
+            int scope = set.rollout().exposurePerRoute() ? route : 0;
             List<ArrayDeque<Long>> of =
                     sends.computeIfAbsent(build, k -> List.of(new ArrayDeque<>(), new ArrayDeque<>()));
             of.get(scope).addLast(now);
@@ -277,7 +294,7 @@
                     q.pollFirst();
                 }
             }
-            double most = FREE + n.cap() * taken.get(scope).size();
+            double most = FREE + n.exposureCap() * taken.get(scope).size();
             if (of.get(scope).size() > most) {
                 broken.add(now + ": build " + build + " has " + of.get(scope).size() + " of " + most);
             }
@@ -291,7 +308,7 @@
     private static World begun(boolean perRoute, int guarded, long seed) {
         World w = new World(settings(perRoute, guarded), seed);
         w.machines(1, 8);
-        w.tells(1, 0, Phase.RELEASED);
+        w.tells(1, 0, RolloutPhase.RELEASED);
         w.traffic(2 * SECOND, 5, 0);
         return w;
     }
@@ -300,8 +317,8 @@
         World w = begun(false, 0, seed);
         w.machines(2, 2);
         w.machines(3, 2);
-        w.tells(2, 0, Phase.TRIAL);
-        w.tells(3, 0, Phase.TRIAL);
+        w.tells(2, 0, RolloutPhase.CANARY);
+        w.tells(3, 0, RolloutPhase.CANARY);
         return w;
     }
 
@@ -320,14 +337,14 @@
         for (boolean perRoute : new boolean[] {false, true}) {
             World w = begun(perRoute, 1, 3);
             w.machines(2, 2);
-            w.tells(2, 0, Phase.TRIAL);
+            w.tells(2, 0, RolloutPhase.CANARY);
             w.traffic(4 * SECOND, 5, 0);
             w.machines(3, 2);
-            w.tells(3, 0, Phase.TRIAL);
+            w.tells(3, 0, RolloutPhase.CANARY);
             w.traffic(4 * SECOND, 5, 0);
             int two = w.sentTo(2), three = w.sentTo(3), one = w.sentTo(1);
             w.machines(2, 5);
-            w.tells(2, 1, Phase.TRIAL);
+            w.tells(2, 1, RolloutPhase.CANARY);
             w.traffic(8 * SECOND, 5, 0);
             assertEquals(List.of(), w.broken);
             assertEquals(2, w.lanes.open());
@@ -364,37 +381,37 @@
         Map<Integer, Integer> on = new TreeMap<>();
         for (int turn = 0; turn < 14; turn++) {
             int what = r.nextInt(6);
-            if (what <= 1 && on.size() < 4 || on.isEmpty()) {
+            if ((what <= 1 && on.size() < 4) || on.isEmpty()) {
                 w.machines(next, 1 + r.nextInt(3));
                 if (r.nextBoolean()) {
                     w.traffic(200 * MS, 5, 0);
                 }
-                w.tells(next, 0, Phase.TRIAL);
+                w.tells(next, 0, RolloutPhase.CANARY);
                 on.put(next++, 0);
             } else {
                 int build = new ArrayList<>(on.keySet()).get(r.nextInt(on.size()));
                 int stage = on.get(build);
                 if (what <= 3 && stage < 2) {
                     w.machines(build, 3 + 14 * stage);
-                    w.tells(build, stage + 1, Phase.TRIAL);
+                    w.tells(build, stage + 1, RolloutPhase.CANARY);
                     on.put(build, stage + 1);
                 } else if (what == 4 && stage == 2) {
                     for (int older : List.copyOf(on.keySet())) {
                         if (older < build) {
-                            w.tells(older, on.remove(older), Phase.GOING_BACK);
+                            w.tells(older, on.remove(older), RolloutPhase.ROLLING_BACK);
                             w.gone(older);
                         }
                     }
-                    w.tells(build, 2, Phase.RELEASED);
+                    w.tells(build, 2, RolloutPhase.RELEASED);
                     on.remove(build);
                 } else {
-                    w.tells(build, stage, Phase.GOING_BACK);
+                    w.tells(build, stage, RolloutPhase.ROLLING_BACK);
                     w.traffic(SECOND / 2, 5, 0);
                     w.gone(build);
                     on.remove(build);
                     // the base comes back in its place
                     w.machines(1, 8);
-                    w.tells(build, stage, Phase.WITHDRAWN);
+                    w.tells(build, stage, RolloutPhase.ROLLED_BACK);
                 }
             }
             w.traffic(SECOND + r.nextInt(30_000), 5 + r.nextInt(10), 0);
@@ -405,8 +422,11 @@
     void aBadReleaseIsVotedBackInItsOwnLaneAndTheOtherGoesOn() {
         World w = twoOnTrial(5);
         w.traffic(15 * SECOND, 5, 0.5);
-        assertTrue(w.votes.stream().anyMatch(v -> v.build() == 2 && v.verdict() == Verdict.BACK), w.votes.toString());
-        assertTrue(w.votes.stream().noneMatch(v -> v.build() == 3 && v.verdict() == Verdict.BACK), w.votes.toString());
+        assertTrue(
+                w.votes.stream().anyMatch(v -> v.build() == 2 && v.verdict() == Verdict.ROLL_BACK), w.votes.toString());
+        assertTrue(
+                w.votes.stream().noneMatch(v -> v.build() == 3 && v.verdict() == Verdict.ROLL_BACK),
+                w.votes.toString());
         assertEquals(List.of(), w.broken);
     }
 
@@ -420,13 +440,15 @@
         w.lanes.blame(2, Lanes.Blame.CLEARED);
         w.lanes.blame(3, Lanes.Blame.GUILTY);
         w.traffic(5 * SECOND, 5, 0);
-        assertTrue(w.votes.stream().allMatch(v -> v.build() == 3 && v.verdict() == Verdict.BACK), w.votes.toString());
+        assertTrue(
+                w.votes.stream().allMatch(v -> v.build() == 3 && v.verdict() == Verdict.ROLL_BACK), w.votes.toString());
         assertTrue(w.votes.size() > 1, "its vote is renewed while it counts");
-        w.tells(3, 0, Phase.GOING_BACK);
+        w.tells(3, 0, RolloutPhase.ROLLING_BACK);
         w.gone(3);
-        w.tells(3, 0, Phase.WITHDRAWN);
+        w.tells(3, 0, RolloutPhase.ROLLED_BACK);
         w.traffic(10 * SECOND, 5, 0);
-        assertTrue(w.votes.stream().anyMatch(v -> v.build() == 2 && v.verdict() == Verdict.ON), w.votes.toString());
+        assertTrue(
+                w.votes.stream().anyMatch(v -> v.build() == 2 && v.verdict() == Verdict.PROMOTE), w.votes.toString());
         assertEquals(List.of(), w.broken);
     }
 
@@ -435,10 +457,10 @@
         World w = begun(false, 0, 7);
         for (int build = 2; build <= 4; build++) {
             w.machines(build, 1);
-            w.tells(build, 0, Phase.TRIAL);
+            w.tells(build, 0, RolloutPhase.CANARY);
         }
         w.traffic(12 * SECOND, 5, 0);
-        w.lists(List.of(new Listed("b1.cold", 1, 0, 0, 0, 1, MachineState.LIVE, w.now)));
+        w.lists(List.of(new EndpointEntry("b1.cold", 1, 0, 0, 0, 1, EndpointState.ACTIVE, w.now)));
         w.traffic(2 * SECOND, 5, 0);
         assertEquals(3, w.lanes.open());
         assertEquals(List.of(), w.broken);
@@ -453,18 +475,19 @@
                 settings(false, 0),
                 1,
                 (set, seed) -> (now, events) -> events.stream()
-                        .filter(e -> e instanceof Event.Req)
-                        .map(e -> (Action) new Action.Send(((Event.Req) e).id(), machine, 0))
+                        .filter(e -> e instanceof Event.RequestReceived)
+                        .map(e -> (Action) new Action.SendAttempt(((Event.RequestReceived) e).requestId(), machine, 0))
                         .toList());
     }
 
     private static void answered(Lanes lanes, long now, String key) {
-        lanes.decide(now, List.of(new Event.Req(key, 0, 0, key, now + SECOND, 0, false)));
-        lanes.decide(now, List.of(new Event.TryEnded(key, 0, "m", Outcome.COMPLETED, 1, true, Map.of())));
+        lanes.decide(now, List.of(new Event.RequestReceived(key, 0, 0, key, now + SECOND, 0, false)));
+        lanes.decide(
+                now, List.of(new Event.AttemptEnded(key, 0, "m", AttemptOutcome.COMPLETED, 1, true, LoadReport.NONE)));
     }
 
-    private static Event.ReleaseNews news(int build, Phase phase) {
-        return new Event.ReleaseNews(Answer.OK, 0, 1, 0, phase, build, false);
+    private static Event.RolloutUpdate news(int build, RolloutPhase phase) {
+        return new Event.RolloutUpdate(ControlStatus.OK, 0, 1, 0, phase, build, false);
     }
 
     @Test
@@ -483,21 +506,23 @@
         lanes.decide(
                 now,
                 List.of(
-                        new Event.MachineList(
-                                ListKind.FULL, List.of(new Listed("m", 2, 0, 0, 0, 1, MachineState.LIVE, 0))),
-                        news(1, Phase.RELEASED),
-                        news(2, Phase.TRIAL)));
+                        new Event.EndpointListUpdate(
+                                EndpointListKind.SNAPSHOT,
+                                List.of(new EndpointEntry("m", 2, 0, 0, 0, 1, EndpointState.ACTIVE, 0))),
+                        news(1, RolloutPhase.RELEASED),
+                        news(2, RolloutPhase.CANARY)));
         for (int i = 0; i < 600_001; i++) {
             answered(lanes, now, "k" + i);
         }
-        lanes.decide(now, List.of(news(2, Phase.RELEASED)));
+        lanes.decide(now, List.of(news(2, RolloutPhase.RELEASED)));
         assertEquals(0, lanes.keysKept(), "the release is over");
         lanes.decide(
                 now,
                 List.of(
-                        new Event.MachineList(
-                                ListKind.FULL, List.of(new Listed("m", 3, 0, 0, 0, 1, MachineState.LIVE, 0))),
-                        news(3, Phase.TRIAL)));
+                        new Event.EndpointListUpdate(
+                                EndpointListKind.SNAPSHOT,
+                                List.of(new EndpointEntry("m", 3, 0, 0, 0, 1, EndpointState.ACTIVE, 0))),
+                        news(3, RolloutPhase.CANARY)));
         answered(lanes, now, "new");
         assertEquals(1, lanes.keysKept(), "a build on trial answered it: it must not be cut anew");
     }
@@ -509,17 +534,18 @@
         w.traffic(10 * SECOND, 5, 0.5);
         assertTrue(w.votes.stream().noneMatch(v -> v.build() == 2), "its errors may be the guilty one's: " + w.votes);
         w.traffic(20 * SECOND, 5, 0.5);
-        assertTrue(w.votes.stream().anyMatch(v -> v.build() == 2 && v.verdict() == Verdict.BACK), "and not for ever");
+        assertTrue(
+                w.votes.stream().anyMatch(v -> v.build() == 2 && v.verdict() == Verdict.ROLL_BACK), "and not for ever");
     }
 
     @Test
     void aTrialThatMayHaveAllServesBesideALaterOneAsTheOldMachinesGiveWay() {
         World w = begun(false, 0, 9);
         w.machines(2, 8);
-        w.tells(2, 2, Phase.TRIAL);
+        w.tells(2, 2, RolloutPhase.CANARY);
         w.traffic(8 * SECOND, 5, 0);
         w.machines(3, 1);
-        w.tells(3, 0, Phase.TRIAL);
+        w.tells(3, 0, RolloutPhase.CANARY);
         w.gone(1);
         w.traffic(SECOND, 5, 0);
         int before = w.sentTo(2);
@@ -536,7 +562,7 @@
             heard.add(mine);
             return (now, events) -> {
                 mine[0] += (int) events.stream()
-                        .filter(e -> e instanceof Event.Complaint)
+                        .filter(e -> e instanceof Event.ComplaintReceived)
                         .count();
                 return List.of();
             };
@@ -544,13 +570,14 @@
         lanes.decide(
                 SECOND,
                 List.of(
-                        new Event.MachineList(
-                                ListKind.FULL, List.of(new Listed("m", 1, 0, 0, 0, 1, MachineState.LIVE, 0))),
-                        news(1, Phase.RELEASED),
-                        news(2, Phase.TRIAL),
-                        news(3, Phase.TRIAL)));
+                        new Event.EndpointListUpdate(
+                                EndpointListKind.SNAPSHOT,
+                                List.of(new EndpointEntry("m", 1, 0, 0, 0, 1, EndpointState.ACTIVE, 0))),
+                        news(1, RolloutPhase.RELEASED),
+                        news(2, RolloutPhase.CANARY),
+                        news(3, RolloutPhase.CANARY)));
         for (int i = 0; i < 10; i++) {
-            lanes.decide(SECOND, List.of(new Event.Complaint("m", 5, 0)));
+            lanes.decide(SECOND, List.of(new Event.ComplaintReceived("m", 5, 0)));
         }
         assertEquals(List.of(5, 5), heard.stream().map(h -> h[0]).toList());
     }
--- a/src/test/java/laurelkeel/platform/RareMomentsTest.java
+++ b/src/test/java/laurelkeel/platform/RareMomentsTest.java
@@ -11,9 +11,9 @@
 import java.util.function.LongSupplier;
 import laurelkeel.api.Action;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.ListKind;
-import laurelkeel.api.Event.MachineState;
-import laurelkeel.api.Event.Outcome;
+import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.api.Event.EndpointListKind;
+import laurelkeel.api.Event.EndpointState;
 import laurelkeel.front.Base;
 import org.junit.jupiter.api.Test;
 
@@ -23,11 +23,16 @@
     private final AtomicLong ahead = new AtomicLong();
 
     private final LongSupplier real = Base.clock();
-    private final LongSupplier clock = () -> real.getAsLong() + ahead.get();
+
+    private long clock() {
+        return real.getAsLong() + ahead.get();
+    }
     /** Only what a test adds, until it lets the clock go. */
     private final AtomicBoolean goes = new AtomicBoolean();
 
-    private final LongSupplier standing = () -> (goes.get() ? real.getAsLong() : 36_000_000) + ahead.get();
+    private long standing() {
+        return (goes.get() ? real.getAsLong() : 36_000_000) + ahead.get();
+    }
 
     // ---- lists
 
@@ -40,15 +45,16 @@
                             .replace(",", ",\n  ")
                     + "\r\n"
                     + Stage.list(3, false, p.entry("active", 1, p.machine)).replace("\":", "\" :\n ");
-            for (char c : indented.toCharArray()) {
+            for (int i = 0; i < indented.length(); i++) {
+                char c = indented.charAt(i);
                 Stage.say(w, Stage.chunk(String.valueOf(c)));
             }
             assertEquals(
-                    MachineState.DRAINING,
-                    p.event(Event.MachineList.class, 2).machines().get(0).state());
+                    EndpointState.DRAINING,
+                    p.event(Event.EndpointListUpdate.class, 2).entries().get(0).state());
             assertEquals(
-                    MachineState.LIVE,
-                    p.event(Event.MachineList.class, 3).machines().get(0).state());
+                    EndpointState.ACTIVE,
+                    p.event(Event.EndpointListUpdate.class, 3).entries().get(0).state());
             assertEquals(3, p.node.version());
         }
     }
@@ -73,16 +79,16 @@
                 }
             }
             p.discovery.call();
-            assertEquals(1, p.all(Event.MachineList.class).size());
+            assertEquals(1, p.all(Event.EndpointListUpdate.class).size());
         }
     }
 
     /** Whoever lags behind, or was delayed on the way, names machines that drain as sound ones. */
     @Test
     void anOlderWholeListIsNotFollowedUntilItHasStoodForLong() throws Exception {
-        try (Stage p = new Stage(1024, 5000, clock, Stage::nothing)) {
+        try (Stage p = new Stage(1024, 5000, this::clock, Stage::nothing)) {
             Socket w = p.watch(Stage.list(5, false, p.entry("leaving", 1, p.machine)));
-            p.event(Event.MachineList.class, 2);
+            p.event(Event.EndpointListUpdate.class, 2);
             String old = Stage.chunk(Stage.list(4, true, p.entry("active", 1, p.machine)) + "\n");
             Stage.say(w, old);
             Socket next = p.discovery.call();
@@ -90,7 +96,7 @@
             Stage.say(next, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + old);
             next = p.discovery.call();
             Stage.hear(next);
-            assertEquals(2, p.all(Event.MachineList.class).size());
+            assertEquals(2, p.all(Event.EndpointListUpdate.class).size());
             // discovery has begun anew: nothing newer comes for longer than it may take, so the silent watch is given
             // up too
             ahead.addAndGet(61_000);
@@ -98,7 +104,9 @@
             next = p.discovery.call();
             Stage.hear(next);
             Stage.say(next, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + old);
-            assertEquals(ListKind.FULL, p.event(Event.MachineList.class, 3).kind());
+            assertEquals(
+                    EndpointListKind.SNAPSHOT,
+                    p.event(Event.EndpointListUpdate.class, 3).kind());
         }
     }
 
@@ -107,9 +115,9 @@
     /** What it misses counts as told 6 s after it fell silent; the clock stands but for what the test adds, 5.1 s in all. */
     @Test
     void aSecondSilentWatchLeavesTimeForAThird() throws Exception {
-        try (Stage p = new Stage(1024, 5000, standing, Stage::nothing)) {
+        try (Stage p = new Stage(1024, 5000, this::standing, Stage::nothing)) {
             p.watch(Stage.list(2, false, p.entry("active", 1, p.machine)));
-            p.event(Event.MachineList.class, 2);
+            p.event(Event.EndpointListUpdate.class, 2);
             Stage.lines(p.desk.call()).readLine();
             ahead.addAndGet(32_000);
             Socket second = p.discovery.call();
@@ -146,14 +154,20 @@
 
     /** Sends the first eight reqs to one machine, and the others as asked. */
     private static List<Action> then(String machine, Event e) {
-        if (e instanceof Event.Req r) {
-            return List.of(new Action.Send(r.id(), machine, 0));
+        if (e instanceof Event.RequestReceived r) {
+            return List.of(new Action.SendAttempt(r.requestId(), machine, 0));
         }
-        return e instanceof Event.TryEnded t && !t.reqOver() ? List.of(new Action.Err(t.req())) : List.of();
+        return e instanceof Event.AttemptEnded t && !t.requestEnded()
+                ? List.of(new Action.FailRequest(t.requestId()))
+                : List.of();
     }
 
     private Stage small(String ninth) throws Exception {
-        return new Stage(64, 5000, clock, (p, e) -> then(p.all(Event.Req.class).size() <= 8 ? "s-1" : ninth, e));
+        return new Stage(
+                64,
+                5000,
+                this::clock,
+                (p, e) -> then(p.all(Event.RequestReceived.class).size() <= 8 ? "s-1" : ninth, e));
     }
 
     @Test
@@ -162,7 +176,7 @@
             List<List<Socket>> all = takeAll(p);
             Socket late = p.client();
             Stage.say(late, Stage.look("late", ""));
-            p.event(Event.Req.class, 9);
+            p.event(Event.RequestReceived.class, 9);
             ahead.addAndGet(8_000);
             Stage.say(all.get(1).get(0), Stage.ok("x"));
             String got = Stage.hear(all.get(1).get(0));
@@ -176,11 +190,13 @@
             List<List<Socket>> all = takeAll(p);
             Socket leaves = p.client();
             Stage.say(leaves, Stage.look("leaves", ""));
-            p.event(Event.Req.class, 9);
+            p.event(Event.RequestReceived.class, 9);
             leaves.close();
-            p.event(Event.ClientLeft.class, 1);
+            p.event(Event.ClientDisconnected.class, 1);
             Stage.say(all.get(1).get(0), Stage.ok("x"));
-            assertEquals(Outcome.NOT_SENT, p.event(Event.TryEnded.class, 2).outcome());
+            assertEquals(
+                    AttemptOutcome.NOT_SENT,
+                    p.event(Event.AttemptEnded.class, 2).outcome());
             Socket next = p.client();
             Stage.say(next, Stage.look("next", ""));
             assertTrue(Stage.hear(all.get(1).get(0)).contains("X-Correlation-Id: next\r\n"));
@@ -190,7 +206,7 @@
     /** The machine would end it after 15 s, and whatever is written then is lost with it. */
     @Test
     void anIdleConnectionEndsBeforeTheMachineWouldEndIt() throws Exception {
-        try (Stage p = new Stage(1024, 5000, standing, Stage::once)) {
+        try (Stage p = new Stage(1024, 5000, this::standing, Stage::once)) {
             Socket c = p.client();
             Stage.say(c, Stage.look("1", ""));
             Socket m = p.machine.call();
@@ -213,11 +229,11 @@
         try (Stage.Party other = new Stage.Party();
                 Stage p = small("s-2")) {
             p.watch(Stage.list(2, false, p.entry("s-2", "active", 1, other)));
-            p.event(Event.MachineList.class, 2);
+            p.event(Event.EndpointListUpdate.class, 2);
             List<List<Socket>> all = takeAll(p);
             Socket waits = p.client();
             Stage.say(waits, Stage.look("waits", ""));
-            p.event(Event.Req.class, 9);
+            p.event(Event.RequestReceived.class, 9);
             Stage.say(all.get(1).get(0), Stage.ok("x"));
             Socket m = other.call();
             assertTrue(Stage.hear(m).contains("X-Correlation-Id: waits\r\n"));
@@ -236,8 +252,8 @@
             c.shutdownOutput();
             assertTrue(Stage.hear(c).startsWith("HTTP/1.1 502 "));
             assertEquals("<end>", Stage.hear(c));
-            p.event(Event.ClientLeft.class, 1);
-            assertEquals(1, p.all(Event.Req.class).size());
+            p.event(Event.ClientDisconnected.class, 1);
+            assertEquals(1, p.all(Event.RequestReceived.class).size());
         }
     }
 
--- a/src/test/java/laurelkeel/platform/SourcesTest.java
+++ b/src/test/java/laurelkeel/platform/SourcesTest.java
@@ -15,10 +15,10 @@
 import laurelkeel.api.Action;
 import laurelkeel.api.Action.Verdict;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.Answer;
-import laurelkeel.api.Event.ListKind;
-import laurelkeel.api.Event.MachineState;
-import laurelkeel.api.Event.Phase;
+import laurelkeel.api.Event.ControlStatus;
+import laurelkeel.api.Event.EndpointListKind;
+import laurelkeel.api.Event.EndpointState;
+import laurelkeel.api.Event.RolloutPhase;
 import laurelkeel.options.Options;
 import org.junit.jupiter.api.Test;
 
@@ -28,11 +28,11 @@
     @Test
     void theListComesInAnyPiecesAndAWatchThatEndsIsResumed() throws Exception {
         try (Stage p = new Stage(Stage::nothing)) {
-            Event.MachineList known = p.event(Event.MachineList.class, 1);
-            assertEquals(ListKind.REMEMBERED, known.kind());
+            Event.EndpointListUpdate known = p.event(Event.EndpointListUpdate.class, 1);
+            assertEquals(EndpointListKind.CACHED, known.kind());
             assertEquals(
-                    new Event.Listed("s-1", 1, 1, 3, 1, 1.5, MachineState.LIVE, 0),
-                    known.machines().get(0));
+                    new Event.EndpointEntry("s-1", 1, 1, 3, 1, 1.5, EndpointState.ACTIVE, 0),
+                    known.entries().get(0));
             Socket w = p.discovery.call();
             assertTrue(Stage.hear(w).startsWith("GET /v1/servers?watch=1&after=1 HTTP/1.1\r\n"));
             String all = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -48,18 +48,20 @@
                 Stage.say(w, String.valueOf(c));
             }
             assertEquals(
-                    MachineState.DRAINING,
-                    p.event(Event.MachineList.class, 2).machines().get(0).state());
+                    EndpointState.DRAINING,
+                    p.event(Event.EndpointListUpdate.class, 2).entries().get(0).state());
             w.close();
             w = p.discovery.call();
             assertTrue(Stage.hear(w).startsWith("GET /v1/servers?watch=1&after=3 HTTP/1.1\r\n"));
             Stage.say(
                     w,
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Stage.chunk(Stage.list(3, true) + "\n"));
-            assertEquals(ListKind.FULL, p.event(Event.MachineList.class, 3).kind());
+            assertEquals(
+                    EndpointListKind.SNAPSHOT,
+                    p.event(Event.EndpointListUpdate.class, 3).kind());
             Stage.say(w, Stage.chunk("{\"noise\":1}\n"));
             Stage.hear(p.discovery.call());
-            assertEquals(3, p.all(Event.MachineList.class).size());
+            assertEquals(3, p.all(Event.EndpointListUpdate.class).size());
         }
     }
 
@@ -67,7 +69,7 @@
     void anIdThatReturnsWithAnotherBuildGetsNoOldConnection() throws Exception {
         try (Stage p = new Stage(Stage::once)) {
             Socket w = p.watch(Stage.list(2, false, p.entry("active", 1, p.machine)));
-            p.event(Event.MachineList.class, 2);
+            p.event(Event.EndpointListUpdate.class, 2);
             Socket c = p.client();
             Stage.say(c, Stage.look("1", ""));
             Socket m = p.machine.call();
@@ -75,7 +77,7 @@
             Stage.say(m, Stage.ok("old"));
             Stage.hear(c);
             Stage.say(w, Stage.chunk(Stage.list(3, false, p.entry("active", 2, p.machine)) + "\n"));
-            p.event(Event.MachineList.class, 3);
+            p.event(Event.EndpointListUpdate.class, 3);
             assertTrue(Stage.hear(m).contains("<end>"));
             Stage.say(c, Stage.look("2", ""));
             Stage.hear(p.machine.call());
@@ -85,17 +87,25 @@
     @Test
     void theDesksNewsAndWhatCannotBeRead() throws Exception {
         try (Stage p = new Stage(Stage::nothing)) {
-            assertEquals(Phase.RELEASED, p.event(Event.ReleaseNews.class, 1).phase());
+            assertEquals(
+                    RolloutPhase.RELEASED, p.event(Event.RolloutUpdate.class, 1).phase());
             Socket d = p.desk.call();
             assertEquals("SUB", Stage.lines(d).readLine());
             Stage.say(d, "OK\r\n*\r\n* metrics 42 pay 57 2 18.5 900\r\n* progress 42 1 Progr");
-            Event.BuildCounts counts = p.event(Event.BuildCounts.class, 1);
+            Event.BuildStatistics counts = p.event(Event.BuildStatistics.class, 1);
             assertEquals(
                     List.of(42, 1, 57L, 2L, 185L),
-                    List.of(counts.build(), counts.route(), counts.tries(), counts.errors(), counts.meanTime()));
+                    List.of(
+                            counts.build(),
+                            counts.route(),
+                            counts.attempts(),
+                            counts.errors(),
+                            counts.meanDurationTicks()));
             Stage.say(d, "essing 0.28 310\r\n");
-            Event.ReleaseNews n = p.event(Event.ReleaseNews.class, 2);
-            assertEquals(List.of(42, 1, 0.28, Phase.TRIAL), List.of(n.build(), n.stage(), n.cap(), n.phase()));
+            Event.RolloutUpdate n = p.event(Event.RolloutUpdate.class, 2);
+            assertEquals(
+                    List.of(42, 1, 0.28, RolloutPhase.CANARY),
+                    List.of(n.build(), n.stage(), n.exposureCap(), n.phase()));
             for (String spoilt : List.of(
                     "* progress 42 1 Progressing 0.2",
                     "* progress 42 x Progressing 0.28 1",
@@ -107,29 +117,30 @@
                 Stage.lines(d).readLine();
             }
             Stage.say(d, "OK\r\n* progress 42 2 Progressing 0.5 1\r\n");
-            assertEquals(2, p.event(Event.ReleaseNews.class, 3).stage());
-            assertEquals(3, p.all(Event.ReleaseNews.class).size());
+            assertEquals(2, p.event(Event.RolloutUpdate.class, 3).stage());
+            assertEquals(3, p.all(Event.RolloutUpdate.class).size());
         }
     }
 
     /** Votes 42 at the first req, 43 at the second, and so on. */
     private static List<Action> voter(Stage p, Event e) {
-        return e instanceof Event.Req r
+        return e instanceof Event.RequestReceived r
                 ? List.of(
-                        new Action.Vote(41 + p.all(Event.Req.class).size(), 1, Verdict.BACK),
-                        new Action.Shed(r.id(), 0))
+                        new Action.CastVote(
+                                41 + p.all(Event.RequestReceived.class).size(), 1, Verdict.ROLL_BACK),
+                        new Action.RejectRequest(r.requestId(), 0))
                 : List.of();
     }
 
-    private static Event.ReleaseNews answered(Stage p, int count) {
+    private static Event.RolloutUpdate answered(Stage p, int count) {
         Stage.await(
                 count + " votes answered",
-                () -> p.all(Event.ReleaseNews.class).stream()
-                                .filter(Event.ReleaseNews::toVote)
+                () -> p.all(Event.RolloutUpdate.class).stream()
+                                .filter(Event.RolloutUpdate::answersVote)
                                 .count()
                         >= count);
-        return p.all(Event.ReleaseNews.class).stream()
-                .filter(Event.ReleaseNews::toVote)
+        return p.all(Event.RolloutUpdate.class).stream()
+                .filter(Event.RolloutUpdate::answersVote)
                 .toList()
                 .get(count - 1);
     }
@@ -142,23 +153,23 @@
             Stage.say(c, Stage.look("1", ""));
             Socket v = p.desk.call();
             assertEquals("SAY 42 1 reject", Stage.lines(v).readLine());
-            assertEquals(Answer.TIMEOUT, answered(p, 1).answer());
+            assertEquals(ControlStatus.TIMED_OUT, answered(p, 1).status());
             Stage.hear(c);
             Stage.say(c, Stage.look("2", ""));
             Socket next = p.desk.call();
             assertEquals("SAY 43 1 reject", Stage.lines(next).readLine());
             Stage.say(next, "ERR too_many_calls\r\n");
-            assertEquals(Answer.OVER_LIMIT, answered(p, 2).answer());
+            assertEquals(ControlStatus.RATE_LIMITED, answered(p, 2).status());
             Stage.hear(c);
             Stage.say(c, Stage.look("3", ""));
             assertEquals("SAY 44 1 reject", Stage.lines(next).readLine());
             Stage.say(next, "OK 44 1 Aborting 0.0 5\r\n");
-            assertEquals(Phase.GOING_BACK, answered(p, 3).phase());
+            assertEquals(RolloutPhase.ROLLING_BACK, answered(p, 3).phase());
             Stage.hear(c);
             Stage.say(c, Stage.look("4", ""));
             Stage.lines(next).readLine();
             Stage.say(next, "OK 45 no\r\n");
-            assertEquals(Answer.TIMEOUT, answered(p, 4).answer());
+            assertEquals(ControlStatus.TIMED_OUT, answered(p, 4).status());
             assertEquals(-1, next.getInputStream().read());
         }
     }
@@ -169,7 +180,7 @@
                 Stage.Party disco = new Stage.Party();
                 Stage.Party desk = new Stage.Party()) {
             Socket old = p.watch(Stage.list(2, false, p.entry("active", 1, p.machine)));
-            p.event(Event.MachineList.class, 2);
+            p.event(Event.EndpointListUpdate.class, 2);
             Socket c = p.client();
             Stage.say(c, Stage.look("1", ""));
             Socket m = p.machine.call();
@@ -180,7 +191,7 @@
             assertEquals("SUB", Stage.lines(desk.call()).readLine());
             // until the new one has spoken the old one is heard
             Stage.say(old, Stage.chunk(Stage.list(3, false, p.entry("active", 1, p.machine)) + "\n"));
-            p.event(Event.MachineList.class, 3);
+            p.event(Event.EndpointListUpdate.class, 3);
             Stage.say(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Stage.chunk("\n"));
             assertTrue(Stage.hear(old).contains("<end>"));
             Stage.say(m, Stage.ok("held"));
@@ -202,7 +213,7 @@
             assertEquals("SUB", Stage.lines(next.call()).readLine());
             // its answer comes from the old address all the same
             Stage.say(old, "OK 42 1 Progressing 0.28 1\r\n");
-            assertEquals(Answer.OK, answered(p, 1).answer());
+            assertEquals(ControlStatus.OK, answered(p, 1).status());
             Stage.say(c, Stage.look("2", ""));
             assertEquals("SAY 43 1 reject", Stage.lines(next.call()).readLine());
         }
@@ -215,7 +226,7 @@
                 Stage.Party disco = new Stage.Party();
                 Stage.Party desk = new Stage.Party()) {
             Socket old = p.watch(Stage.list(2, false, p.entry("active", 1, p.machine)));
-            p.event(Event.MachineList.class, 2);
+            p.event(Event.EndpointListUpdate.class, 2);
             int port = disco.at.getLocalPort();
             Config next = p.config(disco, desk);
             disco.close();
@@ -226,7 +237,7 @@
                 Socket w = late.accept();
                 assertTrue(Stage.hear(w).contains("after=2 "));
                 Stage.say(old, Stage.chunk(Stage.list(3, false, p.entry("active", 1, p.machine)) + "\n"));
-                p.event(Event.MachineList.class, 3);
+                p.event(Event.EndpointListUpdate.class, 3);
             }
         }
     }
@@ -253,7 +264,7 @@
             Stage.await("unready", () -> health(h).startsWith("HTTP/1.1 503 "));
             Socket b = p.client();
             Stage.say(b, Stage.look("2", ""));
-            p.event(Event.Req.class, 3);
+            p.event(Event.RequestReceived.class, 3);
             assertTrue(Stage.hear(idle).contains("<end>"), "idle connections end once nobody new is sent here");
             Stage.say(m1, Stage.ok("one"));
             String one = Stage.hear(a);
@@ -307,7 +318,7 @@
             read.put(pair.substring(0, pair.indexOf('=')), pair.substring(pair.indexOf('=') + 1));
         }
         assertEquals(Options.settings(read), Options.settings(pairs));
-        assertEquals(8_000, Options.settings(pairs).rollout().voteTimeout());
+        assertEquals(8_000, Options.settings(pairs).rollout().voteTimeoutTicks());
         assertEquals(List.of("look", "pay"), Options.real(pairs).routes());
     }
 
--- a/src/test/java/laurelkeel/platform/StartOrderTest.java
+++ b/src/test/java/laurelkeel/platform/StartOrderTest.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.UnaryOperator;
 import laurelkeel.api.Action;
+import laurelkeel.api.Action.CastVote;
 import laurelkeel.api.Action.Verdict;
-import laurelkeel.api.Action.Vote;
 import laurelkeel.api.Decider;
 import laurelkeel.api.Event;
 import laurelkeel.front.Base;
@@ -55,7 +55,8 @@
 
     /** Votes at its first turn. */
     private Decider voter() {
-        return (now, events) -> turns.getAndIncrement() == 0 ? List.of(new Vote(24, 1, Verdict.ON)) : List.of();
+        return (now, events) ->
+                turns.getAndIncrement() == 0 ? List.of(new CastVote(24, 1, Verdict.PROMOTE)) : List.of();
     }
 
     /** The thread that starts the sources is held up until the first turn has come, or for a second. */
@@ -118,12 +119,14 @@
     void aVoteThatCannotBeSentIsAFailedVote() throws Exception {
         List<Event> events = new CopyOnWriteArrayList<>();
         Decider decider = Peers.decider(
-                events, e -> turns.getAndIncrement() == 0 ? List.of(new Vote(24, 1, Verdict.ON)) : List.of());
+                events, e -> turns.getAndIncrement() == 0 ? List.of(new CastVote(24, 1, Verdict.PROMOTE)) : List.of());
         Node node = Node.of(
                 config(discovery, control), (settings, seed) -> decider, Base.clock(), StartOrderTest::unableToVote);
         node.front().start();
         Stage.await("the vote has failed", () -> events.stream()
-                .anyMatch(e -> e instanceof Event.ReleaseNews n && n.toVote() && n.answer() == Event.Answer.ERROR));
+                .anyMatch(e -> e instanceof Event.RolloutUpdate n
+                        && n.answersVote()
+                        && n.status() == Event.ControlStatus.FAILED));
         assertFalse(node.front().ended().isDone());
         node.front().drain();
         assertEquals(null, node.front().ended().get(30, TimeUnit.SECONDS));
@@ -151,7 +154,7 @@
     @Test
     void anActionThatCannotBeCarriedOutStopsNoOther() throws Exception {
         Decider decider = (now, events) -> turns.getAndIncrement() == 0
-                ? List.of(new Action.Tell(1, new byte[0]), new Vote(24, 1, Verdict.ON))
+                ? List.of(new Action.SendGossip(1, new byte[0]), new CastVote(24, 1, Verdict.PROMOTE))
                 : List.of();
         Node node = Node.of(
                 config(discovery, control), (settings, seed) -> decider, Base.clock(), of -> failing(of, "tell"));
--- a/src/test/java/laurelkeel/platform/WordsTest.java
+++ b/src/test/java/laurelkeel/platform/WordsTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import laurelkeel.api.Action;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.Outcome;
+import laurelkeel.api.Event.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
 /** What clients and machines say, and what a front node makes of it. */
@@ -29,8 +29,8 @@
             Stage.say(m, "HTTP/1.1 100 Continue\r\n\r\n" + Stage.ok("pa\0id"));
             String answer = Stage.hear(c);
             assertTrue(answer.startsWith("HTTP/1.1 200 ") && answer.endsWith("\r\n\r\npa\0id"), answer);
-            Event.Req r = p.event(Event.Req.class, 1);
-            assertEquals(List.of(1, 0, "k"), List.of(r.route(), r.customer(), r.key()));
+            Event.RequestReceived r = p.event(Event.RequestReceived.class, 1);
+            assertEquals(List.of(1, 0, "k"), List.of(r.route(), r.tenant(), r.partitionKey()));
         }
     }
 
@@ -56,23 +56,26 @@
                 Stage.say(m, rows[i][0]);
                 m.close();
                 assertEquals(
-                        Outcome.valueOf(rows[i][1]),
-                        p.event(Event.TryEnded.class, i + 1).outcome(),
+                        AttemptOutcome.valueOf(rows[i][1]),
+                        p.event(Event.AttemptEnded.class, i + 1).outcome(),
                         rows[i][0]);
                 assertTrue(Stage.hear(c).startsWith("HTTP/1.1 502 "));
             }
             p.machine.close();
             Stage.say(c, Stage.look("last", ""));
             assertEquals(
-                    Outcome.NO_CONNECTION,
-                    p.event(Event.TryEnded.class, rows.length + 1).outcome());
+                    AttemptOutcome.CONNECT_FAILED,
+                    p.event(Event.AttemptEnded.class, rows.length + 1).outcome());
         }
     }
 
     @Test
     void aShedSaysWhenToComeBackAndAnErrorDoesNot() throws Exception {
-        try (Stage p = new Stage((s, e) -> e instanceof Event.Req r
-                ? List.of(r.id().endsWith("0") ? new Action.Shed(r.id(), 5_000) : new Action.Err(r.id()))
+        try (Stage p = new Stage((s, e) -> e instanceof Event.RequestReceived r
+                ? List.of(
+                        r.requestId().endsWith("0")
+                                ? new Action.RejectRequest(r.requestId(), 5_000)
+                                : new Action.FailRequest(r.requestId()))
                 : List.of())) {
             Socket c = p.client();
             Stage.say(c, Stage.look("a", ""));
@@ -112,7 +115,7 @@
                 String answer = Stage.hear(c);
                 assertTrue(answer.startsWith("HTTP/1.1 4"), b + " got " + answer);
             }
-            assertTrue(p.all(Event.Req.class).isEmpty());
+            assertTrue(p.all(Event.RequestReceived.class).isEmpty());
             assertTrue(p.machine.calls.isEmpty());
         }
     }
@@ -128,7 +131,7 @@
             assertTrue(Stage.hear(b).startsWith("HTTP/1.1 409 "));
             Stage.say(m, Stage.ok("mine"));
             assertTrue(Stage.hear(a).endsWith("mine"));
-            assertEquals(1, p.all(Event.Req.class).size());
+            assertEquals(1, p.all(Event.RequestReceived.class).size());
         }
     }
 
@@ -166,7 +169,7 @@
                 m.close();
                 String answer = Stage.hear(c);
                 assertEquals(cut == whole.length(), answer.startsWith("HTTP/1.1 200 "), cut + ": " + answer);
-                p.event(Event.TryEnded.class, cut + 1);
+                p.event(Event.AttemptEnded.class, cut + 1);
             }
         }
     }
@@ -179,7 +182,7 @@
                 Socket d = p.desk.call();
                 Stage.lines(d).readLine();
                 Stage.say(d, "OK\r\n* progress 2 1 Progressing 0.5 10\r\n");
-                p.event(Event.ReleaseNews.class, 2);
+                p.event(Event.RolloutUpdate.class, 2);
                 // every connection that may be open is taken, so the next one waits
                 int most = Node.machineConnections(60);
                 for (int i = 0; i < most; i++) {
@@ -191,17 +194,18 @@
                 }
                 Stage.hear(first);
                 Stage.say(p.client(), Stage.look("late", ""));
-                p.event(Event.Req.class, most + 1);
+                p.event(Event.RequestReceived.class, most + 1);
                 if (drain) {
                     Stage.say(w, Stage.chunk(Stage.list(3, false, p.entry("leaving", 2, p.machine)) + "\n"));
-                    p.event(Event.MachineList.class, 3);
+                    p.event(Event.EndpointListUpdate.class, 3);
                 } else {
                     Stage.say(d, "* progress 2 1 Aborting 0.0 10\r\n");
-                    p.event(Event.ReleaseNews.class, 3);
+                    p.event(Event.RolloutUpdate.class, 3);
                 }
                 Stage.say(first, Stage.ok("x"));
-                p.event(Event.TryEnded.class, 2);
-                assertTrue(p.all(Event.TryEnded.class).stream().anyMatch(t -> t.outcome() == Outcome.NOT_SENT));
+                p.event(Event.AttemptEnded.class, 2);
+                assertTrue(
+                        p.all(Event.AttemptEnded.class).stream().anyMatch(t -> t.outcome() == AttemptOutcome.NOT_SENT));
                 assertEquals(0, first.getInputStream().available());
             }
         }
--- a/src/test/java/laurelkeel/soak/FailingCallsTest.java
+++ b/src/test/java/laurelkeel/soak/FailingCallsTest.java
@@ -1,5 +1,6 @@
 package laurelkeel.soak;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -150,7 +151,7 @@
             node.signal("TERM");
             Rig.await("it is heard, or the node ends", () -> heard("SIGTERM") || !node.isAlive());
             assertTrue(node.isAlive(), node.log());
-            pipe.write(config().getBytes());
+            pipe.write(config().getBytes(UTF_8));
         }
         assertEquals(0, node.awaitEnd(10_000));
     }
--- a/src/test/java/laurelkeel/wire/HttpParserTest.java
+++ b/src/test/java/laurelkeel/wire/HttpParserTest.java
@@ -1,5 +1,6 @@
 package laurelkeel.wire;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -172,7 +173,7 @@
         assertEquals(
                 List.of(204, 200),
                 got.stream().map(a -> ((HttpAnswer) a).status()).toList());
-        assertEquals("to the end", new String(((HttpAnswer) p.finish()).body()));
+        assertEquals("to the end", new String(((HttpAnswer) p.finish()).body(), UTF_8));
         HttpParser head = new HttpParser(HttpParser.Side.ANSWERS, SMALL);
         head.nextIsToHead();
         assertEquals(
