--- a/src/main/java/laurelkeel/admin/Admin.java
+++ b/src/main/java/laurelkeel/admin/AdminServer.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.Executor;
 import java.util.function.Supplier;
 import laurelkeel.wire.Headers;
-import laurelkeel.wire.HttpAnswer;
 import laurelkeel.wire.HttpCodec;
 import laurelkeel.wire.HttpLimits;
-import laurelkeel.wire.HttpReq;
+import laurelkeel.wire.HttpRequest;
+import laurelkeel.wire.HttpResponse;
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.service.SimpleIoProcessorPool;
 import org.apache.mina.core.session.IdleStatus;
@@ -19,7 +19,7 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /** The small address for operators: /health and /metrics. One slow or silent caller keeps no other waiting. */
-public final class Admin {
+public final class AdminServer {
     /** More callers at once are no operators: a scraper or two, a load balancer's checks, a person. */
     private static final int MOST = 64;
     /** Seconds in which a caller must have had an answer: longer than any check waits, and no slot is kept for ever. */
@@ -34,7 +34,7 @@
     private final NioSocketAcceptor acceptor;
 
     /** @param threads run its sockets */
-    public Admin(Executor threads, InetSocketAddress at, Supplier<String> health, Supplier<String> metrics) {
+    public AdminServer(Executor threads, InetSocketAddress at, Supplier<String> health, Supplier<String> metrics) {
         this.threads = threads;
         this.at = at;
         this.health = health;
@@ -59,7 +59,7 @@
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            if (message instanceof HttpReq r) {
+            if (message instanceof HttpRequest r) {
                 session.write(answer(r));
                 if (r.last()) {
                     session.closeOnFlush();
@@ -80,7 +80,7 @@
         }
     }
 
-    private HttpAnswer answer(HttpReq r) {
+    private HttpResponse answer(HttpRequest r) {
         boolean get = r.method().equals("GET") || r.method().equals("HEAD");
         String h = r.path().equals("/health") ? health.get() : null;
         String text = !get
@@ -94,7 +94,7 @@
         if (r.last()) {
             headers.add("Connection", "close");
         }
-        return new HttpAnswer(
+        return new HttpResponse(
                 status,
                 1,
                 headers,
--- a/src/main/java/laurelkeel/admin/Jvm.java
+++ b/src/main/java/laurelkeel/admin/ProcessMetrics.java
@@ -5,8 +5,8 @@
 import java.lang.management.ManagementFactory;
 
 /** What this process has used since its start. */
-public final class Jvm {
-    private Jvm() {}
+public final class ProcessMetrics {
+    private ProcessMetrics() {}
 
     public static double cpuSeconds() {
         return ((OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean()).getProcessCpuTime() / 1e9;
--- a/src/main/java/laurelkeel/blame/Tally.java
+++ b/src/main/java/laurelkeel/attribution/AttemptCounts.java
@@ -1,13 +1,13 @@
-package laurelkeel.blame;
+package laurelkeel.attribution;
 
 /** Tries and what befell them. */
-final class Tally {
+final class AttemptCounts {
     int tries, rated;
     final int[] hits = new int[3];
     double logTime, logSquare;
     static final int FAILS = 0, SILENT = 1, WRONG = 2;
 
-    void add(Report.Cell c) {
+    void add(NodeReport.Cell c) {
         tries += c.tries();
         hits[FAILS] += c.fails();
         hits[SILENT] += c.silent();
@@ -17,7 +17,7 @@
         logSquare += c.logSquare();
     }
 
-    void add(Tally o, int sign) {
+    void add(AttemptCounts o, int sign) {
         tries += sign * o.tries;
         for (int i = 0; i < hits.length; i++) {
             hits[i] += sign * o.hits[i];
--- a/src/main/java/laurelkeel/blame/Finding.java
+++ b/src/main/java/laurelkeel/attribution/AttributionFinding.java
@@ -1,4 +1,4 @@
-package laurelkeel.blame;
+package laurelkeel.attribution;
 
 import java.util.List;
 
@@ -15,7 +15,7 @@
  * @param setAside harm to all lasts and two releases explain it alike: sending this one back would tell which
  * @param afterSeconds since its offer
  */
-public record Finding(
+public record AttributionFinding(
         int build,
         Verdict verdict,
         double probability,
--- a/src/main/java/laurelkeel/blame/Trial.java
+++ b/src/main/java/laurelkeel/attribution/CanaryComparison.java
@@ -1,4 +1,4 @@
-package laurelkeel.blame;
+package laurelkeel.attribution;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,7 +11,7 @@
 import java.util.function.IntPredicate;
 
 /** One release on trial held against the builds beside it, second by second. */
-final class Trial {
+final class CanaryComparison {
     private static final int WINDOW = 30;
     private static final int LEAST_RATED = 4;
 
@@ -24,22 +24,22 @@
 
     final int build;
     final long since;
-    private final Counted[] counted = new Counted[3];
-    private final Slowed calm = new Slowed(), busy = new Slowed();
+    private final CountEvidence[] counted = new CountEvidence[3];
+    private final LatencyEvidence calm = new LatencyEvidence(), busy = new LatencyEvidence();
     private final ArrayDeque<Compared> last = new ArrayDeque<>();
     private final ArrayDeque<Double> calmRatios = new ArrayDeque<>(), busyRatios = new ArrayDeque<>();
     final Set<String> sick = new HashSet<>();
     final Set<Integer> badCustomers = new HashSet<>();
     private int seconds;
-    private final Tally apart = new Tally(), together = new Tally();
+    private final AttemptCounts apart = new AttemptCounts(), together = new AttemptCounts();
     long guiltyAt = -1;
-    Finding.Kind guiltyKind;
+    AttributionFinding.Kind guiltyKind;
 
-    Trial(int build, long since, int routes) {
+    CanaryComparison(int build, long since, int routes) {
         this.build = build;
         this.since = since;
         for (int i = 0; i < counted.length; i++) {
-            counted[i] = new Counted(routes);
+            counted[i] = new CountEvidence(routes);
         }
     }
 
@@ -47,9 +47,14 @@
      * @param beside builds not on trial
      * @param othersOn whether other releases had traffic too
      */
-    void next(Pool.Second s, IntPredicate beside, Recent recent, boolean othersOn, Load.Is load) {
+    void next(
+            ReportAggregator.Second s,
+            IntPredicate beside,
+            RecentCounts recent,
+            boolean othersOn,
+            LoadClassifier.Is load) {
         seconds++;
-        for (Counted c : counted) {
+        for (CountEvidence c : counted) {
             c.next(s.byFront().size());
         }
         String outHere = recent.sickMachine(build);
@@ -64,14 +69,14 @@
             badCustomers.add(customer);
         }
         Compared now = new Compared();
-        Map<Integer, Tally[]> all = new TreeMap<>();
-        Map<String, Tally> machines = new HashMap<>();
+        Map<Integer, AttemptCounts[]> all = new TreeMap<>();
+        Map<String, AttemptCounts> machines = new HashMap<>();
         Map<Integer, Boolean> checked = new HashMap<>();
         Set<String> silentOut = new HashSet<>();
         silentOut.add(recent.mostSilent(build));
         s.byFront().forEach((front, cells) -> {
-            Map<Integer, Tally[]> routes = new TreeMap<>();
-            for (Report.Cell c : cells) {
+            Map<Integer, AttemptCounts[]> routes = new TreeMap<>();
+            for (NodeReport.Cell c : cells) {
                 boolean own = c.build() == build;
                 if ((!own
                                 && !checked.computeIfAbsent(c.build(), b -> {
@@ -86,20 +91,22 @@
                         || (customer >= 0 && c.customer() == customer)) {
                     continue;
                 }
-                Tally[] sides = routes.computeIfAbsent(c.route(), k -> new Tally[] {new Tally(), new Tally()});
+                AttemptCounts[] sides = routes.computeIfAbsent(
+                        c.route(), k -> new AttemptCounts[] {new AttemptCounts(), new AttemptCounts()});
                 sides[own ? 0 : 1].add(c);
-                Tally[] total = all.computeIfAbsent(c.route(), k -> new Tally[] {new Tally(), new Tally()});
+                AttemptCounts[] total = all.computeIfAbsent(
+                        c.route(), k -> new AttemptCounts[] {new AttemptCounts(), new AttemptCounts()});
                 total[own ? 0 : 1].add(c);
                 if (own) {
-                    machines.computeIfAbsent(c.machine() + "/" + c.route(), k -> new Tally())
+                    machines.computeIfAbsent(c.machine() + "/" + c.route(), k -> new AttemptCounts())
                             .add(c);
                     now.tries += c.tries();
                     (othersOn ? together : apart).add(c);
                 }
             }
             routes.forEach((route, t) -> {
-                compare(front, route, t[0], t[1], Tally.FAILS, now);
-                compare(front, route, t[0], t[1], Tally.WRONG, now);
+                compare(front, route, t[0], t[1], AttemptCounts.FAILS, now);
+                compare(front, route, t[0], t[1], AttemptCounts.WRONG, now);
             });
             if (several) {
                 // a machine that says nothing says nothing of its build: the worst of each is left out
@@ -108,11 +115,11 @@
         });
         now.logRatio = slower(all, machines, recent);
         // slow only when busy is slow: by itself, or the calm seconds would hide it
-        calm.next(load == Load.Is.BUSY ? Double.NaN : now.logRatio);
-        busy.next(load == Load.Is.CALM ? Double.NaN : now.logRatio);
+        calm.next(load == LoadClassifier.Is.BUSY ? Double.NaN : now.logRatio);
+        busy.next(load == LoadClassifier.Is.CALM ? Double.NaN : now.logRatio);
         if (!Double.isNaN(now.logRatio)) {
-            keep(calmRatios, load != Load.Is.BUSY, now.logRatio);
-            keep(busyRatios, load != Load.Is.CALM, now.logRatio);
+            keep(calmRatios, load != LoadClassifier.Is.BUSY, now.logRatio);
+            keep(busyRatios, load != LoadClassifier.Is.CALM, now.logRatio);
         }
         last.addLast(now);
         if (last.size() > WINDOW) {
@@ -129,20 +136,21 @@
         }
     }
 
-    private void silences(int front, List<Report.Cell> cells, IntPredicate beside, Set<String> out, Compared now) {
-        Map<Integer, Tally[]> routes = new TreeMap<>();
-        for (Report.Cell c : cells) {
+    private void silences(int front, List<NodeReport.Cell> cells, IntPredicate beside, Set<String> out, Compared now) {
+        Map<Integer, AttemptCounts[]> routes = new TreeMap<>();
+        for (NodeReport.Cell c : cells) {
             if ((c.build() == build || beside.test(c.build())) && !out.contains(c.machine())) {
                 routes
-                        .computeIfAbsent(c.route(), k -> new Tally[] {new Tally(), new Tally()})[
+                        .computeIfAbsent(
+                                c.route(), k -> new AttemptCounts[] {new AttemptCounts(), new AttemptCounts()})[
                         c.build() == build ? 0 : 1]
                         .add(c);
             }
         }
-        routes.forEach((route, t) -> compare(front, route, t[0], t[1], Tally.SILENT, now));
+        routes.forEach((route, t) -> compare(front, route, t[0], t[1], AttemptCounts.SILENT, now));
     }
 
-    private void compare(int front, int route, Tally own, Tally other, int k, Compared now) {
+    private void compare(int front, int route, AttemptCounts own, AttemptCounts other, int k, Compared now) {
         int all = own.tries + other.tries;
         if (own.tries == 0 || other.tries == 0) {
             return;
@@ -160,14 +168,14 @@
      * How much slower, by the logarithm of the ratio of times, on the least slow half of the machines: one slow
      * machine is no build. NaN where that cannot be told.
      */
-    private double slower(Map<Integer, Tally[]> all, Map<String, Tally> machines, Recent recent) {
+    private double slower(Map<Integer, AttemptCounts[]> all, Map<String, AttemptCounts> machines, RecentCounts recent) {
         if (recent.machines(build) < 2) {
             return Double.NaN;
         }
         Map<String, double[]> byMachine = new TreeMap<>();
         machines.forEach((name, t) -> {
             int cut = name.lastIndexOf('/');
-            Tally[] route = all.get(Integer.parseInt(name.substring(cut + 1)));
+            AttemptCounts[] route = all.get(Integer.parseInt(name.substring(cut + 1)));
             if (t.rated > 0 && route[1].rated >= LEAST_RATED) {
                 double[] sum = byMachine.computeIfAbsent(name.substring(0, cut), k -> new double[2]);
                 sum[0] += t.logTime - t.rated * route[1].logTime / route[1].rated;
@@ -187,7 +195,7 @@
             Math.log(0.4) + counted[0].logE(),
             Math.log(0.15) + counted[1].logE(),
             Math.log(0.2) + counted[2].logE(),
-            Math.log(0.125) + Logs.sum(calm.logE(), busy.logE())
+            Math.log(0.125) + LogArithmetic.sum(calm.logE(), busy.logE())
         };
     }
 
--- a/src/main/java/laurelkeel/blame/Starts.java
+++ b/src/main/java/laurelkeel/attribution/ChangePointMixture.java
@@ -1,4 +1,4 @@
-package laurelkeel.blame;
+package laurelkeel.attribution;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,7 +7,7 @@
  * Sums that run from several starts at once, so that a build that turns bad late is not weighed down by its good
  * time. A start has its part of one whole, so that a mixture over starts is still an e-value.
  */
-final class Starts {
+final class ChangePointMixture {
     static final int EVERY = 5;
     private static final int MOST = 24;
 
@@ -16,7 +16,7 @@
     private final List<Integer> number = new ArrayList<>();
     private int seconds, begun;
 
-    Starts(int width) {
+    ChangePointMixture(int width) {
         sums = new double[width];
     }
 
--- a/src/main/java/laurelkeel/blame/Counted.java
+++ b/src/main/java/laurelkeel/attribution/CountEvidence.java
@@ -1,4 +1,4 @@
-package laurelkeel.blame;
+package laurelkeel.attribution;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -7,7 +7,7 @@
  * Evidence that one build has more of one kind of hit (fails, silences, wrong answers) than the build beside it, as an
  * e-value: 1 where nothing speaks, and above 1/a with chance at most a, ever, where the build is no worse.
  */
-final class Counted {
+final class CountEvidence {
     /** Odds ratios that might be true, and the one that is let pass. */
     private static final double[] OVER = {2, 4, 10, 40};
 
@@ -16,11 +16,11 @@
 
     private final int routes;
     /** One a front: places by route and odds ratio; the last route's place is for all routes. */
-    private final Map<Integer, Starts> byFront = new HashMap<>();
+    private final Map<Integer, ChangePointMixture> byFront = new HashMap<>();
 
     private int seconds, fronts;
 
-    Counted(int routes) {
+    CountEvidence(int routes) {
         this.routes = routes;
     }
 
@@ -28,7 +28,7 @@
     void next(int reporting) {
         seconds++;
         fronts = Math.max(fronts, reporting);
-        byFront.values().forEach(Starts::next);
+        byFront.values().forEach(ChangePointMixture::next);
     }
 
     /** One front's second of one route: the build's own and both builds' together. */
@@ -36,15 +36,15 @@
         if (hitsAll == 0 || tries == 0 || tries == triesAll) {
             return;
         }
-        Starts s = byFront.computeIfAbsent(front, f -> {
-            Starts fresh = new Starts((routes + 1) * OVER.length);
+        ChangePointMixture s = byFront.computeIfAbsent(front, f -> {
+            ChangePointMixture fresh = new ChangePointMixture((routes + 1) * OVER.length);
             for (int i = 0; i < seconds; i++) {
                 fresh.next();
             }
             return fresh;
         });
         for (int o = 0; o < OVER.length; o++) {
-            double by = Odds.logRatio(hits, tries, hitsAll, triesAll, OVER[o], LET_PASS);
+            double by = OddsRatioEvidence.logRatio(hits, tries, hitsAll, triesAll, OVER[o], LET_PASS);
             s.add(route * OVER.length + o, by);
             s.add(routes * OVER.length + o, by);
         }
@@ -65,7 +65,7 @@
             for (int r = 0; r <= routes; r++) {
                 for (int o = 0; o < OVER.length; o++) {
                     double sum = 0, most = 0;
-                    for (Starts s : byFront.values()) {
+                    for (ChangePointMixture s : byFront.values()) {
                         double v = s.since(k, r * OVER.length + o);
                         sum += v;
                         most = Math.max(most, v);
@@ -77,6 +77,6 @@
                 }
             }
         }
-        return Logs.sum(terms, n, best);
+        return LogArithmetic.sum(terms, n, best);
     }
 }
--- a/src/main/java/laurelkeel/blame/SharedHarm.java
+++ b/src/main/java/laurelkeel/attribution/FleetWideRegressionDetector.java
@@ -1,4 +1,4 @@
-package laurelkeel.blame;
+package laurelkeel.attribution;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -14,7 +14,7 @@
  * well each tells the course of the last minute. Nothing; an outside spell from some second to another; one release,
  * in step with its share of the traffic; two releases, in step with the product of theirs.
  */
-final class SharedHarm {
+final class FleetWideRegressionDetector {
     private static final int KEPT = 60, LEAST = 10, MOST_SPELLS = 4;
     /** Outside spells seldom last: their mean, in seconds. What lasts on is more and more surely inside. */
     private static final double SPELL = 6;
@@ -47,7 +47,7 @@
 
     private final ArrayDeque<Course> kept = new ArrayDeque<>();
 
-    void next(Pool.Second s, IntPredicate beside, Recent recent) {
+    void next(ReportAggregator.Second s, IntPredicate beside, RecentCounts recent) {
         Map<Integer, Set<String>> out = new TreeMap<>();
         Map<Integer, Integer> badCustomers = new TreeMap<>();
         Map<Integer, double[]> routes = new TreeMap<>();
@@ -171,7 +171,7 @@
             double doubt = 1.96 * fit.doubt(x) * max(x);
             out.add(new Explained(who, false, 0, peak, peak - doubt, peak + doubt, lasted, null));
         }
-        double all = Logs.sum(logs.stream().mapToDouble(v -> v).toArray());
+        double all = LogArithmetic.sum(logs.stream().mapToDouble(v -> v).toArray());
         List<Explained> ranked = new ArrayList<>();
         for (int i = 0; i < out.size(); i++) {
             Explained e = out.get(i);
@@ -217,7 +217,7 @@
                 }
             }
         }
-        logs.add(Logs.sum(all));
+        logs.add(LogArithmetic.sum(all));
         out.add(new Explained(List.of(), true, 0, size, size, size, lasted, over));
     }
 
--- a/src/main/java/laurelkeel/blame/Slowed.java
+++ b/src/main/java/laurelkeel/attribution/LatencyEvidence.java
@@ -1,4 +1,4 @@
-package laurelkeel.blame;
+package laurelkeel.attribution;
 
 import org.apache.commons.math3.distribution.NormalDistribution;
 
@@ -7,7 +7,7 @@
  * A normal mixture over the size of the drift (Robbins), so it too may be looked at any time; the spread is estimated,
  * so that its promise is good only as far as the estimate is, which the table of runs shows.
  */
-final class Slowed {
+final class LatencyEvidence {
     /** Slower by less is let pass: logarithm of a ratio of times. */
     static final double LET_PASS = Math.log(1.3);
 
@@ -18,7 +18,7 @@
     private static final double RHO = 0.5;
     private static final NormalDistribution NORMAL = new NormalDistribution(null, 0, 1);
 
-    private final Starts sums = new Starts(2);
+    private final ChangePointMixture sums = new ChangePointMixture(2);
     private double last, steps;
     private int seen;
 
@@ -52,6 +52,6 @@
                     + s * s / (2 * (v + RHO))
                     + Math.log(Math.max(1e-300, NORMAL.cumulativeProbability(s / Math.sqrt(v + RHO))));
         }
-        return terms.length == 0 ? 0 : Logs.sum(terms);
+        return terms.length == 0 ? 0 : LogArithmetic.sum(terms);
     }
 }
--- a/src/main/java/laurelkeel/blame/Load.java
+++ b/src/main/java/laurelkeel/attribution/LoadClassifier.java
@@ -1,9 +1,9 @@
-package laurelkeel.blame;
+package laurelkeel.attribution;
 
 import java.util.ArrayDeque;
 
 /** Whether a second was busy, calm or, where the load hardly changes, either: by the loads of the last minute. */
-final class Load {
+final class LoadClassifier {
     private static final int KEPT = 60, SMOOTH = 5;
     private static final double CHANGES = 1.15;
 
--- a/src/main/java/laurelkeel/blame/Logs.java
+++ b/src/main/java/laurelkeel/attribution/LogArithmetic.java
@@ -1,8 +1,8 @@
-package laurelkeel.blame;
+package laurelkeel.attribution;
 
 /** Sums of numbers held as logarithms. */
-final class Logs {
-    private Logs() {}
+final class LogArithmetic {
+    private LogArithmetic() {}
 
     static double sum(double[] logs, int n, double most) {
         if (most == Double.NEGATIVE_INFINITY) {
--- a/src/main/java/laurelkeel/blame/Report.java
+++ b/src/main/java/laurelkeel/attribution/NodeReport.java
@@ -1,4 +1,4 @@
-package laurelkeel.blame;
+package laurelkeel.attribution;
 
 import java.util.List;
 
@@ -6,7 +6,7 @@
  * What one front saw in one second. front, life and second name it: it counts once however often it comes. The second
  * is counted on a clock that all fronts share well enough, as the release line's.
  */
-public record Report(int front, String life, long second, List<Cell> cells) {
+public record NodeReport(int front, String life, long second, List<Cell> cells) {
     /** Cells of one report; what goes beyond is left out and counted. */
     public static final int MOST_CELLS = 1024;
 
--- a/src/main/java/laurelkeel/blame/Odds.java
+++ b/src/main/java/laurelkeel/attribution/OddsRatioEvidence.java
@@ -1,12 +1,12 @@
-package laurelkeel.blame;
+package laurelkeel.attribution;
 
 /**
  * How much better one ratio of odds than another explains a two-by-two table, given its margins (Fisher's noncentral
  * hypergeometric distribution). Given the margins nothing else is unknown, so that products over tables are
  * martingales under the ratio held against, and may be looked at any time (Ville's inequality).
  */
-final class Odds {
-    private Odds() {}
+final class OddsRatioEvidence {
+    private OddsRatioEvidence() {}
 
     /**
      * The logarithm of the likelihood ratio of odds ratio over against odds ratio under.
--- a/src/main/java/laurelkeel/blame/Recent.java
+++ b/src/main/java/laurelkeel/attribution/RecentCounts.java
@@ -1,4 +1,4 @@
-package laurelkeel.blame;
+package laurelkeel.attribution;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -7,33 +7,33 @@
 import java.util.Set;
 
 /** Who had what in the last seconds: by build and machine, and by build and customer. Bounded by what reports name. */
-final class Recent {
+final class RecentCounts {
     private static final int SECONDS = 10;
     private static final double MOST_OF_HITS = 0.6, FEW_OF_TRIES = 0.55, FAR_APART = 4;
     private static final int LEAST_HITS = 3, LEAST_TRIES = 10;
 
     private record Place(int build, String machine, int customer) {}
 
-    private final ArrayDeque<Map<Place, Tally>> seconds = new ArrayDeque<>();
-    private final Map<Place, Tally> sums = new HashMap<>();
+    private final ArrayDeque<Map<Place, AttemptCounts>> seconds = new ArrayDeque<>();
+    private final Map<Place, AttemptCounts> sums = new HashMap<>();
 
-    void next(Pool.Second s) {
-        Map<Place, Tally> now = new HashMap<>();
+    void next(ReportAggregator.Second s) {
+        Map<Place, AttemptCounts> now = new HashMap<>();
         s.byFront()
                 .values()
                 .forEach(cells -> cells.forEach(c -> {
-                    now.computeIfAbsent(new Place(c.build(), c.machine(), -2), k -> new Tally())
+                    now.computeIfAbsent(new Place(c.build(), c.machine(), -2), k -> new AttemptCounts())
                             .add(c);
                     if (c.customer() >= 0) {
-                        now.computeIfAbsent(new Place(c.build(), null, c.customer()), k -> new Tally())
+                        now.computeIfAbsent(new Place(c.build(), null, c.customer()), k -> new AttemptCounts())
                                 .add(c);
                     }
                 }));
         seconds.addLast(now);
-        now.forEach((p, t) -> sums.computeIfAbsent(p, k -> new Tally()).add(t, 1));
+        now.forEach((p, t) -> sums.computeIfAbsent(p, k -> new AttemptCounts()).add(t, 1));
         if (seconds.size() > SECONDS) {
             seconds.pollFirst().forEach((p, t) -> {
-                Tally sum = sums.get(p);
+                AttemptCounts sum = sums.get(p);
                 sum.add(t, -1);
                 if (sum.tries <= 0) {
                     sums.remove(p);
@@ -69,8 +69,9 @@
             Place p = e.getKey();
             if (p.build == build
                     && p.machine != null
-                    && e.getValue().hits[Tally.SILENT] > 0
-                    && (most == null || e.getValue().hits[Tally.SILENT] > sums.get(most).hits[Tally.SILENT])) {
+                    && e.getValue().hits[AttemptCounts.SILENT] > 0
+                    && (most == null
+                            || e.getValue().hits[AttemptCounts.SILENT] > sums.get(most).hits[AttemptCounts.SILENT])) {
                 most = p;
             }
         }
@@ -89,7 +90,7 @@
         if (p == null) {
             return -1;
         }
-        Tally there = sums.get(p), beside = new Tally();
+        AttemptCounts there = sums.get(p), beside = new AttemptCounts();
         sums.forEach((q, t) -> {
             if (q.build != build && q.customer == p.customer) {
                 beside.add(t, 1);
@@ -100,7 +101,7 @@
     }
 
     private Place standsOut(int build, boolean machine) {
-        Tally all = new Tally();
+        AttemptCounts all = new AttemptCounts();
         Place most = null;
         for (var e : sums.entrySet()) {
             Place p = e.getKey();
@@ -114,7 +115,7 @@
         if (most == null) {
             return null;
         }
-        Tally one = sums.get(most);
+        AttemptCounts one = sums.get(most);
         int rest = all.tries - one.tries;
         double restRate = rest <= 0 ? 1 : (all.answered() - one.answered()) / (double) rest;
         boolean out = one.answered() >= LEAST_HITS
--- a/src/main/java/laurelkeel/blame/Blame.java
+++ b/src/main/java/laurelkeel/attribution/RegressionAttributor.java
@@ -1,4 +1,4 @@
-package laurelkeel.blame;
+package laurelkeel.attribution;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,9 +9,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
-import laurelkeel.blame.Finding.Kind;
-import laurelkeel.blame.Finding.Verdict;
-import laurelkeel.blame.SharedHarm.Explained;
+import laurelkeel.attribution.AttributionFinding.Kind;
+import laurelkeel.attribution.AttributionFinding.Verdict;
+import laurelkeel.attribution.FleetWideRegressionDetector.Explained;
 
 /**
  * The statement of which release most likely caused a drop. Told of offers and ends, fed with reports, and asked once
@@ -19,7 +19,7 @@
  * this is asked: exactly for fails, silences and wrong answers, whose e-values need no more than that tries at both
  * builds are alike; as far as its model goes for slowness and harm to all.
  */
-public final class Blame {
+public final class RegressionAttributor {
     /** The chance that an honest release is called guilty by what a comparison shows, at most. */
     public static final double FALSE_ALARM = 0.002;
 
@@ -31,30 +31,30 @@
     private static final long OPEN_FOR = 18, ASIDE_FOR = 60;
 
     private final int routes;
-    private final Pool pool;
-    private final Recent recent = new Recent();
-    private final Load load = new Load();
-    private final SharedHarm shared = new SharedHarm();
-    private final Map<Integer, Trial> trials = new TreeMap<>();
+    private final ReportAggregator pool;
+    private final RecentCounts recent = new RecentCounts();
+    private final LoadClassifier load = new LoadClassifier();
+    private final FleetWideRegressionDetector shared = new FleetWideRegressionDetector();
+    private final Map<Integer, CanaryComparison> trials = new TreeMap<>();
     /** Off trial, yet no measure for the others: sent back, or refused for want of room. */
     private final Set<Integer> apart = new HashSet<>();
     /** Set aside to tell: on trial no more, yet still to be explained by. */
-    private final Map<Integer, Trial> aside = new TreeMap<>();
+    private final Map<Integer, CanaryComparison> aside = new TreeMap<>();
 
     private long openSince = -1;
-    private List<Finding> last = List.of();
+    private List<AttributionFinding> last = List.of();
 
     /** @param patience seconds that a report may be late before its second is judged without it */
-    public Blame(int routes, long patience) {
+    public RegressionAttributor(int routes, long patience) {
         this.routes = routes;
-        this.pool = new Pool(patience);
+        this.pool = new ReportAggregator(patience);
     }
 
     /** A build goes on trial. */
     public void offered(int build, long second) {
         if (trials.size() < MOST_TRIALS) {
             apart.remove(build);
-            trials.computeIfAbsent(build, b -> new Trial(b, second, routes));
+            trials.computeIfAbsent(build, b -> new CanaryComparison(b, second, routes));
         } else {
             apart.add(build);
         }
@@ -69,7 +69,7 @@
 
     /** Sent back to tell whether the harm ends with it; it may still be found guilty. */
     public void setAside(int build) {
-        Trial t = trials.remove(build);
+        CanaryComparison t = trials.remove(build);
         if (t != null) {
             apart.add(build);
             aside.put(build, t);
@@ -77,7 +77,7 @@
     }
 
     /** Takes a front's report; false where it is left out (doubled, too late, from the future). */
-    public boolean take(Report r, long now) {
+    public boolean take(NodeReport r, long now) {
         return pool.take(r, now);
     }
 
@@ -87,12 +87,12 @@
     }
 
     /** What is known now, a finding a release on trial. */
-    public List<Finding> judge(long now) {
-        List<Pool.Second> closed = pool.closed(now);
+    public List<AttributionFinding> judge(long now) {
+        List<ReportAggregator.Second> closed = pool.closed(now);
         if (closed.isEmpty()) {
             return last;
         }
-        for (Pool.Second s : closed) {
+        for (ReportAggregator.Second s : closed) {
             next(s);
         }
         last = findings(now);
@@ -103,31 +103,32 @@
         return !trials.containsKey(build) && !apart.contains(build);
     }
 
-    private void next(Pool.Second s) {
+    private void next(ReportAggregator.Second s) {
         recent.next(s);
         Map<Integer, Integer> tries = new HashMap<>();
         s.byFront().values().forEach(cells -> cells.forEach(c -> tries.merge(c.build(), c.tries(), Integer::sum)));
-        Load.Is is = load.next(tries.values().stream().mapToInt(v -> v).sum());
-        for (Trial t : trials.values()) {
+        LoadClassifier.Is is =
+                load.next(tries.values().stream().mapToInt(v -> v).sum());
+        for (CanaryComparison t : trials.values()) {
             boolean othersOn = trials.keySet().stream().anyMatch(b -> b != t.build && tries.getOrDefault(b, 0) > 0);
             t.next(s, this::beside, recent, othersOn, is);
         }
         shared.next(s, this::beside, recent);
     }
 
-    private List<Finding> findings(long now) {
+    private List<AttributionFinding> findings(long now) {
         aside.values().removeIf(t -> t.guiltyAt >= 0 || now - t.since > ASIDE_FOR + 120);
-        Map<Integer, Trial> all = new TreeMap<>(aside);
+        Map<Integer, CanaryComparison> all = new TreeMap<>(aside);
         all.putAll(trials);
         List<Integer> on = List.copyOf(all.keySet());
         List<Explained> times = shared.explain(true, on), hits = shared.explain(false, on);
         Map<Integer, double[]> logs = new TreeMap<>();
         double top = Double.NEGATIVE_INFINITY;
-        for (Trial t : all.values()) {
+        for (CanaryComparison t : all.values()) {
             double[] e = t.logE();
             logs.put(t.build, e);
-            top = Math.max(top, Logs.sum(e));
-            if (t.guiltyAt < 0 && Logs.sum(e) >= -Math.log(FALSE_ALARM)) {
+            top = Math.max(top, LogArithmetic.sum(e));
+            if (t.guiltyAt < 0 && LogArithmetic.sum(e) >= -Math.log(FALSE_ALARM)) {
                 t.guiltyAt = now;
                 t.guiltyKind = Kind.values()[most(e)];
             }
@@ -137,7 +138,7 @@
         if (!anyGuilty && top < Math.log(OPEN)) {
             for (List<Explained> course : List.of(times, hits)) {
                 // of two only bad together the later one is named: without it there was no harm
-                Trial t = all.get(newestOf(all, SharedHarm.guilty(course)));
+                CanaryComparison t = all.get(newestOf(all, FleetWideRegressionDetector.guilty(course)));
                 if (t != null && t.guiltyAt < 0) {
                     t.guiltyAt = now;
                     t.guiltyKind = Kind.HARMS_ALL;
@@ -145,13 +146,14 @@
             }
         }
         anyGuilty = all.values().stream().anyMatch(t -> t.guiltyAt >= 0);
-        boolean harmOpen = !anyGuilty && (SharedHarm.open(times) || SharedHarm.open(hits));
+        boolean harmOpen =
+                !anyGuilty && (FleetWideRegressionDetector.open(times) || FleetWideRegressionDetector.open(hits));
         boolean open = anyGuilty || harmOpen || top > Math.log(OPEN);
         openSince = !harmOpen ? -1 : openSince < 0 ? now : openSince;
         boolean untold = harmOpen && now - openSince >= OPEN_FOR && trials.size() > 1;
         int newest = newestOf(all, List.copyOf(trials.keySet()));
-        List<Finding> out = new ArrayList<>();
-        for (Trial t : all.values()) {
+        List<AttributionFinding> out = new ArrayList<>();
+        for (CanaryComparison t : all.values()) {
             if (trials.containsKey(t.build) || t.guiltyAt >= 0) {
                 out.add(finding(t, logs, times, hits, open, harmOpen, untold && t.build == newest, now));
             }
@@ -160,7 +162,7 @@
         return List.copyOf(out);
     }
 
-    private static int newestOf(Map<Integer, Trial> of, List<Integer> builds) {
+    private static int newestOf(Map<Integer, CanaryComparison> of, List<Integer> builds) {
         return builds.stream()
                 .max((a, b) -> of.get(a).since != of.get(b).since
                         ? Long.compare(of.get(a).since, of.get(b).since)
@@ -176,8 +178,8 @@
         return at;
     }
 
-    private Finding finding(
-            Trial t,
+    private AttributionFinding finding(
+            CanaryComparison t,
             Map<Integer, double[]> logs,
             List<Explained> times,
             List<Explained> hits,
@@ -186,15 +188,19 @@
             boolean setAside,
             long now) {
         double[] e = logs.get(t.build);
-        double own = Logs.sum(e);
+        double own = LogArithmetic.sum(e);
         double whole = Math.log(1 - PRIOR);
         for (double[] other : logs.values()) {
-            whole = Logs.sum(whole, Math.log(PRIOR) + Logs.sum(other));
+            whole = LogArithmetic.sum(whole, Math.log(PRIOR) + LogArithmetic.sum(other));
         }
         double probability = Math.exp(Math.log(PRIOR) + own - whole);
-        double part = Math.max(SharedHarm.part(times, t.build), SharedHarm.part(hits, t.build));
-        Explained course =
-                sharedOf(SharedHarm.part(hits, t.build) > SharedHarm.part(times, t.build) ? hits : times, t.build);
+        double part = Math.max(
+                FleetWideRegressionDetector.part(times, t.build), FleetWideRegressionDetector.part(hits, t.build));
+        Explained course = sharedOf(
+                FleetWideRegressionDetector.part(hits, t.build) > FleetWideRegressionDetector.part(times, t.build)
+                        ? hits
+                        : times,
+                t.build);
         boolean byCourse = course != null && part > probability;
         Kind kind = t.guiltyAt >= 0 ? t.guiltyKind : byCourse ? Kind.HARMS_ALL : Kind.values()[most(e)];
         probability = Math.max(probability, part);
@@ -224,7 +230,7 @@
         if (considered.isEmpty()) {
             considered.add("no machine, customer or outside spell stands out");
         }
-        return new Finding(
+        return new AttributionFinding(
                 t.build,
                 verdict,
                 probability,
@@ -263,7 +269,7 @@
                 .orElse(null);
     }
 
-    private static boolean cleared(Trial t) {
+    private static boolean cleared(CanaryComparison t) {
         if (t.tries() < CLEAR_TRIES || t.secondsSeen() < CLEAR_SECONDS) {
             return false;
         }
@@ -277,7 +283,7 @@
         return slow[2] < CLEAR_RATIO;
     }
 
-    private static String sentence(Trial t, Kind kind, double[] effect, Verdict verdict) {
+    private static String sentence(CanaryComparison t, Kind kind, double[] effect, Verdict verdict) {
         String what =
                 switch (kind) {
                     case FAILS -> "of its tries %.1f in 100 more fail than beside it (%.1f to %.1f)";
--- a/src/main/java/laurelkeel/blame/Pool.java
+++ b/src/main/java/laurelkeel/attribution/ReportAggregator.java
@@ -1,4 +1,4 @@
-package laurelkeel.blame;
+package laurelkeel.attribution;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -12,28 +12,28 @@
  * reports had their time to come; what comes after is counted and left out. No front weighs more than a few times
  * the middle one, whatever it says.
  */
-final class Pool {
+final class ReportAggregator {
     private static final int MOST_AHEAD = 8;
     private static final double MOST_WEIGHT = 3;
     private static final int MOST_FRONTS = 4096;
 
     /** One closed second: the cells of each front that reported. */
-    record Second(long at, Map<Integer, List<Report.Cell>> byFront) {}
+    record Second(long at, Map<Integer, List<NodeReport.Cell>> byFront) {}
 
     private final long patience;
-    private final TreeMap<Long, Map<Integer, List<Report.Cell>>> open = new TreeMap<>();
+    private final TreeMap<Long, Map<Integer, List<NodeReport.Cell>>> open = new TreeMap<>();
     private final Set<String> seen = new HashSet<>();
     private final TreeMap<Long, List<String>> seenAt = new TreeMap<>();
     private long closedTo = Long.MIN_VALUE;
     long doubled, late, unsound, left;
 
     /** @param patience seconds that a report may be late */
-    Pool(long patience) {
+    ReportAggregator(long patience) {
         this.patience = patience;
     }
 
     /** Takes a report; false where it is left out. */
-    boolean take(Report r, long now) {
+    boolean take(NodeReport r, long now) {
         if (r.second() <= closedTo) {
             late++;
             return false;
@@ -48,14 +48,14 @@
             return false;
         }
         seenAt.computeIfAbsent(r.second(), k -> new ArrayList<>()).add(name);
-        Map<Integer, List<Report.Cell>> at = open.computeIfAbsent(r.second(), k -> new TreeMap<>());
+        Map<Integer, List<NodeReport.Cell>> at = open.computeIfAbsent(r.second(), k -> new TreeMap<>());
         if (at.size() >= MOST_FRONTS && !at.containsKey(r.front())) {
             left++;
             return false;
         }
-        List<Report.Cell> cells = at.computeIfAbsent(r.front(), k -> new ArrayList<>());
-        for (Report.Cell c : r.cells()) {
-            if (cells.size() >= Report.MOST_CELLS) {
+        List<NodeReport.Cell> cells = at.computeIfAbsent(r.front(), k -> new ArrayList<>());
+        for (NodeReport.Cell c : r.cells()) {
+            if (cells.size() >= NodeReport.MOST_CELLS) {
                 left++;
             } else if (c.sound()) {
                 cells.add(c);
@@ -81,13 +81,14 @@
         return out;
     }
 
-    private static Map<Integer, List<Report.Cell>> evened(Map<Integer, List<Report.Cell>> by) {
+    private static Map<Integer, List<NodeReport.Cell>> evened(Map<Integer, List<NodeReport.Cell>> by) {
         if (by.size() < 3) {
             return by;
         }
-        int[] tries = by.values().stream().mapToInt(Pool::tries).sorted().toArray();
+        int[] tries =
+                by.values().stream().mapToInt(ReportAggregator::tries).sorted().toArray();
         double most = MOST_WEIGHT * Math.max(1, tries[tries.length / 2]);
-        Map<Integer, List<Report.Cell>> out = new TreeMap<>();
+        Map<Integer, List<NodeReport.Cell>> out = new TreeMap<>();
         by.forEach((front, cells) -> {
             double over = tries(cells) / most;
             out.put(
@@ -99,7 +100,7 @@
         return out;
     }
 
-    private static int tries(List<Report.Cell> cells) {
-        return cells.stream().mapToInt(Report.Cell::tries).sum();
+    private static int tries(List<NodeReport.Cell> cells) {
+        return cells.stream().mapToInt(NodeReport.Cell::tries).sum();
     }
 }
--- a/src/main/java/laurelkeel/audit/DrainsKept.java
+++ b/src/main/java/laurelkeel/audit/DrainRule.java
@@ -3,24 +3,24 @@
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.Map;
-import laurelkeel.audit.Traffic.Life;
-import laurelkeel.records.Rec;
+import laurelkeel.audit.RecordedTraffic.Life;
+import laurelkeel.records.TrafficRecord;
 
 /** Rule 3: nothing new to a machine later than the grace after the front was told that it drains or is gone. */
-final class DrainsKept extends Rule {
+final class DrainRule extends RuleChecker {
 
-    DrainsKept() {
+    DrainRule() {
         super(3, "drains kept");
     }
 
     @Override
-    void judge(Traffic traffic) {
+    void judge(RecordedTraffic traffic) {
         for (Life life : traffic.lives.values()) {
             Map<String, Long> toldOut = new HashMap<>();
             Map<String, Long> listed = new HashMap<>();
-            Iterator<Rec.ToldList> lists = life.lists.iterator();
-            Rec.ToldList next = lists.hasNext() ? lists.next() : null;
-            for (Rec.Arrived s : life.sent) {
+            Iterator<TrafficRecord.ToldList> lists = life.lists.iterator();
+            TrafficRecord.ToldList next = lists.hasNext() ? lists.next() : null;
+            for (TrafficRecord.Arrived s : life.sent) {
                 while (next != null && next.t() <= s.t()) {
                     told(next, toldOut, listed);
                     next = lists.hasNext() ? lists.next() : null;
@@ -47,17 +47,17 @@
         }
     }
 
-    private static void told(Rec.ToldList l, Map<String, Long> out, Map<String, Long> listed) {
+    private static void told(TrafficRecord.ToldList l, Map<String, Long> out, Map<String, Long> listed) {
         Map<String, Long> named = new HashMap<>();
-        for (Rec.Entry e : l.machines()) {
+        for (TrafficRecord.Entry e : l.machines()) {
             named.put(e.machine(), e.run());
-            if (e.state() == Rec.State.LIVE) {
+            if (e.state() == TrafficRecord.State.LIVE) {
                 out.remove(e.machine());
             } else {
                 out.putIfAbsent(e.machine(), l.t());
             }
         }
-        if (l.kind() != Rec.ListKind.CHANGES) {
+        if (l.kind() != TrafficRecord.ListKind.CHANGES) {
             for (String known : listed.keySet()) {
                 if (!named.containsKey(known)) {
                     out.putIfAbsent(known, l.t());
--- a/src/main/java/laurelkeel/audit/Exposure.java
+++ b/src/main/java/laurelkeel/audit/ExposureRule.java
@@ -6,19 +6,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
-import laurelkeel.audit.Traffic.Life;
-import laurelkeel.audit.Traffic.Req;
-import laurelkeel.records.Rec;
+import laurelkeel.audit.RecordedTraffic.Life;
+import laurelkeel.audit.RecordedTraffic.Req;
+import laurelkeel.records.TrafficRecord;
 
 /** Rule 5: tries at a build on trial stay within the cap told; guarded stages; keys that go one way only. */
-final class Exposure extends Rule {
+final class ExposureRule extends RuleChecker {
 
-    Exposure() {
+    ExposureRule() {
         super(5, "exposure within the cap");
     }
 
     @Override
-    void judge(Traffic traffic) {
+    void judge(RecordedTraffic traffic) {
         Map<Integer, List<Req>> takenBy = new HashMap<>();
         for (Req r : traffic.reqs.values()) {
             boolean notTaken = !r.answers.isEmpty() && r.answers.get(0).notTaken();
@@ -27,7 +27,8 @@
             }
         }
         for (Life life : traffic.lives.values()) {
-            Timeline told = new Timeline(life.news, traffic.rules.stageCaps().get(0));
+            RolloutTimeline told =
+                    new RolloutTimeline(life.news, traffic.rules.stageCaps().get(0));
             caps(
                     traffic,
                     life,
@@ -55,7 +56,7 @@
         private static long seen(Req q) {
             long answered =
                     q.answers.isEmpty() ? q.asked.leaves() : q.answers.get(0).t();
-            return q.arrived.stream().mapToLong(Rec.Arrived::t).reduce(answered, Math::min);
+            return q.arrived.stream().mapToLong(TrafficRecord.Arrived::t).reduce(answered, Math::min);
         }
 
         /** How many may have been taken between two moments. */
@@ -82,15 +83,15 @@
      * taken, and a try sent, between its client's writing and its machine's reading. A breach is what is one
      * wherever in between they were: tries surely sent within a window, against reqs that may have been taken in it.
      */
-    private void caps(Traffic traffic, Life life, Timeline told, List<Req> taken) {
-        Rec.Rules rules = traffic.rules;
+    private void caps(RecordedTraffic traffic, Life life, RolloutTimeline told, List<Req> taken) {
+        TrafficRecord.Rules rules = traffic.rules;
         Map<String, Takes> takes = new HashMap<>();
         Map<String, PriorityQueue<Long>> windows = new HashMap<>();
-        List<Rec.Arrived> sent = new ArrayList<>(life.sent);
-        sent.sort(Comparator.comparingLong(Rec.Arrived::t));
-        for (Rec.Arrived s : sent) {
+        List<TrafficRecord.Arrived> sent = new ArrayList<>(life.sent);
+        sent.sort(Comparator.comparingLong(TrafficRecord.Arrived::t));
+        for (TrafficRecord.Arrived s : sent) {
             Req r = traffic.reqs.get(s.req());
-            Timeline.Known now = told.at(s.build(), s.t());
+            RolloutTimeline.Known now = told.at(s.build(), s.t());
             if (r == null || !now.onTrial()) {
                 continue;
             }
@@ -128,7 +129,7 @@
                                                 + " reqs"));
             }
             int stage = Math.max(now.stage(), told.at(s.build(), s.t() + EDGE).stage());
-            if (stage < rules.guardedStages() && r.route.effect() != Rec.Effect.RETRIABLE) {
+            if (stage < rules.guardedStages() && r.route.effect() != TrafficRecord.Effect.RETRIABLE) {
                 breach(
                         s.t(),
                         s.req(),
@@ -137,34 +138,34 @@
         }
     }
 
-    private void keys(Traffic traffic, Life life, Timeline told) {
+    private void keys(RecordedTraffic traffic, Life life, RolloutTimeline told) {
         // by key: the build that answered it, and when its client had the answer
         Map<String, long[]> answered = new HashMap<>();
         List<Object[]> moments = new ArrayList<>();
-        for (Rec.Arrived s : life.sent) {
+        for (TrafficRecord.Arrived s : life.sent) {
             moments.add(new Object[] {s.t(), s, null});
         }
         for (Req r : traffic.reqs.values()) {
-            boolean completed = !r.answers.isEmpty() && r.answers.get(0).is() == Rec.Final.COMPLETED;
+            boolean completed = !r.answers.isEmpty() && r.answers.get(0).is() == TrafficRecord.Final.COMPLETED;
             if (completed && r.asked.key() != null) {
                 long had = r.answers.get(0).t();
                 // which of two tries' answers went on is not on the wire: the earlier build's promises less
                 r.arrived.stream()
                         .filter(a -> {
-                            Rec.Replied p = r.replied.get(a.no());
+                            TrafficRecord.Replied p = r.replied.get(a.no());
                             return p != null
                                     && p.status() < 500
                                     && p.t() <= had
                                     && life.name.equals(a.life())
                                     && life.front == a.front();
                         })
-                        .min(Comparator.comparingInt(Rec.Arrived::build))
+                        .min(Comparator.comparingInt(TrafficRecord.Arrived::build))
                         .ifPresent(a -> moments.add(new Object[] {had + EDGE, a, r}));
             }
         }
         moments.sort(java.util.Comparator.comparingLong(m -> (long) m[0]));
         for (Object[] m : moments) {
-            Rec.Arrived a = (Rec.Arrived) m[1];
+            TrafficRecord.Arrived a = (TrafficRecord.Arrived) m[1];
             long t = (long) m[0];
             if (m[2] != null) {
                 answered.merge(((Req) m[2]).asked.key(), new long[] {a.build(), t}, (x, y) -> y[0] > x[0] ? y : x);
--- a/src/main/java/laurelkeel/audit/Traffic.java
+++ b/src/main/java/laurelkeel/audit/RecordedTraffic.java
@@ -5,30 +5,30 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import laurelkeel.records.Rec;
+import laurelkeel.records.TrafficRecord;
 
 /** The records, sorted by what the rules ask of them. */
-final class Traffic {
+final class RecordedTraffic {
 
     /** One try of a client, with all that was seen of it. */
     static final class Req {
-        final Rec.Asked asked;
-        final List<Rec.Answered> answers = new ArrayList<>();
-        final List<Rec.Stray> strays = new ArrayList<>();
-        final List<Rec.Arrived> arrived = new ArrayList<>();
-        final Map<Integer, Rec.TurnedAway> turnedAway = new HashMap<>();
-        final Map<Integer, Rec.Replied> replied = new HashMap<>();
-        Rec.Broke broke;
-        Rec.LeftEarly left;
-        Rec.RouteRule route;
+        final TrafficRecord.Asked asked;
+        final List<TrafficRecord.Answered> answers = new ArrayList<>();
+        final List<TrafficRecord.Stray> strays = new ArrayList<>();
+        final List<TrafficRecord.Arrived> arrived = new ArrayList<>();
+        final Map<Integer, TrafficRecord.TurnedAway> turnedAway = new HashMap<>();
+        final Map<Integer, TrafficRecord.Replied> replied = new HashMap<>();
+        TrafficRecord.Broke broke;
+        TrafficRecord.LeftEarly left;
+        TrafficRecord.RouteRule route;
 
-        Req(Rec.Asked asked) {
+        Req(TrafficRecord.Asked asked) {
             this.asked = asked;
         }
 
         /** Whether that arrival may have had an effect, as the machine knows it by a moment. */
-        boolean mayHaveRun(Rec.Arrived a, long by) {
-            Rec.TurnedAway t = turnedAway.get(a.no());
+        boolean mayHaveRun(TrafficRecord.Arrived a, long by) {
+            TrafficRecord.TurnedAway t = turnedAway.get(a.no());
             return t == null || t.t() > by || !t.machine().equals(a.machine());
         }
     }
@@ -39,9 +39,9 @@
         final String name;
         final long from;
         long until = Long.MAX_VALUE;
-        final List<Rec.ToldList> lists = new ArrayList<>();
-        final List<Rec.ToldNews> news = new ArrayList<>();
-        final List<Rec.Arrived> sent = new ArrayList<>();
+        final List<TrafficRecord.ToldList> lists = new ArrayList<>();
+        final List<TrafficRecord.ToldNews> news = new ArrayList<>();
+        final List<TrafficRecord.Arrived> sent = new ArrayList<>();
 
         Life(int front, String name, long from) {
             this.front = front;
@@ -52,26 +52,26 @@
 
     /** One start of a machine. */
     static final class Run {
-        final Rec.MachineUp up;
-        final List<Rec.Arrived> arrived = new ArrayList<>();
-        Rec.MachineDown down;
+        final TrafficRecord.MachineUp up;
+        final List<TrafficRecord.Arrived> arrived = new ArrayList<>();
+        TrafficRecord.MachineDown down;
 
-        Run(Rec.MachineUp up) {
+        Run(TrafficRecord.MachineUp up) {
             this.up = up;
         }
     }
 
-    final Rec.Rules rules;
+    final TrafficRecord.Rules rules;
     final Map<String, Req> reqs = new LinkedHashMap<>();
     final Map<String, Life> lives = new LinkedHashMap<>();
     final Map<String, Run> runs = new LinkedHashMap<>();
-    final List<Rec.FrontDown> downs = new ArrayList<>();
+    final List<TrafficRecord.FrontDown> downs = new ArrayList<>();
 
     /** @throws IllegalArgumentException where the figures of the rules are missing */
-    Traffic(List<Rec> all) {
-        Rec.Rules found = null;
-        for (Rec r : all) {
-            found = r instanceof Rec.Rules rules ? rules : found;
+    RecordedTraffic(List<TrafficRecord> all) {
+        TrafficRecord.Rules found = null;
+        for (TrafficRecord r : all) {
+            found = r instanceof TrafficRecord.Rules rules ? rules : found;
             add(r);
         }
         if (found == null) {
@@ -79,7 +79,7 @@
                     "the records hold no line of kind 'rules'; without it no rule can be " + "judged");
         }
         rules = found;
-        Map<String, Rec.RouteRule> routes = new HashMap<>();
+        Map<String, TrafficRecord.RouteRule> routes = new HashMap<>();
         rules.routes().forEach(r -> routes.put(r.name(), r));
         for (Req r : reqs.values()) {
             r.route = routes.get(r.asked.route());
@@ -90,40 +90,40 @@
         }
     }
 
-    private void add(Rec r) {
-        if (r instanceof Rec.Asked a) {
+    private void add(TrafficRecord r) {
+        if (r instanceof TrafficRecord.Asked a) {
             reqs.put(a.req(), new Req(a));
-        } else if (r instanceof Rec.Answered a) {
+        } else if (r instanceof TrafficRecord.Answered a) {
             with(a.req(), q -> q.answers.add(a));
-        } else if (r instanceof Rec.Stray s) {
+        } else if (r instanceof TrafficRecord.Stray s) {
             with(s.req(), q -> q.strays.add(s));
-        } else if (r instanceof Rec.Broke b) {
+        } else if (r instanceof TrafficRecord.Broke b) {
             with(b.req(), q -> q.broke = b);
-        } else if (r instanceof Rec.LeftEarly l) {
+        } else if (r instanceof TrafficRecord.LeftEarly l) {
             with(l.req(), q -> q.left = l);
-        } else if (r instanceof Rec.FrontUp f) {
+        } else if (r instanceof TrafficRecord.FrontUp f) {
             lives.put(f.front() + "/" + f.life(), new Life(f.front(), f.life(), f.t()));
-        } else if (r instanceof Rec.FrontDown d) {
+        } else if (r instanceof TrafficRecord.FrontDown d) {
             downs.add(d);
             lives.values().forEach(l -> l.until = l.front == d.front() ? Math.min(l.until, d.t()) : l.until);
-        } else if (r instanceof Rec.ToldList l) {
+        } else if (r instanceof TrafficRecord.ToldList l) {
             lives.get(l.front() + "/" + l.life()).lists.add(l);
-        } else if (r instanceof Rec.ToldNews n) {
+        } else if (r instanceof TrafficRecord.ToldNews n) {
             lives.get(n.front() + "/" + n.life()).news.add(n);
-        } else if (r instanceof Rec.MachineUp m) {
+        } else if (r instanceof TrafficRecord.MachineUp m) {
             runs.put(m.machine() + "#" + m.run(), new Run(m));
-        } else if (r instanceof Rec.MachineDown m) {
+        } else if (r instanceof TrafficRecord.MachineDown m) {
             runs.get(m.machine() + "#" + m.run()).down = m;
-        } else if (r instanceof Rec.Arrived a) {
+        } else if (r instanceof TrafficRecord.Arrived a) {
             with(a.req(), q -> q.arrived.add(a));
             runs.get(a.machine() + "#" + a.run()).arrived.add(a);
             Life life = lives.get(a.front() + "/" + a.life());
             if (life != null) {
                 life.sent.add(a);
             }
-        } else if (r instanceof Rec.TurnedAway a) {
+        } else if (r instanceof TrafficRecord.TurnedAway a) {
             with(a.req(), q -> q.turnedAway.put(a.no(), a));
-        } else if (r instanceof Rec.Replied a) {
+        } else if (r instanceof TrafficRecord.Replied a) {
             with(a.req(), q -> q.replied.put(a.no(), a));
         }
     }
--- a/src/main/java/laurelkeel/audit/Timeline.java
+++ b/src/main/java/laurelkeel/audit/RolloutTimeline.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import laurelkeel.records.Rec;
+import laurelkeel.records.TrafficRecord;
 
 /** What one life of a front knew of all releases, by when the news reached it. */
-final class Timeline {
+final class RolloutTimeline {
 
     /** What was known of one build; stage and cap mean nothing where it was not on trial. */
     record Known(boolean onTrial, int stage, double cap) {}
@@ -17,20 +17,20 @@
     private static final Known NO_TRIAL = new Known(false, 0, 1);
 
     private final double firstCap;
-    private final Map<Integer, TreeMap<Long, Rec.ToldNews>> byBuild = new HashMap<>();
+    private final Map<Integer, TreeMap<Long, TrafficRecord.ToldNews>> byBuild = new HashMap<>();
     /** By when it was known: the latest build released, and the latest heard of. */
     private final TreeMap<Long, Integer> released = new TreeMap<>(), heardOf = new TreeMap<>();
 
-    Timeline(List<Rec.ToldNews> news, double firstCap) {
+    RolloutTimeline(List<TrafficRecord.ToldNews> news, double firstCap) {
         this.firstCap = firstCap;
-        List<Rec.ToldNews> sorted = new ArrayList<>(news);
-        sorted.sort(Comparator.comparingLong(Rec.ToldNews::t));
+        List<TrafficRecord.ToldNews> sorted = new ArrayList<>(news);
+        sorted.sort(Comparator.comparingLong(TrafficRecord.ToldNews::t));
         int last = -1, latest = -1;
-        for (Rec.ToldNews n : sorted) {
+        for (TrafficRecord.ToldNews n : sorted) {
             byBuild.computeIfAbsent(n.build(), k -> new TreeMap<>()).put(n.t(), n);
             latest = Math.max(latest, n.build());
             heardOf.put(n.t(), latest);
-            if (n.phase() == Rec.Phase.RELEASED) {
+            if (n.phase() == TrafficRecord.Phase.RELEASED) {
                 last = Math.max(last, n.build());
                 released.put(n.t(), last);
             }
@@ -43,7 +43,7 @@
     }
 
     Known at(int build, long t) {
-        TreeMap<Long, Rec.ToldNews> own = byBuild.get(build);
+        TreeMap<Long, TrafficRecord.ToldNews> own = byBuild.get(build);
         var last = own == null ? null : own.floorEntry(t);
         if (build < by(released, t)) {
             return NO_TRIAL;
@@ -53,14 +53,14 @@
             int latest = by(heardOf, t);
             return latest >= 0 && build > latest ? new Known(true, 0, firstCap) : NO_TRIAL;
         }
-        Rec.ToldNews n = last.getValue();
-        return n.phase() == Rec.Phase.RELEASED ? NO_TRIAL : new Known(true, n.stage(), n.cap());
+        TrafficRecord.ToldNews n = last.getValue();
+        return n.phase() == TrafficRecord.Phase.RELEASED ? NO_TRIAL : new Known(true, n.stage(), n.cap());
     }
 
     /** The highest cap known at any moment from one to another. */
     double mostCap(int build, long from, long to) {
         double most = at(build, from).cap;
-        TreeMap<Long, Rec.ToldNews> own = byBuild.getOrDefault(build, new TreeMap<>());
+        TreeMap<Long, TrafficRecord.ToldNews> own = byBuild.getOrDefault(build, new TreeMap<>());
         for (long t : own.subMap(from, false, to, true).keySet()) {
             most = Math.max(most, at(build, t).cap);
         }
@@ -87,10 +87,10 @@
             return false;
         }
         boolean stands = true;
-        for (Rec.ToldNews n : byBuild.getOrDefault(build, new TreeMap<>())
+        for (TrafficRecord.ToldNews n : byBuild.getOrDefault(build, new TreeMap<>())
                 .headMap(at + edge, true)
                 .values()) {
-            stands = n.phase() == Rec.Phase.TRIAL || n.phase() == Rec.Phase.RELEASED;
+            stands = n.phase() == TrafficRecord.Phase.TRIAL || n.phase() == TrafficRecord.Phase.RELEASED;
             if (!stands && n.t() > at) {
                 return false;
             }
--- a/src/main/java/laurelkeel/audit/Rule.java
+++ b/src/main/java/laurelkeel/audit/RuleChecker.java
@@ -4,26 +4,26 @@
 import java.util.List;
 
 /** What a rule's judge gathers while it looks. */
-abstract class Rule {
+abstract class RuleChecker {
     /** Between processes of one host a moment is seen this much apart: queues of sockets and of the scheduler. */
     static final long EDGE = 500;
 
     private final int number;
     private final String name;
-    private final List<Breach> breaches = new ArrayList<>();
+    private final List<RuleViolation> breaches = new ArrayList<>();
     private long checked;
     private double nearest;
     private String where = "-";
 
-    Rule(int number, String name) {
+    RuleChecker(int number, String name) {
         this.number = number;
         this.name = name;
     }
 
-    abstract void judge(Traffic traffic);
+    abstract void judge(RecordedTraffic traffic);
 
     void breach(long t, String req, String what) {
-        breaches.add(new Breach(number, t, req, what));
+        breaches.add(new RuleViolation(number, t, req, what));
     }
 
     void near(double share, String how) {
@@ -34,9 +34,9 @@
         }
     }
 
-    Verdict verdict(Traffic traffic) {
+    RuleVerdict verdict(RecordedTraffic traffic) {
         judge(traffic);
-        return new Verdict(number, name, checked, nearest, where, List.copyOf(breaches));
+        return new RuleVerdict(number, name, checked, nearest, where, List.copyOf(breaches));
     }
 
     static String ms(long tenths) {
--- a/src/main/java/laurelkeel/audit/Verdict.java
+++ b/src/main/java/laurelkeel/audit/RuleVerdict.java
@@ -9,7 +9,8 @@
  * @param nearest the closest approach to its limit, as a share of the limit; over 1 it is broken
  * @param where that approach in words
  */
-public record Verdict(int rule, String name, long checked, double nearest, String where, List<Breach> breaches) {
+public record RuleVerdict(
+        int rule, String name, long checked, double nearest, String where, List<RuleViolation> breaches) {
     public boolean kept() {
         return breaches.isEmpty();
     }
--- a/src/main/java/laurelkeel/audit/OneAnswer.java
+++ b/src/main/java/laurelkeel/audit/SingleAnswerRule.java
@@ -1,10 +1,10 @@
 package laurelkeel.audit;
 
-import laurelkeel.audit.Traffic.Req;
-import laurelkeel.records.Rec;
+import laurelkeel.audit.RecordedTraffic.Req;
+import laurelkeel.records.TrafficRecord;
 
 /** Rule 1: one final answer in the client's time, and nothing sent for the req after it. */
-final class OneAnswer extends Rule {
+final class SingleAnswerRule extends RuleChecker {
     /** What an answer written in time may need to be read. */
     private static final long SLACK = 200;
     /** A client's leaving takes this long at most to be known at the front and acted on. */
@@ -12,7 +12,7 @@
 
     private long unanswered;
 
-    OneAnswer() {
+    SingleAnswerRule() {
         super(1, "one final answer");
     }
 
@@ -21,21 +21,21 @@
     }
 
     @Override
-    void judge(Traffic traffic) {
+    void judge(RecordedTraffic traffic) {
         for (Req r : traffic.reqs.values()) {
             answers(traffic, r);
             after(r);
         }
     }
 
-    private void answers(Traffic traffic, Req r) {
-        Rec.Asked a = r.asked;
-        for (Rec.Stray s : r.strays) {
+    private void answers(RecordedTraffic traffic, Req r) {
+        TrafficRecord.Asked a = r.asked;
+        for (TrafficRecord.Stray s : r.strays) {
             breach(s.t(), a.req(), "after its answer front " + a.front() + " wrote " + s.what());
         }
         if (!r.answers.isEmpty()) {
-            Rec.Answered first = r.answers.get(0);
-            for (Rec.Answered second : r.answers.subList(1, r.answers.size())) {
+            TrafficRecord.Answered first = r.answers.get(0);
+            for (TrafficRecord.Answered second : r.answers.subList(1, r.answers.size())) {
                 breach(
                         second.t(),
                         a.req(),
@@ -71,7 +71,7 @@
         } else if (r.left != null) {
             over = r.left.t() + LEAVING;
         }
-        for (Rec.Arrived s : r.arrived) {
+        for (TrafficRecord.Arrived s : r.arrived) {
             if (s.t() > over) {
                 breach(
                         s.t(),
--- a/src/main/java/laurelkeel/audit/NoEffectTwice.java
+++ b/src/main/java/laurelkeel/audit/SingleEffectRule.java
@@ -1,37 +1,37 @@
 package laurelkeel.audit;
 
 import java.util.List;
-import laurelkeel.audit.Traffic.Req;
-import laurelkeel.records.Rec;
+import laurelkeel.audit.RecordedTraffic.Req;
+import laurelkeel.records.TrafficRecord;
 
 /** Rule 2: what may have run is tried again, or called harmless to ask again, only as its route allows. */
-final class NoEffectTwice extends Rule {
+final class SingleEffectRule extends RuleChecker {
 
-    NoEffectTwice() {
+    SingleEffectRule() {
         super(2, "no effect twice");
     }
 
     @Override
-    void judge(Traffic traffic) {
+    void judge(RecordedTraffic traffic) {
         for (Req r : traffic.reqs.values()) {
-            if (r.route.effect() != Rec.Effect.RETRIABLE) {
+            if (r.route.effect() != TrafficRecord.Effect.RETRIABLE) {
                 resends(traffic, r);
                 shed(r);
             }
         }
     }
 
-    private void resends(Traffic traffic, Req r) {
-        List<Rec.Arrived> tries = r.arrived;
+    private void resends(RecordedTraffic traffic, Req r) {
+        List<TrafficRecord.Arrived> tries = r.arrived;
         for (int i = 1; i < tries.size(); i++) {
-            Rec.Arrived next = tries.get(i);
-            Rec.Arrived first = tries.subList(0, i).stream()
+            TrafficRecord.Arrived next = tries.get(i);
+            TrafficRecord.Arrived first = tries.subList(0, i).stream()
                     .filter(a -> r.mayHaveRun(a, next.t()))
                     .findFirst()
                     .orElse(null);
             if (first == null) {
                 near(0, "-");
-            } else if (r.route.effect() == Rec.Effect.NON_RETRIABLE) {
+            } else if (r.route.effect() == TrafficRecord.Effect.NON_RETRIABLE) {
                 breach(
                         next.t(),
                         r.asked.req(),
@@ -46,7 +46,7 @@
         }
     }
 
-    private void deduped(Traffic traffic, Req r, Rec.Arrived first, Rec.Arrived next) {
+    private void deduped(RecordedTraffic traffic, Req r, TrafficRecord.Arrived first, TrafficRecord.Arrived next) {
         long later = next.t() - first.t();
         near(
                 later / (double) Math.max(1, r.route.window()),
@@ -58,8 +58,8 @@
                     r.asked.req(),
                     "a deduped req sent again " + ms(later) + " after its first try, past " + ms(r.route.window()));
         }
-        Rec.MachineUp a = traffic.runs.get(first.machine() + "#" + first.run()).up;
-        Rec.MachineUp b = traffic.runs.get(next.machine() + "#" + next.run()).up;
+        TrafficRecord.MachineUp a = traffic.runs.get(first.machine() + "#" + first.run()).up;
+        TrafficRecord.MachineUp b = traffic.runs.get(next.machine() + "#" + next.run()).up;
         boolean inGroup =
                 switch (r.route.group()) {
                     case ALL -> true;
@@ -76,15 +76,16 @@
     }
 
     private void shed(Req r) {
-        Rec.Answered answer = r.answers.isEmpty() ? null : r.answers.get(0);
-        if (answer == null || answer.is() != Rec.Final.SHED) {
+        TrafficRecord.Answered answer = r.answers.isEmpty() ? null : r.answers.get(0);
+        if (answer == null || answer.is() != TrafficRecord.Final.SHED) {
             return;
         }
-        Rec.Arrived ran = r.arrived.stream()
+        TrafficRecord.Arrived ran = r.arrived.stream()
                 .filter(a -> r.mayHaveRun(a, answer.t()))
                 .findFirst()
                 .orElse(null);
-        boolean harmless = ran == null || (r.route.effect() == Rec.Effect.DEDUPED && r.route.group() == Rec.Group.ALL);
+        boolean harmless = ran == null
+                || (r.route.effect() == TrafficRecord.Effect.DEDUPED && r.route.group() == TrafficRecord.Group.ALL);
         near(0, "-");
         if (!harmless) {
             breach(
--- a/src/main/java/laurelkeel/audit/ColdKept.java
+++ b/src/main/java/laurelkeel/audit/WarmUpRule.java
@@ -3,20 +3,20 @@
 import java.util.ArrayDeque;
 import java.util.HashSet;
 import java.util.Set;
-import laurelkeel.audit.Traffic.Life;
-import laurelkeel.audit.Traffic.Run;
-import laurelkeel.records.Rec;
+import laurelkeel.audit.RecordedTraffic.Life;
+import laurelkeel.audit.RecordedTraffic.Run;
+import laurelkeel.records.TrafficRecord;
 
 /** Rule 4: a cold machine is not sent more than a multiple of what it can do, by those who know that it is cold. */
-final class ColdKept extends Rule {
+final class WarmUpRule extends RuleChecker {
     private static final int SLACK = 5;
 
-    ColdKept() {
+    WarmUpRule() {
         super(4, "cold machines not pushed over");
     }
 
     @Override
-    void judge(Traffic traffic) {
+    void judge(RecordedTraffic traffic) {
         for (Run run : traffic.runs.values()) {
             if (run.up.cold()) {
                 judge(traffic, run);
@@ -24,11 +24,11 @@
         }
     }
 
-    private void judge(Traffic traffic, Run run) {
-        Rec.MachineUp m = run.up;
-        ArrayDeque<Rec.Arrived> window = new ArrayDeque<>();
+    private void judge(RecordedTraffic traffic, Run run) {
+        TrafficRecord.MachineUp m = run.up;
+        ArrayDeque<TrafficRecord.Arrived> window = new ArrayDeque<>();
         boolean broken = false;
-        for (Rec.Arrived a : run.arrived) {
+        for (TrafficRecord.Arrived a : run.arrived) {
             long age = a.t() - m.t();
             if (age > m.coldFor()) {
                 return;
@@ -59,11 +59,11 @@
         }
     }
 
-    private static boolean toldOf(Traffic traffic, Rec.Arrived a, Rec.MachineUp m) {
+    private static boolean toldOf(RecordedTraffic traffic, TrafficRecord.Arrived a, TrafficRecord.MachineUp m) {
         Life life = traffic.lives.get(a.front() + "/" + a.life());
         Set<Long> known = new HashSet<>();
         if (life != null) {
-            for (Rec.ToldList l : life.lists) {
+            for (TrafficRecord.ToldList l : life.lists) {
                 if (l.t() <= a.t()) {
                     l.machines().stream()
                             .filter(e -> e.machine().equals(m.machine()))
--- a/src/main/java/laurelkeel/bench/BlameBench.java
+++ b/src/main/java/laurelkeel/bench/AttributionBenchmark.java
@@ -16,30 +16,34 @@
 import org.knowm.xchart.CategoryChartBuilder;
 
 /** Many made-up release days judged by the blame and by the naive ways, as a table and two charts. */
-public final class BlameBench {
-    private BlameBench() {}
+public final class AttributionBenchmark {
+    private AttributionBenchmark() {}
 
     /** Plays so many days of each kind on all cores, prints the table and writes charts where a folder is given. */
     public static void run(int daysEach, int daysHonest, long seed, Path charts, PrintStream out) throws IOException {
-        Map<BlameRun.Bad, List<BlameRun.Result>> all = new EnumMap<>(BlameRun.Bad.class);
-        for (BlameRun.Bad bad : BlameRun.Bad.values()) {
-            int n = bad == BlameRun.Bad.NONE ? daysHonest : daysEach;
+        Map<AttributionScenario.Bad, List<AttributionScenario.Result>> all =
+                new EnumMap<>(AttributionScenario.Bad.class);
+        for (AttributionScenario.Bad bad : AttributionScenario.Bad.values()) {
+            int n = bad == AttributionScenario.Bad.NONE ? daysHonest : daysEach;
             all.put(
                     bad,
                     IntStream.range(0, n)
                             .parallel()
-                            .mapToObj(i -> new BlameRun(seed + i, bad).play())
+                            .mapToObj(i -> new AttributionScenario(seed + i, bad).play())
                             .toList());
         }
         out.println(
                 "| bad in | days | caught | honest blamed | honest set aside to tell | seconds to verdict: median | 95th | harm before: median "
                         + "reqs | worst rate right | newest right | each alone: right | each alone: honest blamed |");
         out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        List<BlameRun.Result> bad = new ArrayList<>(), every = new ArrayList<>();
+        List<AttributionScenario.Result> bad = new ArrayList<>(), every = new ArrayList<>();
         all.forEach((kind, days) -> {
-            out.println(row(kind.name().toLowerCase(Locale.ROOT).replace('_', ' '), days, kind != BlameRun.Bad.NONE));
+            out.println(row(
+                    kind.name().toLowerCase(Locale.ROOT).replace('_', ' '),
+                    days,
+                    kind != AttributionScenario.Bad.NONE));
             every.addAll(days);
-            if (kind != BlameRun.Bad.NONE) {
+            if (kind != AttributionScenario.Bad.NONE) {
                 bad.addAll(days);
             }
         });
@@ -51,7 +55,8 @@
         }
     }
 
-    private static String share(List<BlameRun.Result> of, java.util.function.Predicate<BlameRun.Result> what) {
+    private static String share(
+            List<AttributionScenario.Result> of, java.util.function.Predicate<AttributionScenario.Result> what) {
         return String.format(
                 Locale.ROOT, "%.1f%%", 100.0 * of.stream().filter(what).count() / of.size());
     }
@@ -60,31 +65,37 @@
         return sorted.length == 0 ? Double.NaN : sorted[(int) Math.min(sorted.length - 1, share * sorted.length)];
     }
 
-    private static String row(String name, List<BlameRun.Result> days, boolean isBad) {
+    private static String row(String name, List<AttributionScenario.Result> days, boolean isBad) {
         double[] times = days.stream()
-                .filter(BlameRun.Result::caught)
-                .mapToDouble(BlameRun.Result::seconds)
+                .filter(AttributionScenario.Result::caught)
+                .mapToDouble(AttributionScenario.Result::seconds)
                 .sorted()
                 .toArray();
-        double[] harm =
-                days.stream().mapToDouble(BlameRun.Result::harm).sorted().toArray();
-        return "| " + name + " | " + days.size() + " | " + (isBad ? share(days, BlameRun.Result::caught) : "-") + " | "
-                + share(days, BlameRun.Result::honestBlamed) + " | " + share(days, d -> d.asides() > 0) + " | "
+        double[] harm = days.stream()
+                .mapToDouble(AttributionScenario.Result::harm)
+                .sorted()
+                .toArray();
+        return "| " + name + " | " + days.size() + " | "
+                + (isBad ? share(days, AttributionScenario.Result::caught) : "-") + " | "
+                + share(days, AttributionScenario.Result::honestBlamed) + " | " + share(days, d -> d.asides() > 0)
+                + " | "
                 + (isBad
                         ? String.format(
                                 Locale.ROOT, "%.0f | %.0f | %.0f", at(times, 0.5), at(times, 0.95), at(harm, 0.5))
                         : "- | - | -")
                 + " | "
                 + (isBad
-                        ? share(days, BlameRun.Result::worstRight) + " | " + share(days, BlameRun.Result::newestRight)
-                                + " | " + share(days, BlameRun.Result::aloneRight)
+                        ? share(days, AttributionScenario.Result::worstRight) + " | "
+                                + share(days, AttributionScenario.Result::newestRight) + " | "
+                                + share(days, AttributionScenario.Result::aloneRight)
                         : "- | - | -")
-                + " | " + share(days, BlameRun.Result::aloneWrong) + " |";
+                + " | " + share(days, AttributionScenario.Result::aloneWrong) + " |";
     }
 
-    private static void chart(Map<BlameRun.Bad, List<BlameRun.Result>> all, Path folder) throws IOException {
-        List<BlameRun.Bad> kinds = Arrays.stream(BlameRun.Bad.values())
-                .filter(b -> b != BlameRun.Bad.NONE)
+    private static void chart(Map<AttributionScenario.Bad, List<AttributionScenario.Result>> all, Path folder)
+            throws IOException {
+        List<AttributionScenario.Bad> kinds = Arrays.stream(AttributionScenario.Bad.values())
+                .filter(b -> b != AttributionScenario.Bad.NONE)
                 .toList();
         List<String> names = kinds.stream()
                 .map(b -> b.name().toLowerCase(Locale.ROOT).replace('_', ' '))
@@ -95,10 +106,10 @@
                 .title("Blame lands on the bad release")
                 .yAxisTitle("% of days")
                 .build();
-        right.addSeries("blame", names, share(all, kinds, BlameRun.Result::caught));
-        right.addSeries("worst rate", names, share(all, kinds, BlameRun.Result::worstRight));
-        right.addSeries("newest", names, share(all, kinds, BlameRun.Result::newestRight));
-        right.addSeries("each alone", names, share(all, kinds, BlameRun.Result::aloneRight));
+        right.addSeries("blame", names, share(all, kinds, AttributionScenario.Result::caught));
+        right.addSeries("worst rate", names, share(all, kinds, AttributionScenario.Result::worstRight));
+        right.addSeries("newest", names, share(all, kinds, AttributionScenario.Result::newestRight));
+        right.addSeries("each alone", names, share(all, kinds, AttributionScenario.Result::aloneRight));
         right.getStyler().setXAxisLabelRotation(30);
         BitmapEncoder.saveBitmap(right, folder.resolve("blame-right").toString(), BitmapEncoder.BitmapFormat.PNG);
         CategoryChart time = new CategoryChartBuilder()
@@ -114,8 +125,8 @@
                     kinds.stream()
                             .map(k -> at(
                                     all.get(k).stream()
-                                            .filter(BlameRun.Result::caught)
-                                            .mapToDouble(BlameRun.Result::seconds)
+                                            .filter(AttributionScenario.Result::caught)
+                                            .mapToDouble(AttributionScenario.Result::seconds)
                                             .sorted()
                                             .toArray(),
                                     q))
@@ -126,9 +137,9 @@
     }
 
     private static List<Double> share(
-            Map<BlameRun.Bad, List<BlameRun.Result>> all,
-            List<BlameRun.Bad> kinds,
-            java.util.function.Predicate<BlameRun.Result> what) {
+            Map<AttributionScenario.Bad, List<AttributionScenario.Result>> all,
+            List<AttributionScenario.Bad> kinds,
+            java.util.function.Predicate<AttributionScenario.Result> what) {
         return kinds.stream()
                 .map(k -> 100.0
                         * all.get(k).stream().filter(what).count()
--- a/src/main/java/laurelkeel/bench/BlameRun.java
+++ b/src/main/java/laurelkeel/bench/AttributionScenario.java
@@ -6,16 +6,16 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import laurelkeel.blame.Blame;
-import laurelkeel.blame.Finding;
-import laurelkeel.blame.Report;
+import laurelkeel.attribution.AttributionFinding;
+import laurelkeel.attribution.NodeReport;
+import laurelkeel.attribution.RegressionAttributor;
 
 /**
  * One made-up release day, second by second, as fronts would report it: two or three releases offered one after
  * another, one of them bad in one way or none, among dead machines, outside spells, bursts, a bad customer, lost, late
  * and doubled reports, and sometimes a front that lies. All figures are invented. It is the same day whoever judges.
  */
-final class BlameRun {
+final class AttributionScenario {
 
     enum Bad {
         NONE,
@@ -82,7 +82,7 @@
     private double spell;
     private long harm;
 
-    BlameRun(long seed, Bad bad) {
+    AttributionScenario(long seed, Bad bad) {
         random = new SplittableRandom(seed * 1_000_003 + bad.ordinal());
         this.bad = bad;
         int n = random.nextInt(3) == 0 ? 3 : 2;
@@ -122,8 +122,8 @@
     }
 
     Result play() {
-        Blame blame = new Blame(ROUTES.length, 2);
-        TreeMap<Long, List<Report>> onTheirWay = new TreeMap<>();
+        RegressionAttributor blame = new RegressionAttributor(ROUTES.length, 2);
+        TreeMap<Long, List<NodeReport>> onTheirWay = new TreeMap<>();
         double caughtAt = -1;
         boolean honest = false, aloneWrong = false;
         int worst = -1, newest = -1, alone = -1, asides = 0;
@@ -136,7 +136,7 @@
             }
             second(now, onTheirWay);
             while (!onTheirWay.isEmpty() && onTheirWay.firstKey() <= now) {
-                for (Report r : onTheirWay.pollFirstEntry().getValue()) {
+                for (NodeReport r : onTheirWay.pollFirstEntry().getValue()) {
                     blame.take(r, now);
                 }
             }
@@ -145,9 +145,9 @@
                 alone = first;
                 aloneWrong = first != badBuild;
             }
-            for (Finding f : blame.judge(now)) {
+            for (AttributionFinding f : blame.judge(now)) {
                 Release r = releases.get(f.build() - 2);
-                if (f.verdict() == Finding.Verdict.GUILTY) {
+                if (f.verdict() == AttributionFinding.Verdict.GUILTY) {
                     if (f.build() == badBuild && caughtAt < 0) {
                         caughtAt = now - r.at;
                         worst = worst();
@@ -165,7 +165,7 @@
                         r.stage++;
                         r.since = now;
                         stageMoved(now);
-                    } else if (f.verdict() == Finding.Verdict.CLEARED) {
+                    } else if (f.verdict() == AttributionFinding.Verdict.CLEARED) {
                         r.over = true;
                         blame.ended(f.build(), true);
                     }
@@ -229,7 +229,7 @@
     }
 
     /** Reqs of one second, dealt and answered; what each front counted is sent on its way. */
-    private void second(long now, TreeMap<Long, List<Report>> onTheirWay) {
+    private void second(long now, TreeMap<Long, List<NodeReport>> onTheirWay) {
         drift = 0.7 * drift + gauss() * 0.03;
         if (now > spellUntil && random.nextInt(60) == 0) {
             spellUntil = (int) now + 2 + random.nextInt(7);
@@ -246,13 +246,13 @@
             if (random.nextInt(20) == 0) {
                 continue;
             }
-            List<Report.Cell> out = new ArrayList<>();
+            List<NodeReport.Cell> out = new ArrayList<>();
             for (var e : cells.entrySet()) {
                 String[] k = e.getKey().split("/");
                 double[] v = e.getValue();
                 boolean lies = f == liar && Integer.parseInt(k[0]) == releases.get(0).build;
                 int fails = (int) (lies ? Math.min(v[0] - v[2], Math.max(1, v[1] * 10)) : v[1]);
-                out.add(new Report.Cell(
+                out.add(new NodeReport.Cell(
                         Integer.parseInt(k[0]),
                         Integer.parseInt(k[1]),
                         k[2],
@@ -265,7 +265,7 @@
                         v[5],
                         v[6]));
             }
-            Report r = new Report(f, "x", now, out);
+            NodeReport r = new NodeReport(f, "x", now, out);
             onTheirWay
                     .computeIfAbsent(now + random.nextInt(3), k -> new ArrayList<>())
                     .add(r);
--- a/src/main/java/laurelkeel/bench/Relay.java
+++ b/src/main/java/laurelkeel/bench/BareRelay.java
@@ -8,12 +8,12 @@
 import java.util.concurrent.ConcurrentLinkedDeque;
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicInteger;
-import laurelkeel.admin.Admin;
-import laurelkeel.admin.Jvm;
-import laurelkeel.wire.HttpAnswer;
+import laurelkeel.admin.AdminServer;
+import laurelkeel.admin.ProcessMetrics;
 import laurelkeel.wire.HttpCodec;
 import laurelkeel.wire.HttpLimits;
-import laurelkeel.wire.HttpReq;
+import laurelkeel.wire.HttpRequest;
+import laurelkeel.wire.HttpResponse;
 import org.apache.mina.core.future.ConnectFuture;
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.AttributeKey;
@@ -25,9 +25,9 @@
  * The least that could stand in a front's place: the same codecs and sockets, machines in turn, and nothing else: no
  * time-outs, no limits, no second try, no counts. The bar that the front is held against.
  */
-public final class Relay {
-    private static final AttributeKey CLIENT = new AttributeKey(Relay.class, "client");
-    private static final AttributeKey POOL = new AttributeKey(Relay.class, "pool");
+public final class BareRelay {
+    private static final AttributeKey CLIENT = new AttributeKey(BareRelay.class, "client");
+    private static final AttributeKey POOL = new AttributeKey(BareRelay.class, "pool");
 
     private record Machine(InetSocketAddress at, ConcurrentLinkedDeque<IoSession> idle) {}
 
@@ -36,7 +36,7 @@
     private final NioSocketConnector connector = new NioSocketConnector(2);
     private final NioSocketAcceptor acceptor = new NioSocketAcceptor(2);
 
-    public Relay(int listen, int admin, List<Integer> ports) throws IOException {
+    public BareRelay(int listen, int admin, List<Integer> ports) throws IOException {
         ports.forEach(
                 p -> machines.add(new Machine(new InetSocketAddress("127.0.0.1", p), new ConcurrentLinkedDeque<>())));
         connector.getSessionConfig().setTcpNoDelay(true);
@@ -47,16 +47,16 @@
         acceptor.getSessionConfig().setTcpNoDelay(true);
         acceptor.getFilterChain().addLast("http", HttpCodec.server(HttpLimits.USUAL));
         acceptor.setHandler(new Clients());
-        new Admin(
+        new AdminServer(
                         Executors.newCachedThreadPool(),
                         new InetSocketAddress("127.0.0.1", admin),
                         () -> "ok",
                         () -> String.format(
                                 Locale.ROOT,
                                 "laurelkeel_process_cpu_seconds %f%nlaurelkeel_allocated_bytes %f%nlaurelkeel_heap_bytes %f%n",
-                                Jvm.cpuSeconds(),
-                                Jvm.allocatedBytes(),
-                                Jvm.heapBytes()))
+                                ProcessMetrics.cpuSeconds(),
+                                ProcessMetrics.allocatedBytes(),
+                                ProcessMetrics.heapBytes()))
                 .start();
         acceptor.bind(new InetSocketAddress("127.0.0.1", listen));
     }
@@ -64,7 +64,7 @@
     private final class Clients extends IoHandlerAdapter {
         @Override
         public void messageReceived(IoSession client, Object message) {
-            if (!(message instanceof HttpReq r)) {
+            if (!(message instanceof HttpRequest r)) {
                 return;
             }
             Machine m = machines.get(Math.floorMod(turn.getAndIncrement(), machines.size()));
@@ -96,7 +96,7 @@
         @Override
         @SuppressWarnings("unchecked")
         public void messageReceived(IoSession machine, Object message) {
-            if (message instanceof HttpAnswer a) {
+            if (message instanceof HttpResponse a) {
                 IoSession client = (IoSession) machine.getAttribute(CLIENT);
                 ((ConcurrentLinkedDeque<IoSession>) machine.getAttribute(POOL)).addFirst(machine);
                 client.write(a);
--- a/src/main/java/laurelkeel/bench/DecisionBench.java
+++ b/src/main/java/laurelkeel/bench/DecisionBenchmark.java
@@ -14,7 +14,7 @@
 import laurelkeel.api.Settings.DeduplicationScope;
 import laurelkeel.api.Settings.Idempotency;
 import laurelkeel.api.Settings.Route;
-import laurelkeel.decision.Shifter;
+import laurelkeel.decision.RoutingDecider;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -37,7 +37,7 @@
 @Fork(1)
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
-public class DecisionBench {
+public class DecisionBenchmark {
     private static final long MS = 10;
 
     /** released: all on one build; trial: a tenth of the machines on a build on trial, all warm. */
@@ -52,7 +52,7 @@
     @Param({"RELEASED", "TRIAL"})
     public When when;
 
-    private Shifter shifter;
+    private RoutingDecider shifter;
     private long now, ids;
 
     @Setup
@@ -87,7 +87,7 @@
                         0,
                         0.3),
                 false);
-        shifter = new Shifter(set, 1);
+        shifter = new RoutingDecider(set, 1);
         now = 1_000_000;
         List<EndpointEntry> list = new ArrayList<>();
         for (int i = 0; i < machines; i++) {
--- a/src/main/java/laurelkeel/bench/Streams.java
+++ b/src/main/java/laurelkeel/bench/DecisionStreams.java
@@ -25,7 +25,7 @@
  * model of machines. The same seed and the same actions give the same stream; every action goes into a checksum, so
  * that two versions of a decider can be held against each other.
  */
-public final class Streams {
+public final class DecisionStreams {
     private static final long MS = 10;
     private static final long SECOND = 10_000;
 
@@ -58,7 +58,7 @@
     private double badness;
 
     /** @param reqsPerSecond of this one front */
-    public Streams(Decider.Factory maker, long seed, int machineCount, double reqsPerSecond, boolean perRoute) {
+    public DecisionStreams(Decider.Factory maker, long seed, int machineCount, double reqsPerSecond, boolean perRoute) {
         random = new SplittableRandom(seed);
         scale = machineCount;
         gap = SECOND / reqsPerSecond;
@@ -365,7 +365,7 @@
     /** What a decider does in one of the kept streams, 40 s each; sizes and rates follow from the seed. */
     public static String sum(Decider.Factory maker, int seed) {
         int i = seed - 100;
-        Streams s = new Streams(
+        DecisionStreams s = new DecisionStreams(
                 maker, seed, new int[] {5, 10, 40, 300}[Math.floorMod(i, 4)], i % 3 == 0 ? 20 : 150, i % 2 == 0);
         s.script(Math.floorMod(i, 4) < 2);
         s.play(40);
--- a/src/main/java/laurelkeel/bench/Echo.java
+++ b/src/main/java/laurelkeel/bench/EchoServers.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import laurelkeel.standin.Ports;
+import laurelkeel.testbed.PortAllocator;
 import laurelkeel.wire.Headers;
-import laurelkeel.wire.HttpAnswer;
 import laurelkeel.wire.HttpCodec;
 import laurelkeel.wire.HttpLimits;
-import laurelkeel.wire.HttpReq;
+import laurelkeel.wire.HttpRequest;
+import laurelkeel.wire.HttpResponse;
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.service.SimpleIoProcessorPool;
 import org.apache.mina.core.session.IoSession;
@@ -20,7 +20,7 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /** Machines that answer at once, so that what is measured is what stands before them. */
-final class Echo implements AutoCloseable {
+final class EchoServers implements AutoCloseable {
     private final ExecutorService threads = Executors.newCachedThreadPool(r -> {
         Thread t = new Thread(r, "echo");
         t.setDaemon(true);
@@ -31,7 +31,7 @@
     private final List<NioSocketAcceptor> acceptors = new ArrayList<>();
     final List<Integer> ports = new ArrayList<>();
 
-    Echo(int machines) throws IOException {
+    EchoServers(int machines) throws IOException {
         byte[] body = new byte[100];
         for (int i = 0; i < machines; i++) {
             NioSocketAcceptor a = new NioSocketAcceptor(threads, processors);
@@ -41,8 +41,8 @@
             a.setHandler(new IoHandlerAdapter() {
                 @Override
                 public void messageReceived(IoSession session, Object message) {
-                    if (message instanceof HttpReq) {
-                        session.write(new HttpAnswer(
+                    if (message instanceof HttpRequest) {
+                        session.write(new HttpResponse(
                                 200,
                                 Headers.of("Content-Type", "text/plain", "Laurelkeel-Load", "concurrent=1"),
                                 body));
@@ -54,7 +54,7 @@
                     session.closeNow();
                 }
             });
-            int port = Ports.free();
+            int port = PortAllocator.free();
             a.bind(new InetSocketAddress("127.0.0.1", port));
             acceptors.add(a);
             ports.add(port);
--- a/src/main/java/laurelkeel/bench/FrontBench.java
+++ b/src/main/java/laurelkeel/bench/FrontBenchmark.java
@@ -15,10 +15,10 @@
 import java.util.Locale;
 import java.util.concurrent.locks.LockSupport;
 import java.util.stream.Collectors;
-import laurelkeel.standin.Ports;
+import laurelkeel.testbed.PortAllocator;
 
 /** A front and a bare relay, each a process of its own, before the same machines under the same load, in turn. */
-public final class FrontBench {
+public final class FrontBenchmark {
     private static final String SETTINGS =
             """
             [front]
@@ -44,7 +44,7 @@
     private final HttpClient http = HttpClient.newHttpClient();
 
     /** @param javaOptions more options for the measured processes; @NAME@ in them becomes front or relay */
-    public FrontBench(Path folder, double seconds, List<String> javaOptions, PrintStream out) {
+    public FrontBenchmark(Path folder, double seconds, List<String> javaOptions, PrintStream out) {
         this.javaOptions = List.copyOf(javaOptions);
         this.folder = folder;
         this.seconds = seconds;
@@ -61,8 +61,8 @@
 
         Subject(String name, List<Integer> ports) throws IOException {
             this.name = name;
-            int listen = Ports.free();
-            admin = Ports.free();
+            int listen = PortAllocator.free();
+            admin = PortAllocator.free();
             at = new InetSocketAddress("127.0.0.1", listen);
             Path home = folder.resolve(name);
             Files.createDirectories(home.resolve("state"));
@@ -154,7 +154,7 @@
         }
     }
 
-    private record Row(String name, Loader.Result full, double cpuUs, double bytes, Loader.Result half) {}
+    private record Row(String name, LoadClient.Result full, double cpuUs, double bytes, LoadClient.Result half) {}
 
     /** Prints a table a number of machines, and the memory of idle connections. */
     public void run(List<Integer> machineCounts, int rounds, int idleConnections) throws IOException {
@@ -162,7 +162,7 @@
                 "%-8s %-6s %10s %12s %12s %10s %10s %10s %8s%n",
                 "machines", "", "reqs/s", "CPU us/req", "bytes/req", "at rate", "p50 us", "p99 us", "failed");
         for (int n : machineCounts) {
-            try (Echo echo = new Echo(n)) {
+            try (EchoServers echo = new EchoServers(n)) {
                 // half of what the relay bears, for both
                 double rate = measure("relay", echo, 0).full.perSecond() / 2;
                 List<double[]> ratios = new ArrayList<>();
@@ -205,13 +205,13 @@
         return (a.half.times().getValueAtPercentile(at) - b.half.times().getValueAtPercentile(at)) / 1000.0;
     }
 
-    private Row measure(String name, Echo echo, double rate) throws IOException {
+    private Row measure(String name, EchoServers echo, double rate) throws IOException {
         try (Subject s = new Subject(name, echo.ports);
-                Loader load = new Loader(s.at, 128)) {
-            Loader.Result full = load.full(seconds, seconds, s::mark);
+                LoadClient load = new LoadClient(s.at, 128)) {
+            LoadClient.Result full = load.full(seconds, seconds, s::mark);
             double cpu = s.cpu * 1e6 / full.completed();
             double bytes = s.bytes / full.completed();
-            Loader.Result half = rate == 0 ? null : load.atRate(rate, seconds / 4, seconds, () -> {});
+            LoadClient.Result half = rate == 0 ? null : load.atRate(rate, seconds / 4, seconds, () -> {});
             return new Row(name, full, cpu, bytes, half);
         }
     }
@@ -232,11 +232,11 @@
     }
 
     private void idle(int connections) throws IOException {
-        try (Echo echo = new Echo(10)) {
+        try (EchoServers echo = new EchoServers(10)) {
             for (String name : List.of("relay", "front")) {
                 try (Subject s = new Subject(name, echo.ports)) {
                     double before = s.resident();
-                    try (Loader load = new Loader(s.at, connections)) {
+                    try (LoadClient load = new LoadClient(s.at, connections)) {
                         out.printf(
                                 Locale.ROOT,
                                 "%d idle client connections, %s: %.1f MiB more, %.1f KiB each%n",
--- a/src/main/java/laurelkeel/bench/Loader.java
+++ b/src/main/java/laurelkeel/bench/LoadClient.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.concurrent.locks.LockSupport;
 import laurelkeel.wire.Headers;
-import laurelkeel.wire.HttpAnswer;
 import laurelkeel.wire.HttpCodec;
 import laurelkeel.wire.HttpLimits;
-import laurelkeel.wire.HttpReq;
+import laurelkeel.wire.HttpRequest;
+import laurelkeel.wire.HttpResponse;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 import org.apache.mina.core.future.ConnectFuture;
@@ -25,8 +25,8 @@
  * Load on one address. Full: each connection asks again as soon as it is answered. At a rate: reqs are due at even
  * moments whatever the answers do, and a late one's time counts from when it was due.
  */
-final class Loader implements AutoCloseable {
-    private static final AttributeKey DUE = new AttributeKey(Loader.class, "due");
+final class LoadClient implements AutoCloseable {
+    private static final AttributeKey DUE = new AttributeKey(LoadClient.class, "due");
 
     private final NioSocketConnector connector = new NioSocketConnector(3);
     private final List<IoSession> sessions = new ArrayList<>();
@@ -37,13 +37,13 @@
     private volatile Histogram times = new ConcurrentHistogram(60_000_000_000L, 3);
     private final LongAdder ids = new LongAdder();
 
-    Loader(InetSocketAddress at, int connections) throws IOException {
+    LoadClient(InetSocketAddress at, int connections) throws IOException {
         connector.getSessionConfig().setTcpNoDelay(true);
         connector.getFilterChain().addLast("http", HttpCodec.client(HttpLimits.USUAL));
         connector.setHandler(new IoHandlerAdapter() {
             @Override
             public void messageReceived(IoSession session, Object message) {
-                if (message instanceof HttpAnswer a) {
+                if (message instanceof HttpResponse a) {
                     times.recordValue(System.nanoTime() - (long) session.getAttribute(DUE));
                     (a.status() == 200 ? completed : other).increment();
                     if (again.get()) {
@@ -78,7 +78,7 @@
     private void ask(IoSession session, long due) {
         session.setAttribute(DUE, due);
         ids.increment();
-        session.write(new HttpReq(
+        session.write(new HttpRequest(
                 "GET", "/look/1", 1, Headers.of("Host", "f", "Laurelkeel-Key", "k" + due % 5000), new byte[0]));
     }
 
--- a/src/main/java/laurelkeel/bench/LanesBench.java
+++ b/src/main/java/laurelkeel/bench/PartitionBenchmark.java
@@ -16,16 +16,16 @@
 import laurelkeel.api.Settings;
 import laurelkeel.api.Settings.DeduplicationScope;
 import laurelkeel.api.Settings.Idempotency;
-import laurelkeel.blame.Blame;
-import laurelkeel.blame.Report;
-import laurelkeel.decision.Shifter;
-import laurelkeel.lanes.Lanes;
+import laurelkeel.attribution.NodeReport;
+import laurelkeel.attribution.RegressionAttributor;
+import laurelkeel.decision.RoutingDecider;
+import laurelkeel.partition.PartitionedDecider;
 
 /** What several releases cost a front beside one, and what the reports of many fronts cost the blame. */
-public final class LanesBench {
+public final class PartitionBenchmark {
     private static final long MS = 10, SECOND = 10_000;
 
-    private LanesBench() {}
+    private PartitionBenchmark() {}
 
     private static Settings settings() {
         return new Settings(
@@ -122,12 +122,12 @@
                 "| machines | module alone, 1 release, ns/req | lanes, 1 release | lanes, 3 releases | 1 lane to alone | 3 to 1 | heap of 3, MiB |");
         out.println("| --- | --- | --- | --- | --- | --- | --- |");
         for (int machines : new int[] {10, 300}) {
-            Decider.Factory lanes = (set, seed) -> new Lanes(set, seed, Shifter::new);
+            Decider.Factory lanes = (set, seed) -> new PartitionedDecider(set, seed, RoutingDecider::new);
             long before = heap();
             Load three = new Load(lanes, machines, 3);
             three.reqs(reqs);
             double mib = (heap() - before) / 1048576.0;
-            Load alone = new Load(Shifter::new, machines, 1), one = new Load(lanes, machines, 1);
+            Load alone = new Load(RoutingDecider::new, machines, 1), one = new Load(lanes, machines, 1);
             alone.reqs(reqs);
             one.reqs(reqs);
             double[][] ns = new double[rounds][];
@@ -160,20 +160,20 @@
     private static void blame(int fronts, int machines, int seconds, PrintStream out) {
         SplittableRandom random = new SplittableRandom(3);
         long before = heap();
-        Blame blame = new Blame(4, 4);
+        RegressionAttributor blame = new RegressionAttributor(4, 4);
         for (int b = 2; b <= 4; b++) {
             blame.offered(b, 0);
         }
         var threads = ManagementFactory.getThreadMXBean();
         long cpu = 0, cells = 0, worst = 0;
         for (int s = 0; s < seconds; s++) {
-            List<Report> reports = new ArrayList<>();
+            List<NodeReport> reports = new ArrayList<>();
             for (int f = 0; f < fronts; f++) {
-                List<Report.Cell> in = new ArrayList<>();
+                List<NodeReport.Cell> in = new ArrayList<>();
                 for (int i = 0; i < 200; i++) {
                     int m = random.nextInt(machines);
                     double log = 3 + 0.4 * random.nextDouble();
-                    in.add(new Report.Cell(
+                    in.add(new NodeReport.Cell(
                             m % 10 < 3 ? 2 + m % 10 : 1,
                             random.nextInt(4),
                             "m" + m,
@@ -186,11 +186,11 @@
                             log,
                             log * log));
                 }
-                reports.add(new Report(f, "x", s, in));
+                reports.add(new NodeReport(f, "x", s, in));
                 cells += in.size();
             }
             long start = threads.getCurrentThreadCpuTime();
-            for (Report r : reports) {
+            for (NodeReport r : reports) {
                 blame.take(r, s);
             }
             blame.judge(s);
--- a/src/main/java/laurelkeel/cli/AuditCommand.java
+++ b/src/main/java/laurelkeel/cli/AuditCommand.java
@@ -4,11 +4,11 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import laurelkeel.audit.Audit;
-import laurelkeel.audit.Judgement;
-import laurelkeel.day.Report;
-import laurelkeel.records.Rec;
+import laurelkeel.audit.AuditReport;
+import laurelkeel.audit.Auditor;
 import laurelkeel.records.Recorder;
+import laurelkeel.records.TrafficRecord;
+import laurelkeel.scenario.ScenarioReport;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -26,22 +26,22 @@
             System.err.println("laurelkeel: " + folder + " is no folder; give the --out of a day");
             return Cli.BAD_INPUT;
         }
-        Judgement j;
+        AuditReport j;
         try {
-            List<Rec> records = Recorder.readAll(folder);
+            List<TrafficRecord> records = Recorder.readAll(folder);
             long lost = records.stream()
-                    .mapToLong(r -> r instanceof Rec.Lost l ? l.records() : 0)
+                    .mapToLong(r -> r instanceof TrafficRecord.Lost l ? l.records() : 0)
                     .sum();
             if (lost > 0) {
                 System.err.println(
                         "laurelkeel: " + lost + " records did not reach the files; the verdicts are on the rest");
             }
-            j = Audit.judge(records);
+            j = Auditor.judge(records);
         } catch (IllegalArgumentException e) {
             System.err.println("laurelkeel: " + folder + ": " + e.getMessage());
             return Cli.BAD_INPUT;
         }
-        System.out.print(Report.rules(j));
+        System.out.print(ScenarioReport.rules(j));
         return j.kept() == 5 ? 0 : Cli.RULE_BROKEN;
     }
 }
--- a/src/main/java/laurelkeel/cli/BenchCommand.java
+++ b/src/main/java/laurelkeel/cli/BenchCommand.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
-import laurelkeel.bench.BlameBench;
-import laurelkeel.bench.DecisionBench;
-import laurelkeel.bench.FrontBench;
-import laurelkeel.bench.LanesBench;
-import laurelkeel.bench.Relay;
-import laurelkeel.bench.Streams;
-import laurelkeel.decision.Shifter;
+import laurelkeel.bench.AttributionBenchmark;
+import laurelkeel.bench.BareRelay;
+import laurelkeel.bench.DecisionBenchmark;
+import laurelkeel.bench.DecisionStreams;
+import laurelkeel.bench.FrontBenchmark;
+import laurelkeel.bench.PartitionBenchmark;
+import laurelkeel.decision.RoutingDecider;
 import laurelkeel.soak.NodeImage;
 import laurelkeel.soak.ScaleBench;
 import org.openjdk.jmh.profile.GCProfiler;
@@ -57,7 +57,7 @@
 
         @Override
         public Integer call() throws Exception {
-            ChainedOptionsBuilder o = new OptionsBuilder().include(DecisionBench.class.getName() + ".*");
+            ChainedOptionsBuilder o = new OptionsBuilder().include(DecisionBenchmark.class.getName() + ".*");
             if (allocation) {
                 o.addProfiler(GCProfiler.class);
             }
@@ -75,7 +75,7 @@
         @Override
         public Integer call() {
             for (int seed = 100; seed < 116; seed++) {
-                System.out.println(seed + " " + Streams.sum(Shifter::new, seed));
+                System.out.println(seed + " " + DecisionStreams.sum(RoutingDecider::new, seed));
             }
             return 0;
         }
@@ -115,7 +115,7 @@
 
         @Override
         public Integer call() throws Exception {
-            new FrontBench(out, seconds, javaOptions, System.out).run(machines, rounds, idle);
+            new FrontBenchmark(out, seconds, javaOptions, System.out).run(machines, rounds, idle);
             return 0;
         }
     }
@@ -139,7 +139,7 @@
 
         @Override
         public Integer call() throws Exception {
-            BlameBench.run(days, honest, seed, charts, System.out);
+            AttributionBenchmark.run(days, honest, seed, charts, System.out);
             return 0;
         }
     }
@@ -157,7 +157,7 @@
 
         @Override
         public Integer call() {
-            LanesBench.run(rounds, reqs, System.out);
+            PartitionBenchmark.run(rounds, reqs, System.out);
             return 0;
         }
     }
@@ -221,7 +221,7 @@
 
         @Override
         public Integer call() throws Exception {
-            new Relay(listen, admin, ports);
+            new BareRelay(listen, admin, ports);
             new CountDownLatch(1).await();
             return 0;
         }
--- a/src/main/java/laurelkeel/cli/CheckCommand.java
+++ b/src/main/java/laurelkeel/cli/CheckCommand.java
@@ -3,10 +3,10 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import laurelkeel.config.BadSettings;
-import laurelkeel.config.Ini;
-import laurelkeel.day.DayPlan;
+import laurelkeel.config.IniFile;
+import laurelkeel.config.InvalidSettingsException;
 import laurelkeel.front.FrontSettings;
+import laurelkeel.scenario.Scenario;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -26,13 +26,13 @@
         int code = 0;
         for (Path file : files) {
             try {
-                if (Ini.read(file).has("day")) {
-                    DayPlan.find(file.toString());
+                if (IniFile.read(file).has("day")) {
+                    Scenario.find(file.toString());
                 } else {
                     FrontSettings.read(file);
                 }
                 System.out.println(file + ": good");
-            } catch (BadSettings e) {
+            } catch (InvalidSettingsException e) {
                 System.err.println(e.getMessage());
                 code = Cli.BAD_INPUT;
             }
--- a/src/main/java/laurelkeel/cli/Rehearsal.java
+++ b/src/main/java/laurelkeel/cli/ClassArchiveTraining.java
@@ -9,16 +9,16 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
-import laurelkeel.decision.Shifter;
-import laurelkeel.front.Front;
-import laurelkeel.platform.Config;
-import laurelkeel.platform.Node;
+import laurelkeel.decision.RoutingDecider;
+import laurelkeel.front.FrontNode;
+import laurelkeel.platform.NodeConfiguration;
+import laurelkeel.platform.PlatformNode;
 
 /**
  * A front node serves a few hundred reqs of its own between parties of its own on loopback, and ends. The build runs
  * it to learn which classes a node needs (deploy/archive.sh): one that starts on half a core is ready far sooner then.
  */
-final class Rehearsal {
+final class ClassArchiveTraining {
     private static final int REQS = 400;
     private static final String CONFIG =
             """
@@ -33,7 +33,7 @@
              "familyInfo":{"gateMode":"by_count","votesToGo":1,"noesNeeded":1,"stageCap":[0.5,1.0],
               "callTimeout":800.0,"voteTtl":6000.0,"votesPerS":100.0,"countedOver":4000.0,"uncounted":3.0}}}""";
 
-    private Rehearsal() {}
+    private ClassArchiveTraining() {}
 
     private interface Talk {
         void with(Socket s, BufferedReader in) throws IOException;
@@ -110,9 +110,10 @@
             }
         });
         String known = "{\"version\":1,\"full\":true,\"servers\":[" + old + "," + more + "]}";
-        Config config = Config.of(new ObjectMapper().readTree(CONFIG.formatted(discovery, desk, known)), Map.of());
-        Node node = Node.of(config, Shifter::new);
-        Front front = node.front();
+        NodeConfiguration config =
+                NodeConfiguration.of(new ObjectMapper().readTree(CONFIG.formatted(discovery, desk, known)), Map.of());
+        PlatformNode node = PlatformNode.of(config, RoutingDecider::new);
+        FrontNode front = node.front();
         int port = front.start().getPort();
         int served = 0;
         try (Socket c = new Socket(InetAddress.getLoopbackAddress(), port)) {
--- a/src/main/java/laurelkeel/cli/Cli.java
+++ b/src/main/java/laurelkeel/cli/Cli.java
@@ -1,8 +1,8 @@
 package laurelkeel.cli;
 
 import java.util.concurrent.Callable;
-import laurelkeel.config.BadSettings;
-import laurelkeel.logs.Sparing;
+import laurelkeel.config.InvalidSettingsException;
+import laurelkeel.logging.RateLimitedAsyncAppender;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -65,7 +65,7 @@
     static int run(String[] args) {
         CommandLine line = new CommandLine(new Cli()).setCaseInsensitiveEnumValuesAllowed(true);
         line.setExecutionExceptionHandler((e, cmd, parsed) -> {
-            if (e instanceof BadSettings) {
+            if (e instanceof InvalidSettingsException) {
                 System.err.println(e.getMessage());
                 return BAD_INPUT;
             }
@@ -76,7 +76,7 @@
             return FAILED;
         });
         int code = line.execute(args);
-        Sparing.flush(LOGS_MS);
+        RateLimitedAsyncAppender.flush(LOGS_MS);
         return code;
     }
 
@@ -114,7 +114,7 @@
     static final class RehearseCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
-            return Rehearsal.run();
+            return ClassArchiveTraining.run();
         }
     }
 }
--- a/src/main/java/laurelkeel/cli/DayCommand.java
+++ b/src/main/java/laurelkeel/cli/DayCommand.java
@@ -2,9 +2,9 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import laurelkeel.audit.Judgement;
-import laurelkeel.day.Day;
-import laurelkeel.day.DayPlan;
+import laurelkeel.audit.AuditReport;
+import laurelkeel.scenario.Scenario;
+import laurelkeel.scenario.ScenarioRun;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -42,8 +42,8 @@
 
     @Override
     public Integer call() throws Exception {
-        DayPlan plan = DayPlan.find(day);
-        Judgement j = new Day(plan, seed == null ? plan.seed() : seed, out, System.out).play();
+        Scenario plan = Scenario.find(day);
+        AuditReport j = new ScenarioRun(plan, seed == null ? plan.seed() : seed, out, System.out).play();
         return j.kept() == 5 ? 0 : Cli.RULE_BROKEN;
     }
 }
--- a/src/main/java/laurelkeel/cli/FrontCommand.java
+++ b/src/main/java/laurelkeel/cli/FrontCommand.java
@@ -3,10 +3,10 @@
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
-import laurelkeel.decision.Shifter;
-import laurelkeel.front.Front;
+import laurelkeel.decision.RoutingDecider;
+import laurelkeel.front.FrontNode;
 import laurelkeel.front.FrontSettings;
-import laurelkeel.logs.Sparing;
+import laurelkeel.logging.RateLimitedAsyncAppender;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -24,7 +24,7 @@
     @Override
     public Integer call() throws Exception {
         FrontSettings set = FrontSettings.read(file);
-        Front front = new Front(set, Shifter::new);
+        FrontNode front = new FrontNode(set, RoutingDecider::new);
         long most = set.decisions().routes().stream()
                         .mapToLong(r -> r.timeoutTicks())
                         .max()
@@ -38,7 +38,7 @@
                     } catch (Exception e) {
                         System.err.println("laurelkeel: the front did not end in its time: " + e);
                     }
-                    Sparing.flush(Cli.LOGS_MS);
+                    RateLimitedAsyncAppender.flush(Cli.LOGS_MS);
                 },
                 "drain");
         Runtime.getRuntime().addShutdownHook(hook);
--- a/src/main/java/laurelkeel/cli/Main.java
+++ b/src/main/java/laurelkeel/cli/Main.java
@@ -1,9 +1,9 @@
 package laurelkeel.cli;
 
 import java.io.IOException;
-import laurelkeel.benchlink.BenchLink;
-import laurelkeel.benchlink.Malformed;
-import laurelkeel.decision.Shifter;
+import laurelkeel.decision.RoutingDecider;
+import laurelkeel.simulatoradapter.MalformedSimulatorMessageException;
+import laurelkeel.simulatoradapter.SimulatorAdapter;
 
 /** The program's entry. benchlink is started hundreds of times a score, so it passes by the command line library; so does
  * serve, which starts on part of a core. */
@@ -19,7 +19,7 @@
         } else if (args.length == 1 && args[0].equals("serve")) {
             System.exit(Serve.run(System.getenv()));
         } else if (args.length == 1 && args[0].equals("rehearse")) {
-            System.exit(Rehearsal.run());
+            System.exit(ClassArchiveTraining.run());
         } else {
             System.exit(Cli.run(args));
         }
@@ -27,8 +27,8 @@
 
     static void benchlink() throws IOException {
         try {
-            new BenchLink(Shifter::new).run(System.in, System.out);
-        } catch (Malformed e) {
+            new SimulatorAdapter(RoutingDecider::new).run(System.in, System.out);
+        } catch (MalformedSimulatorMessageException e) {
             System.err.println("laurelkeel: " + e.getMessage());
             System.exit(Cli.BAD_INPUT);
         }
--- a/src/main/java/laurelkeel/cli/Serve.java
+++ b/src/main/java/laurelkeel/cli/Serve.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.locks.LockSupport;
-import laurelkeel.decision.Shifter;
-import laurelkeel.front.Front;
-import laurelkeel.logs.Sparing;
-import laurelkeel.platform.BadConfig;
-import laurelkeel.platform.Config;
-import laurelkeel.platform.Node;
+import laurelkeel.decision.RoutingDecider;
+import laurelkeel.front.FrontNode;
+import laurelkeel.logging.RateLimitedAsyncAppender;
+import laurelkeel.platform.InvalidConfigurationException;
+import laurelkeel.platform.NodeConfiguration;
+import laurelkeel.platform.PlatformNode;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sun.misc.Signal;
@@ -33,41 +33,42 @@
             return Cli.BAD_INPUT;
         }
         Path file = Path.of(at);
-        CompletableFuture<Node> serving = new CompletableFuture<>();
+        CompletableFuture<PlatformNode> serving = new CompletableFuture<>();
         // before all else: without a handler either signal would end the process
         handle("TERM", () -> serving.join().front().drain());
         handle("HUP", () -> reread(file, env, serving.join()));
-        Config config;
+        NodeConfiguration config;
         try {
             config = readAtStart(file, env);
-        } catch (BadConfig e) {
+        } catch (InvalidConfigurationException e) {
             System.err.println("laurelkeel: " + e.getMessage());
             return Cli.BAD_INPUT;
         }
-        Node node;
+        PlatformNode node;
         try {
-            node = Node.of(config, Shifter::new);
+            node = PlatformNode.of(config, RoutingDecider::new);
         } catch (RuntimeException | Error e) {
             // signals that wait for it would keep the process alive
             serving.completeExceptionally(e);
             throw e;
         }
-        Front front = node.front();
+        FrontNode front = node.front();
         // threads of libraries too: none may die alone
         Thread.setDefaultUncaughtExceptionHandler((thread, e) -> front.fail(e));
         serving.complete(node);
         front.start();
         Throwable failure = front.ended().get();
-        Sparing.flush(Cli.LOGS_MS);
+        RateLimitedAsyncAppender.flush(Cli.LOGS_MS);
         return failure == null ? 0 : Cli.FAILED;
     }
 
     /** Whoever starts a node waits for it: one that the system does not hand over is tried for a while, no other is. */
-    private static Config readAtStart(Path file, Map<String, String> env) throws BadConfig {
+    private static NodeConfiguration readAtStart(Path file, Map<String, String> env)
+            throws InvalidConfigurationException {
         for (int tries = 1; ; tries++) {
             try {
-                return Config.read(file, env);
-            } catch (BadConfig e) {
+                return NodeConfiguration.read(file, env);
+            } catch (InvalidConfigurationException e) {
                 if (e.readable() || tries == READS_AT_START) {
                     throw e;
                 }
@@ -96,14 +97,14 @@
      * A file may be read while it is being replaced: one that cannot be followed is read again for two seconds, and one
      * that cannot be read for thirty. One signal after the other, or a file that was replaced since could be followed last.
      */
-    static synchronized void reread(Path file, Map<String, String> env, Node node) {
+    static synchronized void reread(Path file, Map<String, String> env, PlatformNode node) {
         String why = "";
         boolean readable = false;
         for (int i = 0; i < (readable ? REREADS : REREADS_UNREADABLE); i++) {
             try {
-                node.follow(Config.read(file, env));
+                node.follow(NodeConfiguration.read(file, env));
                 return;
-            } catch (BadConfig e) {
+            } catch (InvalidConfigurationException e) {
                 why = e.getMessage();
                 readable = e.readable();
                 LockSupport.parkNanos(REREAD_NANOS);
--- a/src/main/java/laurelkeel/cli/StandinCommand.java
+++ b/src/main/java/laurelkeel/cli/StandinCommand.java
@@ -2,8 +2,8 @@
 
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
-import laurelkeel.day.DayPlan;
-import laurelkeel.day.World;
+import laurelkeel.scenario.Scenario;
+import laurelkeel.scenario.ScenarioEnvironment;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -28,8 +28,8 @@
 
     @Override
     public Integer call() throws Exception {
-        DayPlan plan = DayPlan.find(day);
-        try (World world = new World(plan, seed == null ? plan.seed() : seed, r -> {})) {
+        Scenario plan = Scenario.find(day);
+        try (ScenarioEnvironment world = new ScenarioEnvironment(plan, seed == null ? plan.seed() : seed, r -> {})) {
             world.start();
             System.out.printf(
                     "[list]%naddress = 127.0.0.1:%d%nmode = %s%n[release]%naddress = 127.0.0.1:%d%n",
--- a/src/main/java/laurelkeel/config/Ini.java
+++ b/src/main/java/laurelkeel/config/IniFile.java
@@ -19,43 +19,43 @@
  * One INI file. The library reads the values; lines are numbered here, since it does not keep them. Readers take
  * what they know through Section; whatever was not asked for by the time of {@link #done()} is unknown and a fault.
  */
-public final class Ini {
+public final class IniFile {
     private final String name;
-    private final Map<String, Section> sections = new LinkedHashMap<>();
+    private final Map<String, IniSection> sections = new LinkedHashMap<>();
     private final List<Fault> faults = new ArrayList<>();
     private final TreeSet<String> askedKinds = new TreeSet<>();
 
     private record Fault(int line, String text) {}
 
-    private Ini(String name) {
+    private IniFile(String name) {
         this.name = name;
     }
 
     /** Reads a file. Faults of form are kept for done(); only a file that cannot be read at all throws here. */
-    public static Ini read(Path file) throws BadSettings {
+    public static IniFile read(Path file) throws InvalidSettingsException {
         try {
             return parse(file.toString(), Files.readString(file));
         } catch (NoSuchFileException e) {
-            throw new BadSettings(List.of(file + ": there is no such file"));
+            throw new InvalidSettingsException(List.of(file + ": there is no such file"));
         } catch (MalformedInputException e) {
-            throw new BadSettings(List.of(file + ": not UTF-8 text; save it as UTF-8"));
+            throw new InvalidSettingsException(List.of(file + ": not UTF-8 text; save it as UTF-8"));
         } catch (IOException e) {
-            throw new BadSettings(List.of(file + ": cannot be read: " + e.getMessage()));
+            throw new InvalidSettingsException(List.of(file + ": cannot be read: " + e.getMessage()));
         }
     }
 
-    public static Ini parse(String name, String text) throws BadSettings {
-        Ini ini = new Ini(name);
+    public static IniFile parse(String name, String text) throws InvalidSettingsException {
+        IniFile ini = new IniFile(name);
         ini.number(text);
         INIConfiguration values = new INIConfiguration();
         values.setSeparatorUsedInInput("=");
         try {
             values.read(new StringReader(text.replace("\uFEFF", "")));
         } catch (ConfigurationException | IOException e) {
-            throw new BadSettings(List.of(name + ": not INI: " + e.getMessage()));
+            throw new InvalidSettingsException(List.of(name + ": not INI: " + e.getMessage()));
         }
         for (String s : values.getSections()) {
-            Section section = s == null ? null : ini.sections.get(s);
+            IniSection section = s == null ? null : ini.sections.get(s);
             if (section != null) {
                 SubnodeConfiguration in = values.getSection(s);
                 in.getKeys().forEachRemaining(k -> section.put(k.replace("..", "."), in.getString(k)));
@@ -65,7 +65,7 @@
     }
 
     private void number(String text) {
-        Section in = null;
+        IniSection in = null;
         int n = 0;
         for (String raw : text.split("\n", -1)) {
             n++;
@@ -84,7 +84,7 @@
                 if (sections.containsKey(s)) {
                     fault(n, "section [" + s + "] stands already on line " + sections.get(s).line + "; join the two");
                 }
-                in = sections.computeIfAbsent(s, k -> new Section(this, k));
+                in = sections.computeIfAbsent(s, k -> new IniSection(this, k));
                 in.line = in.line == 0 ? n : in.line;
             } else {
                 int eq = line.indexOf('=');
@@ -121,14 +121,14 @@
     }
 
     /** The section of that name; one that is missing is a fault unless optional. */
-    public Section section(String section, boolean optional) {
+    public IniSection section(String section, boolean optional) {
         askedKinds.add(section);
-        Section s = sections.get(section);
+        IniSection s = sections.get(section);
         if (s == null) {
             if (!optional) {
                 fault(0, "section [" + section + "] is missing; add it");
             }
-            s = new Section(this, section);
+            s = new IniSection(this, section);
             s.missing = !optional;
         }
         s.asked = true;
@@ -140,10 +140,10 @@
     }
 
     /** The sections named "kind NAME", by NAME, in the order of the file. */
-    public Map<String, Section> each(String kind) {
+    public Map<String, IniSection> each(String kind) {
         askedKinds.add(kind + " NAME");
-        Map<String, Section> out = new LinkedHashMap<>();
-        for (Section s : sections.values()) {
+        Map<String, IniSection> out = new LinkedHashMap<>();
+        for (IniSection s : sections.values()) {
             if (s.name.startsWith(kind + " ")) {
                 s.asked = true;
                 out.put(s.name.substring(kind.length() + 1).strip(), s);
@@ -153,8 +153,8 @@
     }
 
     /** Throws all faults found, in the order of their lines, after naming what nobody asked for. */
-    public void done() throws BadSettings {
-        for (Section s : sections.values()) {
+    public void done() throws InvalidSettingsException {
+        for (IniSection s : sections.values()) {
             if (!s.asked) {
                 fault(s.line, "section [" + s.name + "] is unknown" + nearest(s.name, askedKinds));
             } else {
@@ -166,7 +166,7 @@
             faults.stream()
                     .sorted(java.util.Comparator.comparingInt(Fault::line))
                     .forEach(f -> told.add(name + (f.line > 0 ? ":" + f.line : "") + ": " + f.text));
-            throw new BadSettings(told);
+            throw new InvalidSettingsException(told);
         }
     }
 
--- a/src/main/java/laurelkeel/config/Section.java
+++ b/src/main/java/laurelkeel/config/IniSection.java
@@ -15,19 +15,19 @@
  * the key must be given. A fault is noted and the default, or a harmless value, goes on in its place, so that one
  * reading finds all faults.
  */
-public final class Section {
+public final class IniSection {
     private static final Map<String, Long> UNITS = Map.of("ms", 10L, "s", 10_000L, "min", 600_000L, "h", 36_000_000L);
     private static final Map<String, Long> BYTES = Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30);
 
     final String name;
-    private final Ini file;
+    private final IniFile file;
     int line;
     boolean asked, missing;
     private final Map<String, Integer> lines = new LinkedHashMap<>();
     private final Map<String, String> values = new HashMap<>();
     private final TreeSet<String> known = new TreeSet<>();
 
-    Section(Ini file, String name) {
+    IniSection(IniFile file, String name) {
         this.file = file;
         this.name = name;
     }
@@ -57,7 +57,7 @@
     void unknown() {
         lines.forEach((key, at) -> {
             if (!known.contains(key)) {
-                file.fault(at, "'" + key + "' is unknown in [" + name + "]" + Ini.nearest(key, known));
+                file.fault(at, "'" + key + "' is unknown in [" + name + "]" + IniFile.nearest(key, known));
             }
         });
     }
@@ -212,7 +212,11 @@
     /** host:port; port 0 asks for a free one. */
     public InetSocketAddress address(String key, String absent) {
         return get(
-                key, absent, new InetSocketAddress("127.0.0.1", 0), "host:port, as 127.0.0.1:8080", Section::address);
+                key,
+                absent,
+                new InetSocketAddress("127.0.0.1", 0),
+                "host:port, as 127.0.0.1:8080",
+                IniSection::address);
     }
 
     public static InetSocketAddress address(String s) {
--- a/src/main/java/laurelkeel/decision/Rotation.java
+++ b/src/main/java/laurelkeel/decision/EndpointSubset.java
@@ -13,7 +13,7 @@
  * and each begins at a point of its own, so that together they ask all machines about alike. A machine under suspicion gives its
  * place to the next one. While answers wait at machines the rotation widens, in the end to all of them.
  */
-final class Rotation {
+final class EndpointSubset {
     /** Fewer machines than this are all asked; so many near ones, and as many far ones. */
     static final int LEAST = 64;
 
@@ -37,7 +37,7 @@
      * @param self the front's number, from 0
      * @param fronts how many there are
      */
-    Rotation(int self, int fronts) {
+    EndpointSubset(int self, int fronts) {
         start = (double) Math.floorMod(self, Math.max(1, fronts)) / Math.max(1, fronts);
     }
 
--- a/src/main/java/laurelkeel/decision/Shifter.java
+++ b/src/main/java/laurelkeel/decision/RoutingDecider.java
@@ -21,7 +21,7 @@
  * laurelkeel.api: Event in, Action out, Settings at the start. Instances share nothing; the only clock is the
  * caller's, in tenths of a millisecond. The mechanism is explained in docs/design.md.
  */
-public final class Shifter implements Decider {
+public final class RoutingDecider implements Decider {
     private static final long SECOND = 10_000;
 
     // ---- tuned values; docs/design.md says what each was tried against
@@ -111,7 +111,7 @@
 
         Machine(EndpointEntry is, double far) {
             this.far = far;
-            ringPlace = Rotation.placeOf(is.endpointId());
+            ringPlace = EndpointSubset.placeOf(is.endpointId());
             id = is.endpointId();
             build = is.build();
             zone = is.zone();
@@ -151,7 +151,7 @@
             rotation = all;
         }
 
-        void rotate(Rotation by) {
+        void rotate(EndpointSubset by) {
             double[] places = live.stream().mapToDouble(m -> m.ringPlace).toArray();
             boolean[] near = new boolean[places.length];
             boolean[] suspect = new boolean[places.length];
@@ -235,7 +235,7 @@
     private final Map<String, Rq> reqs = new HashMap<>();
     private final Map<String, Machine> machines = new TreeMap<>();
     private final Map<Integer, Side> sides = new LinkedHashMap<>();
-    private final Rotation rotation;
+    private final EndpointSubset rotation;
     private long nextRotation;
     private int newestLive = Integer.MIN_VALUE;
     private double liveSize;
@@ -258,7 +258,7 @@
     private long stageSince;
     private int trial = -1, base = -1, rival = -1;
     private double baseAtStart, threshold;
-    private final KeyPins pins = new KeyPins();
+    private final StickyKeys pins = new StickyKeys();
     private final TreeSet<Integer> released = new TreeSet<>(Set.of(-1));
     private final Set<Integer> takenOff = new HashSet<>();
     private final List<ArrayDeque<Long>> taken = new ArrayList<>();
@@ -280,9 +280,9 @@
 
     private final List<Action> out = new ArrayList<>();
 
-    public Shifter(Settings settings, long seed) {
+    public RoutingDecider(Settings settings, long seed) {
         this.set = settings;
-        this.rotation = new Rotation(settings.nodeIndex(), settings.nodeCount());
+        this.rotation = new EndpointSubset(settings.nodeIndex(), settings.nodeCount());
         this.seed = Long.toString(seed).getBytes(StandardCharsets.US_ASCII);
         // of many fronts, some see a lead by mere chance: the fewer votes send a build back, the surer each
         int enough = Math.max(1, settings.rollout().rollBackVotes());
@@ -831,7 +831,7 @@
     }
 
     private Machine choose(Rq rq) {
-        int pin = rq.is.partitionKey() == null ? KeyPins.NONE : pins.of(rq.is.partitionKey());
+        int pin = rq.is.partitionKey() == null ? StickyKeys.NONE : pins.of(rq.is.partitionKey());
         if (pin > base) {
             return pin == trial && trialOpen(rq, true) ? pick(trial, rq) : null;
         }
--- a/src/main/java/laurelkeel/decision/KeyPins.java
+++ b/src/main/java/laurelkeel/decision/StickyKeys.java
@@ -8,7 +8,7 @@
  * Behind which build a key may not go back, where keys move one way. A build binds a key by its answer; and while a try is
  * out it may have answered already, for an answer can lie unread on a connection that has fallen silent.
  */
-final class KeyPins {
+final class StickyKeys {
     /** No build binds the key. */
     static final int NONE = -1;
 
--- a/src/main/java/laurelkeel/loop/Loop.java
+++ b/src/main/java/laurelkeel/eventloop/EventLoop.java
@@ -1,4 +1,4 @@
-package laurelkeel.loop;
+package laurelkeel.eventloop;
 
 import java.util.PriorityQueue;
 import java.util.concurrent.locks.LockSupport;
@@ -15,17 +15,17 @@
  * <p>A posted task or an alarm that throws a RuntimeException has failed by itself: it is logged and counted, and the loop
  * goes on, for ending would fail all that others hold as well. What the turn's end throws, and every Error, ends the loop.
  */
-public final class Loop {
-    private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
+public final class EventLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
     private static final int A_TURN = 512;
     private static final int SWEEP = 1024;
 
     /** Something due at a moment. Cancelled ones stay in their place, and are swept out when most are. */
-    public final class Alarm implements Comparable<Alarm> {
+    public final class ScheduledTask implements Comparable<ScheduledTask> {
         private final long at, order;
         private Runnable then;
 
-        private Alarm(long at, long order, Runnable then) {
+        private ScheduledTask(long at, long order, Runnable then) {
             this.at = at;
             this.order = order;
             this.then = then;
@@ -40,14 +40,14 @@
         }
 
         @Override
-        public int compareTo(Alarm o) {
+        public int compareTo(ScheduledTask o) {
             return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
         }
     }
 
     private final MpscUnboundedArrayQueue<Runnable> posted = new MpscUnboundedArrayQueue<>(1024);
     private final MpscUnboundedArrayQueue<Runnable> news = new MpscUnboundedArrayQueue<>(64);
-    private final PriorityQueue<Alarm> alarms = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledTask> alarms = new PriorityQueue<>();
     private final LongSupplier clock;
     private long order;
     private int cancelled;
@@ -60,7 +60,7 @@
     private Thread thread;
 
     /** @param clock tenths of a millisecond, only advancing */
-    public Loop(LongSupplier clock) {
+    public EventLoop(LongSupplier clock) {
         this.clock = clock;
         this.now = clock.getAsLong();
     }
@@ -99,13 +99,13 @@
     }
 
     /** Loop thread only. */
-    public Alarm at(long when, Runnable then) {
+    public ScheduledTask at(long when, Runnable then) {
         if (cancelled > SWEEP && cancelled > alarms.size() / 2) {
             // most reqs end long before their time-outs: what guards those must not fill the heap
             alarms.removeIf(a -> a.then == null);
             cancelled = 0;
         }
-        Alarm a = new Alarm(when, order++, then);
+        ScheduledTask a = new ScheduledTask(when, order++, then);
         alarms.add(a);
         return a;
     }
@@ -136,7 +136,7 @@
             boolean ran = drain(news, A_TURN);
             ran |= drain(posted, A_TURN);
             while (!alarms.isEmpty() && alarms.peek().at <= now) {
-                Alarm due = alarms.poll();
+                ScheduledTask due = alarms.poll();
                 Runnable then = due.then;
                 due.then = null;
                 cancelled -= then == null ? 1 : 0;
--- a/src/main/java/laurelkeel/loop/Threads.java
+++ b/src/main/java/laurelkeel/eventloop/LoopThreads.java
@@ -1,4 +1,4 @@
-package laurelkeel.loop;
+package laurelkeel.eventloop;
 
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.ExecutorService;
@@ -12,10 +12,10 @@
  * The threads beside a loop. Whatever ends one of them unforeseen, as lack of memory does, ends the loop too: its
  * user would go on without sockets or without news, and call itself well.
  */
-public final class Threads {
-    private Threads() {}
+public final class LoopThreads {
+    private LoopThreads() {}
 
-    private static ThreadFactory named(Loop loop, String name) {
+    private static ThreadFactory named(EventLoop loop, String name) {
         return r -> {
             Thread t = new Thread(r, name);
             t.setDaemon(true);
@@ -25,15 +25,15 @@
     }
 
     /** As many as are needed, for what brings its own number. */
-    public static ExecutorService many(Loop loop, String name) {
+    public static ExecutorService many(EventLoop loop, String name) {
         return Executors.newCachedThreadPool(named(loop, name));
     }
 
-    public static ExecutorService some(Loop loop, String name, int threads) {
+    public static ExecutorService some(EventLoop loop, String name, int threads) {
         return Executors.newFixedThreadPool(threads, named(loop, name));
     }
 
-    public static ScheduledExecutorService timer(Loop loop, String name) {
+    public static ScheduledExecutorService timer(EventLoop loop, String name) {
         return new ScheduledThreadPoolExecutor(1, named(loop, name)) {
             @Override
             protected void afterExecute(Runnable r, Throwable t) {
--- a/src/main/java/laurelkeel/front/Held.java
+++ b/src/main/java/laurelkeel/front/ActiveRequest.java
@@ -2,24 +2,24 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import laurelkeel.front.ingress.Asked;
-import laurelkeel.front.ingress.ClientConn;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.front.ingress.ClientConnection;
+import laurelkeel.front.ingress.ClientRequest;
 import laurelkeel.front.upstream.Exchange;
-import laurelkeel.loop.Loop;
 
 /** One req that this front has taken, until it is answered and all its upstream tries have ended. */
-final class Held {
+final class ActiveRequest {
 
     /** One upstream try. */
-    static final class Sent {
+    static final class Attempt {
         final int no;
         final String machine;
         final long at;
         Exchange exchange;
-        Loop.Alarm limit;
+        EventLoop.ScheduledTask limit;
         boolean over;
 
-        Sent(int no, String machine, long at) {
+        Attempt(int no, String machine, long at) {
             this.no = no;
             this.machine = machine;
             this.at = at;
@@ -30,14 +30,14 @@
     /** Its number among this life's reqs, of which the id is made. */
     final long number;
 
-    final ClientConn conn;
-    final Asked asked;
+    final ClientConnection conn;
+    final ClientRequest asked;
     final long takenAt, leaves;
-    final List<Sent> sent = new ArrayList<>(2);
+    final List<Attempt> sent = new ArrayList<>(2);
     boolean answered;
-    Loop.Alarm lastCall;
+    EventLoop.ScheduledTask lastCall;
 
-    Held(String id, long number, ClientConn conn, Asked asked, long takenAt, long leaves) {
+    ActiveRequest(String id, long number, ClientConnection conn, ClientRequest asked, long takenAt, long leaves) {
         this.id = id;
         this.number = number;
         this.conn = conn;
@@ -47,7 +47,7 @@
     }
 
     boolean done() {
-        for (Sent s : sent) {
+        for (Attempt s : sent) {
             if (!s.over) {
                 return false;
             }
--- a/src/main/java/laurelkeel/front/Reports.java
+++ b/src/main/java/laurelkeel/front/AttributionReporter.java
@@ -10,19 +10,19 @@
 import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.api.Event.EndpointEntry;
 import laurelkeel.api.Settings;
-import laurelkeel.blame.Report;
+import laurelkeel.attribution.NodeReport;
 
 /**
  * What this front saw of each build, by the second its tries were sent in, for the release line's blame. A second is
  * told once most of its tries have ended. Bounded: so many cells a second, so many seconds. Front's thread only.
  */
-final class Reports {
+final class AttributionReporter {
     private static final long SECOND = 10_000;
     /** Seconds that a try has to end in, to be counted. */
     private static final long WAITS = 2;
 
     /** As it goes over the wire. */
-    record Told(int front, String life, long second, double agoMs, List<Report.Cell> cells) {}
+    record Told(int front, String life, long second, double agoMs, List<NodeReport.Cell> cells) {}
 
     private record Place(int build, int route, String machine, int customer) {}
 
@@ -39,7 +39,7 @@
     private long toldTo = -1;
     long leftOut;
 
-    Reports(Settings set, String life, Consumer<Told> to) {
+    AttributionReporter(Settings set, String life, Consumer<Told> to) {
         this.set = set;
         this.life = life;
         this.to = to;
@@ -65,7 +65,7 @@
         Map<Place, Sum> cells = seconds.computeIfAbsent(second, k -> new HashMap<>());
         Place p = new Place(m.build(), route, machine, customer);
         Sum s = cells.get(p);
-        if (s == null && cells.size() >= Report.MOST_CELLS) {
+        if (s == null && cells.size() >= NodeReport.MOST_CELLS) {
             leftOut++;
             return null;
         }
@@ -113,10 +113,10 @@
         while (!seconds.isEmpty() && seconds.firstKey() + WAITS < now / SECOND) {
             var first = seconds.pollFirstEntry();
             toldTo = first.getKey();
-            List<Report.Cell> cells = new ArrayList<>();
+            List<NodeReport.Cell> cells = new ArrayList<>();
             first.getValue().forEach((p, s) -> {
                 if (s.tries > 0) {
-                    cells.add(new Report.Cell(
+                    cells.add(new NodeReport.Cell(
                             p.build,
                             p.route,
                             p.machine,
--- a/src/main/java/laurelkeel/front/Told.java
+++ b/src/main/java/laurelkeel/front/ControlPlaneEvents.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import java.util.Set;
 import laurelkeel.api.Event;
-import laurelkeel.front.news.ListLine;
-import laurelkeel.front.news.ReleaseLine;
-import laurelkeel.loop.Loop;
-import laurelkeel.records.Rec;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.front.controlplane.EndpointListMessage;
+import laurelkeel.front.controlplane.RolloutMessage;
 import laurelkeel.records.Recorder;
+import laurelkeel.records.TrafficRecord;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -21,36 +21,36 @@
  * Turns what a front is told into events and keeps the record of it. Starts are told as ages, for clocks differ;
  * the moment of one start is worked out once and stays, or jitter would pass for a new start.
  */
-final class Told {
-    private static final Logger LOG = LoggerFactory.getLogger(Told.class);
+final class ControlPlaneEvents {
+    private static final Logger LOG = LoggerFactory.getLogger(ControlPlaneEvents.class);
     private static final long LONG_AGO = 3_600_000;
 
     private record Start(long run, long at) {}
 
     private final FrontSettings set;
     private final String life;
-    private final Loop loop;
-    private final LastList last;
+    private final EventLoop loop;
+    private final EndpointListCache last;
     private final Recorder records;
     private final Map<String, Start> starts = new HashMap<>();
-    private final Map<String, ListLine.Machine> now = new LinkedHashMap<>();
-    private final Map<Integer, ReleaseLine> onTrial = new LinkedHashMap<>();
+    private final Map<String, EndpointListMessage.Machine> now = new LinkedHashMap<>();
+    private final Map<Integer, RolloutMessage> onTrial = new LinkedHashMap<>();
     private final List<String> zones = new ArrayList<>();
 
-    Told(FrontSettings set, String life, Loop loop, LastList last) throws IOException {
+    ControlPlaneEvents(FrontSettings set, String life, EventLoop loop, EndpointListCache last) throws IOException {
         this.set = set;
         this.life = life;
         this.loop = loop;
         this.last = last;
         this.records = set.records() == null ? null : new Recorder(set.records(), true);
-        record(new Rec.FrontUp(Recorder.now(), self(), life));
+        record(new TrafficRecord.FrontUp(Recorder.now(), self(), life));
     }
 
     private int self() {
         return set.decisions().nodeIndex();
     }
 
-    private void record(Rec r) {
+    private void record(TrafficRecord r) {
         if (records != null) {
             records.record(r);
         }
@@ -62,7 +62,7 @@
     }
 
     void close() {
-        record(new Rec.FrontDown(Recorder.now(), self(), false));
+        record(new TrafficRecord.FrontDown(Recorder.now(), self(), false));
         try {
             if (records != null) {
                 records.close();
@@ -79,7 +79,7 @@
 
     /** The list kept from the life before. */
     Event.EndpointListUpdate remembered() {
-        List<ListLine.Machine> kept = last.read();
+        List<EndpointListMessage.Machine> kept = last.read();
         Event.EndpointListUpdate e = event(Event.EndpointListKind.CACHED, kept, loop.clock());
         // the first real list tells better ages
         starts.clear();
@@ -87,7 +87,7 @@
         return e;
     }
 
-    Event.EndpointListUpdate list(ListLine line, long arrived) {
+    Event.EndpointListUpdate list(EndpointListMessage line, long arrived) {
         boolean full = line.kind().equals("full");
         if (full) {
             now.clear();
@@ -96,7 +96,7 @@
             // what a gap in the watch hid is told gone by no line: its start would stay for ever
             starts.keySet().retainAll(named);
         }
-        for (ListLine.Machine m : line.machines()) {
+        for (EndpointListMessage.Machine m : line.machines()) {
             if (m.state().equals("gone")) {
                 now.remove(m.machine());
             } else {
@@ -107,10 +107,11 @@
         return event(full ? Event.EndpointListKind.SNAPSHOT : Event.EndpointListKind.DELTA, line.machines(), arrived);
     }
 
-    private Event.EndpointListUpdate event(Event.EndpointListKind kind, List<ListLine.Machine> machines, long arrived) {
+    private Event.EndpointListUpdate event(
+            Event.EndpointListKind kind, List<EndpointListMessage.Machine> machines, long arrived) {
         List<Event.EndpointEntry> listed = new ArrayList<>();
-        List<Rec.Entry> entries = new ArrayList<>();
-        for (ListLine.Machine m : machines) {
+        List<TrafficRecord.Entry> entries = new ArrayList<>();
+        for (EndpointListMessage.Machine m : machines) {
             Event.EndpointState state;
             try {
                 state = WireTerms.endpointState(m.state());
@@ -136,10 +137,10 @@
                     m.size() > 0 ? m.size() : 1,
                     state,
                     start.at));
-            entries.add(new Rec.Entry(m.machine(), m.run(), m.build(), WireTerms.recorded(state)));
+            entries.add(new TrafficRecord.Entry(m.machine(), m.run(), m.build(), WireTerms.recorded(state)));
         }
         if (records != null) {
-            record(new Rec.ToldList(hostTime(arrived), self(), life, WireTerms.recorded(kind), entries));
+            record(new TrafficRecord.ToldList(hostTime(arrived), self(), life, WireTerms.recorded(kind), entries));
         }
         return new Event.EndpointListUpdate(kind, listed);
     }
@@ -157,13 +158,13 @@
         return i;
     }
 
-    private long age(ReleaseLine line, long arrived) {
+    private long age(RolloutMessage line, long arrived) {
         // counted from when the bytes came, not from when the loop got to them
         return Math.max(0, (long) Math.floor(line.ageMs() * 10)) + Math.max(0, loop.now() - arrived);
     }
 
     /** What a line says; first the end of what it no longer names. */
-    List<Event> news(ReleaseLine line, long arrived) {
+    List<Event> news(RolloutMessage line, long arrived) {
         if ("counts".equals(line.kind())) {
             return List.of(new Event.BuildStatistics(
                     line.build(),
@@ -175,13 +176,13 @@
         }
         List<Event> out = new ArrayList<>();
         List<Integer> standing = line.standing() == null ? List.of(line.build()) : line.standing();
-        for (ReleaseLine was : List.copyOf(onTrial.values())) {
+        for (RolloutMessage was : List.copyOf(onTrial.values())) {
             // a watch that was away may have missed its end
             boolean passed = line.standing() != null || was.build() < line.build();
             if (passed && was.build() != line.build() && !standing.contains(was.build())) {
                 out.add(news(
                         Event.ControlStatus.OK,
-                        ReleaseLine.news(was.build(), was.stage(), 0, "withdrawn", 0),
+                        RolloutMessage.news(was.build(), was.stage(), 0, "withdrawn", 0),
                         arrived,
                         false));
             }
@@ -190,7 +191,7 @@
         return out;
     }
 
-    private Event.RolloutUpdate news(Event.ControlStatus answer, ReleaseLine line, long arrived, boolean toVote) {
+    private Event.RolloutUpdate news(Event.ControlStatus answer, RolloutMessage line, long arrived, boolean toVote) {
         Event.RolloutPhase phase = WireTerms.phase(line.phase());
         if (answer == Event.ControlStatus.OK) {
             if (phase == Event.RolloutPhase.CANARY) {
@@ -198,7 +199,7 @@
             } else {
                 onTrial.remove(line.build());
             }
-            record(new Rec.ToldNews(
+            record(new TrafficRecord.ToldNews(
                     hostTime(arrived),
                     self(),
                     life,
@@ -211,7 +212,7 @@
                 answer, line.stage(), line.cap(), age(line, arrived), phase, line.build(), toVote);
     }
 
-    Event voted(String answer, int build, ReleaseLine line, long arrived) {
+    Event voted(String answer, int build, RolloutMessage line, long arrived) {
         Event.ControlStatus a = WireTerms.controlStatus(answer);
         if (line == null || line.phase() == null) {
             return new Event.RolloutUpdate(
--- a/src/main/java/laurelkeel/front/LastList.java
+++ b/src/main/java/laurelkeel/front/EndpointListCache.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
-import laurelkeel.front.news.ListLine;
+import laurelkeel.front.controlplane.EndpointListMessage;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -20,8 +20,8 @@
  * kill leaves the one before or the new one whole. Ages in it stay as they were: how long ago it was written only the wall
  * clock says, which may have been stepped since, and a machine taken for warm too soon is worse than one taken for cold.
  */
-final class LastList {
-    private static final Logger LOG = LoggerFactory.getLogger(LastList.class);
+final class EndpointListCache {
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointListCache.class);
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** Often enough to lose little, seldom enough to cost nothing while a disk is full. */
@@ -29,21 +29,21 @@
 
     private final Path file;
     private final ScheduledExecutorService saver;
-    private final AtomicReference<List<ListLine.Machine>> next = new AtomicReference<>();
+    private final AtomicReference<List<EndpointListMessage.Machine>> next = new AtomicReference<>();
 
-    LastList(Path folder, ScheduledExecutorService saver) {
+    EndpointListCache(Path folder, ScheduledExecutorService saver) {
         this.file = folder.resolve("list.json");
         this.saver = saver;
     }
 
     /** What was kept, with ages as of when it was written; empty where nothing was or it cannot be read. */
-    List<ListLine.Machine> read() {
+    List<EndpointListMessage.Machine> read() {
         try {
             if (!Files.exists(file)) {
                 return List.of();
             }
-            List<ListLine.Machine> kept = JSON.readValue(file.toFile(), new TypeReference<>() {});
-            String fault = kept == null ? "it is empty" : new ListLine("full", 0, 0, kept).fault();
+            List<EndpointListMessage.Machine> kept = JSON.readValue(file.toFile(), new TypeReference<>() {});
+            String fault = kept == null ? "it is empty" : new EndpointListMessage("full", 0, 0, kept).fault();
             if (fault != null) {
                 LOG.warn("{} cannot be followed; starting without a list: {}", file, fault);
                 return List.of();
@@ -56,14 +56,14 @@
     }
 
     /** Keeps it soon; of several in a row only the last is written. */
-    void keep(Collection<ListLine.Machine> machines) {
+    void keep(Collection<EndpointListMessage.Machine> machines) {
         if (next.getAndSet(List.copyOf(machines)) == null) {
             saver.execute(this::write);
         }
     }
 
     private void write() {
-        List<ListLine.Machine> machines = next.getAndSet(null);
+        List<EndpointListMessage.Machine> machines = next.getAndSet(null);
         Path aside = file.resolveSibling("list.json.new");
         try {
             Files.createDirectories(file.getParent());
--- a/src/main/java/laurelkeel/front/Inbox.java
+++ b/src/main/java/laurelkeel/front/EventInbox.java
@@ -9,7 +9,7 @@
  * before all sources, so none of them can speak to something that is not there yet. On the front's thread, or before that
  * thread has started.
  */
-public final class Inbox {
+public final class EventInbox {
     private List<Event> events = new ArrayList<>();
     private List<String> leftPlaces = new ArrayList<>();
 
--- a/src/main/java/laurelkeel/front/Counts.java
+++ b/src/main/java/laurelkeel/front/FrontMetrics.java
@@ -18,13 +18,13 @@
  * What a front counts of itself, in Prometheus' text form. Names: docs/front.md. What every req counts is registered
  * ahead, so that counting allocates nothing.
  */
-final class Counts {
+final class FrontMetrics {
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     private final Map<String, Counter> rare = new HashMap<>();
     private final List<Counter> tries = new ArrayList<>();
     private final List<Counter> overdue = new ArrayList<>();
     private final Map<AttemptOutcome, Counter> outcomes = new EnumMap<>(AttemptOutcome.class);
-    private final Map<End, Counter> ends = new EnumMap<>(End.class);
+    private final Map<RequestOutcome, Counter> ends = new EnumMap<>(RequestOutcome.class);
     private final DistributionSummary took = DistributionSummary.builder("laurelkeel_answer_ms")
             .description("time from taking a req to its final answer")
             .serviceLevelObjectives(1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10_000)
@@ -33,7 +33,7 @@
             .description("events handed to the decider at once")
             .register(registry);
 
-    Counts(List<String> routes) {
+    FrontMetrics(List<String> routes) {
         for (String route : routes) {
             tries.add(counter("laurelkeel_tries_total", "route", route));
             overdue.add(counter("laurelkeel_overdue_total", "route", route));
@@ -41,7 +41,7 @@
         for (AttemptOutcome o : AttemptOutcome.values()) {
             outcomes.put(o, counter("laurelkeel_outcomes_total", "outcome", WireTerms.metricLabel(o)));
         }
-        for (End e : End.values()) {
+        for (RequestOutcome e : RequestOutcome.values()) {
             ends.put(e, counter("laurelkeel_answers_total", "answer", word(e)));
         }
     }
@@ -71,7 +71,7 @@
         outcomes.get(outcome).increment();
     }
 
-    void answered(End how, long tenths) {
+    void answered(RequestOutcome how, long tenths) {
         ends.get(how).increment();
         took.record(tenths / 10.0);
     }
--- a/src/main/java/laurelkeel/front/Front.java
+++ b/src/main/java/laurelkeel/front/FrontNode.java
@@ -20,21 +20,21 @@
 import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.api.LoadReport;
 import laurelkeel.api.Settings;
-import laurelkeel.front.ingress.Asked;
-import laurelkeel.front.ingress.ClientConn;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.front.ingress.ClientConnection;
+import laurelkeel.front.ingress.ClientRequest;
 import laurelkeel.front.ingress.CloseReason;
-import laurelkeel.front.ingress.Door;
 import laurelkeel.front.ingress.Ingress;
+import laurelkeel.front.ingress.IngressListener;
 import laurelkeel.front.ingress.IngressSettings;
-import laurelkeel.front.upstream.Came;
+import laurelkeel.front.upstream.ConnectionPools;
+import laurelkeel.front.upstream.EndpointResponse;
 import laurelkeel.front.upstream.Exchange;
-import laurelkeel.front.upstream.Pools;
 import laurelkeel.front.upstream.UpstreamSettings;
-import laurelkeel.loop.Loop;
-import laurelkeel.wire.BadHttp;
-import laurelkeel.wire.HttpAnswer;
-import laurelkeel.wire.HttpReq;
-import laurelkeel.wire.Lines;
+import laurelkeel.wire.HttpProtocolException;
+import laurelkeel.wire.HttpRequest;
+import laurelkeel.wire.HttpResponse;
+import laurelkeel.wire.MessageBuilder;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -43,8 +43,8 @@
  * decides is carried out in order. The front answers for its sockets: whatever the decider does, each req taken gets
  * one final answer before its client's time is up, and nothing is sent for it after.
  */
-public final class Front implements FrontStatus {
-    private static final Logger LOG = LoggerFactory.getLogger(Front.class);
+public final class FrontNode implements FrontStatus {
+    private static final Logger LOG = LoggerFactory.getLogger(FrontNode.class);
     private static final Logger DECIDER = LoggerFactory.getLogger("laurelkeel.decisions");
 
     /** Set in the environment: every try that failed is logged, and each second what is held and open. */
@@ -65,18 +65,18 @@
 
     private final Settings set;
     private final long drainMost, lameDuck, probeTimeout;
-    private final Base base;
-    private final Loop loop;
+    private final NodeRuntime base;
+    private final EventLoop loop;
     private final Decider decider;
-    private final Outfit outfit;
-    private final Dialect words;
+    private final NodeServices outfit;
+    private final Protocol words;
     private final Ingress ingress;
-    private final Pools pools;
+    private final ConnectionPools pools;
     private final boolean guarded;
-    private final Lines lines = new Lines();
+    private final MessageBuilder lines = new MessageBuilder();
 
-    private final Inbox inbox;
-    private final Map<String, Held> held = new HashMap<>();
+    private final EventInbox inbox;
+    private final Map<String, ActiveRequest> held = new HashMap<>();
     /** The clients' own names of the reqs held. */
     private final Set<String> named = new HashSet<>();
 
@@ -88,8 +88,8 @@
     private final RequestTotals totals = new RequestTotals();
     private final CompletableFuture<Throwable> ended = new CompletableFuture<>();
 
-    public Front(FrontSettings set, Decider.Factory maker) throws IOException {
-        this(set, maker, Base.clock(), true);
+    public FrontNode(FrontSettings set, Decider.Factory maker) throws IOException {
+        this(set, maker, NodeRuntime.clock(), true);
     }
 
     /**
@@ -97,21 +97,33 @@
      * @param guarded false leaves out the front's own guard of final answers and the lanes, so that the audit can be
      *     proved on a decider that breaks the rules
      */
-    Front(FrontSettings set, Decider.Factory maker, LongSupplier clock, boolean guarded) throws IOException {
-        this(set, maker, Base.of(clock), guarded);
+    FrontNode(FrontSettings set, Decider.Factory maker, LongSupplier clock, boolean guarded) throws IOException {
+        this(set, maker, NodeRuntime.of(clock), guarded);
     }
 
-    private Front(FrontSettings set, Decider.Factory maker, Base base, boolean guarded) throws IOException {
-        this(set.decisions(), set.ingress(), set.upstream(), base, new Own(set, maker, base, guarded), guarded);
+    private FrontNode(FrontSettings set, Decider.Factory maker, NodeRuntime base, boolean guarded) throws IOException {
+        this(
+                set.decisions(),
+                set.ingress(),
+                set.upstream(),
+                base,
+                new StandaloneServices(set, maker, base, guarded),
+                guarded);
     }
 
     /** A front that speaks and hears what its outfit does. */
-    public Front(Settings set, IngressSettings door, UpstreamSettings upstream, Base base, Outfit outfit) {
+    public FrontNode(
+            Settings set, IngressSettings door, UpstreamSettings upstream, NodeRuntime base, NodeServices outfit) {
         this(set, door, upstream, base, outfit, true);
     }
 
-    private Front(
-            Settings set, IngressSettings door, UpstreamSettings upstream, Base base, Outfit outfit, boolean guarded) {
+    private FrontNode(
+            Settings set,
+            IngressSettings door,
+            UpstreamSettings upstream,
+            NodeRuntime base,
+            NodeServices outfit,
+            boolean guarded) {
         this.set = set;
         this.base = base;
         this.outfit = outfit;
@@ -123,7 +135,7 @@
         inbox = base.inbox();
         words = outfit.dialect();
         decider = outfit.decider();
-        pools = new Pools(upstream, words, loop, base.socketThreads(), base.processors(upstream.threads()));
+        pools = new ConnectionPools(upstream, words, loop, base.socketThreads(), base.processors(upstream.threads()));
         ingress = new Ingress(door, words, loop, base.socketThreads(), base.processors(door.threads()), new Taker());
     }
 
@@ -297,8 +309,8 @@
     private void endHeld() {
         draining = true;
         decidesNoMore = true;
-        for (Held h : List.copyOf(held.values())) {
-            for (Held.Sent s : h.sent) {
+        for (ActiveRequest h : List.copyOf(held.values())) {
+            for (ActiveRequest.Attempt s : h.sent) {
                 if (!s.over && s.exchange != null) {
                     s.exchange.end(AttemptOutcome.CANCELLED);
                 }
@@ -325,7 +337,7 @@
         } while (ingress.connections() > 0 && System.nanoTime() < end);
     }
 
-    Loop loop() {
+    EventLoop loop() {
         return loop;
     }
 
@@ -439,20 +451,23 @@
         if (a instanceof Action.SendAttempt s) {
             send(s);
         } else if (a instanceof Action.CancelAttempt s) {
-            Held h = held.get(s.requestId());
+            ActiveRequest h = held.get(s.requestId());
             if (h != null && s.attempt() < h.sent.size() && !h.sent.get(s.attempt()).over) {
-                Held.Sent sent = h.sent.get(s.attempt());
+                ActiveRequest.Attempt sent = h.sent.get(s.attempt());
                 ended(h, sent, sent.exchange.end(AttemptOutcome.CANCELLED), null);
             }
         } else if (a instanceof Action.RejectRequest s) {
             answer(
                     held.get(s.requestId()),
-                    End.SHED,
+                    RequestOutcome.SHED,
                     words.shed(
                             set.capabilities().retryAfter() ? s.retryAfterTicks() : 0,
                             "shed: nothing was done, or a repeat does no harm"));
         } else if (a instanceof Action.FailRequest s) {
-            answer(held.get(s.requestId()), End.ERRORED, words.errored(false, "errored: the req may have run"));
+            answer(
+                    held.get(s.requestId()),
+                    RequestOutcome.ERRORED,
+                    words.errored(false, "errored: the req may have run"));
         } else if (a instanceof Action.StartTimer t) {
             loop.at(Math.max(t.dueAtTicks(), loop.now() + 1), () -> inbox.learn(new Event.TimerFired(t.timerId())));
         } else if (a instanceof Action.SendHealthCheck p) {
@@ -502,12 +517,12 @@
     // ---- upstream tries
 
     private void send(Action.SendAttempt s) {
-        Held h = held.get(s.requestId());
+        ActiveRequest h = held.get(s.requestId());
         if (h == null) {
             LOG.error("the decider sends for a req that is not held: {}", s.requestId());
             return;
         }
-        Held.Sent sent = new Held.Sent(h.sent.size(), s.endpointId(), loop.now());
+        ActiveRequest.Attempt sent = new ActiveRequest.Attempt(h.sent.size(), s.endpointId(), loop.now());
         h.sent.add(sent);
         boolean late = loop.now() >= h.leaves;
         if ((guarded && (h.answered || late))
@@ -535,7 +550,7 @@
     }
 
     /** Null where the try had to wait, and may not be written any more. */
-    private byte[] upstream(Held h, Held.Sent sent, long limit) {
+    private byte[] upstream(ActiveRequest h, ActiveRequest.Attempt sent, long limit) {
         if (loop.now() > sent.at && (h.answered || loop.now() >= h.leaves || !outfit.stillMay(sent.machine, sent.at))) {
             return null;
         }
@@ -543,15 +558,15 @@
         return h.asked.crossing().with(lines, true);
     }
 
-    private Event.AttemptEnded over(Held h, Held.Sent s, AttemptOutcome outcome, LoadReport load) {
+    private Event.AttemptEnded over(ActiveRequest h, ActiveRequest.Attempt s, AttemptOutcome outcome, LoadReport load) {
         return new Event.AttemptEnded(h.id, s.no, s.machine, outcome, loop.now() - s.at, h.answered, load);
     }
 
-    private static LoadReport load(Came came) {
+    private static LoadReport load(EndpointResponse came) {
         return came == null ? LoadReport.NONE : came.load();
     }
 
-    private void ended(Held h, Held.Sent s, AttemptOutcome outcome, Came came) {
+    private void ended(ActiveRequest h, ActiveRequest.Attempt s, AttemptOutcome outcome, EndpointResponse came) {
         if (s.over) {
             return;
         }
@@ -573,7 +588,7 @@
         }
         if (outcome == AttemptOutcome.COMPLETED && !h.answered) {
             outfit.completed(h.number, s.machine, s.at, h.asked);
-            close(h, End.COMPLETED);
+            close(h, RequestOutcome.COMPLETED);
             words.completed(lines, h.id);
             ingress.pass(h.conn, h.asked.last(), came.crossing(), lines, () -> pools.over(came));
         } else {
@@ -585,7 +600,7 @@
 
     // ---- final answers
 
-    private void answer(Held h, End how, HttpAnswer with) {
+    private void answer(ActiveRequest h, RequestOutcome how, HttpResponse with) {
         if (h == null || (guarded && h.answered)) {
             return;
         }
@@ -602,7 +617,7 @@
         forget(h);
     }
 
-    private void close(Held h, End how) {
+    private void close(ActiveRequest h, RequestOutcome how) {
         h.answered = true;
         if (h.lastCall != null) {
             h.lastCall.cancel();
@@ -611,37 +626,40 @@
         outfit.answered(how, loop.now() - h.takenAt);
     }
 
-    private void forget(Held h) {
+    private void forget(ActiveRequest h) {
         if (h.done() && held.remove(h.id) != null) {
             named.remove(h.asked.id());
             ingress.over(h.asked);
         }
     }
 
-    private void overdue(Held h) {
+    private void overdue(ActiveRequest h) {
         if (!h.answered) {
             LOG.error("req {} had no decision in its time; the front errors it", h.id);
             outfit.overdue(h.asked.route());
-            answer(h, End.ERRORED, words.errored(true, "errored: no answer in time; the req may have run"));
+            answer(h, RequestOutcome.ERRORED, words.errored(true, "errored: no answer in time; the req may have run"));
             inbox.learn(new Event.ClientDisconnected(h.id));
         }
     }
 
     /** What the ingress tells. */
-    private final class Taker implements Door {
+    private final class Taker implements IngressListener {
         @Override
-        public void taken(ClientConn from, Asked asked, long arrived) {
+        public void taken(ClientConnection from, ClientRequest asked, long arrived) {
             if (asked.id() != null && !named.add(asked.id())) {
                 // one id is one req: its machine's answer must not be this client's too
                 from.current(null);
                 ingress.over(asked);
-                ingress.answer(from, asked.last(), words.refusal(new BadHttp(409, "a req with this id is open"), null));
+                ingress.answer(
+                        from,
+                        asked.last(),
+                        words.refusal(new HttpProtocolException(409, "a req with this id is open"), null));
                 return;
             }
             long number = ids++;
             String id = base.life() + "-" + Long.toString(number, 36);
             long leaves = arrived + asked.remaining();
-            Held h = new Held(id, number, from, asked, loop.now(), leaves);
+            ActiveRequest h = new ActiveRequest(id, number, from, asked, loop.now(), leaves);
             from.current(h);
             if (leaves <= loop.now()) {
                 // it waited its time away on its connection: nothing was begun
@@ -649,8 +667,8 @@
                 named.remove(asked.id());
                 ingress.over(asked);
                 totals.taken();
-                totals.answered(End.SHED);
-                outfit.answered(End.SHED, 0);
+                totals.answered(RequestOutcome.SHED);
+                outfit.answered(RequestOutcome.SHED, 0);
                 ingress.answer(from, asked.last(), words.shed(0, "its time was up before its turn came"));
                 return;
             }
@@ -664,15 +682,15 @@
         }
 
         @Override
-        public void own(ClientConn from, HttpReq http) {
+        public void own(ClientConnection from, HttpRequest http) {
             from.current(null);
             ingress.answer(from, http.last(), outfit.own(http, health()));
         }
 
         @Override
         public void left(Object current) {
-            if (current instanceof Held h && !h.answered) {
-                close(h, End.LEFT);
+            if (current instanceof ActiveRequest h && !h.answered) {
+                close(h, RequestOutcome.LEFT);
                 inbox.learn(new Event.ClientDisconnected(h.id));
                 forget(h);
             }
--- a/src/main/java/laurelkeel/front/FrontSettings.java
+++ b/src/main/java/laurelkeel/front/FrontSettings.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import laurelkeel.api.Settings;
-import laurelkeel.config.BadSettings;
-import laurelkeel.config.Ini;
-import laurelkeel.config.Section;
+import laurelkeel.config.IniFile;
+import laurelkeel.config.IniSection;
+import laurelkeel.config.InvalidSettingsException;
 import laurelkeel.front.ingress.IngressSettings;
 import laurelkeel.front.ingress.RouteTable;
 import laurelkeel.front.upstream.UpstreamSettings;
@@ -50,8 +50,8 @@
     }
 
     /** Reads and checks a front's file; all its faults are told at once. */
-    public static FrontSettings read(Path file) throws BadSettings {
-        Ini ini = Ini.read(file);
+    public static FrontSettings read(Path file) throws InvalidSettingsException {
+        IniFile ini = IniFile.read(file);
         FrontSettings set = read(ini, file);
         ini.done();
         return set;
@@ -72,7 +72,7 @@
                 List.of("route", "customer", "limits", "allowed", "prices", "rollout", "clients", "machines");
 
         /** Reads it, and checks the sections clients and machines with it. */
-        public static Common read(Ini ini, boolean listAsked) {
+        public static Common read(IniFile ini, boolean listAsked) {
             List<Settings.Route> routes = new ArrayList<>();
             List<RouteTable.Entry> table = new ArrayList<>();
             ini.each("route").forEach((name, s) -> {
@@ -90,7 +90,7 @@
                 names.add(name);
                 customers.add(new Settings.Tenant(s.number("quota", null, 0, 1e9)));
             });
-            Section doors = ini.section("clients", true);
+            IniSection doors = ini.section("clients", true);
             ingress(new InetSocketAddress("127.0.0.1", 0), doors);
             upstream(ini.section("machines", true));
             return new Common(
@@ -104,8 +104,8 @@
         }
     }
 
-    private static FrontSettings read(Ini ini, Path file) {
-        Section front = ini.section("front", false);
+    private static FrontSettings read(IniFile ini, Path file) {
+        IniSection front = ini.section("front", false);
         int fronts = front.small("fronts", null, 1, 100_000);
         int self = front.small("number", null, 0, 99_999);
         if (self >= fronts) {
@@ -116,7 +116,7 @@
         if (!zones.contains(zone)) {
             front.fault("zone", "is '" + zone + "'; zones names " + String.join(", ", zones));
         }
-        Section list = ini.section("list", true);
+        IniSection list = ini.section("list", true);
         boolean asked = list.choice("mode", "push", ListMode.class) == ListMode.ASK;
         Common c = Common.read(ini, asked);
         Settings decisions = new Settings(
@@ -131,7 +131,7 @@
                 c.rollout(),
                 front.choice("earnings-by", "req", EarningsBy.class) == EarningsBy.WORK);
         Path base = file.toAbsolutePath().getParent();
-        Section peers = ini.section("peers", true);
+        IniSection peers = ini.section("peers", true);
         Map<Integer, InetSocketAddress> at = new LinkedHashMap<>();
         for (String k : peers.keys()) {
             if (k.matches("\\d{1,5}")) {
@@ -156,11 +156,11 @@
                 front.has("records") ? base.resolve(front.text("records", null)) : null);
     }
 
-    private static InetSocketAddress optional(Section s, String key) {
+    private static InetSocketAddress optional(IniSection s, String key) {
         return s.has(key) ? s.address(key, null) : null;
     }
 
-    private static String path(Section s) {
+    private static String path(IniSection s) {
         String path = s.text("path", null);
         if (!path.startsWith("/")) {
             s.fault("path", "is '" + path + "'; write a prefix that begins with /");
@@ -168,7 +168,7 @@
         return path;
     }
 
-    private static Settings.Route route(Section s) {
+    private static Settings.Route route(IniSection s) {
         Settings.Idempotency effect = s.choice("effect", null, WireTerms.IDEMPOTENCY);
         long objective = s.time("objective", null, "1 ms", "1 h");
         long timeout = s.time("timeout", null, "20 ms", "24 h");
@@ -187,7 +187,7 @@
                 window);
     }
 
-    private static Settings.Limits limits(Section s) {
+    private static Settings.Limits limits(IniSection s) {
         return new Settings.Limits(
                 s.time("drain-grace", "1 s", "0 ms", "1 h"),
                 s.time("cold-for", "5 s", "0 ms", "1 h"),
@@ -197,7 +197,7 @@
                 s.time("ask-within", "10 s", "100 ms", "1 h"));
     }
 
-    private static Settings.Capabilities allowed(Section s, boolean asked) {
+    private static Settings.Capabilities allowed(IniSection s, boolean asked) {
         return new Settings.Capabilities(
                 s.small("tries", "4", 1, 100),
                 s.on("probes", "yes"),
@@ -208,7 +208,7 @@
                 asked);
     }
 
-    private static Settings.Costs prices(Section s) {
+    private static Settings.Costs prices(IniSection s) {
         return new Settings.Costs(
                 s.number("cross-zone", "0", 0, 100),
                 s.number("probe", "0", 0, 100),
@@ -217,7 +217,7 @@
                 s.number("harm", "2", 0, 100));
     }
 
-    private static Settings.Rollout rollout(Section s) {
+    private static Settings.Rollout rollout(IniSection s) {
         return new Settings.Rollout(
                 s.choice("control", "count", WireTerms.PROMOTION_POLICY),
                 s.small("on-votes", "1", 0, 100_000),
@@ -237,7 +237,7 @@
                 s.number("complaint-share", "0", 0, 1));
     }
 
-    private static IngressSettings ingress(InetSocketAddress listen, Section s) {
+    private static IngressSettings ingress(InetSocketAddress listen, IniSection s) {
         HttpLimits limits = new HttpLimits(
                 (int) s.bytes("line", "8 KiB", "64 B", "1 MiB"),
                 (int) s.bytes("header-bytes", "32 KiB", "256 B", "4 MiB"),
@@ -261,7 +261,7 @@
                 0);
     }
 
-    private static UpstreamSettings upstream(Section s) {
+    private static UpstreamSettings upstream(IniSection s) {
         HttpLimits limits = new HttpLimits(
                 8 << 10,
                 (int) s.bytes("header-bytes", "32 KiB", "256 B", "4 MiB"),
--- a/src/main/java/laurelkeel/front/Base.java
+++ b/src/main/java/laurelkeel/front/NodeRuntime.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.LongSupplier;
-import laurelkeel.loop.Loop;
-import laurelkeel.loop.Threads;
-import laurelkeel.wire.LookingProcessor;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.eventloop.LoopThreads;
+import laurelkeel.wire.UnexpectedInputProcessor;
 import org.apache.mina.core.service.SimpleIoProcessorPool;
 import org.apache.mina.transport.socket.nio.NioSession;
 
@@ -17,10 +17,10 @@
  * @param inbox what the front's sources have learned
  * @param shared runs the sockets of all sides; null where each side has threads of its own
  */
-public record Base(
+public record NodeRuntime(
         String life,
-        Loop loop,
-        Inbox inbox,
+        EventLoop loop,
+        EventInbox inbox,
         ExecutorService socketThreads,
         ScheduledExecutorService timer,
         SimpleIoProcessorPool<NioSession> shared) {
@@ -35,28 +35,28 @@
                 + Integer.toString(LIVES + ThreadLocalRandom.current().nextInt(LIVES), 36);
     }
 
-    public static Base of(LongSupplier clock) {
-        Loop loop = new Loop(clock);
-        return new Base(
+    public static NodeRuntime of(LongSupplier clock) {
+        EventLoop loop = new EventLoop(clock);
+        return new NodeRuntime(
                 newLife(),
                 loop,
-                new Inbox(),
-                Threads.many(loop, "front-sockets"),
-                Threads.timer(loop, "front-timer"),
+                new EventInbox(),
+                LoopThreads.many(loop, "front-sockets"),
+                LoopThreads.timer(loop, "front-timer"),
                 null);
     }
 
     /** For a machine with one core or less: one thread has all sockets. */
-    public static Base small(LongSupplier clock) {
-        Base b = of(clock);
-        return new Base(b.life, b.loop, b.inbox, b.socketThreads, b.timer, b.processors(1));
+    public static NodeRuntime small(LongSupplier clock) {
+        NodeRuntime b = of(clock);
+        return new NodeRuntime(b.life, b.loop, b.inbox, b.socketThreads, b.timer, b.processors(1));
     }
 
     /** So many socket threads for one side, or the one that all share. */
     public SimpleIoProcessorPool<NioSession> processors(int threads) {
         return shared != null
                 ? shared
-                : new SimpleIoProcessorPool<>(LookingProcessor.class, socketThreads, threads, null);
+                : new SimpleIoProcessorPool<>(UnexpectedInputProcessor.class, socketThreads, threads, null);
     }
 
     /** Tenths of a millisecond since this was called, on a clock that only advances. */
--- a/src/main/java/laurelkeel/front/Outfit.java
+++ b/src/main/java/laurelkeel/front/NodeServices.java
@@ -5,18 +5,18 @@
 import laurelkeel.api.Action;
 import laurelkeel.api.Decider;
 import laurelkeel.api.Event.AttemptOutcome;
-import laurelkeel.front.ingress.Asked;
-import laurelkeel.front.upstream.Place;
-import laurelkeel.wire.HttpAnswer;
-import laurelkeel.wire.HttpReq;
+import laurelkeel.front.ingress.ClientRequest;
+import laurelkeel.front.upstream.EndpointAddress;
+import laurelkeel.wire.HttpRequest;
+import laurelkeel.wire.HttpResponse;
 
 /**
  * What a front is handed beside its decider: one protocol's words, its sources of news, and who keeps count of what
  * the front sees. It is complete once constructed: whatever the decision module asks for may be asked at once, also
  * before start. Called on the front's thread unless said otherwise; what it has learned it tells to the inbox of its Base.
  */
-public interface Outfit {
-    Dialect dialect();
+public interface NodeServices {
+    Protocol dialect();
 
     Decider decider();
 
@@ -27,7 +27,7 @@
     List<Runnable> ends();
 
     /** Where a machine that the list named is reached. */
-    Place place(String machine);
+    EndpointAddress place(String machine);
 
     /** Whether a try begun at a moment, which had to wait for its connection, may still be written. */
     default boolean stillMay(String machine, long begunAt) {
@@ -35,7 +35,7 @@
     }
 
     /** The answer to a message for the front itself, whose health is as FrontStatus tells it. */
-    HttpAnswer own(HttpReq http, String health);
+    HttpResponse own(HttpRequest http, String health);
 
     // ---- what the decider asks for
 
@@ -53,11 +53,11 @@
 
     default void tried(int route) {}
 
-    default void tryEnded(String machine, long begunAt, Asked asked, AttemptOutcome outcome) {}
+    default void tryEnded(String machine, long begunAt, ClientRequest asked, AttemptOutcome outcome) {}
 
-    default void completed(long number, String machine, long begunAt, Asked asked) {}
+    default void completed(long number, String machine, long begunAt, ClientRequest asked) {}
 
-    default void answered(End how, long tenths) {}
+    default void answered(RequestOutcome how, long tenths) {}
 
     default void overdue(int route) {}
 }
--- a/src/main/java/laurelkeel/front/End.java
+++ b/src/main/java/laurelkeel/front/RequestOutcome.java
@@ -1,7 +1,7 @@
 package laurelkeel.front;
 
 /** How a req ended, as its front sees it. */
-public enum End {
+public enum RequestOutcome {
     COMPLETED,
     SHED,
     ERRORED,
--- a/src/main/java/laurelkeel/front/RequestTotals.java
+++ b/src/main/java/laurelkeel/front/RequestTotals.java
@@ -6,7 +6,7 @@
 
 /** Counts of requests and attempts since the start, for the log; on the front's thread. */
 final class RequestTotals {
-    private final Map<End, Long> answers = new EnumMap<>(End.class);
+    private final Map<RequestOutcome, Long> answers = new EnumMap<>(RequestOutcome.class);
     private final Map<AttemptOutcome, Long> attempts = new EnumMap<>(AttemptOutcome.class);
     private long taken;
 
@@ -14,7 +14,7 @@
         taken++;
     }
 
-    void answered(End how) {
+    void answered(RequestOutcome how) {
         answers.merge(how, 1L, Long::sum);
     }
 
--- a/src/main/java/laurelkeel/front/Refs.java
+++ b/src/main/java/laurelkeel/front/ResponseReferences.java
@@ -4,7 +4,7 @@
  * The last answers that went out, for complaints about them: by the number of their req, in rings that grow no more.
  * Front's thread only.
  */
-final class Refs {
+final class ResponseReferences {
     /** An answer that a complaint may be about. */
     record Answer(String machine, long sentAt, int route, int customer) {}
 
@@ -14,7 +14,7 @@
     private final int[] route, customer;
 
     /** @param most a power of two */
-    Refs(int most) {
+    ResponseReferences(int most) {
         mask = most - 1;
         req = new long[most];
         sentAt = new long[most];
