--- a/src/main/java/laurelkeel/front/Own.java
+++ b/src/main/java/laurelkeel/front/StandaloneServices.java
@@ -11,97 +11,97 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.ExecutorService;
-import laurelkeel.admin.Admin;
-import laurelkeel.admin.Jvm;
+import laurelkeel.admin.AdminServer;
+import laurelkeel.admin.ProcessMetrics;
 import laurelkeel.api.Action;
 import laurelkeel.api.Decider;
 import laurelkeel.api.Event;
 import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.api.Settings;
-import laurelkeel.config.Section;
-import laurelkeel.front.ingress.Asked;
+import laurelkeel.config.IniSection;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.eventloop.LoopThreads;
+import laurelkeel.front.controlplane.EndpointListSource;
+import laurelkeel.front.controlplane.GossipChannel;
+import laurelkeel.front.controlplane.RolloutMessage;
+import laurelkeel.front.controlplane.RolloutSource;
+import laurelkeel.front.ingress.ClientRequest;
 import laurelkeel.front.ingress.CloseReason;
 import laurelkeel.front.ingress.RouteTable;
-import laurelkeel.front.news.ListSource;
-import laurelkeel.front.news.Notes;
-import laurelkeel.front.news.ReleaseLine;
-import laurelkeel.front.news.ReleaseSource;
-import laurelkeel.front.upstream.Place;
-import laurelkeel.lanes.Lanes;
-import laurelkeel.logs.Sparing;
-import laurelkeel.loop.Loop;
-import laurelkeel.loop.Threads;
-import laurelkeel.wire.HttpAnswer;
-import laurelkeel.wire.HttpReq;
-import laurelkeel.wire.Names;
+import laurelkeel.front.upstream.EndpointAddress;
+import laurelkeel.logging.RateLimitedAsyncAppender;
+import laurelkeel.partition.PartitionedDecider;
+import laurelkeel.wire.HeaderNames;
+import laurelkeel.wire.HttpRequest;
+import laurelkeel.wire.HttpResponse;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** What a front set by an INI file is handed: our own words, sources, lanes, reports, records, metrics and admin port. */
-final class Own implements Outfit {
-    private static final Logger LOG = LoggerFactory.getLogger(Own.class);
+final class StandaloneServices implements NodeServices {
+    private static final Logger LOG = LoggerFactory.getLogger(StandaloneServices.class);
     private static final int REFS = 1 << 16;
     /** Names of machines that were resolved: more than any list has, and no list of ever new names fills the heap. */
     private static final int MOST_PLACES = 20_000;
 
     private final FrontSettings set;
-    private final Base base;
-    private final Loop loop;
-    private final Lanes lanes;
+    private final NodeRuntime base;
+    private final EventLoop loop;
+    private final PartitionedDecider lanes;
     private final Decider decider;
-    private final OwnDialect dialect;
-    private final Reports reports;
-    private final Told told;
-    private final Counts counts;
+    private final StandaloneProtocol dialect;
+    private final AttributionReporter reports;
+    private final ControlPlaneEvents told;
+    private final FrontMetrics counts;
     private final ExecutorService httpThreads;
-    private final ListSource list;
-    private final ReleaseSource release;
+    private final EndpointListSource list;
+    private final RolloutSource release;
     private final String life;
-    private final Refs refs = new Refs(REFS);
-    private final Map<Integer, Lanes.Blame> blames = new HashMap<>();
-    private final Map<String, Place> places = new HashMap<>();
-    private final Inbox inbox;
-    private final Notes notes;
-    private Admin admin;
+    private final ResponseReferences refs = new ResponseReferences(REFS);
+    private final Map<Integer, PartitionedDecider.Blame> blames = new HashMap<>();
+    private final Map<String, EndpointAddress> places = new HashMap<>();
+    private final EventInbox inbox;
+    private final GossipChannel notes;
+    private AdminServer admin;
 
-    Own(FrontSettings set, Decider.Factory maker, Base base, boolean guarded) throws IOException {
+    StandaloneServices(FrontSettings set, Decider.Factory maker, NodeRuntime base, boolean guarded) throws IOException {
         this.set = set;
         this.base = base;
         life = base.life();
         loop = base.loop();
         inbox = base.inbox();
-        counts = new Counts(
+        counts = new FrontMetrics(
                 set.routes().entries().stream().map(RouteTable.Entry::name).toList());
-        lanes = new Lanes(set.decisions(), set.seed(), maker);
+        lanes = new PartitionedDecider(set.decisions(), set.seed(), maker);
         decider = guarded ? lanes : maker.create(set.decisions(), set.seed());
         List<Settings.Route> routes = set.decisions().routes();
         int self = set.decisions().nodeIndex();
-        dialect = new OwnDialect(
+        dialect = new StandaloneProtocol(
                 set.routes(),
                 r -> routes.get(r).timeoutTicks(),
                 self + "/" + life,
                 set.upstream().probePath());
-        httpThreads = Threads.some(loop, "front-news", 2);
+        httpThreads = LoopThreads.some(loop, "front-news", 2);
         HttpClient http = HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
                 .executor(httpThreads)
                 .connectTimeout(Duration.ofSeconds(2))
                 .build();
-        told = new Told(set, life, loop, new LastList(set.state(), base.timer()));
+        told = new ControlPlaneEvents(set, life, loop, new EndpointListCache(set.state(), base.timer()));
         // by number too: fronts set to one seed would still come back in step
         long pauses = 2 * (set.seed() * 100_003 + self);
         list = set.list() == null
                 ? null
-                : new ListSource(
+                : new EndpointListSource(
                         http,
                         base(set.list()),
                         base.timer(),
                         loop,
                         !set.decisions().capabilities().endpointPolling(),
                         pauses,
-                        new ListSource.Sink() {
+                        new EndpointListSource.Sink() {
                             @Override
-                            public void list(laurelkeel.front.news.ListLine line, long arrived) {
+                            public void list(laurelkeel.front.controlplane.EndpointListMessage line, long arrived) {
                                 Event.EndpointListUpdate l = told.list(line, arrived);
                                 reports.list(l);
                                 inbox.learn(l);
@@ -114,27 +114,27 @@
                         });
         release = set.release() == null
                 ? null
-                : new ReleaseSource(
-                        http, base(set.release()), self, base.timer(), loop, pauses + 1, new ReleaseSource.Sink() {
+                : new RolloutSource(
+                        http, base(set.release()), self, base.timer(), loop, pauses + 1, new RolloutSource.Sink() {
                             @Override
-                            public void news(ReleaseLine line, long arrived) {
+                            public void news(RolloutMessage line, long arrived) {
                                 told.news(line, arrived).forEach(inbox::learn);
                                 blamed(line);
                             }
 
                             @Override
-                            public void voted(String answer, int build, ReleaseLine line, long arrived) {
+                            public void voted(String answer, int build, RolloutMessage line, long arrived) {
                                 inbox.learn(told.voted(answer, build, line, arrived));
                             }
                         });
-        reports = new Reports(set.decisions(), life, r -> {
+        reports = new AttributionReporter(set.decisions(), life, r -> {
             if (release != null) {
                 release.report(r);
             }
         });
         notes = set.notes() == null
                 ? null
-                : new Notes(
+                : new GossipChannel(
                         set.decisions().nodeIndex(),
                         set.notes(),
                         set.peers(),
@@ -157,7 +157,7 @@
     }
 
     @Override
-    public Dialect dialect() {
+    public Protocol dialect() {
         return dialect;
     }
 
@@ -179,10 +179,10 @@
         counts.gauge("laurelkeel_body_bytes_held", front::bodies);
         counts.gauge("laurelkeel_records_lost", told::lost);
         counts.gauge("laurelkeel_report_cells_left_out", () -> reports.leftOut);
-        counts.gauge("laurelkeel_log_lines_left_out", Sparing::leftOut);
-        counts.gauge("laurelkeel_process_cpu_seconds", Jvm::cpuSeconds);
-        counts.gauge("laurelkeel_allocated_bytes", Jvm::allocatedBytes);
-        counts.gauge("laurelkeel_heap_bytes", Jvm::heapBytes);
+        counts.gauge("laurelkeel_log_lines_left_out", RateLimitedAsyncAppender::leftOut);
+        counts.gauge("laurelkeel_process_cpu_seconds", ProcessMetrics::cpuSeconds);
+        counts.gauge("laurelkeel_allocated_bytes", ProcessMetrics::allocatedBytes);
+        counts.gauge("laurelkeel_heap_bytes", ProcessMetrics::heapBytes);
     }
 
     @Override
@@ -193,7 +193,7 @@
             notes.open();
         }
         if (set.admin() != null) {
-            admin = new Admin(base.socketThreads(), set.admin(), front::health, counts::text);
+            admin = new AdminServer(base.socketThreads(), set.admin(), front::health, counts::text);
             admin.start();
         }
         if (list != null) {
@@ -230,17 +230,18 @@
     }
 
     /** What the release line says of a build beside its news. */
-    private void blamed(ReleaseLine line) {
-        Lanes.Blame word;
+    private void blamed(RolloutMessage line) {
+        PartitionedDecider.Blame word;
         try {
             word = line.blame() == null
-                    ? Lanes.Blame.NONE
-                    : Lanes.Blame.valueOf(line.blame().toUpperCase(Locale.ROOT).replace('-', '_'));
+                    ? PartitionedDecider.Blame.NONE
+                    : PartitionedDecider.Blame.valueOf(
+                            line.blame().toUpperCase(Locale.ROOT).replace('-', '_'));
         } catch (IllegalArgumentException e) {
             LOG.warn("the release line's blame '{}' is unknown and counts for none", line.blame());
-            word = Lanes.Blame.NONE;
+            word = PartitionedDecider.Blame.NONE;
         }
-        if (word != blames.getOrDefault(line.build(), Lanes.Blame.NONE)) {
+        if (word != blames.getOrDefault(line.build(), PartitionedDecider.Blame.NONE)) {
             blames.put(line.build(), word);
             LOG.info("blame on build {}: {}", line.build(), word);
             counts.add("laurelkeel_blame_total", "word", word.name().toLowerCase(Locale.ROOT));
@@ -249,19 +250,19 @@
     }
 
     @Override
-    public Place place(String machine) {
+    public EndpointAddress place(String machine) {
         // the list's names are addresses; they are resolved once while a machine's connections are in use
         return places.computeIfAbsent(machine, m -> {
             if (places.size() > MOST_PLACES) {
                 places.clear();
             }
-            return new Place(m, resolved(m));
+            return new EndpointAddress(m, resolved(m));
         });
     }
 
     private static InetSocketAddress resolved(String machine) {
         try {
-            InetSocketAddress a = Section.address(machine);
+            InetSocketAddress a = IniSection.address(machine);
             return a == null || a.isUnresolved() ? null : a;
         } catch (IllegalArgumentException e) {
             return null;
@@ -269,17 +270,18 @@
     }
 
     @Override
-    public HttpAnswer own(HttpReq http, String health) {
+    public HttpResponse own(HttpRequest http, String health) {
         String ref = new String(http.body(), StandardCharsets.UTF_8).strip();
-        Refs.Answer c = refs.take(numberOf(ref));
+        ResponseReferences.Answer c = refs.take(numberOf(ref));
         if (c == null) {
-            return OwnDialect.plain(
-                    404, "no answer of this front has that " + Names.REF + ", or it was too long ago or told before");
+            return StandaloneProtocol.plain(
+                    404,
+                    "no answer of this front has that " + HeaderNames.REF + ", or it was too long ago or told before");
         }
         inbox.learn(new Event.ComplaintReceived(c.machine(), loop.now() - c.sentAt(), c.route()));
         reports.wrong(c.sentAt(), c.machine(), c.route(), c.customer());
         counts.add("laurelkeel_complaints_total", "known", "yes");
-        return OwnDialect.plain(202, "noted");
+        return StandaloneProtocol.plain(202, "noted");
     }
 
     /** The number in a req's id of this life; -1 for any other. */
@@ -301,7 +303,7 @@
             return;
         }
         release.vote(
-                new ReleaseLine.Ballot(set.decisions().nodeIndex(), v.build(), v.stage(), verdict),
+                new RolloutMessage.Ballot(set.decisions().nodeIndex(), v.build(), v.stage(), verdict),
                 Math.max(1, set.decisions().rollout().voteTimeoutTicks() / 10));
     }
 
@@ -338,18 +340,18 @@
     }
 
     @Override
-    public void tryEnded(String machine, long begunAt, Asked asked, AttemptOutcome outcome) {
+    public void tryEnded(String machine, long begunAt, ClientRequest asked, AttemptOutcome outcome) {
         counts.ended(outcome);
         reports.ended(begunAt, loop.now(), machine, asked.route(), asked.customer(), outcome);
     }
 
     @Override
-    public void completed(long number, String machine, long begunAt, Asked asked) {
+    public void completed(long number, String machine, long begunAt, ClientRequest asked) {
         refs.put(number, machine, begunAt, asked.route(), asked.customer());
     }
 
     @Override
-    public void answered(End how, long tenths) {
+    public void answered(RequestOutcome how, long tenths) {
         counts.answered(how, tenths);
     }
 
--- a/src/main/java/laurelkeel/front/WireTerms.java
+++ b/src/main/java/laurelkeel/front/WireTerms.java
@@ -12,7 +12,7 @@
 import laurelkeel.api.Settings.DeduplicationScope;
 import laurelkeel.api.Settings.Idempotency;
 import laurelkeel.api.Settings.PromotionPolicy;
-import laurelkeel.records.Rec;
+import laurelkeel.records.TrafficRecord;
 
 /**
  * Maps the names that stand on the wire, in settings files, in records and in metric labels to the terms of the API.
@@ -131,11 +131,11 @@
     }
 
     /** An endpoint's state as records keep it. */
-    static Rec.State recorded(EndpointState state) {
+    static TrafficRecord.State recorded(EndpointState state) {
         return switch (state) {
-            case ACTIVE -> Rec.State.LIVE;
-            case DRAINING -> Rec.State.DRAINING;
-            case REMOVED -> Rec.State.GONE;
+            case ACTIVE -> TrafficRecord.State.LIVE;
+            case DRAINING -> TrafficRecord.State.DRAINING;
+            case REMOVED -> TrafficRecord.State.GONE;
         };
     }
 
@@ -144,40 +144,40 @@
      *
      * @throws IllegalArgumentException for a failed call, which brings no list to record
      */
-    static Rec.ListKind recorded(EndpointListKind kind) {
+    static TrafficRecord.ListKind recorded(EndpointListKind kind) {
         return switch (kind) {
-            case DELTA -> Rec.ListKind.CHANGES;
-            case SNAPSHOT -> Rec.ListKind.FULL;
-            case CACHED -> Rec.ListKind.REMEMBERED;
+            case DELTA -> TrafficRecord.ListKind.CHANGES;
+            case SNAPSHOT -> TrafficRecord.ListKind.FULL;
+            case CACHED -> TrafficRecord.ListKind.REMEMBERED;
             case FAILED -> throw new IllegalArgumentException("a failed call brings no list to record");
         };
     }
 
     /** A rollout's phase as records keep it. */
-    static Rec.Phase recorded(RolloutPhase phase) {
+    static TrafficRecord.Phase recorded(RolloutPhase phase) {
         return switch (phase) {
-            case CANARY -> Rec.Phase.TRIAL;
-            case ROLLING_BACK -> Rec.Phase.GOING_BACK;
-            case RELEASED -> Rec.Phase.RELEASED;
-            case ROLLED_BACK -> Rec.Phase.WITHDRAWN;
+            case CANARY -> TrafficRecord.Phase.TRIAL;
+            case ROLLING_BACK -> TrafficRecord.Phase.GOING_BACK;
+            case RELEASED -> TrafficRecord.Phase.RELEASED;
+            case ROLLED_BACK -> TrafficRecord.Phase.WITHDRAWN;
         };
     }
 
     /** A route's idempotency as records keep it. */
-    public static Rec.Effect recorded(Idempotency idempotency) {
+    public static TrafficRecord.Effect recorded(Idempotency idempotency) {
         return switch (idempotency) {
-            case IDEMPOTENT -> Rec.Effect.RETRIABLE;
-            case DEDUPLICATED -> Rec.Effect.DEDUPED;
-            case NOT_IDEMPOTENT -> Rec.Effect.NON_RETRIABLE;
+            case IDEMPOTENT -> TrafficRecord.Effect.RETRIABLE;
+            case DEDUPLICATED -> TrafficRecord.Effect.DEDUPED;
+            case NOT_IDEMPOTENT -> TrafficRecord.Effect.NON_RETRIABLE;
         };
     }
 
     /** The scope of a route's deduplication as records keep it. */
-    public static Rec.Group recorded(DeduplicationScope scope) {
+    public static TrafficRecord.Group recorded(DeduplicationScope scope) {
         return switch (scope) {
-            case ALL -> Rec.Group.ALL;
-            case ZONE -> Rec.Group.ZONE;
-            case CELL -> Rec.Group.CELL;
+            case ALL -> TrafficRecord.Group.ALL;
+            case ZONE -> TrafficRecord.Group.ZONE;
+            case CELL -> TrafficRecord.Group.CELL;
         };
     }
 }
--- a/src/main/java/laurelkeel/front/news/ListLine.java
+++ b/src/main/java/laurelkeel/front/controlplane/EndpointListMessage.java
@@ -1,4 +1,4 @@
-package laurelkeel.front.news;
+package laurelkeel.front.controlplane;
 
 import com.fasterxml.jackson.annotation.JsonIgnoreProperties;
 import java.util.List;
@@ -10,7 +10,7 @@
  * @param previous for changes: the version that they change
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
-public record ListLine(String kind, long version, long previous, List<Machine> machines) {
+public record EndpointListMessage(String kind, long version, long previous, List<Machine> machines) {
 
     /** Why it cannot be followed; null where it can. */
     public String fault() {
--- a/src/main/java/laurelkeel/front/news/ListSource.java
+++ b/src/main/java/laurelkeel/front/controlplane/EndpointListSource.java
@@ -1,4 +1,4 @@
-package laurelkeel.front.news;
+package laurelkeel.front.controlplane;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import laurelkeel.loop.Loop;
+import laurelkeel.eventloop.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -19,13 +19,13 @@
  * when told to, and says so when a call fails. Lines that do not follow the version held are never applied: the whole
  * list is fetched in their place.
  */
-public final class ListSource {
-    private static final Logger LOG = LoggerFactory.getLogger(ListSource.class);
+public final class EndpointListSource {
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointListSource.class);
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** On the front's thread, ahead of traffic. arrived is the moment the line's bytes were read. */
     public interface Sink {
-        void list(ListLine line, long arrived);
+        void list(EndpointListMessage line, long arrived);
 
         void failed();
     }
@@ -33,19 +33,19 @@
     private final HttpClient http;
     private final String base;
     private final ScheduledExecutorService timer;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Sink sink;
     private final boolean pushed;
-    private final Pause pause;
-    private Watch watch;
+    private final ReconnectBackoff pause;
+    private LineWatch watch;
     private long version = -1;
     private boolean closed, fetching;
 
-    public ListSource(
+    public EndpointListSource(
             HttpClient http,
             String base,
             ScheduledExecutorService timer,
-            Loop loop,
+            EventLoop loop,
             boolean pushed,
             long seed,
             Sink sink) {
@@ -54,7 +54,7 @@
         this.timer = timer;
         this.loop = loop;
         this.pushed = pushed;
-        this.pause = new Pause(seed);
+        this.pause = new ReconnectBackoff(seed);
         this.sink = sink;
     }
 
@@ -86,7 +86,7 @@
         if (!closed) {
             String after = version < 0 ? "" : "?after=" + version;
             try {
-                watch = Watch.open(
+                watch = LineWatch.open(
                         http, URI.create(base + "/list/watch" + after), timer, loop, l -> line(l, false), this::ended);
             } catch (RuntimeException e) {
                 ended(e.toString());
@@ -118,10 +118,10 @@
         CompletableFuture<HttpResponse<String>> answer;
         try {
             HttpRequest ask = HttpRequest.newBuilder(URI.create(base + "/list"))
-                    .timeout(Duration.ofMillis(Watch.SILENCE_MS))
+                    .timeout(Duration.ofMillis(LineWatch.SILENCE_MS))
                     .GET()
                     .build();
-            answer = Lined.ask(http, ask, timer, 2 * Watch.SILENCE_MS);
+            answer = LineBodySubscriber.ask(http, ask, timer, 2 * LineWatch.SILENCE_MS);
         } catch (RuntimeException e) {
             answer = CompletableFuture.failedFuture(e);
         }
@@ -142,9 +142,9 @@
 
     private void line(String text, boolean fetched) {
         long arrived = loop.clock();
-        ListLine l;
+        EndpointListMessage l;
         try {
-            l = JSON.readValue(text, ListLine.class);
+            l = JSON.readValue(text, EndpointListMessage.class);
         } catch (JsonProcessingException e) {
             LOG.warn("a line of the machine list could not be read and is passed over: {}", e.getOriginalMessage());
             return;
--- a/src/main/java/laurelkeel/front/news/Notes.java
+++ b/src/main/java/laurelkeel/front/controlplane/GossipChannel.java
@@ -1,11 +1,11 @@
-package laurelkeel.front.news;
+package laurelkeel.front.controlplane;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Map;
 import java.util.concurrent.Executor;
 import java.util.function.BiConsumer;
-import laurelkeel.loop.Loop;
+import laurelkeel.eventloop.EventLoop;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
@@ -17,9 +17,9 @@
  * Short notes between fronts: one datagram each, "LK1", the sender's number in four bytes, then 256 bytes at most.
  * They may be lost, doubled or late; whoever reads them must bear that.
  */
-public final class Notes {
+public final class GossipChannel {
     public static final int MOST = 256;
-    private static final Logger LOG = LoggerFactory.getLogger(Notes.class);
+    private static final Logger LOG = LoggerFactory.getLogger(GossipChannel.class);
     private static final byte[] MAGIC = {'L', 'K', '1'};
     private static final int HEAD = MAGIC.length + 4;
 
@@ -29,11 +29,11 @@
     private final InetSocketAddress at;
 
     /** @param heard on the front's thread: sender and bytes */
-    public Notes(
+    public GossipChannel(
             int self,
             InetSocketAddress at,
             Map<Integer, InetSocketAddress> peers,
-            Loop loop,
+            EventLoop loop,
             Executor threads,
             BiConsumer<Integer, byte[]> heard) {
         this.self = self;
@@ -57,7 +57,7 @@
                 int from = in.getInt();
                 byte[] bytes = new byte[in.remaining()];
                 in.get(bytes);
-                if (from != self && Notes.this.peers.containsKey(from)) {
+                if (from != self && GossipChannel.this.peers.containsKey(from)) {
                     loop.post(() -> heard.accept(from, bytes));
                 }
             }
--- a/src/main/java/laurelkeel/front/news/Lined.java
+++ b/src/main/java/laurelkeel/front/controlplane/LineBodySubscriber.java
@@ -1,4 +1,4 @@
-package laurelkeel.front.news;
+package laurelkeel.front.controlplane;
 
 import java.io.ByteArrayOutputStream;
 import java.net.http.HttpClient;
@@ -19,7 +19,7 @@
  * A body cut into lines as it comes, or gathered whole, each to a bound: a peer that never ends its line would else
  * take all memory. What follows is asked for only when the last was dealt with.
  */
-final class Lined implements HttpResponse.BodySubscriber<String> {
+final class LineBodySubscriber implements HttpResponse.BodySubscriber<String> {
     /** A full list is one line: some 150 bytes a machine, for a hundred thousand machines. */
     static final int MOST = 16 << 20;
 
@@ -29,20 +29,21 @@
     private final CompletableFuture<String> whole = new CompletableFuture<>();
     private Flow.Subscription subscription;
 
-    private Lined(Consumer<String> each, Consumer<Runnable> then) {
+    private LineBodySubscriber(Consumer<String> each, Consumer<Runnable> then) {
         this.each = each;
         this.then = then;
     }
 
     /** @param then runs what asks for more, once all that was heard so far is dealt with */
-    static Lined lines(Consumer<String> each, Consumer<Runnable> then) {
-        return new Lined(each, then);
+    static LineBodySubscriber lines(Consumer<String> each, Consumer<Runnable> then) {
+        return new LineBodySubscriber(each, then);
     }
 
     /** Asks for a whole body as text, in so many milliseconds; past them the answer is cancelled. */
     static CompletableFuture<HttpResponse<String>> ask(
             HttpClient http, HttpRequest ask, ScheduledExecutorService timer, long ms) {
-        CompletableFuture<HttpResponse<String>> answer = http.sendAsync(ask, i -> new Lined(null, Runnable::run));
+        CompletableFuture<HttpResponse<String>> answer =
+                http.sendAsync(ask, i -> new LineBodySubscriber(null, Runnable::run));
         // the time set in a request ends with the headers: a body may come for ever
         ScheduledFuture<?> limit = timer.schedule(() -> answer.cancel(true), ms, TimeUnit.MILLISECONDS);
         answer.whenComplete((r, failure) -> limit.cancel(false));
--- a/src/main/java/laurelkeel/front/news/Watch.java
+++ b/src/main/java/laurelkeel/front/controlplane/LineWatch.java
@@ -1,4 +1,4 @@
-package laurelkeel.front.news;
+package laurelkeel.front.controlplane;
 
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -9,39 +9,39 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import laurelkeel.loop.Loop;
+import laurelkeel.eventloop.EventLoop;
 
 /**
  * One long GET whose body is lines. A source that ends no line for a while, not even a beat, is held to be dead:
  * a silent stall must not pass for an unchanged world. Told lines come one at a time, on the client's threads, and no
  * further ones are read before the loop has dealt with them.
  */
-final class Watch {
+final class LineWatch {
     static final long SILENCE_MS = 3_000;
 
     private final Consumer<String> line;
     private final Consumer<String> ended;
-    private final Lined body;
+    private final LineBodySubscriber body;
     private ScheduledFuture<?> silence;
     private volatile long heardAt = System.nanoTime();
     private boolean over;
 
-    private Watch(Loop loop, Consumer<String> line, Consumer<String> ended) {
+    private LineWatch(EventLoop loop, Consumer<String> line, Consumer<String> ended) {
         this.line = line;
         this.ended = ended;
         // the lines themselves are posted ahead of this
-        this.body = Lined.lines(this::heard, loop::postNews);
+        this.body = LineBodySubscriber.lines(this::heard, loop::postNews);
     }
 
     /** @param ended told once, with the reason, unless cancelled from here */
-    static Watch open(
+    static LineWatch open(
             HttpClient http,
             URI uri,
             ScheduledExecutorService timer,
-            Loop loop,
+            EventLoop loop,
             Consumer<String> line,
             Consumer<String> ended) {
-        Watch w = new Watch(loop, line, ended);
+        LineWatch w = new LineWatch(loop, line, ended);
         w.silence = timer.scheduleWithFixedDelay(w::look, SILENCE_MS / 4, SILENCE_MS / 4, TimeUnit.MILLISECONDS);
         HttpRequest ask = HttpRequest.newBuilder(uri)
                 .timeout(Duration.ofMillis(SILENCE_MS))
--- a/src/main/java/laurelkeel/front/news/Pause.java
+++ b/src/main/java/laurelkeel/front/controlplane/ReconnectBackoff.java
@@ -1,4 +1,4 @@
-package laurelkeel.front.news;
+package laurelkeel.front.controlplane;
 
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32;
@@ -7,7 +7,7 @@
  * How long to wait before a source that failed is asked again: twice as long each time, to a bound, and by chance
  * between half and all of it. All fronts lose a source at one moment, and must not all come back at one.
  */
-public final class Pause {
+public final class ReconnectBackoff {
     private static final long LEAST_MS = 500;
     /** Longer than it takes to start a service again, and short beside a stage. */
     private static final long MOST_MS = 8_000;
@@ -16,12 +16,12 @@
     private final long least, most;
     private long draws, next;
 
-    Pause(long seed) {
+    ReconnectBackoff(long seed) {
         this(seed, LEAST_MS, MOST_MS);
     }
 
     /** From least to most, in milliseconds. */
-    public Pause(long seed, long least, long most) {
+    public ReconnectBackoff(long seed, long least, long most) {
         this.seed = seed;
         this.least = least;
         this.most = most;
--- a/src/main/java/laurelkeel/front/news/ReleaseLine.java
+++ b/src/main/java/laurelkeel/front/controlplane/RolloutMessage.java
@@ -1,4 +1,4 @@
-package laurelkeel.front.news;
+package laurelkeel.front.controlplane;
 
 import com.fasterxml.jackson.annotation.JsonIgnoreProperties;
 import com.fasterxml.jackson.annotation.JsonInclude;
@@ -17,7 +17,7 @@
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 @JsonInclude(JsonInclude.Include.NON_NULL)
-public record ReleaseLine(
+public record RolloutMessage(
         String kind,
         String answer,
         int build,
@@ -46,12 +46,12 @@
                                 : standing != null && standing.contains(null) ? "a standing build is none" : null;
     }
 
-    public static ReleaseLine news(int build, int stage, double cap, String phase, double ageMs) {
-        return new ReleaseLine("news", null, build, stage, cap, phase, ageMs, 0, 0, 0, 0, null, null);
+    public static RolloutMessage news(int build, int stage, double cap, String phase, double ageMs) {
+        return new RolloutMessage("news", null, build, stage, cap, phase, ageMs, 0, 0, 0, 0, null, null);
     }
 
-    public static ReleaseLine vote(String answer, ReleaseLine now) {
-        return new ReleaseLine(
+    public static RolloutMessage vote(String answer, RolloutMessage now) {
+        return new RolloutMessage(
                 "vote",
                 answer,
                 now.build,
@@ -67,12 +67,12 @@
                 now.blame);
     }
 
-    public static ReleaseLine counts(int build, int route, long tries, long errors, double meanMs, double ageMs) {
-        return new ReleaseLine("counts", null, build, 0, 0, null, ageMs, route, tries, errors, meanMs, null, null);
+    public static RolloutMessage counts(int build, int route, long tries, long errors, double meanMs, double ageMs) {
+        return new RolloutMessage("counts", null, build, 0, 0, null, ageMs, route, tries, errors, meanMs, null, null);
     }
 
-    public static ReleaseLine beat() {
-        return new ReleaseLine("beat", null, 0, 0, 0, null, 0, 0, 0, 0, 0, null, null);
+    public static RolloutMessage beat() {
+        return new RolloutMessage("beat", null, 0, 0, 0, null, 0, 0, 0, 0, 0, null, null);
     }
 
     /** A vote as it is sent. */
--- a/src/main/java/laurelkeel/front/news/ReleaseSource.java
+++ b/src/main/java/laurelkeel/front/controlplane/RolloutSource.java
@@ -1,4 +1,4 @@
-package laurelkeel.front.news;
+package laurelkeel.front.controlplane;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -13,42 +13,48 @@
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import laurelkeel.loop.Loop;
+import laurelkeel.eventloop.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Follows the release line's news and carries votes to it. Its watch is opened again whenever it ends. */
-public final class ReleaseSource {
-    private static final Logger LOG = LoggerFactory.getLogger(ReleaseSource.class);
+public final class RolloutSource {
+    private static final Logger LOG = LoggerFactory.getLogger(RolloutSource.class);
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** On the front's thread, ahead of traffic. */
     public interface Sink {
-        void news(ReleaseLine line, long arrived);
+        void news(RolloutMessage line, long arrived);
 
         /** answer: as in ReleaseLine, or timeout; line is null unless the answer came. */
-        void voted(String answer, int build, ReleaseLine line, long arrived);
+        void voted(String answer, int build, RolloutMessage line, long arrived);
     }
 
     private final HttpClient http;
     private final String base;
     private final int front;
     private final ScheduledExecutorService timer;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Sink sink;
-    private final Pause pause;
-    private Watch watch;
+    private final ReconnectBackoff pause;
+    private LineWatch watch;
     private boolean closed;
 
-    public ReleaseSource(
-            HttpClient http, String base, int front, ScheduledExecutorService timer, Loop loop, long seed, Sink sink) {
+    public RolloutSource(
+            HttpClient http,
+            String base,
+            int front,
+            ScheduledExecutorService timer,
+            EventLoop loop,
+            long seed,
+            Sink sink) {
         this.http = http;
         this.base = base;
         this.front = front;
         this.timer = timer;
         this.loop = loop;
         this.sink = sink;
-        this.pause = new Pause(seed);
+        this.pause = new ReconnectBackoff(seed);
     }
 
     public synchronized void start() {
@@ -56,7 +62,7 @@
             return;
         }
         try {
-            watch = Watch.open(
+            watch = LineWatch.open(
                     http, URI.create(base + "/release/watch?front=" + front), timer, loop, this::line, this::ended);
         } catch (RuntimeException e) {
             ended(e.toString());
@@ -80,7 +86,7 @@
     private void line(String text) {
         long arrived = loop.clock();
         try {
-            ReleaseLine l = JSON.readValue(text, ReleaseLine.class);
+            RolloutMessage l = JSON.readValue(text, RolloutMessage.class);
             if (l == null) {
                 return;
             }
@@ -111,7 +117,7 @@
     }
 
     /** Sends a vote; exactly one answer follows, within timeoutMs or as a timeout. */
-    public void vote(ReleaseLine.Ballot ballot, long timeoutMs) {
+    public void vote(RolloutMessage.Ballot ballot, long timeoutMs) {
         CompletableFuture<HttpResponse<String>> asked;
         try {
             HttpRequest ask = HttpRequest.newBuilder(URI.create(base + "/release/votes"))
@@ -119,7 +125,7 @@
                     .header("Content-Type", "application/json")
                     .POST(HttpRequest.BodyPublishers.ofByteArray(JSON.writeValueAsBytes(ballot)))
                     .build();
-            asked = Lined.ask(http, ask, timer, timeoutMs);
+            asked = LineBodySubscriber.ask(http, ask, timer, timeoutMs);
         } catch (JsonProcessingException | RuntimeException e) {
             asked = CompletableFuture.failedFuture(e);
         }
@@ -128,10 +134,10 @@
             Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
             boolean late = cause instanceof HttpTimeoutException || cause instanceof CancellationException;
             String answer = late ? "timeout" : "error";
-            ReleaseLine line = null;
+            RolloutMessage line = null;
             if (failure == null && r.statusCode() == 200) {
                 try {
-                    ReleaseLine said = JSON.readValue(r.body(), ReleaseLine.class);
+                    RolloutMessage said = JSON.readValue(r.body(), RolloutMessage.class);
                     if (said == null || (said.phase() != null && said.fault() != null)) {
                         LOG.warn("the answer to a vote is passed over: {}", said == null ? "empty" : said.fault());
                     } else {
@@ -143,7 +149,7 @@
                 }
             }
             String told = answer;
-            ReleaseLine with = line;
+            RolloutMessage with = line;
             loop.postNews(() -> sink.voted(told, ballot.build(), with, arrived));
         });
     }
--- a/src/main/java/laurelkeel/front/news/package-info.java
+++ b/src/main/java/laurelkeel/front/controlplane/package-info.java
@@ -1,2 +1,2 @@
 /** What a front is told and tells apart from traffic: machine lists, rollout news and votes, notes between fronts. */
-package laurelkeel.front.news;
+package laurelkeel.front.controlplane;
--- a/src/main/java/laurelkeel/front/ingress/ClientConn.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientConnection.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicReference;
-import laurelkeel.wire.HttpAnswer;
+import laurelkeel.wire.HttpResponse;
 import org.apache.mina.core.future.WriteFuture;
 import org.apache.mina.core.session.IoSession;
 
@@ -13,7 +13,7 @@
  * and past a number the connection is not read. All fields belong to the front's thread
  * but those that say otherwise.
  */
-public final class ClientConn {
+public final class ClientConnection {
 
     record Waiting(Object message, long arrived) {}
 
@@ -41,7 +41,7 @@
 
     private final AtomicReference<CloseReason> closeReason = new AtomicReference<>();
 
-    ClientConn(IoSession session) {
+    ClientConnection(IoSession session) {
         this.session = session;
     }
 
@@ -84,8 +84,8 @@
         return gone;
     }
 
-    WriteFuture write(HttpAnswer answer, boolean last) {
-        HttpAnswer a = toHead ? new HttpAnswer(answer.status(), 1, answer.headers(), answer.body(), true) : answer;
+    WriteFuture write(HttpResponse answer, boolean last) {
+        HttpResponse a = toHead ? new HttpResponse(answer.status(), 1, answer.headers(), answer.body(), true) : answer;
         return write((Object) a, last);
     }
 
--- a/src/main/java/laurelkeel/front/ingress/Asked.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientRequest.java
@@ -3,11 +3,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Collection;
 import java.util.Set;
-import laurelkeel.wire.BadHttp;
-import laurelkeel.wire.Crossing;
+import laurelkeel.wire.ForwardedMessage;
+import laurelkeel.wire.HeaderNames;
 import laurelkeel.wire.HopByHop;
-import laurelkeel.wire.HttpReq;
-import laurelkeel.wire.Names;
+import laurelkeel.wire.HttpProtocolException;
+import laurelkeel.wire.HttpRequest;
 
 /**
  * One req as its headers name it, read by the thread that has its connection.
@@ -20,9 +20,9 @@
  * @param remaining tenths of a millisecond, at most the route's timeout
  * @param cost 0 where the client did not say
  */
-public record Asked(
+public record ClientRequest(
         String id,
-        Crossing crossing,
+        ForwardedMessage crossing,
         boolean toHead,
         boolean last,
         int route,
@@ -32,50 +32,52 @@
         double cost,
         boolean repeat) {
     /** What only a front says: a peer that says it is not believed, and what it says ends here. */
-    private static final Collection<String> OWN = HopByHop.names(Names.REMAINING, Names.TRY, Names.FRONT);
+    private static final Collection<String> OWN =
+            HopByHop.names(HeaderNames.REMAINING, HeaderNames.TRY, HeaderNames.FRONT);
 
     private static final int LONGEST_KEY = 256;
     private static final Set<String> YES = Set.of("1", "true");
 
     /** Reads the names; a 4xx says which header is wrong and what it should hold. */
-    public static Asked read(HttpReq http, RouteTable table, java.util.function.IntToLongFunction timeouts)
-            throws BadHttp {
+    public static ClientRequest read(HttpRequest http, RouteTable table, java.util.function.IntToLongFunction timeouts)
+            throws HttpProtocolException {
         int route = table.route(http.method(), http.path());
         if (route == -1) {
-            throw new BadHttp(404, "no route has this path");
+            throw new HttpProtocolException(404, "no route has this path");
         }
         if (route == -2) {
-            throw new BadHttp(405, "this path takes " + table.allowed(http.path()));
+            throw new HttpProtocolException(405, "this path takes " + table.allowed(http.path()));
         }
-        int customer = table.customer(http.headers().get(Names.CUSTOMER));
+        int customer = table.customer(http.headers().get(HeaderNames.CUSTOMER));
         if (customer < 0) {
-            throw new BadHttp(400, Names.CUSTOMER + " must name one of the customers set");
+            throw new HttpProtocolException(400, HeaderNames.CUSTOMER + " must name one of the customers set");
         }
-        if (table.entries().get(route).marked() && http.headers().get(Names.MARK) == null) {
-            throw new BadHttp(400, "this route needs " + Names.MARK + ", a mark of its own for each req");
+        if (table.entries().get(route).marked() && http.headers().get(HeaderNames.MARK) == null) {
+            throw new HttpProtocolException(
+                    400, "this route needs " + HeaderNames.MARK + ", a mark of its own for each req");
         }
-        String key = http.headers().get(Names.KEY);
+        String key = http.headers().get(HeaderNames.KEY);
         if (key != null && (key.isEmpty() || key.getBytes(StandardCharsets.ISO_8859_1).length > LONGEST_KEY)) {
-            throw new BadHttp(400, Names.KEY + " must have 1 to " + LONGEST_KEY + " characters");
+            throw new HttpProtocolException(400, HeaderNames.KEY + " must have 1 to " + LONGEST_KEY + " characters");
         }
-        double left = number(http, Names.REMAINING, timeouts.applyAsLong(route) / 10.0);
+        double left = number(http, HeaderNames.REMAINING, timeouts.applyAsLong(route) / 10.0);
         // deadlines round down: the client must never be answered later than it waits
         long remaining = Math.min(timeouts.applyAsLong(route), (long) Math.floor(left * 10));
-        String again = http.headers().get(Names.REPEAT);
-        return new Asked(
+        String again = http.headers().get(HeaderNames.REPEAT);
+        return new ClientRequest(
                 null,
-                Crossing.of(http, OWN),
+                ForwardedMessage.of(http, OWN),
                 http.method().equals("HEAD"),
                 http.last(),
                 route,
                 customer,
                 key,
                 remaining,
-                number(http, Names.COST, 0),
+                number(http, HeaderNames.COST, 0),
                 again != null && YES.contains(again));
     }
 
-    private static double number(HttpReq http, String name, double absent) throws BadHttp {
+    private static double number(HttpRequest http, String name, double absent) throws HttpProtocolException {
         String s = http.headers().get(name);
         if (s == null) {
             return absent;
@@ -88,6 +90,6 @@
         } catch (NumberFormatException e) {
             // told below
         }
-        throw new BadHttp(400, name + " must be a number of milliseconds, as 2500 or 80.5");
+        throw new HttpProtocolException(400, name + " must be a number of milliseconds, as 2500 or 80.5");
     }
 }
--- a/src/main/java/laurelkeel/front/ingress/Ingress.java
+++ b/src/main/java/laurelkeel/front/ingress/Ingress.java
@@ -10,14 +10,14 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Supplier;
-import laurelkeel.loop.Loop;
-import laurelkeel.wire.BadHttp;
-import laurelkeel.wire.Crossing;
-import laurelkeel.wire.HttpAnswer;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.wire.ByteBudget;
+import laurelkeel.wire.ForwardedMessage;
 import laurelkeel.wire.HttpCodec;
-import laurelkeel.wire.HttpReq;
-import laurelkeel.wire.Lines;
-import laurelkeel.wire.Room;
+import laurelkeel.wire.HttpProtocolException;
+import laurelkeel.wire.HttpRequest;
+import laurelkeel.wire.HttpResponse;
+import laurelkeel.wire.MessageBuilder;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.future.WriteFuture;
 import org.apache.mina.core.service.IoHandlerAdapter;
@@ -37,13 +37,13 @@
     private static final AttributeKey CONN = new AttributeKey(Ingress.class, "conn");
 
     private final IngressSettings set;
-    private final ClientWords words;
-    private final Loop loop;
-    private final Door door;
+    private final ClientProtocol words;
+    private final EventLoop loop;
+    private final IngressListener door;
     private final Executor threads;
     private final SimpleIoProcessorPool<NioSession> processors;
     private final ClientAcceptor acceptor;
-    private final Room room = Room.eighth();
+    private final ByteBudget room = ByteBudget.eighth();
     private final AtomicInteger connections = new AtomicInteger();
     private final AtomicInteger refused = new AtomicInteger();
     private final AtomicLongArray closed = new AtomicLongArray(CloseReason.values().length);
@@ -52,11 +52,11 @@
     /** @param processors run its sockets */
     public Ingress(
             IngressSettings set,
-            ClientWords words,
-            Loop loop,
+            ClientProtocol words,
+            EventLoop loop,
             Executor threads,
             SimpleIoProcessorPool<NioSession> processors,
-            Door door) {
+            IngressListener door) {
         this.set = set;
         this.words = words;
         this.loop = loop;
@@ -106,13 +106,13 @@
         long now = loop.now();
         loop.at(now + SWEEP, this::sweep);
         for (IoSession s : acceptor.getManagedSessions().values()) {
-            if (s.getAttribute(CONN) instanceof ClientConn conn) {
+            if (s.getAttribute(CONN) instanceof ClientConnection conn) {
                 sweep(conn, now);
             }
         }
     }
 
-    private void sweep(ClientConn conn, long now) {
+    private void sweep(ClientConnection conn, long now) {
         int requests = conn.requests;
         if (conn.writeStalledFor(now) > set.writeTimeout()) {
             conn.closing(CloseReason.WRITE_STALLED);
@@ -122,7 +122,9 @@
             long rests = now - conn.restsSince;
             if (set.halfReq() > 0 && half > set.halfReq()) {
                 conn.closing(CloseReason.REQUEST_UNFINISHED);
-                conn.write(words.refusal(new BadHttp(408, "the req did not come whole in time"), null), true);
+                conn.write(
+                        words.refusal(new HttpProtocolException(408, "the req did not come whole in time"), null),
+                        true);
             } else if (set.firstReq() > 0 && half == 0 && requests == 0 && rests > set.firstReq()) {
                 retire(conn, requests, CloseReason.FIRST_REQUEST_LATE, false);
             } else if (half == 0 ? rests > set.idleClose() : half > set.idleClose()) {
@@ -132,12 +134,12 @@
         }
     }
 
-    private static boolean nothingOwed(ClientConn c) {
+    private static boolean nothingOwed(ClientConnection c) {
         return c.owed.get() == 0 && !c.lastSaid;
     }
 
     /** How long a req of it has been half read; 0 where none is. */
-    private static long halfFor(ClientConn c) {
+    private static long halfFor(ClientConnection c) {
         long half = HttpCodec.halfSince(c.session);
         return half == 0 ? 0 : Math.max(1, (System.nanoTime() - half) / 100_000);
     }
@@ -150,7 +152,7 @@
      * @param requests read off it when the reason was seen
      * @param halfToo even where a req has begun to come
      */
-    private void retire(ClientConn c, int requests, CloseReason why, boolean halfToo) {
+    private void retire(ClientConnection c, int requests, CloseReason why, boolean halfToo) {
         c.retiring = true;
         c.session.suspendRead();
         c.session.write(HttpCodec.Mark.MARK).addListener(f -> {
@@ -168,13 +170,13 @@
     }
 
     /** Unless too much of it waits, or it is being looked at. */
-    private void readOn(ClientConn c) {
+    private void readOn(ClientConnection c) {
         if (c.owed.get() <= set.pipelined() && !c.retiring && c.session.isReadSuspended()) {
             c.session.resumeRead();
         }
     }
 
-    private void uncount(ClientConn c) {
+    private void uncount(ClientConnection c) {
         if (c.counted.compareAndSet(true, false)) {
             connections.decrementAndGet();
         }
@@ -184,11 +186,11 @@
      * All places are taken: silent connections that never asked give theirs first, the oldest of them, then those
      * idle longest. By the thread that opens one, or a burst would be over before room is made.
      */
-    private void makeRoom(ClientConn newest) {
-        ClientConn first = null;
+    private void makeRoom(ClientConnection newest) {
+        ClientConnection first = null;
         int requestsOfFirst = 0;
         for (IoSession s : acceptor.getManagedSessions().values()) {
-            if (s.getAttribute(CONN) instanceof ClientConn c && c != newest) {
+            if (s.getAttribute(CONN) instanceof ClientConnection c && c != newest) {
                 int requests = c.requests;
                 if (mayGiveItsPlace(c, requests)
                         && (first == null || goesBefore(c, requests, first, requestsOfFirst))) {
@@ -203,14 +205,14 @@
         }
     }
 
-    private boolean mayGiveItsPlace(ClientConn c, int requests) {
+    private boolean mayGiveItsPlace(ClientConnection c, int requests) {
         boolean free = nothingOwed(c) && !c.retiring && !c.session.isClosing();
         boolean rested = HttpCodec.halfSince(c.session) == 0 && loop.clock() - c.restsSince > set.keep();
         return free && (requests == 0 || rested);
     }
 
     /** One that never asked before one that did; else the one that has rested for longer. */
-    private static boolean goesBefore(ClientConn a, int requestsOfA, ClientConn b, int requestsOfB) {
+    private static boolean goesBefore(ClientConnection a, int requestsOfA, ClientConnection b, int requestsOfB) {
         boolean silentA = requestsOfA == 0;
         boolean silentB = requestsOfB == 0;
         return silentA == silentB ? a.restsSince < b.restsSince : silentA;
@@ -219,7 +221,7 @@
     /** Closes what has no req in progress or begun. */
     public void closeIdle() {
         for (IoSession s : acceptor.getManagedSessions().values()) {
-            if (s.getAttribute(CONN) instanceof ClientConn c) {
+            if (s.getAttribute(CONN) instanceof ClientConnection c) {
                 int requests = c.requests;
                 if (nothingOwed(c) && !c.retiring) {
                     retire(c, requests, CloseReason.DRAIN, false);
@@ -278,12 +280,12 @@
     }
 
     /** A req that was taken is over: its body is held no more. */
-    public void over(Asked asked) {
+    public void over(ClientRequest asked) {
         room.give(asked.crossing().body().length);
     }
 
     private void drop(Object message) {
-        if (message instanceof Asked a) {
+        if (message instanceof ClientRequest a) {
             over(a);
         }
     }
@@ -297,7 +299,7 @@
         @Override
         public void sessionOpened(IoSession session) {
             acceptor.opened();
-            ClientConn conn = new ClientConn(session);
+            ClientConnection conn = new ClientConnection(session);
             conn.restsSince = loop.clock();
             session.setAttribute(CONN, conn);
             if (connections.incrementAndGet() > set.connections() && set.keep() > 0) {
@@ -315,11 +317,11 @@
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            ClientConn conn = (ClientConn) session.getAttribute(CONN);
+            ClientConnection conn = (ClientConnection) session.getAttribute(CONN);
             long arrived = loop.clock();
-            if (conn.turnedAway && message instanceof HttpReq http) {
+            if (conn.turnedAway && message instanceof HttpRequest http) {
                 room.give(http.body().length);
-            } else if (message instanceof HttpReq || message instanceof BadHttp) {
+            } else if (message instanceof HttpRequest || message instanceof HttpProtocolException) {
                 conn.requests++;
                 // counted here, not by the loop: while that is held up, a client that pours must wait too
                 if (conn.owed.incrementAndGet() > set.pipelined()) {
@@ -327,9 +329,10 @@
                     readOn(conn);
                 }
                 // all that the names say is read here, so that the one thread that decides need not
-                Object read =
-                        message instanceof HttpReq http ? understood(session, http) : refusal((BadHttp) message, null);
-                if (message instanceof HttpReq http && !(read instanceof Asked)) {
+                Object read = message instanceof HttpRequest http
+                        ? understood(session, http)
+                        : refusal((HttpProtocolException) message, null);
+                if (message instanceof HttpRequest http && !(read instanceof ClientRequest)) {
                     room.give(http.body().length);
                 }
                 loop.post(() -> received(conn, read, arrived));
@@ -347,7 +350,7 @@
         }
 
         private static void closing(IoSession session, CloseReason why) {
-            if (session.getAttribute(CONN) instanceof ClientConn conn) {
+            if (session.getAttribute(CONN) instanceof ClientConnection conn) {
                 conn.closing(why);
             }
         }
@@ -361,7 +364,7 @@
             closing(session, CloseReason.CLIENT_CLOSED);
             // an end that was read once would be read again and again
             session.suspendRead();
-            if (session.getAttribute(CONN) instanceof ClientConn conn && conn.owed.get() > 0) {
+            if (session.getAttribute(CONN) instanceof ClientConnection conn && conn.owed.get() > 0) {
                 loop.post(() -> leave(conn));
             } else {
                 session.closeOnFlush();
@@ -370,7 +373,7 @@
 
         @Override
         public void sessionClosed(IoSession session) {
-            ClientConn conn = (ClientConn) session.getAttribute(CONN);
+            ClientConnection conn = (ClientConnection) session.getAttribute(CONN);
             uncount(conn);
             closed.incrementAndGet(conn.closeReason().ordinal());
             int unanswered = conn.owed.get();
@@ -392,22 +395,22 @@
     }
 
     /** An answer at the door, to what no route takes. */
-    private record Refusal(HttpAnswer answer, boolean toHead, boolean last) {}
+    private record Refusal(HttpResponse answer, boolean toHead, boolean last) {}
 
     /** An Asked, a Refusal, or the HttpReq itself where it is for the front. */
-    private Object understood(IoSession session, HttpReq http) {
+    private Object understood(IoSession session, HttpRequest http) {
         try {
             return words.own(http) ? http : words.asked(http);
-        } catch (BadHttp e) {
+        } catch (HttpProtocolException e) {
             return refusal(e, http);
         } catch (RuntimeException e) {
             // it was read, so it is owed an answer
             LOG.error("client connection {}: a request could not be understood", session.getId(), e);
-            return refusal(new BadHttp(500, "an error of this front; nothing was done"), http);
+            return refusal(new HttpProtocolException(500, "an error of this front; nothing was done"), http);
         }
     }
 
-    private Refusal refusal(BadHttp bad, HttpReq http) {
+    private Refusal refusal(HttpProtocolException bad, HttpRequest http) {
         if (bad.status() == 503) {
             refused.incrementAndGet();
             return new Refusal(shedAtDoor("this front has no room for more bodies", true), false, true);
@@ -418,22 +421,22 @@
 
     // ---- on the front's thread
 
-    private void empty(ClientConn conn) {
+    private void empty(ClientConnection conn) {
         conn.waiting.forEach(w -> drop(w.message()));
         conn.waiting.clear();
     }
 
-    private void received(ClientConn conn, Object message, long arrived) {
+    private void received(ClientConnection conn, Object message, long arrived) {
         if (conn.gone || conn.lastSaid) {
             drop(message);
             return;
         }
-        conn.waiting.add(new ClientConn.Waiting(message, arrived));
+        conn.waiting.add(new ClientConnection.Waiting(message, arrived));
         next(conn);
     }
 
     /** Answers all that the client is owed, the one in progress first, and closes its connection. */
-    private void leave(ClientConn conn) {
+    private void leave(ClientConnection conn) {
         if (conn.gone) {
             return;
         }
@@ -444,7 +447,7 @@
             conn.current = null;
             conn.write(words.errored(false, "its client ended the connection; the req may have run"), false);
         }
-        for (ClientConn.Waiting waits : conn.waiting) {
+        for (ClientConnection.Waiting waits : conn.waiting) {
             boolean refused = waits.message() instanceof Refusal;
             conn.write(
                     refused ? ((Refusal) waits.message()).answer : words.atDoor("its client ended the connection"),
@@ -457,24 +460,24 @@
         conn.session.closeOnFlush();
     }
 
-    private void next(ClientConn conn) {
+    private void next(ClientConnection conn) {
         while (!conn.busy && !conn.gone && !conn.lastSaid && !conn.waiting.isEmpty()) {
-            ClientConn.Waiting w = conn.waiting.poll();
+            ClientConnection.Waiting w = conn.waiting.poll();
             begin(conn, w.message(), w.arrived());
         }
     }
 
-    private void begin(ClientConn conn, Object message, long arrived) {
+    private void begin(ClientConnection conn, Object message, long arrived) {
         conn.toHead = false;
         if (message instanceof Refusal r) {
             conn.toHead = r.toHead;
             conn.write(r.answer, r.last);
             owesLess(conn);
-        } else if (message instanceof HttpReq own) {
+        } else if (message instanceof HttpRequest own) {
             conn.busy = true;
             door.own(conn, own);
         } else {
-            Asked asked = (Asked) message;
+            ClientRequest asked = (ClientRequest) message;
             conn.toHead = asked.toHead();
             // the time a pipelined req waited for its turn is time its client has waited
             boolean full = door.held() >= set.openReqs() || loop.backlog() >= set.backlog();
@@ -491,14 +494,14 @@
         }
     }
 
-    private void owesLess(ClientConn conn) {
+    private void owesLess(ClientConnection conn) {
         if (conn.owed.decrementAndGet() <= set.pipelined() / 2 + 1) {
             readOn(conn);
         }
     }
 
     /** The final answer of the req in progress; its connection's next one begins once this is written. */
-    public void answer(ClientConn conn, boolean last, HttpAnswer answer) {
+    public void answer(ClientConnection conn, boolean last, HttpResponse answer) {
         boolean ends = last || door.draining();
         if (ends) {
             answer.headers().add("Connection", "close");
@@ -511,7 +514,7 @@
      *
      * @param gone run once it has left or never will, on any thread
      */
-    public void pass(ClientConn conn, boolean last, Crossing answer, Lines own, Runnable gone) {
+    public void pass(ClientConnection conn, boolean last, ForwardedMessage answer, MessageBuilder own, Runnable gone) {
         boolean ends = last || door.draining();
         if (ends) {
             own.line("Connection", "close");
@@ -528,7 +531,7 @@
         });
     }
 
-    private void answered(ClientConn conn, Supplier<WriteFuture> write) {
+    private void answered(ClientConnection conn, Supplier<WriteFuture> write) {
         conn.current = null;
         writes.add(() -> written(conn, write));
     }
@@ -548,7 +551,7 @@
         writes.clear();
     }
 
-    private void written(ClientConn conn, Supplier<WriteFuture> write) {
+    private void written(ClientConnection conn, Supplier<WriteFuture> write) {
         WriteFuture written = write.get();
         conn.restsSince = loop.now();
         owesLess(conn);
@@ -563,8 +566,8 @@
         }
     }
 
-    private HttpAnswer shedAtDoor(String why, boolean last) {
-        HttpAnswer a = words.atDoor(why);
+    private HttpResponse shedAtDoor(String why, boolean last) {
+        HttpResponse a = words.atDoor(why);
         if (last) {
             a.headers().add("Connection", "close");
         }
--- a/src/main/java/laurelkeel/front/ingress/Door.java
+++ b/src/main/java/laurelkeel/front/ingress/IngressListener.java
@@ -1,14 +1,14 @@
 package laurelkeel.front.ingress;
 
-import laurelkeel.wire.HttpReq;
+import laurelkeel.wire.HttpRequest;
 
 /** What the ingress tells the front, on the front's own thread. */
-public interface Door {
+public interface IngressListener {
     /** A req whose turn on its connection has come; arrived is the moment its last byte was read. */
-    void taken(ClientConn from, Asked asked, long arrived);
+    void taken(ClientConnection from, ClientRequest asked, long arrived);
 
     /** A message for the front itself. */
-    void own(ClientConn from, HttpReq http);
+    void own(ClientConnection from, HttpRequest http);
 
     /** The connection is gone; current is the token of the req in progress on it, or null. */
     void left(Object current);
--- a/src/main/java/laurelkeel/front/upstream/Dial.java
+++ b/src/main/java/laurelkeel/front/upstream/ConnectAttempt.java
@@ -4,7 +4,7 @@
 import java.net.SocketAddress;
 import java.nio.channels.Channel;
 import java.util.function.Consumer;
-import laurelkeel.loop.Loop;
+import laurelkeel.eventloop.EventLoop;
 import org.apache.mina.core.future.ConnectFuture;
 import org.apache.mina.core.polling.AbstractPollingIoConnector;
 import org.apache.mina.core.service.IoHandlerAdapter;
@@ -20,11 +20,11 @@
  * <p>One whose time is over is not cancelled through MINA's future. That may meet the moment in which it comes up, and
  * MINA 2.2.5 then counts its socket as gone twice, takes itself to have none, and leaves the others unwatched.
  */
-public final class Dial {
+public final class ConnectAttempt {
     /** For MINA's own limit: longer than any step of a wall clock that it should survive. */
     public static final long MINA_TIMEOUT_MS = 7L * 24 * 3600 * 1000;
 
-    private static final AttributeKey DIAL = new AttributeKey(Dial.class, "dial");
+    private static final AttributeKey DIAL = new AttributeKey(ConnectAttempt.class, "dial");
 
     /** What comes of it, told once on the loop's thread, but never from within start. */
     public interface Outcome {
@@ -39,7 +39,7 @@
     private final Outcome outcome;
     private volatile boolean abandoned;
 
-    private Dial(Outcome outcome) {
+    private ConnectAttempt(Outcome outcome) {
         this.outcome = outcome;
     }
 
@@ -54,19 +54,19 @@
      */
     public static void start(
             NioSocketConnector connector,
-            Loop loop,
+            EventLoop loop,
             Consumer<Runnable> post,
             long limit,
             SocketAddress to,
             Consumer<IoSession> prepare,
             Outcome outcome) {
-        Dial dial = new Dial(outcome);
+        ConnectAttempt dial = new ConnectAttempt(outcome);
         IoSessionInitializer<ConnectFuture> initializer = (session, future) -> {
             session.setAttribute(DIAL, dial);
             prepare.accept(session);
         };
         ConnectFuture future = connector.connect(to, initializer);
-        Loop.Alarm alarm = loop.at(loop.now() + limit, () -> dial.abandon(future));
+        EventLoop.ScheduledTask alarm = loop.at(loop.now() + limit, () -> dial.abandon(future));
         future.addListener(f -> post.accept(() -> {
             alarm.cancel();
             dial.ended(future);
@@ -115,7 +115,7 @@
         /** It may have come up in the moment in which it was given up, and nobody has it then. */
         @Override
         public final void sessionOpened(IoSession session) {
-            if (session.getAttribute(DIAL) instanceof Dial dial && dial.abandoned) {
+            if (session.getAttribute(DIAL) instanceof ConnectAttempt dial && dial.abandoned) {
                 session.closeNow();
             }
         }
--- a/src/main/java/laurelkeel/front/upstream/Pools.java
+++ b/src/main/java/laurelkeel/front/upstream/ConnectionPools.java
@@ -11,11 +11,11 @@
 import java.util.concurrent.Executor;
 import java.util.function.Supplier;
 import laurelkeel.api.Event.AttemptOutcome;
-import laurelkeel.loop.Loop;
-import laurelkeel.wire.BadHttp;
-import laurelkeel.wire.HttpAnswer;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.wire.ByteBudget;
 import laurelkeel.wire.HttpCodec;
-import laurelkeel.wire.Room;
+import laurelkeel.wire.HttpProtocolException;
+import laurelkeel.wire.HttpResponse;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.service.SimpleIoProcessorPool;
 import org.apache.mina.core.session.AttributeKey;
@@ -29,9 +29,9 @@
  * Connections to all machines. An exchange that never had a byte handed to the network provably never ran; one whose
  * connection dies after that may have run, also on a connection that was idle before.
  */
-public final class Pools {
-    private static final AttributeKey CONN = new AttributeKey(Pools.class, "conn");
-    private static final Logger LOG = LoggerFactory.getLogger(Pools.class);
+public final class ConnectionPools {
+    private static final AttributeKey CONN = new AttributeKey(ConnectionPools.class, "conn");
+    private static final Logger LOG = LoggerFactory.getLogger(ConnectionPools.class);
     private static final int MOST_DIALS = 3;
     /**
      * A connection that comes up too late for the attempt that asked for it has been paid for, by both sides, and serves the
@@ -42,23 +42,23 @@
     private static final long AFTER_LACK = 200;
 
     private final UpstreamSettings set;
-    private final MachineWords words;
-    private final Loop loop;
+    private final EndpointProtocol words;
+    private final EventLoop loop;
     private final Executor threads;
     private final SimpleIoProcessorPool<NioSession> processors;
     private final NioSocketConnector connector;
-    private final Room room = Room.eighth();
-    private final Map<String, Pool> pools = new HashMap<>();
+    private final ByteBudget room = ByteBudget.eighth();
+    private final Map<String, EndpointPool> pools = new HashMap<>();
     /** Those with tries that wait until a connection to another machine gives its place up. */
-    private final LinkedHashSet<Pool> starved = new LinkedHashSet<>();
+    private final LinkedHashSet<EndpointPool> starved = new LinkedHashSet<>();
 
     private int open, dialling;
 
     /** @param processors run its sockets */
-    public Pools(
+    public ConnectionPools(
             UpstreamSettings set,
-            MachineWords words,
-            Loop loop,
+            EndpointProtocol words,
+            EventLoop loop,
             Executor threads,
             SimpleIoProcessorPool<NioSession> processors) {
         this.set = set;
@@ -67,7 +67,7 @@
         this.threads = threads;
         this.processors = processors;
         connector = new NioSocketConnector(threads, processors);
-        connector.setConnectTimeoutMillis(Dial.MINA_TIMEOUT_MS);
+        connector.setConnectTimeoutMillis(ConnectAttempt.MINA_TIMEOUT_MS);
         connector.getSessionConfig().setTcpNoDelay(true);
         // by the wall clock, which may be stepped: each attempt has a limit of its own
         connector.getSessionConfig().setWriteTimeout(0);
@@ -94,7 +94,7 @@
     }
 
     /** An answer that was heard has gone on, or goes nowhere. */
-    public void over(Came came) {
+    public void over(EndpointResponse came) {
         if (came != null && came.crossing() != null) {
             room.give(came.crossing().body().length);
         }
@@ -123,8 +123,8 @@
      *     not be written any more
      * @param toHead its answer has no body
      */
-    public Exchange start(Place place, Supplier<byte[]> message, boolean toHead, Exchange.Heard heard) {
-        Pool pool = pools.computeIfAbsent(place.key(), k -> new Pool(place));
+    public Exchange start(EndpointAddress place, Supplier<byte[]> message, boolean toHead, Exchange.Heard heard) {
+        EndpointPool pool = pools.computeIfAbsent(place.key(), k -> new EndpointPool(place));
         Exchange e = new Exchange(pool, message, toHead, heard);
         if (place.at() == null || (pool.waiting.size() >= set.waiting() && pool.idle.isEmpty())) {
             loop.post(() -> e.tell(AttemptOutcome.CONNECT_FAILED, null));
@@ -135,8 +135,8 @@
     }
 
     private void place(Exchange e) {
-        for (Iterator<Conn> idle = e.pool.idle.iterator(); idle.hasNext(); ) {
-            Conn c = idle.next();
+        for (Iterator<EndpointConnection> idle = e.pool.idle.iterator(); idle.hasNext(); ) {
+            EndpointConnection c = idle.next();
             if (c.gone || c.session.isClosing()) {
                 idle.remove();
             } else if (c.idleSince + set.rest() <= loop.now()) {
@@ -158,7 +158,7 @@
     }
 
     /** False where it may not be written any more; that is told. */
-    private boolean write(Conn c, Exchange e) {
+    private boolean write(EndpointConnection c, Exchange e) {
         byte[] bytes;
         try {
             bytes = e.message.get();
@@ -187,7 +187,7 @@
         return true;
     }
 
-    private void dial(Pool pool) {
+    private void dial(EndpointPool pool) {
         while (pool.dialling < pool.waiting.size() && pool.open + pool.dialling < set.connections()) {
             if (open + dialling >= set.most()) {
                 starved.add(pool);
@@ -197,14 +197,14 @@
             pool.dialling++;
             dialling++;
             try {
-                Dial.start(
+                ConnectAttempt.start(
                         connector,
                         loop,
                         loop::post,
                         Math.max(10, set.dialTimeout() * DIAL_OUTLASTS),
                         pool.place.at(),
                         session -> {},
-                        new Dial.Outcome() {
+                        new ConnectAttempt.Outcome() {
                             @Override
                             public void connected(IoSession session) {
                                 dialled(pool, session);
@@ -230,9 +230,9 @@
 
     /** The connection that has been idle longest, of whatever machine, makes room for a new one. */
     private void giveUpIdle() {
-        Conn oldest = null;
-        for (Pool p : pools.values()) {
-            Conn c = p.idle.peekLast();
+        EndpointConnection oldest = null;
+        for (EndpointPool p : pools.values()) {
+            EndpointConnection c = p.idle.peekLast();
             if (c != null && (oldest == null || c.idleSince < oldest.idleSince)) {
                 oldest = c;
             }
@@ -245,22 +245,22 @@
 
     /** A place has become free: one that waits for it dials. */
     private void feed() {
-        Iterator<Pool> first = starved.iterator();
+        Iterator<EndpointPool> first = starved.iterator();
         if (first.hasNext()) {
-            Pool p = first.next();
+            EndpointPool p = first.next();
             first.remove();
             dial(p);
         }
     }
 
-    private void dialEnded(Pool pool) {
+    private void dialEnded(EndpointPool pool) {
         pool.dialling--;
         dialling--;
     }
 
-    private void dialled(Pool pool, IoSession session) {
+    private void dialled(EndpointPool pool, IoSession session) {
         dialEnded(pool);
-        Conn c = new Conn(pool, session);
+        EndpointConnection c = new EndpointConnection(pool, session);
         if (session.getAttribute(CONN) != null) {
             // closed before it was ours
             dial(pool);
@@ -275,14 +275,14 @@
     }
 
     /** Whoever waits has a limit of its own, and mostly began to wait later than this dial. */
-    private void forgetDial(Pool pool) {
+    private void forgetDial(EndpointPool pool) {
         dialEnded(pool);
         dial(pool);
         feed();
     }
 
     /** @param theirs it is the machine that did not come up, and not this host that lacked something */
-    private void undialled(Pool pool, boolean theirs) {
+    private void undialled(EndpointPool pool, boolean theirs) {
         dialEnded(pool);
         Exchange first = pool.waiting.peekFirst();
         if (first != null && !theirs && ++first.dials < MOST_DIALS) {
@@ -302,7 +302,7 @@
         return why instanceof ConnectException || why instanceof NoRouteToHostException;
     }
 
-    private void free(Conn c) {
+    private void free(EndpointConnection c) {
         if (c.gone || c.session.isClosing()) {
             return;
         }
@@ -319,7 +319,7 @@
     }
 
     /** After an answer: more may come behind it, and must not meet another req's wait. */
-    private void rested(Conn c) {
+    private void rested(EndpointConnection c) {
         c.idleSince = loop.now();
         if (set.rest() == 0) {
             free(c);
@@ -335,7 +335,7 @@
         }
     }
 
-    private void closed(Conn c) {
+    private void closed(EndpointConnection c) {
         if (c.gone) {
             return;
         }
@@ -362,7 +362,7 @@
     }
 
     /** A machine that takes connections and ends them at once would be dialled without a pause until the dial's time is up. */
-    private static void diedUnused(Pool pool) {
+    private static void diedUnused(EndpointPool pool) {
         Exchange first = pool.waiting.peekFirst();
         if (first != null && ++first.dials >= MOST_DIALS) {
             pool.waiting.pollFirst();
@@ -370,7 +370,7 @@
         }
     }
 
-    private void answered(Conn c, Came came) {
+    private void answered(EndpointConnection c, EndpointResponse came) {
         Exchange e = c.current;
         if (e == null) {
             // an answer that nothing asked: the connection has lost step
@@ -391,7 +391,7 @@
         e.tell(came.outcome(), came);
     }
 
-    private void unreadable(Conn c, AttemptOutcome as) {
+    private void unreadable(EndpointConnection c, AttemptOutcome as) {
         Exchange e = c.current;
         c.current = null;
         c.session.closeNow();
@@ -403,7 +403,7 @@
 
     /** Closes the idle connections of one place. */
     public void closeIdle(String place) {
-        Pool pool = pools.get(place);
+        EndpointPool pool = pools.get(place);
         if (pool != null) {
             pool.closeIdle(Long.MAX_VALUE);
         }
@@ -412,27 +412,27 @@
     private void sweep() {
         loop.at(loop.now() + 10_000, this::sweep);
         long before = loop.now() - set.idleClose();
-        for (Pool p : pools.values()) {
+        for (EndpointPool p : pools.values()) {
             p.closeIdle(before);
         }
         pools.values().removeIf(p -> p.open == 0 && p.dialling == 0 && p.waiting.isEmpty());
     }
 
-    private final class Handler extends Dial.Handler {
+    private final class Handler extends ConnectAttempt.Handler {
         @Override
         public void messageReceived(IoSession session, Object message) {
-            Object read = message instanceof HttpAnswer a ? words.came(a) : message;
-            if (message instanceof HttpAnswer a && ((Came) read).crossing() == null) {
+            Object read = message instanceof HttpResponse a ? words.came(a) : message;
+            if (message instanceof HttpResponse a && ((EndpointResponse) read).crossing() == null) {
                 room.give(a.body().length);
             }
             loop.post(() -> {
-                Conn c = session.getAttribute(CONN) instanceof Conn known ? known : null;
+                EndpointConnection c = session.getAttribute(CONN) instanceof EndpointConnection known ? known : null;
                 if (c == null) {
-                    over(read instanceof Came came ? came : null);
+                    over(read instanceof EndpointResponse came ? came : null);
                     session.closeNow();
-                } else if (read instanceof Came came) {
+                } else if (read instanceof EndpointResponse came) {
                     answered(c, came);
-                } else if (message instanceof BadHttp b) {
+                } else if (message instanceof HttpProtocolException b) {
                     // a front without room for an answer gave it up; that is no error of the machine's build
                     unreadable(c, b.status() == 503 ? AttemptOutcome.CANCELLED : words.unreadable());
                 }
@@ -442,7 +442,7 @@
         @Override
         public void sessionClosed(IoSession session) {
             loop.post(() -> {
-                if (session.getAttribute(CONN) instanceof Conn c) {
+                if (session.getAttribute(CONN) instanceof EndpointConnection c) {
                     closed(c);
                 } else {
                     session.setAttribute(CONN, "closed");
--- a/src/main/java/laurelkeel/front/upstream/Pool.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointPool.java
@@ -3,15 +3,15 @@
 import java.util.ArrayDeque;
 
 /** What is open, being opened and waited for at one machine. Front's thread only. */
-final class Pool {
-    final Place place;
+final class EndpointPool {
+    final EndpointAddress place;
     /** Last used first: the rest grow old and are closed. */
-    final ArrayDeque<Conn> idle = new ArrayDeque<>();
+    final ArrayDeque<EndpointConnection> idle = new ArrayDeque<>();
 
     final ArrayDeque<Exchange> waiting = new ArrayDeque<>();
     int open, dialling;
 
-    Pool(Place place) {
+    EndpointPool(EndpointAddress place) {
         this.place = place;
     }
 
--- a/src/main/java/laurelkeel/front/upstream/MachineWords.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointProtocol.java
@@ -1,11 +1,11 @@
 package laurelkeel.front.upstream;
 
 import laurelkeel.api.Event.AttemptOutcome;
-import laurelkeel.wire.HttpAnswer;
+import laurelkeel.wire.HttpResponse;
 
 /** What one protocol's machines mean. Called on any thread. */
-public interface MachineWords {
-    Came came(HttpAnswer answer);
+public interface EndpointProtocol {
+    EndpointResponse came(HttpResponse answer);
 
     /** What an answer counts as that cannot be read. */
     AttemptOutcome unreadable();
--- a/src/main/java/laurelkeel/front/upstream/Came.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointResponse.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.api.LoadReport;
-import laurelkeel.wire.Crossing;
+import laurelkeel.wire.ForwardedMessage;
+import laurelkeel.wire.HeaderNames;
 import laurelkeel.wire.HopByHop;
-import laurelkeel.wire.HttpAnswer;
-import laurelkeel.wire.Names;
+import laurelkeel.wire.HttpResponse;
 
 /**
  * A machine's whole answer, read by the thread that has its connection.
@@ -17,22 +17,28 @@
  * @param load what the machine told of its load, by name; empty for nothing
  * @param last the machine ends the connection with it
  */
-public record Came(AttemptOutcome outcome, Crossing crossing, LoadReport load, boolean last) {
+public record EndpointResponse(AttemptOutcome outcome, ForwardedMessage crossing, LoadReport load, boolean last) {
     /** What only a front says: a machine that says it is not believed. Its load is for the front alone. */
     private static final Collection<String> OWN = HopByHop.names(
-            Names.LOAD, Names.ANSWER, Names.RETRY, Names.RETRY_AFTER_MS, Names.TAKEN, Names.REF, Names.RAN);
+            HeaderNames.LOAD,
+            HeaderNames.ANSWER,
+            HeaderNames.RETRY,
+            HeaderNames.RETRY_AFTER_MS,
+            HeaderNames.TAKEN,
+            HeaderNames.REF,
+            HeaderNames.RAN);
 
-    public static Came of(HttpAnswer a) {
+    public static EndpointResponse of(HttpResponse a) {
         boolean refused = (a.status() == 503 || a.status() == 429)
-                && "no".equals(a.headers().get(Names.RAN));
+                && "no".equals(a.headers().get(HeaderNames.RAN));
         AttemptOutcome outcome = refused
                 ? AttemptOutcome.OVERLOADED
                 : a.status() < 500 ? AttemptOutcome.COMPLETED : AttemptOutcome.FAILED;
         // only what completed goes on to a client
-        return new Came(
+        return new EndpointResponse(
                 outcome,
-                outcome == AttemptOutcome.COMPLETED ? Crossing.of(a, OWN) : null,
-                load(a.headers().get(Names.LOAD)),
+                outcome == AttemptOutcome.COMPLETED ? ForwardedMessage.of(a, OWN) : null,
+                load(a.headers().get(HeaderNames.LOAD)),
                 a.last());
     }
 
--- a/src/main/java/laurelkeel/front/upstream/Exchange.java
+++ b/src/main/java/laurelkeel/front/upstream/Exchange.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Supplier;
 import laurelkeel.api.Event.AttemptOutcome;
-import laurelkeel.loop.Loop;
+import laurelkeel.eventloop.EventLoop;
 
 /** One upstream try on its way: waiting for a connection, written to one, or over. Front's thread only. */
 public final class Exchange {
@@ -10,22 +10,22 @@
     /** Told once, on the front's thread, but never from within start or end. */
     public interface Heard {
         /** came is null unless an answer came whole. */
-        void ended(AttemptOutcome outcome, Came came);
+        void ended(AttemptOutcome outcome, EndpointResponse came);
     }
 
-    final Pool pool;
+    final EndpointPool pool;
     /** Its bytes at the moment they are written, for they tell what time is left; null where it may not be any more. */
     final Supplier<byte[]> message;
 
     final boolean toHead;
     final Heard heard;
-    Conn on;
+    EndpointConnection on;
     long writtenBefore, writtenAt;
     int dials;
     boolean over;
-    Loop.Alarm dialLimit;
+    EventLoop.ScheduledTask dialLimit;
 
-    Exchange(Pool pool, Supplier<byte[]> message, boolean toHead, Heard heard) {
+    Exchange(EndpointPool pool, Supplier<byte[]> message, boolean toHead, Heard heard) {
         this.pool = pool;
         this.message = message;
         this.toHead = toHead;
@@ -45,7 +45,7 @@
             dialLimit.cancel();
         }
         if (left) {
-            Conn c = on;
+            EndpointConnection c = on;
             on = null;
             c.current = null;
             c.session.closeNow();
@@ -61,7 +61,7 @@
                 : asked == AttemptOutcome.TIMED_OUT ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT;
     }
 
-    void tell(AttemptOutcome outcome, Came came) {
+    void tell(AttemptOutcome outcome, EndpointResponse came) {
         if (!over) {
             over = true;
             if (dialLimit != null) {
--- a/src/main/java/laurelkeel/logs/Sparing.java
+++ b/src/main/java/laurelkeel/logging/RateLimitedAsyncAppender.java
@@ -1,4 +1,4 @@
-package laurelkeel.logs;
+package laurelkeel.logging;
 
 import ch.qos.logback.classic.Level;
 import ch.qos.logback.classic.Logger;
@@ -23,7 +23,7 @@
  * nobody reads would stop the front's only thread. Of alike lines a few a second go out and the rest are counted;
  * what the queue cannot hold is counted; both counts are logged, and stand in the metrics.
  */
-public final class Sparing extends UnsynchronizedAppenderBase<ILoggingEvent>
+public final class RateLimitedAsyncAppender extends UnsynchronizedAppenderBase<ILoggingEvent>
         implements AppenderAttachable<ILoggingEvent> {
     /** Alike lines a second: enough to see that it happens again and again, and to whom. */
     private static final int ALIKE = 5;
@@ -33,7 +33,7 @@
     private static final int KINDS = 256;
 
     private static final AtomicLong LEFT_OUT = new AtomicLong();
-    private static volatile Sparing started;
+    private static volatile RateLimitedAsyncAppender started;
 
     private final AppenderAttachableImpl<ILoggingEvent> within = new AppenderAttachableImpl<>();
     private final ArrayBlockingQueue<ILoggingEvent> queue = new ArrayBlockingQueue<>(QUEUE);
@@ -48,7 +48,7 @@
 
     /** Waits until what was logged is written, so long at the most: at a process's end. */
     public static void flush(long ms) {
-        Sparing s = started;
+        RateLimitedAsyncAppender s = started;
         long end = System.nanoTime() + ms * 1_000_000;
         while (s != null && (!s.queue.isEmpty() || s.writing) && System.nanoTime() < end) {
             LockSupport.parkNanos(1_000_000);
@@ -126,8 +126,9 @@
     }
 
     private void say(String text) {
-        Logger of = ((LoggerContext) getContext()).getLogger(Sparing.class);
-        within.appendLoopOnAppenders(new LoggingEvent(Sparing.class.getName(), of, Level.WARN, text, null, null));
+        Logger of = ((LoggerContext) getContext()).getLogger(RateLimitedAsyncAppender.class);
+        within.appendLoopOnAppenders(
+                new LoggingEvent(RateLimitedAsyncAppender.class.getName(), of, Level.WARN, text, null, null));
     }
 
     @Override
--- a/src/main/java/laurelkeel/logs/package-info.java
+++ b/src/main/java/laurelkeel/logging/package-info.java
@@ -1,2 +1,2 @@
 /** What is logged reaches standard error without ever holding up who logs it. */
-package laurelkeel.logs;
+package laurelkeel.logging;
--- a/src/main/java/laurelkeel/options/BadOption.java
+++ b/src/main/java/laurelkeel/options/InvalidOptionException.java
@@ -1,11 +1,11 @@
 package laurelkeel.options;
 
 /** A setting that cannot be read; path names it. */
-public final class BadOption extends RuntimeException {
+public final class InvalidOptionException extends RuntimeException {
     private static final long serialVersionUID = 1L;
     private final String path, what;
 
-    public BadOption(String path, String what) {
+    public InvalidOptionException(String path, String what) {
         super(path + ": " + what);
         this.path = path;
         this.what = what;
--- a/src/main/java/laurelkeel/options/Options.java
+++ b/src/main/java/laurelkeel/options/OptionsParser.java
@@ -22,7 +22,7 @@
  * length under .count and its items under .0, .1 and so on. Keys that may be left out read as 0, off or none, keys
  * that are not known are passed over.
  */
-public final class Options {
+public final class OptionsParser {
     private static final Map<String, Idempotency> EFFECTS = Map.of(
             "safe", Idempotency.IDEMPOTENT, "keyed", Idempotency.DEDUPLICATED, "unsafe", Idempotency.NOT_IDEMPOTENT);
     private static final Map<String, PromotionPolicy> CONTROLS = Map.of(
@@ -45,7 +45,7 @@
      *
      * @param marksRepeats clients mark the reqs that they send again
      */
-    public record Real(
+    public record SocketOptions(
             List<String> routes,
             List<String> customers,
             List<String> zones,
@@ -57,17 +57,17 @@
 
     private final Map<String, String> pairs;
 
-    private Options(Map<String, String> pairs) {
+    private OptionsParser(Map<String, String> pairs) {
         this.pairs = pairs;
     }
 
     public static Settings settings(Map<String, String> pairs) {
-        return new Options(pairs).settings();
+        return new OptionsParser(pairs).settings();
     }
 
-    public static Real real(Map<String, String> pairs) {
-        Options o = new Options(pairs);
-        return new Real(
+    public static SocketOptions real(Map<String, String> pairs) {
+        OptionsParser o = new OptionsParser(pairs);
+        return new SocketOptions(
                 o.names("services"),
                 o.names("orgs"),
                 o.words("zones"),
@@ -98,9 +98,9 @@
                 return t;
             }
         } catch (RuntimeException e) {
-            throw new BadOption(path, "'" + s + "' is no " + what);
+            throw new InvalidOptionException(path, "'" + s + "' is no " + what);
         }
-        throw new BadOption(path, "'" + s + "' is unknown");
+        throw new InvalidOptionException(path, "'" + s + "' is unknown");
     }
 
     private double number(String path) {
--- a/src/main/java/laurelkeel/lanes/Taken.java
+++ b/src/main/java/laurelkeel/partition/AcceptedRequestWindow.java
@@ -1,4 +1,4 @@
-package laurelkeel.lanes;
+package laurelkeel.partition;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -8,7 +8,7 @@
  * Reqs taken in the exposure's window, by scope. A lane's decider counts those of its lane; what its release may
  * expose is a part of all. Telling it a cap that is higher by all to own makes its product the one that is meant.
  */
-final class Taken {
+final class AcceptedRequestWindow {
     /** The decider's own edge of a window, which makes it count fewer reqs, and more tries, than the window holds. */
     private static final long EDGE = 60;
 
@@ -17,7 +17,7 @@
     private final List<ArrayDeque<Long>> at = new ArrayList<>();
 
     /** @param tries what is counted is to be bounded, by reqs that are not */
-    Taken(int routes, long window, boolean perRoute, boolean tries) {
+    AcceptedRequestWindow(int routes, long window, boolean perRoute, boolean tries) {
         this.window = tries ? window + EDGE : window - EDGE;
         this.perRoute = perRoute;
         for (int i = 0; i < (perRoute ? routes : 1); i++) {
@@ -50,7 +50,7 @@
     }
 
     /** How many times a lane's reqs all reqs are, in the scope where that is least; at most the given. */
-    static double times(Taken all, Taken own, long now, double most) {
+    static double times(AcceptedRequestWindow all, AcceptedRequestWindow own, long now, double most) {
         double least = most;
         for (int s = 0; s < all.at.size(); s++) {
             int mine = own.count(s, now);
--- a/src/main/java/laurelkeel/lanes/TriesOut.java
+++ b/src/main/java/laurelkeel/partition/InFlightAttempts.java
@@ -1,4 +1,4 @@
-package laurelkeel.lanes;
+package laurelkeel.partition;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -6,7 +6,7 @@
 import java.util.function.IntPredicate;
 
 /** Attempts that are out, in whichever lane, by key and build: any of them may have been answered already. */
-final class TriesOut {
+final class InFlightAttempts {
     /** No attempt with the key is out. */
     static final int NONE = -1;
 
--- a/src/main/java/laurelkeel/lanes/Lanes.java
+++ b/src/main/java/laurelkeel/partition/PartitionedDecider.java
@@ -1,4 +1,4 @@
-package laurelkeel.lanes;
+package laurelkeel.partition;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -33,7 +33,7 @@
  *
  * <p>With one release all events pass to the one decider and all its actions come back as they are.
  */
-public final class Lanes implements Decider {
+public final class PartitionedDecider implements Decider {
     /** Releases on trial at once; a further one gets no reqs until one of them ends. */
     public static final int MOST = 3;
 
@@ -54,14 +54,14 @@
 
     /** One req, until it is answered and its tries have ended. */
     private static final class Held {
-        final Lane lane;
+        final TrafficPartition lane;
         final String key;
         final int route;
         boolean answered;
         /** Tries that went on, and tries that were kept back here: its decider counts both. */
         int out, sent, keptBack, build = -1;
 
-        Held(Lane lane, String key, int route) {
+        Held(TrafficPartition lane, String key, int route) {
             this.lane = lane;
             this.key = key;
             this.route = route;
@@ -79,9 +79,9 @@
     private long now;
 
     /** The first one leads: it follows the list for all. */
-    private final List<Lane> lanes = new ArrayList<>();
+    private final List<TrafficPartition> lanes = new ArrayList<>();
 
-    private final TreeMap<Integer, Release> releases = new TreeMap<>();
+    private final TreeMap<Integer, ReleaseState> releases = new TreeMap<>();
     private final Map<Integer, Blame> blame = new HashMap<>();
     private final Map<Integer, Long> doubtedSince = new HashMap<>();
     private final Map<Integer, Long> votedBack = new HashMap<>();
@@ -90,13 +90,13 @@
     /** Keys that a build on trial has answered, and in which lane: they are never cut anew while that is open. */
     private final Map<String, Kept> laneOfKey = new HashMap<>();
     /** Tries out at builds that bind their keys, in whichever lane. */
-    private final TriesOut triesOut = new TriesOut();
+    private final InFlightAttempts triesOut = new InFlightAttempts();
     /** A build on trial that has taken over for a lane which is gone: nobody goes below it any more. */
     private int least = -1;
 
-    private final Taken all;
+    private final AcceptedRequestWindow all;
     /** Tries at each build on trial, whichever lane's: it may serve beside others, whose deciders do not bound it. */
-    private final Map<Integer, Taken> tries = new HashMap<>();
+    private final Map<Integer, AcceptedRequestWindow> tries = new HashMap<>();
 
     private boolean keptBack;
     private int nextLane, complaints;
@@ -105,18 +105,18 @@
     private final List<Action> out = new ArrayList<>();
 
     /** @param maker makes the decider of one lane; lane 0 gets the front's own seed */
-    public Lanes(Settings set, long seed, Factory maker) {
+    public PartitionedDecider(Settings set, long seed, Factory maker) {
         this.set = set;
         this.maker = maker;
         this.seed = seed;
         this.salt = ("lanes/" + seed).getBytes(StandardCharsets.US_ASCII);
         this.all = taken(false);
-        lanes.add(new Lane(nextLane, -1, maker.create(set, seed), taken(false)));
+        lanes.add(new TrafficPartition(nextLane, -1, maker.create(set, seed), taken(false)));
         nextLane++;
     }
 
-    private Taken taken(boolean tries) {
-        return new Taken(
+    private AcceptedRequestWindow taken(boolean tries) {
+        return new AcceptedRequestWindow(
                 set.routes().size(),
                 set.rollout().exposureWindowTicks(),
                 set.rollout().exposurePerRoute(),
@@ -151,7 +151,7 @@
         }
         blamed();
         for (int i = 0; i < lanes.size(); i++) {
-            Lane lane = lanes.get(i);
+            TrafficPartition lane = lanes.get(i);
             if (lane.events.isEmpty() && lanes.size() > 1) {
                 continue;
             }
@@ -182,7 +182,7 @@
             toHolder(c.requestId(), e);
             over(c.requestId());
         } else if (e instanceof Event.TimerFired t) {
-            for (Lane l : lanes) {
+            for (TrafficPartition l : lanes) {
                 if (l.id == t.timerId()) {
                     l.events.add(new Event.TimerFired(0));
                 }
@@ -212,7 +212,7 @@
     }
 
     private void take(Event.RequestReceived r) {
-        Lane lane = laneOf(r.partitionKey());
+        TrafficPartition lane = laneOf(r.partitionKey());
         all.add(r.route(), now);
         held.put(r.requestId(), new Held(lane, r.partitionKey(), r.route()));
         lane.held++;
@@ -221,13 +221,13 @@
     }
 
     /** A key stays with the release that answered it; others are cut evenly, by a hash that knows no build. */
-    private Lane laneOf(String key) {
+    private TrafficPartition laneOf(String key) {
         if (lanes.size() == 1) {
             return lanes.get(0);
         }
         Kept by = key == null ? null : laneOfKey.get(key);
         if (by != null) {
-            for (Lane l : lanes) {
+            for (TrafficPartition l : lanes) {
                 if (!l.closing && l.id == by.lane) {
                     return l;
                 }
@@ -235,7 +235,7 @@
         }
         int n = open();
         int at = (int) Math.min(n - 1, n * (key == null ? chance() : fraction(key)));
-        for (Lane l : lanes) {
+        for (TrafficPartition l : lanes) {
             if (!l.closing && at-- == 0) {
                 return l;
             }
@@ -312,7 +312,7 @@
             lanes.get(0).events.add(c);
             return;
         }
-        List<Lane> shown = lanes.stream()
+        List<TrafficPartition> shown = lanes.stream()
                 .filter(l -> !l.closing && l.shown.contains(c.endpointId()))
                 .toList();
         if (!shown.isEmpty()) {
@@ -337,7 +337,7 @@
             }
         }
         recut |= cutNow();
-        for (Lane lane : lanes) {
+        for (TrafficPartition lane : lanes) {
             if (!cutNow() && seesAll(lane)) {
                 lane.events.add(l);
                 l.entries().forEach(m -> lane.shown.add(m.endpointId()));
@@ -370,14 +370,14 @@
         return lanes.size() > 1 || lanes.get(0).floor >= 0;
     }
 
-    private boolean sees(Lane lane, EndpointEntry m) {
-        Release r = releases.get(m.build());
+    private boolean sees(TrafficPartition lane, EndpointEntry m) {
+        ReleaseState r = releases.get(m.build());
         // its decider was never told of releases that had lanes of their own: those sent back must not pass for a base
         boolean any = lane.floor < 0 && (r == null || !r.sentBack() || lane.back.contains(m.build()));
         return any || m.build() == lane.build || m.build() == lane.floor;
     }
 
-    private boolean seesAll(Lane lane) {
+    private boolean seesAll(TrafficPartition lane) {
         return releases.values().stream().noneMatch(r -> r.sentBack() && !lane.back.contains(r.build()));
     }
 
@@ -406,7 +406,7 @@
             }
         }
         double before = size(floor);
-        for (Release r : releases.values()) {
+        for (ReleaseState r : releases.values()) {
             boolean whole =
                     r.onTrial() && r.cap() >= 1 && r.stage() >= set.rollout().guardedStages();
             if (whole && r.build() < build && r.build() > floor && size(r.build()) >= GROWN * before) {
@@ -427,8 +427,8 @@
                     .forEach(l -> l.events.add(n));
             return;
         }
-        Release now = Release.of(n);
-        Release before = releases.put(n.build(), now);
+        ReleaseState now = ReleaseState.of(n);
+        ReleaseState before = releases.put(n.build(), now);
         if (n.phase() == RolloutPhase.RELEASED && n.build() > released) {
             released = n.build();
             releases.keySet().removeIf(b -> b < released);
@@ -440,11 +440,11 @@
             doubtedSince.remove(n.build());
             votedBack.remove(n.build());
         }
-        Lane lane = laneFor(n.build());
+        TrafficPartition lane = laneFor(n.build());
         if (lane == null && now.onTrial()) {
             lane = openLane(n);
         }
-        for (Lane l : lanes) {
+        for (TrafficPartition l : lanes) {
             // a later build's release ends all that is below it
             boolean ends = n.phase() == RolloutPhase.RELEASED && l.build < n.build();
             if (l == lane || ends) {
@@ -476,13 +476,13 @@
         if (lanes.size() == 1) {
             return;
         }
-        for (Lane l : lanes) {
-            Release own = releases.get(l.build);
+        for (TrafficPartition l : lanes) {
+            ReleaseState own = releases.get(l.build);
             boolean over = own == null || !own.onTrial();
             if (over && !l.closing && open() > 1) {
                 l.closing = true;
                 recut = true;
-                Release floor = releases.get(l.floor);
+                ReleaseState floor = releases.get(l.floor);
                 if (l.floor != l.build && floor != null && floor.onTrial()) {
                     least = Math.max(least, l.floor);
                 }
@@ -492,28 +492,29 @@
 
     /** Whether a key that this build has answered may go to no earlier one. */
     private boolean stands(int build) {
-        Release r = releases.get(build);
+        ReleaseState r = releases.get(build);
         return build > released && (r == null || !r.sentBack());
     }
 
-    private Lane laneFor(int build) {
-        for (Lane l : lanes) {
+    private TrafficPartition laneFor(int build) {
+        for (TrafficPartition l : lanes) {
             if (l.build == build) {
                 return l;
             }
         }
-        Lane only = lanes.get(0);
-        Release has = releases.get(only.build);
+        TrafficPartition only = lanes.get(0);
+        ReleaseState has = releases.get(only.build);
         boolean free = lanes.size() == 1 && (only.build < 0 || has == null || !has.onTrial() || build < only.build);
         // a front's only decider, whose business all news is
         return free ? only : null;
     }
 
-    private Lane openLane(RolloutUpdate n) {
+    private TrafficPartition openLane(RolloutUpdate n) {
         if (n.build() <= released || open() >= MOST) {
             return null;
         }
-        Lane lane = new Lane(nextLane, n.build(), maker.create(set, seed * 31 + nextLane), taken(false));
+        TrafficPartition lane =
+                new TrafficPartition(nextLane, n.build(), maker.create(set, seed * 31 + nextLane), taken(false));
         nextLane++;
         lanes.add(lane);
         closeEnded();
@@ -528,7 +529,7 @@
     }
 
     /** Shows a lane all that it may see, and nothing else. */
-    private void show(Lane lane) {
+    private void show(TrafficPartition lane) {
         List<EndpointEntry> seen =
                 list.values().stream().filter(m -> sees(lane, m)).toList();
         lane.shown.clear();
@@ -540,11 +541,11 @@
     /** After a change of releases or machines: what serves beside each, and what each sees. */
     private void cut() {
         boolean alone = open() == 1;
-        for (Lane lane : lanes) {
+        for (TrafficPartition lane : lanes) {
             // a decider passes over news of builds before its own: what was released since stays its floor
             boolean whole = alone && !lane.closing && lane.knows >= released && least < 0;
             int floor = whole ? -1 : floorFor(lane.build);
-            Release was = releases.get(lane.floor);
+            ReleaseState was = releases.get(lane.floor);
             // what has answered for a lane is left for a later build only, while it stands
             floor = was != null && was.onTrial() && !whole ? Math.max(floor, lane.floor) : floor;
             if (floor != lane.floor) {
@@ -555,12 +556,14 @@
     }
 
     /** The cap as the lane's decider must hear it, so that cap x all reqs is what it keeps to. */
-    private void capFor(Lane lane) {
-        Release r = releases.get(lane.build);
+    private void capFor(TrafficPartition lane) {
+        ReleaseState r = releases.get(lane.build);
         if (r == null || !r.onTrial()) {
             return;
         }
-        double cap = lanes.size() == 1 ? r.cap() : Math.min(1, r.cap() * Taken.times(all, lane.taken, now, open()));
+        double cap = lanes.size() == 1
+                ? r.cap()
+                : Math.min(1, r.cap() * AcceptedRequestWindow.times(all, lane.taken, now, open()));
         boolean told = !Double.isNaN(lane.toldCap);
         if (told ? cap != lane.toldCap : cap != r.cap()) {
             lane.events.add(new RolloutUpdate(ControlStatus.OK, r.stage(), cap, 0, r.phase(), r.build(), false));
@@ -570,7 +573,7 @@
 
     // ---- actions
 
-    private void act(Lane lane, Action a) {
+    private void act(TrafficPartition lane, Action a) {
         if (a instanceof Action.SendAttempt s) {
             send(lane, s);
         } else if (a instanceof Action.RejectRequest s) {
@@ -598,7 +601,7 @@
     }
 
     /** Passes a try on, or keeps it back: its decider hears that it was not sent, and places the req anew or answers it. */
-    private void send(Lane lane, Action.SendAttempt s) {
+    private void send(TrafficPartition lane, Action.SendAttempt s) {
         Held h = held.get(s.requestId());
         EndpointEntry to = list.get(s.endpointId());
         int build = to == null ? -1 : to.build();
@@ -630,7 +633,7 @@
      * A later build has answered its key in a lane that is gone, or while lanes were cut anew, or may have: this decider
      * knows of none.
      */
-    private boolean wentAhead(Held h, Lane lane, int build) {
+    private boolean wentAhead(Held h, TrafficPartition lane, int build) {
         if (h.key == null || !set.rollout().stickyKeys()) {
             return false;
         }
@@ -645,13 +648,13 @@
      * beside which the build serves knows of none, and one made for it knows nothing of what another lane sent before.
      */
     private boolean overCap(Held h, int build) {
-        Release r = releases.get(build);
+        ReleaseState r = releases.get(build);
         boolean ahead = r == null && !releases.isEmpty() && build > releases.lastKey();
         if (!ahead && (r == null || !r.onTrial())) {
             return false;
         }
         double cap = ahead ? set.rollout().stageExposureCaps().get(0) : r.cap();
-        Taken sent = tries.computeIfAbsent(build, k -> taken(true));
+        AcceptedRequestWindow sent = tries.computeIfAbsent(build, k -> taken(true));
         if (lanes.size() > 1
                 && sent.of(h.route, now) + 1 > set.rollout().exposureAllowance() + cap * all.of(h.route, now)) {
             return true;
@@ -669,7 +672,7 @@
     }
 
     /** A lane's decider compares its release with the build beside it; among several the blame has a word too. */
-    private void vote(Lane lane, Action.CastVote v) {
+    private void vote(TrafficPartition lane, Action.CastVote v) {
         if (open() == 1) {
             out.add(v);
             return;
@@ -691,7 +694,7 @@
     }
 
     /** The decider asks again; an answer that counts for nothing comes with its next events. */
-    private void refuse(Lane lane, Action.CastVote v, String why) {
+    private void refuse(TrafficPartition lane, Action.CastVote v, String why) {
         lane.events.add(new RolloutUpdate(ControlStatus.STALE, 0, 0, 0, RolloutPhase.CANARY, 0, true));
         out.add(new Action.WriteLog(
                 "build " + v.build() + " stage " + v.stage() + " " + v.verdict() + " not voted: " + why));
@@ -700,7 +703,7 @@
     /** The guilty one is voted back whatever its own lane has seen, as long as it is on trial. */
     private void blamed() {
         blame.forEach((build, b) -> {
-            Release r = releases.get(build);
+            ReleaseState r = releases.get(build);
             Long at = votedBack.get(build);
             if ((b == Blame.GUILTY || b == Blame.SET_ASIDE)
                     && r != null
--- a/src/main/java/laurelkeel/lanes/Release.java
+++ b/src/main/java/laurelkeel/partition/ReleaseState.java
@@ -1,13 +1,13 @@
-package laurelkeel.lanes;
+package laurelkeel.partition;
 
 import laurelkeel.api.Event.RolloutPhase;
 import laurelkeel.api.Event.RolloutUpdate;
 
 /** Where one build stands, by the last news of it. */
-record Release(int build, int stage, double cap, RolloutPhase phase) {
+record ReleaseState(int build, int stage, double cap, RolloutPhase phase) {
 
-    static Release of(RolloutUpdate n) {
-        return new Release(n.build(), n.stage(), n.exposureCap(), n.phase());
+    static ReleaseState of(RolloutUpdate n) {
+        return new ReleaseState(n.build(), n.stage(), n.exposureCap(), n.phase());
     }
 
     boolean onTrial() {
--- a/src/main/java/laurelkeel/lanes/Lane.java
+++ b/src/main/java/laurelkeel/partition/TrafficPartition.java
@@ -1,4 +1,4 @@
-package laurelkeel.lanes;
+package laurelkeel.partition;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -8,10 +8,10 @@
 import laurelkeel.api.Event;
 
 /** One decider with the reqs, machines and news that are its own. */
-final class Lane {
+final class TrafficPartition {
     final int id;
     final Decider decider;
-    final Taken taken;
+    final AcceptedRequestWindow taken;
     /** The release it is for; -1 where it has none. */
     int build;
     /** The build that its other reqs go to; -1 for whatever the decider finds in the list. */
@@ -30,7 +30,7 @@
     private List<Event> spare = new ArrayList<>();
     int held;
 
-    Lane(int id, int build, Decider decider, Taken taken) {
+    TrafficPartition(int id, int build, Decider decider, AcceptedRequestWindow taken) {
         this.id = id;
         this.build = build;
         this.decider = decider;
--- a/src/main/java/laurelkeel/platform/Desk.java
+++ b/src/main/java/laurelkeel/platform/ControlServiceClient.java
@@ -11,13 +11,13 @@
 import laurelkeel.api.Event;
 import laurelkeel.api.Event.ControlStatus;
 import laurelkeel.api.Event.RolloutPhase;
-import laurelkeel.loop.Loop;
+import laurelkeel.eventloop.EventLoop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The release desk: its news as events, and votes to it, each on a connection that nothing else is awaited on. Loop only. */
-final class Desk {
-    private static final Logger LOG = LoggerFactory.getLogger(Desk.class);
+final class ControlServiceClient {
+    private static final Logger LOG = LoggerFactory.getLogger(ControlServiceClient.class);
     private static final int LONGEST_LINE = 8 << 10;
     /** A sign of life comes every second. */
     private static final long SILENCE = 35_000;
@@ -45,23 +45,23 @@
             "bad_request",
             ControlStatus.FAILED);
 
-    private final Links links;
-    private final Loop loop;
+    private final ServiceConnections links;
+    private final EventLoop loop;
     private final long voteTimeout;
     private final ToIntFunction<String> routes;
     private final Consumer<Event> to;
-    private final Feed feed;
+    private final StreamConnection feed;
     private InetSocketAddress at;
     private boolean heard;
     private Ballots ballots;
 
     /** A connection for votes, one at a time. */
-    private final class Ballots implements Links.Heard {
-        private final Cutter cutter = new Cutter(LONGEST_LINE);
+    private final class Ballots implements ServiceConnections.Heard {
+        private final LineSplitter cutter = new LineSplitter(LONGEST_LINE);
         private final InetSocketAddress where = at;
-        private final Links.Link link;
+        private final ServiceConnections.ServiceConnection link;
         private Action.CastVote vote;
-        private Loop.Alarm limit;
+        private EventLoop.ScheduledTask limit;
         private long idleSince;
 
         Ballots(Action.CastVote first) {
@@ -87,7 +87,8 @@
                         return;
                     }
                     if (vote == null) {
-                        throw new Spoilt("an answer that nothing asked for: " + Spoilt.shown(text));
+                        throw new MalformedMessageException(
+                                "an answer that nothing asked for: " + MalformedMessageException.shown(text));
                     }
                     Event.RolloutUpdate n = answer(text, arrived);
                     vote = null;
@@ -101,7 +102,7 @@
                             n.phase());
                     to.accept(n);
                 });
-            } catch (Spoilt e) {
+            } catch (MalformedMessageException e) {
                 LOG.warn("the release desk answered a vote with what cannot be read: {}", e.getMessage());
                 end(ControlStatus.TIMED_OUT);
             }
@@ -127,9 +128,9 @@
         }
     }
 
-    Desk(
-            Links links,
-            Loop loop,
+    ControlServiceClient(
+            ServiceConnections links,
+            EventLoop loop,
             long seed,
             long voteTimeout,
             ToIntFunction<String> routes,
@@ -141,8 +142,8 @@
         this.routes = routes;
         this.at = at;
         this.to = to;
-        feed = new Feed("the release desk", links, loop, seed, at, SILENCE, () -> bytes("SUB\r\n"), () -> {
-            Cutter cutter = new Cutter(LONGEST_LINE);
+        feed = new StreamConnection("the release desk", links, loop, seed, at, SILENCE, () -> bytes("SUB\r\n"), () -> {
+            LineSplitter cutter = new LineSplitter(LONGEST_LINE);
             return (bytes, arrived) -> {
                 boolean[] told = new boolean[1];
                 cutter.take(bytes, text -> {
@@ -210,21 +211,21 @@
         return new Event.RolloutUpdate(as, 0, 0, 0, RolloutPhase.CANARY, 0, true);
     }
 
-    private Event.RolloutUpdate answer(String text, long arrived) throws Spoilt {
+    private Event.RolloutUpdate answer(String text, long arrived) throws MalformedMessageException {
         String[] w = text.split(" ", -1);
         if (w[0].equals("OK") && w.length == 6) {
             return news(w, 1, arrived, true);
         }
         ControlStatus as = w[0].equals("ERR") && w.length == 2 ? ERRORS.get(w[1]) : null;
         if (as == null) {
-            throw new Spoilt(Spoilt.shown(text));
+            throw new MalformedMessageException(MalformedMessageException.shown(text));
         }
         return unanswered(as);
     }
 
     // ---- what it tells
 
-    private void told(String text, long arrived) throws Spoilt {
+    private void told(String text, long arrived) throws MalformedMessageException {
         String[] w = text.split(" ", -1);
         if (text.equals("OK") || text.equals("*")) {
             heard = true;
@@ -234,7 +235,7 @@
         } else if (w[0].equals("*") && w[1].equals("metrics") && w.length == 8) {
             int route = routes.applyAsInt(w[3]);
             if (route < 0) {
-                throw new Spoilt("no route: " + Spoilt.shown(text));
+                throw new MalformedMessageException("no route: " + MalformedMessageException.shown(text));
             }
             to.accept(new Event.BuildStatistics(
                     (int) whole(w[2]),
@@ -244,26 +245,26 @@
                     (long) (number(w[6]) * 10),
                     age(w[7], arrived)));
         } else if (!(w[0].equals("*") && w[1].equals("complaint"))) {
-            throw new Spoilt(Spoilt.shown(text));
+            throw new MalformedMessageException(MalformedMessageException.shown(text));
         }
     }
 
-    private Event.RolloutUpdate news(String[] w, int i, long arrived, boolean toVote) throws Spoilt {
+    private Event.RolloutUpdate news(String[] w, int i, long arrived, boolean toVote) throws MalformedMessageException {
         RolloutPhase phase = PHASES.get(w[i + 2]);
         double cap = number(w[i + 3]);
         if (phase == null || cap > 1) {
-            throw new Spoilt(Spoilt.shown(String.join(" ", w)));
+            throw new MalformedMessageException(MalformedMessageException.shown(String.join(" ", w)));
         }
         return new Event.RolloutUpdate(
                 ControlStatus.OK, (int) whole(w[i + 1]), cap, age(w[i + 4], arrived), phase, (int) whole(w[i]), toVote);
     }
 
     /** Counted from when the bytes came, not from when the loop got to them. */
-    private long age(String ms, long arrived) throws Spoilt {
+    private long age(String ms, long arrived) throws MalformedMessageException {
         return (long) Math.floor(number(ms) * 10) + Math.max(0, loop.now() - arrived);
     }
 
-    private static long whole(String s) throws Spoilt {
+    private static long whole(String s) throws MalformedMessageException {
         try {
             long n = Long.parseLong(s);
             if (n >= 0 && n <= Integer.MAX_VALUE) {
@@ -272,10 +273,10 @@
         } catch (NumberFormatException e) {
             // told below
         }
-        throw new Spoilt("no whole number: " + Spoilt.shown(s));
+        throw new MalformedMessageException("no whole number: " + MalformedMessageException.shown(s));
     }
 
-    private static double number(String s) throws Spoilt {
+    private static double number(String s) throws MalformedMessageException {
         try {
             double d = Double.parseDouble(s);
             if (d >= 0 && !Double.isInfinite(d)) {
@@ -284,7 +285,7 @@
         } catch (NumberFormatException e) {
             // told below
         }
-        throw new Spoilt("no number: " + Spoilt.shown(s));
+        throw new MalformedMessageException("no number: " + MalformedMessageException.shown(s));
     }
 
     /** The state that the configuration holds; null where it holds none that can be read. */
--- a/src/main/java/laurelkeel/platform/Discovery.java
+++ b/src/main/java/laurelkeel/platform/DiscoveryClient.java
@@ -8,16 +8,16 @@
 import java.util.List;
 import java.util.function.Consumer;
 import laurelkeel.api.Event;
-import laurelkeel.front.Front;
-import laurelkeel.loop.Loop;
-import laurelkeel.wire.BadHttp;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.front.FrontNode;
 import laurelkeel.wire.HttpLimits;
 import laurelkeel.wire.HttpParser;
+import laurelkeel.wire.HttpProtocolException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Discovery's watch: a chunked answer that stays open, an object for each change of the list. Loop only. */
-final class Discovery {
+final class DiscoveryClient {
     /**
      * An empty line comes every two seconds, and what a silent watch misses counts as told six after it fell silent: a
      * second one that is silent too must leave time for a third.
@@ -28,51 +28,57 @@
 
     private static final HttpLimits LIMITS = new HttpLimits(1 << 10, 8 << 10, 64, LARGEST);
 
-    private static final Logger LOG = LoggerFactory.getLogger(Discovery.class);
+    private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
 
-    private final Loop loop;
-    private final Machines machines;
+    private final EventLoop loop;
+    private final EndpointDirectory machines;
     private final Consumer<Event> to;
-    private final Feed feed;
+    private final StreamConnection feed;
     private boolean heard;
 
     /** One connection's answer. */
-    private final class Reading implements Feed.Ear {
+    private final class Reading implements StreamConnection.Ear {
         private final List<byte[]> parts = new ArrayList<>();
         private final HttpParser parser = HttpParser.streamed(LIMITS, parts::add);
-        private final Values values = new Values(LARGEST);
+        private final JsonObjectReader values = new JsonObjectReader(LARGEST);
 
         @Override
-        public boolean take(byte[] bytes, long arrived) throws Spoilt {
+        public boolean take(byte[] bytes, long arrived) throws MalformedMessageException {
             boolean told = false;
             try {
                 ByteBuffer in = ByteBuffer.wrap(bytes);
                 while (in.hasRemaining()) {
                     boolean whole = parser.read(in) != null;
                     if ((whole || parser.inBody()) && parser.status() != 200) {
-                        throw new Spoilt("status " + parser.status());
+                        throw new MalformedMessageException("status " + parser.status());
                     }
                     for (byte[] part : parts) {
-                        told |= values.take(part, Discovery.this::told);
+                        told |= values.take(part, DiscoveryClient.this::told);
                     }
                     parts.clear();
                     if (whole) {
-                        throw new Spoilt("the watch ended");
+                        throw new MalformedMessageException("the watch ended");
                     }
                 }
-            } catch (BadHttp e) {
-                throw new Spoilt(e.getMessage());
+            } catch (HttpProtocolException e) {
+                throw new MalformedMessageException(e.getMessage());
             }
             return told;
         }
     }
 
-    Discovery(Links links, Loop loop, long seed, Machines machines, InetSocketAddress at, Consumer<Event> to) {
+    DiscoveryClient(
+            ServiceConnections links,
+            EventLoop loop,
+            long seed,
+            EndpointDirectory machines,
+            InetSocketAddress at,
+            Consumer<Event> to) {
         this.loop = loop;
         this.machines = machines;
         this.to = to;
         String host = at.getHostString();
-        feed = new Feed(
+        feed = new StreamConnection(
                 "discovery",
                 links,
                 loop,
@@ -87,10 +93,10 @@
                 Reading::new);
     }
 
-    private void told(JsonNode value) throws Spoilt {
+    private void told(JsonNode value) throws MalformedMessageException {
         Event.EndpointListUpdate list = machines.told(value, loop.now());
         heard = true;
-        if (Front.TRACE) {
+        if (FrontNode.TRACE) {
             String text = value.toString();
             LOG.info("trace list {}", text.length() > 2_000 ? text.substring(0, 2_000) : text);
         }
--- a/src/main/java/laurelkeel/platform/Machines.java
+++ b/src/main/java/laurelkeel/platform/EndpointDirectory.java
@@ -12,10 +12,10 @@
 import laurelkeel.api.Event.EndpointEntry;
 import laurelkeel.api.Event.EndpointListKind;
 import laurelkeel.api.Event.EndpointState;
-import laurelkeel.front.upstream.Place;
+import laurelkeel.front.upstream.EndpointAddress;
 
 /** Discovery's list: what it says of each machine, and where each is reached. Loop only. */
-final class Machines {
+final class EndpointDirectory {
     /** What discovery knows has come after six seconds: who is older still then has begun anew. */
     private static final long CATCH_UP = 60_000;
 
@@ -23,10 +23,10 @@
             Map.of("active", EndpointState.ACTIVE, "leaving", EndpointState.DRAINING, "left", EndpointState.REMOVED);
 
     /** A machine as it was last listed, with its start as discovery told it; changed is when it came to stand so. */
-    private record Entry(EndpointEntry is, Place place, long startedMs, long changed) {}
+    private record Entry(EndpointEntry is, EndpointAddress place, long startedMs, long changed) {}
 
     private final List<String> zones, kinds;
-    private final StartClock starts;
+    private final StartTimeTranslator starts;
     private final Consumer<String> left;
     private final Map<String, Entry> entries = new HashMap<>();
     private long version = -1;
@@ -39,7 +39,7 @@
      * @param starts maps starts to the front's clock
      * @param left told the key of each place that is no machine's any more
      */
-    Machines(List<String> zones, List<String> kinds, StartClock starts, Consumer<String> left) {
+    EndpointDirectory(List<String> zones, List<String> kinds, StartTimeTranslator starts, Consumer<String> left) {
         this.zones = new ArrayList<>(zones);
         this.kinds = new ArrayList<>(kinds);
         this.starts = starts;
@@ -55,19 +55,20 @@
     }
 
     /** What the watch tells as an event; null where it is nothing new. */
-    Event.EndpointListUpdate told(JsonNode value, long now) throws Spoilt {
+    Event.EndpointListUpdate told(JsonNode value, long now) throws MalformedMessageException {
         return read(value, false, now);
     }
 
     /** The list of the configuration, as this node last had it. */
-    Event.EndpointListUpdate known(JsonNode known, long now) throws Spoilt {
+    Event.EndpointListUpdate known(JsonNode known, long now) throws MalformedMessageException {
         return read(known, true, now);
     }
 
-    private Event.EndpointListUpdate read(JsonNode line, boolean remembered, long now) throws Spoilt {
+    private Event.EndpointListUpdate read(JsonNode line, boolean remembered, long now)
+            throws MalformedMessageException {
         JsonNode servers = line == null ? null : line.get("servers");
         if (servers == null || !servers.isArray() || !line.path("version").isIntegralNumber()) {
-            throw new Spoilt("no list: " + Spoilt.shown(String.valueOf(line)));
+            throw new MalformedMessageException("no list: " + MalformedMessageException.shown(String.valueOf(line)));
         }
         boolean full = line.path("full").asBoolean(false);
         long to = line.path("version").longValue();
@@ -78,7 +79,8 @@
             olderSince = olderSince < 0 ? now : olderSince;
             if (now < olderSince + CATCH_UP) {
                 // who tells it lags behind, or told it long ago: it may name machines that drain as sound ones
-                throw new Spoilt("a whole list of version " + to + ", where " + version + " is held");
+                throw new MalformedMessageException(
+                        "a whole list of version " + to + ", where " + version + " is held");
             }
         }
         olderSince = -1;
@@ -121,11 +123,12 @@
                 told.stream().map(Entry::is).toList());
     }
 
-    private Entry entry(JsonNode s, long now, boolean change) throws Spoilt {
+    private Entry entry(JsonNode s, long now, boolean change) throws MalformedMessageException {
         String id = s.path("id").asText("");
         EndpointState state = STATES.get(s.path("state").asText(""));
         if (id.isEmpty() || state == null) {
-            throw new Spoilt("a machine without id or state: " + Spoilt.shown(s.toString()));
+            throw new MalformedMessageException(
+                    "a machine without id or state: " + MalformedMessageException.shown(s.toString()));
         }
         double size = s.path("weight").asDouble(1);
         long startedMs = s.path("started_ms").asLong(0);
@@ -147,7 +150,8 @@
         // the same machine anew, with another build or elsewhere gets no connection of its forerunner
         return new Entry(
                 is,
-                new Place(id + "@" + addr + "/" + is.build() + "/" + is.startedAtTicks(), Addresses.of(addr)),
+                new EndpointAddress(
+                        id + "@" + addr + "/" + is.build() + "/" + is.startedAtTicks(), Ipv4Addresses.of(addr)),
                 startedMs,
                 now);
     }
@@ -163,9 +167,9 @@
     }
 
     /** Where a machine is; where it is listed no more it cannot be reached. */
-    Place place(String machine) {
+    EndpointAddress place(String machine) {
         Entry e = entries.get(machine);
-        return e == null ? new Place(machine, null) : e.place;
+        return e == null ? new EndpointAddress(machine, null) : e.place;
     }
 
     /** The build of a machine that stands as it did at a moment and takes new reqs; -1 for any other. */
--- a/src/main/java/laurelkeel/platform/BadConfig.java
+++ b/src/main/java/laurelkeel/platform/InvalidConfigurationException.java
@@ -1,16 +1,16 @@
 package laurelkeel.platform;
 
 /** A configuration that cannot be followed; the message names the field or the file, and what is wrong. */
-public final class BadConfig extends Exception {
+public final class InvalidConfigurationException extends Exception {
     private static final long serialVersionUID = 1;
 
     private final boolean readable;
 
-    BadConfig(String message) {
+    InvalidConfigurationException(String message) {
         this(message, true);
     }
 
-    BadConfig(String message, boolean readable) {
+    InvalidConfigurationException(String message, boolean readable) {
         super(message);
         this.readable = readable;
     }
--- a/src/main/java/laurelkeel/platform/Addresses.java
+++ b/src/main/java/laurelkeel/platform/Ipv4Addresses.java
@@ -5,8 +5,8 @@
 import java.net.UnknownHostException;
 
 /** Addresses as the platform writes them: four numbers and a port. There is no DNS, so no name is ever looked up. */
-final class Addresses {
-    private Addresses() {}
+final class Ipv4Addresses {
+    private Ipv4Addresses() {}
 
     /** null where it is no such address. */
     static InetSocketAddress of(String s) {
--- a/src/main/java/laurelkeel/platform/Values.java
+++ b/src/main/java/laurelkeel/platform/JsonObjectReader.java
@@ -8,10 +8,10 @@
 import java.io.IOException;
 
 /** JSON objects off bytes that come in any pieces, however each is laid out over lines, and each to a bound. */
-final class Values {
+final class JsonObjectReader {
 
     interface Each {
-        void value(JsonNode object) throws Spoilt;
+        void value(JsonNode object) throws MalformedMessageException;
     }
 
     private final int most;
@@ -20,10 +20,10 @@
     private TokenBuffer tokens;
     private int depth, size;
 
-    Values(int most) {
+    JsonObjectReader(int most) {
         this.most = most;
         try {
-            parser = Config.JSON.getFactory().createNonBlockingByteArrayParser();
+            parser = NodeConfiguration.JSON.getFactory().createNonBlockingByteArrayParser();
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -31,32 +31,33 @@
     }
 
     /** True where a value came whole, or a line that is blank. */
-    boolean take(byte[] bytes, Each each) throws Spoilt {
+    boolean take(byte[] bytes, Each each) throws MalformedMessageException {
         boolean told = tokens == null && blankLine(bytes);
         size = tokens == null ? bytes.length : size + bytes.length;
         if (size > most) {
-            throw new Spoilt("a value of over " + most + " bytes");
+            throw new MalformedMessageException("a value of over " + most + " bytes");
         }
         try {
             feeder.feedInput(bytes, 0, bytes.length);
             for (JsonToken t = parser.nextToken(); t != JsonToken.NOT_AVAILABLE; t = parser.nextToken()) {
                 if (tokens == null) {
                     if (t != JsonToken.START_OBJECT) {
-                        throw new Spoilt("no object: " + t);
+                        throw new MalformedMessageException("no object: " + t);
                     }
-                    tokens = new TokenBuffer(Config.JSON, false);
+                    tokens = new TokenBuffer(NodeConfiguration.JSON, false);
                 }
                 tokens.copyCurrentEvent(parser);
                 depth += t.isStructStart() ? 1 : t.isStructEnd() ? -1 : 0;
                 if (depth == 0) {
-                    JsonNode whole = Config.JSON.readTree(tokens.asParser());
+                    JsonNode whole = NodeConfiguration.JSON.readTree(tokens.asParser());
                     tokens = null;
                     told = true;
                     each.value(whole);
                 }
             }
         } catch (IOException e) {
-            throw new Spoilt("no JSON: " + e.getMessage().lines().findFirst().orElse(""));
+            throw new MalformedMessageException(
+                    "no JSON: " + e.getMessage().lines().findFirst().orElse(""));
         }
         return told;
     }
--- a/src/main/java/laurelkeel/platform/Loads.java
+++ b/src/main/java/laurelkeel/platform/LoadReportParser.java
@@ -7,7 +7,7 @@
 import laurelkeel.api.LoadReport;
 
 /** Load reports, by the names that the decider knows their values under. One that cannot be read is none. */
-final class Loads {
+final class LoadReportParser {
     private static final Map<String, String> NAMES = Map.of(
             "inflight",
             "concurrent",
@@ -22,14 +22,14 @@
             "eps",
             "err_ps");
 
-    private Loads() {}
+    private LoadReportParser() {}
 
     static LoadReport read(String told) {
         if (told == null) {
             return LoadReport.NONE;
         }
         try {
-            JsonNode all = Config.JSON.readTree(told);
+            JsonNode all = NodeConfiguration.JSON.readTree(told);
             Map<String, Double> out = new HashMap<>();
             all.properties().forEach(e -> {
                 if (e.getValue().isNumber()) {
--- a/src/main/java/laurelkeel/platform/Spoilt.java
+++ b/src/main/java/laurelkeel/platform/MalformedMessageException.java
@@ -1,10 +1,10 @@
 package laurelkeel.platform;
 
 /** Bytes of a source that cannot be what it is to say; its connection is of no further use. */
-final class Spoilt extends Exception {
+final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Spoilt(String what) {
+    MalformedMessageException(String what) {
         super(what, null, false, false);
     }
 
--- a/src/main/java/laurelkeel/platform/Config.java
+++ b/src/main/java/laurelkeel/platform/NodeConfiguration.java
@@ -11,8 +11,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import laurelkeel.api.Settings;
-import laurelkeel.options.BadOption;
-import laurelkeel.options.Options;
+import laurelkeel.options.InvalidOptionException;
+import laurelkeel.options.OptionsParser;
 
 /**
  * What the platform tells a front node at its start, and again at each SIGHUP. Fields that are not known are passed
@@ -22,7 +22,7 @@
  * @param known the machine list as this node last had it; null where there is none
  * @param sockets descriptors that the process may hold
  */
-public record Config(
+public record NodeConfiguration(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
@@ -32,46 +32,46 @@
         JsonNode news,
         JsonNode known,
         Settings settings,
-        Options.Real real) {
+        OptionsParser.SocketOptions real) {
     static final ObjectMapper JSON = new ObjectMapper();
 
     /** @param env the environment, whose RELAY_NAME and RELAY_LISTEN stand for fields that the file lacks */
-    public static Config read(Path file, Map<String, String> env) throws BadConfig {
+    public static NodeConfiguration read(Path file, Map<String, String> env) throws InvalidConfigurationException {
         try {
             return of(JSON.readTree(Files.readAllBytes(file)), env);
         } catch (JsonProcessingException e) {
-            throw new BadConfig(file + " is no JSON: " + e.getOriginalMessage());
+            throw new InvalidConfigurationException(file + " is no JSON: " + e.getOriginalMessage());
         } catch (NoSuchFileException e) {
-            throw new BadConfig(file + " is not there; RELAY_CONFIG must name the configuration");
+            throw new InvalidConfigurationException(file + " is not there; RELAY_CONFIG must name the configuration");
         } catch (IOException e) {
-            throw new BadConfig(file + " cannot be read: " + e.getMessage(), false);
+            throw new InvalidConfigurationException(file + " cannot be read: " + e.getMessage(), false);
         }
     }
 
-    public static Config of(JsonNode all, Map<String, String> env) throws BadConfig {
+    public static NodeConfiguration of(JsonNode all, Map<String, String> env) throws InvalidConfigurationException {
         if (all == null || !all.isObject()) {
-            throw new BadConfig("the configuration is no JSON object");
+            throw new InvalidConfigurationException("the configuration is no JSON object");
         }
         JsonNode settings = all.get("settings");
         if (settings == null || !settings.isObject()) {
-            throw new BadConfig("settings: is missing or no object");
+            throw new InvalidConfigurationException("settings: is missing or no object");
         }
         Map<String, String> pairs = new HashMap<>();
         flatten("", settings, pairs);
         JsonNode sockets = all.path("limits").path("sockets");
         if (!sockets.isInt() || sockets.intValue() < 1) {
-            throw new BadConfig("limits.sockets: must be a whole number above 0");
+            throw new InvalidConfigurationException("limits.sockets: must be a whole number above 0");
         }
         JsonNode rollouts = all.path("rollouts");
         try {
-            Settings set = Options.settings(pairs);
+            Settings set = OptionsParser.settings(pairs);
             if (set.routes().isEmpty()) {
-                throw new BadConfig("settings.services: names no route");
+                throw new InvalidConfigurationException("settings.services: names no route");
             }
             if (set.rollout().stageExposureCaps().isEmpty()) {
-                throw new BadConfig("settings.familyInfo.stageCap: is missing");
+                throw new InvalidConfigurationException("settings.familyInfo.stageCap: is missing");
             }
-            return new Config(
+            return new NodeConfiguration(
                     text(all, "name", env.get("RELAY_NAME")),
                     address("listen", text(all, "listen", env.get("RELAY_LISTEN"))),
                     address("discovery", text(all, "discovery", env.get("RELAY_DISCOVERY"))),
@@ -81,9 +81,9 @@
                     object(rollouts.get("news")),
                     object(all.get("known")),
                     set,
-                    Options.real(pairs));
-        } catch (BadOption e) {
-            throw new BadConfig("settings." + e.getMessage());
+                    OptionsParser.real(pairs));
+        } catch (InvalidOptionException e) {
+            throw new InvalidConfigurationException("settings." + e.getMessage());
         }
     }
 
@@ -91,18 +91,18 @@
         return n == null || !n.isObject() ? null : n;
     }
 
-    private static String text(JsonNode all, String field, String absent) throws BadConfig {
+    private static String text(JsonNode all, String field, String absent) throws InvalidConfigurationException {
         String s = all.path(field).asText(absent);
         if (s == null || s.isEmpty()) {
-            throw new BadConfig(field + ": is missing");
+            throw new InvalidConfigurationException(field + ": is missing");
         }
         return s;
     }
 
-    static InetSocketAddress address(String field, String s) throws BadConfig {
-        InetSocketAddress at = s == null ? null : Addresses.of(s);
+    static InetSocketAddress address(String field, String s) throws InvalidConfigurationException {
+        InetSocketAddress at = s == null ? null : Ipv4Addresses.of(s);
         if (at == null) {
-            throw new BadConfig(field + ": '" + s + "' is no address as 10.0.0.4:5000");
+            throw new InvalidConfigurationException(field + ": '" + s + "' is no address as 10.0.0.4:5000");
         }
         return at;
     }
--- a/src/main/java/laurelkeel/platform/Node.java
+++ b/src/main/java/laurelkeel/platform/PlatformNode.java
@@ -8,26 +8,26 @@
 import laurelkeel.api.Decider;
 import laurelkeel.api.Event;
 import laurelkeel.api.Event.RolloutPhase;
-import laurelkeel.front.Base;
-import laurelkeel.front.Dialect;
-import laurelkeel.front.Front;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.front.EventInbox;
+import laurelkeel.front.FrontNode;
 import laurelkeel.front.FrontStatus;
-import laurelkeel.front.Inbox;
-import laurelkeel.front.Outfit;
+import laurelkeel.front.NodeRuntime;
+import laurelkeel.front.NodeServices;
+import laurelkeel.front.Protocol;
 import laurelkeel.front.ingress.IngressSettings;
-import laurelkeel.front.upstream.Place;
+import laurelkeel.front.upstream.EndpointAddress;
 import laurelkeel.front.upstream.UpstreamSettings;
-import laurelkeel.loop.Loop;
 import laurelkeel.wire.Headers;
-import laurelkeel.wire.HttpAnswer;
 import laurelkeel.wire.HttpLimits;
-import laurelkeel.wire.HttpReq;
+import laurelkeel.wire.HttpRequest;
+import laurelkeel.wire.HttpResponse;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** A front as one node of the platform: its words, its discovery, its release desk, and bounds from its limits. */
-public final class Node implements Outfit {
-    private static final Logger LOG = LoggerFactory.getLogger(Node.class);
+public final class PlatformNode implements NodeServices {
+    private static final Logger LOG = LoggerFactory.getLogger(PlatformNode.class);
     /** No body of the platform has more. */
     private static final int BODY = 64 << 10;
     /** Descriptors for all but reqs: the runtime's files and selectors, the listener, discovery, the desk. */
@@ -49,37 +49,38 @@
     /** A node is ready without discovery or desk after this, for both may be down. */
     private static final long READY_ANYWAY = 30_000;
 
-    private final Config config;
+    private final NodeConfiguration config;
     private final Decider decider;
-    private final Base base;
-    private final Loop loop;
-    private final Words words;
-    private final Machines machines;
-    private final Links links;
-    private final Discovery discovery;
-    private final Desk desk;
-    private final Inbox inbox;
+    private final NodeRuntime base;
+    private final EventLoop loop;
+    private final PlatformProtocol words;
+    private final EndpointDirectory machines;
+    private final ServiceConnections links;
+    private final DiscoveryClient discovery;
+    private final ControlServiceClient desk;
+    private final EventInbox inbox;
     private final long startedAt;
     /** Made for this node, which itself never calls it: set before anybody has the node. */
-    private Front front;
+    private FrontNode front;
 
     private int newsBuild = -1;
     private double newsCap;
     private long loweredAt = Long.MIN_VALUE;
 
-    private Node(Config config, Decider.Factory maker, Base base) {
+    private PlatformNode(NodeConfiguration config, Decider.Factory maker, NodeRuntime base) {
         this.config = config;
         decider = maker.create(config.settings(), config.seed());
         this.base = base;
         loop = base.loop();
         inbox = base.inbox();
         startedAt = loop.now();
-        words = new Words(config.settings(), config.real());
+        words = new PlatformProtocol(config.settings(), config.real());
         long epoch = loop.clock() - System.currentTimeMillis() * 10;
-        machines = new Machines(config.real().zones(), config.real().kinds(), new StartClock(epoch), inbox::leave);
-        links = new Links(loop, base.socketThreads(), base.shared());
-        discovery = new Discovery(links, loop, config.seed() * 2, machines, config.discovery(), inbox::learn);
-        desk = new Desk(
+        machines = new EndpointDirectory(
+                config.real().zones(), config.real().kinds(), new StartTimeTranslator(epoch), inbox::leave);
+        links = new ServiceConnections(loop, base.socketThreads(), base.shared());
+        discovery = new DiscoveryClient(links, loop, config.seed() * 2, machines, config.discovery(), inbox::learn);
+        desk = new ControlServiceClient(
                 links,
                 loop,
                 config.seed() * 2 + 1,
@@ -96,29 +97,31 @@
             if (config.known() != null) {
                 inbox.learn(machines.known(config.known(), loop.now()));
             }
-        } catch (Spoilt e) {
+        } catch (MalformedMessageException e) {
             LOG.warn("known: the list of the configuration cannot be read; waiting for discovery: {}", e.getMessage());
         }
-        Event.RolloutUpdate news = Desk.known(config.news());
+        Event.RolloutUpdate news = ControlServiceClient.known(config.news());
         if (news != null) {
             news(news);
         }
     }
 
     /** A front node with the decider that maker makes; it runs once its front is started. */
-    public static Node of(Config config, Decider.Factory maker) {
-        return of(config, maker, Base.clock());
+    public static PlatformNode of(NodeConfiguration config, Decider.Factory maker) {
+        return of(config, maker, NodeRuntime.clock());
     }
 
     /** @param clock tenths of a millisecond that only advance */
-    static Node of(Config config, Decider.Factory maker, LongSupplier clock) {
+    static PlatformNode of(NodeConfiguration config, Decider.Factory maker, LongSupplier clock) {
         return of(config, maker, clock, node -> node);
     }
 
     /** @param between what the front is handed for the node: a test may stand between the two */
-    static Node of(Config config, Decider.Factory maker, LongSupplier clock, UnaryOperator<Outfit> between) {
-        Node node = new Node(config, maker, Base.small(clock));
-        node.front = new Front(config.settings(), door(config), machineSide(config), node.base, between.apply(node));
+    static PlatformNode of(
+            NodeConfiguration config, Decider.Factory maker, LongSupplier clock, UnaryOperator<NodeServices> between) {
+        PlatformNode node = new PlatformNode(config, maker, NodeRuntime.small(clock));
+        node.front =
+                new FrontNode(config.settings(), door(config), machineSide(config), node.base, between.apply(node));
         return node;
     }
 
@@ -126,7 +129,7 @@
         return machines.version();
     }
 
-    public Front front() {
+    public FrontNode front() {
         return front;
     }
 
@@ -140,7 +143,7 @@
         return Math.max(8, sockets - OWN_SOCKETS - clients - clients / SPARE);
     }
 
-    private static IngressSettings door(Config c) {
+    private static IngressSettings door(NodeConfiguration c) {
         int open = clientConnections(c.sockets());
         int held = c.real().mostOpen() > 0 ? Math.min(c.real().mostOpen(), open * 2) : open * 2;
         // a drain takes as long as the longest route at least, and need not take longer
@@ -162,7 +165,7 @@
                 KEEP);
     }
 
-    private static UpstreamSettings machineSide(Config c) {
+    private static UpstreamSettings machineSide(NodeConfiguration c) {
         int most = machineConnections(c.sockets());
         long idle = c.real().idleClose() > 0 ? c.real().idleClose() : 100_000;
         return new UpstreamSettings(
@@ -187,7 +190,7 @@
     }
 
     /** Follows a configuration that has replaced the one before; from any thread. */
-    public void follow(Config next) {
+    public void follow(NodeConfiguration next) {
         loop.postNews(() -> {
             LOG.info("discovery is at {}, the release desk at {}", next.discovery(), next.desk());
             discovery.move(next.discovery());
@@ -213,7 +216,7 @@
     }
 
     @Override
-    public Dialect dialect() {
+    public Protocol dialect() {
         return words;
     }
 
@@ -223,7 +226,7 @@
     }
 
     @Override
-    public Place place(String machine) {
+    public EndpointAddress place(String machine) {
         return machines.place(machine);
     }
 
@@ -234,12 +237,12 @@
     }
 
     @Override
-    public HttpAnswer own(HttpReq http, String health) {
+    public HttpResponse own(HttpRequest http, String health) {
         boolean ready =
                 !machines.empty() && ((discovery.heard() && desk.heard()) || loop.now() > startedAt + READY_ANYWAY);
         boolean well = ready && health.equals("ok");
         String text = well ? "ok\n" : ready ? health + "\n" : "starting\n";
-        return new HttpAnswer(well ? 200 : 503, new Headers(), text.getBytes(StandardCharsets.US_ASCII));
+        return new HttpResponse(well ? 200 : 503, new Headers(), text.getBytes(StandardCharsets.US_ASCII));
     }
 
     @Override
--- a/src/main/java/laurelkeel/platform/Links.java
+++ b/src/main/java/laurelkeel/platform/ServiceConnections.java
@@ -2,8 +2,8 @@
 
 import java.net.InetSocketAddress;
 import java.util.concurrent.Executor;
-import laurelkeel.front.upstream.Dial;
-import laurelkeel.loop.Loop;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.front.upstream.ConnectAttempt;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.service.SimpleIoProcessorPool;
 import org.apache.mina.core.session.AttributeKey;
@@ -14,9 +14,9 @@
 import org.slf4j.LoggerFactory;
 
 /** Connections to the platform's own services, as bytes. All that is heard comes on the loop, ahead of traffic. */
-final class Links {
-    private static final Logger LOG = LoggerFactory.getLogger(Links.class);
-    private static final AttributeKey LINK = new AttributeKey(Links.class, "link");
+final class ServiceConnections {
+    private static final Logger LOG = LoggerFactory.getLogger(ServiceConnections.class);
+    private static final AttributeKey LINK = new AttributeKey(ServiceConnections.class, "link");
     private static final long DIAL = 10_000;
 
     interface Heard {
@@ -28,12 +28,12 @@
     }
 
     /** One connection, from its dialling on. Loop only. */
-    static final class Link {
+    static final class ServiceConnection {
         private final Heard heard;
         private IoSession session;
         private boolean over;
 
-        private Link(Heard heard) {
+        private ServiceConnection(Heard heard) {
             this.heard = heard;
         }
 
@@ -62,13 +62,13 @@
         }
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final NioSocketConnector connector;
 
-    Links(Loop loop, Executor threads, SimpleIoProcessorPool<NioSession> processors) {
+    ServiceConnections(EventLoop loop, Executor threads, SimpleIoProcessorPool<NioSession> processors) {
         this.loop = loop;
         connector = new NioSocketConnector(threads, processors);
-        connector.setConnectTimeoutMillis(Dial.MINA_TIMEOUT_MS);
+        connector.setConnectTimeoutMillis(ConnectAttempt.MINA_TIMEOUT_MS);
         connector.getSessionConfig().setTcpNoDelay(true);
         // by the wall clock, which may be stepped: who awaits an answer bounds it
         connector.getSessionConfig().setWriteTimeout(0);
@@ -80,17 +80,17 @@
     }
 
     /** Dials, and writes the opening bytes once it is up. Whatever fails is told to heard, and later, never thrown. */
-    Link open(InetSocketAddress at, byte[] opening, Heard heard) {
-        Link link = new Link(heard);
+    ServiceConnection open(InetSocketAddress at, byte[] opening, Heard heard) {
+        ServiceConnection link = new ServiceConnection(heard);
         try {
-            Dial.start(
+            ConnectAttempt.start(
                     connector,
                     loop,
                     loop::postNews,
                     DIAL,
                     at,
                     session -> session.setAttribute(LINK, link),
-                    new Dial.Outcome() {
+                    new ConnectAttempt.Outcome() {
                         @Override
                         public void connected(IoSession session) {
                             link.connected(session, opening);
@@ -115,21 +115,21 @@
         return link;
     }
 
-    private static void ended(Link link, boolean written) {
+    private static void ended(ServiceConnection link, boolean written) {
         if (!link.over) {
             link.over = true;
             link.heard.closed(written);
         }
     }
 
-    private final class Handler extends Dial.Handler {
+    private final class Handler extends ConnectAttempt.Handler {
         @Override
         public void messageReceived(IoSession session, Object message) {
             IoBuffer in = (IoBuffer) message;
             byte[] bytes = new byte[in.remaining()];
             in.get(bytes);
             long arrived = loop.clock();
-            Link link = (Link) session.getAttribute(LINK);
+            ServiceConnection link = (ServiceConnection) session.getAttribute(LINK);
             loop.postNews(() -> {
                 if (!link.over) {
                     link.heard.bytes(bytes, arrived);
@@ -139,7 +139,7 @@
 
         @Override
         public void sessionClosed(IoSession session) {
-            Link link = (Link) session.getAttribute(LINK);
+            ServiceConnection link = (ServiceConnection) session.getAttribute(LINK);
             boolean written = session.getWrittenBytes() > 0;
             loop.postNews(() -> ended(link, written));
         }
--- a/src/main/java/laurelkeel/platform/StartClock.java
+++ b/src/main/java/laurelkeel/platform/StartTimeTranslator.java
@@ -6,7 +6,7 @@
  * told of, and none that is first told while a watch runs started longer ago than lists may be late. A clock that was ahead
  * by less than that cannot be told from lists that are late, and is believed.
  */
-final class StartClock {
+final class StartTimeTranslator {
     /** Further off is no clock's fault: the time itself is wrong. Tenths of a millisecond. */
     private static final long MOST_CORRECTION = 7L * 24 * 3600 * 10_000;
 
@@ -18,7 +18,7 @@
     private long epoch;
 
     /** @param epoch the front's clock when this host's Unix clock stood at 0 */
-    StartClock(long epoch) {
+    StartTimeTranslator(long epoch) {
         this.epoch = epoch;
     }
 
--- a/src/main/java/laurelkeel/platform/Feed.java
+++ b/src/main/java/laurelkeel/platform/StreamConnection.java
@@ -2,8 +2,8 @@
 
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
-import laurelkeel.front.news.Pause;
-import laurelkeel.loop.Loop;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.front.controlplane.ReconnectBackoff;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -11,8 +11,8 @@
  * Keeps one connection to a source that goes on telling. Where it is silent for long or its address moves, another is
  * opened beside it, and the old one ends once the new one has spoken: nothing told in between is missed. Loop only.
  */
-final class Feed {
-    private static final Logger LOG = LoggerFactory.getLogger(Feed.class);
+final class StreamConnection {
+    private static final Logger LOG = LoggerFactory.getLogger(StreamConnection.class);
     private static final long LOOK = 1_000;
     /** A source that is up answers at once: one that has not by then is tried anew. */
     private static final long FIRST_WORD = 7_000;
@@ -22,30 +22,30 @@
     /** Reads one connection's bytes. */
     interface Ear {
         /** True where it has told something. */
-        boolean take(byte[] bytes, long arrived) throws Spoilt;
+        boolean take(byte[] bytes, long arrived) throws MalformedMessageException;
     }
 
     private final String name;
-    private final Links links;
-    private final Loop loop;
+    private final ServiceConnections links;
+    private final EventLoop loop;
     private final Supplier<byte[]> opening;
     private final Supplier<Ear> ears;
     private final long silence;
-    private final Pause pause;
+    private final ReconnectBackoff pause;
     private InetSocketAddress at;
     private One current, beside;
     private long again;
     private boolean started, closed;
 
     /** One connection and what it told. */
-    private final class One implements Links.Heard {
+    private final class One implements ServiceConnections.Heard {
         private final Ear ear = ears.get();
         private final InetSocketAddress where = at;
         private final long since = loop.now();
         /** When it last told something, and when bytes of it last came, which may be of something not yet whole. */
         private long toldAt = since, bytesAt = since;
 
-        private final Links.Link link = links.open(at, opening.get(), this);
+        private final ServiceConnections.ServiceConnection link = links.open(at, opening.get(), this);
 
         @Override
         public void bytes(byte[] bytes, long arrived) {
@@ -57,7 +57,7 @@
                         replaces();
                     }
                 }
-            } catch (Spoilt e) {
+            } catch (MalformedMessageException e) {
                 LOG.warn("{} said what cannot be read and is asked anew: {}", name, e.getMessage());
                 link.close();
                 lost(this);
@@ -91,10 +91,10 @@
      * @param at where the source is, until it moves
      * @param silence after so long with nothing told another connection is opened beside
      */
-    Feed(
+    StreamConnection(
             String name,
-            Links links,
-            Loop loop,
+            ServiceConnections links,
+            EventLoop loop,
             long seed,
             InetSocketAddress at,
             long silence,
@@ -107,7 +107,7 @@
         this.silence = silence;
         this.opening = opening;
         this.ears = ears;
-        this.pause = new Pause(seed, LEAST_PAUSE_MS, MOST_PAUSE_MS);
+        this.pause = new ReconnectBackoff(seed, LEAST_PAUSE_MS, MOST_PAUSE_MS);
     }
 
     /** Once; a source that has moved or closed before is dialled where it is now, or not at all. */
--- a/src/main/java/laurelkeel/records/Recorder.java
+++ b/src/main/java/laurelkeel/records/Recorder.java
@@ -103,7 +103,7 @@
     }
 
     /** Never fails its caller: what a full disk does not take is counted, and told in the file once there is room. */
-    public synchronized void record(Rec r) {
+    public synchronized void record(TrafficRecord r) {
         try {
             lines.writeBytes(line(r));
         } catch (UncheckedIOException e) {
@@ -117,7 +117,7 @@
         }
     }
 
-    private static byte[] line(Rec r) {
+    private static byte[] line(TrafficRecord r) {
         try {
             return (JSON.writeValueAsString(r) + '\n').getBytes(StandardCharsets.UTF_8);
         } catch (JsonProcessingException e) {
@@ -137,7 +137,7 @@
             reopen();
             before = out.size();
             if (lostUntold > 0) {
-                write(line(new Rec.Lost(now(), lostUntold)));
+                write(line(new TrafficRecord.Lost(now(), lostUntold)));
             }
             write(lines.toByteArray());
             lostUntold = 0;
@@ -189,8 +189,8 @@
      *
      * @throws IOException naming file and line where one cannot be read; a last line cut off by a kill is passed over
      */
-    public static List<Rec> readAll(Path folder) throws IOException {
-        List<Rec> all = new ArrayList<>();
+    public static List<TrafficRecord> readAll(Path folder) throws IOException {
+        List<TrafficRecord> all = new ArrayList<>();
         List<Path> files;
         try (Stream<Path> in = Files.list(folder)) {
             files = in.filter(f -> f.toString().endsWith(".jsonl")).sorted().toList();
@@ -201,7 +201,7 @@
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
                     n++;
                     try {
-                        all.add(JSON.readValue(line, Rec.class));
+                        all.add(JSON.readValue(line, TrafficRecord.class));
                     } catch (JsonProcessingException e) {
                         if (in.readLine() != null) {
                             throw new IOException(f + ":" + n + ": no record: " + e.getOriginalMessage(), e);
@@ -210,7 +210,7 @@
                 }
             }
         }
-        all.sort(Comparator.comparingLong(Rec::t));
+        all.sort(Comparator.comparingLong(TrafficRecord::t));
         return all;
     }
 }
--- a/src/main/java/laurelkeel/records/Rec.java
+++ b/src/main/java/laurelkeel/records/TrafficRecord.java
@@ -13,28 +13,28 @@
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "k")
 @JsonInclude(JsonInclude.Include.NON_NULL)
 @JsonSubTypes({
-    @JsonSubTypes.Type(value = Rec.Rules.class, name = "rules"),
-    @JsonSubTypes.Type(value = Rec.Asked.class, name = "asked"),
-    @JsonSubTypes.Type(value = Rec.Answered.class, name = "answered"),
-    @JsonSubTypes.Type(value = Rec.Stray.class, name = "stray"),
-    @JsonSubTypes.Type(value = Rec.Broke.class, name = "broke"),
-    @JsonSubTypes.Type(value = Rec.LeftEarly.class, name = "left"),
-    @JsonSubTypes.Type(value = Rec.FrontUp.class, name = "frontUp"),
-    @JsonSubTypes.Type(value = Rec.FrontDown.class, name = "frontDown"),
-    @JsonSubTypes.Type(value = Rec.ToldList.class, name = "toldList"),
-    @JsonSubTypes.Type(value = Rec.ToldNews.class, name = "toldNews"),
-    @JsonSubTypes.Type(value = Rec.MachineUp.class, name = "machineUp"),
-    @JsonSubTypes.Type(value = Rec.MachineDown.class, name = "machineDown"),
-    @JsonSubTypes.Type(value = Rec.Arrived.class, name = "arrived"),
-    @JsonSubTypes.Type(value = Rec.TurnedAway.class, name = "turnedAway"),
-    @JsonSubTypes.Type(value = Rec.Ran.class, name = "ran"),
-    @JsonSubTypes.Type(value = Rec.Replied.class, name = "replied"),
-    @JsonSubTypes.Type(value = Rec.Voted.class, name = "voted"),
-    @JsonSubTypes.Type(value = Rec.Stage.class, name = "stage"),
-    @JsonSubTypes.Type(value = Rec.Blamed.class, name = "blamed"),
-    @JsonSubTypes.Type(value = Rec.Lost.class, name = "lost")
+    @JsonSubTypes.Type(value = TrafficRecord.Rules.class, name = "rules"),
+    @JsonSubTypes.Type(value = TrafficRecord.Asked.class, name = "asked"),
+    @JsonSubTypes.Type(value = TrafficRecord.Answered.class, name = "answered"),
+    @JsonSubTypes.Type(value = TrafficRecord.Stray.class, name = "stray"),
+    @JsonSubTypes.Type(value = TrafficRecord.Broke.class, name = "broke"),
+    @JsonSubTypes.Type(value = TrafficRecord.LeftEarly.class, name = "left"),
+    @JsonSubTypes.Type(value = TrafficRecord.FrontUp.class, name = "frontUp"),
+    @JsonSubTypes.Type(value = TrafficRecord.FrontDown.class, name = "frontDown"),
+    @JsonSubTypes.Type(value = TrafficRecord.ToldList.class, name = "toldList"),
+    @JsonSubTypes.Type(value = TrafficRecord.ToldNews.class, name = "toldNews"),
+    @JsonSubTypes.Type(value = TrafficRecord.MachineUp.class, name = "machineUp"),
+    @JsonSubTypes.Type(value = TrafficRecord.MachineDown.class, name = "machineDown"),
+    @JsonSubTypes.Type(value = TrafficRecord.Arrived.class, name = "arrived"),
+    @JsonSubTypes.Type(value = TrafficRecord.TurnedAway.class, name = "turnedAway"),
+    @JsonSubTypes.Type(value = TrafficRecord.Ran.class, name = "ran"),
+    @JsonSubTypes.Type(value = TrafficRecord.Replied.class, name = "replied"),
+    @JsonSubTypes.Type(value = TrafficRecord.Voted.class, name = "voted"),
+    @JsonSubTypes.Type(value = TrafficRecord.Stage.class, name = "stage"),
+    @JsonSubTypes.Type(value = TrafficRecord.Blamed.class, name = "blamed"),
+    @JsonSubTypes.Type(value = TrafficRecord.Lost.class, name = "lost")
 })
-public sealed interface Rec {
+public sealed interface TrafficRecord {
     long t();
 
     enum Effect {
@@ -88,10 +88,10 @@
             int guardedStages,
             boolean keysStay,
             List<Double> stageCaps)
-            implements Rec {}
+            implements TrafficRecord {}
 
     /** So many records before this one did not reach the file. */
-    record Lost(long t, long records) implements Rec {}
+    record Lost(long t, long records) implements TrafficRecord {}
 
     /** A client wrote a req to a front, to be answered before leaves. */
     record Asked(
@@ -105,30 +105,31 @@
             String mark,
             long leaves,
             boolean again)
-            implements Rec {}
+            implements TrafficRecord {}
 
     /** A client read an answer whole. notTaken: the front said that it turned the req away at its door. */
-    record Answered(long t, String req, int status, Final is, boolean notTaken) implements Rec {}
+    record Answered(long t, String req, int status, Final is, boolean notTaken) implements TrafficRecord {}
 
     /** Bytes came that answer nothing asked. */
-    record Stray(long t, String req, String what) implements Rec {}
+    record Stray(long t, String req, String what) implements TrafficRecord {}
 
     /** The connection ended before the answer was whole. */
-    record Broke(long t, String req, String how) implements Rec {}
+    record Broke(long t, String req, String how) implements TrafficRecord {}
 
     /** The client closed of its own will, before its time was up where early. */
-    record LeftEarly(long t, String req, boolean early) implements Rec {}
+    record LeftEarly(long t, String req, boolean early) implements TrafficRecord {}
 
-    record FrontUp(long t, int front, String life) implements Rec {}
+    record FrontUp(long t, int front, String life) implements TrafficRecord {}
 
     /** killed: by force, so that nothing held is owed any more. */
-    record FrontDown(long t, int front, boolean killed) implements Rec {}
+    record FrontDown(long t, int front, boolean killed) implements TrafficRecord {}
 
     record Entry(String machine, long run, int build, State state) {}
 
-    record ToldList(long t, int front, String life, ListKind kind, List<Entry> machines) implements Rec {}
+    record ToldList(long t, int front, String life, ListKind kind, List<Entry> machines) implements TrafficRecord {}
 
-    record ToldNews(long t, int front, String life, int build, int stage, double cap, Phase phase) implements Rec {}
+    record ToldNews(long t, int front, String life, int build, int stage, double cap, Phase phase)
+            implements TrafficRecord {}
 
     /** capacity is in reqs a second when warm; it begins at coldFrom of that and grows evenly over coldFor. */
     record MachineUp(
@@ -144,26 +145,26 @@
             double tipMultiple,
             long tipAfter,
             boolean cold)
-            implements Rec {}
+            implements TrafficRecord {}
 
     /** why: died, drained, tipped. */
-    record MachineDown(long t, String machine, long run, String why) implements Rec {}
+    record MachineDown(long t, String machine, long run, String why) implements TrafficRecord {}
 
     record Arrived(long t, String machine, long run, int build, String req, int no, int front, String life)
-            implements Rec {}
+            implements TrafficRecord {}
 
     /** Before any work: this try provably never ran. */
-    record TurnedAway(long t, String machine, long run, String req, int no) implements Rec {}
+    record TurnedAway(long t, String machine, long run, String req, int no) implements TrafficRecord {}
 
     /** Work began that may have an effect; dropped: known by its mark as a repeat, so without a further effect. */
-    record Ran(long t, String machine, long run, String req, int no, boolean dropped) implements Rec {}
+    record Ran(long t, String machine, long run, String req, int no, boolean dropped) implements TrafficRecord {}
 
-    record Replied(long t, String machine, long run, String req, int no, int status) implements Rec {}
+    record Replied(long t, String machine, long run, String req, int no, int status) implements TrafficRecord {}
 
-    record Voted(long t, int front, int build, int stage, String verdict, String answer) implements Rec {}
+    record Voted(long t, int front, int build, int stage, String verdict, String answer) implements TrafficRecord {}
 
     /** What the release line says of a build from then on: none, open, cleared, guilty or set-aside, and why. */
-    record Blamed(long t, int build, String word, double probability, String evidence) implements Rec {}
+    record Blamed(long t, int build, String word, double probability, String evidence) implements TrafficRecord {}
 
-    record Stage(long t, int build, int stage, double cap, Phase phase) implements Rec {}
+    record Stage(long t, int build, int stage, double cap, Phase phase) implements TrafficRecord {}
 }
--- a/src/main/java/laurelkeel/day/FrontProcess.java
+++ b/src/main/java/laurelkeel/scenario/FrontProcess.java
@@ -1,4 +1,4 @@
-package laurelkeel.day;
+package laurelkeel.scenario;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import laurelkeel.standin.Ports;
+import laurelkeel.testbed.PortAllocator;
 
 /** One front as a process of its own, started from a settings file that the day writes. */
 final class FrontProcess {
@@ -25,13 +25,14 @@
     }
 
     /** Writes the files of all fronts of a plan. */
-    static List<FrontProcess> prepare(DayPlan plan, World world, Path folder, long seed) throws IOException {
+    static List<FrontProcess> prepare(Scenario plan, ScenarioEnvironment world, Path folder, long seed)
+            throws IOException {
         int n = plan.fronts();
         int[] listen = new int[n];
         int[] notes = new int[n];
         for (int i = 0; i < n; i++) {
-            listen[i] = Ports.free();
-            notes[i] = Ports.free();
+            listen[i] = PortAllocator.free();
+            notes[i] = PortAllocator.free();
         }
         StringBuilder peers = new StringBuilder("[peers]\n");
         for (int i = 0; i < n; i++) {
@@ -42,7 +43,7 @@
             String text = "; made for a day; see docs/front.md\n[front]\nnumber = " + i + "\nfronts = " + n
                     + "\nzones = " + String.join(", ", plan.zones()) + "\nzone = "
                     + plan.zones().get(i % plan.zones().size()) + "\nseed = " + (seed * 1000 + i)
-                    + "\nlisten = 127.0.0.1:" + listen[i] + "\nadmin = 127.0.0.1:" + Ports.free()
+                    + "\nlisten = 127.0.0.1:" + listen[i] + "\nadmin = 127.0.0.1:" + PortAllocator.free()
                     + "\nnotes = 127.0.0.1:" + notes[i] + "\nstate = front-" + i + "-state\nrecords = front-" + i
                     + ".jsonl\n" + plan.frontSections() + "[list]\nmode = " + (plan.listAsked() ? "ask" : "push")
                     + "\naddress = 127.0.0.1:" + world.listAt().getPort() + "\n[release]\naddress = 127.0.0.1:"
--- a/src/main/java/laurelkeel/day/DayPlan.java
+++ b/src/main/java/laurelkeel/scenario/Scenario.java
@@ -1,4 +1,4 @@
-package laurelkeel.day;
+package laurelkeel.scenario;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -11,24 +11,24 @@
 import java.util.List;
 import java.util.Map;
 import laurelkeel.api.Settings;
-import laurelkeel.config.BadSettings;
-import laurelkeel.config.Ini;
-import laurelkeel.config.Section;
+import laurelkeel.config.IniFile;
+import laurelkeel.config.IniSection;
+import laurelkeel.config.InvalidSettingsException;
 import laurelkeel.front.FrontSettings.Common;
 import laurelkeel.front.WireTerms;
 import laurelkeel.front.ingress.RouteTable;
-import laurelkeel.records.Rec;
-import laurelkeel.standin.Build;
-import laurelkeel.standin.Clients;
-import laurelkeel.standin.ReleaseLine;
-import laurelkeel.standin.Shape;
+import laurelkeel.records.TrafficRecord;
+import laurelkeel.testbed.BuildProfile;
+import laurelkeel.testbed.LoadGenerator;
+import laurelkeel.testbed.RolloutService;
+import laurelkeel.testbed.ServerProfile;
 
 /**
  * A day file, read and checked. docs/day.md explains each key. Times are tenths of a millisecond.
  *
  * @param frontSections what goes into each front's own file as it stands
  */
-public record DayPlan(
+public record Scenario(
         String name,
         long length,
         int fronts,
@@ -40,11 +40,11 @@
         boolean listAsked,
         long listLag,
         int listCalls,
-        Shape shape,
-        Clients.Rule load,
-        ReleaseLine.Rule line,
-        Map<Integer, Build> builds,
-        List<Trouble> troubles) {
+        ServerProfile shape,
+        LoadGenerator.Rule load,
+        RolloutService.Rule line,
+        Map<Integer, BuildProfile> builds,
+        List<ScenarioFault> troubles) {
 
     private enum ListMode {
         PUSH,
@@ -56,52 +56,52 @@
             List.of("bad-day", "lost-answers", "cold-returns", "stale-news", "two-releases", "three-releases");
 
     /** One of the shipped days by its name, or a file. */
-    public static DayPlan find(String nameOrFile) throws BadSettings {
+    public static Scenario find(String nameOrFile) throws InvalidSettingsException {
         if (SHIPPED.contains(nameOrFile)) {
-            try (InputStream in = DayPlan.class.getResourceAsStream("/days/" + nameOrFile + ".ini")) {
+            try (InputStream in = Scenario.class.getResourceAsStream("/days/" + nameOrFile + ".ini")) {
                 return read(
-                        Ini.parse(nameOrFile + ".ini", new String(in.readAllBytes(), StandardCharsets.UTF_8)),
+                        IniFile.parse(nameOrFile + ".ini", new String(in.readAllBytes(), StandardCharsets.UTF_8)),
                         nameOrFile);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
         }
         Path file = Path.of(nameOrFile);
-        return read(Ini.read(file), String.valueOf(file.getFileName()).replaceAll("\\.ini$", ""));
+        return read(IniFile.read(file), String.valueOf(file.getFileName()).replaceAll("\\.ini$", ""));
     }
 
-    public static DayPlan read(Ini ini, String name) throws BadSettings {
-        Section day = ini.section("day", false);
+    public static Scenario read(IniFile ini, String name) throws InvalidSettingsException {
+        IniSection day = ini.section("day", false);
         int fronts = day.small("fronts", "4", 1, 64);
         List<String> zones = day.words("zones", "here");
-        Section list = ini.section("list", true);
+        IniSection list = ini.section("list", true);
         boolean asked = list.choice("mode", "push", ListMode.class) == ListMode.ASK;
         Common common = Common.read(ini, asked);
-        Section work = ini.section("work", false);
-        Section share = ini.section("share", true);
+        IniSection work = ini.section("work", false);
+        IniSection share = ini.section("share", true);
         Map<String, Long> works = new LinkedHashMap<>();
-        Map<String, Rec.RouteRule> rules = new HashMap<>();
-        List<Clients.Route> routes = new ArrayList<>();
+        Map<String, TrafficRecord.RouteRule> rules = new HashMap<>();
+        List<LoadGenerator.Route> routes = new ArrayList<>();
         for (int i = 0; i < common.routes().size(); i++) {
             RouteTable.Entry e = common.table().entries().get(i);
             Settings.Route r = common.routes().get(i);
-            Rec.RouteRule rule = new Rec.RouteRule(
+            TrafficRecord.RouteRule rule = new TrafficRecord.RouteRule(
                     e.name(),
                     WireTerms.recorded(r.idempotency()),
                     WireTerms.recorded(r.deduplicationScope()),
                     r.deduplicationWindowTicks());
             rules.put(e.name(), rule);
             works.put(e.name(), work.time(e.name(), null, "1 ms", "1 min"));
-            routes.add(new Clients.Route(
+            routes.add(new LoadGenerator.Route(
                     e.name(), e.method(), e.prefix(), rule, r.timeoutTicks(), share.number(e.name(), "1", 0, 1e6)));
         }
         Map<String, Double> customers = new LinkedHashMap<>();
-        Section asks = ini.section("asks", true);
+        IniSection asks = ini.section("asks", true);
         for (String c : ini.each("customer").keySet()) {
             customers.put(c, asks.number(c, "1", 0, 1e6));
         }
-        Section load = ini.section("load", true);
-        Clients.Rule clients = new Clients.Rule(
+        IniSection load = ini.section("load", true);
+        LoadGenerator.Rule clients = new LoadGenerator.Rule(
                 routes,
                 customers,
                 load.number("rate", "200", 0.1, 100_000),
@@ -111,7 +111,7 @@
                 load.small("retries", "2", 0, 100),
                 load.number("leave-early", "0", 0, 1),
                 load.number("complain", "0.3", 0, 1));
-        Map<Integer, Build> builds = new HashMap<>();
+        Map<Integer, BuildProfile> builds = new HashMap<>();
         ini.each("build").forEach((n, s) -> {
             Map<String, Double> failing = new HashMap<>();
             for (String route : works.keySet()) {
@@ -122,7 +122,7 @@
             } else {
                 builds.put(
                         Integer.parseInt(n),
-                        new Build(
+                        new BuildProfile(
                                 Integer.parseInt(n),
                                 s.number("work", "1", 0.01, 1000),
                                 failing,
@@ -134,18 +134,18 @@
                                 s.number("harms-all", "1", 1, 1000)));
             }
         });
-        List<Trouble> troubles = new ArrayList<>();
+        List<ScenarioFault> troubles = new ArrayList<>();
         ini.each("event").forEach((n, s) -> {
-            Trouble t = Trouble.read(n, s, fronts);
-            if (t.what() == Trouble.What.OFFER && !builds.containsKey(t.build())) {
+            ScenarioFault t = ScenarioFault.read(n, s, fronts);
+            if (t.what() == ScenarioFault.What.OFFER && !builds.containsKey(t.build())) {
                 s.fault(
                         "build",
                         "is " + t.build() + ", of which nothing is said; add a section [build " + t.build() + "]");
             }
             troubles.add(t);
         });
-        troubles.sort(Comparator.comparingLong(Trouble::at));
-        DayPlan plan = new DayPlan(
+        troubles.sort(Comparator.comparingLong(ScenarioFault::at));
+        Scenario plan = new Scenario(
                 name,
                 day.time("length", "60 s", "1 s", "24 h"),
                 fronts,
@@ -166,9 +166,9 @@
         return plan;
     }
 
-    private static Shape shape(
-            Section s, Settings.Limits l, Map<String, Long> works, Map<String, Rec.RouteRule> rules) {
-        return new Shape(
+    private static ServerProfile shape(
+            IniSection s, Settings.Limits l, Map<String, Long> works, Map<String, TrafficRecord.RouteRule> rules) {
+        return new ServerProfile(
                 s.small("cores", "2", 1, 1024),
                 s.small("room", "40", 0, 1_000_000),
                 s.small("connections", "400", 1, 1_000_000),
@@ -184,16 +184,16 @@
                 (int) s.bytes("answer", "200 B", "0 B", "1 MiB"));
     }
 
-    private static ReleaseLine.Control control(Settings.PromotionPolicy policy) {
+    private static RolloutService.Control control(Settings.PromotionPolicy policy) {
         return switch (policy) {
-            case FIRST_VOTE -> ReleaseLine.Control.ANY;
-            case VOTE_COUNT -> ReleaseLine.Control.COUNT;
-            case AUTOMATIC -> ReleaseLine.Control.CLOCK;
+            case FIRST_VOTE -> RolloutService.Control.ANY;
+            case VOTE_COUNT -> RolloutService.Control.COUNT;
+            case AUTOMATIC -> RolloutService.Control.CLOCK;
         };
     }
 
-    private static ReleaseLine.Rule line(Ini ini, Settings.Rollout r) {
-        Section s = ini.section("line", true);
+    private static RolloutService.Rule line(IniFile ini, Settings.Rollout r) {
+        IniSection s = ini.section("line", true);
         List<Double> shares = s.numbers("shares", "0.1, 0.4, 1", 0.001, 1);
         if (shares.size() != r.stageExposureCaps().size()) {
             s.fault(
@@ -201,11 +201,11 @@
                     "has " + shares.size() + " stages and stage-caps of [rollout] has "
                             + r.stageExposureCaps().size() + "; give both as many");
         }
-        return new ReleaseLine.Rule(
+        return new RolloutService.Rule(
                 shares,
                 r.stageExposureCaps(),
                 control(r.promotionPolicy()),
-                s.choice("style", "replace", ReleaseLine.Style.class),
+                s.choice("style", "replace", RolloutService.Style.class),
                 r.promoteVotes(),
                 r.rollBackVotes(),
                 r.holdVotes(),
@@ -220,11 +220,11 @@
     }
 
     /** The figures that the audit needs. */
-    public Rec.Rules rules() {
+    public TrafficRecord.Rules rules() {
         Settings.Rollout r = common.rollout();
-        return new Rec.Rules(
+        return new TrafficRecord.Rules(
                 0,
-                load.routes().stream().map(Clients.Route::rule).toList(),
+                load.routes().stream().map(LoadGenerator.Route::rule).toList(),
                 common.limits().drainGraceTicks(),
                 r.exposureWindowTicks(),
                 r.exposureAllowance(),
--- a/src/main/java/laurelkeel/day/World.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioEnvironment.java
@@ -1,4 +1,4 @@
-package laurelkeel.day;
+package laurelkeel.scenario;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -11,41 +11,41 @@
 import java.util.concurrent.ExecutionException;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import laurelkeel.loop.Loop;
-import laurelkeel.records.Rec;
+import laurelkeel.eventloop.EventLoop;
 import laurelkeel.records.Recorder;
-import laurelkeel.standin.Build;
-import laurelkeel.standin.Clients;
-import laurelkeel.standin.Fleet;
-import laurelkeel.standin.ListService;
-import laurelkeel.standin.Machine;
-import laurelkeel.standin.ReleaseLine;
+import laurelkeel.records.TrafficRecord;
+import laurelkeel.testbed.BuildProfile;
+import laurelkeel.testbed.EndpointListService;
+import laurelkeel.testbed.LoadGenerator;
+import laurelkeel.testbed.RolloutService;
+import laurelkeel.testbed.SimulatedFleet;
+import laurelkeel.testbed.SimulatedServer;
 
 /** The stand-ins of one day on one thread, and the troubles that befall them. */
-public final class World implements AutoCloseable {
-    private final DayPlan plan;
-    private final Loop loop = new Loop(Recorder::now);
+public final class ScenarioEnvironment implements AutoCloseable {
+    private final Scenario plan;
+    private final EventLoop loop = new EventLoop(Recorder::now);
     private final Thread thread = new Thread(() -> loop.run(() -> false), "stand-ins");
     private final SplittableRandom random;
-    private final Fleet fleet;
-    private final ListService list;
-    private final ReleaseLine line;
-    private final Consumer<Rec> records;
+    private final SimulatedFleet fleet;
+    private final EndpointListService list;
+    private final RolloutService line;
+    private final Consumer<TrafficRecord> records;
     private volatile Throwable failure;
-    private Clients clients;
+    private LoadGenerator clients;
     private InetSocketAddress listAt, lineAt;
 
-    public World(DayPlan plan, long seed, Consumer<Rec> records) throws IOException {
+    public ScenarioEnvironment(Scenario plan, long seed, Consumer<TrafficRecord> records) throws IOException {
         this.plan = plan;
         this.records = records;
         this.random = new SplittableRandom(seed);
         Map<String, String> routes = new LinkedHashMap<>();
         plan.load().routes().forEach(r -> routes.put(r.path(), r.name()));
-        fleet = new Fleet(loop, plan.shape(), plan.zones(), routes, seed + 1, records);
-        list = new ListService(loop, fleet, plan.listLag(), plan.listCalls());
-        line = new ReleaseLine(loop, fleet, plan.line(), plan.load().routes().size(), records);
-        Rec.Rules r = plan.rules();
-        records.accept(new Rec.Rules(
+        fleet = new SimulatedFleet(loop, plan.shape(), plan.zones(), routes, seed + 1, records);
+        list = new EndpointListService(loop, fleet, plan.listLag(), plan.listCalls());
+        line = new RolloutService(loop, fleet, plan.line(), plan.load().routes().size(), records);
+        TrafficRecord.Rules r = plan.rules();
+        records.accept(new TrafficRecord.Rules(
                 Recorder.now(),
                 r.routes(),
                 r.drainGrace(),
@@ -64,7 +64,7 @@
         thread.start();
         on(() -> {
             listAt = list.start();
-            lineAt = line.start(plan.builds().getOrDefault(1, Build.good(1)), plan.machines());
+            lineAt = line.start(plan.builds().getOrDefault(1, BuildProfile.good(1)), plan.machines());
             return null;
         });
     }
@@ -80,13 +80,13 @@
     /** Begins the load on the fronts. */
     public void load(List<InetSocketAddress> fronts, long seed) {
         on(() -> {
-            clients = new Clients(loop, plan.load(), fronts, seed + 2, records);
+            clients = new LoadGenerator(loop, plan.load(), fronts, seed + 2, records);
             clients.start();
             return null;
         });
     }
 
-    public Clients clients() {
+    public LoadGenerator clients() {
         return clients;
     }
 
@@ -135,9 +135,9 @@
         return on(() -> "build " + line.newest().number() + " stage " + line.stage() + " " + line.phase());
     }
 
-    private List<Machine> some(int n) {
-        List<Machine> from = new ArrayList<>(fleet.live());
-        List<Machine> out = new ArrayList<>();
+    private List<SimulatedServer> some(int n) {
+        List<SimulatedServer> from = new ArrayList<>(fleet.live());
+        List<SimulatedServer> out = new ArrayList<>();
         while (out.size() < n && !from.isEmpty()) {
             out.add(from.remove(random.nextInt(from.size())));
         }
@@ -145,18 +145,19 @@
     }
 
     /** Lets a trouble befall; those of fronts are not its matter. */
-    public void befall(Trouble t) {
+    public void befall(ScenarioFault t) {
         on(() -> {
             long until = loop.now() + t.lasts();
             switch (t.what()) {
                 case OFFER -> line.offer(plan.builds().get(t.build()));
                 case CRASH -> some(t.machines()).forEach(m -> crash(m, t));
-                case HANG -> some(t.machines()).forEach(m -> m.fault(Machine.Fault.HANG, until, 1));
-                case SLOW -> some(t.machines()).forEach(m -> m.fault(Machine.Fault.SLOW, until, t.by()));
-                case LOSE_ANSWERS -> some(t.machines()).forEach(m -> m.fault(Machine.Fault.LOSE_ANSWERS, until, 1));
-                case RESET -> some(t.machines()).forEach(m -> m.fault(Machine.Fault.RESET, until, 1));
-                case HALF -> some(t.machines()).forEach(m -> m.fault(Machine.Fault.HALF, until, 1));
-                case REFUSE -> some(t.machines()).forEach(m -> m.fault(Machine.Fault.REFUSE, until, 1));
+                case HANG -> some(t.machines()).forEach(m -> m.fault(SimulatedServer.Fault.HANG, until, 1));
+                case SLOW -> some(t.machines()).forEach(m -> m.fault(SimulatedServer.Fault.SLOW, until, t.by()));
+                case LOSE_ANSWERS ->
+                    some(t.machines()).forEach(m -> m.fault(SimulatedServer.Fault.LOSE_ANSWERS, until, 1));
+                case RESET -> some(t.machines()).forEach(m -> m.fault(SimulatedServer.Fault.RESET, until, 1));
+                case HALF -> some(t.machines()).forEach(m -> m.fault(SimulatedServer.Fault.HALF, until, 1));
+                case REFUSE -> some(t.machines()).forEach(m -> m.fault(SimulatedServer.Fault.REFUSE, until, 1));
                 case DRAIN ->
                     some(t.machines()).forEach(m -> fleet.drain(m, plan.line().drainMost()));
                 case SLOW_ALL -> fleet.slowAll(t.by(), until);
@@ -182,10 +183,11 @@
         });
     }
 
-    private void crash(Machine m, Trouble t) {
+    private void crash(SimulatedServer m, ScenarioFault t) {
         fleet.kill(m);
         if (t.lasts() > 0) {
-            Build again = t.build() > 0 ? plan.builds().getOrDefault(t.build(), Build.good(t.build())) : m.build();
+            BuildProfile again =
+                    t.build() > 0 ? plan.builds().getOrDefault(t.build(), BuildProfile.good(t.build())) : m.build();
             loop.at(loop.now() + t.lasts(), () -> fleet.start(m.at(), again, m.cell(), true));
         }
     }
--- a/src/main/java/laurelkeel/day/Trouble.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioFault.java
@@ -1,6 +1,6 @@
-package laurelkeel.day;
+package laurelkeel.scenario;
 
-import laurelkeel.config.Section;
+import laurelkeel.config.IniSection;
 
 /**
  * One thing that happens on a day. Times in tenths of a millisecond; what a kind does not use is 0.
@@ -8,7 +8,8 @@
  * @param lasts how long, or for machines and fronts that go: how long until they are back (0: never)
  * @param by a factor, a share or a lateness in tenths, as the kind has it
  */
-public record Trouble(String name, long at, What what, int machines, int front, int build, long lasts, double by) {
+public record ScenarioFault(
+        String name, long at, What what, int machines, int front, int build, long lasts, double by) {
 
     public enum What {
         OFFER,
@@ -32,7 +33,7 @@
         HOT_KEY
     }
 
-    static Trouble read(String name, Section s, int fronts) {
+    static ScenarioFault read(String name, IniSection s, int fronts) {
         long at = s.time("at", null, "0 ms", "24 h");
         What what = s.choice("what", null, What.class);
         int machines = 0, front = 0, build = 0;
@@ -79,11 +80,11 @@
             }
             default -> throw new IllegalStateException(what.name());
         }
-        return new Trouble(name, at, what, machines, front, build, lasts, by);
+        return new ScenarioFault(name, at, what, machines, front, build, lasts, by);
     }
 
     @Override
     public String toString() {
-        return name + " (" + Section.word(what) + ")";
+        return name + " (" + IniSection.word(what) + ")";
     }
 }
--- a/src/main/java/laurelkeel/day/Report.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioReport.java
@@ -1,22 +1,27 @@
-package laurelkeel.day;
+package laurelkeel.scenario;
 
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import laurelkeel.audit.Breach;
-import laurelkeel.audit.Judgement;
-import laurelkeel.audit.Verdict;
-import laurelkeel.records.Rec;
-import laurelkeel.standin.Clients;
+import laurelkeel.audit.AuditReport;
+import laurelkeel.audit.RuleVerdict;
+import laurelkeel.audit.RuleViolation;
+import laurelkeel.records.TrafficRecord;
+import laurelkeel.testbed.LoadGenerator;
 import org.HdrHistogram.Histogram;
 
 /** A day's table for people; the last line for scripts. */
-public final class Report {
+public final class ScenarioReport {
     private static final int SHOWN = 10;
 
-    private Report() {}
+    private ScenarioReport() {}
 
-    static String text(DayPlan plan, long seed, Map<String, Clients.Tally> tallies, List<Rec> records, Judgement j) {
+    static String text(
+            Scenario plan,
+            long seed,
+            Map<String, LoadGenerator.Tally> tallies,
+            List<TrafficRecord> records,
+            AuditReport j) {
         StringBuilder s = new StringBuilder();
         s.append(String.format(Locale.ROOT, "%nday %s, seed %d%n%n", plan.name(), seed));
         row(
@@ -54,18 +59,22 @@
                     percent(within),
                     percent(t.reqs == 0 ? 0 : t.reqsCompleted / (double) t.reqs));
         });
-        long arrived = records.stream().filter(r -> r instanceof Rec.Arrived).count();
-        long turned = records.stream().filter(r -> r instanceof Rec.TurnedAway).count();
-        long votes = records.stream().filter(r -> r instanceof Rec.Voted).count();
+        long arrived =
+                records.stream().filter(r -> r instanceof TrafficRecord.Arrived).count();
+        long turned = records.stream()
+                .filter(r -> r instanceof TrafficRecord.TurnedAway)
+                .count();
+        long votes =
+                records.stream().filter(r -> r instanceof TrafficRecord.Voted).count();
         s.append(String.format("%nupstream tries %d, turned away %d; votes %d%n", arrived, turned, votes));
         long start = records.stream()
-                .filter(r -> r instanceof Rec.Asked)
-                .mapToLong(Rec::t)
+                .filter(r -> r instanceof TrafficRecord.Asked)
+                .mapToLong(TrafficRecord::t)
                 .min()
                 .orElse(0);
         s.append("stages:");
-        for (Rec r : records) {
-            if (r instanceof Rec.Stage g) {
+        for (TrafficRecord r : records) {
+            if (r instanceof TrafficRecord.Stage g) {
                 s.append(String.format(
                         Locale.ROOT,
                         " %d/%d %s at %.1f s;",
@@ -76,8 +85,8 @@
             }
         }
         s.append('\n');
-        for (Rec r : records) {
-            if (r instanceof Rec.Blamed b && !b.word().equals("none")) {
+        for (TrafficRecord r : records) {
+            if (r instanceof TrafficRecord.Blamed b && !b.word().equals("none")) {
                 s.append(String.format(
                         Locale.ROOT,
                         "blame: %s, probability %.3f, at %.1f s: %s%n",
@@ -91,7 +100,7 @@
         return s + rules(j);
     }
 
-    private static int routeOf(DayPlan plan, String name) {
+    private static int routeOf(Scenario plan, String name) {
         for (int i = 0; i < plan.load().routes().size(); i++) {
             if (plan.load().routes().get(i).name().equals(name)) {
                 return i;
@@ -101,9 +110,9 @@
     }
 
     /** The five verdicts and the last line. */
-    public static String rules(Judgement j) {
+    public static String rules(AuditReport j) {
         StringBuilder s = new StringBuilder();
-        for (Verdict v : j.verdicts()) {
+        for (RuleVerdict v : j.verdicts()) {
             s.append(String.format(
                     Locale.ROOT,
                     "rule %d  %-32s %-6s %8d looked at, nearest %4.0f%% of the limit: %s%n",
@@ -113,8 +122,8 @@
                     v.checked(),
                     v.nearest() * 100,
                     v.where()));
-            List<Breach> b = v.breaches();
-            for (Breach x : b.subList(0, Math.min(SHOWN, b.size()))) {
+            List<RuleViolation> b = v.breaches();
+            for (RuleViolation x : b.subList(0, Math.min(SHOWN, b.size()))) {
                 s.append(String.format(
                         Locale.ROOT, "        at %.1f ms, req %s: %s%n", x.t() / 10.0, x.req(), x.what()));
             }
