--- a/src/main/java/laurelkeel/day/Day.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioRun.java
@@ -1,4 +1,4 @@
-package laurelkeel.day;
+package laurelkeel.scenario;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -9,17 +9,17 @@
 import java.util.PriorityQueue;
 import java.util.concurrent.locks.LockSupport;
 import java.util.stream.Stream;
-import laurelkeel.audit.Audit;
-import laurelkeel.audit.Judgement;
-import laurelkeel.records.Rec;
+import laurelkeel.audit.AuditReport;
+import laurelkeel.audit.Auditor;
 import laurelkeel.records.Recorder;
+import laurelkeel.records.TrafficRecord;
 
 /** Plays one day from start to judgement. */
-public final class Day {
+public final class ScenarioRun {
 
     private record Due(long at, Runnable what) {}
 
-    private final DayPlan plan;
+    private final Scenario plan;
     private final long seed;
     private final Path folder;
     private final PrintStream out;
@@ -29,19 +29,19 @@
     private volatile boolean over;
 
     /** @param folder gets all records, settings and logs; what an earlier day left in it is removed */
-    public Day(DayPlan plan, long seed, Path folder, PrintStream out) {
+    public ScenarioRun(Scenario plan, long seed, Path folder, PrintStream out) {
         this.plan = plan;
         this.seed = seed;
         this.folder = folder;
         this.out = out;
     }
 
-    public Judgement play() throws IOException, InterruptedException {
+    public AuditReport play() throws IOException, InterruptedException {
         Files.createDirectories(folder);
         clear();
         clientSide = new Recorder(folder.resolve("clients.jsonl"), false);
         machineSide = new Recorder(folder.resolve("machines.jsonl"), false);
-        try (World world = new World(plan, seed, this::record)) {
+        try (ScenarioEnvironment world = new ScenarioEnvironment(plan, seed, this::record)) {
             try {
                 world.start();
                 fronts = FrontProcess.prepare(plan, world, folder, seed);
@@ -55,8 +55,8 @@
             } finally {
                 end();
             }
-            Judgement j = judge(world);
-            String table = Report.text(plan, seed, world.clients().tallies(), Recorder.readAll(folder), j);
+            AuditReport j = judge(world);
+            String table = ScenarioReport.text(plan, seed, world.clients().tallies(), Recorder.readAll(folder), j);
             Files.writeString(folder.resolve("report.txt"), table);
             out.print(table);
             out.flush();
@@ -64,12 +64,12 @@
         }
     }
 
-    private Judgement judge(World world) throws IOException {
+    private AuditReport judge(ScenarioEnvironment world) throws IOException {
         // nothing is recorded from here on: what the stand-ins do as they close is no part of the day
         world.on(() -> over = true);
         clientSide.close();
         machineSide.close();
-        return Audit.judge(folder);
+        return Auditor.judge(folder);
     }
 
     private void clear() throws IOException {
@@ -85,25 +85,25 @@
         }
     }
 
-    private void record(Rec r) {
+    private void record(TrafficRecord r) {
         if (over) {
             return;
         }
-        boolean client = r instanceof Rec.Asked
-                || r instanceof Rec.Answered
-                || r instanceof Rec.Stray
-                || r instanceof Rec.Broke
-                || r instanceof Rec.LeftEarly;
+        boolean client = r instanceof TrafficRecord.Asked
+                || r instanceof TrafficRecord.Answered
+                || r instanceof TrafficRecord.Stray
+                || r instanceof TrafficRecord.Broke
+                || r instanceof TrafficRecord.LeftEarly;
         (client ? clientSide : machineSide).record(r);
     }
 
-    private void play(World world) {
+    private void play(ScenarioEnvironment world) {
         long start = Recorder.now();
         out.printf(
                 "day %s, seed %d: %d fronts, %d machines, %.0f reqs a second for %.0f s%n",
                 plan.name(), seed, fronts.size(), plan.machines(), plan.load().rate(), plan.length() / 10_000.0);
         world.load(fronts.stream().map(f -> f.at).toList(), seed);
-        for (Trouble t : plan.troubles()) {
+        for (ScenarioFault t : plan.troubles()) {
             due.add(new Due(start + t.at(), () -> {
                 out.printf("  %5.1f s  %s%n", (Recorder.now() - start) / 10_000.0, t);
                 befall(world, t);
@@ -131,7 +131,7 @@
         }
     }
 
-    private void until(World world, long end) {
+    private void until(ScenarioEnvironment world, long end) {
         while (Recorder.now() < end) {
             world.check();
             while (!due.isEmpty() && due.peek().at <= Recorder.now()) {
@@ -142,15 +142,15 @@
         }
     }
 
-    private void befall(World world, Trouble t) {
-        boolean kill = t.what() == Trouble.What.KILL_FRONT;
-        if (!kill && t.what() != Trouble.What.STOP_FRONT) {
+    private void befall(ScenarioEnvironment world, ScenarioFault t) {
+        boolean kill = t.what() == ScenarioFault.What.KILL_FRONT;
+        if (!kill && t.what() != ScenarioFault.What.STOP_FRONT) {
             world.befall(t);
             return;
         }
         FrontProcess f = fronts.get(t.front());
         if (kill) {
-            record(new Rec.FrontDown(Recorder.now(), f.number, true));
+            record(new TrafficRecord.FrontDown(Recorder.now(), f.number, true));
             f.kill();
         } else {
             f.terminate();
--- a/src/main/java/laurelkeel/day/package-info.java
+++ b/src/main/java/laurelkeel/scenario/package-info.java
@@ -1,2 +1,2 @@
 /** A scripted day: real front processes between stand-ins, trouble on a schedule, and the rules judged at the end. */
-package laurelkeel.day;
+package laurelkeel.scenario;
--- a/src/main/java/laurelkeel/benchlink/Fields.java
+++ b/src/main/java/laurelkeel/simulatoradapter/MessageFields.java
@@ -1,4 +1,4 @@
-package laurelkeel.benchlink;
+package laurelkeel.simulatoradapter;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -7,12 +7,12 @@
 import laurelkeel.options.Numbers;
 
 /** The values of one line, read in order. */
-final class Fields {
+final class MessageFields {
     private final long line;
     private final String[] parts;
     private int at = 1;
 
-    Fields(long line, String text) {
+    MessageFields(long line, String text) {
         this.line = line;
         this.parts = text.split(" ", -1);
     }
@@ -23,12 +23,13 @@
 
     void expect(int values) {
         if (parts.length - 1 != values) {
-            throw new Malformed(line, name(), "has " + (parts.length - 1) + " values, not " + values);
+            throw new MalformedSimulatorMessageException(
+                    line, name(), "has " + (parts.length - 1) + " values, not " + values);
         }
     }
 
-    Malformed bad(String field, String what) {
-        return new Malformed(line, name() + "." + field, what);
+    MalformedSimulatorMessageException bad(String field, String what) {
+        return new MalformedSimulatorMessageException(line, name() + "." + field, what);
     }
 
     boolean more() {
--- a/src/main/java/laurelkeel/benchlink/BenchLink.java
+++ b/src/main/java/laurelkeel/simulatoradapter/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package laurelkeel.benchlink;
+package laurelkeel.simulatoradapter;
 
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
@@ -25,11 +25,11 @@
 import laurelkeel.api.Event.EndpointState;
 import laurelkeel.api.Event.RolloutPhase;
 import laurelkeel.api.Settings;
-import laurelkeel.options.BadOption;
-import laurelkeel.options.Options;
+import laurelkeel.options.InvalidOptionException;
+import laurelkeel.options.OptionsParser;
 
 /** Hosts one decider a front and speaks the wire cedar-a60e for them. It decides nothing. */
-public final class BenchLink {
+public final class SimulatorAdapter {
     private static final Map<String, AttemptOutcome> OUTCOMES = Map.of(
             "OK",
             AttemptOutcome.COMPLETED,
@@ -76,7 +76,7 @@
     private BufferedReader in;
     private long line;
 
-    public BenchLink(Decider.Factory maker) {
+    public SimulatorAdapter(Decider.Factory maker) {
         this.maker = maker;
     }
 
@@ -84,7 +84,7 @@
     public void run(InputStream from, OutputStream to) throws IOException {
         in = new BufferedReader(new InputStreamReader(from, StandardCharsets.UTF_8), 1 << 16);
         Writer out = new BufferedWriter(new OutputStreamWriter(to, StandardCharsets.UTF_8), 1 << 16);
-        for (Fields f = next(); f != null; f = next()) {
+        for (MessageFields f = next(); f != null; f = next()) {
             if (!f.name().equals("round")) {
                 throw f.bad("round", "a batch begins with it");
             }
@@ -95,20 +95,20 @@
         }
     }
 
-    private Fields next() throws IOException {
+    private MessageFields next() throws IOException {
         String text = in.readLine();
         while (text != null && text.isEmpty()) {
             line++;
             text = in.readLine();
         }
         line++;
-        return text == null ? null : new Fields(line, text);
+        return text == null ? null : new MessageFields(line, text);
     }
 
-    private Fields inside() throws IOException {
-        Fields f = next();
+    private MessageFields inside() throws IOException {
+        MessageFields f = next();
         if (f == null) {
-            throw new Malformed(line, "commit", "the input ends within a batch");
+            throw new MalformedSimulatorMessageException(line, "commit", "the input ends within a batch");
         }
         return f;
     }
@@ -116,7 +116,7 @@
     private void answer(long now, long number, Writer out) throws IOException {
         Map<Integer, List<Event>> news = new LinkedHashMap<>();
         Map<Integer, String> broken = new HashMap<>();
-        for (Fields f = inside(); !f.name().equals("commit"); f = inside()) {
+        for (MessageFields f = inside(); !f.name().equals("commit"); f = inside()) {
             switch (f.name()) {
                 case "pool" -> pool(f);
                 case "create" -> {
@@ -164,10 +164,10 @@
         out.write("ack " + number + "\n");
     }
 
-    private static Settings settings(Fields f) {
+    private static Settings settings(MessageFields f) {
         try {
-            return Options.settings(f.pairs("options"));
-        } catch (BadOption e) {
+            return OptionsParser.settings(f.pairs("options"));
+        } catch (InvalidOptionException e) {
             throw f.bad(e.path(), e.what());
         }
     }
@@ -178,13 +178,13 @@
         return e.toString().replaceAll("\\s+", " ");
     }
 
-    private void pool(Fields f) throws IOException {
+    private void pool(MessageFields f) throws IOException {
         f.expect(2);
         int slot = f.small("slot");
         int count = f.small("lines");
         List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            Fields e = inside();
+            MessageFields e = inside();
             if (!e.name().equals("item")) {
                 throw e.bad("item", "the list is short");
             }
@@ -201,7 +201,7 @@
         lists.put(slot, entries);
     }
 
-    private Event event(Fields f) {
+    private Event event(MessageFields f) {
         switch (f.name()) {
             case "membership" -> {
                 f.expect(4);
--- a/src/main/java/laurelkeel/soak/Reply.java
+++ b/src/main/java/laurelkeel/soak/NodeResponse.java
@@ -10,11 +10,11 @@
  *
  * @param last its connection ends with it
  */
-record Reply(int status, String body, boolean last) {
+record NodeResponse(int status, String body, boolean last) {
     private static final int STATUS_FROM = 9, STATUS_TO = 12;
 
     /** Null where the connection ended in order before a byte of an answer. */
-    static Reply read(InputStream in) throws IOException {
+    static NodeResponse read(InputStream in) throws IOException {
         String first = TcpServer.line(in);
         if (first == null) {
             return null;
@@ -26,7 +26,7 @@
             throw new IOException("an answer that stopped short");
         }
         int status = Integer.parseInt(first.substring(STATUS_FROM, STATUS_TO));
-        return new Reply(
+        return new NodeResponse(
                 status,
                 new String(body, StandardCharsets.ISO_8859_1),
                 "close".equalsIgnoreCase(headers.get("connection")));
--- a/src/main/java/laurelkeel/soak/ScaleLoad.java
+++ b/src/main/java/laurelkeel/soak/ScaleLoad.java
@@ -111,7 +111,7 @@
         }
 
         private void readAnswer() throws IOException {
-            Reply reply = Reply.read(in);
+            NodeResponse reply = NodeResponse.read(in);
             if (reply != null && reply.status() == OK) {
                 served.incrementAndGet();
             }
--- a/src/main/java/laurelkeel/soak/SoakClient.java
+++ b/src/main/java/laurelkeel/soak/SoakClient.java
@@ -156,7 +156,7 @@
                 socket.shutdownOutput();
             }
             socket.setSoTimeout((int) ((within + LATE_SECONDS + HOST_SECONDS) * 1000));
-            judge(id, Reply.read(in), manner);
+            judge(id, NodeResponse.read(in), manner);
         } catch (SocketTimeoutException e) {
             lost(id, sentAt, "has no answer " + (LATE_SECONDS + HOST_SECONDS) + " s after its time");
             close();
@@ -173,7 +173,7 @@
         try {
             TcpServer.write(socket, request.substring(0, 1 + random.nextInt(request.length() - 1)));
             socket.setSoTimeout((int) ((BAD_CLIENT_SECONDS + HOST_SECONDS) * 1000));
-            Reply reply = Reply.read(in);
+            NodeResponse reply = NodeResponse.read(in);
             violations.count(reply == null ? "stopped half way: closed" : "stopped half way: " + reply.status());
         } catch (SocketTimeoutException e) {
             if (node.process.isAlive() && violations.lateness() < HOST_SECONDS) {
@@ -204,7 +204,7 @@
                 + body;
     }
 
-    private void judge(String id, Reply reply, Manner manner) throws IOException {
+    private void judge(String id, NodeResponse reply, Manner manner) throws IOException {
         if (reply == null) {
             throw new IOException("ended in order");
         }
--- a/src/main/java/laurelkeel/standin/Blaming.java
+++ b/src/main/java/laurelkeel/testbed/AttributionService.java
@@ -1,4 +1,4 @@
-package laurelkeel.standin;
+package laurelkeel.testbed;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -6,23 +6,23 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import laurelkeel.blame.Blame;
-import laurelkeel.blame.Finding;
-import laurelkeel.blame.Report;
+import laurelkeel.attribution.AttributionFinding;
+import laurelkeel.attribution.NodeReport;
+import laurelkeel.attribution.RegressionAttributor;
 
 /** The line's side of the blame: fronts' reports in, findings out. On the line's thread. */
-final class Blaming {
+final class AttributionService {
     private static final long PATIENCE = 4;
     private static final int MOST_LIVES = 10_000;
 
-    private final Blame blame;
+    private final RegressionAttributor blame;
     /** A front counts its own seconds; when its first report of a life came says which of the line's they are. */
     private final Map<String, Long> offsets = new HashMap<>();
 
-    private List<Finding> findings = List.of();
+    private List<AttributionFinding> findings = List.of();
 
-    Blaming(int routes) {
-        blame = new Blame(routes, PATIENCE);
+    AttributionService(int routes) {
+        blame = new RegressionAttributor(routes, PATIENCE);
     }
 
     void offered(int build, long now) {
@@ -54,9 +54,9 @@
             offsets.clear();
         }
         long offset = offsets.merge(name, mine - own, (was, is) -> Math.abs(was - is) > 2 ? is : was);
-        List<Report.Cell> cells = new ArrayList<>();
+        List<NodeReport.Cell> cells = new ArrayList<>();
         for (JsonNode c : r.path("cells")) {
-            cells.add(new Report.Cell(
+            cells.add(new NodeReport.Cell(
                     c.path("build").asInt(-1),
                     c.path("route").asInt(-1),
                     c.path("machine").asText(null),
@@ -69,28 +69,30 @@
                     c.path("logTime").asDouble(),
                     c.path("logSquare").asDouble()));
         }
-        return blame.take(new Report(front, life, own + offset, cells), now / 10_000) ? null : "left out";
+        return blame.take(new NodeReport(front, life, own + offset, cells), now / 10_000) ? null : "left out";
     }
 
-    List<Finding> judge(long now) {
+    List<AttributionFinding> judge(long now) {
         findings = blame.judge(now / 10_000);
         return findings;
     }
 
-    Finding of(int build) {
+    AttributionFinding of(int build) {
         return findings.stream().filter(f -> f.build() == build).findFirst().orElse(null);
     }
 
     /** The word that goes with the news of a build. */
     String word(int build) {
-        Finding f = of(build);
+        AttributionFinding f = of(build);
         return f == null
                 ? "none"
-                : f.verdict() == Finding.Verdict.GUILTY
+                : f.verdict() == AttributionFinding.Verdict.GUILTY
                         ? "guilty"
                         : f.setAside()
                                 ? "set-aside"
-                                : f.hold() ? "open" : f.verdict() == Finding.Verdict.CLEARED ? "cleared" : "none";
+                                : f.hold()
+                                        ? "open"
+                                        : f.verdict() == AttributionFinding.Verdict.CLEARED ? "cleared" : "none";
     }
 
     Map<String, Object> told() {
--- a/src/main/java/laurelkeel/standin/Build.java
+++ b/src/main/java/laurelkeel/testbed/BuildProfile.java
@@ -1,4 +1,4 @@
-package laurelkeel.standin;
+package laurelkeel.testbed;
 
 import java.util.Map;
 
@@ -14,7 +14,7 @@
  * @param togetherWith failing acts only while that build has machines too; 0 for always
  * @param harmsAll how many times slower all machines are where this build has all of them
  */
-public record Build(
+public record BuildProfile(
         int number,
         double work,
         Map<String, Double> failing,
@@ -24,7 +24,7 @@
         long failsAfter,
         int togetherWith,
         double harmsAll) {
-    public static Build good(int number) {
-        return new Build(number, 1, Map.of(), 0, 0, 1, 0, 0, 1);
+    public static BuildProfile good(int number) {
+        return new BuildProfile(number, 1, Map.of(), 0, 0, 1, 0, 0, 1);
     }
 }
--- a/src/main/java/laurelkeel/standin/Marks.java
+++ b/src/main/java/laurelkeel/testbed/DeduplicationCache.java
@@ -1,11 +1,11 @@
-package laurelkeel.standin;
+package laurelkeel.testbed;
 
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.Map;
 
 /** What one group of machines remembers of marks: a mark met again within its route's window is a repeat. */
-final class Marks {
+final class DeduplicationCache {
     private final Map<String, Long> until = new HashMap<>();
     private long sweepAt;
 
--- a/src/main/java/laurelkeel/standin/ListService.java
+++ b/src/main/java/laurelkeel/testbed/EndpointListService.java
@@ -1,4 +1,4 @@
-package laurelkeel.standin;
+package laurelkeel.testbed;
 
 import com.sun.net.httpserver.HttpExchange;
 import java.io.IOException;
@@ -9,20 +9,20 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import laurelkeel.loop.Loop;
-import laurelkeel.records.Rec;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.records.TrafficRecord;
 
 /**
  * The machine list as a service: whole on a call, changes on a watch, both as late as it is set to be. It can run
  * stale, be down, and turn calls away past its rate.
  */
-public final class ListService {
+public final class EndpointListService {
     private static final int KEPT = 500;
 
     private record Change(long version, Map<String, Object> machine) {}
 
-    private final Loop loop;
-    private final LineService service = new LineService();
+    private final EventLoop loop;
+    private final JsonLineService service = new JsonLineService();
     private final long lag;
     private final int callsPerSecond;
     private final Map<String, Map<String, Object>> now = new LinkedHashMap<>();
@@ -34,7 +34,7 @@
     private volatile boolean down;
 
     /** @param lag how late it learns, in tenths of a millisecond */
-    public ListService(Loop loop, Fleet fleet, long lag, int callsPerSecond) throws IOException {
+    public EndpointListService(EventLoop loop, SimulatedFleet fleet, long lag, int callsPerSecond) throws IOException {
         this.loop = loop;
         this.lag = lag;
         this.callsPerSecond = callsPerSecond;
@@ -42,9 +42,9 @@
         service.on("/list/watch", this::watch);
         service.on("/list", x -> {
             if (allowed()) {
-                LineService.say(x, 200, whole());
+                JsonLineService.say(x, 200, whole());
             } else {
-                LineService.say(x, 503, null);
+                JsonLineService.say(x, 503, null);
             }
         });
     }
@@ -66,11 +66,11 @@
     /** Cuts all watchers and answers nobody for a while. */
     public void down(long until) {
         down = true;
-        service.watchers.forEach(LineService.Watcher::cut);
+        service.watchers.forEach(JsonLineService.Watcher::cut);
         loop.at(until, () -> down = false);
     }
 
-    private static Map<String, Object> entry(Machine m, Rec.State state) {
+    private static Map<String, Object> entry(SimulatedServer m, TrafficRecord.State state) {
         Map<String, Object> e = new LinkedHashMap<>();
         e.put("machine", m.id);
         e.put("build", m.build.number());
@@ -146,12 +146,12 @@
 
     private void watch(HttpExchange x) throws IOException {
         if (!allowed()) {
-            LineService.say(x, 503, null);
+            JsonLineService.say(x, 503, null);
             return;
         }
         String query = x.getRequestURI().getQuery();
         long after = query != null && query.startsWith("after=") ? Long.parseLong(query.substring(6)) : -1;
-        LineService.Watcher w = new LineService.Watcher();
+        JsonLineService.Watcher w = new JsonLineService.Watcher();
         synchronized (this) {
             boolean known = after >= 0
                     && after <= version
--- a/src/main/java/laurelkeel/standin/LineService.java
+++ b/src/main/java/laurelkeel/testbed/JsonLineService.java
@@ -1,4 +1,4 @@
-package laurelkeel.standin;
+package laurelkeel.testbed;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A small HTTP service that streams JSON lines to watchers and answers calls; the ground of the two services. */
-final class LineService {
+final class JsonLineService {
     static final ObjectMapper JSON = new ObjectMapper();
     private static final byte[] BEAT = "{\"kind\":\"beat\"}\n".getBytes(StandardCharsets.UTF_8);
 
@@ -49,7 +49,7 @@
         return t;
     });
 
-    LineService() throws IOException {
+    JsonLineService() throws IOException {
         server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 64);
         server.setExecutor(threads);
     }
--- a/src/main/java/laurelkeel/standin/Clients.java
+++ b/src/main/java/laurelkeel/testbed/LoadGenerator.java
@@ -1,4 +1,4 @@
-package laurelkeel.standin;
+package laurelkeel.testbed;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -11,15 +11,15 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import laurelkeel.loop.Loop;
-import laurelkeel.records.Rec;
+import laurelkeel.eventloop.EventLoop;
 import laurelkeel.records.Recorder;
+import laurelkeel.records.TrafficRecord;
+import laurelkeel.wire.HeaderNames;
 import laurelkeel.wire.Headers;
-import laurelkeel.wire.HttpAnswer;
 import laurelkeel.wire.HttpCodec;
 import laurelkeel.wire.HttpLimits;
-import laurelkeel.wire.HttpReq;
-import laurelkeel.wire.Names;
+import laurelkeel.wire.HttpRequest;
+import laurelkeel.wire.HttpResponse;
 import org.HdrHistogram.Histogram;
 import org.apache.mina.core.future.ConnectFuture;
 import org.apache.mina.core.service.IoHandlerAdapter;
@@ -31,15 +31,16 @@
  * Callers of the fronts: reqs at chance moments whatever the answers do (open loop), with keys of which few are
  * popular, deadlines, customers, retries where a shed or the route allows them, and some who leave early.
  */
-public final class Clients {
-    private static final AttributeKey CONN = new AttributeKey(Clients.class, "conn");
+public final class LoadGenerator {
+    private static final AttributeKey CONN = new AttributeKey(LoadGenerator.class, "conn");
     /** How long past its time a client still listens, for what was written in time. */
     private static final long SLACK = 200;
     /** What a client takes off the time it tells, for the way there and back on a host that stalls. */
     private static final long WAY = 1000;
 
     /** timeout in tenths of a millisecond; share of all reqs. */
-    public record Route(String name, String method, String path, Rec.RouteRule rule, long timeout, double share) {}
+    public record Route(
+            String name, String method, String path, TrafficRecord.RouteRule rule, long timeout, double share) {}
 
     public record Rule(
             List<Route> routes,
@@ -72,7 +73,7 @@
             this.route = route;
             this.customer = customer;
             this.key = key;
-            this.mark = route.rule().effect() == Rec.Effect.DEDUPED ? "m-" + of : null;
+            this.mark = route.rule().effect() == TrafficRecord.Effect.DEDUPED ? "m-" + of : null;
             this.tally = tallies.get(route.name());
         }
     }
@@ -83,7 +84,7 @@
         final int front;
         final long leaves;
         final boolean complaint;
-        Loop.Alarm end, early;
+        EventLoop.ScheduledTask end, early;
         boolean over;
 
         Try(Call call, String id, int front, long leaves, boolean complaint) {
@@ -107,9 +108,9 @@
         }
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Rule rule;
-    private final Consumer<Rec> records;
+    private final Consumer<TrafficRecord> records;
     private final SplittableRandom random;
     private final NioSocketConnector connector = new NioSocketConnector(2);
     private final List<InetSocketAddress> fronts = new ArrayList<>();
@@ -124,7 +125,8 @@
     private boolean running;
     private long due;
 
-    public Clients(Loop loop, Rule rule, List<InetSocketAddress> fronts, long seed, Consumer<Rec> records) {
+    public LoadGenerator(
+            EventLoop loop, Rule rule, List<InetSocketAddress> fronts, long seed, Consumer<TrafficRecord> records) {
         this.loop = loop;
         this.rule = rule;
         this.records = records;
@@ -265,7 +267,7 @@
         open++;
         c.tally.tries++;
         connected(front, t, conn -> {
-            records.accept(new Rec.Asked(
+            records.accept(new TrafficRecord.Asked(
                     Recorder.now(),
                     t.id,
                     c.of,
@@ -286,25 +288,25 @@
         });
     }
 
-    private HttpReq http(Call c, Try t, boolean again) {
+    private HttpRequest http(Call c, Try t, boolean again) {
         Headers h = new Headers()
                 .add("Host", "front")
-                .add(Names.REQ_ID, t.id)
-                .add(Names.REMAINING, Double.toString(Math.max(10, t.leaves - WAY - loop.clock()) / 10.0));
+                .add(HeaderNames.REQ_ID, t.id)
+                .add(HeaderNames.REMAINING, Double.toString(Math.max(10, t.leaves - WAY - loop.clock()) / 10.0));
         if (c.customer != null) {
-            h.add(Names.CUSTOMER, c.customer);
+            h.add(HeaderNames.CUSTOMER, c.customer);
         }
         if (c.key != null) {
-            h.add(Names.KEY, c.key);
+            h.add(HeaderNames.KEY, c.key);
         }
         if (c.mark != null) {
-            h.add(Names.MARK, c.mark);
+            h.add(HeaderNames.MARK, c.mark);
         }
         if (again) {
-            h.add(Names.REPEAT, "1");
+            h.add(HeaderNames.REPEAT, "1");
         }
         boolean body = !c.route.method().equals("GET");
-        return new HttpReq(
+        return new HttpRequest(
                 c.route.method(),
                 c.route.path() + "/" + t.id,
                 1,
@@ -358,7 +360,7 @@
 
     private void giveUp(Conn conn, Try t, boolean early) {
         if (!t.over) {
-            records.accept(new Rec.LeftEarly(Recorder.now(), t.id, early));
+            records.accept(new TrafficRecord.LeftEarly(Recorder.now(), t.id, early));
             t.call.tally.left += early ? 1 : 0;
             t.call.tally.overdue += early ? 0 : 1;
             over(t);
@@ -370,13 +372,13 @@
 
     // ---- answers
 
-    private void answered(Conn conn, HttpAnswer a, long at) {
+    private void answered(Conn conn, HttpResponse a, long at) {
         Try t = conn.current;
         if (conn.gaveUp) {
             return;
         }
         if (t == null || t.over) {
-            records.accept(new Rec.Stray(at, conn.lastReq, "an answer of status " + a.status()));
+            records.accept(new TrafficRecord.Stray(at, conn.lastReq, "an answer of status " + a.status()));
             conn.session.closeNow();
             return;
         }
@@ -391,11 +393,12 @@
             return;
         }
         Tally tally = t.call.tally;
-        String how = a.headers().get(Names.ANSWER);
-        Rec.Final is =
-                "completed".equals(how) ? Rec.Final.COMPLETED : "shed".equals(how) ? Rec.Final.SHED : Rec.Final.ERRORED;
-        records.accept(new Rec.Answered(
-                at, t.id, a.status(), is, "no".equals(a.headers().get(Names.TAKEN))));
+        String how = a.headers().get(HeaderNames.ANSWER);
+        TrafficRecord.Final is = "completed".equals(how)
+                ? TrafficRecord.Final.COMPLETED
+                : "shed".equals(how) ? TrafficRecord.Final.SHED : TrafficRecord.Final.ERRORED;
+        records.accept(new TrafficRecord.Answered(
+                at, t.id, a.status(), is, "no".equals(a.headers().get(HeaderNames.TAKEN))));
         switch (is) {
             case COMPLETED -> {
                 tally.completed++;
@@ -403,12 +406,12 @@
                 tally.completedTenths.recordValue(Math.max(0, loop.now() - t.call.firstAt));
                 boolean wrong = a.body().length >= 5 && new String(a.body(), 0, 5, UTF_8).equals("wrong");
                 if (wrong && random.nextDouble() < rule.complain()) {
-                    complain(t.front, t.call, a.headers().get(Names.REF));
+                    complain(t.front, t.call, a.headers().get(HeaderNames.REF));
                 }
             }
             case SHED -> {
                 tally.shed++;
-                String after = a.headers().get(Names.RETRY_AFTER_MS);
+                String after = a.headers().get(HeaderNames.RETRY_AFTER_MS);
                 retry(t.call, after == null ? 100 : Long.parseLong(after) * 10);
             }
             case ERRORED -> {
@@ -421,7 +424,7 @@
 
     private void complain(int front, Call c, String ref) {
         Try t = new Try(c, "complaint", front, loop.now() + 10_000, true);
-        HttpReq http = new HttpReq(
+        HttpRequest http = new HttpRequest(
                 "POST",
                 "/.laurelkeel/complaints",
                 1,
@@ -434,12 +437,12 @@
     private void retryIfHarmless(Try t) {
         Call c = t.call;
         c.mayHaveRunAt = c.mayHaveRunAt == Long.MIN_VALUE ? loop.now() : c.mayHaveRunAt;
-        Rec.RouteRule r = c.route.rule();
+        TrafficRecord.RouteRule r = c.route.rule();
         // the machines' memory began with a try that ran later than the first ask
-        boolean marked = r.effect() == Rec.Effect.DEDUPED
-                && r.group() == Rec.Group.ALL
+        boolean marked = r.effect() == TrafficRecord.Effect.DEDUPED
+                && r.group() == TrafficRecord.Group.ALL
                 && loop.now() < c.firstAt + r.window() / 2;
-        if (r.effect() == Rec.Effect.RETRIABLE || marked) {
+        if (r.effect() == TrafficRecord.Effect.RETRIABLE || marked) {
             retry(c, 200);
         }
     }
@@ -457,10 +460,10 @@
             long at = Recorder.now();
             loop.post(() -> {
                 if (session.getAttribute(CONN) instanceof Conn c) {
-                    if (message instanceof HttpAnswer a) {
+                    if (message instanceof HttpResponse a) {
                         answered(c, a, at);
                     } else if (message instanceof Exception e) {
-                        records.accept(new Rec.Stray(at, c.lastReq, String.valueOf(e.getMessage())));
+                        records.accept(new TrafficRecord.Stray(at, c.lastReq, String.valueOf(e.getMessage())));
                         session.closeNow();
                     }
                 }
@@ -480,7 +483,7 @@
                 if (t != null && !t.over) {
                     over(t);
                     if (!t.complaint) {
-                        records.accept(new Rec.Broke(at, t.id, "the connection closed"));
+                        records.accept(new TrafficRecord.Broke(at, t.id, "the connection closed"));
                         t.call.tally.broke++;
                         retryIfHarmless(t);
                     }
--- a/src/main/java/laurelkeel/standin/Offer.java
+++ b/src/main/java/laurelkeel/testbed/OfferedRelease.java
@@ -1,47 +1,47 @@
-package laurelkeel.standin;
+package laurelkeel.testbed;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
-import laurelkeel.records.Rec;
 import laurelkeel.records.Recorder;
+import laurelkeel.records.TrafficRecord;
 
 /** One release object of the line: a build, the stage it is in, and the votes on it. */
-final class Offer {
+final class OfferedRelease {
 
     private record Ballot(int stage, String verdict, long until) {}
 
-    final Build build;
+    final BuildProfile build;
     int stage;
-    Rec.Phase phase;
+    TrafficRecord.Phase phase;
     double cap;
     long since, readyAt, heldFor;
     private long heldSince = -1;
     int replacing;
     private final Map<Integer, Ballot> votes = new HashMap<>();
 
-    Offer(Build build) {
+    OfferedRelease(BuildProfile build) {
         this.build = build;
     }
 
     boolean onTrial() {
-        return phase == Rec.Phase.TRIAL;
+        return phase == TrafficRecord.Phase.TRIAL;
     }
 
     /** Off the fleet, or on all of it. */
     boolean over() {
-        return phase == Rec.Phase.WITHDRAWN || phase == Rec.Phase.RELEASED;
+        return phase == TrafficRecord.Phase.WITHDRAWN || phase == TrafficRecord.Phase.RELEASED;
     }
 
-    void move(int to, Rec.Phase as, double cap, long now) {
+    void move(int to, TrafficRecord.Phase as, double cap, long now) {
         stage = to;
         phase = as;
         since = now;
         heldFor = 0;
         heldSince = -1;
         this.cap = cap;
-        if (as != Rec.Phase.TRIAL) {
+        if (as != TrafficRecord.Phase.TRIAL) {
             votes.clear();
         }
     }
@@ -66,8 +66,8 @@
                 .count();
     }
 
-    Rec.Stage record() {
-        return new Rec.Stage(Recorder.now(), build.number(), stage, cap, phase);
+    TrafficRecord.Stage record() {
+        return new TrafficRecord.Stage(Recorder.now(), build.number(), stage, cap, phase);
     }
 
     Map<String, Object> news(String kind, String answer, long now) {
--- a/src/main/java/laurelkeel/standin/Ports.java
+++ b/src/main/java/laurelkeel/testbed/PortAllocator.java
@@ -1,4 +1,4 @@
-package laurelkeel.standin;
+package laurelkeel.testbed;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -9,13 +9,13 @@
  * Free ports that stay free while their owner is down: below the range from which the system takes ports for
  * connections that go out.
  */
-public final class Ports {
+public final class PortAllocator {
     private static final int FIRST = 20_000;
     private static final int COUNT = 10_000;
     private static final AtomicInteger NEXT =
             new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % COUNT));
 
-    private Ports() {}
+    private PortAllocator() {}
 
     public static int free() throws IOException {
         for (int i = 0; i < COUNT; i++) {
--- a/src/main/java/laurelkeel/standin/ReleaseLine.java
+++ b/src/main/java/laurelkeel/testbed/RolloutService.java
@@ -1,4 +1,4 @@
-package laurelkeel.standin;
+package laurelkeel.testbed;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.sun.net.httpserver.HttpExchange;
@@ -13,17 +13,17 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import laurelkeel.blame.Finding;
-import laurelkeel.loop.Loop;
-import laurelkeel.records.Rec;
+import laurelkeel.attribution.AttributionFinding;
+import laurelkeel.eventloop.EventLoop;
 import laurelkeel.records.Recorder;
+import laurelkeel.records.TrafficRecord;
 
 /**
  * The rollout platform as a stand-in: it puts new builds on part of the fleet stage by stage, one or several at once,
  * counts the votes of fronts, goes on or back, and tells all that late. It pools the fronts' reports and tells whom
  * the blame falls on. It can stall and be late beyond its use. All on the loop's thread but for the sockets.
  */
-public final class ReleaseLine {
+public final class RolloutService {
 
     public enum Control {
         ANY,
@@ -56,42 +56,43 @@
 
     private static final long BLAME_EVERY = 10_000, LAST_REPORTS = 80_000;
 
-    private final Loop loop;
-    private final Fleet fleet;
+    private final EventLoop loop;
+    private final SimulatedFleet fleet;
     private final Rule rule;
-    private final Consumer<Rec> records;
-    private final LineService service = new LineService();
-    private final TreeMap<Integer, Offer> offers = new TreeMap<>();
-    private final ArrayDeque<Build> waiting = new ArrayDeque<>();
-    private final Blaming blaming;
+    private final Consumer<TrafficRecord> records;
+    private final JsonLineService service = new JsonLineService();
+    private final TreeMap<Integer, OfferedRelease> offers = new TreeMap<>();
+    private final ArrayDeque<BuildProfile> waiting = new ArrayDeque<>();
+    private final AttributionService blaming;
     private final Map<Integer, String> words = new TreeMap<>();
-    private Offer newest;
-    private Build base;
+    private OfferedRelease newest;
+    private BuildProfile base;
     private volatile long stalledUntil = Long.MIN_VALUE, lateUntil = Long.MIN_VALUE;
     private volatile long lateBy;
     private double tokens;
     private long tokensAt;
     private int places;
 
-    public ReleaseLine(Loop loop, Fleet fleet, Rule rule, int routes, Consumer<Rec> records) throws IOException {
+    public RolloutService(EventLoop loop, SimulatedFleet fleet, Rule rule, int routes, Consumer<TrafficRecord> records)
+            throws IOException {
         this.loop = loop;
         this.fleet = fleet;
         this.rule = rule;
         this.records = records;
         this.tokens = 2 * rule.votesPerSecond();
-        this.blaming = new Blaming(routes);
+        this.blaming = new AttributionService(routes);
         service.on("/release/watch", this::watch);
         service.on("/release/votes", this::voted);
         service.on("/release/reports", this::reported);
-        service.on("/release/blame", x -> LineService.say(x, 200, asked(blaming::told)));
+        service.on("/release/blame", x -> JsonLineService.say(x, 200, asked(blaming::told)));
     }
 
     /** Starts the fleet's first machines, warm, on a released build. */
-    public InetSocketAddress start(Build first, int machines) {
+    public InetSocketAddress start(BuildProfile first, int machines) {
         base = first;
         places = machines;
-        newest = new Offer(first);
-        newest.move(0, Rec.Phase.RELEASED, 1, loop.now());
+        newest = new OfferedRelease(first);
+        newest.move(0, TrafficRecord.Phase.RELEASED, 1, loop.now());
         offers.put(first.number(), newest);
         for (int i = 0; i < machines; i++) {
             fleet.start(null, first, i, false);
@@ -124,18 +125,18 @@
         return newest.stage;
     }
 
-    public Rec.Phase phase() {
+    public TrafficRecord.Phase phase() {
         return newest.phase;
     }
 
-    public Build newest() {
+    public BuildProfile newest() {
         return newest.build;
     }
 
     /** What is known of all releases, one line. */
     public String standing() {
         StringBuilder s = new StringBuilder();
-        for (Offer o : offers.values()) {
+        for (OfferedRelease o : offers.values()) {
             s.append(s.length() == 0 ? "" : "; ")
                     .append("build ")
                     .append(o.build.number())
@@ -152,40 +153,44 @@
     }
 
     /** Offers a build; where no more may be on trial one that is alone goes back first, and of several it waits. */
-    public void offer(Build b) {
+    public void offer(BuildProfile b) {
         if (onTrial() < rule.together()) {
             begin(b);
             return;
         }
         waiting.addLast(b);
         if (rule.together() == 1) {
-            offers.values().stream().filter(Offer::onTrial).toList().forEach(this::back);
+            offers.values().stream().filter(OfferedRelease::onTrial).toList().forEach(this::back);
         }
     }
 
-    private void begin(Build b) {
-        Offer o = new Offer(b);
+    private void begin(BuildProfile b) {
+        OfferedRelease o = new OfferedRelease(b);
         newest = o;
         offers.put(b.number(), o);
         blaming.offered(b.number(), loop.now());
-        move(o, 0, Rec.Phase.TRIAL);
+        move(o, 0, TrafficRecord.Phase.TRIAL);
     }
 
-    private void move(Offer o, int to, Rec.Phase as) {
-        o.move(to, as, as == Rec.Phase.TRIAL ? rule.caps().get(to) : as == Rec.Phase.RELEASED ? 1 : 0, loop.now());
+    private void move(OfferedRelease o, int to, TrafficRecord.Phase as) {
+        o.move(
+                to,
+                as,
+                as == TrafficRecord.Phase.TRIAL ? rule.caps().get(to) : as == TrafficRecord.Phase.RELEASED ? 1 : 0,
+                loop.now());
         records.accept(o.record());
         tell();
-        if (as == Rec.Phase.TRIAL) {
+        if (as == TrafficRecord.Phase.TRIAL) {
             fill(o);
         }
-        if (as == Rec.Phase.RELEASED) {
+        if (as == TrafficRecord.Phase.RELEASED) {
             released(o);
         }
         if (o.over()) {
             // votes can be quicker than reports: what is on its way still says whether they were right
             loop.at(
-                    loop.now() + (as == Rec.Phase.RELEASED ? 0 : LAST_REPORTS),
-                    () -> blaming.ended(o.build.number(), as == Rec.Phase.RELEASED));
+                    loop.now() + (as == TrafficRecord.Phase.RELEASED ? 0 : LAST_REPORTS),
+                    () -> blaming.ended(o.build.number(), as == TrafficRecord.Phase.RELEASED));
             // the news of what has ended is still told for a while
             loop.at(loop.now() + 20 * 10_000, () -> {
                 if (o != newest && o.build != base) {
@@ -198,9 +203,9 @@
         }
     }
 
-    private void released(Offer o) {
+    private void released(OfferedRelease o) {
         base = o.build;
-        for (Offer other : List.copyOf(offers.values())) {
+        for (OfferedRelease other : List.copyOf(offers.values())) {
             if (other.onTrial() && other.build.number() < o.build.number()) {
                 back(other);
             }
@@ -211,7 +216,7 @@
                 .forEach(m -> fleet.drain(m, rule.drainMost()));
     }
 
-    private int liveOnOtherTrials(Offer o) {
+    private int liveOnOtherTrials(OfferedRelease o) {
         return offers.values().stream()
                 .filter(x -> x != o && x.onTrial())
                 .mapToInt(x -> fleet.live(x.build.number()).size() + x.replacing)
@@ -219,7 +224,7 @@
     }
 
     /** Starts as many machines as the stage asks for, one by one, each in place of an earlier one. */
-    private void fill(Offer o) {
+    private void fill(OfferedRelease o) {
         int wanted = (int) Math.ceil(rule.shares().get(o.stage) * (places - liveOnOtherTrials(o)) - 1e-9);
         int have = fleet.live(o.build.number()).size() + o.replacing;
         o.readyAt = loop.now();
@@ -230,10 +235,10 @@
             o.readyAt = Math.max(o.readyAt, at);
             loop.at(at, () -> {
                 o.replacing--;
-                if (!o.onTrial() && o.phase != Rec.Phase.RELEASED) {
+                if (!o.onTrial() && o.phase != TrafficRecord.Phase.RELEASED) {
                     return;
                 }
-                Machine earlier = earlier(o);
+                SimulatedServer earlier = earlier(o);
                 fleet.start(null, o.build, place, true);
                 if (rule.style() == Style.REPLACE && earlier != null) {
                     fleet.drain(earlier, rule.drainMost());
@@ -243,26 +248,26 @@
     }
 
     /** A machine to give way: of the build that serves beside, and of other trials only once nothing else is left. */
-    private Machine earlier(Offer o) {
-        List<Machine> all = fleet.live().stream()
+    private SimulatedServer earlier(OfferedRelease o) {
+        List<SimulatedServer> all = fleet.live().stream()
                 .filter(m -> m.build.number() < o.build.number())
                 .toList();
         return all.stream()
                 .filter(m -> {
-                    Offer of = offers.get(m.build.number());
+                    OfferedRelease of = offers.get(m.build.number());
                     return of == null || !of.onTrial();
                 })
                 .findFirst()
                 .orElse(all.isEmpty() || onTrial() > 1 ? null : all.get(0));
     }
 
-    private void back(Offer o) {
-        move(o, o.stage, Rec.Phase.GOING_BACK);
+    private void back(OfferedRelease o) {
+        move(o, o.stage, TrafficRecord.Phase.GOING_BACK);
         int missing = places
                 - fleet.live().stream()
                         .mapToInt(m -> m.build.number() != o.build.number() ? 1 : 0)
                         .sum();
-        Build b = base;
+        BuildProfile b = base;
         for (int i = 0; i < missing; i++) {
             int place = i;
             loop.at(
@@ -270,17 +275,20 @@
                     () -> fleet.start(null, b, place, true));
         }
         fleet.live(o.build.number()).forEach(m -> fleet.drain(m, rule.drainMost()));
-        loop.at(loop.now() + rule.startTime() + rule.drainMost(), () -> move(o, o.stage, Rec.Phase.WITHDRAWN));
+        loop.at(
+                loop.now() + rule.startTime() + rule.drainMost(),
+                () -> move(o, o.stage, TrafficRecord.Phase.WITHDRAWN));
     }
 
     private void judge() {
         loop.at(loop.now() + BLAME_EVERY, this::judge);
-        for (Finding f : blaming.judge(loop.now())) {
+        for (AttributionFinding f : blaming.judge(loop.now())) {
             String word = blaming.word(f.build());
             if (!word.equals(words.put(f.build(), word))) {
-                records.accept(new Rec.Blamed(Recorder.now(), f.build(), word, f.probability(), f.evidence()));
+                records.accept(
+                        new TrafficRecord.Blamed(Recorder.now(), f.build(), word, f.probability(), f.evidence()));
             }
-            Offer o = offers.get(f.build());
+            OfferedRelease o = offers.get(f.build());
             if (f.setAside() && o != null && o.onTrial()) {
                 blaming.setAside(f.build());
                 back(o);
@@ -293,18 +301,18 @@
 
     private void tick() {
         loop.at(loop.now() + 500, this::tick);
-        for (Offer o : List.copyOf(offers.values())) {
+        for (OfferedRelease o : List.copyOf(offers.values())) {
             tick(o);
         }
     }
 
-    private void tick(Offer o) {
-        boolean late = o.phase == Rec.Phase.RELEASED && o == newest && o.build == base && offers.size() > 1;
+    private void tick(OfferedRelease o) {
+        boolean late = o.phase == TrafficRecord.Phase.RELEASED && o == newest && o.build == base && offers.size() > 1;
         if ((o.onTrial() || late) && o.count("back", loop.now()) >= Math.max(1, rule.backVotes())) {
             if (late) {
                 int before = o.build.number();
                 base = offers.headMap(before).isEmpty()
-                        ? Build.good(before - 1)
+                        ? BuildProfile.good(before - 1)
                         : offers.lowerEntry(before).getValue().build;
             }
             back(o);
@@ -326,19 +334,19 @@
                 };
         if (longEnough && voted) {
             if (o.stage + 1 < rule.shares().size()) {
-                move(o, o.stage + 1, Rec.Phase.TRIAL);
+                move(o, o.stage + 1, TrafficRecord.Phase.TRIAL);
             } else {
-                move(o, o.stage, Rec.Phase.RELEASED);
+                move(o, o.stage, TrafficRecord.Phase.RELEASED);
             }
         }
     }
 
-    private Map<String, Object> news(Offer o, String kind, String answer) {
+    private Map<String, Object> news(OfferedRelease o, String kind, String answer) {
         Map<String, Object> n = o.news(kind, answer, loop.clock());
         n.put(
                 "standing",
                 offers.values().stream()
-                        .filter(x -> x.phase != Rec.Phase.WITHDRAWN)
+                        .filter(x -> x.phase != TrafficRecord.Phase.WITHDRAWN)
                         .map(x -> x.build.number())
                         .toList());
         n.put(
@@ -362,7 +370,7 @@
         long seenAt = loop.now();
         List<Map<String, Object>> all =
                 offers.values().stream().map(o -> news(o, "news", null)).toList();
-        for (LineService.Watcher w : new ArrayList<>(service.watchers)) {
+        for (JsonLineService.Watcher w : new ArrayList<>(service.watchers)) {
             long lag = (long) (rule.newsLag() * (0.5 + fleet.chance() / 2)) + (loop.now() < lateUntil ? lateBy : 0);
             w.lastDue = Math.max(w.lastDue, loop.now() + lag);
             loop.at(
@@ -377,10 +385,10 @@
 
     private void watch(HttpExchange x) throws IOException {
         if (loop.clock() < stalledUntil) {
-            LineService.say(x, 503, null);
+            JsonLineService.say(x, 503, null);
             return;
         }
-        LineService.Watcher w = new LineService.Watcher();
+        JsonLineService.Watcher w = new JsonLineService.Watcher();
         loop.post(() -> offers.values().forEach(o -> w.tell(news(o, "news", null))));
         service.stream(x, w);
     }
@@ -399,17 +407,17 @@
 
     private void reported(HttpExchange x) throws IOException {
         if (loop.clock() < stalledUntil) {
-            LineService.say(x, 503, null);
+            JsonLineService.say(x, 503, null);
             return;
         }
-        JsonNode r = LineService.JSON.readTree(x.getRequestBody());
+        JsonNode r = JsonLineService.JSON.readTree(x.getRequestBody());
         String fault = asked(() -> String.valueOf(blaming.take(r, loop.now())));
         boolean bad = fault.startsWith("a report");
-        LineService.say(x, bad ? 400 : 200, Map.of("answer", fault.equals("null") ? "ok" : fault));
+        JsonLineService.say(x, bad ? 400 : 200, Map.of("answer", fault.equals("null") ? "ok" : fault));
     }
 
     private void voted(HttpExchange x) throws IOException {
-        JsonNode v = LineService.JSON.readTree(x.getRequestBody());
+        JsonNode v = JsonLineService.JSON.readTree(x.getRequestBody());
         Map<String, Object> a = asked(() -> vote(
                 v.path("front").asInt(),
                 v.path("build").asInt(),
@@ -424,7 +432,7 @@
             }
             return;
         }
-        LineService.say(x, 200, a);
+        JsonLineService.say(x, 200, a);
     }
 
     private Map<String, Object> vote(int front, int build, int at, String verdict) {
@@ -434,8 +442,9 @@
         String answer;
         boolean stalled = loop.now() < stalledUntil;
         boolean counts = !stalled || fleet.chance() < 0.5;
-        Offer o = offers.get(build);
-        boolean judged = o != null && (o.onTrial() || (o.phase == Rec.Phase.RELEASED && verdict.equals("back")));
+        OfferedRelease o = offers.get(build);
+        boolean judged =
+                o != null && (o.onTrial() || (o.phase == TrafficRecord.Phase.RELEASED && verdict.equals("back")));
         if (tokens < 1) {
             answer = "over-limit";
         } else if (!judged || (verdict.equals("on") && (at != o.stage || rule.control() == Control.CLOCK))) {
@@ -447,7 +456,7 @@
                 o.vote(front, at, verdict, loop.now() + rule.voteLife());
             }
         }
-        records.accept(new Rec.Voted(Recorder.now(), front, build, at, verdict, stalled ? "none" : answer));
+        records.accept(new TrafficRecord.Voted(Recorder.now(), front, build, at, verdict, stalled ? "none" : answer));
         return stalled ? null : news(o == null ? newest : o, "vote", answer);
     }
 }
--- a/src/main/java/laurelkeel/standin/Shape.java
+++ b/src/main/java/laurelkeel/testbed/ServerProfile.java
@@ -1,7 +1,7 @@
-package laurelkeel.standin;
+package laurelkeel.testbed;
 
 import java.util.Map;
-import laurelkeel.records.Rec;
+import laurelkeel.records.TrafficRecord;
 
 /**
  * What all machines of a stand-in fleet share; times in tenths of a millisecond.
@@ -11,12 +11,12 @@
  * @param rules by route, for the memory of marks
  * @param warmKeys the part of the work that a key met within keyMemory saves
  */
-public record Shape(
+public record ServerProfile(
         int cores,
         int room,
         int connections,
         Map<String, Long> work,
-        Map<String, Rec.RouteRule> rules,
+        Map<String, TrafficRecord.RouteRule> rules,
         double coldFrom,
         long coldFor,
         double tipMultiple,
--- a/src/main/java/laurelkeel/standin/Fleet.java
+++ b/src/main/java/laurelkeel/testbed/SimulatedFleet.java
@@ -1,4 +1,4 @@
-package laurelkeel.standin;
+package laurelkeel.testbed;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -13,21 +13,21 @@
 import java.util.concurrent.Executors;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import laurelkeel.loop.Loop;
-import laurelkeel.records.Rec;
+import laurelkeel.eventloop.EventLoop;
 import laurelkeel.records.Recorder;
-import laurelkeel.wire.HttpReq;
+import laurelkeel.records.TrafficRecord;
+import laurelkeel.wire.HttpRequest;
 import org.apache.mina.core.service.SimpleIoProcessorPool;
 import org.apache.mina.transport.socket.nio.NioProcessor;
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /** All stand-in machines of a place, on one thread; it starts, drains and breaks them, and tells who watches. */
-public final class Fleet {
+public final class SimulatedFleet {
     /** Reqs over its budget that a cold machine bears, for chance. */
     public static final int TIP_SLACK = 5;
 
-    final Loop loop;
-    final Shape shape;
+    final EventLoop loop;
+    final ServerProfile shape;
     final List<String> zones;
     final ExecutorService executor = Executors.newCachedThreadPool(r -> {
         Thread t = new Thread(r, "standin-io");
@@ -37,18 +37,23 @@
     final SimpleIoProcessorPool<NioSession> processors =
             new SimpleIoProcessorPool<>(NioProcessor.class, executor, 2, null);
     private final SplittableRandom random;
-    private final Consumer<Rec> records;
+    private final Consumer<TrafficRecord> records;
     private final Map<String, String> routes;
-    private final Map<String, Machine> machines = new LinkedHashMap<>();
-    private final Map<String, Marks> marks = new HashMap<>();
-    private BiConsumer<Machine, Rec.State> watcher = (m, s) -> {};
+    private final Map<String, SimulatedServer> machines = new LinkedHashMap<>();
+    private final Map<String, DeduplicationCache> marks = new HashMap<>();
+    private BiConsumer<SimulatedServer, TrafficRecord.State> watcher = (m, s) -> {};
     private long runs;
     private long slowUntil;
     private double slowBy = 1;
 
     /** @param routes route names by path prefix */
-    public Fleet(
-            Loop loop, Shape shape, List<String> zones, Map<String, String> routes, long seed, Consumer<Rec> records) {
+    public SimulatedFleet(
+            EventLoop loop,
+            ServerProfile shape,
+            List<String> zones,
+            Map<String, String> routes,
+            long seed,
+            Consumer<TrafficRecord> records) {
         this.loop = loop;
         this.shape = shape;
         this.zones = List.copyOf(zones);
@@ -58,7 +63,7 @@
     }
 
     /** Told of every change of state, on the fleet's thread. */
-    public void watch(BiConsumer<Machine, Rec.State> watcher) {
+    public void watch(BiConsumer<SimulatedServer, TrafficRecord.State> watcher) {
         this.watcher = watcher;
     }
 
@@ -66,7 +71,7 @@
         return Recorder.now();
     }
 
-    void record(Rec r) {
+    void record(TrafficRecord r) {
         records.accept(r);
     }
 
@@ -74,7 +79,7 @@
         return random.nextDouble();
     }
 
-    String route(HttpReq http) {
+    String route(HttpRequest http) {
         String path = http.path();
         for (Map.Entry<String, String> e : routes.entrySet()) {
             if (path.startsWith(e.getKey())) {
@@ -84,18 +89,18 @@
         return "";
     }
 
-    Marks marks(Rec.Group group, Machine m) {
+    DeduplicationCache marks(TrafficRecord.Group group, SimulatedServer m) {
         String of =
                 switch (group) {
                     case ALL -> "all";
                     case ZONE -> "zone " + m.zone;
                     case CELL -> "cell " + m.cell;
                 };
-        return marks.computeIfAbsent(of, k -> new Marks());
+        return marks.computeIfAbsent(of, k -> new DeduplicationCache());
     }
 
     double slowAll() {
-        List<Machine> live = live();
+        List<SimulatedServer> live = live();
         // a build's harm to all goes with its share of the machines
         double harm = live.stream().mapToDouble(m -> m.build.harmsAll() - 1).sum() / Math.max(1, live.size());
         return (loop.now() < slowUntil ? slowBy : 1) * (1 + harm);
@@ -107,33 +112,33 @@
         slowUntil = until;
     }
 
-    public List<Machine> machines() {
+    public List<SimulatedServer> machines() {
         return new ArrayList<>(machines.values());
     }
 
-    public List<Machine> live() {
+    public List<SimulatedServer> live() {
         return machines.values().stream()
-                .filter(m -> !m.dead && m.state == Rec.State.LIVE)
+                .filter(m -> !m.dead && m.state == TrafficRecord.State.LIVE)
                 .toList();
     }
 
-    public List<Machine> live(int build) {
+    public List<SimulatedServer> live(int build) {
         return live().stream().filter(m -> m.build.number() == build).toList();
     }
 
     /** Starts a machine; at null gives it a free port. */
-    public Machine start(InetSocketAddress at, Build build, int place, boolean cold) {
+    public SimulatedServer start(InetSocketAddress at, BuildProfile build, int place, boolean cold) {
         try {
-            Machine m = new Machine(
+            SimulatedServer m = new SimulatedServer(
                     this,
-                    at == null ? new InetSocketAddress("127.0.0.1", Ports.free()) : at,
+                    at == null ? new InetSocketAddress("127.0.0.1", PortAllocator.free()) : at,
                     ++runs,
                     zones.get(place % zones.size()),
                     place % zones.size(),
                     build,
                     cold);
             machines.put(m.id, m);
-            watcher.accept(m, Rec.State.LIVE);
+            watcher.accept(m, TrafficRecord.State.LIVE);
             return m;
         } catch (IOException e) {
             throw new UncheckedIOException("a stand-in machine could not open its port", e);
@@ -141,16 +146,16 @@
     }
 
     /** Takes no new work, and is gone once it has nothing left or after most. */
-    public void drain(Machine m, long most) {
-        if (m.state == Rec.State.LIVE && !m.dead) {
-            m.state = Rec.State.DRAINING;
-            watcher.accept(m, Rec.State.DRAINING);
+    public void drain(SimulatedServer m, long most) {
+        if (m.state == TrafficRecord.State.LIVE && !m.dead) {
+            m.state = TrafficRecord.State.DRAINING;
+            watcher.accept(m, TrafficRecord.State.DRAINING);
             // fronts need the news before it goes
             loop.at(loop.now() + 8_000, () -> drained(m, loop.now() + most));
         }
     }
 
-    private void drained(Machine m, long latest) {
+    private void drained(SimulatedServer m, long latest) {
         if (m.dead) {
             return;
         }
@@ -163,21 +168,21 @@
     }
 
     /** Dies at once. */
-    public void kill(Machine m) {
+    public void kill(SimulatedServer m) {
         m.die("died");
         died(m);
     }
 
-    void died(Machine m) {
-        if (m.state != Rec.State.GONE) {
-            m.state = Rec.State.GONE;
+    void died(SimulatedServer m) {
+        if (m.state != TrafficRecord.State.GONE) {
+            m.state = TrafficRecord.State.GONE;
             machines.remove(m.id, m);
-            watcher.accept(m, Rec.State.GONE);
+            watcher.accept(m, TrafficRecord.State.GONE);
         }
     }
 
     public void close() {
-        for (Machine m : machines()) {
+        for (SimulatedServer m : machines()) {
             m.die("end");
         }
         processors.dispose();
--- a/src/main/java/laurelkeel/standin/Machine.java
+++ b/src/main/java/laurelkeel/testbed/SimulatedServer.java
@@ -1,4 +1,4 @@
-package laurelkeel.standin;
+package laurelkeel.testbed;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -10,15 +10,15 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import laurelkeel.loop.Loop;
-import laurelkeel.records.Rec;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.records.TrafficRecord;
+import laurelkeel.wire.HeaderNames;
 import laurelkeel.wire.Headers;
-import laurelkeel.wire.HttpAnswer;
 import laurelkeel.wire.HttpCodec;
 import laurelkeel.wire.HttpLimits;
-import laurelkeel.wire.HttpReq;
+import laurelkeel.wire.HttpRequest;
+import laurelkeel.wire.HttpResponse;
 import laurelkeel.wire.HttpWriter;
-import laurelkeel.wire.Names;
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
@@ -27,7 +27,7 @@
  * One stand-in machine on a port of its own: cores that serve, room that waits, a cold start, and whatever is wrong
  * with it. Everything but its sockets happens on the fleet's thread.
  */
-public final class Machine {
+public final class SimulatedServer {
 
     /** What can be wrong with a machine for a while. */
     public enum Fault {
@@ -41,13 +41,13 @@
 
     private static final class Job {
         final IoSession from;
-        final HttpReq http;
+        final HttpRequest http;
         final String req, route;
         final int no;
-        Loop.Alarm end;
+        EventLoop.ScheduledTask end;
         boolean left;
 
-        Job(IoSession from, HttpReq http, String req, String route, int no) {
+        Job(IoSession from, HttpRequest http, String req, String route, int no) {
             this.from = from;
             this.http = http;
             this.req = req;
@@ -60,10 +60,10 @@
     final String zone;
     final int cell;
     final long run;
-    final Build build;
+    final BuildProfile build;
     final InetSocketAddress at;
-    private final Fleet fleet;
-    private final Shape shape;
+    private final SimulatedFleet fleet;
+    private final ServerProfile shape;
     private final NioSocketAcceptor acceptor;
     private final Set<IoSession> sessions = new LinkedHashSet<>();
     private final Map<IoSession, Job> inHand = new HashMap<>();
@@ -73,14 +73,21 @@
     private final Map<Fault, Long> faults = new HashMap<>();
     final boolean cold;
     final long startedAt;
-    Rec.State state = Rec.State.LIVE;
+    TrafficRecord.State state = TrafficRecord.State.LIVE;
     private int busy;
     private double slowBy = 1, meanMs;
     private double loadTold, meanTold;
     private long loadAt;
     boolean dead;
 
-    Machine(Fleet fleet, InetSocketAddress at, long run, String zone, int cell, Build build, boolean cold)
+    SimulatedServer(
+            SimulatedFleet fleet,
+            InetSocketAddress at,
+            long run,
+            String zone,
+            int cell,
+            BuildProfile build,
+            boolean cold)
             throws IOException {
         this.fleet = fleet;
         this.shape = fleet.shape;
@@ -99,7 +106,7 @@
         acceptor.bind(at);
         this.at = acceptor.getLocalAddress();
         this.id = "127.0.0.1:" + this.at.getPort();
-        fleet.record(new Rec.MachineUp(
+        fleet.record(new TrafficRecord.MachineUp(
                 fleet.time(),
                 id,
                 run,
@@ -114,7 +121,7 @@
                 cold));
     }
 
-    public Build build() {
+    public BuildProfile build() {
         return build;
     }
 
@@ -166,7 +173,7 @@
             acceptor.unbind();
             sessions.forEach(IoSession::closeNow);
             fleet.executor.execute(() -> acceptor.dispose(false));
-            fleet.record(new Rec.MachineDown(fleet.time(), id, run, why));
+            fleet.record(new TrafficRecord.MachineDown(fleet.time(), id, run, why));
         }
     }
 
@@ -199,7 +206,7 @@
         @Override
         public void messageReceived(IoSession session, Object message) {
             long t = fleet.time();
-            if (message instanceof HttpReq r) {
+            if (message instanceof HttpRequest r) {
                 fleet.loop.post(() -> take(session, r, t));
             } else if (message instanceof Exception) {
                 session.closeNow();
@@ -214,21 +221,21 @@
 
     // ---- on the fleet's thread
 
-    private void take(IoSession from, HttpReq http, long t) {
+    private void take(IoSession from, HttpRequest http, long t) {
         if (dead) {
             return;
         }
         if (http.path().equals("/health")) {
             if (!has(Fault.HANG)) {
-                from.write(answer(state == Rec.State.LIVE ? 200 : 503, "", new byte[0]));
+                from.write(answer(state == TrafficRecord.State.LIVE ? 200 : 503, "", new byte[0]));
             }
             return;
         }
-        String req = String.valueOf(http.headers().get(Names.REQ_ID));
-        String front = String.valueOf(http.headers().get(Names.FRONT));
+        String req = String.valueOf(http.headers().get(HeaderNames.REQ_ID));
+        String front = String.valueOf(http.headers().get(HeaderNames.FRONT));
         int slash = front.indexOf('/');
-        int no = whole(http.headers().get(Names.TRY));
-        fleet.record(new Rec.Arrived(
+        int no = whole(http.headers().get(HeaderNames.TRY));
+        fleet.record(new TrafficRecord.Arrived(
                 t,
                 id,
                 run,
@@ -245,11 +252,11 @@
         if (has(Fault.HANG)) {
             return;
         }
-        if (state != Rec.State.LIVE || (room.size() >= shape.room() && busy >= shape.cores())) {
+        if (state != TrafficRecord.State.LIVE || (room.size() >= shape.room() && busy >= shape.cores())) {
             inHand.remove(from);
-            fleet.record(new Rec.TurnedAway(fleet.time(), id, run, req, no));
-            HttpAnswer a = answer(503, "no room\n", null);
-            a.headers().add(Names.RAN, "no");
+            fleet.record(new TrafficRecord.TurnedAway(fleet.time(), id, run, req, no));
+            HttpResponse a = answer(503, "no room\n", null);
+            a.headers().add(HeaderNames.RAN, "no");
             from.write(a);
             return;
         }
@@ -276,7 +283,7 @@
             arrivals.pollFirst();
         }
         double most = shape.tipMultiple() * warmth() * shape.capacity() * shape.tipAfter() / 10_000;
-        if (arrivals.size() > most + Fleet.TIP_SLACK) {
+        if (arrivals.size() > most + SimulatedFleet.TIP_SLACK) {
             die("tipped");
             fleet.died(this);
             return true;
@@ -292,13 +299,13 @@
             }
             busy++;
             boolean crowded = busy >= shape.cores();
-            Rec.RouteRule rule = shape.rules().get(j.route);
-            String mark = j.http.headers().get(Names.MARK);
+            TrafficRecord.RouteRule rule = shape.rules().get(j.route);
+            String mark = j.http.headers().get(HeaderNames.MARK);
             boolean repeat = rule != null
-                    && rule.effect() == Rec.Effect.DEDUPED
+                    && rule.effect() == TrafficRecord.Effect.DEDUPED
                     && mark != null
                     && fleet.marks(rule.group(), this).repeat(mark, fleet.loop.now(), rule.window());
-            fleet.record(new Rec.Ran(fleet.time(), id, run, j.req, j.no, repeat));
+            fleet.record(new TrafficRecord.Ran(fleet.time(), id, run, j.req, j.no, repeat));
             long took = repeat ? 10 : work(j);
             j.end = fleet.loop.at(fleet.loop.now() + took, () -> done(j, took, crowded));
         }
@@ -309,7 +316,7 @@
                 * build.work()
                 * (0.5 + fleet.chance())
                 * (busy >= shape.cores() && !room.isEmpty() ? build.workBusy() : 1);
-        String key = j.http.headers().get(Names.KEY);
+        String key = j.http.headers().get(HeaderNames.KEY);
         if (key != null) {
             long now = fleet.loop.now();
             Long met = keys.put(key, now);
@@ -348,7 +355,7 @@
         boolean fails = (acts && fleet.chance() < build.failing().getOrDefault(j.route, 0.0))
                 || (crowded && fleet.chance() < build.failingBusy());
         String text = fleet.chance() < build.wrong() ? "wrong" : "right";
-        HttpAnswer a = answer(fails ? 500 : 200, fails ? "failed" : text, new byte[shape.answerBytes()]);
+        HttpResponse a = answer(fails ? 500 : 200, fails ? "failed" : text, new byte[shape.answerBytes()]);
         if (has(Fault.RESET) || has(Fault.HALF)) {
             byte[] whole = bytes(a);
             byte[] half = java.util.Arrays.copyOf(whole, whole.length / 2);
@@ -359,18 +366,18 @@
             }
             return;
         }
-        fleet.record(new Rec.Replied(fleet.time(), id, run, j.req, j.no, a.status()));
+        fleet.record(new TrafficRecord.Replied(fleet.time(), id, run, j.req, j.no, a.status()));
         j.from.write(a);
     }
 
-    private static byte[] bytes(HttpAnswer a) {
+    private static byte[] bytes(HttpResponse a) {
         org.apache.mina.core.buffer.IoBuffer b = HttpWriter.write(a);
         byte[] out = new byte[b.remaining()];
         b.get(out);
         return out;
     }
 
-    private HttpAnswer answer(int status, String text, byte[] filler) {
+    private HttpResponse answer(int status, String text, byte[] filler) {
         long now = fleet.loop.now();
         if (now >= loadAt) {
             loadAt = now + shape.loadEvery();
@@ -380,14 +387,14 @@
         byte[] body = filler == null || filler.length == 0 ? text.getBytes(UTF_8) : filler;
         byte[] start = text.getBytes(UTF_8);
         System.arraycopy(start, 0, body, 0, Math.min(start.length, body.length));
-        return new HttpAnswer(
+        return new HttpResponse(
                 status,
                 Headers.of(
                         "Content-Type",
                         "text/plain",
-                        Names.BUILD,
+                        HeaderNames.BUILD,
                         Integer.toString(build.number()),
-                        Names.LOAD,
+                        HeaderNames.LOAD,
                         String.format(Locale.ROOT, "concurrent=%.0f,mean_ms=%.1f", loadTold, meanTold)),
                 body);
     }
--- a/src/main/java/laurelkeel/wire/Room.java
+++ b/src/main/java/laurelkeel/wire/ByteBudget.java
@@ -6,11 +6,11 @@
  * Bytes that all bodies of one side may take together, half read or held. Limits a message do not bound a process:
  * a few thousand connections, each with a body within its limit, are more than any heap.
  */
-public final class Room {
+public final class ByteBudget {
     private final long most;
     private final AtomicLong held = new AtomicLong();
 
-    public Room(long most) {
+    public ByteBudget(long most) {
         this.most = most;
     }
 
@@ -18,8 +18,8 @@
      * An eighth of the heap for each of two sides: a body stands twice while it goes on, as it was read and as it is
      * written, and half must stay for all else.
      */
-    public static Room eighth() {
-        return new Room(Runtime.getRuntime().maxMemory() / 8);
+    public static ByteBudget eighth() {
+        return new ByteBudget(Runtime.getRuntime().maxMemory() / 8);
     }
 
     /** False where there is no room for so much more. */
--- a/src/main/java/laurelkeel/wire/Crossing.java
+++ b/src/main/java/laurelkeel/wire/ForwardedMessage.java
@@ -8,31 +8,32 @@
  *
  * @param head the first line, the headers that cross and the body's length, without the empty line
  */
-public record Crossing(byte[] head, byte[] body) {
+public record ForwardedMessage(byte[] head, byte[] body) {
 
     /** @param leftOut names that end here beside those that end at every hop */
-    public static Crossing of(HttpReq r, Collection<String> leftOut) {
-        Lines to = new Lines().text(r.method()).text(" ").text(r.target()).text(" HTTP/1.1\r\n");
+    public static ForwardedMessage of(HttpRequest r, Collection<String> leftOut) {
+        MessageBuilder to =
+                new MessageBuilder().text(r.method()).text(" ").text(r.target()).text(" HTTP/1.1\r\n");
         HopByHop.lines(r.headers(), to, leftOut);
         return ended(to, r.body(), HttpWriter.tellsLength(r));
     }
 
     /** @param leftOut as above */
-    public static Crossing of(HttpAnswer a, Collection<String> leftOut) {
-        Lines to = new Lines().text(HttpWriter.statusLine(a.status()));
+    public static ForwardedMessage of(HttpResponse a, Collection<String> leftOut) {
+        MessageBuilder to = new MessageBuilder().text(HttpWriter.statusLine(a.status()));
         HopByHop.lines(a.headers(), to, leftOut);
         return ended(to, a.body(), a.status() != 204);
     }
 
-    private static Crossing ended(Lines to, byte[] body, boolean length) {
+    private static ForwardedMessage ended(MessageBuilder to, byte[] body, boolean length) {
         if (length) {
             to.line("Content-Length", Integer.toString(body.length));
         }
-        return new Crossing(to.take(), body);
+        return new ForwardedMessage(to.take(), body);
     }
 
     /** The whole message: own lines, each with its end, stand after those that crossed. */
-    public byte[] with(Lines own, boolean withBody) {
+    public byte[] with(MessageBuilder own, boolean withBody) {
         byte[] mine = own.text("\r\n").take();
         byte[] out = new byte[head.length + mine.length + (withBody ? body.length : 0)];
         System.arraycopy(head, 0, out, 0, head.length);
--- a/src/main/java/laurelkeel/wire/Names.java
+++ b/src/main/java/laurelkeel/wire/HeaderNames.java
@@ -1,7 +1,7 @@
 package laurelkeel.wire;
 
 /** Header names that clients, fronts and machines share; docs/front.md explains each. Standard ones where they are. */
-public final class Names {
+public final class HeaderNames {
     /** The client's own id of one try; passed on to machines. */
     public static final String REQ_ID = "X-Request-Id";
 
@@ -39,5 +39,5 @@
 
     public static final String BUILD = "Laurelkeel-Build";
 
-    private Names() {}
+    private HeaderNames() {}
 }
--- a/src/main/java/laurelkeel/wire/HttpCodec.java
+++ b/src/main/java/laurelkeel/wire/HttpCodec.java
@@ -36,10 +36,10 @@
 
     private final HttpParser.Side side;
     private final HttpLimits limits;
-    private final Room room;
+    private final ByteBudget room;
     private final boolean oneByOne;
 
-    private HttpCodec(HttpParser.Side side, HttpLimits limits, Room room, boolean oneByOne) {
+    private HttpCodec(HttpParser.Side side, HttpLimits limits, ByteBudget room, boolean oneByOne) {
         this.oneByOne = oneByOne;
         this.side = side;
         this.limits = limits;
@@ -48,21 +48,21 @@
 
     /** The filter for the side that takes requests. */
     public static ProtocolCodecFilter server(HttpLimits limits) {
-        return server(limits, new Room(Long.MAX_VALUE));
+        return server(limits, new ByteBudget(Long.MAX_VALUE));
     }
 
     /** The same, with a bound for all bodies together; who takes a message gives its body's bytes back. */
-    public static ProtocolCodecFilter server(HttpLimits limits, Room room) {
+    public static ProtocolCodecFilter server(HttpLimits limits, ByteBudget room) {
         return new ProtocolCodecFilter(new HttpCodec(HttpParser.Side.REQS, limits, room, false));
     }
 
     /** The filter for the side that takes answers. */
     public static ProtocolCodecFilter client(HttpLimits limits) {
-        return new AnswerFilter(new HttpCodec(HttpParser.Side.ANSWERS, limits, new Room(Long.MAX_VALUE), false));
+        return new AnswerFilter(new HttpCodec(HttpParser.Side.ANSWERS, limits, new ByteBudget(Long.MAX_VALUE), false));
     }
 
     /** For connections with one request at a time, each told by toAsk: bytes that nothing asked for end them. Needs LookingProcessor. */
-    public static ProtocolCodecFilter client(HttpLimits limits, Room room) {
+    public static ProtocolCodecFilter client(HttpLimits limits, ByteBudget room) {
         return new AnswerFilter(new HttpCodec(HttpParser.Side.ANSWERS, limits, room, true));
     }
 
@@ -156,14 +156,14 @@
                     if (oneByOne && !awaits) {
                         awaits = session.removeAttribute(ASKED) != null;
                         if (!awaits) {
-                            throw new BadHttp(502, "bytes that nothing asked for");
+                            throw new HttpProtocolException(502, "bytes that nothing asked for");
                         }
                     }
                     Object whole = parser.read(bytes);
                     if (whole != null) {
                         halfSince = 0;
                         awaits = false;
-                        if (oneByOne && bytes.hasRemaining() && whole instanceof HttpAnswer a) {
+                        if (oneByOne && bytes.hasRemaining() && whole instanceof HttpResponse a) {
                             // what stands behind an answer would be taken for the next one: this is the last here
                             a.headers().add("Connection", "close");
                             broken = true;
@@ -179,7 +179,7 @@
                 if (parser.wantsContinue() && !inBody) {
                     session.write(new Raw(CONTINUE));
                 }
-            } catch (BadHttp e) {
+            } catch (HttpProtocolException e) {
                 broken = true;
                 parser.close();
                 bytes.position(bytes.limit());
@@ -204,9 +204,9 @@
     private static final class Writer implements ProtocolEncoder {
         @Override
         public void encode(IoSession session, Object message, ProtocolEncoderOutput out) {
-            if (message instanceof HttpReq r) {
+            if (message instanceof HttpRequest r) {
                 out.write(HttpWriter.write(r));
-            } else if (message instanceof HttpAnswer a) {
+            } else if (message instanceof HttpResponse a) {
                 out.write(HttpWriter.write(a));
             } else if (message instanceof Raw r) {
                 out.write(IoBuffer.wrap(r.bytes()));
--- a/src/main/java/laurelkeel/wire/HttpParser.java
+++ b/src/main/java/laurelkeel/wire/HttpParser.java
@@ -33,7 +33,7 @@
 
     private final Side side;
     private final HttpLimits limits;
-    private final Room room;
+    private final ByteBudget room;
     /** Given the bytes of bodies as they come, where those are streams; null where bodies are held whole. */
     private final Consumer<byte[]> parts;
 
@@ -52,15 +52,15 @@
     private int bodyLength;
 
     public HttpParser(Side side, HttpLimits limits) {
-        this(side, limits, new Room(Long.MAX_VALUE));
+        this(side, limits, new ByteBudget(Long.MAX_VALUE));
     }
 
     /** @param room for bodies; a whole message's body is given back by whoever takes the message */
-    public HttpParser(Side side, HttpLimits limits, Room room) {
+    public HttpParser(Side side, HttpLimits limits, ByteBudget room) {
         this(side, limits, room, null);
     }
 
-    private HttpParser(Side side, HttpLimits limits, Room room, Consumer<byte[]> parts) {
+    private HttpParser(Side side, HttpLimits limits, ByteBudget room, Consumer<byte[]> parts) {
         this.side = side;
         this.limits = limits;
         this.room = room;
@@ -69,7 +69,7 @@
 
     /** For an answer that never ends: its body goes on as it comes, and each chunk has the limit of a body. */
     public static HttpParser streamed(HttpLimits limits, Consumer<byte[]> parts) {
-        return new HttpParser(Side.ANSWERS, limits, new Room(0), parts);
+        return new HttpParser(Side.ANSWERS, limits, new ByteBudget(0), parts);
     }
 
     /** Of the answer that is being read, once its first line is. */
@@ -110,7 +110,7 @@
      *
      * @return an HttpReq or HttpAnswer, or null where the bytes ran out first; call again while bytes remain
      */
-    public Object read(ByteBuffer in) throws BadHttp {
+    public Object read(ByteBuffer in) throws HttpProtocolException {
         try {
             while (in.hasRemaining()) {
                 Object whole = step(in);
@@ -119,7 +119,7 @@
                 }
             }
             return null;
-        } catch (BadHttp e) {
+        } catch (HttpProtocolException e) {
             at = At.BROKEN;
             throw e;
         }
@@ -130,7 +130,7 @@
         return at == At.UNTIL_CLOSE ? whole() : null;
     }
 
-    private Object step(ByteBuffer in) throws BadHttp {
+    private Object step(ByteBuffer in) throws HttpProtocolException {
         switch (at) {
             case BODY, UNTIL_CLOSE -> {
                 return fill(in);
@@ -153,7 +153,7 @@
         }
     }
 
-    private Object fill(ByteBuffer in) throws BadHttp {
+    private Object fill(ByteBuffer in) throws HttpProtocolException {
         if (at == At.UNTIL_CLOSE) {
             append(in, in.remaining());
             return null;
@@ -165,7 +165,7 @@
         return chunkLeft == 0 ? whole() : null;
     }
 
-    private void append(ByteBuffer in, int n) throws BadHttp {
+    private void append(ByteBuffer in, int n) throws HttpProtocolException {
         if (parts != null) {
             byte[] part = new byte[n];
             in.get(part);
@@ -173,12 +173,12 @@
             return;
         }
         if ((long) bodyLength + n > limits.body()) {
-            throw new BadHttp(413, "the body is over " + limits.body() + " bytes");
+            throw new HttpProtocolException(413, "the body is over " + limits.body() + " bytes");
         }
         if (bodyLength + n > body.length) {
             int longer = Math.min(limits.body(), Math.max(bodyLength + n, body.length * 2 + 512));
             if (!room.take(longer - body.length)) {
-                throw BadHttp.noRoom();
+                throw HttpProtocolException.noRoom();
             }
             body = Arrays.copyOf(body, longer);
         }
@@ -190,13 +190,13 @@
      * One line without its end, or null until it is whole. In answers a bare LF ends a line too (RFC 9112, 2.2); in
      * requests it does not: a reader behind us may not think so, and see another request there.
      */
-    private String line(ByteBuffer in) throws BadHttp {
+    private String line(ByteBuffer in) throws HttpProtocolException {
         int most = at == At.START ? limits.line() : at == At.CHUNK_SIZE ? 256 : limits.headerBytes();
         while (in.hasRemaining()) {
             byte b = in.get();
             if (b == '\n') {
                 if (!sawCr && side == Side.REQS) {
-                    throw new BadHttp(400, "a LF without CR");
+                    throw new HttpProtocolException(400, "a LF without CR");
                 }
                 String text = new String(line, 0, lineLength, StandardCharsets.ISO_8859_1);
                 lineLength = 0;
@@ -204,16 +204,16 @@
                 return text;
             }
             if (sawCr) {
-                throw new BadHttp(400, "a CR without LF");
+                throw new HttpProtocolException(400, "a CR without LF");
             }
             if (b == '\r') {
                 sawCr = true;
             } else {
                 if (b == 0) {
-                    throw new BadHttp(400, "a zero byte in a line");
+                    throw new HttpProtocolException(400, "a zero byte in a line");
                 }
                 if (lineLength >= most) {
-                    throw new BadHttp(
+                    throw new HttpProtocolException(
                             at == At.START ? 414 : at == At.CHUNK_SIZE ? 400 : 431,
                             "a line is over " + most + " bytes");
                 }
@@ -226,7 +226,7 @@
         return null;
     }
 
-    private Object take(String text) throws BadHttp {
+    private Object take(String text) throws HttpProtocolException {
         switch (at) {
             case START -> {
                 if (!text.isEmpty()) {
@@ -252,7 +252,7 @@
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new BadHttp(400, "a chunk is longer than its size");
+                    throw new HttpProtocolException(400, "a chunk is longer than its size");
                 }
                 at = At.CHUNK_SIZE;
                 return null;
@@ -267,44 +267,44 @@
         }
     }
 
-    private void start(String text) throws BadHttp {
+    private void start(String text) throws HttpProtocolException {
         String[] parts = text.split(" ", side == Side.REQS ? -1 : 3);
         if (side == Side.REQS) {
             if (parts.length != 3 || !token(parts[0]) || parts[1].isEmpty()) {
-                throw new BadHttp(400, "no request line: '" + shown(text) + "'");
+                throw new HttpProtocolException(400, "no request line: '" + shown(text) + "'");
             }
             for (int i = 0; i < parts[1].length(); i++) {
                 if (parts[1].charAt(i) <= ' ' || parts[1].charAt(i) >= 127) {
-                    throw new BadHttp(400, "a character in the target that must be escaped");
+                    throw new HttpProtocolException(400, "a character in the target that must be escaped");
                 }
             }
             if (parts[1].charAt(0) != '/' && !parts[1].equals("*")) {
-                throw new BadHttp(400, "the target is no path: '" + shown(parts[1]) + "'");
+                throw new HttpProtocolException(400, "the target is no path: '" + shown(parts[1]) + "'");
             }
             first = parts[0];
             second = parts[1];
             minor = version(parts[2]);
         } else {
             if (parts.length < 2 || parts[1].length() != 3) {
-                throw new BadHttp(502, "no status line: '" + shown(text) + "'");
+                throw new HttpProtocolException(502, "no status line: '" + shown(text) + "'");
             }
             minor = version(parts[0]);
             try {
                 status = Integer.parseInt(parts[1]);
             } catch (NumberFormatException e) {
-                throw new BadHttp(502, "no status: '" + shown(parts[1]) + "'");
+                throw new HttpProtocolException(502, "no status: '" + shown(parts[1]) + "'");
             }
             if (status < 100 || status > 599) {
-                throw new BadHttp(502, "no status: " + status);
+                throw new HttpProtocolException(502, "no status: " + status);
             }
         }
     }
 
-    private static int version(String s) throws BadHttp {
+    private static int version(String s) throws HttpProtocolException {
         if (s.equals("HTTP/1.1") || s.equals("HTTP/1.0")) {
             return s.charAt(7) - '0';
         }
-        throw new BadHttp(s.startsWith("HTTP/") ? 505 : 400, "'" + shown(s) + "' is not HTTP/1.0 or 1.1");
+        throw new HttpProtocolException(s.startsWith("HTTP/") ? 505 : 400, "'" + shown(s) + "' is not HTTP/1.0 or 1.1");
     }
 
     private static String shown(String s) {
@@ -326,33 +326,33 @@
         return !s.isEmpty();
     }
 
-    private void header(String text, Headers into) throws BadHttp {
+    private void header(String text, Headers into) throws HttpProtocolException {
         headerBytes += text.length() + 2;
         if (headerBytes > limits.headerBytes() || into.size() >= limits.headers()) {
-            throw new BadHttp(
+            throw new HttpProtocolException(
                     431,
                     "more than " + limits.headers() + " header lines or " + limits.headerBytes() + " bytes of them");
         }
         int colon = text.indexOf(':');
         String name = colon < 0 ? text : text.substring(0, colon);
         if (colon < 0 || !token(name)) {
-            throw new BadHttp(400, "no header line: '" + shown(text) + "'");
+            throw new HttpProtocolException(400, "no header line: '" + shown(text) + "'");
         }
         String value = text.substring(colon + 1).strip();
         for (int i = 0; i < value.length(); i++) {
             char c = value.charAt(i);
             if ((c < ' ' && c != '\t') || c == 127) {
-                throw new BadHttp(400, "a control character in header " + name);
+                throw new HttpProtocolException(400, "a control character in header " + name);
             }
         }
         into.add(name, value);
     }
 
-    private Object afterHeaders() throws BadHttp {
+    private Object afterHeaders() throws HttpProtocolException {
         boolean chunked = headers.count("Transfer-Encoding") > 0;
         int lengths = headers.count("Content-Length");
         if (side == Side.REQS && minor == 1 && headers.count("Host") != 1) {
-            throw new BadHttp(400, "HTTP/1.1 asks for one Host header");
+            throw new HttpProtocolException(400, "HTTP/1.1 asks for one Host header");
         }
         boolean none = side == Side.ANSWERS && (bodiless || status / 100 == 1 || status == 204 || status == 304);
         if (none && status / 100 == 1) {
@@ -361,24 +361,24 @@
             return null;
         }
         if (chunked && (lengths > 0 || minor == 0)) {
-            throw new BadHttp(400, "Transfer-Encoding beside Content-Length or in HTTP/1.0");
+            throw new HttpProtocolException(400, "Transfer-Encoding beside Content-Length or in HTTP/1.0");
         }
         if (chunked
                 && (headers.count("Transfer-Encoding") > 1
                         || !headers.get("Transfer-Encoding")
                                 .toLowerCase(Locale.ROOT)
                                 .equals("chunked"))) {
-            throw new BadHttp(501, "Transfer-Encoding other than chunked");
+            throw new HttpProtocolException(501, "Transfer-Encoding other than chunked");
         }
         if (lengths > 1) {
-            throw new BadHttp(400, "Content-Length stands twice");
+            throw new HttpProtocolException(400, "Content-Length stands twice");
         }
         long length = lengths == 0 ? 0 : length(headers.get("Content-Length"));
         if (none) {
             return whole();
         }
         if (length > limits.body()) {
-            throw new BadHttp(413, "the body is over " + limits.body() + " bytes");
+            throw new HttpProtocolException(413, "the body is over " + limits.body() + " bytes");
         }
         if (chunked) {
             at = At.CHUNK_SIZE;
@@ -396,18 +396,18 @@
         return null;
     }
 
-    private static long length(String s) throws BadHttp {
+    private static long length(String s) throws HttpProtocolException {
         boolean digits = !s.isEmpty() && s.length() <= 18;
         for (int i = 0; i < s.length(); i++) {
             digits &= s.charAt(i) >= '0' && s.charAt(i) <= '9';
         }
         if (!digits) {
-            throw new BadHttp(400, "Content-Length is no number: '" + shown(s) + "'");
+            throw new HttpProtocolException(400, "Content-Length is no number: '" + shown(s) + "'");
         }
         return Long.parseLong(s);
     }
 
-    private void chunkSize(String text) throws BadHttp {
+    private void chunkSize(String text) throws HttpProtocolException {
         int end = text.indexOf(';');
         String size = (end < 0 ? text : text.substring(0, end)).strip();
         long n = 0;
@@ -419,10 +419,10 @@
             }
         }
         if (size.isEmpty() || n < 0) {
-            throw new BadHttp(400, "no chunk size: '" + shown(text) + "'");
+            throw new HttpProtocolException(400, "no chunk size: '" + shown(text) + "'");
         }
         if (bodyLength + n > limits.body()) {
-            throw new BadHttp(413, "the body is over " + limits.body() + " bytes");
+            throw new HttpProtocolException(413, "the body is over " + limits.body() + " bytes");
         }
         chunkLeft = n;
         at = n == 0 ? At.TRAILERS : At.CHUNK;
@@ -436,7 +436,7 @@
         boolean head = bodiless;
         bodiless = false;
         return side == Side.REQS
-                ? new HttpReq(first, second, minor, headers, whole)
-                : new HttpAnswer(status, minor, headers, whole, head);
+                ? new HttpRequest(first, second, minor, headers, whole)
+                : new HttpResponse(status, minor, headers, whole, head);
     }
 }
--- a/src/main/java/laurelkeel/wire/HttpReq.java
+++ b/src/main/java/laurelkeel/wire/HttpRequest.java
@@ -1,7 +1,7 @@
 package laurelkeel.wire;
 
 /** One whole HTTP request; minor is 0 or 1, of HTTP/1.x. */
-public record HttpReq(String method, String target, int minor, Headers headers, byte[] body) {
+public record HttpRequest(String method, String target, int minor, Headers headers, byte[] body) {
 
     /** The path without its query. */
     public String path() {
--- a/src/main/java/laurelkeel/wire/HttpAnswer.java
+++ b/src/main/java/laurelkeel/wire/HttpResponse.java
@@ -1,9 +1,9 @@
 package laurelkeel.wire;
 
 /** One whole HTTP answer. toHead: the body is left out on the wire, as after HEAD, though its length is told. */
-public record HttpAnswer(int status, int minor, Headers headers, byte[] body, boolean toHead) {
+public record HttpResponse(int status, int minor, Headers headers, byte[] body, boolean toHead) {
 
-    public HttpAnswer(int status, Headers headers, byte[] body) {
+    public HttpResponse(int status, Headers headers, byte[] body) {
         this(status, 1, headers, body, false);
     }
 
--- a/src/main/java/laurelkeel/wire/HttpWriter.java
+++ b/src/main/java/laurelkeel/wire/HttpWriter.java
@@ -32,13 +32,13 @@
         return name.equalsIgnoreCase("Content-Length") || name.equalsIgnoreCase("Transfer-Encoding");
     }
 
-    public static IoBuffer write(HttpReq r) {
+    public static IoBuffer write(HttpRequest r) {
         StringBuilder head = new StringBuilder(256);
         head.append(r.method()).append(' ').append(r.target()).append(" HTTP/1.1\r\n");
         return put(head, r.headers(), r.body(), tellsLength(r), true);
     }
 
-    static boolean tellsLength(HttpReq r) {
+    static boolean tellsLength(HttpRequest r) {
         return r.body().length > 0 || (!r.method().equals("GET") && !r.method().equals("HEAD"));
     }
 
@@ -46,7 +46,7 @@
         return "HTTP/1.1 " + status + ' ' + REASONS.getOrDefault(status, "Status") + "\r\n";
     }
 
-    public static IoBuffer write(HttpAnswer a) {
+    public static IoBuffer write(HttpResponse a) {
         StringBuilder head = new StringBuilder(256);
         head.append(statusLine(a.status()));
         return put(head, a.headers(), a.body(), a.status() != 204, !a.toHead());
--- a/src/main/java/laurelkeel/wire/Lines.java
+++ b/src/main/java/laurelkeel/wire/MessageBuilder.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** Bytes of a message put together piece by piece; not shared between threads. */
-public final class Lines {
+public final class MessageBuilder {
     private byte[] bytes = new byte[256];
     private int n;
 
@@ -15,7 +15,7 @@
 
     /** Adds text as ISO-8859-1, which is what the parser read it as. */
     @SuppressWarnings("deprecation")
-    public Lines text(String s) {
+    public MessageBuilder text(String s) {
         room(s.length());
         // the one copy of low bytes that makes no array in between
         s.getBytes(0, s.length(), bytes, n);
@@ -23,14 +23,14 @@
         return this;
     }
 
-    public Lines bytes(byte[] b) {
+    public MessageBuilder bytes(byte[] b) {
         room(b.length);
         System.arraycopy(b, 0, bytes, n, b.length);
         n += b.length;
         return this;
     }
 
-    public Lines line(String name, String value) {
+    public MessageBuilder line(String name, String value) {
         return text(name).text(": ").text(value).text("\r\n");
     }
 
--- a/src/main/java/laurelkeel/wire/LookingProcessor.java
+++ b/src/main/java/laurelkeel/wire/UnexpectedInputProcessor.java
@@ -11,10 +11,10 @@
  * that nothing asked for. On a slow core it may not have read yet what came long ago, and a late second answer would be
  * taken for this request's; a connection that the other side has ended would swallow it.
  */
-public final class LookingProcessor extends NioProcessor {
+public final class UnexpectedInputProcessor extends NioProcessor {
     private final IoBuffer look = IoBuffer.allocate(1);
 
-    public LookingProcessor(Executor threads) {
+    public UnexpectedInputProcessor(Executor threads) {
         super(threads);
     }
 
--- a/src/test/java/laurelkeel/ArrowsTest.java
+++ b/src/test/java/laurelkeel/PackageDependencyTest.java
@@ -12,37 +12,48 @@
 import org.junit.jupiter.api.Test;
 
 /** The arrows between packages, as docs/front.md draws them. */
-class ArrowsTest {
-    private static final JavaClasses ALL = new ClassFileImporter()
+class PackageDependencyTest {
+    private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .importPackages("laurelkeel");
 
     /** What each package may use of ours. */
-    private static final Map<String, List<String>> MAY = Map.ofEntries(
+    private static final Map<String, List<String>> ALLOWED = Map.ofEntries(
             Map.entry("api", List.of()),
             Map.entry("decision", List.of("api")),
             Map.entry("wire", List.of()),
             Map.entry("config", List.of()),
-            Map.entry("loop", List.of()),
+            Map.entry("eventloop", List.of()),
             Map.entry("records", List.of()),
             Map.entry("audit", List.of("records")),
             Map.entry("options", List.of("api")),
-            Map.entry("benchlink", List.of("api", "options")),
-            Map.entry("platform", List.of("api", "front", "loop", "options", "wire")),
-            Map.entry("bench", List.of("admin", "api", "blame", "decision", "lanes", "wire", "standin")),
-            Map.entry("blame", List.of()),
-            Map.entry("lanes", List.of("api")),
+            Map.entry("simulatoradapter", List.of("api", "options")),
+            Map.entry("platform", List.of("api", "front", "eventloop", "options", "wire")),
+            Map.entry("bench", List.of("admin", "api", "attribution", "decision", "partition", "wire", "testbed")),
+            Map.entry("attribution", List.of()),
+            Map.entry("partition", List.of("api")),
             Map.entry("admin", List.of("wire")),
-            Map.entry("front", List.of("admin", "api", "blame", "lanes", "wire", "config", "logs", "loop", "records")),
-            Map.entry("logs", List.of()),
+            Map.entry(
+                    "front",
+                    List.of(
+                            "admin",
+                            "api",
+                            "attribution",
+                            "partition",
+                            "wire",
+                            "config",
+                            "logging",
+                            "eventloop",
+                            "records")),
+            Map.entry("logging", List.of()),
             Map.entry("soak", List.of()),
-            Map.entry("standin", List.of("blame", "wire", "loop", "records")),
-            Map.entry("day", List.of("api", "audit", "config", "front", "loop", "records", "standin")));
+            Map.entry("testbed", List.of("attribution", "wire", "eventloop", "records")),
+            Map.entry("scenario", List.of("api", "audit", "config", "front", "eventloop", "records", "testbed")));
 
     @Test
-    void packagesUseOnlyWhatTheyMay() {
-        MAY.forEach((from, to) -> {
-            String[] others = MAY.keySet().stream()
+    void packagesDependOnlyOnThoseAllowed() {
+        ALLOWED.forEach((from, to) -> {
+            String[] others = ALLOWED.keySet().stream()
                     .filter(p -> !p.equals(from) && !to.contains(p))
                     .map(p -> "laurelkeel." + p + "..")
                     .toArray(String[]::new);
@@ -52,20 +63,20 @@
                     .should()
                     .dependOnClassesThat()
                     .resideInAnyPackage(others)
-                    .check(ALL);
+                    .check(CLASSES);
             noClasses()
                     .that()
                     .resideInAPackage("laurelkeel." + from + "..")
                     .should()
                     .dependOnClassesThat()
                     .resideInAPackage("laurelkeel.cli..")
-                    .check(ALL);
+                    .check(CLASSES);
         });
     }
 
     @Test
-    void whatDecidesTouchesNoInputOutputClockOrThread() {
-        for (String p : List.of("api", "decision", "lanes", "blame")) {
+    void decisionPackagesUseNoIoClockOrThread() {
+        for (String p : List.of("api", "decision", "partition", "attribution")) {
             classes()
                     .that()
                     .resideInAPackage("laurelkeel." + p + "..")
@@ -74,8 +85,8 @@
                     .resideInAnyPackage(
                             "laurelkeel.api..",
                             "laurelkeel.decision..",
-                            "laurelkeel.lanes..",
-                            "laurelkeel.blame..",
+                            "laurelkeel.partition..",
+                            "laurelkeel.attribution..",
                             "org.apache.commons.math3..",
                             "org.jspecify.annotations",
                             "java.lang..",
@@ -84,20 +95,20 @@
                             "java.util.stream..",
                             "java.util.zip..",
                             "java.nio.charset..")
-                    .check(ALL);
+                    .check(CLASSES);
             noClasses()
                     .that()
                     .resideInAPackage("laurelkeel." + p + "..")
                     .should()
                     .dependOnClassesThat()
                     .belongToAnyOf(System.class, Thread.class)
-                    .check(ALL);
+                    .check(CLASSES);
         }
     }
 
     @Test
-    void noCircles() {
-        slices().matching("laurelkeel.(*)..").should().beFreeOfCycles().check(ALL);
-        slices().matching("laurelkeel.front.(*)..").should().beFreeOfCycles().check(ALL);
+    void packagesHaveNoCycles() {
+        slices().matching("laurelkeel.(*)..").should().beFreeOfCycles().check(CLASSES);
+        slices().matching("laurelkeel.front.(*)..").should().beFreeOfCycles().check(CLASSES);
     }
 }
--- a/src/test/java/laurelkeel/blame/BlameTest.java
+++ b/src/test/java/laurelkeel/attribution/RegressionAttributorTest.java
@@ -1,4 +1,4 @@
-package laurelkeel.blame;
+package laurelkeel.attribution;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.function.BiFunction;
-import laurelkeel.blame.Finding.Verdict;
-import laurelkeel.blame.Report.Cell;
+import laurelkeel.attribution.AttributionFinding.Verdict;
+import laurelkeel.attribution.NodeReport.Cell;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The blame on reports made up for each trouble it is for. */
-class BlameTest {
+class RegressionAttributorTest {
     private static final int BASE = 8;
 
     /** What one try meets: whether it fails, gets no answer, and the logarithm of its time. */
@@ -30,15 +30,15 @@
     private interface World extends BiFunction<Integer, String, Met> {}
 
     private final Random random = new Random(4);
-    private final Blame blame = new Blame(2, 2);
+    private final RegressionAttributor blame = new RegressionAttributor(2, 2);
     private long now;
-    private List<Finding> found = List.of();
+    private List<AttributionFinding> found = List.of();
 
     /** Plays seconds in which each front has 60 reqs, a tenth of them at each build on trial. */
     private void play(int seconds, int fronts, List<Integer> trials, int machines, World world) {
         for (int s = 0; s < seconds; s++, now++) {
             for (int f = 0; f < fronts; f++) {
-                blame.take(new Report(f, "x", now, cells(trials, machines, world)), now);
+                blame.take(new NodeReport(f, "x", now, cells(trials, machines, world)), now);
             }
             found = blame.judge(now);
         }
@@ -175,7 +175,7 @@
                                     c.logSquare()))
                             .toList();
                 }
-                blame.take(new Report(f, "x", now, cells), now);
+                blame.take(new NodeReport(f, "x", now, cells), now);
             }
             found = blame.judge(now);
         }
@@ -188,18 +188,18 @@
         offered(2, 3);
         World spell = (b, m) -> new Met(false, false, 3.7 + 0.4 * random.nextGaussian());
         play(8, 4, List.of(2, 3), 2, spell);
-        assertTrue(found.stream().allMatch(Finding::hold), found.toString());
+        assertTrue(found.stream().allMatch(AttributionFinding::hold), found.toString());
         play(25, 4, List.of(2, 3), 2, (b, m) -> usual());
         assertTrue(found.stream().noneMatch(f -> f.hold() || f.verdict() == Verdict.GUILTY), found.toString());
     }
 
     @Test
     void reportsCountOnceInAnyOrderAndWithinBounds() {
-        Blame one = new Blame(2, 2), other = new Blame(2, 2);
-        List<Report> all = new ArrayList<>();
+        RegressionAttributor one = new RegressionAttributor(2, 2), other = new RegressionAttributor(2, 2);
+        List<NodeReport> all = new ArrayList<>();
         for (int s = 0; s < 12; s++) {
             for (int f = 0; f < 4; f++) {
-                all.add(new Report(
+                all.add(new NodeReport(
                         f,
                         "x",
                         s,
@@ -212,7 +212,7 @@
         one.offered(2, 0);
         other.offered(2, 0);
         for (int s = 0; s < 12; s += 2) {
-            List<Report> two = new ArrayList<>(all.subList(s * 4, s * 4 + 8));
+            List<NodeReport> two = new ArrayList<>(all.subList(s * 4, s * 4 + 8));
             int at = s + 1;
             two.forEach(r -> one.take(r, at));
             two.addAll(List.copyOf(two));
@@ -222,14 +222,14 @@
         }
         assertEquals(48, other.leftOut()[0]);
         assertFalse(one.take(all.get(0), 30), "too late");
-        assertFalse(one.take(new Report(0, "x", 500, List.of()), 30), "from the future");
+        assertFalse(one.take(new NodeReport(0, "x", 500, List.of()), 30), "from the future");
         List<Cell> many = new ArrayList<>();
         for (int i = 0; i < 3000; i++) {
             many.add(new Cell(1, 0, "m" + i, -1, 1, 0, 0, 0, 1, 1, 1));
         }
         many.add(0, new Cell(1, 0, "m", -1, 1, 5, 0, 0, 1, 1, 1));
-        one.take(new Report(9, "x", 30, many), 30);
-        assertEquals(3000 - Report.MOST_CELLS, one.leftOut()[3]);
+        one.take(new NodeReport(9, "x", 30, many), 30);
+        assertEquals(3000 - NodeReport.MOST_CELLS, one.leftOut()[3]);
         assertEquals(2, one.leftOut()[2], "a report from the future, and a cell that cannot be true");
     }
 
@@ -245,7 +245,7 @@
         HypergeometricDistribution dealt = new HypergeometricDistribution(null, all, own, hit);
         double mean = 0;
         for (int x = dealt.getSupportLowerBound(); x <= dealt.getSupportUpperBound(); x++) {
-            mean += dealt.probability(x) * Math.exp(Odds.logRatio(x, own, hit, all, odds, 1));
+            mean += dealt.probability(x) * Math.exp(OddsRatioEvidence.logRatio(x, own, hit, all, odds, 1));
         }
         assertEquals(1, mean, 1e-6);
     }
@@ -254,7 +254,7 @@
     void honestBuildsAreSeldomBlamedHoweverOftenLookedAt() {
         int blamed = 0;
         for (int day = 0; day < 60; day++) {
-            Counted c = new Counted(1);
+            CountEvidence c = new CountEvidence(1);
             double most = 0;
             for (int s = 0; s < 100; s++) {
                 c.next(1);
--- a/src/test/java/laurelkeel/cli/RehearsalTest.java
+++ b/src/test/java/laurelkeel/cli/ClassArchiveTrainingTest.java
@@ -5,9 +5,9 @@
 import org.junit.jupiter.api.Test;
 
 /** The whole node with the real decider, as the build's class archive is made from it. */
-class RehearsalTest {
+class ClassArchiveTrainingTest {
     @Test
     void aNodeServesAllItsOwnReqsAndEnds() throws Exception {
-        assertEquals(0, Rehearsal.run());
+        assertEquals(0, ClassArchiveTraining.run());
     }
 }
--- a/src/test/java/laurelkeel/cli/RereadTest.java
+++ b/src/test/java/laurelkeel/cli/ConfigurationReloadTest.java
@@ -10,33 +10,33 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import laurelkeel.front.Rig;
-import laurelkeel.platform.Config;
-import laurelkeel.platform.Node;
-import laurelkeel.platform.Stage;
+import laurelkeel.front.FrontTestRig;
+import laurelkeel.platform.NodeConfiguration;
+import laurelkeel.platform.PlatformNode;
+import laurelkeel.platform.PlatformTestBed;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** What SIGHUP does, in the orders that a file's replacement and two signals may take. */
-class RereadTest {
+class ConfigurationReloadTest {
     @TempDir
     Path folder;
 
-    private Stage.Party first, second, third, desk;
+    private PlatformTestBed.Party first, second, third, desk;
     private Path file;
-    private Node node;
+    private PlatformNode node;
 
     @BeforeEach
     void start() throws Exception {
-        first = new Stage.Party();
-        second = new Stage.Party();
-        third = new Stage.Party();
-        desk = new Stage.Party();
+        first = new PlatformTestBed.Party();
+        second = new PlatformTestBed.Party();
+        third = new PlatformTestBed.Party();
+        desk = new PlatformTestBed.Party();
         file = folder.resolve("config.json");
         Files.writeString(file, config(first));
-        node = Node.of(Config.read(file, Map.of()), (set, seed) -> (now, events) -> List.of());
+        node = PlatformNode.of(NodeConfiguration.read(file, Map.of()), (set, seed) -> (now, events) -> List.of());
         node.front().start();
         first.call();
     }
@@ -44,16 +44,16 @@
     @AfterEach
     void end() throws Exception {
         node.front().drain();
-        for (Stage.Party p : List.of(first, second, third, desk)) {
+        for (PlatformTestBed.Party p : List.of(first, second, third, desk)) {
             p.close();
         }
         assertEquals(null, node.front().ended().get(30, TimeUnit.SECONDS));
     }
 
-    private String config(Stage.Party discovery) {
+    private String config(PlatformTestBed.Party discovery) {
         return "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery.address()
                 + "\",\"limits\":{\"sockets\":256},\"rollouts\":{\"address\":\"" + desk.address() + "\"},\"settings\":"
-                + Stage.SETTINGS.formatted(800) + "}";
+                + PlatformTestBed.SETTINGS.formatted(800) + "}";
     }
 
     private Thread signalled() {
@@ -67,7 +67,8 @@
         String next = config(second);
         Files.writeString(file, next.substring(0, next.length() / 2));
         Thread t = signalled();
-        Rig.await("it was read and found wanting", () -> t.getState() == Thread.State.TIMED_WAITING || !t.isAlive());
+        FrontTestRig.await(
+                "it was read and found wanting", () -> t.getState() == Thread.State.TIMED_WAITING || !t.isAlive());
         Files.writeString(file, next);
         second.call();
         t.join();
@@ -87,7 +88,8 @@
             Files.writeString(next, config(third));
             Files.move(next, file, StandardCopyOption.REPLACE_EXISTING);
             Thread newer = signalled();
-            Rig.await("it is done, or waits", () -> newer.getState() == Thread.State.BLOCKED || !newer.isAlive());
+            FrontTestRig.await(
+                    "it is done, or waits", () -> newer.getState() == Thread.State.BLOCKED || !newer.isAlive());
             held.write(config(second).getBytes(UTF_8));
         }
         older.join();
--- a/src/test/java/laurelkeel/cli/StartTest.java
+++ b/src/test/java/laurelkeel/cli/ServeStartTest.java
@@ -9,31 +9,31 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
-import laurelkeel.front.Rig;
-import laurelkeel.platform.Stage;
+import laurelkeel.front.FrontTestRig;
+import laurelkeel.platform.PlatformTestBed;
 import laurelkeel.soak.NodeImage;
 import laurelkeel.soak.NodeProcess;
-import laurelkeel.standin.Ports;
+import laurelkeel.testbed.PortAllocator;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** A real node, started again and again as in the incident of 2026-12-02 (docs/incidents). */
-class StartTest {
+class ServeStartTest {
     /** On the build of the incident more than one start in three ended. */
     private static final int STARTS = 10;
 
     @TempDir
     Path folder;
 
-    private Stage.Party discovery, control;
+    private PlatformTestBed.Party discovery, control;
     private final AtomicInteger votes = new AtomicInteger();
 
     @BeforeEach
     void open() throws Exception {
-        discovery = new Stage.Party();
-        control = new Stage.Party();
+        discovery = new PlatformTestBed.Party();
+        control = new PlatformTestBed.Party();
         Thread reads = new Thread(this::readVotes);
         reads.setDaemon(true);
         reads.start();
@@ -51,7 +51,7 @@
             while (true) {
                 Socket call = control.call();
                 Thread each = new Thread(() -> {
-                    try (BufferedReader in = Stage.lines(call)) {
+                    try (BufferedReader in = PlatformTestBed.lines(call)) {
                         for (String line = in.readLine(); line != null; line = in.readLine()) {
                             votes.addAndGet(line.startsWith("SAY ") ? 1 : 0);
                         }
@@ -80,19 +80,19 @@
                 + "\",\"limits\":{\"sockets\":256},\"rollouts\":{\"address\":\"" + control.address()
                 + "\",\"news\":{\"build\":24,\"stage\":1,\"phase\":\"Progressing\",\"cap\":0.5,\"age_ms\":9000}},"
                 + "\"known\":{\"version\":7,\"full\":true,\"servers\":[" + servers + "]},\"settings\":"
-                + Stage.SETTINGS.formatted(800) + "}";
+                + PlatformTestBed.SETTINGS.formatted(800) + "}";
     }
 
     @Test
     void aNodeWhoseFirstTurnVotesStaysUp() throws Exception {
         Path file = folder.resolve("config.json");
-        Files.writeString(file, config(Ports.free()));
+        Files.writeString(file, config(PortAllocator.free()));
         NodeImage image = NodeImage.make(folder);
         for (int i = 0; i < STARTS; i++) {
             int before = votes.get();
             NodeProcess node = NodeProcess.start(image, file, folder.resolve("node.log"), Map.of(), 256);
             try {
-                Rig.await("it votes, or ends", () -> votes.get() > before || !node.isAlive());
+                FrontTestRig.await("it votes, or ends", () -> votes.get() > before || !node.isAlive());
                 assertTrue(node.isAlive(), node.log());
             } finally {
                 node.kill();
--- a/src/test/java/laurelkeel/config/IniTest.java
+++ b/src/test/java/laurelkeel/config/IniFileTest.java
@@ -7,12 +7,12 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import laurelkeel.day.DayPlan;
 import laurelkeel.front.FrontSettings;
+import laurelkeel.scenario.Scenario;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class IniTest {
+class IniFileTest {
     @TempDir
     Path folder;
 
@@ -34,7 +34,7 @@
     private List<String> faults(String text) throws Exception {
         Path f = folder.resolve("f.ini");
         Files.writeString(f, text);
-        return assertThrows(BadSettings.class, () -> FrontSettings.read(f)).faults().stream()
+        return assertThrows(InvalidSettingsException.class, () -> FrontSettings.read(f)).faults().stream()
                 .map(s -> s.substring(s.indexOf("f.ini")))
                 .toList();
     }
@@ -86,16 +86,17 @@
 
     @Test
     void shippedDaysAreGoodAndBadDaysAreNamed() throws Exception {
-        for (String day : DayPlan.SHIPPED) {
-            assertTrue(DayPlan.find(day).troubles().size() > 2);
+        for (String day : Scenario.SHIPPED) {
+            assertTrue(Scenario.find(day).troubles().size() > 2);
         }
-        BadSettings e = assertThrows(
-                BadSettings.class, () -> DayPlan.find(folder.resolve("none.ini").toString()));
+        InvalidSettingsException e = assertThrows(
+                InvalidSettingsException.class,
+                () -> Scenario.find(folder.resolve("none.ini").toString()));
         assertTrue(e.getMessage().contains("there is no such file"));
         e = assertThrows(
-                BadSettings.class,
-                () -> DayPlan.read(
-                        Ini.parse(
+                InvalidSettingsException.class,
+                () -> Scenario.read(
+                        IniFile.parse(
                                 "d.ini",
                                 GOOD.replace("[front]", "[day]").replaceAll("number.*\nfronts.*\nlisten.*\n", "")
                                         + "[work]\nlook = 5 ms\n[line]\nshares = 1\n"
--- a/src/test/java/laurelkeel/Play.java
+++ b/src/test/java/laurelkeel/decision/DecisionSimulation.java
@@ -1,4 +1,4 @@
-package laurelkeel;
+package laurelkeel.decision;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,11 +20,10 @@
 import laurelkeel.api.Settings.DeduplicationScope;
 import laurelkeel.api.Settings.Idempotency;
 import laurelkeel.api.Settings.Route;
-import laurelkeel.decision.Shifter;
-import laurelkeel.lanes.Lanes;
+import laurelkeel.partition.PartitionedDecider;
 
 /** The tests' one helper: plays events to a module, answers what it does, and watches the rules with a plain model. */
-final class Play {
+final class DecisionSimulation {
     static final long MS = 10;
     static final long SECOND = 10_000;
 
@@ -61,11 +60,11 @@
     long now = SECOND;
     int ids;
 
-    Play(Settings set, long seed) {
-        this(set, new Shifter(set, seed));
+    DecisionSimulation(Settings set, long seed) {
+        this(set, new RoutingDecider(set, seed));
     }
 
-    Play(Settings set, Decider module) {
+    DecisionSimulation(Settings set, Decider module) {
         this.set = set;
         this.module = module;
     }
@@ -334,7 +333,7 @@
     boolean onTrial(int build) {
         Event.RolloutUpdate n = told.get(build);
         int latest = told.isEmpty() ? 1 : told.lastKey();
-        boolean passed = (!(module instanceof Lanes) && build < latest)
+        boolean passed = (!(module instanceof PartitionedDecider) && build < latest)
                 || told.tailMap(build, false).values().stream().anyMatch(r -> r.phase() == RolloutPhase.RELEASED);
         return off.contains(build) || (!passed && (n == null ? build > latest : n.phase() != RolloutPhase.RELEASED));
     }
--- a/src/test/java/laurelkeel/decision/RotationTest.java
+++ b/src/test/java/laurelkeel/decision/EndpointSubsetTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Which of many machines a front asks in turn. */
-class RotationTest {
+class EndpointSubsetTest {
     private static final int MANY = 2_400;
 
     /** No machine is under suspicion. */
@@ -18,7 +18,7 @@
 
     private static double[] places(int from, int to) {
         return IntStream.range(from, to)
-                .mapToDouble(i -> Rotation.placeOf("s-" + i))
+                .mapToDouble(i -> EndpointSubset.placeOf("s-" + i))
                 .toArray();
     }
 
@@ -32,16 +32,18 @@
 
     @Test
     void allOfFewMachinesAreAsked() {
-        int[] chosen = new Rotation(3, 10).choose(places(0, Rotation.LEAST), near(Rotation.LEAST, 1), NONE, NONE);
-        assertArrayEquals(IntStream.range(0, Rotation.LEAST).toArray(), chosen);
+        int[] chosen = new EndpointSubset(3, 10)
+                .choose(places(0, EndpointSubset.LEAST), near(EndpointSubset.LEAST, 1), NONE, NONE);
+        assertArrayEquals(IntStream.range(0, EndpointSubset.LEAST).toArray(), chosen);
     }
 
     @Test
     void ofManyItTakesAsManyNearAsFarOnes() {
         boolean[] near = near(MANY, 3);
-        int[] chosen = new Rotation(3, 10).choose(places(0, MANY), near, NONE, NONE);
-        assertEquals(2 * Rotation.LEAST, chosen.length);
-        assertEquals(Rotation.LEAST, Arrays.stream(chosen).filter(i -> near[i]).count());
+        int[] chosen = new EndpointSubset(3, 10).choose(places(0, MANY), near, NONE, NONE);
+        assertEquals(2 * EndpointSubset.LEAST, chosen.length);
+        assertEquals(
+                EndpointSubset.LEAST, Arrays.stream(chosen).filter(i -> near[i]).count());
     }
 
     @Test
@@ -49,7 +51,7 @@
         int fronts = 100;
         int[] askedBy = new int[MANY];
         for (int self = 0; self < fronts; self++) {
-            for (int i : new Rotation(self, fronts).choose(places(0, MANY), near(MANY, 1), NONE, NONE)) {
+            for (int i : new EndpointSubset(self, fronts).choose(places(0, MANY), near(MANY, 1), NONE, NONE)) {
                 askedBy[i]++;
             }
         }
@@ -60,20 +62,20 @@
 
     @Test
     void oneMachineMoreChangesOneAtMost() {
-        Rotation rotation = new Rotation(0, 1);
+        EndpointSubset rotation = new EndpointSubset(0, 1);
         double[] before = places(0, MANY);
         double[] after = places(0, MANY + 1);
         int[] was = rotation.choose(before, near(MANY, 1), NONE, NONE);
         int[] is = rotation.choose(after, near(MANY + 1, 1), NONE, NONE);
         long kept =
                 Arrays.stream(is).filter(i -> Arrays.binarySearch(was, i) >= 0).count();
-        assertTrue(kept >= Rotation.LEAST - 1, "kept " + kept);
+        assertTrue(kept >= EndpointSubset.LEAST - 1, "kept " + kept);
     }
 
     /** Connections to them are open. */
     @Test
     void machinesThatAreAskedStayWhileTheBuildGrows() {
-        Rotation rotation = new Rotation(0, 1);
+        EndpointSubset rotation = new EndpointSubset(0, 1);
         boolean[] asked = new boolean[MANY];
         boolean[] ever = new boolean[MANY];
         for (int machines = 1; machines <= 160; machines++) {
@@ -85,12 +87,12 @@
             }
         }
         long met = IntStream.range(0, MANY).filter(i -> ever[i]).count();
-        assertTrue(met < 1.5 * Rotation.LEAST, "asked " + met);
+        assertTrue(met < 1.5 * EndpointSubset.LEAST, "asked " + met);
     }
 
     @Test
     void machinesUnderSuspicionGiveTheirPlacesToOthersWhileThereAreAny() {
-        Rotation rotation = new Rotation(0, 1);
+        EndpointSubset rotation = new EndpointSubset(0, 1);
         boolean[] suspect = new boolean[MANY];
         for (int i : rotation.choose(places(0, MANY), near(MANY, 1), suspect, NONE)) {
             suspect[i] = true;
@@ -98,12 +100,12 @@
         assertTrue(Arrays.stream(rotation.choose(places(0, MANY), near(MANY, 1), suspect, NONE))
                 .noneMatch(i -> suspect[i]));
         Arrays.fill(suspect, true);
-        assertEquals(Rotation.LEAST, rotation.choose(places(0, MANY), near(MANY, 1), suspect, NONE).length);
+        assertEquals(EndpointSubset.LEAST, rotation.choose(places(0, MANY), near(MANY, 1), suspect, NONE).length);
     }
 
     @Test
     void itWidensToAllWhileAnswersWaitAndNarrowsAfterwards() {
-        Rotation rotation = new Rotation(0, 1);
+        EndpointSubset rotation = new EndpointSubset(0, 1);
         for (int second = 0; second < 20; second++) {
             rotation.adapt(1, true, MANY);
         }
@@ -112,14 +114,14 @@
             rotation.adapt(1, false, MANY);
         }
         int narrow = rotation.choose(places(0, MANY), near(MANY, 1), NONE, NONE).length;
-        assertTrue(narrow < 1.25 * Rotation.LEAST, "still " + narrow);
+        assertTrue(narrow < 1.25 * EndpointSubset.LEAST, "still " + narrow);
     }
 
     @Test
     void aFrontWithMoreRequestsOutAsksMoreMachines() {
-        Rotation rotation = new Rotation(0, 1);
-        assertFalse(rotation.adapt(Rotation.LEAST / 8, false, MANY), "enough for these");
-        assertFalse(rotation.adapt(Rotation.LEAST / 4, false, MANY), "for a moment only");
+        EndpointSubset rotation = new EndpointSubset(0, 1);
+        assertFalse(rotation.adapt(EndpointSubset.LEAST / 8, false, MANY), "enough for these");
+        assertFalse(rotation.adapt(EndpointSubset.LEAST / 4, false, MANY), "for a moment only");
         for (int second = 0; second < 30; second++) {
             rotation.adapt(50, false, MANY);
         }
--- a/src/test/java/laurelkeel/DefenceTest.java
+++ b/src/test/java/laurelkeel/decision/FaultHandlingTest.java
@@ -1,4 +1,4 @@
-package laurelkeel;
+package laurelkeel.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -20,17 +20,18 @@
 import org.junit.jupiter.api.Test;
 
 /** One small test for each failure found on the bench. */
-class DefenceTest {
+class FaultHandlingTest {
 
     @Test
     void aBuildCalledBackAfterItsReleaseGetsNothing() {
-        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
+        DecisionSimulation play =
+                new DecisionSimulation(DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(2);
         play.tells(2, 2, 1, RolloutPhase.CANARY);
         play.lists(
-                Play.machine("t0", 2, 0, EndpointState.ACTIVE, 1),
-                Play.machine("m0", 1, 0, EndpointState.REMOVED, 0),
-                Play.machine("m1", 1, 1, EndpointState.REMOVED, 0));
+                DecisionSimulation.machine("t0", 2, 0, EndpointState.ACTIVE, 1),
+                DecisionSimulation.machine("m0", 1, 0, EndpointState.REMOVED, 0),
+                DecisionSimulation.machine("m1", 1, 1, EndpointState.REMOVED, 0));
         play.tells(2, 2, 1, RolloutPhase.RELEASED);
         assertNotNull(play.outOf(play.req(0, "a")), "the released build serves");
         play.tells(2, 2, 0, RolloutPhase.ROLLING_BACK);
@@ -39,31 +40,33 @@
     }
 
     /** Two machines of a build on trial beside four, with a cap of a half. */
-    private static Play trialOfHalf() {
-        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
+    private static DecisionSimulation trialOfHalf() {
+        DecisionSimulation play =
+                new DecisionSimulation(DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(4);
         play.tells(2, 1, 0.5, RolloutPhase.CANARY);
         play.lists(
-                Play.machine("t0", 2, 0, EndpointState.ACTIVE, 1), Play.machine("t1", 2, 0, EndpointState.ACTIVE, 1));
+                DecisionSimulation.machine("t0", 2, 0, EndpointState.ACTIVE, 1),
+                DecisionSimulation.machine("t1", 2, 0, EndpointState.ACTIVE, 1));
         return play;
     }
 
     @Test
     void aKeyWhoseAnswerFromTheTrialWasSpoiltDoesNotGoBack() {
-        Play play = trialOfHalf();
+        DecisionSimulation play = trialOfHalf();
         int spoilt = 0;
         for (int i = 0; i < 60; i++) {
-            play.pass(Play.SECOND / 20);
+            play.pass(DecisionSimulation.SECOND / 20);
             String key = "k" + i;
-            Play.Sent first = play.outOf(play.req(0, key));
+            DecisionSimulation.Sent first = play.outOf(play.req(0, key));
             if (first != null && first.build() == 2) {
                 spoilt++;
                 play.ends(first, i % 2 == 0 ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.TIMED_OUT);
-                Play.Sent again = play.outOf(first.req());
+                DecisionSimulation.Sent again = play.outOf(first.req());
                 assertTrue(
                         again == null || again.build() == 2,
                         key + " had its answer of build 2, though nobody could read it");
-                Play.Sent next = play.outOf(play.req(0, key));
+                DecisionSimulation.Sent next = play.outOf(play.req(0, key));
                 assertTrue(next == null || next.build() == 2, key + " came again");
             } else if (first != null) {
                 play.ends(first, AttemptOutcome.COMPLETED);
@@ -75,17 +78,17 @@
     /** Its answer may be written already, and lie unread on a connection that has fallen silent. */
     @Test
     void aKeyWithATryOutAtTheTrialDoesNotGoBackMeanwhile() {
-        Play play = trialOfHalf();
+        DecisionSimulation play = trialOfHalf();
         int out = 0;
         for (int i = 0; i < 60; i++) {
-            play.pass(Play.SECOND / 20);
+            play.pass(DecisionSimulation.SECOND / 20);
             String key = "k" + i;
-            Play.Sent first = play.outOf(play.req(0, key));
+            DecisionSimulation.Sent first = play.outOf(play.req(0, key));
             if (first != null && first.build() == 2) {
                 out++;
                 // more of them than the cap lets through
                 for (int again = 0; again < 20; again++) {
-                    Play.Sent next = play.outOf(play.req(0, key));
+                    DecisionSimulation.Sent next = play.outOf(play.req(0, key));
                     assertTrue(
                             next == null || next.build() == 2,
                             key + " came again, and went to build " + (next == null ? 0 : next.build()));
@@ -105,16 +108,18 @@
     /** On the sockets such machines drew a fifth of all tries, and one of them had a good build sent back. */
     @Test
     void aMachineThatErrsAloneLeavesTheRotationAndCondemnsNoBuild() {
-        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
+        DecisionSimulation play =
+                new DecisionSimulation(DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(6);
         play.tells(2, 1, 0.5, RolloutPhase.CANARY);
         play.lists(
-                Play.machine("t0", 2, 0, EndpointState.ACTIVE, 1), Play.machine("t1", 2, 0, EndpointState.ACTIVE, 1));
+                DecisionSimulation.machine("t0", 2, 0, EndpointState.ACTIVE, 1),
+                DecisionSimulation.machine("t1", 2, 0, EndpointState.ACTIVE, 1));
         Set<String> sick = Set.of("t0", "m0");
         int[] tries = new int[2], late = new int[2];
         for (int i = 0; i < 3000; i++) {
-            play.pass(Play.SECOND / 100);
-            Play.Sent sent = play.outOf(play.req(0, "k" + i));
+            play.pass(DecisionSimulation.SECOND / 100);
+            DecisionSimulation.Sent sent = play.outOf(play.req(0, "k" + i));
             while (sent != null) {
                 boolean ill = sick.contains(sent.machine());
                 tries[ill ? 0 : 1]++;
@@ -133,22 +138,23 @@
 
     @Test
     void aBuildThatLeavesTheListAndReturnsHasNoNewAllowance() {
-        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
+        DecisionSimulation play =
+                new DecisionSimulation(DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(4);
         for (int flaps = 0; flaps < 6; flaps++) {
-            play.lists(Play.machine("t0", 2, 0, EndpointState.ACTIVE, 1));
-            play.pass(Play.SECOND / 5);
+            play.lists(DecisionSimulation.machine("t0", 2, 0, EndpointState.ACTIVE, 1));
+            play.pass(DecisionSimulation.SECOND / 5);
             // the last key's slice asks for more than the cap allows
             String key = "k" + flaps;
             for (int i = 0; i < 100; i++) {
-                Play.Sent sent = play.outOf(play.req(0, key));
+                DecisionSimulation.Sent sent = play.outOf(play.req(0, key));
                 boolean there = sent != null && sent.build() == 2;
                 key = there ? key : "k" + flaps + "-" + i;
                 if (sent != null) {
                     play.ends(sent, AttemptOutcome.COMPLETED);
                 }
             }
-            play.lists(Play.machine("t0", 2, 0, EndpointState.REMOVED, 0));
+            play.lists(DecisionSimulation.machine("t0", 2, 0, EndpointState.REMOVED, 0));
         }
         assertTrue(play.all.stream().anyMatch(s -> s.build() == 2), "ahead of its news it has its share");
         assertEquals(List.of(), play.broken);
@@ -156,17 +162,18 @@
 
     @Test
     void aColdMachineIsNotFloodedWhenAllElseDies() {
-        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
+        DecisionSimulation play =
+                new DecisionSimulation(DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(4);
-        play.traffic(4 * Play.SECOND, 25, 1000, 0, 0, new Random(5));
+        play.traffic(4 * DecisionSimulation.SECOND, 25, 1000, 0, 0, new Random(5));
         play.lists(
-                Play.machine("c", 1, 0, EndpointState.ACTIVE, play.now),
-                Play.machine("m0", 1, 0, EndpointState.REMOVED, 0),
-                Play.machine("m1", 1, 1, EndpointState.REMOVED, 0),
-                Play.machine("m2", 1, 0, EndpointState.REMOVED, 0),
-                Play.machine("m3", 1, 1, EndpointState.REMOVED, 0));
+                DecisionSimulation.machine("c", 1, 0, EndpointState.ACTIVE, play.now),
+                DecisionSimulation.machine("m0", 1, 0, EndpointState.REMOVED, 0),
+                DecisionSimulation.machine("m1", 1, 1, EndpointState.REMOVED, 0),
+                DecisionSimulation.machine("m2", 1, 0, EndpointState.REMOVED, 0),
+                DecisionSimulation.machine("m3", 1, 1, EndpointState.REMOVED, 0));
         long from = play.now;
-        play.traffic(2 * Play.SECOND, 25, 1000, 0, 0, new Random(6));
+        play.traffic(2 * DecisionSimulation.SECOND, 25, 1000, 0, 0, new Random(6));
         long sent = play.all.stream()
                 .filter(s -> s.machine().equals("c") && s.at() > from)
                 .count();
@@ -177,14 +184,15 @@
     void manyQuietFrontsTogetherSpareAColdMachine() {
         int sent = 0;
         for (int front = 0; front < 60; front++) {
-            Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), front);
+            DecisionSimulation play = new DecisionSimulation(
+                    DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), front);
             play.begin(30);
-            play.traffic(10 * Play.SECOND, 1000, 1000, 0, 0, new Random(front));
+            play.traffic(10 * DecisionSimulation.SECOND, 1000, 1000, 0, 0, new Random(front));
             for (int i = 0; i < 30; i++) {
-                play.lists(Play.machine("m" + i, 1, 0, EndpointState.REMOVED, 0));
+                play.lists(DecisionSimulation.machine("m" + i, 1, 0, EndpointState.REMOVED, 0));
             }
-            play.lists(Play.machine("c", 1, 0, EndpointState.ACTIVE, play.now));
-            play.traffic(2 * Play.SECOND, 1000, 1000, 0, 0, new Random(front));
+            play.lists(DecisionSimulation.machine("c", 1, 0, EndpointState.ACTIVE, play.now));
+            play.traffic(2 * DecisionSimulation.SECOND, 1000, 1000, 0, 0, new Random(front));
             sent += play.all.stream().filter(s -> s.machine().equals("c")).count();
         }
         assertTrue(sent > 0 && sent <= 10, "120 reqs came, 4 in the span are a machine's usual: sent " + sent);
@@ -194,7 +202,8 @@
     void frontsBeginTheirTurnsAtDifferentMachines() {
         Set<String> first = new HashSet<>();
         for (int front = 0; front < 20; front++) {
-            Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), front);
+            DecisionSimulation play = new DecisionSimulation(
+                    DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), front);
             play.begin(30);
             first.add(play.outOf(play.req(0, "k")).machine());
         }
@@ -203,34 +212,37 @@
 
     @Test
     void aSmallIdleMachineGetsItsTurnsToo() {
-        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
+        DecisionSimulation play =
+                new DecisionSimulation(DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(2);
         play.lists(new Event.EndpointEntry("small", 1, 0, 0, 0, 0.5, EndpointState.ACTIVE, 0));
-        play.traffic(5 * Play.SECOND, 100, 500, 0, 0, new Random(1));
+        play.traffic(5 * DecisionSimulation.SECOND, 100, 500, 0, 0, new Random(1));
         assertTrue(play.all.stream().filter(s -> s.machine().equals("small")).count() >= 5, "of 50 reqs");
     }
 
     @Test
     void aFrontThatShedsFindsOutWhenTheFleetIsWellAgain() {
-        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
+        DecisionSimulation play =
+                new DecisionSimulation(DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(2);
-        play.traffic(5 * Play.SECOND, 20, 1000, 0, 0, new Random(1));
-        play.traffic(6 * Play.SECOND, 20, 15_000, 0, 0, new Random(2));
-        play.traffic(10 * Play.SECOND, 20, 1000, 0, 0, new Random(3));
+        play.traffic(5 * DecisionSimulation.SECOND, 20, 1000, 0, 0, new Random(1));
+        play.traffic(6 * DecisionSimulation.SECOND, 20, 15_000, 0, 0, new Random(2));
+        play.traffic(10 * DecisionSimulation.SECOND, 20, 1000, 0, 0, new Random(3));
         play.answers.clear();
-        play.traffic(5 * Play.SECOND, 20, 1000, 0, 0, new Random(4));
+        play.traffic(5 * DecisionSimulation.SECOND, 20, 1000, 0, 0, new Random(4));
         assertEquals(0, play.answers.size(), "sheds in calm");
     }
 
     @Test
     void badReqsThatFailOnBothBuildsSendNoBuildBack() {
-        Play play = RulesTest.trial(5, 0.5, 0);
-        play.traffic(8 * Play.SECOND, 20, 1000, 0.3, 0.3, new Random(5));
+        DecisionSimulation play = RequestRulesTest.trial(5, 0.5, 0);
+        play.traffic(8 * DecisionSimulation.SECOND, 20, 1000, 0.3, 0.3, new Random(5));
         play.tells(2, 2, 1, RolloutPhase.RELEASED);
         play.lists(
-                Play.machine("m0", 1, 0, EndpointState.REMOVED, 0), Play.machine("m1", 1, 1, EndpointState.REMOVED, 0));
+                DecisionSimulation.machine("m0", 1, 0, EndpointState.REMOVED, 0),
+                DecisionSimulation.machine("m1", 1, 1, EndpointState.REMOVED, 0));
         for (int i = 0; i < 300; i++) {
-            play.now += 20 * Play.MS;
+            play.now += 20 * DecisionSimulation.MS;
             String id = play.req(0, "b" + i);
             while (play.outOf(id) != null) {
                 play.ends(play.outOf(id), i % 2 == 0 ? AttemptOutcome.FAILED : AttemptOutcome.COMPLETED);
@@ -241,10 +253,11 @@
 
     @Test
     void aFullFleetIsNotAskedByEveryReqAtEveryMachine() {
-        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
+        DecisionSimulation play =
+                new DecisionSimulation(DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(6);
         for (int i = 0; i < 200; i++) {
-            play.now += 10 * Play.MS;
+            play.now += 10 * DecisionSimulation.MS;
             String id = play.req(0, "k" + i);
             while (play.outOf(id) != null) {
                 play.ends(play.outOf(id), AttemptOutcome.OVERLOADED);
@@ -255,11 +268,12 @@
 
     @Test
     void standingQueuesAreAnsweredBySheddingEarly() {
-        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
+        DecisionSimulation play =
+                new DecisionSimulation(DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(2);
-        play.traffic(5 * Play.SECOND, 20, 1000, 0, 0, new Random(1));
+        play.traffic(5 * DecisionSimulation.SECOND, 20, 1000, 0, 0, new Random(1));
         assertEquals(0, play.answers.size(), "nothing is shed in calm");
-        play.traffic(6 * Play.SECOND, 20, 15_000, 0, 0, new Random(2));
+        play.traffic(6 * DecisionSimulation.SECOND, 20, 15_000, 0, 0, new Random(2));
         assertTrue(
                 play.answers.stream()
                                 .filter(a -> a instanceof Action.RejectRequest)
@@ -290,23 +304,24 @@
 
     /** All verdicts of a front that sees a req each half second, where the platform counts some failures of the trial build. */
     private static Set<Verdict> counted(AttemptOutcome first, int failures, int machines) {
-        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
+        DecisionSimulation play =
+                new DecisionSimulation(DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(machines);
         play.tells(2, 1, 0.5, RolloutPhase.CANARY);
         for (int i = 0; i < machines; i++) {
-            play.lists(Play.machine("t" + i, 2, 0, EndpointState.ACTIVE, 0));
+            play.lists(DecisionSimulation.machine("t" + i, 2, 0, EndpointState.ACTIVE, 0));
         }
         int trials = 0;
         for (int i = 0; i < 30; i++) {
-            play.pass(Play.SECOND / 2);
+            play.pass(DecisionSimulation.SECOND / 2);
             play.step(List.of(
                     new Event.BuildStatistics(1, 0, 30, 0, 100, 0),
                     new Event.BuildStatistics(2, 0, 6, failures, 100, 0)));
-            Play.Sent sent = play.outOf(play.req(0, "k" + i));
+            DecisionSimulation.Sent sent = play.outOf(play.req(0, "k" + i));
             if (sent != null) {
                 boolean fails = sent.build() == 2 && trials++ == 0;
                 play.ends(sent, fails ? first : AttemptOutcome.COMPLETED);
-                Play.Sent again = play.outOf(sent.req());
+                DecisionSimulation.Sent again = play.outOf(sent.req());
                 if (again != null) {
                     play.ends(again, AttemptOutcome.COMPLETED);
                 }
@@ -320,11 +335,11 @@
 
     @Test
     void aBuildThatFailsOnlyAfterItsReleaseIsVotedBack() {
-        Play play = RulesTest.trial(4, 0.5, 0);
-        play.traffic(6 * Play.SECOND, 20, 1000, 0, 0, new Random(3));
+        DecisionSimulation play = RequestRulesTest.trial(4, 0.5, 0);
+        play.traffic(6 * DecisionSimulation.SECOND, 20, 1000, 0, 0, new Random(3));
         play.tells(2, 2, 1, RolloutPhase.RELEASED);
         play.votes.clear();
-        play.traffic(6 * Play.SECOND, 20, 1000, 0, 0.2, new Random(3));
+        play.traffic(6 * DecisionSimulation.SECOND, 20, 1000, 0, 0.2, new Random(3));
         assertTrue(play.votes.stream().anyMatch(v -> v.verdict() == Verdict.ROLL_BACK), play.votes.toString());
     }
 
@@ -336,12 +351,12 @@
 
     /** Verdicts where so many of the trial build's answers, and 2% of all, are complained of. */
     private static List<Verdict> complained(double wrong) {
-        Play play = RulesTest.trial(9, 0.5, 0);
+        DecisionSimulation play = RequestRulesTest.trial(9, 0.5, 0);
         Random chance = new Random(9);
         for (int i = 0; i < 400; i++) {
-            play.now += 20 * Play.MS;
-            Play.Sent s = play.outOf(play.req(0, "k" + i));
-            play.now += 5 * Play.MS;
+            play.now += 20 * DecisionSimulation.MS;
+            DecisionSimulation.Sent s = play.outOf(play.req(0, "k" + i));
+            play.now += 5 * DecisionSimulation.MS;
             play.ends(s, AttemptOutcome.COMPLETED);
             if (chance.nextDouble() < 0.02 + (s.build() == 2 ? wrong : 0)) {
                 play.step(List.of(new Event.ComplaintReceived(s.machine(), play.now - s.at(), 0)));
@@ -359,22 +374,23 @@
 
     /** Verdicts where tries take 100 ms before the trial and so long in it, at the trial build and beside it. */
     private static List<Verdict> slowed(long trial, long beside) {
-        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.FIRST_VOTE), 6);
+        DecisionSimulation play =
+                new DecisionSimulation(DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.FIRST_VOTE), 6);
         play.begin(4);
         Random chance = new Random(6);
-        paced(play, 12 * Play.SECOND, 1000, 1000, chance);
+        paced(play, 12 * DecisionSimulation.SECOND, 1000, 1000, chance);
         for (int i = 0; i < 4; i++) {
-            play.lists(Play.machine("t" + i, 2, i % 2, EndpointState.ACTIVE, 1));
+            play.lists(DecisionSimulation.machine("t" + i, 2, i % 2, EndpointState.ACTIVE, 1));
         }
         play.tells(2, 1, 0.5, RolloutPhase.CANARY);
-        paced(play, 18 * Play.SECOND, trial, beside, chance);
+        paced(play, 18 * DecisionSimulation.SECOND, trial, beside, chance);
         return play.votes.stream().map(Action.CastVote::verdict).toList();
     }
 
-    private static void paced(Play play, long span, long trial, long beside, Random chance) {
+    private static void paced(DecisionSimulation play, long span, long trial, long beside, Random chance) {
         for (long end = play.now + span; play.now < end; ) {
-            play.now += 20 * Play.MS;
-            for (Play.Sent s : List.copyOf(play.out)) {
+            play.now += 20 * DecisionSimulation.MS;
+            for (DecisionSimulation.Sent s : List.copyOf(play.out)) {
                 if (play.now >= s.at() + (s.build() == 2 ? trial : beside) + chance.nextInt(200)) {
                     play.ends(s, AttemptOutcome.COMPLETED);
                 }
@@ -385,11 +401,11 @@
 
     @Test
     void keysOfAnyLettersAreCutEvenly() {
-        Play play = RulesTest.trial(4, 0.5, 0);
+        DecisionSimulation play = RequestRulesTest.trial(4, 0.5, 0);
         int went = 0;
         for (int i = 0; i < 200; i++) {
-            play.now += 20 * Play.MS;
-            Play.Sent s = play.outOf(play.req(0, "" + (char) ('à' + i % 20) + (char) ('à' + i / 20)));
+            play.now += 20 * DecisionSimulation.MS;
+            DecisionSimulation.Sent s = play.outOf(play.req(0, "" + (char) ('à' + i % 20) + (char) ('à' + i / 20)));
             went += s.build() == 2 ? 1 : 0;
             play.ends(s, AttemptOutcome.COMPLETED);
         }
@@ -398,11 +414,11 @@
 
     @Test
     void aReqWhoseTrialTryFailedGoesToTheEarlierBuild() {
-        Play play = RulesTest.trial(4, 0.5, 0);
+        DecisionSimulation play = RequestRulesTest.trial(4, 0.5, 0);
         for (int i = 0; i < 200; i++) {
-            play.now += 20 * Play.MS;
+            play.now += 20 * DecisionSimulation.MS;
             String id = play.req(0, "x" + i);
-            Play.Sent first = play.outOf(id);
+            DecisionSimulation.Sent first = play.outOf(id);
             play.ends(first, first.build() == 2 ? AttemptOutcome.FAILED : AttemptOutcome.COMPLETED);
             if (first.build() == 2) {
                 assertEquals(1, play.outOf(id).build());
@@ -414,12 +430,13 @@
 
     @Test
     void aSilentMachineLeavesTheRotationAndComesBack() {
-        Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
+        DecisionSimulation play =
+                new DecisionSimulation(DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
         play.begin(4);
         for (int i = 0; i < 600; i++) {
-            play.now += 20 * Play.MS;
-            Play.Sent s = play.outOf(play.req(2, "x" + i));
-            play.now += 100 * Play.MS;
+            play.now += 20 * DecisionSimulation.MS;
+            DecisionSimulation.Sent s = play.outOf(play.req(2, "x" + i));
+            play.now += 100 * DecisionSimulation.MS;
             play.ends(
                     s, s.machine().equals("m0") && i < 150 ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.COMPLETED);
         }
@@ -434,8 +451,8 @@
     }
 
     private static List<Verdict> judged(double errors, long seed) {
-        Play play = RulesTest.trial(seed, 0.5, 0);
-        play.traffic(6 * Play.SECOND, 20, 1000, 0, errors, new Random(seed));
+        DecisionSimulation play = RequestRulesTest.trial(seed, 0.5, 0);
+        play.traffic(6 * DecisionSimulation.SECOND, 20, 1000, 0, errors, new Random(seed));
         return play.votes.stream().map(Action.CastVote::verdict).toList();
     }
 }
--- a/src/test/java/laurelkeel/ManyMachinesTest.java
+++ b/src/test/java/laurelkeel/decision/ManyEndpointsTest.java
@@ -1,4 +1,4 @@
-package laurelkeel;
+package laurelkeel.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -11,17 +11,18 @@
 import org.junit.jupiter.api.Test;
 
 /** A front in front of far more machines than its traffic needs. */
-class ManyMachinesTest {
+class ManyEndpointsTest {
     private static final int MACHINES = 1_000;
     private static final long ANSWER = 20 * 10;
 
-    private final Play play = new Play(Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
+    private final DecisionSimulation play =
+            new DecisionSimulation(DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
 
     /** Requests one after the other, each served; the machines that were asked. */
     private Set<String> asked(int requests, long answer) {
         Set<String> machines = new HashSet<>();
         for (int i = 0; i < requests; i++) {
-            Play.Sent sent = play.outOf(play.req(0, null));
+            DecisionSimulation.Sent sent = play.outOf(play.req(0, null));
             assertNotNull(sent);
             machines.add(sent.machine());
             play.pass(answer);
@@ -53,7 +54,7 @@
         int served = 0;
         int tries = 0;
         for (int i = 0; i < 1_000; i++) {
-            Play.Sent sent = play.outOf(play.req(0, null));
+            DecisionSimulation.Sent sent = play.outOf(play.req(0, null));
             while (sent != null) {
                 tries++;
                 play.pass(ANSWER);
--- a/src/test/java/laurelkeel/SameActionsTest.java
+++ b/src/test/java/laurelkeel/decision/RecordedActionsTest.java
@@ -1,10 +1,9 @@
-package laurelkeel;
+package laurelkeel.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.Map;
-import laurelkeel.bench.Streams;
-import laurelkeel.decision.Shifter;
+import laurelkeel.bench.DecisionStreams;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -12,7 +11,7 @@
  * machines a front asks some in turn (streams 103 and 115 have as many).
  * A change of the module that means to act otherwise prints new sums with "bench streams" and says so in its commit.
  */
-class SameActionsTest {
+class RecordedActionsTest {
     @Test
     void actionsAreThoseOfTheSlowerModule() {
         Map.of(
@@ -32,6 +31,7 @@
                         "3000 actions c1a0d0eb",
                         115,
                         "2710 actions aba928eb")
-                .forEach((seed, sum) -> assertEquals(sum, Streams.sum(Shifter::new, seed), "stream " + seed));
+                .forEach((seed, sum) ->
+                        assertEquals(sum, DecisionStreams.sum(RoutingDecider::new, seed), "stream " + seed));
     }
 }
--- a/src/test/java/laurelkeel/RulesTest.java
+++ b/src/test/java/laurelkeel/decision/RequestRulesTest.java
@@ -1,4 +1,4 @@
-package laurelkeel;
+package laurelkeel.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,8 +15,7 @@
 import laurelkeel.api.Event.EndpointState;
 import laurelkeel.api.Event.RolloutPhase;
 import laurelkeel.api.Settings;
-import laurelkeel.decision.Shifter;
-import laurelkeel.lanes.Lanes;
+import laurelkeel.partition.PartitionedDecider;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
@@ -24,7 +23,7 @@
 /**
  * The module, alone and behind lanes, beside a plain model of the rules: one property a rule, on generated days. The model is Play's.
  */
-class RulesTest {
+class RequestRulesTest {
     private static final AttemptOutcome[] ENDS = {
         AttemptOutcome.COMPLETED,
         AttemptOutcome.COMPLETED,
@@ -38,10 +37,12 @@
     };
 
     /** What a generated day is made of; the same seed is the same day. */
-    private static Play day(long seed, boolean lanes) {
+    private static DecisionSimulation day(long seed, boolean lanes) {
         Random chance = new Random(seed);
-        Settings set = Play.settings(chance.nextBoolean(), chance.nextInt(3), Settings.PromotionPolicy.FIRST_VOTE);
-        Play play = new Play(set, lanes ? new Lanes(set, seed, Shifter::new) : new Shifter(set, seed));
+        Settings set = DecisionSimulation.settings(
+                chance.nextBoolean(), chance.nextInt(3), Settings.PromotionPolicy.FIRST_VOTE);
+        DecisionSimulation play = new DecisionSimulation(
+                set, lanes ? new PartitionedDecider(set, seed, RoutingDecider::new) : new RoutingDecider(set, seed));
         play.silent = new Random(seed);
         play.begin(6);
         Line line = new Line(play, lanes ? 3 : 1, chance);
@@ -56,25 +57,25 @@
             } else if (what < 90) {
                 play.sleep(edge(play, chance));
             } else if (what < 96) {
-                play.sleep(chance.nextInt(chance.nextInt(10) == 0 ? 3000 : 150) * Play.MS);
+                play.sleep(chance.nextInt(chance.nextInt(10) == 0 ? 3000 : 150) * DecisionSimulation.MS);
             } else if (what < 98) {
                 lie(play, line.newest, chance);
             } else {
                 line.goesOn();
             }
         }
-        play.sleep(3 * Play.SECOND);
+        play.sleep(3 * DecisionSimulation.SECOND);
         return play;
     }
 
     /** Up to the tick at which a window, a grace or a req's time ends, one before or one after. */
-    private static long edge(Play play, Random chance) {
+    private static long edge(DecisionSimulation play, Random chance) {
         long[] spans = {
             play.set.rollout().exposureWindowTicks(),
             play.set.limits().drainGraceTicks(),
             play.set.routes().get(1).deduplicationWindowTicks(),
-            2 * Play.SECOND,
-            800 * Play.MS
+            2 * DecisionSimulation.SECOND,
+            800 * DecisionSimulation.MS
         };
         long since = play.all.isEmpty()
                 ? play.now
@@ -85,10 +86,10 @@
     }
 
     /** Lists lie: of machines, states, builds, starts ahead of the clock; whole ones leave machines out. */
-    private static void lie(Play play, int newest, Random chance) {
+    private static void lie(DecisionSimulation play, int newest, Random chance) {
         EndpointState state = EndpointState.values()[chance.nextInt(3)];
         int build = Math.max(1, newest + chance.nextInt(3) - 1);
-        Event.EndpointEntry m = Play.machine(
+        Event.EndpointEntry m = DecisionSimulation.machine(
                 "m" + chance.nextInt(9), build, chance.nextInt(2), state, play.now + chance.nextInt(70_000) - 60_000);
         if (chance.nextInt(4) == 0) {
             List<Event.EndpointEntry> some = new ArrayList<>(play.list.values().stream()
@@ -109,14 +110,14 @@
      * are lost for a while; then it tells the end of what no longer stands, and all that stands, the older first.
      */
     private static final class Line {
-        final Play play;
+        final DecisionSimulation play;
         final int most;
         final Random chance;
         final TreeMap<Integer, Integer> stages = new TreeMap<>();
         int newest = 1, released = 1;
         boolean lost;
 
-        Line(Play play, int most, Random chance) {
+        Line(DecisionSimulation play, int most, Random chance) {
             this.play = play;
             this.most = most;
             this.chance = chance;
@@ -133,7 +134,7 @@
                 int build = ++newest;
                 stages.put(build, 0);
                 for (int i = 0; i < 2; i++) {
-                    play.lists(Play.machine(
+                    play.lists(DecisionSimulation.machine(
                             "b" + build + "." + i,
                             build,
                             i,
@@ -191,7 +192,7 @@
 
     private static void holds(int rule, long seed) {
         for (boolean lanes : new boolean[] {false, true}) {
-            Play play = day(seed, lanes);
+            DecisionSimulation play = day(seed, lanes);
             assertEquals(List.of(), play.brokenOf(rule), lanes ? "lanes" : "alone");
             assertTrue(play.owed.isEmpty(), "every req has its answer");
             assertTrue(play.all.size() > 100, "a day on which something happens");
@@ -226,49 +227,50 @@
         int machines = 4 + chance.nextInt(12);
         int everyMs = 1 + chance.nextInt(12);
         boolean lanes = chance.nextBoolean();
-        Settings set = Play.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT);
-        List<Play> all = new ArrayList<>();
+        Settings set = DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT);
+        List<DecisionSimulation> all = new ArrayList<>();
         for (int f = 0; f < fronts; f++) {
-            all.add(new Play(set, lanes ? new Lanes(set, f, Shifter::new) : new Shifter(set, f)));
+            all.add(new DecisionSimulation(
+                    set, lanes ? new PartitionedDecider(set, f, RoutingDecider::new) : new RoutingDecider(set, f)));
             all.get(f).begin(machines);
         }
         long now = all.get(0).now;
-        long coldAt = now + 15 * Play.SECOND;
-        long end = coldAt + 5 * Play.SECOND;
+        long coldAt = now + 15 * DecisionSimulation.SECOND;
+        long end = coldAt + 5 * DecisionSimulation.SECOND;
         int stay = chance.nextInt(machines / 2);
         int cold = 1 + chance.nextInt(3);
         boolean told = false;
         int n = 0;
         while (now < end) {
-            now += everyMs * Play.MS;
+            now += everyMs * DecisionSimulation.MS;
             if (!told && now >= coldAt) {
                 told = true;
-                for (Play p : all) {
+                for (DecisionSimulation p : all) {
                     p.now = now;
                     for (int i = stay; i < machines; i++) {
-                        p.lists(Play.machine("m" + i, 1, i % 2, EndpointState.REMOVED, 0));
+                        p.lists(DecisionSimulation.machine("m" + i, 1, i % 2, EndpointState.REMOVED, 0));
                     }
                     for (int i = 0; i < cold; i++) {
-                        p.lists(Play.machine("c" + i, 1, i % 2, EndpointState.ACTIVE, now));
+                        p.lists(DecisionSimulation.machine("c" + i, 1, i % 2, EndpointState.ACTIVE, now));
                     }
                 }
             }
-            Play p = all.get(chance.nextInt(fronts));
+            DecisionSimulation p = all.get(chance.nextInt(fronts));
             p.now = now;
-            for (Play.Sent s : List.copyOf(p.out)) {
-                if (now >= s.at() + 40 * Play.MS) {
+            for (DecisionSimulation.Sent s : List.copyOf(p.out)) {
+                if (now >= s.at() + 40 * DecisionSimulation.MS) {
                     p.ends(s, AttemptOutcome.COMPLETED);
                 }
             }
             p.req(chance.nextInt(2) * 2, "k" + n++);
         }
-        double usual = set.limits().overloadWindowTicks() / (double) (everyMs * Play.MS) / machines;
+        double usual = set.limits().overloadWindowTicks() / (double) (everyMs * DecisionSimulation.MS) / machines;
         for (int i = 0; i < cold; i++) {
             String id = "c" + i;
             List<Long> at = all.stream()
                     .flatMap(p -> p.all.stream())
                     .filter(s -> s.machine().equals(id))
-                    .map(Play.Sent::at)
+                    .map(DecisionSimulation.Sent::at)
                     .sorted()
                     .toList();
             for (int from = 0, to = 0; to < at.size(); to++) {
@@ -293,10 +295,10 @@
     /** Withholding must have its reason: with room under the cap, a key of the slice does go to the trial build. */
     @Property(tries = 20, seed = "7", shrinking = ShrinkingMode.OFF)
     void whatIsWithheldForTheCapIsForbidden(@ForAll long seed) {
-        Play play = trial(seed, 0.5, 0);
+        DecisionSimulation play = trial(seed, 0.5, 0);
         int went = 0;
         for (int i = 0; i < 300; i++) {
-            play.now += 20 * Play.MS;
+            play.now += 20 * DecisionSimulation.MS;
             String id = play.req(0, "k" + i);
             assertTrue(play.outOf(id) != null, play.now + " not sent: " + play.lastDone);
             went += play.outOf(id) != null && play.outOf(id).build() == 2 ? 1 : 0;
@@ -306,15 +308,16 @@
         assertEquals(List.of(), play.broken);
     }
 
-    static Play trial(long seed, double cap, int guarded) {
-        Play play = new Play(Play.settings(false, guarded, Settings.PromotionPolicy.FIRST_VOTE), seed);
+    static DecisionSimulation trial(long seed, double cap, int guarded) {
+        DecisionSimulation play = new DecisionSimulation(
+                DecisionSimulation.settings(false, guarded, Settings.PromotionPolicy.FIRST_VOTE), seed);
         play.begin(4);
         for (int i = 0; i < 4; i++) {
-            play.lists(Play.machine("t" + i, 2, i % 2, EndpointState.ACTIVE, 1));
+            play.lists(DecisionSimulation.machine("t" + i, 2, i % 2, EndpointState.ACTIVE, 1));
         }
-        play.now += 20 * Play.SECOND;
+        play.now += 20 * DecisionSimulation.SECOND;
         play.tells(2, guarded > 0 ? 0 : 1, cap, RolloutPhase.CANARY);
-        play.pass(Play.SECOND);
+        play.pass(DecisionSimulation.SECOND);
         return play;
     }
 
@@ -322,8 +325,8 @@
     void theSameEventsGiveTheSameActions(@ForAll long seed) {
         List<List<Action>> said = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
-            Play play = trial(seed, 0.5, 0);
-            play.traffic(3 * Play.SECOND, 10, 1000, 0, 0, new Random(seed));
+            DecisionSimulation play = trial(seed, 0.5, 0);
+            play.traffic(3 * DecisionSimulation.SECOND, 10, 1000, 0, 0, new Random(seed));
             said.add(new ArrayList<>(play.lastDone));
             said.get(run).addAll(play.answers);
         }
@@ -334,21 +337,21 @@
     void slicesOfTwoBuildsAreUnrelated() {
         int both = 0;
         int first = 0;
-        List<Play> plays = List.of(trial(1, 0.5, 0), trial(2, 0.5, 0));
+        List<DecisionSimulation> plays = List.of(trial(1, 0.5, 0), trial(2, 0.5, 0));
         plays.get(1)
                 .lists(
-                        Play.machine("u0", 3, 0, EndpointState.ACTIVE, 1),
-                        Play.machine("u1", 3, 1, EndpointState.ACTIVE, 1),
-                        Play.machine("u2", 3, 0, EndpointState.ACTIVE, 1),
-                        Play.machine("u3", 3, 1, EndpointState.ACTIVE, 1));
+                        DecisionSimulation.machine("u0", 3, 0, EndpointState.ACTIVE, 1),
+                        DecisionSimulation.machine("u1", 3, 1, EndpointState.ACTIVE, 1),
+                        DecisionSimulation.machine("u2", 3, 0, EndpointState.ACTIVE, 1),
+                        DecisionSimulation.machine("u3", 3, 1, EndpointState.ACTIVE, 1));
         plays.get(1).tells(3, 1, 0.5, RolloutPhase.CANARY);
-        plays.get(1).pass(Play.SECOND);
+        plays.get(1).pass(DecisionSimulation.SECOND);
         for (int i = 0; i < 600; i++) {
             boolean[] in = new boolean[2];
             for (int p = 0; p < 2; p++) {
-                Play play = plays.get(p);
-                play.now += 20 * Play.MS;
-                Play.Sent s = play.outOf(play.req(0, "key" + i));
+                DecisionSimulation play = plays.get(p);
+                play.now += 20 * DecisionSimulation.MS;
+                DecisionSimulation.Sent s = play.outOf(play.req(0, "key" + i));
                 in[p] = s.build() == 2 + p;
                 play.ends(s, AttemptOutcome.COMPLETED);
             }
--- a/src/test/java/laurelkeel/loop/LoopTest.java
+++ b/src/test/java/laurelkeel/eventloop/EventLoopTest.java
@@ -1,4 +1,4 @@
-package laurelkeel.loop;
+package laurelkeel.eventloop;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
@@ -11,8 +11,8 @@
 import java.util.function.BiConsumer;
 import org.junit.jupiter.api.Test;
 
-class LoopTest {
-    private Loop loop = new Loop(() -> System.nanoTime() / 100_000);
+class EventLoopTest {
+    private EventLoop loop = new EventLoop(() -> System.nanoTime() / 100_000);
 
     private CompletableFuture<Throwable> running() {
         CompletableFuture<Throwable> ended = new CompletableFuture<>();
@@ -69,12 +69,12 @@
         assertEquals(3, loop.failures());
         loop.stop();
         assertEquals(null, ended.get(10, TimeUnit.SECONDS));
-        loop = new Loop(() -> System.nanoTime() / 100_000);
-        endsWith(Loop::post);
+        loop = new EventLoop(() -> System.nanoTime() / 100_000);
+        endsWith(EventLoop::post);
     }
 
     /** What each kind of thread beside the loop throws ends the loop with it. */
-    private void endsWith(BiConsumer<Loop, Runnable> runs) throws Exception {
+    private void endsWith(BiConsumer<EventLoop, Runnable> runs) throws Exception {
         Error made = new OutOfMemoryError("made");
         CompletableFuture<Throwable> ended = running();
         runs.accept(loop, () -> {
@@ -85,17 +85,17 @@
 
     @Test
     void aSocketThreadThatDiesEndsTheLoop() throws Exception {
-        endsWith((l, r) -> Threads.many(l, "t").execute(r));
+        endsWith((l, r) -> LoopThreads.many(l, "t").execute(r));
     }
 
     @Test
     void aNewsThreadThatDiesEndsTheLoop() throws Exception {
-        endsWith((l, r) -> Threads.some(l, "t", 1).execute(r));
+        endsWith((l, r) -> LoopThreads.some(l, "t", 1).execute(r));
     }
 
     @Test
     void aTimedTaskThatThrowsEndsTheLoop() throws Exception {
-        ScheduledExecutorService timer = Threads.timer(loop, "t");
+        ScheduledExecutorService timer = LoopThreads.timer(loop, "t");
         endsWith((l, r) -> timer.scheduleWithFixedDelay(r, 0, 1, TimeUnit.MILLISECONDS));
     }
 }
--- a/src/test/java/laurelkeel/front/NewsTest.java
+++ b/src/test/java/laurelkeel/front/ControlPlaneTest.java
@@ -24,18 +24,18 @@
 import laurelkeel.api.Event;
 import laurelkeel.api.Event.EndpointListKind;
 import laurelkeel.api.Event.EndpointState;
-import laurelkeel.audit.Judgement;
-import laurelkeel.decision.Shifter;
-import laurelkeel.front.news.Notes;
-import laurelkeel.loop.Loop;
-import laurelkeel.records.Rec;
+import laurelkeel.audit.AuditReport;
+import laurelkeel.decision.RoutingDecider;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.front.controlplane.GossipChannel;
+import laurelkeel.records.TrafficRecord;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** What a front is told: each line of a scripted service, and what becomes of it. */
-class NewsTest {
+class ControlPlaneTest {
     private static final String LIVE = "{\"machine\":\"127.0.0.1:9\",\"build\":4,\"zone\":\"here\",\"state\":\"live\","
             + "\"run\":%d,\"ageMs\":%s,\"size\":1}";
 
@@ -99,7 +99,7 @@
                 + server.getAddress().getPort() + "\n";
     }
 
-    private static List<Event.EndpointListUpdate> lists(Peers p) {
+    private static List<Event.EndpointListUpdate> lists(FrontTestPeers p) {
         return p.events.stream()
                 .filter(e -> e instanceof Event.EndpointListUpdate)
                 .map(e -> (Event.EndpointListUpdate) e)
@@ -108,7 +108,7 @@
 
     @Test
     void aListIsFollowedGapsAreFetchedAndARestartKeepsTheLastOne() throws Exception {
-        try (Peers p = new Peers(folder, sources("push"), (x, e) -> List.of())) {
+        try (FrontTestPeers p = new FrontTestPeers(folder, sources("push"), (x, e) -> List.of())) {
             BlockingQueue<String> watch = says.get("/list/watch");
             watch.add("{\"kind\":\"full\",\"version\":7,\"machines\":[" + LIVE.formatted(1, "500") + "]}");
             watch.add("no json");
@@ -116,7 +116,7 @@
                     + LIVE.formatted(1, "900").replace("live", "draining") + "]}");
             watch.add("{\"kind\":\"changes\",\"version\":12,\"previous\":11,\"machines\":[]}");
             says.get("/list").add("{\"kind\":\"full\",\"version\":12,\"machines\":[" + LIVE.formatted(2, "0") + "]}");
-            Rig.await("four lists", () -> lists(p).size() == 4);
+            FrontTestRig.await("four lists", () -> lists(p).size() == 4);
             List<Event.EndpointListUpdate> l = lists(p);
             assertEquals(
                     List.of(
@@ -131,10 +131,10 @@
             assertEquals(first.startedAtTicks(), l.get(2).entries().get(0).startedAtTicks(), "one start, two moments");
             assertTrue(l.get(3).entries().get(0).startedAtTicks() > first.startedAtTicks(), "a new run is a new start");
             watch.add("cut");
-            Rig.await("it subscribes again from what it has", () -> asked.contains("/list/watch?after=12"));
-            Rig.await("the list is kept", () -> java.nio.file.Files.exists(folder.resolve("state/list.json")));
+            FrontTestRig.await("it subscribes again from what it has", () -> asked.contains("/list/watch?after=12"));
+            FrontTestRig.await("the list is kept", () -> java.nio.file.Files.exists(folder.resolve("state/list.json")));
         }
-        try (Peers p = new Peers(folder, "", (x, e) -> List.of())) {
+        try (FrontTestPeers p = new FrontTestPeers(folder, "", (x, e) -> List.of())) {
             Event.EndpointListUpdate kept = p.event(Event.EndpointListUpdate.class);
             assertEquals(EndpointListKind.CACHED, kept.kind());
             assertEquals("127.0.0.1:9", kept.entries().get(0).endpointId());
@@ -143,7 +143,7 @@
 
     @Test
     void anAskedListIsOnlyAskedForAndFailuresAreTold() throws Exception {
-        try (Peers p = new Peers(
+        try (FrontTestPeers p = new FrontTestPeers(
                         folder,
                         sources("ask"),
                         (x, e) -> e instanceof Event.RequestReceived r
@@ -155,13 +155,13 @@
             p.event(Event.EndpointListUpdate.class);
             assertTrue(asked.stream().noneMatch(a -> a.startsWith("/list")));
             says.get("/list").add("no");
-            Peers.say(c, Peers.look("Laurelkeel-Repeat: 1\r\n"));
-            Rig.await("a failure", () -> lists(p).size() == 2);
-            Peers.say(c, Peers.look(""));
+            FrontTestPeers.say(c, FrontTestPeers.look("Laurelkeel-Repeat: 1\r\n"));
+            FrontTestRig.await("a failure", () -> lists(p).size() == 2);
+            FrontTestPeers.say(c, FrontTestPeers.look(""));
             says.get("/list/watch").add("{\"kind\":\"full\",\"version\":1,\"machines\":[]}");
-            Rig.await("an answer", () -> lists(p).size() == 3);
+            FrontTestRig.await("an answer", () -> lists(p).size() == 3);
             says.get("/list/watch").add("cut");
-            Rig.await("the broken watch is told", () -> lists(p).size() == 4);
+            FrontTestRig.await("the broken watch is told", () -> lists(p).size() == 4);
             assertEquals(
                     List.of(
                             EndpointListKind.CACHED,
@@ -174,7 +174,7 @@
 
     @Test
     void newsCountsAndEveryAnswerToAVote() throws Exception {
-        try (Peers p = new Peers(
+        try (FrontTestPeers p = new FrontTestPeers(
                         folder,
                         sources("push"),
                         (x, e) -> e instanceof Event.RequestReceived r
@@ -204,10 +204,10 @@
                                             : "{\"answer\":\"" + a + "\",\"build\":9,"
                                                     + "\"stage\":1,\"cap\":0.4,\"phase\":\"trial\",\"ageMs\":1}");
                 }
-                Peers.say(c, Peers.look(""));
-                Peers.hear(c);
+                FrontTestPeers.say(c, FrontTestPeers.look(""));
+                FrontTestPeers.hear(c);
                 int want = got.size() + 2;
-                Rig.await(
+                FrontTestRig.await(
                         "answer " + a,
                         () -> p.events.stream()
                                         .filter(e -> e instanceof Event.RolloutUpdate)
@@ -233,7 +233,7 @@
 
     @Test
     void linesThatCannotBeTrueArePassedOverAndEndNobody() throws Exception {
-        try (Peers p = new Peers(folder, sources("push"), (x, e) -> List.of())) {
+        try (FrontTestPeers p = new FrontTestPeers(folder, sources("push"), (x, e) -> List.of())) {
             BlockingQueue<String> list = says.get("/list/watch");
             list.add("null");
             list.add("[]");
@@ -250,7 +250,7 @@
             line.add("{\"kind\":\"news\",\"build\":9,\"phase\":\"trial\",\"standing\":[null]}");
             line.add("{\"kind\":\"news\",\"build\":9,\"stage\":1,\"cap\":0.4,\"phase\":\"trial\"}");
             assertEquals(1, p.event(Event.RolloutUpdate.class).stage());
-            Rig.await("the list", () -> lists(p).size() == 2);
+            FrontTestRig.await("the list", () -> lists(p).size() == 2);
             assertEquals(4, lists(p).get(1).entries().get(0).build());
             assertTrue(!p.front.ended().isDone());
         }
@@ -258,15 +258,15 @@
 
     @Test
     void aListThatJumpsAtEachLineIsFetchedOnceAtATime() throws Exception {
-        try (Peers p = new Peers(folder, sources("push"), (x, e) -> List.of())) {
+        try (FrontTestPeers p = new FrontTestPeers(folder, sources("push"), (x, e) -> List.of())) {
             BlockingQueue<String> watch = says.get("/list/watch");
             for (int i = 0; i < 500; i++) {
                 watch.add("{\"kind\":\"changes\",\"version\":" + (100 + 2 * i) + ",\"previous\":" + (99 + 2 * i)
                         + ",\"machines\":[]}");
             }
-            Rig.await("all lines are read", watch::isEmpty);
+            FrontTestRig.await("all lines are read", watch::isEmpty);
             watch.add("{\"kind\":\"full\",\"version\":5000,\"machines\":[]}");
-            Rig.await("the list that follows", () -> lists(p).size() == 2);
+            FrontTestRig.await("the list that follows", () -> lists(p).size() == 2);
             assertEquals(1, asked.stream().filter(a -> a.equals("/list")).count(), "while none is answered");
             says.get("/list").add("no");
         }
@@ -288,7 +288,7 @@
             }
             x.close();
         });
-        try (Peers p = new Peers(
+        try (FrontTestPeers p = new FrontTestPeers(
                         folder,
                         sources("push"),
                         (x, e) -> e instanceof Event.RequestReceived r
@@ -297,7 +297,7 @@
                                         new Action.FailRequest(r.requestId()))
                                 : List.of());
                 java.net.Socket c = p.client()) {
-            Peers.say(c, Peers.look(""));
+            FrontTestPeers.say(c, FrontTestPeers.look(""));
             assertEquals(
                     Event.ControlStatus.TIMED_OUT,
                     p.event(Event.RolloutUpdate.class).status());
@@ -306,15 +306,15 @@
 
     @Test
     void aWatchThatGoesSilentIsOpenedAnew() throws Exception {
-        try (Peers p = new Peers(folder, sources("push"), (x, e) -> List.of())) {
+        try (FrontTestPeers p = new FrontTestPeers(folder, sources("push"), (x, e) -> List.of())) {
             // each says one beat and nothing more
-            Rig.await(
+            FrontTestRig.await(
                     "the list is asked again",
                     () -> asked.stream()
                                     .filter(a -> a.startsWith("/list/watch"))
                                     .count()
                             > 1);
-            Rig.await(
+            FrontTestRig.await(
                     "the release line too",
                     () -> asked.stream()
                                     .filter(a -> a.startsWith("/release/watch"))
@@ -341,7 +341,7 @@
             }
             x.close();
         });
-        try (Peers p = new Peers(folder, sources("push"), (x, e) -> List.of())) {
+        try (FrontTestPeers p = new FrontTestPeers(folder, sources("push"), (x, e) -> List.of())) {
             assertTrue(cut.await(20, TimeUnit.SECONDS), "poured " + poured);
             assertTrue(poured.get() < 64 << 20, "poured " + poured);
         }
@@ -350,21 +350,21 @@
     @Test
     void notesReachTheOtherFrontAndNothingElseDoes() throws Exception {
         InetAddress here = InetAddress.getByName("127.0.0.1");
-        InetSocketAddress a = new InetSocketAddress(here, laurelkeel.standin.Ports.free());
-        InetSocketAddress b = new InetSocketAddress(here, laurelkeel.standin.Ports.free());
+        InetSocketAddress a = new InetSocketAddress(here, laurelkeel.testbed.PortAllocator.free());
+        InetSocketAddress b = new InetSocketAddress(here, laurelkeel.testbed.PortAllocator.free());
         Map<Integer, InetSocketAddress> peers = Map.of(0, a, 1, b);
-        Loop loop = new Loop(() -> System.nanoTime() / 100_000);
+        EventLoop loop = new EventLoop(() -> System.nanoTime() / 100_000);
         Thread t = new Thread(() -> loop.run(() -> false));
         t.start();
         BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-        Notes first = new Notes(
+        GossipChannel first = new GossipChannel(
                 0,
                 a,
                 peers,
                 loop,
                 Executors.newCachedThreadPool(),
                 (from, bytes) -> heard.add(from + ":" + bytes.length));
-        Notes second = new Notes(
+        GossipChannel second = new GossipChannel(
                 1,
                 b,
                 peers,
@@ -393,14 +393,18 @@
 
     @Test
     void frontsWithClocksApartKeepTheRulesThroughARollout() throws Exception {
-        LongSupplier mine = Base.clock();
-        try (Rig rig = new Rig(folder, "", 2, 5, Shifter::new, true, mine, () -> mine.getAsLong() + 99_999_999_999L)) {
+        LongSupplier mine = NodeRuntime.clock();
+        try (FrontTestRig rig = new FrontTestRig(
+                folder, "", 2, 5, RoutingDecider::new, true, mine, () -> mine.getAsLong() + 99_999_999_999L)) {
             rig.load();
             rig.befall("what = offer\nbuild = 2\n");
-            Rig.await(
+            FrontTestRig.await(
                     "released",
-                    () -> rig.count(Rec.Stage.class, s -> s.build() == 2 && s.phase() == Rec.Phase.RELEASED) > 0);
-            Judgement j = rig.judge();
+                    () -> rig.count(
+                                    TrafficRecord.Stage.class,
+                                    s -> s.build() == 2 && s.phase() == TrafficRecord.Phase.RELEASED)
+                            > 0);
+            AuditReport j = rig.judge();
             assertEquals(List.of(), j.breaches());
             assertEquals(0, j.unanswered());
         }
--- a/src/test/java/laurelkeel/front/Child.java
+++ b/src/test/java/laurelkeel/front/FrontChildProcess.java
@@ -12,17 +12,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import laurelkeel.standin.Ports;
+import laurelkeel.testbed.PortAllocator;
 
 /**
  * A front as a process of its own with little of something: descriptors, memory, disk, or nobody who reads its log.
  * Between one machine that answers all it is asked, known from the list kept on disk, and clients that are plain sockets.
  */
-final class Child implements AutoCloseable {
+final class FrontChildProcess implements AutoCloseable {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
 
     final Process process;
-    final int port = Ports.free(), admin = Ports.free();
+    final int port = PortAllocator.free(), admin = PortAllocator.free();
     private final ServerSocket machine = new ServerSocket(0, 200, InetAddress.getByName("127.0.0.1"));
     private final List<Socket> open = new CopyOnWriteArrayList<>();
     volatile boolean silent;
@@ -32,13 +32,13 @@
      * @param java arguments for the virtual machine
      * @param log where standard error goes; null for a pipe that nobody reads
      */
-    Child(Path folder, String limits, List<String> java, String extra, Path log) throws IOException {
+    FrontChildProcess(Path folder, String limits, List<String> java, String extra, Path log) throws IOException {
         Thread t = new Thread(this::serve);
         t.setDaemon(true);
         t.start();
         Path file = folder.resolve("child.ini");
         Files.createDirectories(folder.resolve("state"));
-        Files.writeString(folder.resolve("state/list.json"), "[" + Peers.listed(machineId(), "live") + "]");
+        Files.writeString(folder.resolve("state/list.json"), "[" + FrontTestPeers.listed(machineId(), "live") + "]");
         Files.writeString(
                 file,
                 "[front]\nnumber = 0\nfronts = 1\nlisten = 127.0.0.1:" + port + "\nadmin = 127.0.0.1:"
@@ -73,7 +73,7 @@
             b.redirectError(log.toFile());
         }
         process = b.start();
-        Rig.await("the child takes connections", () -> {
+        FrontTestRig.await("the child takes connections", () -> {
             try (Socket s = new Socket("127.0.0.1", port)) {
                 return s.isConnected();
             } catch (IOException e) {
@@ -101,9 +101,9 @@
 
     private void answer(Socket s) {
         try {
-            while (!Peers.hear(s).endsWith("<end>")) {
+            while (!FrontTestPeers.hear(s).endsWith("<end>")) {
                 if (!silent) {
-                    Peers.say(s, OK);
+                    FrontTestPeers.say(s, OK);
                 }
             }
         } catch (IOException e) {
@@ -124,8 +124,8 @@
 
     /** One figure of its metrics, over a connection made before. */
     static double figure(Socket admin, String name) throws IOException {
-        Peers.say(admin, "GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n");
-        String text = Peers.hear(admin);
+        FrontTestPeers.say(admin, "GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n");
+        String text = FrontTestPeers.hear(admin);
         Matcher m = Pattern.compile("(?m)^" + Pattern.quote(name) + " (\\S+)").matcher(text);
         return m.find() ? Double.parseDouble(m.group(1)) : 0;
     }
@@ -147,8 +147,8 @@
     boolean completes() {
         try (Socket s = new Socket("127.0.0.1", port)) {
             s.setSoTimeout(5_000);
-            Peers.say(s, Peers.look(""));
-            return Peers.hear(s).contains("Laurelkeel-Answer: completed");
+            FrontTestPeers.say(s, FrontTestPeers.look(""));
+            return FrontTestPeers.hear(s).contains("Laurelkeel-Answer: completed");
         } catch (IOException e) {
             return false;
         }
--- a/src/test/java/laurelkeel/front/BreakingTest.java
+++ b/src/test/java/laurelkeel/front/FrontFailureTest.java
@@ -13,41 +13,42 @@
 import laurelkeel.api.Decider;
 import laurelkeel.api.Event;
 import laurelkeel.api.Event.EndpointEntry;
-import laurelkeel.audit.Breach;
-import laurelkeel.audit.Judgement;
-import laurelkeel.records.Rec;
+import laurelkeel.audit.AuditReport;
+import laurelkeel.audit.RuleViolation;
+import laurelkeel.records.TrafficRecord;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** The audit is proved by fronts that break the rules: it names the rule, the req and the moment, and no other. */
-class BreakingTest {
+class FrontFailureTest {
     @TempDir
     Path folder;
 
-    private Rig rig(String extra, Supplier<Decider> decider) throws Exception {
-        return new Rig(folder, extra, 1, 4, (set, seed) -> decider.get(), false);
+    private FrontTestRig rig(String extra, Supplier<Decider> decider) throws Exception {
+        return new FrontTestRig(folder, extra, 1, 4, (set, seed) -> decider.get(), false);
     }
 
-    private static void answered(Rig rig, int n) {
-        Rig.await(n + " answers", () -> rig.count(Rec.Answered.class, a -> true) >= n);
+    private static void answered(FrontTestRig rig, int n) {
+        FrontTestRig.await(n + " answers", () -> rig.count(TrafficRecord.Answered.class, a -> true) >= n);
     }
 
-    private static List<Breach> only(Rig rig, int rule, String text) throws Exception {
-        Judgement j = rig.judge();
-        List<Breach> of = j.breaches().stream().filter(b -> b.rule() == rule).toList();
+    private static List<RuleViolation> only(FrontTestRig rig, int rule, String text) throws Exception {
+        AuditReport j = rig.judge();
+        List<RuleViolation> of =
+                j.breaches().stream().filter(b -> b.rule() == rule).toList();
         assertFalse(of.isEmpty(), "rule " + rule + " was broken unseen");
         assertTrue(of.stream().anyMatch(b -> b.what().contains(text)), of.get(0).what());
         assertEquals(
                 List.of(),
                 j.breaches().stream()
                         .filter(b -> b.rule() != rule)
-                        .map(Breach::what)
+                        .map(RuleViolation::what)
                         .distinct()
                         .limit(3)
                         .toList());
         Set<String> reqs = new HashSet<>();
         rig.records.forEach(r -> {
-            if (r instanceof Rec.Asked a) {
+            if (r instanceof TrafficRecord.Asked a) {
                 reqs.add(a.req());
             }
         });
@@ -57,10 +58,10 @@
 
     @Test
     void aDeciderThatKeepsTheRulesIsNotBlamed() throws Exception {
-        try (Rig rig = rig("", Naive::new)) {
+        try (FrontTestRig rig = rig("", RuleBreakingDecider::new)) {
             rig.load();
             answered(rig, 300);
-            Judgement j = rig.judge();
+            AuditReport j = rig.judge();
             assertEquals(List.of(), j.breaches());
             assertEquals(0, j.unanswered());
         }
@@ -68,7 +69,7 @@
 
     @Test
     void twoAnswersToOneReq() throws Exception {
-        try (Rig rig = rig("", () -> new Naive() {
+        try (FrontTestRig rig = rig("", () -> new RuleBreakingDecider() {
             @Override
             void taken(Event.RequestReceived r) {
                 super.taken(r);
@@ -86,7 +87,7 @@
 
     @Test
     void noAnswerAtAll() throws Exception {
-        try (Rig rig = rig("", () -> new Naive() {
+        try (FrontTestRig rig = rig("", () -> new RuleBreakingDecider() {
             @Override
             void taken(Event.RequestReceived r) {
                 if (++seen % 50 != 0) {
@@ -102,7 +103,7 @@
 
     @Test
     void aNonRetriableReqSentTwice() throws Exception {
-        try (Rig rig = rig("[build 1]\nfailing-pay = 0.3\n", () -> new Naive() {
+        try (FrontTestRig rig = rig("[build 1]\nfailing-pay = 0.3\n", () -> new RuleBreakingDecider() {
             @Override
             void failed(Event.RequestReceived r, Event.AttemptEnded t) {
                 if (r.route() == 1 && t.attempt() == 0) {
@@ -120,7 +121,7 @@
 
     @Test
     void aShedThatIsNotHarmless() throws Exception {
-        try (Rig rig = rig("[build 1]\nfailing-pay = 0.3\n", () -> new Naive() {
+        try (FrontTestRig rig = rig("[build 1]\nfailing-pay = 0.3\n", () -> new RuleBreakingDecider() {
             @Override
             void failed(Event.RequestReceived r, Event.AttemptEnded t) {
                 held.remove(r.requestId());
@@ -135,7 +136,7 @@
 
     @Test
     void sendsToADrainingMachine() throws Exception {
-        try (Rig rig = rig("", () -> new Naive() {
+        try (FrontTestRig rig = rig("", () -> new RuleBreakingDecider() {
             @Override
             boolean uses(EndpointEntry m, Event.RequestReceived r) {
                 return m.state() != Event.EndpointState.REMOVED && m.build() == 1;
@@ -144,16 +145,18 @@
             rig.load();
             answered(rig, 100);
             rig.befall("what = drain\n");
-            Rig.await(
+            FrontTestRig.await(
                     "it is gone",
-                    () -> rig.count(Rec.MachineDown.class, m -> m.why().equals("drained")) > 0);
+                    () -> rig.count(TrafficRecord.MachineDown.class, m -> m.why()
+                                    .equals("drained"))
+                            > 0);
             only(rig, 3, "after it was told that it drains");
         }
     }
 
     @Test
     void aColdMachineFlooded() throws Exception {
-        try (Rig rig = rig("[fleet]\ncores = 1\n", () -> new Naive() {
+        try (FrontTestRig rig = rig("[fleet]\ncores = 1\n", () -> new RuleBreakingDecider() {
             @Override
             boolean uses(EndpointEntry m, Event.RequestReceived r) {
                 boolean cold = machines.values().stream()
@@ -164,15 +167,17 @@
             rig.load();
             answered(rig, 100);
             rig.befall("what = crash\nback-after = 100 ms\n");
-            Rig.await(
+            FrontTestRig.await(
                     "it tips",
-                    () -> rig.count(Rec.MachineDown.class, m -> m.why().equals("tipped")) > 0);
+                    () -> rig.count(TrafficRecord.MachineDown.class, m -> m.why()
+                                    .equals("tipped"))
+                            > 0);
             only(rig, 4, "was pushed over");
         }
     }
 
-    private static Naive either(int trialOneIn) {
-        return new Naive() {
+    private static RuleBreakingDecider either(int trialOneIn) {
+        return new RuleBreakingDecider() {
             @Override
             boolean uses(EndpointEntry m, Event.RequestReceived r) {
                 boolean trial = r.route() == 0
@@ -183,17 +188,18 @@
         };
     }
 
-    private void offered(Rig rig) throws Exception {
+    private void offered(FrontTestRig rig) throws Exception {
         rig.load();
         answered(rig, 50);
         rig.befall("what = offer\nbuild = 2\n");
-        Rig.await("the trial gets traffic", () -> rig.count(Rec.Arrived.class, a -> a.build() == 2) > 120);
+        FrontTestRig.await(
+                "the trial gets traffic", () -> rig.count(TrafficRecord.Arrived.class, a -> a.build() == 2) > 120);
     }
 
     @Test
     void exposureOverTheCap() throws Exception {
         // all keys, always to the same build, and never an effect in the guarded stage
-        try (Rig rig = rig("", () -> new Naive() {
+        try (FrontTestRig rig = rig("", () -> new RuleBreakingDecider() {
             @Override
             boolean uses(EndpointEntry m, Event.RequestReceived r) {
                 boolean trial =
@@ -210,7 +216,7 @@
     @Test
     void exposureOfTheSecondReleaseAloneOverItsCap() throws Exception {
         // of two builds on trial the first has a sixteenth of a route's keys, the second the most; the cap is a fifth
-        try (Rig rig = rig("", () -> new Naive() {
+        try (FrontTestRig rig = rig("", () -> new RuleBreakingDecider() {
             @Override
             boolean uses(EndpointEntry m, Event.RequestReceived r) {
                 int slice = r.partitionKey() == null || r.route() != 0
@@ -225,10 +231,10 @@
             answered(rig, 50);
             rig.befall("what = offer\nbuild = 2\n");
             rig.befall("what = offer\nbuild = 3\n");
-            Rig.await(
+            FrontTestRig.await(
                     "both have traffic",
-                    () -> rig.count(Rec.Arrived.class, a -> a.build() == 2) > 5
-                            && rig.count(Rec.Arrived.class, a -> a.build() == 3) > 120);
+                    () -> rig.count(TrafficRecord.Arrived.class, a -> a.build() == 2) > 5
+                            && rig.count(TrafficRecord.Arrived.class, a -> a.build() == 3) > 120);
             assertTrue(only(rig, 5, "tries at build 3").stream()
                     .noneMatch(b -> b.what().contains("tries at build 2")));
         }
@@ -236,7 +242,7 @@
 
     @Test
     void aKeyThatWentBack() throws Exception {
-        try (Rig rig = rig("", () -> either(8))) {
+        try (FrontTestRig rig = rig("", () -> either(8))) {
             offered(rig);
             only(rig, 5, "was not sent back");
         }
@@ -244,7 +250,7 @@
 
     @Test
     void aGuardedStage() throws Exception {
-        try (Rig rig = rig("", () -> new Naive() {
+        try (FrontTestRig rig = rig("", () -> new RuleBreakingDecider() {
             @Override
             boolean uses(EndpointEntry m, Event.RequestReceived r) {
                 boolean trial = r.partitionKey() == null
@@ -256,7 +262,7 @@
             rig.load();
             answered(rig, 50);
             rig.befall("what = offer\nbuild = 2\n");
-            Rig.await("a guarded one", () -> rig.count(Rec.Arrived.class, a -> a.build() == 2) > 8);
+            FrontTestRig.await("a guarded one", () -> rig.count(TrafficRecord.Arrived.class, a -> a.build() == 2) > 8);
             only(rig, 5, "in guarded stage");
         }
     }
