--- a/src/test/java/laurelkeel/front/FrontTest.java
+++ b/src/test/java/laurelkeel/front/FrontNodeTest.java
@@ -19,25 +19,25 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** One front against peers that do what they should not. */
-class FrontTest {
+class FrontNodeTest {
     private static final String OK =
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nLaurelkeel-Load: concurrent=3, x=y\r\n\r\nhi";
 
     @TempDir
     Path folder;
 
-    private Peers once() throws IOException {
-        return new Peers(folder, "", Peers::once);
+    private FrontTestPeers once() throws IOException {
+        return new FrontTestPeers(folder, "", FrontTestPeers::once);
     }
 
     /** What the decider hears of a try to which the machine does that. */
     private AttemptOutcome outcome(String said, boolean reset) throws Exception {
-        try (Peers p = once();
+        try (FrontTestPeers p = once();
                 Socket c = p.client()) {
-            Peers.say(c, Peers.look(""));
+            FrontTestPeers.say(c, FrontTestPeers.look(""));
             Socket m = p.call();
-            Peers.hear(m);
-            Peers.say(m, said);
+            FrontTestPeers.hear(m);
+            FrontTestPeers.say(m, said);
             if (reset) {
                 m.setSoLinger(true, 0);
             }
@@ -46,7 +46,7 @@
             }
             Event.AttemptEnded t = p.event(Event.AttemptEnded.class);
             assertEquals(t.outcome() == AttemptOutcome.COMPLETED, t.requestEnded());
-            String answer = Peers.hear(c);
+            String answer = FrontTestPeers.hear(c);
             assertTrue(
                     answer.contains(t.requestEnded() ? "Laurelkeel-Answer: completed" : "Laurelkeel-Answer: errored"),
                     answer);
@@ -75,30 +75,30 @@
 
     @Test
     void aRefusedConnectionProvesThatNothingRan() throws Exception {
-        try (Peers p = once();
+        try (FrontTestPeers p = once();
                 Socket c = p.client()) {
             p.machine.close();
-            Peers.say(c, Peers.look(""));
+            FrontTestPeers.say(c, FrontTestPeers.look(""));
             assertEquals(
                     AttemptOutcome.CONNECT_FAILED,
                     p.event(Event.AttemptEnded.class).outcome());
-            Peers.hear(c);
+            FrontTestPeers.hear(c);
         }
     }
 
     @Test
     void aReusedConnectionThatDiesUnderAReqMayHaveRunIt() throws Exception {
-        try (Peers p = once();
+        try (FrontTestPeers p = once();
                 Socket c = p.client()) {
-            Peers.say(c, Peers.look(""));
+            FrontTestPeers.say(c, FrontTestPeers.look(""));
             Socket m = p.call();
-            Peers.hear(m);
-            Peers.say(m, OK);
-            assertTrue(Peers.hear(c).endsWith("hi"));
-            Peers.say(c, Peers.look(""));
-            Peers.hear(m);
+            FrontTestPeers.hear(m);
+            FrontTestPeers.say(m, OK);
+            assertTrue(FrontTestPeers.hear(c).endsWith("hi"));
+            FrontTestPeers.say(c, FrontTestPeers.look(""));
+            FrontTestPeers.hear(m);
             m.close();
-            Rig.await(
+            FrontTestRig.await(
                     "two ends",
                     () -> p.events.stream()
                                     .filter(e -> e instanceof Event.AttemptEnded)
@@ -109,19 +109,19 @@
                     .toList()
                     .get(1);
             assertEquals(AttemptOutcome.CONNECTION_LOST, t.outcome());
-            Peers.hear(c);
+            FrontTestPeers.hear(c);
             // the next one gets a new connection
-            Peers.say(c, Peers.look(""));
+            FrontTestPeers.say(c, FrontTestPeers.look(""));
             Socket again = p.call();
-            Peers.hear(again);
-            Peers.say(again, OK);
-            assertTrue(Peers.hear(c).endsWith("hi"));
+            FrontTestPeers.hear(again);
+            FrontTestPeers.say(again, OK);
+            assertTrue(FrontTestPeers.hear(c).endsWith("hi"));
         }
     }
 
     @Test
     void aTryPastItsLimitEndsAndItsLateAnswerReachesNobody() throws Exception {
-        try (Peers p = new Peers(
+        try (FrontTestPeers p = new FrontTestPeers(
                         folder,
                         "",
                         (peers, e) -> e instanceof Event.RequestReceived r
@@ -130,12 +130,12 @@
                                         ? List.of(new Action.RejectRequest(t.requestId(), 1230))
                                         : List.of());
                 Socket c = p.client()) {
-            Peers.say(c, Peers.look(""));
+            FrontTestPeers.say(c, FrontTestPeers.look(""));
             Socket m = p.call();
-            Peers.hear(m);
+            FrontTestPeers.hear(m);
             assertEquals(
                     AttemptOutcome.TIMED_OUT, p.event(Event.AttemptEnded.class).outcome());
-            String shed = Peers.hear(c);
+            String shed = FrontTestPeers.hear(c);
             for (String s : List.of(
                     "HTTP/1.1 503",
                     "Laurelkeel-Answer: shed",
@@ -145,19 +145,19 @@
                 assertTrue(shed.contains(s), s + " in " + shed);
             }
             try {
-                Peers.say(m, OK);
+                FrontTestPeers.say(m, OK);
             } catch (SocketException e) {
                 // closed from the front's side, as it should be
             }
-            Peers.say(c, Peers.look(""));
-            Peers.hear(p.call());
-            assertTrue(Peers.hear(c).contains("shed"), "a late answer was given to another req");
+            FrontTestPeers.say(c, FrontTestPeers.look(""));
+            FrontTestPeers.hear(p.call());
+            assertTrue(FrontTestPeers.hear(c).contains("shed"), "a late answer was given to another req");
         }
     }
 
     @Test
     void aClientThatLeavesIsToldOfAndItsTryIsStopped() throws Exception {
-        try (Peers p = new Peers(
+        try (FrontTestPeers p = new FrontTestPeers(
                 folder,
                 "",
                 (peers, e) -> e instanceof Event.ClientDisconnected l
@@ -166,9 +166,9 @@
                                 ? List.of(new Action.SendAttempt(r.requestId(), peers.machineId(), 0))
                                 : List.of())) {
             Socket c = p.client();
-            Peers.say(c, Peers.look(""));
+            FrontTestPeers.say(c, FrontTestPeers.look(""));
             Socket m = p.call();
-            Peers.hear(m);
+            FrontTestPeers.hear(m);
             c.close();
             p.event(Event.ClientDisconnected.class);
             Event.AttemptEnded t = p.event(Event.AttemptEnded.class);
@@ -181,10 +181,10 @@
 
     @Test
     void aDeciderThatDoesNothingIsAnsweredForInTime() throws Exception {
-        try (Peers p = new Peers(folder, "", (peers, e) -> List.of());
+        try (FrontTestPeers p = new FrontTestPeers(folder, "", (peers, e) -> List.of());
                 Socket c = p.client()) {
-            Peers.say(c, Peers.look("Laurelkeel-Remaining-Ms: 200\r\n"));
-            String answer = Peers.hear(c);
+            FrontTestPeers.say(c, FrontTestPeers.look("Laurelkeel-Remaining-Ms: 200\r\n"));
+            String answer = FrontTestPeers.hear(c);
             assertTrue(answer.startsWith("HTTP/1.1 504") && answer.contains("errored"), answer);
             p.event(Event.ClientDisconnected.class);
         }
@@ -192,7 +192,7 @@
 
     @Test
     void twoAnswersOfTheDeciderReachTheClientAsOne() throws Exception {
-        try (Peers p = new Peers(
+        try (FrontTestPeers p = new FrontTestPeers(
                         folder,
                         "",
                         (peers, e) -> e instanceof Event.RequestReceived r
@@ -204,76 +204,77 @@
                                         new Action.SendAttempt(r.requestId(), peers.machineId(), 0))
                                 : List.of());
                 Socket c = p.client()) {
-            Peers.say(c, Peers.look(""));
-            assertTrue(Peers.hear(c).startsWith("HTTP/1.1 502"));
+            FrontTestPeers.say(c, FrontTestPeers.look(""));
+            assertTrue(FrontTestPeers.hear(c).startsWith("HTTP/1.1 502"));
             assertEquals(
                     AttemptOutcome.NOT_SENT, p.event(Event.AttemptEnded.class).outcome());
-            Peers.say(c, "GET /nowhere HTTP/1.1\r\nHost: f\r\n\r\n");
-            assertTrue(Peers.hear(c).startsWith("HTTP/1.1 404"), "bytes of a second answer came first");
+            FrontTestPeers.say(c, "GET /nowhere HTTP/1.1\r\nHost: f\r\n\r\n");
+            assertTrue(FrontTestPeers.hear(c).startsWith("HTTP/1.1 404"), "bytes of a second answer came first");
         }
     }
 
     @Test
     void aDeciderThatFailsEndsTheFrontWithAllHeldErrored() throws Exception {
-        Peers p = new Peers(folder, "", (peers, e) -> {
+        FrontTestPeers p = new FrontTestPeers(folder, "", (peers, e) -> {
             if (e instanceof Event.RequestReceived r && r.partitionKey() != null) {
                 throw new IllegalStateException("made to fail");
             }
-            return Peers.once(peers, e);
+            return FrontTestPeers.once(peers, e);
         });
         Socket first = p.client();
-        Peers.say(first, Peers.look(""));
-        Peers.hear(p.call());
+        FrontTestPeers.say(first, FrontTestPeers.look(""));
+        FrontTestPeers.hear(p.call());
         Socket second = p.client();
-        Peers.say(second, Peers.look("Laurelkeel-Key: k\r\n"));
-        assertTrue(Peers.hear(first).startsWith("HTTP/1.1 502"));
-        assertTrue(Peers.hear(second).startsWith("HTTP/1.1 502"));
+        FrontTestPeers.say(second, FrontTestPeers.look("Laurelkeel-Key: k\r\n"));
+        assertTrue(FrontTestPeers.hear(first).startsWith("HTTP/1.1 502"));
+        assertTrue(FrontTestPeers.hear(second).startsWith("HTTP/1.1 502"));
         assertEquals("made to fail", p.front.ended().get().getMessage());
         p.close();
     }
 
     @Test
     void pipelinedReqsAreAnsweredInTheirOrder() throws Exception {
-        try (Peers p = once();
+        try (FrontTestPeers p = once();
                 Socket c = p.client()) {
-            Peers.say(
+            FrontTestPeers.say(
                     c,
                     "POST /pay/1 HTTP/1.1\r\nHost: f\r\nIdempotency-Key: a\r\nTransfer-Encoding: chunked\r\n\r\n"
-                            + "3\r\nabc\r\n0\r\n\r\n" + Peers.look("X: 2\r\n") + "GET /pay HTTP/1.1\r\nHost: f\r\n\r\n"
-                            + Peers.look("X: 4\r\n") + "rubbish\r\n");
+                            + "3\r\nabc\r\n0\r\n\r\n" + FrontTestPeers.look("X: 2\r\n")
+                            + "GET /pay HTTP/1.1\r\nHost: f\r\n\r\n"
+                            + FrontTestPeers.look("X: 4\r\n") + "rubbish\r\n");
             Socket m = p.call();
-            String first = Peers.hear(m);
+            String first = FrontTestPeers.hear(m);
             assertTrue(first.endsWith("abc") && first.contains("Content-Length: 3"), first);
             assertFalse(first.toLowerCase(Locale.ROOT).contains("transfer-encoding"), first);
-            Peers.say(m, OK);
-            assertTrue(Peers.hear(c).endsWith("hi"));
-            assertTrue(Peers.hear(m).contains("X: 2"));
-            Peers.say(m, "HTTP/1.1 201 Made\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nyo\r\n0\r\n\r\n");
-            assertTrue(Peers.hear(c).endsWith("yo"));
-            String no = Peers.hear(c);
+            FrontTestPeers.say(m, OK);
+            assertTrue(FrontTestPeers.hear(c).endsWith("hi"));
+            assertTrue(FrontTestPeers.hear(m).contains("X: 2"));
+            FrontTestPeers.say(m, "HTTP/1.1 201 Made\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nyo\r\n0\r\n\r\n");
+            assertTrue(FrontTestPeers.hear(c).endsWith("yo"));
+            String no = FrontTestPeers.hear(c);
             assertTrue(no.startsWith("HTTP/1.1 405") && no.contains("Allow: POST"), no);
-            assertTrue(Peers.hear(m).contains("X: 4"));
-            Peers.say(m, OK);
-            assertTrue(Peers.hear(c).endsWith("hi"));
-            assertTrue(Peers.hear(c).startsWith("HTTP/1.1 400"));
+            assertTrue(FrontTestPeers.hear(m).contains("X: 4"));
+            FrontTestPeers.say(m, OK);
+            assertTrue(FrontTestPeers.hear(c).endsWith("hi"));
+            assertTrue(FrontTestPeers.hear(c).startsWith("HTTP/1.1 400"));
             assertEquals(-1, c.getInputStream().read(), "a broken connection goes on");
         }
     }
 
     @Test
     void badNamesGetClearAnswersAndTheConnectionGoesOn() throws Exception {
-        try (Peers p = new Peers(folder, "[customer mill]\nquota = 5\n", Peers::once);
+        try (FrontTestPeers p = new FrontTestPeers(folder, "[customer mill]\nquota = 5\n", FrontTestPeers::once);
                 Socket c = p.client()) {
             String mill = "Laurelkeel-Customer: mill\r\n";
             for (String[] x : new String[][] {
-                {Peers.look(""), "Laurelkeel-Customer"},
-                {Peers.look("Laurelkeel-Customer: nobody\r\n"), "Laurelkeel-Customer"},
-                {Peers.look(mill + "Laurelkeel-Remaining-Ms: soon\r\n"), "number of milliseconds"},
-                {Peers.look(mill + "Laurelkeel-Key: \r\n"), "1 to 256"},
+                {FrontTestPeers.look(""), "Laurelkeel-Customer"},
+                {FrontTestPeers.look("Laurelkeel-Customer: nobody\r\n"), "Laurelkeel-Customer"},
+                {FrontTestPeers.look(mill + "Laurelkeel-Remaining-Ms: soon\r\n"), "number of milliseconds"},
+                {FrontTestPeers.look(mill + "Laurelkeel-Key: \r\n"), "1 to 256"},
                 {"POST /pay HTTP/1.1\r\nHost: f\r\n" + mill + "Content-Length: 0\r\n\r\n", "Idempotency-Key"}
             }) {
-                Peers.say(c, x[0]);
-                String a = Peers.hear(c);
+                FrontTestPeers.say(c, x[0]);
+                String a = FrontTestPeers.hear(c);
                 assertTrue(a.startsWith("HTTP/1.1 400") && a.contains(x[1]), a);
             }
             assertTrue(p.events.stream().noneMatch(e -> e instanceof Event.RequestReceived));
@@ -282,51 +283,52 @@
 
     @Test
     void aFullFrontShedsAtItsDoor() throws Exception {
-        try (Peers p = new Peers(folder, "[clients]\nopen-reqs = 2\nconnections = 4\n", (peers, e) -> List.of())) {
+        try (FrontTestPeers p =
+                new FrontTestPeers(folder, "[clients]\nopen-reqs = 2\nconnections = 4\n", (peers, e) -> List.of())) {
             List<Socket> held = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
                 Socket c = p.client();
-                Peers.say(c, Peers.look(""));
+                FrontTestPeers.say(c, FrontTestPeers.look(""));
                 held.add(c);
             }
-            Rig.await(
+            FrontTestRig.await(
                     "two held",
                     () -> p.events.stream()
                                     .filter(e -> e instanceof Event.RequestReceived)
                                     .count()
                             == 2);
             Socket third = p.client();
-            Peers.say(third, Peers.look(""));
-            String a = Peers.hear(third);
+            FrontTestPeers.say(third, FrontTestPeers.look(""));
+            String a = FrontTestPeers.hear(third);
             assertTrue(a.contains("harmless") && a.contains("Laurelkeel-Taken: no") && a.contains("full"), a);
             // answered, so surely counted before the next one
             Socket fourth = p.client();
-            Peers.say(fourth, Peers.look(""));
-            Peers.hear(fourth);
-            assertTrue(Peers.hear(p.client()).contains("every connection is in use"));
+            FrontTestPeers.say(fourth, FrontTestPeers.look(""));
+            FrontTestPeers.hear(fourth);
+            assertTrue(FrontTestPeers.hear(p.client()).contains("every connection is in use"));
         }
     }
 
     @Test
     void anAnswerLargerThanAnyBufferReachesASlowClientWhole() throws Exception {
-        try (Peers p = once();
+        try (FrontTestPeers p = once();
                 Socket c = p.client()) {
             c.setReceiveBufferSize(16 << 10);
-            Peers.say(c, Peers.look(""));
+            FrontTestPeers.say(c, FrontTestPeers.look(""));
             Socket m = p.call();
-            Peers.hear(m);
+            FrontTestPeers.hear(m);
             String big = "x".repeat(400 << 10);
-            Peers.say(m, "HTTP/1.1 200 OK\r\nContent-Length: " + big.length() + "\r\n\r\n" + big);
+            FrontTestPeers.say(m, "HTTP/1.1 200 OK\r\nContent-Length: " + big.length() + "\r\n\r\n" + big);
             p.event(Event.AttemptEnded.class);
-            assertTrue(Peers.hear(c).endsWith("\r\n\r\n" + big));
+            assertTrue(FrontTestPeers.hear(c).endsWith("\r\n\r\n" + big));
         }
     }
 
     @Test
     void probesIdleClosesAndComplaintsAreCarried() throws Exception {
         String[] ref = new String[1];
-        try (Peers p = new Peers(folder, "", (peers, e) -> {
-                    List<Action> out = new ArrayList<>(Peers.once(peers, e));
+        try (FrontTestPeers p = new FrontTestPeers(folder, "", (peers, e) -> {
+                    List<Action> out = new ArrayList<>(FrontTestPeers.once(peers, e));
                     if (e instanceof Event.AttemptEnded t) {
                         out.add(new Action.CloseIdleConnections(t.endpointId()));
                         out.add(new Action.WriteLog("closing idle ones"));
@@ -336,24 +338,24 @@
                     return out;
                 });
                 Socket c = p.client()) {
-            Peers.say(c, Peers.look(""));
+            FrontTestPeers.say(c, FrontTestPeers.look(""));
             Socket m = p.call();
-            Peers.hear(m);
-            Peers.say(m, OK);
-            String a = Peers.hear(c);
+            FrontTestPeers.hear(m);
+            FrontTestPeers.say(m, OK);
+            String a = FrontTestPeers.hear(c);
             ref[0] = a.replaceAll("(?s).*Laurelkeel-Ref: (\\S+).*", "$1");
             assertEquals(3.0, p.event(Event.AttemptEnded.class).loadReport().concurrentRequests());
             assertFalse(a.contains("Laurelkeel-Load"), "a machine's load is not the client's matter");
             assertEquals(-1, m.getInputStream().read(), "the idle connection stays");
             String complaint = "POST /.laurelkeel/complaints HTTP/1.1\r\nHost: f\r\nContent-Length: " + ref[0].length()
                     + "\r\n\r\n" + ref[0];
-            Peers.say(c, complaint + complaint);
-            assertTrue(Peers.hear(c).startsWith("HTTP/1.1 202"));
-            assertTrue(Peers.hear(c).startsWith("HTTP/1.1 404"), "one answer is complained of once");
+            FrontTestPeers.say(c, complaint + complaint);
+            assertTrue(FrontTestPeers.hear(c).startsWith("HTTP/1.1 202"));
+            assertTrue(FrontTestPeers.hear(c).startsWith("HTTP/1.1 404"), "one answer is complained of once");
             assertEquals(p.machineId(), p.event(Event.ComplaintReceived.class).endpointId());
             Socket probe = p.call();
-            assertTrue(Peers.hear(probe).startsWith("GET /health"));
-            Peers.say(probe, OK);
+            assertTrue(FrontTestPeers.hear(probe).startsWith("GET /health"));
+            FrontTestPeers.say(probe, OK);
             Event.HealthCheckEnded probed = p.event(Event.HealthCheckEnded.class);
             assertEquals(AttemptOutcome.COMPLETED, probed.outcome());
             assertEquals(3.0, probed.loadReport().concurrentRequests());
@@ -362,7 +364,7 @@
 
     @Test
     void manyConnectionsAtOnceAreTakenAndGivenBack() throws Exception {
-        try (Peers p = new Peers(
+        try (FrontTestPeers p = new FrontTestPeers(
                 folder,
                 "",
                 (peers, e) -> e instanceof Event.RequestReceived r
@@ -373,10 +375,10 @@
                 all.add(p.client());
             }
             for (Socket s : all) {
-                Peers.say(s, Peers.look(""));
+                FrontTestPeers.say(s, FrontTestPeers.look(""));
             }
             for (Socket s : all) {
-                assertTrue(Peers.hear(s).contains("shed"));
+                assertTrue(FrontTestPeers.hear(s).contains("shed"));
                 s.close();
             }
             assertNotNull(p.event(Event.RequestReceived.class));
--- a/src/test/java/laurelkeel/front/FrontRulesTest.java
+++ b/src/test/java/laurelkeel/front/FrontRulesTest.java
@@ -18,7 +18,7 @@
 import java.util.Random;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
-import laurelkeel.decision.Shifter;
+import laurelkeel.decision.RoutingDecider;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
@@ -41,7 +41,7 @@
 
         final Map<String, String> routes = new ConcurrentHashMap<>();
         final List<String> broken = Collections.synchronizedList(new ArrayList<>());
-        final Front front;
+        final FrontNode front;
         final InetSocketAddress at;
 
         World(long seed) throws Exception {
@@ -53,13 +53,13 @@
                 machines.add(m);
                 int number = i;
                 start(() -> accept(m, number));
-                list.append(i == 0 ? "[" : ",").append(Peers.listed("127.0.0.1:" + m.getLocalPort(), "live"));
+                list.append(i == 0 ? "[" : ",").append(FrontTestPeers.listed("127.0.0.1:" + m.getLocalPort(), "live"));
             }
             Files.createDirectories(folder.resolve("state"));
             Files.writeString(folder.resolve("state/list.json"), list + "]");
             Files.writeString(
                     folder.resolve("f.ini"),
-                    Peers.SETTINGS.formatted("")
+                    FrontTestPeers.SETTINGS.formatted("")
                             + """
                     [route put]
                     path = /put
@@ -68,7 +68,7 @@
                     objective = 300 ms
                     timeout = 5 s
                     """);
-            front = new Front(FrontSettings.read(folder.resolve("f.ini")), Shifter::new);
+            front = new FrontNode(FrontSettings.read(folder.resolve("f.ini")), RoutingDecider::new);
             at = front.start();
         }
 
@@ -94,13 +94,13 @@
         private void serve(Socket s, Random chance) {
             try (s) {
                 while (true) {
-                    String req = Peers.hear(s);
+                    String req = FrontTestPeers.hear(s);
                     if (req.endsWith("<end>")) {
                         return;
                     }
                     int what = chance.nextInt(12);
                     if (what == 0) {
-                        Peers.say(s, "HTTP/1.1 503 No\r\nLaurelkeel-Ran: no\r\nContent-Length: 0\r\n\r\n");
+                        FrontTestPeers.say(s, "HTTP/1.1 503 No\r\nLaurelkeel-Ran: no\r\nContent-Length: 0\r\n\r\n");
                         continue;
                     }
                     String id = req.replaceAll("(?s).*X-Request-Id: (\\S+).*", "$1");
@@ -109,16 +109,16 @@
                     if (what == 1) {
                         return;
                     } else if (what == 2) {
-                        Peers.say(s, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
+                        FrontTestPeers.say(s, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
                         return;
                     } else if (what == 3) {
-                        Peers.say(s, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+                        FrontTestPeers.say(s, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
                     } else if (what == 4) {
                         // silent: the other side must end it
                         s.getInputStream().read();
                         return;
                     } else {
-                        Peers.say(s, "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id);
+                        FrontTestPeers.say(s, "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id);
                         if (what == 5) {
                             // closes what the front holds for idle
                             return;
@@ -156,14 +156,14 @@
                         .append(waits)
                         .append(route.equals("look") ? "\r\n\r\n" : "\r\nContent-Length: 2\r\n\r\nhi");
             }
-            Peers.say(s, all.toString());
+            FrontTestPeers.say(s, all.toString());
             if (chance.nextInt(8) == 0) {
                 s.close();
                 return;
             }
             for (Asked a : asked) {
                 try {
-                    answered(a, Peers.hear(s));
+                    answered(a, FrontTestPeers.hear(s));
                 } catch (SocketTimeoutException e) {
                     broken.add("rule 1: no answer to " + a);
                     return;
--- a/src/test/java/laurelkeel/front/FrontEndsTest.java
+++ b/src/test/java/laurelkeel/front/FrontShutdownTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A front that ends, for whatever reason, answers what it has read. */
-class FrontEndsTest {
+class FrontShutdownTest {
     @TempDir
     Path folder;
 
@@ -39,21 +39,21 @@
 
     @Test
     void requestsThatAreReadWhileTheDeciderFailsAreRefused() throws Exception {
-        try (Peers peers = new Peers(folder, "", (p, event) -> fail(event))) {
+        try (FrontTestPeers peers = new FrontTestPeers(folder, "", (p, event) -> fail(event))) {
             Socket first = peers.client();
-            Peers.say(first, Peers.look(""));
+            FrontTestPeers.say(first, FrontTestPeers.look(""));
             assertTrue(entered.await(10, TimeUnit.SECONDS));
             Socket other = peers.client();
-            Peers.say(other, Peers.look(""));
-            Peers.say(first, Peers.look(""));
-            Rig.await("both are read", () -> peers.front.loop().backlog() >= 2);
+            FrontTestPeers.say(other, FrontTestPeers.look(""));
+            FrontTestPeers.say(first, FrontTestPeers.look(""));
+            FrontTestRig.await("both are read", () -> peers.front.loop().backlog() >= 2);
             go.countDown();
-            String errored = Peers.hear(first);
+            String errored = FrontTestPeers.hear(first);
             assertTrue(errored.startsWith("HTTP/1.1 502 "), "it may have run, for all that is known");
             assertTrue(errored.contains("Connection: close"), "which says that what was sent behind it is not begun");
-            assertEquals("<end>", Peers.hear(first));
-            assertTrue(Peers.hear(other).startsWith("HTTP/1.1 503 "), "it was read and not begun");
-            assertEquals("<end>", Peers.hear(other));
+            assertEquals("<end>", FrontTestPeers.hear(first));
+            assertTrue(FrontTestPeers.hear(other).startsWith("HTTP/1.1 503 "), "it was read and not begun");
+            assertEquals("<end>", FrontTestPeers.hear(other));
             assertEquals(
                     "made to fail",
                     peers.front.ended().get(10, TimeUnit.SECONDS).getMessage());
--- a/src/test/java/laurelkeel/front/Peers.java
+++ b/src/test/java/laurelkeel/front/FrontTestPeers.java
@@ -22,7 +22,7 @@
 import laurelkeel.api.Event;
 
 /** A front between a machine whose every byte a test writes and clients that are plain sockets. */
-public final class Peers implements AutoCloseable {
+public final class FrontTestPeers implements AutoCloseable {
     /** Of one front; with lines of its own in its first section. */
     static final String SETTINGS =
             """
@@ -51,16 +51,18 @@
     final ServerSocket machine = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
     final BlockingQueue<Socket> calls = new LinkedBlockingQueue<>();
     final List<Event> events = new CopyOnWriteArrayList<>();
-    final Front front;
+    final FrontNode front;
     final InetSocketAddress at;
     private final List<Socket> open = new CopyOnWriteArrayList<>();
 
     /** @param decide what to do at one event; all of a batch's actions are joined */
-    Peers(Path folder, String extra, BiFunction<Peers, Event, List<Action>> decide) throws IOException {
+    FrontTestPeers(Path folder, String extra, BiFunction<FrontTestPeers, Event, List<Action>> decide)
+            throws IOException {
         this(folder, extra, List.of(), decide);
     }
 
-    Peers(Path folder, String extra, List<String> frontLines, BiFunction<Peers, Event, List<Action>> decide)
+    FrontTestPeers(
+            Path folder, String extra, List<String> frontLines, BiFunction<FrontTestPeers, Event, List<Action>> decide)
             throws IOException {
         Thread t = new Thread(() -> {
             try {
@@ -79,8 +81,8 @@
         Files.writeString(file, SETTINGS.formatted(String.join("\n", frontLines)) + extra);
         Decider d = decider(events, e -> decide.apply(this, e));
         try {
-            front = new Front(FrontSettings.read(file), (set, seed) -> d);
-        } catch (laurelkeel.config.BadSettings e) {
+            front = new FrontNode(FrontSettings.read(file), (set, seed) -> d);
+        } catch (laurelkeel.config.InvalidSettingsException e) {
             throw new IOException(e);
         }
         at = front.start();
@@ -103,7 +105,7 @@
     }
 
     /** Sends each req once to the machine and errors it if that fails. */
-    static List<Action> once(Peers p, Event e) {
+    static List<Action> once(FrontTestPeers p, Event e) {
         if (e instanceof Event.RequestReceived r) {
             return List.of(new Action.SendAttempt(r.requestId(), p.machineId(), 0));
         }
@@ -165,7 +167,7 @@
     }
 
     <E extends Event> E event(Class<E> kind) {
-        Rig.await(kind.getSimpleName(), () -> events.stream().anyMatch(kind::isInstance));
+        FrontTestRig.await(kind.getSimpleName(), () -> events.stream().anyMatch(kind::isInstance));
         return events.stream()
                 .filter(kind::isInstance)
                 .map(kind::cast)
--- a/src/test/java/laurelkeel/front/Rig.java
+++ b/src/test/java/laurelkeel/front/FrontTestRig.java
@@ -11,18 +11,18 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 import laurelkeel.api.Decider;
-import laurelkeel.audit.Audit;
-import laurelkeel.audit.Judgement;
-import laurelkeel.config.Ini;
-import laurelkeel.day.DayPlan;
-import laurelkeel.day.Trouble;
-import laurelkeel.day.World;
-import laurelkeel.loop.Loop;
-import laurelkeel.records.Rec;
+import laurelkeel.audit.AuditReport;
+import laurelkeel.audit.Auditor;
+import laurelkeel.config.IniFile;
+import laurelkeel.eventloop.EventLoop;
 import laurelkeel.records.Recorder;
+import laurelkeel.records.TrafficRecord;
+import laurelkeel.scenario.Scenario;
+import laurelkeel.scenario.ScenarioEnvironment;
+import laurelkeel.scenario.ScenarioFault;
 
 /** The end-to-end tests' one helper: fronts of this process between stand-ins, played until a condition holds. */
-public final class Rig implements AutoCloseable {
+public final class FrontTestRig implements AutoCloseable {
     static final String COMMON =
             """
             [day]
@@ -79,13 +79,13 @@
             work = 1
             """;
 
-    final ConcurrentLinkedQueue<Rec> records = new ConcurrentLinkedQueue<>();
-    final World world;
-    final List<Front> fronts = new ArrayList<>();
+    final ConcurrentLinkedQueue<TrafficRecord> records = new ConcurrentLinkedQueue<>();
+    final ScenarioEnvironment world;
+    final List<FrontNode> fronts = new ArrayList<>();
     final List<InetSocketAddress> at = new ArrayList<>();
     private final Path folder;
 
-    Rig(
+    FrontTestRig(
             Path folder,
             String extra,
             int count,
@@ -95,8 +95,8 @@
             LongSupplier... clocks)
             throws Exception {
         this.folder = folder;
-        DayPlan plan = DayPlan.read(Ini.parse("rig.ini", COMMON.formatted(count, machines) + extra), "rig");
-        world = new World(plan, 7, records::add);
+        Scenario plan = Scenario.read(IniFile.parse("rig.ini", COMMON.formatted(count, machines) + extra), "rig");
+        world = new ScenarioEnvironment(plan, 7, records::add);
         world.start();
         for (int i = 0; i < count; i++) {
             Path file = folder.resolve("front-" + i + ".ini");
@@ -107,7 +107,8 @@
                             + "[list]\naddress = 127.0.0.1:" + world.listAt().getPort()
                             + "\n[release]\naddress = 127.0.0.1:"
                             + world.lineAt().getPort() + "\n");
-            Front f = new Front(FrontSettings.read(file), maker, i < clocks.length ? clocks[i] : Base.clock(), guarded);
+            FrontNode f = new FrontNode(
+                    FrontSettings.read(file), maker, i < clocks.length ? clocks[i] : NodeRuntime.clock(), guarded);
             fronts.add(f);
             at.add(f.start());
         }
@@ -118,13 +119,14 @@
     }
 
     void befall(String event) throws Exception {
-        DayPlan p = DayPlan.read(
-                Ini.parse("event.ini", COMMON.formatted(fronts.size(), 1) + "[event e]\nat = 0 ms\n" + event), "event");
-        Trouble t = p.troubles().get(0);
+        Scenario p = Scenario.read(
+                IniFile.parse("event.ini", COMMON.formatted(fronts.size(), 1) + "[event e]\nat = 0 ms\n" + event),
+                "event");
+        ScenarioFault t = p.troubles().get(0);
         world.befall(t);
     }
 
-    <T extends Rec> long count(Class<T> kind, java.util.function.Predicate<T> which) {
+    <T extends TrafficRecord> long count(Class<T> kind, java.util.function.Predicate<T> which) {
         return records.stream()
                 .filter(kind::isInstance)
                 .map(kind::cast)
@@ -133,7 +135,7 @@
     }
 
     /** Runs a loop on a thread of its own, until it is stopped. */
-    public static void run(Loop loop) {
+    public static void run(EventLoop loop) {
         Thread runs = new Thread(() -> loop.run(() -> false));
         runs.setDaemon(true);
         runs.start();
@@ -151,23 +153,23 @@
     }
 
     /** Ends the load, waits for what is out, and judges all records. */
-    Judgement judge() throws IOException {
+    AuditReport judge() throws IOException {
         world.on(() -> {
             world.clients().stop();
             return null;
         });
         await("clients are done", () -> world.on(() -> world.clients().open()) == 0);
-        List<Rec> all = new ArrayList<>(records);
-        fronts.forEach(Front::drain);
+        List<TrafficRecord> all = new ArrayList<>(records);
+        fronts.forEach(FrontNode::drain);
         fronts.forEach(f -> f.ended().join());
         all.addAll(Recorder.readAll(folder));
-        all.sort(java.util.Comparator.comparingLong(Rec::t));
-        return Audit.judge(all);
+        all.sort(java.util.Comparator.comparingLong(TrafficRecord::t));
+        return Auditor.judge(all);
     }
 
     @Override
     public void close() {
-        fronts.forEach(Front::drain);
+        fronts.forEach(FrontNode::drain);
         world.close();
     }
 }
--- a/src/test/java/laurelkeel/front/BadPeersTest.java
+++ b/src/test/java/laurelkeel/front/MisbehavingPeersTest.java
@@ -17,15 +17,15 @@
 import laurelkeel.api.Action;
 import laurelkeel.api.Event;
 import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.eventloop.EventLoop;
 import laurelkeel.front.ingress.Ingress;
 import laurelkeel.front.ingress.RouteTable;
-import laurelkeel.loop.Loop;
-import laurelkeel.standin.Ports;
+import laurelkeel.testbed.PortAllocator;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** Peers that stay half open, trickle, pour, or go without a word: nobody else waits and no place is kept for ever. */
-class BadPeersTest {
+class MisbehavingPeersTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
 
     @TempDir
@@ -36,7 +36,7 @@
         s.setSoTimeout(200);
         for (int i = 0; i < 100; i++) {
             try {
-                Peers.say(s, text.substring(i % text.length(), i % text.length() + 1));
+                FrontTestPeers.say(s, text.substring(i % text.length(), i % text.length() + 1));
                 if (s.getInputStream().read() < 0) {
                     return true;
                 }
@@ -51,41 +51,43 @@
 
     @Test
     void aHalfSentReqAtTheAdminAddressKeepsNobodyFromHealth() throws Exception {
-        int admin = Ports.free();
-        try (Peers p = new Peers(folder, "", List.of("admin = 127.0.0.1:" + admin), Peers::once)) {
+        int admin = PortAllocator.free();
+        try (FrontTestPeers p =
+                new FrontTestPeers(folder, "", List.of("admin = 127.0.0.1:" + admin), FrontTestPeers::once)) {
             List<Socket> halves = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 Socket s = new Socket("127.0.0.1", admin);
-                Peers.say(s, "GET /met");
+                FrontTestPeers.say(s, "GET /met");
                 halves.add(s);
             }
             try (Socket s = new Socket("127.0.0.1", admin)) {
                 s.setSoTimeout(5_000);
-                Peers.say(s, "GET /health HTTP/1.1\r\nHost: a\r\n\r\nGET /metrics HTTP/1.1\r\nHost: a\r\n\r\n");
-                assertTrue(Peers.hear(s).endsWith("ok\n"));
-                assertTrue(Peers.hear(s).contains("laurelkeel_reqs_held"));
+                FrontTestPeers.say(
+                        s, "GET /health HTTP/1.1\r\nHost: a\r\n\r\nGET /metrics HTTP/1.1\r\nHost: a\r\n\r\n");
+                assertTrue(FrontTestPeers.hear(s).endsWith("ok\n"));
+                assertTrue(FrontTestPeers.hear(s).contains("laurelkeel_reqs_held"));
             }
-            Peers.say(halves.get(0), "rics HTTP/1.1\r\nHost: a\r\n");
+            FrontTestPeers.say(halves.get(0), "rics HTTP/1.1\r\nHost: a\r\n");
             assertTrue(closedOnTrickle(halves.get(0), "X-Y: z\r\n"), "a place is kept for ever");
         }
     }
 
     @Test
     void aClientThatTricklesItsReqLosesItsPlace() throws Exception {
-        try (Peers p = new Peers(folder, "[clients]\nidle-close = 1 s\n", Peers::once)) {
+        try (FrontTestPeers p = new FrontTestPeers(folder, "[clients]\nidle-close = 1 s\n", FrontTestPeers::once)) {
             Socket c = p.client();
-            Peers.say(c, "GET /look HTTP/1.1\r\nHost: f\r\n");
+            FrontTestPeers.say(c, "GET /look HTTP/1.1\r\nHost: f\r\n");
             assertTrue(closedOnTrickle(c, "X-Y: z\r\n"));
         }
     }
 
     @Test
     void aClientThatWaitsForALateAnswerKeepsItsPlace() throws Exception {
-        try (Peers p = new Peers(folder, "[clients]\nidle-close = 1 s\n", Peers::once);
+        try (FrontTestPeers p = new FrontTestPeers(folder, "[clients]\nidle-close = 1 s\n", FrontTestPeers::once);
                 Socket c = p.client()) {
-            Peers.say(c, Peers.look(""));
+            FrontTestPeers.say(c, FrontTestPeers.look(""));
             Socket m = p.call();
-            Peers.hear(m);
+            FrontTestPeers.hear(m);
             // longer than it may be idle, and less than its route's time
             assertFalse(closedOnTrickle(c, "\r\n".repeat(1))
                     && p.events.stream().noneMatch(e -> e instanceof Event.AttemptEnded));
@@ -94,25 +96,25 @@
 
     @Test
     void nothingOfAClientTurnedAwayIsTaken() throws Exception {
-        try (Peers p = new Peers(
+        try (FrontTestPeers p = new FrontTestPeers(
                 folder,
                 "[clients]\nconnections = 1\n",
                 (peers, e) -> e instanceof Event.RequestReceived r
                         ? List.of(new Action.FailRequest(r.requestId()))
                         : List.of())) {
             Socket in = p.client();
-            Peers.say(in, Peers.look(""));
-            Peers.hear(in);
+            FrontTestPeers.say(in, FrontTestPeers.look(""));
+            FrontTestPeers.hear(in);
             for (int i = 0; i < 300; i++) {
                 try (Socket c = p.client()) {
-                    Peers.say(c, Peers.look("X: " + i + "\r\n"));
-                    assertTrue(Peers.hear(c).contains("Laurelkeel-Taken: no"));
+                    FrontTestPeers.say(c, FrontTestPeers.look("X: " + i + "\r\n"));
+                    assertTrue(FrontTestPeers.hear(c).contains("Laurelkeel-Taken: no"));
                 } catch (IOException e) {
                     // closed with what it sent unread: it has no answer, and may not have been taken either
                 }
             }
-            Peers.say(in, Peers.look(""));
-            Peers.hear(in);
+            FrontTestPeers.say(in, FrontTestPeers.look(""));
+            FrontTestPeers.hear(in);
             assertEquals(
                     2,
                     p.events.stream()
@@ -124,10 +126,10 @@
 
     @Test
     void aClientThatPoursWhileTheLoopIsHeldUpWaitsToo() throws Exception {
-        int admin = Ports.free();
+        int admin = PortAllocator.free();
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch stalled = new CountDownLatch(1);
-        try (Peers p = new Peers(
+        try (FrontTestPeers p = new FrontTestPeers(
                         folder, "[clients]\npipelined = 16\n", List.of("admin = 127.0.0.1:" + admin), (peers, e) -> {
                             if (e instanceof Event.RequestReceived r && r.partitionKey() != null) {
                                 stalled.countDown();
@@ -142,15 +144,15 @@
                                     : List.of();
                         });
                 Socket watch = new Socket("127.0.0.1", admin)) {
-            Peers.say(p.client(), Peers.look("Laurelkeel-Key: stall\r\n"));
+            FrontTestPeers.say(p.client(), FrontTestPeers.look("Laurelkeel-Key: stall\r\n"));
             assertTrue(stalled.await(10, TimeUnit.SECONDS));
             Socket c = p.client();
-            String many = Peers.look("").repeat(1000);
+            String many = FrontTestPeers.look("").repeat(1000);
             CompletableFuture<Integer> poured = CompletableFuture.supplyAsync(() -> {
                 int n = 0;
                 try {
                     for (; n < 300; n++) {
-                        Peers.say(c, many);
+                        FrontTestPeers.say(c, many);
                     }
                 } catch (IOException e) {
                     // the test is over
@@ -159,22 +161,24 @@
             });
             double backlog = 0;
             for (int i = 0; i < 20 && !poured.isDone(); i++) {
-                backlog = Math.max(backlog, Child.figure(watch, "laurelkeel_loop_backlog"));
+                backlog = Math.max(backlog, FrontChildProcess.figure(watch, "laurelkeel_loop_backlog"));
                 Thread.sleep(50);
             }
-            backlog = Math.max(backlog, Child.figure(watch, "laurelkeel_loop_backlog"));
+            backlog = Math.max(backlog, FrontChildProcess.figure(watch, "laurelkeel_loop_backlog"));
             held.countDown();
             // what one read of its socket holds may come on top
-            assertTrue(backlog <= 16 + 2 * (16 << 10) / Peers.look("").length(), "waiting for the loop: " + backlog);
+            assertTrue(
+                    backlog <= 16 + 2 * (16 << 10) / FrontTestPeers.look("").length(),
+                    "waiting for the loop: " + backlog);
             for (int i = 0; i < 1000; i++) {
-                assertTrue(Peers.hear(c).contains("shed"), "answer " + i);
+                assertTrue(FrontTestPeers.hear(c).contains("shed"), "answer " + i);
             }
         }
     }
 
     @Test
     void aMachineGoneWithoutAWordCostsOneTimeOutAndNotOneAConnection() throws Exception {
-        try (Peers p = new Peers(
+        try (FrontTestPeers p = new FrontTestPeers(
                 folder,
                 "",
                 (peers, e) -> e instanceof Event.RequestReceived r
@@ -186,22 +190,22 @@
             List<Socket> machine = new ArrayList<>();
             for (int i = 0; i < 5; i++) {
                 clients.add(p.client());
-                Peers.say(clients.get(i), Peers.look(""));
+                FrontTestPeers.say(clients.get(i), FrontTestPeers.look(""));
                 machine.add(p.call());
-                Peers.hear(machine.get(i));
+                FrontTestPeers.hear(machine.get(i));
             }
             for (int i = 0; i < 5; i++) {
-                Peers.say(machine.get(i), OK);
-                Peers.hear(clients.get(i));
+                FrontTestPeers.say(machine.get(i), OK);
+                FrontTestPeers.hear(clients.get(i));
             }
             // five are idle; from here on the machine says nothing on any of them
-            Peers.say(clients.get(0), Peers.look(""));
-            assertTrue(Peers.hear(clients.get(0)).startsWith("HTTP/1.1 502"));
-            Peers.say(clients.get(1), Peers.look(""));
+            FrontTestPeers.say(clients.get(0), FrontTestPeers.look(""));
+            assertTrue(FrontTestPeers.hear(clients.get(0)).startsWith("HTTP/1.1 502"));
+            FrontTestPeers.say(clients.get(1), FrontTestPeers.look(""));
             Socket fresh = p.call();
-            Peers.hear(fresh);
-            Peers.say(fresh, OK);
-            assertTrue(Peers.hear(clients.get(1)).endsWith("hi"), "an old connection was used");
+            FrontTestPeers.hear(fresh);
+            FrontTestPeers.say(fresh, OK);
+            assertTrue(FrontTestPeers.hear(clients.get(1)).endsWith("hi"), "an old connection was used");
             assertEquals(
                     1,
                     p.events.stream()
@@ -213,8 +217,8 @@
     @Test
     void anErrorThatKillsASocketThreadEndsTheFrontsLoop() throws Exception {
         Error made = new StackOverflowError("made");
-        Base base = Base.of(Base.clock());
-        Loop loop = base.loop();
+        NodeRuntime base = NodeRuntime.of(NodeRuntime.clock());
+        EventLoop loop = base.loop();
         CompletableFuture<Throwable> ended = new CompletableFuture<>();
         Thread t = new Thread(() -> {
             try {
@@ -225,9 +229,9 @@
         });
         t.setDaemon(true);
         t.start();
-        java.nio.file.Files.writeString(folder.resolve("f.ini"), Peers.SETTINGS.formatted(""));
+        java.nio.file.Files.writeString(folder.resolve("f.ini"), FrontTestPeers.SETTINGS.formatted(""));
         FrontSettings set = FrontSettings.read(folder.resolve("f.ini"));
-        OwnDialect words = new OwnDialect(
+        StandaloneProtocol words = new StandaloneProtocol(
                 new RouteTable(set.routes().entries(), List.of()),
                 r -> {
                     throw made;
@@ -237,7 +241,7 @@
         Ingress in = new Ingress(set.ingress(), words, loop, base.socketThreads(), base.processors(1), null);
         InetSocketAddress at = in.open();
         try (Socket c = new Socket(at.getAddress(), at.getPort())) {
-            Peers.say(c, Peers.look(""));
+            FrontTestPeers.say(c, FrontTestPeers.look(""));
             assertSame(made, ended.get(10, TimeUnit.SECONDS));
         } finally {
             in.close();
--- a/src/test/java/laurelkeel/front/ScarceTest.java
+++ b/src/test/java/laurelkeel/front/ResourceExhaustionTest.java
@@ -16,22 +16,23 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import laurelkeel.records.Rec;
 import laurelkeel.records.Recorder;
+import laurelkeel.records.TrafficRecord;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** A front that runs out of something goes on with what it has, says so, and is well again when there is room. */
-class ScarceTest {
+class ResourceExhaustionTest {
     @TempDir
     Path folder;
 
     @Test
     void noDescriptorForADialIsNotHeldAgainstTheMachine() throws Exception {
-        try (Child child = new Child(folder, "ulimit -n 160", List.of(), "", folder.resolve("log"))) {
+        try (FrontChildProcess child =
+                new FrontChildProcess(folder, "ulimit -n 160", List.of(), "", folder.resolve("log"))) {
             Socket admin = child.call(child.admin);
             assertTrue(child.completes(), Files.readString(folder.resolve("log")));
-            Child.figure(admin, "");
+            FrontChildProcess.figure(admin, "");
             Socket first = child.client();
             List<Socket> crowd = crowd(child);
             awaitNoDescriptorLeft();
@@ -39,29 +40,31 @@
             List<Socket> asking = new ArrayList<>(crowd.subList(0, 20));
             asking.add(first);
             for (Socket s : asking) {
-                Peers.say(s, Peers.look("Laurelkeel-Remaining-Ms: 1500\r\n"));
+                FrontTestPeers.say(s, FrontTestPeers.look("Laurelkeel-Remaining-Ms: 1500\r\n"));
             }
             int harmless = 0;
             for (Socket s : asking) {
-                harmless += Peers.hear(s).contains("harmless") ? 1 : 0;
+                harmless += FrontTestPeers.hear(s).contains("harmless") ? 1 : 0;
             }
             assertTrue(harmless >= 10, "where nothing left the front, asking again is harmless: " + harmless);
             assertEquals(
                     0,
-                    Child.figure(admin, "laurelkeel_outcomes_total{outcome=\"no_connection\"}"),
+                    FrontChildProcess.figure(admin, "laurelkeel_outcomes_total{outcome=\"no_connection\"}"),
                     "held against the machine");
-            assertTrue(Child.figure(admin, "laurelkeel_outcomes_total{outcome=\"not_sent\"}") > 0, "as never sent");
+            assertTrue(
+                    FrontChildProcess.figure(admin, "laurelkeel_outcomes_total{outcome=\"not_sent\"}") > 0,
+                    "as never sent");
             child.silent = false;
             for (Socket s : crowd) {
                 s.close();
             }
-            Rig.await("with room it is well again", child::completes);
+            FrontTestRig.await("with room it is well again", child::completes);
         }
     }
 
     /** The crowd has taken all descriptors once the front says that it lacks some. */
     private void awaitNoDescriptorLeft() {
-        Rig.await("no descriptor is left", () -> {
+        FrontTestRig.await("no descriptor is left", () -> {
             try {
                 return Files.readString(folder.resolve("log")).contains("Too many open files");
             } catch (IOException e) {
@@ -70,7 +73,7 @@
         });
     }
 
-    private static List<Socket> crowd(Child child) throws IOException {
+    private static List<Socket> crowd(FrontChildProcess child) throws IOException {
         List<Socket> crowd = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             crowd.add(child.client());
@@ -81,19 +84,22 @@
     /** A class that is first needed then cannot be read from its file: the first requests ever come with none left. */
     @Test
     void theFirstRequestsAreAnsweredWithNoDescriptorLeft() throws Exception {
-        try (Child child = new Child(folder, "ulimit -n 160", List.of(), "", folder.resolve("log"))) {
+        try (FrontChildProcess child =
+                new FrontChildProcess(folder, "ulimit -n 160", List.of(), "", folder.resolve("log"))) {
             List<Socket> crowd = crowd(child);
             awaitNoDescriptorLeft();
             for (Socket s : crowd.subList(0, 20)) {
-                Peers.say(s, Peers.look("Laurelkeel-Remaining-Ms: 1500\r\n"));
+                FrontTestPeers.say(s, FrontTestPeers.look("Laurelkeel-Remaining-Ms: 1500\r\n"));
             }
             for (Socket s : crowd.subList(0, 20)) {
-                assertTrue(Peers.hear(s).contains("Laurelkeel-Answer: "), Files.readString(folder.resolve("log")));
+                assertTrue(
+                        FrontTestPeers.hear(s).contains("Laurelkeel-Answer: "),
+                        Files.readString(folder.resolve("log")));
             }
             for (Socket s : crowd) {
                 s.close();
             }
-            Rig.await("with room it is well", child::completes);
+            FrontTestRig.await("with room it is well", child::completes);
             child.ends();
         }
     }
@@ -101,7 +107,8 @@
     /** Connections that wait in the backlog and cannot be accepted are no reason to stay. */
     @Test
     void aSignalEndsItWithNoDescriptorLeft() throws Exception {
-        try (Child child = new Child(folder, "ulimit -n 160", List.of(), "", folder.resolve("log"))) {
+        try (FrontChildProcess child =
+                new FrontChildProcess(folder, "ulimit -n 160", List.of(), "", folder.resolve("log"))) {
             crowd(child);
             awaitNoDescriptorLeft();
             child.ends();
@@ -110,7 +117,8 @@
 
     @Test
     void manyLargeBodiesUnderASmallHeapAreShedAndItIsWellAfter() throws Exception {
-        try (Child child = new Child(folder, ":", List.of("-Xmx64m"), "", folder.resolve("log"))) {
+        try (FrontChildProcess child =
+                new FrontChildProcess(folder, ":", List.of("-Xmx64m"), "", folder.resolve("log"))) {
             Socket admin = child.call(child.admin);
             assertTrue(child.completes());
             String head = "POST /put HTTP/1.1\r\nHost: f\r\nContent-Length: 1000000\r\n\r\n";
@@ -120,23 +128,23 @@
                 pouring.add(s);
                 try {
                     // all but the last byte: a body that stays
-                    Peers.say(s, head + "x".repeat(999_999));
+                    FrontTestPeers.say(s, head + "x".repeat(999_999));
                 } catch (IOException e) {
                     // shed and closed while it still spoke
                 }
             }
             assertTrue(child.completes(), "a req without a body has its answer beside them");
-            assertTrue(Child.figure(admin, "laurelkeel_turned_away") > 60);
-            double held = Child.figure(admin, "laurelkeel_body_bytes_held");
+            assertTrue(FrontChildProcess.figure(admin, "laurelkeel_turned_away") > 60);
+            double held = FrontChildProcess.figure(admin, "laurelkeel_body_bytes_held");
             assertTrue(held > 1_000_000 && held <= 8 << 20, "held " + held);
             for (Socket s : pouring) {
                 s.close();
             }
-            Rig.await("all is given back", () -> child.figureNow(admin, "laurelkeel_body_bytes_held") == 0);
+            FrontTestRig.await("all is given back", () -> child.figureNow(admin, "laurelkeel_body_bytes_held") == 0);
             Socket s = child.client();
-            Peers.say(s, head + "x".repeat(1_000_000));
-            assertTrue(Peers.hear(s).contains("Laurelkeel-Answer: completed"));
-            Rig.await("this one too", () -> child.figureNow(admin, "laurelkeel_body_bytes_held") == 0);
+            FrontTestPeers.say(s, head + "x".repeat(1_000_000));
+            assertTrue(FrontTestPeers.hear(s).contains("Laurelkeel-Answer: completed"));
+            FrontTestRig.await("this one too", () -> child.figureNow(admin, "laurelkeel_body_bytes_held") == 0);
             child.ends();
         }
     }
@@ -166,9 +174,9 @@
 
     private static String listed(int version, String first, int others, String state) {
         StringBuilder s = new StringBuilder(
-                "{\"kind\":\"full\",\"version\":" + version + ",\"machines\":[" + Peers.listed(first, "live"));
+                "{\"kind\":\"full\",\"version\":" + version + ",\"machines\":[" + FrontTestPeers.listed(first, "live"));
         for (int i = 0; i < others; i++) {
-            s.append(',').append(Peers.listed("127.0.0.1:" + (i + 1), state));
+            s.append(',').append(FrontTestPeers.listed("127.0.0.1:" + (i + 1), state));
         }
         return s.append("]}").toString();
     }
@@ -177,7 +185,7 @@
     void aStandardErrorThatNobodyReadsStopsNothing() throws Exception {
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
         HttpServer list = list(lines);
-        try (Child child = new Child(
+        try (FrontChildProcess child = new FrontChildProcess(
                 folder,
                 ":",
                 List.of(),
@@ -189,11 +197,13 @@
             for (int i = 0; i < 60; i++) {
                 lines.add(listed(i + 1, child.machineId(), 50, "resting"));
             }
-            Rig.await("the lines are read", lines::isEmpty);
+            FrontTestRig.await("the lines are read", lines::isEmpty);
             for (int i = 0; i < 20; i++) {
                 assertTrue(child.completes(), "req " + i);
             }
-            assertTrue(Child.figure(admin, "laurelkeel_log_lines_left_out") > 1000, "what is left out is counted");
+            assertTrue(
+                    FrontChildProcess.figure(admin, "laurelkeel_log_lines_left_out") > 1000,
+                    "what is left out is counted");
             child.ends();
         } finally {
             list.stop(0);
@@ -205,7 +215,7 @@
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
         HttpServer list = list(lines);
         // 64 KiB a file: one list of so many machines is more
-        try (Child child = new Child(
+        try (FrontChildProcess child = new FrontChildProcess(
                 folder,
                 "ulimit -S -f 64",
                 List.of("-XX:-UsePerfData"),
@@ -215,7 +225,7 @@
             for (int i = 0; i < 5; i++) {
                 lines.add(listed(i + 1, child.machineId(), 900, "draining"));
             }
-            Rig.await("the disk is full", () -> child.figureNow(admin, "laurelkeel_records_lost") > 0);
+            FrontTestRig.await("the disk is full", () -> child.figureNow(admin, "laurelkeel_records_lost") > 0);
             for (int i = 0; i < 20; i++) {
                 assertTrue(child.completes(), "req " + i);
             }
@@ -226,7 +236,7 @@
                     new ProcessBuilder("prlimit", "--pid", Long.toString(child.process.pid()), "--fsize=unlimited")
                             .start()
                             .waitFor());
-            Rig.await("with room the list is kept, though none came since", () -> {
+            FrontTestRig.await("with room the list is kept, though none came since", () -> {
                 try {
                     return Files.size(kept) > 64 << 10;
                 } catch (IOException e) {
@@ -234,16 +244,17 @@
                 }
             });
             lines.add(listed(9, child.machineId(), 1, "draining"));
-            Rig.await("and records are", () -> {
+            FrontTestRig.await("and records are", () -> {
                 try {
                     return Recorder.readAll(folder).stream()
-                            .anyMatch(r ->
-                                    r instanceof Rec.ToldList l && l.machines().size() == 2);
+                            .anyMatch(r -> r instanceof TrafficRecord.ToldList l
+                                    && l.machines().size() == 2);
                 } catch (IOException e) {
                     return false;
                 }
             });
-            assertTrue(Recorder.readAll(folder).stream().anyMatch(r -> r instanceof Rec.Lost l && l.records() > 0));
+            assertTrue(Recorder.readAll(folder).stream()
+                    .anyMatch(r -> r instanceof TrafficRecord.Lost l && l.records() > 0));
             child.ends();
         } finally {
             list.stop(0);
--- a/src/test/java/laurelkeel/front/Naive.java
+++ b/src/test/java/laurelkeel/front/RuleBreakingDecider.java
@@ -11,7 +11,7 @@
 import laurelkeel.api.Event.EndpointEntry;
 
 /** A decider without sense, in whose ways each rule can be broken; what is not overridden keeps them. */
-class Naive implements Decider {
+class RuleBreakingDecider implements Decider {
     final Map<String, EndpointEntry> machines = new TreeMap<>();
     final Map<String, Event.RequestReceived> held = new HashMap<>();
     final List<Action> out = new ArrayList<>();
--- a/src/test/java/laurelkeel/front/WireTermsTest.java
+++ b/src/test/java/laurelkeel/front/WireTermsTest.java
@@ -11,7 +11,7 @@
 import laurelkeel.api.Event.EndpointListKind;
 import laurelkeel.api.Event.EndpointState;
 import laurelkeel.api.Event.RolloutPhase;
-import laurelkeel.records.Rec;
+import laurelkeel.records.TrafficRecord;
 import org.junit.jupiter.api.Test;
 
 /** The names outside (wire, settings, records, metrics) are those of the pages, whatever the code calls things. */
@@ -59,12 +59,16 @@
     @Test
     void recordsKeepTheNamesThatStoredFilesHave() {
         assertEquals(
-                List.of(Rec.State.LIVE, Rec.State.DRAINING, Rec.State.GONE),
+                List.of(TrafficRecord.State.LIVE, TrafficRecord.State.DRAINING, TrafficRecord.State.GONE),
                 Arrays.stream(EndpointState.values()).map(WireTerms::recorded).toList());
         assertEquals(
-                List.of(Rec.Phase.TRIAL, Rec.Phase.GOING_BACK, Rec.Phase.RELEASED, Rec.Phase.WITHDRAWN),
+                List.of(
+                        TrafficRecord.Phase.TRIAL,
+                        TrafficRecord.Phase.GOING_BACK,
+                        TrafficRecord.Phase.RELEASED,
+                        TrafficRecord.Phase.WITHDRAWN),
                 Arrays.stream(RolloutPhase.values()).map(WireTerms::recorded).toList());
-        assertEquals(Rec.ListKind.REMEMBERED, WireTerms.recorded(EndpointListKind.CACHED));
+        assertEquals(TrafficRecord.ListKind.REMEMBERED, WireTerms.recorded(EndpointListKind.CACHED));
         assertThrows(IllegalArgumentException.class, () -> WireTerms.recorded(EndpointListKind.FAILED));
     }
 
--- a/src/test/java/laurelkeel/front/news/PauseTest.java
+++ b/src/test/java/laurelkeel/front/controlplane/ReconnectBackoffTest.java
@@ -1,4 +1,4 @@
-package laurelkeel.front.news;
+package laurelkeel.front.controlplane;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -6,12 +6,12 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class PauseTest {
+class ReconnectBackoffTest {
     @Test
     void frontsThatLoseASourceTogetherComeBackApartAndEverMoreSeldom() {
         Set<Long> first = new HashSet<>();
         for (int front = 0; front < 100; front++) {
-            Pause p = new Pause(front);
+            ReconnectBackoff p = new ReconnectBackoff(front);
             long once = p.ms();
             first.add(once);
             assertTrue(once >= 250 && once <= 500, "first " + once);
--- a/src/test/java/laurelkeel/front/ingress/ConnectionEndsTest.java
+++ b/src/test/java/laurelkeel/front/ingress/ConnectionEndsTest.java
@@ -12,15 +12,15 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import laurelkeel.front.Peers;
-import laurelkeel.front.Rig;
-import laurelkeel.loop.Loop;
-import laurelkeel.loop.Threads;
-import laurelkeel.wire.BadHttp;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.eventloop.LoopThreads;
+import laurelkeel.front.FrontTestPeers;
+import laurelkeel.front.FrontTestRig;
 import laurelkeel.wire.Headers;
-import laurelkeel.wire.HttpAnswer;
 import laurelkeel.wire.HttpLimits;
-import laurelkeel.wire.HttpReq;
+import laurelkeel.wire.HttpProtocolException;
+import laurelkeel.wire.HttpRequest;
+import laurelkeel.wire.HttpResponse;
 import org.apache.mina.core.filterchain.IoFilterAdapter;
 import org.apache.mina.core.service.SimpleIoProcessorPool;
 import org.apache.mina.core.session.DefaultIoSessionDataStructureFactory;
@@ -36,12 +36,12 @@
     private static final String ASK = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
 
     private final AtomicLong clock = new AtomicLong(1_000_000);
-    private final Loop loop = new Loop(clock::get);
-    private final ExecutorService threads = Threads.many(loop, "test-sockets");
+    private final EventLoop loop = new EventLoop(clock::get);
+    private final ExecutorService threads = LoopThreads.many(loop, "test-sockets");
     private final List<Socket> clients = new ArrayList<>();
     private Ingress ingress;
     private Socket inHand;
-    private ClientWords words = new Words();
+    private ClientProtocol words = new Words();
     private int port;
 
     private void made(int connections, long idleClose) {
@@ -90,7 +90,7 @@
     }
 
     private static boolean answered(Socket s) throws IOException {
-        return Peers.hear(s).startsWith("HTTP/1.1 200 ");
+        return FrontTestPeers.hear(s).startsWith("HTTP/1.1 200 ");
     }
 
     @AfterEach
@@ -103,46 +103,46 @@
     }
 
     /** Every req is for the front itself. */
-    private static class Words implements ClientWords {
+    private static class Words implements ClientProtocol {
         @Override
-        public boolean own(HttpReq http) {
+        public boolean own(HttpRequest http) {
             return true;
         }
 
         @Override
-        public Asked asked(HttpReq http) {
+        public ClientRequest asked(HttpRequest http) {
             throw new AssertionError("all are its own");
         }
 
         @Override
-        public HttpAnswer refusal(BadHttp bad, HttpReq http) {
-            return new HttpAnswer(bad.status(), new Headers(), new byte[0]);
+        public HttpResponse refusal(HttpProtocolException bad, HttpRequest http) {
+            return new HttpResponse(bad.status(), new Headers(), new byte[0]);
         }
 
         @Override
-        public HttpAnswer atDoor(String why) {
-            return new HttpAnswer(503, new Headers(), new byte[0]);
+        public HttpResponse atDoor(String why) {
+            return new HttpResponse(503, new Headers(), new byte[0]);
         }
 
         @Override
-        public HttpAnswer shed(long after, String why) {
+        public HttpResponse shed(long after, String why) {
             return atDoor(why);
         }
 
         @Override
-        public HttpAnswer errored(boolean late, String why) {
-            return new HttpAnswer(502, new Headers(), new byte[0]);
+        public HttpResponse errored(boolean late, String why) {
+            return new HttpResponse(502, new Headers(), new byte[0]);
         }
     }
 
     /** Answers each at once. */
-    private final class Answering implements Door {
+    private final class Answering implements IngressListener {
         @Override
-        public void taken(ClientConn from, Asked asked, long arrived) {}
+        public void taken(ClientConnection from, ClientRequest asked, long arrived) {}
 
         @Override
-        public void own(ClientConn from, HttpReq http) {
-            ingress.answer(from, false, new HttpAnswer(200, new Headers(), new byte[0]));
+        public void own(ClientConnection from, HttpRequest http) {
+            ingress.answer(from, false, new HttpResponse(200, new Headers(), new byte[0]));
         }
 
         @Override
@@ -178,7 +178,7 @@
             next.messageReceived(session, message);
             if (untilAnswered) {
                 untilAnswered = false;
-                Rig.await("it is answered", () -> session.getScheduledWriteMessages() > before);
+                FrontTestRig.await("it is answered", () -> session.getScheduledWriteMessages() > before);
             }
         }
     }
@@ -190,7 +190,7 @@
     }
 
     private void assertReadOn() throws IOException {
-        Peers.say(inHand, ASK);
+        FrontTestPeers.say(inHand, ASK);
         assertTrue(answered(inHand), "and the connection is read on");
     }
 
@@ -198,7 +198,7 @@
         ingress.acceptor().getFilterChain().addFirst("hold", hold);
         Socket c = client();
         inHand = c;
-        Peers.say(c, ASK);
+        FrontTestPeers.say(c, ASK);
         assertTrue(hold.read.await(10, TimeUnit.SECONDS));
         clock.addAndGet(older);
         end.run();
@@ -215,7 +215,7 @@
     void aReqThatCannotBeHandledIsAnsweredAndItsConnectionGoesOn() throws Exception {
         words = new Words() {
             @Override
-            public boolean own(HttpReq http) {
+            public boolean own(HttpRequest http) {
                 throw new IllegalStateException("made");
             }
         };
@@ -223,8 +223,8 @@
         runLoop();
         Socket c = client();
         for (int i = 0; i < 2; i++) {
-            Peers.say(c, ASK);
-            assertTrue(Peers.hear(c).startsWith("HTTP/1.1 500 "));
+            FrontTestPeers.say(c, ASK);
+            assertTrue(FrontTestPeers.hear(c).startsWith("HTTP/1.1 500 "));
         }
     }
 
@@ -258,13 +258,13 @@
         opened(10, 600_000);
         Socket c = client(), half = client();
         runLoop();
-        Peers.say(c, ASK);
+        FrontTestPeers.say(c, ASK);
         assertTrue(answered(c));
-        Peers.say(half, ASK.substring(0, 9));
-        Rig.await("half is read", () -> ingress.halfRead() == 1);
+        FrontTestPeers.say(half, ASK.substring(0, 9));
+        FrontTestRig.await("half is read", () -> ingress.halfRead() == 1);
         ingress.closeIdle();
-        assertEquals("<end>", Peers.hear(c));
-        Peers.say(half, ASK.substring(9));
+        assertEquals("<end>", FrontTestPeers.hear(c));
+        FrontTestPeers.say(half, ASK.substring(9));
         assertTrue(answered(half));
     }
 
@@ -274,7 +274,7 @@
         Socket a = client(), b = client();
         runLoop();
         for (Socket s : List.of(a, b)) {
-            Peers.say(s, ASK);
+            FrontTestPeers.say(s, ASK);
             assertTrue(answered(s));
             clock.addAndGet(10);
         }
@@ -290,10 +290,10 @@
         });
         held.await();
         clock.addAndGet(30_000);
-        Peers.say(a, ASK);
-        Rig.await("read", () -> loop.backlog() >= 1);
+        FrontTestPeers.say(a, ASK);
+        FrontTestRig.await("read", () -> loop.backlog() >= 1);
         client();
-        assertEquals("<end>", Peers.hear(b), "the other gives its place, though it has rested for less");
+        assertEquals("<end>", FrontTestPeers.hear(b), "the other gives its place, though it has rested for less");
         go.countDown();
         assertTrue(answered(a));
     }
@@ -309,19 +309,19 @@
     void anIdleConnectionEndsAtItsTimeAndNotBefore() throws Exception {
         opened(10, 20_000);
         Socket c = client();
-        Peers.say(c, ASK);
-        Rig.await("read", () -> loop.backlog() > 0);
+        FrontTestPeers.say(c, ASK);
+        FrontTestRig.await("read", () -> loop.backlog() > 0);
         runLoop();
         assertTrue(answered(c));
         for (int i = 0; i < 3; i++) {
             clock.addAndGet(20_000);
             swept();
-            Peers.say(c, ASK);
+            FrontTestPeers.say(c, ASK);
             assertTrue(answered(c), "open still");
         }
         clock.addAndGet(20_001);
         swept();
-        assertEquals("<end>", Peers.hear(c));
+        assertEquals("<end>", FrontTestPeers.hear(c));
     }
 
     private void swept() {
@@ -371,12 +371,12 @@
         List<Socket> behind = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             Socket s = client();
-            Peers.say(s, ASK);
+            FrontTestPeers.say(s, ASK);
             behind.add(s);
         }
         Thread ends = new Thread(ingress::unbind);
         ends.start();
-        Rig.await(
+        FrontTestRig.await(
                 "it waits to be unbound",
                 () -> ends.getState() == Thread.State.WAITING || ends.getState() == Thread.State.TIMED_WAITING);
         slow.go.countDown();
@@ -384,7 +384,7 @@
         for (Socket s : behind) {
             assertTrue(answered(s));
         }
-        Peers.say(held, ASK);
+        FrontTestPeers.say(held, ASK);
         assertTrue(answered(held));
     }
 }
--- a/src/test/java/laurelkeel/front/upstream/DialTest.java
+++ b/src/test/java/laurelkeel/front/upstream/ConnectAttemptTest.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import laurelkeel.front.Rig;
-import laurelkeel.loop.Loop;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.front.FrontTestRig;
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 import org.junit.jupiter.api.AfterEach;
@@ -21,20 +21,20 @@
 import org.junit.jupiter.api.Test;
 
 /** Connections end in their time by the loop's clock, which is driven by hand here, and harm no other that is being opened. */
-class DialTest {
+class ConnectAttemptTest {
     private static final String TIMED_OUT = "timed out";
     private static final int LIMIT = 1_000, ROUNDS = 200;
 
     private final AtomicLong clock = new AtomicLong(1_000_000);
-    private final Loop loop = new Loop(clock::get);
+    private final EventLoop loop = new EventLoop(clock::get);
     private final NioSocketConnector connector = new NioSocketConnector(1);
     private final List<Object> told = new CopyOnWriteArrayList<>();
 
     @BeforeEach
     void run() {
-        connector.setConnectTimeoutMillis(Dial.MINA_TIMEOUT_MS);
-        connector.setHandler(new Dial.Handler() {});
-        Rig.run(loop);
+        connector.setConnectTimeoutMillis(ConnectAttempt.MINA_TIMEOUT_MS);
+        connector.setHandler(new ConnectAttempt.Handler() {});
+        FrontTestRig.run(loop);
     }
 
     @AfterEach
@@ -52,7 +52,7 @@
     }
 
     private void begin(InetSocketAddress to) {
-        Dial.start(connector, loop, loop::post, LIMIT, to, session -> {}, new Dial.Outcome() {
+        ConnectAttempt.start(connector, loop, loop::post, LIMIT, to, session -> {}, new ConnectAttempt.Outcome() {
             @Override
             public void connected(IoSession session) {
                 told.add(session);
@@ -85,10 +85,10 @@
             dial(address(full));
             clock.addAndGet(LIMIT - 1);
             loop.post(() -> told.add("a turn"));
-            Rig.await("a turn", () -> told.size() == 1);
+            FrontTestRig.await("a turn", () -> told.size() == 1);
             assertEquals(List.of("a turn"), told);
             clock.addAndGet(2);
-            Rig.await("it fails", () -> told.size() == 2);
+            FrontTestRig.await("it fails", () -> told.size() == 2);
             assertEquals(TIMED_OUT, told.get(1));
             for (java.net.Socket each : fill) {
                 each.close();
@@ -105,7 +105,7 @@
                 dial(address(server));
                 clock.addAndGet(LIMIT + 1);
                 dial(address(server));
-                Rig.await("both are told", () -> told.size() >= before + 2);
+                FrontTestRig.await("both are told", () -> told.size() >= before + 2);
                 server.accept().close();
             }
         }
--- a/src/test/java/laurelkeel/front/upstream/PoolsTest.java
+++ b/src/test/java/laurelkeel/front/upstream/ConnectionPoolsTest.java
@@ -16,14 +16,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.api.LoadReport;
-import laurelkeel.front.Base;
-import laurelkeel.front.Peers;
-import laurelkeel.loop.Loop;
-import laurelkeel.loop.Threads;
-import laurelkeel.wire.Crossing;
-import laurelkeel.wire.HttpAnswer;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.eventloop.LoopThreads;
+import laurelkeel.front.FrontTestPeers;
+import laurelkeel.front.NodeRuntime;
+import laurelkeel.wire.ForwardedMessage;
 import laurelkeel.wire.HttpLimits;
-import laurelkeel.wire.LookingProcessor;
+import laurelkeel.wire.HttpResponse;
+import laurelkeel.wire.UnexpectedInputProcessor;
 import org.apache.mina.core.filterchain.IoFilterAdapter;
 import org.apache.mina.core.service.SimpleIoProcessorPool;
 import org.apache.mina.core.session.IoSession;
@@ -31,11 +31,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Connections to a machine in the moments in which one attempt could meet what belongs to another, or none. */
-class PoolsTest {
-    private static final MachineWords WORDS = new MachineWords() {
+class ConnectionPoolsTest {
+    private static final EndpointProtocol WORDS = new EndpointProtocol() {
         @Override
-        public Came came(HttpAnswer answer) {
-            return new Came(AttemptOutcome.COMPLETED, Crossing.of(answer, List.of()), LoadReport.NONE, answer.last());
+        public EndpointResponse came(HttpResponse answer) {
+            return new EndpointResponse(
+                    AttemptOutcome.COMPLETED, ForwardedMessage.of(answer, List.of()), LoadReport.NONE, answer.last());
         }
 
         @Override
@@ -44,25 +45,25 @@
         }
     };
 
-    private final Loop loop = new Loop(Base.clock());
-    private final ExecutorService threads = Threads.many(loop, "test-sockets");
+    private final EventLoop loop = new EventLoop(NodeRuntime.clock());
+    private final ExecutorService threads = LoopThreads.many(loop, "test-sockets");
     /** The dial's time is far longer than a test. */
-    private final Pools pools = new Pools(
+    private final ConnectionPools pools = new ConnectionPools(
             new UpstreamSettings(
                     new HttpLimits(1024, 8192, 64, 1024), 8, 8, 8, 600_000, 600_000, 1, "/load", 2_500, 100),
             WORDS,
             loop,
             threads,
-            new SimpleIoProcessorPool<>(LookingProcessor.class, threads, 1, null));
+            new SimpleIoProcessorPool<>(UnexpectedInputProcessor.class, threads, 1, null));
 
     private final Thread runs = new Thread(() -> loop.run(() -> false));
     private final ServerSocket machine;
-    private final Place at;
+    private final EndpointAddress at;
 
-    PoolsTest() throws IOException {
+    ConnectionPoolsTest() throws IOException {
         machine = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         machine.setSoTimeout(10_000);
-        at = new Place("m", new InetSocketAddress(machine.getInetAddress(), machine.getLocalPort()));
+        at = new EndpointAddress("m", new InetSocketAddress(machine.getInetAddress(), machine.getLocalPort()));
         runs.start();
     }
 
@@ -92,7 +93,7 @@
     }
 
     private static void answer(Socket machine, String body) throws IOException {
-        Peers.say(machine, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+        FrontTestPeers.say(machine, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
     private interface Befalls {
@@ -111,7 +112,7 @@
         });
         CompletableFuture<Ended> first = start();
         Socket m = machine.accept();
-        Peers.hear(m);
+        FrontTestPeers.hear(m);
         answer(m, "first");
         assertEquals(new Ended(AttemptOutcome.COMPLETED, "first"), told(first));
         what.machine(m);
@@ -124,7 +125,7 @@
         handedOver.await();
         go.countDown();
         Socket again = machine.accept();
-        Peers.hear(again);
+        FrontTestPeers.hear(again);
         answer(again, "second");
         assertEquals(new Ended(AttemptOutcome.COMPLETED, "second"), told(second));
     }
--- a/src/test/java/laurelkeel/logs/SparingTest.java
+++ b/src/test/java/laurelkeel/logging/RateLimitedAsyncAppenderTest.java
@@ -1,4 +1,4 @@
-package laurelkeel.logs;
+package laurelkeel.logging;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class SparingTest {
+class RateLimitedAsyncAppenderTest {
     private final List<String> written = new CopyOnWriteArrayList<>();
     private final CountDownLatch read = new CountDownLatch(1);
     private final LoggerContext context = new LoggerContext();
@@ -37,7 +37,7 @@
         context.setMDCAdapter(new LogbackMDCAdapter());
         err.setContext(context);
         err.start();
-        Sparing s = new Sparing();
+        RateLimitedAsyncAppender s = new RateLimitedAsyncAppender();
         s.setContext(context);
         s.addAppender(err);
         s.start();
@@ -55,7 +55,7 @@
     @Test
     void ofAlikeLinesAFewAreWrittenAndTheRestAreCounted() throws Exception {
         begin(false);
-        long before = Sparing.leftOut();
+        long before = RateLimitedAsyncAppender.leftOut();
         for (int i = 0; i < 1000; i++) {
             log.error("req {} had no decision in its time", i);
             log.info("{}", "build 7 stage 0 TRIAL, pace " + i / 7.0);
@@ -70,7 +70,7 @@
                 .filter(w -> w.contains(" more lines like "))
                 .mapToLong(w -> Long.parseLong(w.substring(0, w.indexOf(' '))))
                 .sum();
-        assertEquals(Sparing.leftOut() - before, told, "what was left out is told");
+        assertEquals(RateLimitedAsyncAppender.leftOut() - before, told, "what was left out is told");
     }
 
     @Test
--- a/src/test/java/laurelkeel/lanes/LanesTest.java
+++ b/src/test/java/laurelkeel/partition/PartitionedDeciderTest.java
@@ -1,4 +1,4 @@
-package laurelkeel.lanes;
+package laurelkeel.partition;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -25,12 +25,12 @@
 import laurelkeel.api.Settings;
 import laurelkeel.api.Settings.DeduplicationScope;
 import laurelkeel.api.Settings.Idempotency;
-import laurelkeel.bench.Streams;
-import laurelkeel.decision.Shifter;
+import laurelkeel.bench.DecisionStreams;
+import laurelkeel.decision.RoutingDecider;
 import org.junit.jupiter.api.Test;
 
 /** Days of several releases behind one front, each rule checked at every send for every release. */
-class LanesTest {
+class PartitionedDeciderTest {
     private static final long MS = 10, SECOND = 10_000;
     private static final double FREE = 2;
     private static final long WINDOW = 4 * SECOND;
@@ -72,7 +72,7 @@
     /** A front's world in miniature: lists, news and answers as told, and a book of all that was sent. */
     private static final class World {
         final Settings set;
-        final Lanes lanes;
+        final PartitionedDecider lanes;
         final Random random;
         long now = 36_000_000;
         final Map<String, EndpointEntry> list = new HashMap<>();
@@ -93,7 +93,7 @@
         World(Settings set, long seed) {
             this.set = set;
             this.random = new Random(seed);
-            lanes = new Lanes(set, seed, Shifter::new);
+            lanes = new PartitionedDecider(set, seed, RoutingDecider::new);
             for (int i = 0; i < set.routes().size(); i++) {
                 taken.add(new ArrayDeque<>());
             }
@@ -326,8 +326,8 @@
     void withOneReleaseAllActionsAreThoseOfTheDeciderAlone() {
         for (int seed : new int[] {100, 103, 106, 109}) {
             assertEquals(
-                    Streams.sum(Shifter::new, seed),
-                    Streams.sum((set, s) -> new Lanes(set, s, Shifter::new), seed),
+                    DecisionStreams.sum(RoutingDecider::new, seed),
+                    DecisionStreams.sum((set, s) -> new PartitionedDecider(set, s, RoutingDecider::new), seed),
                     "stream " + seed);
         }
     }
@@ -361,7 +361,7 @@
             World w = begun(seed % 2 == 0, seed % 3, seed);
             dayOfAllKinds(w, seed);
             assertEquals(List.of(), w.broken, "day " + seed);
-            assertTrue(w.lanes.open() <= Lanes.MOST);
+            assertTrue(w.lanes.open() <= PartitionedDecider.MOST);
         }
     }
 
@@ -433,12 +433,12 @@
     @Test
     void whileBlameIsOpenNobodyGoesOnAndTheGuiltyIsVotedBack() {
         World w = twoOnTrial(6);
-        w.lanes.blame(2, Lanes.Blame.OPEN);
-        w.lanes.blame(3, Lanes.Blame.OPEN);
+        w.lanes.blame(2, PartitionedDecider.Blame.OPEN);
+        w.lanes.blame(3, PartitionedDecider.Blame.OPEN);
         w.traffic(15 * SECOND, 5, 0);
         assertEquals(List.of(), w.votes);
-        w.lanes.blame(2, Lanes.Blame.CLEARED);
-        w.lanes.blame(3, Lanes.Blame.GUILTY);
+        w.lanes.blame(2, PartitionedDecider.Blame.CLEARED);
+        w.lanes.blame(3, PartitionedDecider.Blame.GUILTY);
         w.traffic(5 * SECOND, 5, 0);
         assertTrue(
                 w.votes.stream().allMatch(v -> v.build() == 3 && v.verdict() == Verdict.ROLL_BACK), w.votes.toString());
@@ -470,8 +470,8 @@
     }
 
     /** A decider that sends each req to the machine named and does nothing else. */
-    private static Lanes sendingTo(String machine) {
-        return new Lanes(
+    private static PartitionedDecider sendingTo(String machine) {
+        return new PartitionedDecider(
                 settings(false, 0),
                 1,
                 (set, seed) -> (now, events) -> events.stream()
@@ -480,7 +480,7 @@
                         .toList());
     }
 
-    private static void answered(Lanes lanes, long now, String key) {
+    private static void answered(PartitionedDecider lanes, long now, String key) {
         lanes.decide(now, List.of(new Event.RequestReceived(key, 0, 0, key, now + SECOND, 0, false)));
         lanes.decide(
                 now, List.of(new Event.AttemptEnded(key, 0, "m", AttemptOutcome.COMPLETED, 1, true, LoadReport.NONE)));
@@ -492,7 +492,7 @@
 
     @Test
     void whatIsCountedForTheCapLeavesWithItsWindowAlsoInALaneAlone() {
-        Taken taken = new Taken(1, WINDOW, false, false);
+        AcceptedRequestWindow taken = new AcceptedRequestWindow(1, WINDOW, false, false);
         for (int i = 0; i < 100_000; i++) {
             taken.add(0, i * 10L * MS);
         }
@@ -501,7 +501,7 @@
 
     @Test
     void keysOfReleasesThatHaveEndedAreForgottenAndMakeRoomForThoseThatStand() {
-        Lanes lanes = sendingTo("m");
+        PartitionedDecider lanes = sendingTo("m");
         long now = SECOND;
         lanes.decide(
                 now,
@@ -530,7 +530,7 @@
     @Test
     void whileBlameFallsOnAnotherAVoteToSendBackWaits() {
         World w = twoOnTrial(8);
-        w.lanes.blame(3, Lanes.Blame.GUILTY);
+        w.lanes.blame(3, PartitionedDecider.Blame.GUILTY);
         w.traffic(10 * SECOND, 5, 0.5);
         assertTrue(w.votes.stream().noneMatch(v -> v.build() == 2), "its errors may be the guilty one's: " + w.votes);
         w.traffic(20 * SECOND, 5, 0.5);
@@ -557,7 +557,7 @@
     @Test
     void complaintsOfASharedMachineAreDealtToTheLanesInTurn() {
         List<int[]> heard = new ArrayList<>();
-        Lanes lanes = new Lanes(settings(false, 0), 1, (set, seed) -> {
+        PartitionedDecider lanes = new PartitionedDecider(settings(false, 0), 1, (set, seed) -> {
             int[] mine = new int[1];
             heard.add(mine);
             return (now, events) -> {
--- a/src/test/java/laurelkeel/platform/RareMomentsTest.java
+++ b/src/test/java/laurelkeel/platform/PlatformRaceTest.java
@@ -14,15 +14,15 @@
 import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.api.Event.EndpointListKind;
 import laurelkeel.api.Event.EndpointState;
-import laurelkeel.front.Base;
+import laurelkeel.front.NodeRuntime;
 import org.junit.jupiter.api.Test;
 
 /** Orders of events that hardly ever come about, each made to come about every time. */
-class RareMomentsTest {
+class PlatformRaceTest {
     /** Real time, and what a test adds to it. */
     private final AtomicLong ahead = new AtomicLong();
 
-    private final LongSupplier real = Base.clock();
+    private final LongSupplier real = NodeRuntime.clock();
 
     private long clock() {
         return real.getAsLong() + ahead.get();
@@ -38,16 +38,17 @@
 
     @Test
     void aListMayBeLaidOutOverLinesAndCutAnywhere() throws Exception {
-        try (Stage p = new Stage(Stage::nothing)) {
+        try (PlatformTestBed p = new PlatformTestBed(PlatformTestBed::nothing)) {
             Socket w = p.watch();
-            String indented = Stage.list(2, false, p.entry("leaving", 1, p.machine))
+            String indented = PlatformTestBed.list(2, false, p.entry("leaving", 1, p.machine))
                             .replace("{", "{\r\n  ")
                             .replace(",", ",\n  ")
                     + "\r\n"
-                    + Stage.list(3, false, p.entry("active", 1, p.machine)).replace("\":", "\" :\n ");
+                    + PlatformTestBed.list(3, false, p.entry("active", 1, p.machine))
+                            .replace("\":", "\" :\n ");
             for (int i = 0; i < indented.length(); i++) {
                 char c = indented.charAt(i);
-                Stage.say(w, Stage.chunk(String.valueOf(c)));
+                PlatformTestBed.say(w, PlatformTestBed.chunk(String.valueOf(c)));
             }
             assertEquals(
                     EndpointState.DRAINING,
@@ -61,7 +62,7 @@
 
     @Test
     void whatIsNoListEndsTheWatchAndTheLastGoodOneStays() throws Exception {
-        try (Stage p = new Stage(Stage::nothing)) {
+        try (PlatformTestBed p = new PlatformTestBed(PlatformTestBed::nothing)) {
             for (String bad : List.of(
                     "[1]",
                     "7 ",
@@ -71,9 +72,10 @@
                     "\1\2",
                     "{\"a\":\"" + "x".repeat(1 << 20))) {
                 Socket w = p.discovery.call();
-                assertTrue(Stage.hear(w).contains("after=1 "), "nothing of it was followed");
+                assertTrue(PlatformTestBed.hear(w).contains("after=1 "), "nothing of it was followed");
                 try {
-                    Stage.say(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Stage.chunk(bad));
+                    PlatformTestBed.say(
+                            w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + PlatformTestBed.chunk(bad));
                 } catch (java.io.IOException e) {
                     // the node ended it while the last of so much was still on its way
                 }
@@ -86,24 +88,24 @@
     /** Whoever lags behind, or was delayed on the way, names machines that drain as sound ones. */
     @Test
     void anOlderWholeListIsNotFollowedUntilItHasStoodForLong() throws Exception {
-        try (Stage p = new Stage(1024, 5000, this::clock, Stage::nothing)) {
-            Socket w = p.watch(Stage.list(5, false, p.entry("leaving", 1, p.machine)));
+        try (PlatformTestBed p = new PlatformTestBed(1024, 5000, this::clock, PlatformTestBed::nothing)) {
+            Socket w = p.watch(PlatformTestBed.list(5, false, p.entry("leaving", 1, p.machine)));
             p.event(Event.EndpointListUpdate.class, 2);
-            String old = Stage.chunk(Stage.list(4, true, p.entry("active", 1, p.machine)) + "\n");
-            Stage.say(w, old);
+            String old = PlatformTestBed.chunk(PlatformTestBed.list(4, true, p.entry("active", 1, p.machine)) + "\n");
+            PlatformTestBed.say(w, old);
             Socket next = p.discovery.call();
-            assertTrue(Stage.hear(next).contains("after=5 "));
-            Stage.say(next, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + old);
+            assertTrue(PlatformTestBed.hear(next).contains("after=5 "));
+            PlatformTestBed.say(next, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + old);
             next = p.discovery.call();
-            Stage.hear(next);
+            PlatformTestBed.hear(next);
             assertEquals(2, p.all(Event.EndpointListUpdate.class).size());
             // discovery has begun anew: nothing newer comes for longer than it may take, so the silent watch is given
             // up too
             ahead.addAndGet(61_000);
-            assertTrue(Stage.hear(next).contains("<end>"));
+            assertTrue(PlatformTestBed.hear(next).contains("<end>"));
             next = p.discovery.call();
-            Stage.hear(next);
-            Stage.say(next, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + old);
+            PlatformTestBed.hear(next);
+            PlatformTestBed.say(next, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + old);
             assertEquals(
                     EndpointListKind.SNAPSHOT,
                     p.event(Event.EndpointListUpdate.class, 3).kind());
@@ -115,22 +117,24 @@
     /** What it misses counts as told 6 s after it fell silent; the clock stands but for what the test adds, 5.1 s in all. */
     @Test
     void aSecondSilentWatchLeavesTimeForAThird() throws Exception {
-        try (Stage p = new Stage(1024, 5000, this::standing, Stage::nothing)) {
-            p.watch(Stage.list(2, false, p.entry("active", 1, p.machine)));
+        try (PlatformTestBed p = new PlatformTestBed(1024, 5000, this::standing, PlatformTestBed::nothing)) {
+            p.watch(PlatformTestBed.list(2, false, p.entry("active", 1, p.machine)));
             p.event(Event.EndpointListUpdate.class, 2);
-            Stage.lines(p.desk.call()).readLine();
+            PlatformTestBed.lines(p.desk.call()).readLine();
             ahead.addAndGet(32_000);
             Socket second = p.discovery.call();
-            Stage.hear(second);
+            PlatformTestBed.hear(second);
             ahead.addAndGet(8_000);
-            assertTrue(Stage.hear(second).contains("<end>"));
+            assertTrue(PlatformTestBed.hear(second).contains("<end>"));
             ahead.addAndGet(10_500);
             Socket third = p.discovery.call();
-            assertTrue(Stage.hear(third).contains("after=2 "));
+            assertTrue(PlatformTestBed.hear(third).contains("after=2 "));
             // bytes that never become anything are no sign of life for ever
-            Stage.say(third, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Stage.chunk("{\"version\":"));
+            PlatformTestBed.say(
+                    third,
+                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + PlatformTestBed.chunk("{\"version\":"));
             ahead.addAndGet(40_000);
-            assertTrue(Stage.hear(third).contains("<end>"));
+            assertTrue(PlatformTestBed.hear(third).contains("<end>"));
             // for its drain
             goes.set(true);
         }
@@ -139,14 +143,14 @@
     // ---- an attempt that waits for its connection
 
     /** Takes all eight connections that so small a node may have to machines; returns who asked, then the machine's side. */
-    private static List<List<Socket>> takeAll(Stage p) throws Exception {
+    private static List<List<Socket>> takeAll(PlatformTestBed p) throws Exception {
         List<Socket> asking = new ArrayList<>(), machine = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             Socket c = p.client();
-            Stage.say(c, Stage.look("a" + i, ""));
+            PlatformTestBed.say(c, PlatformTestBed.look("a" + i, ""));
             asking.add(c);
             Socket m = p.machine.call();
-            Stage.hear(m);
+            PlatformTestBed.hear(m);
             machine.add(m);
         }
         return List.of(asking, machine);
@@ -162,8 +166,8 @@
                 : List.of();
     }
 
-    private Stage small(String ninth) throws Exception {
-        return new Stage(
+    private PlatformTestBed small(String ninth) throws Exception {
+        return new PlatformTestBed(
                 64,
                 5000,
                 this::clock,
@@ -172,86 +176,88 @@
 
     @Test
     void anAttemptTellsTheTimeThatIsLeftAsItIsWritten() throws Exception {
-        try (Stage p = small("s-1")) {
+        try (PlatformTestBed p = small("s-1")) {
             List<List<Socket>> all = takeAll(p);
             Socket late = p.client();
-            Stage.say(late, Stage.look("late", ""));
+            PlatformTestBed.say(late, PlatformTestBed.look("late", ""));
             p.event(Event.RequestReceived.class, 9);
             ahead.addAndGet(8_000);
-            Stage.say(all.get(1).get(0), Stage.ok("x"));
-            String got = Stage.hear(all.get(1).get(0));
+            PlatformTestBed.say(all.get(1).get(0), PlatformTestBed.ok("x"));
+            String got = PlatformTestBed.hear(all.get(1).get(0));
             assertTrue(got.contains("X-Correlation-Id: late\r\n") && got.contains("X-Time-Left: 3."), got);
         }
     }
 
     @Test
     void anAttemptWhoseClientLeavesWhileItWaitsIsNotWritten() throws Exception {
-        try (Stage p = small("s-1")) {
+        try (PlatformTestBed p = small("s-1")) {
             List<List<Socket>> all = takeAll(p);
             Socket leaves = p.client();
-            Stage.say(leaves, Stage.look("leaves", ""));
+            PlatformTestBed.say(leaves, PlatformTestBed.look("leaves", ""));
             p.event(Event.RequestReceived.class, 9);
             leaves.close();
             p.event(Event.ClientDisconnected.class, 1);
-            Stage.say(all.get(1).get(0), Stage.ok("x"));
+            PlatformTestBed.say(all.get(1).get(0), PlatformTestBed.ok("x"));
             assertEquals(
                     AttemptOutcome.NOT_SENT,
                     p.event(Event.AttemptEnded.class, 2).outcome());
             Socket next = p.client();
-            Stage.say(next, Stage.look("next", ""));
-            assertTrue(Stage.hear(all.get(1).get(0)).contains("X-Correlation-Id: next\r\n"));
+            PlatformTestBed.say(next, PlatformTestBed.look("next", ""));
+            assertTrue(PlatformTestBed.hear(all.get(1).get(0)).contains("X-Correlation-Id: next\r\n"));
         }
     }
 
     /** The machine would end it after 15 s, and whatever is written then is lost with it. */
     @Test
     void anIdleConnectionEndsBeforeTheMachineWouldEndIt() throws Exception {
-        try (Stage p = new Stage(1024, 5000, this::standing, Stage::once)) {
+        try (PlatformTestBed p = new PlatformTestBed(1024, 5000, this::standing, PlatformTestBed::once)) {
             Socket c = p.client();
-            Stage.say(c, Stage.look("1", ""));
+            PlatformTestBed.say(c, PlatformTestBed.look("1", ""));
             Socket m = p.machine.call();
-            Stage.hear(m);
-            Stage.say(m, Stage.ok("1"));
-            Stage.hear(c);
+            PlatformTestBed.hear(m);
+            PlatformTestBed.say(m, PlatformTestBed.ok("1"));
+            PlatformTestBed.hear(c);
             ahead.addAndGet(120_000);
-            Stage.say(c, Stage.look("2", ""));
-            assertTrue(Stage.hear(m).contains("X-Correlation-Id: 2\r\n"), "it is kept for as long as it is sound");
-            Stage.say(m, Stage.ok("2"));
-            Stage.hear(c);
+            PlatformTestBed.say(c, PlatformTestBed.look("2", ""));
+            assertTrue(
+                    PlatformTestBed.hear(m).contains("X-Correlation-Id: 2\r\n"),
+                    "it is kept for as long as it is sound");
+            PlatformTestBed.say(m, PlatformTestBed.ok("2"));
+            PlatformTestBed.hear(c);
             ahead.addAndGet(140_000);
-            assertEquals("<end>", Stage.hear(m));
+            assertEquals("<end>", PlatformTestBed.hear(m));
             goes.set(true);
         }
     }
 
     @Test
     void aPlaceThatBecomesFreeGoesToTheMachineThatWaitsForOne() throws Exception {
-        try (Stage.Party other = new Stage.Party();
-                Stage p = small("s-2")) {
-            p.watch(Stage.list(2, false, p.entry("s-2", "active", 1, other)));
+        try (PlatformTestBed.Party other = new PlatformTestBed.Party();
+                PlatformTestBed p = small("s-2")) {
+            p.watch(PlatformTestBed.list(2, false, p.entry("s-2", "active", 1, other)));
             p.event(Event.EndpointListUpdate.class, 2);
             List<List<Socket>> all = takeAll(p);
             Socket waits = p.client();
-            Stage.say(waits, Stage.look("waits", ""));
+            PlatformTestBed.say(waits, PlatformTestBed.look("waits", ""));
             p.event(Event.RequestReceived.class, 9);
-            Stage.say(all.get(1).get(0), Stage.ok("x"));
+            PlatformTestBed.say(all.get(1).get(0), PlatformTestBed.ok("x"));
             Socket m = other.call();
-            assertTrue(Stage.hear(m).contains("X-Correlation-Id: waits\r\n"));
-            Stage.say(m, Stage.ok("y"));
-            assertTrue(Stage.hear(waits).endsWith("y"));
+            assertTrue(PlatformTestBed.hear(m).contains("X-Correlation-Id: waits\r\n"));
+            PlatformTestBed.say(m, PlatformTestBed.ok("y"));
+            assertTrue(PlatformTestBed.hear(waits).endsWith("y"));
         }
     }
 
     /** A client that has ended its output may still be reading, and cannot be told from one that has closed. */
     @Test
     void aClientThatEndsItsOutputHasItsAnswerAndNoFurtherAttempt() throws Exception {
-        try (Stage p = new Stage(Stage::once)) {
+        try (PlatformTestBed p = new PlatformTestBed(PlatformTestBed::once)) {
             Socket c = p.client();
-            Stage.say(c, Stage.look("1", ""));
-            Stage.hear(p.machine.call());
+            PlatformTestBed.say(c, PlatformTestBed.look("1", ""));
+            PlatformTestBed.hear(p.machine.call());
             c.shutdownOutput();
-            assertTrue(Stage.hear(c).startsWith("HTTP/1.1 502 "));
-            assertEquals("<end>", Stage.hear(c));
+            assertTrue(PlatformTestBed.hear(c).startsWith("HTTP/1.1 502 "));
+            assertEquals("<end>", PlatformTestBed.hear(c));
             p.event(Event.ClientDisconnected.class, 1);
             assertEquals(1, p.all(Event.RequestReceived.class).size());
         }
@@ -259,15 +265,18 @@
 
     @Test
     void allThatAClientHadAskedBeforeItEndedItsOutputIsAnswered() throws Exception {
-        try (Stage p = new Stage(Stage::once)) {
+        try (PlatformTestBed p = new PlatformTestBed(PlatformTestBed::once)) {
             Socket c = p.client();
-            Stage.say(c, Stage.look("1", "") + Stage.look("2", "") + "GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n");
-            Stage.hear(p.machine.call());
+            PlatformTestBed.say(
+                    c,
+                    PlatformTestBed.look("1", "") + PlatformTestBed.look("2", "")
+                            + "GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n");
+            PlatformTestBed.hear(p.machine.call());
             c.shutdownOutput();
-            assertTrue(Stage.hear(c).startsWith("HTTP/1.1 502 "));
-            assertTrue(Stage.hear(c).startsWith("HTTP/1.1 503 "));
-            assertTrue(Stage.hear(c).startsWith("HTTP/1.1 404 "));
-            assertEquals("<end>", Stage.hear(c));
+            assertTrue(PlatformTestBed.hear(c).startsWith("HTTP/1.1 502 "));
+            assertTrue(PlatformTestBed.hear(c).startsWith("HTTP/1.1 503 "));
+            assertTrue(PlatformTestBed.hear(c).startsWith("HTTP/1.1 404 "));
+            assertEquals("<end>", PlatformTestBed.hear(c));
         }
     }
 }
--- a/src/test/java/laurelkeel/platform/SourcesTest.java
+++ b/src/test/java/laurelkeel/platform/PlatformSourcesTest.java
@@ -19,79 +19,81 @@
 import laurelkeel.api.Event.EndpointListKind;
 import laurelkeel.api.Event.EndpointState;
 import laurelkeel.api.Event.RolloutPhase;
-import laurelkeel.options.Options;
+import laurelkeel.options.OptionsParser;
 import org.junit.jupiter.api.Test;
 
 /** Discovery, the release desk, the configuration and the signals' work. */
-class SourcesTest {
+class PlatformSourcesTest {
 
     @Test
     void theListComesInAnyPiecesAndAWatchThatEndsIsResumed() throws Exception {
-        try (Stage p = new Stage(Stage::nothing)) {
+        try (PlatformTestBed p = new PlatformTestBed(PlatformTestBed::nothing)) {
             Event.EndpointListUpdate known = p.event(Event.EndpointListUpdate.class, 1);
             assertEquals(EndpointListKind.CACHED, known.kind());
             assertEquals(
                     new Event.EndpointEntry("s-1", 1, 1, 3, 1, 1.5, EndpointState.ACTIVE, 0),
                     known.entries().get(0));
             Socket w = p.discovery.call();
-            assertTrue(Stage.hear(w).startsWith("GET /v1/servers?watch=1&after=1 HTTP/1.1\r\n"));
+            assertTrue(PlatformTestBed.hear(w).startsWith("GET /v1/servers?watch=1&after=1 HTTP/1.1\r\n"));
             String all = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                    + Stage.chunk(Stage.list(3, false, p.entry("leaving", 1, p.machine)) + "\n\n")
-                    + Stage.chunk(Stage.list(2, false, p.entry("active", 1, p.machine)) + "\n");
+                    + PlatformTestBed.chunk(PlatformTestBed.list(3, false, p.entry("leaving", 1, p.machine)) + "\n\n")
+                    + PlatformTestBed.chunk(PlatformTestBed.list(2, false, p.entry("active", 1, p.machine)) + "\n");
             // read by itself before the rest comes: the first line of the head is not whole then
-            Stage.say(w, all.substring(0, 1));
+            PlatformTestBed.say(w, all.substring(0, 1));
             Socket h = p.client();
             for (int i = 0; i < 3; i++) {
                 health(h);
             }
             for (char c : all.substring(1).toCharArray()) {
-                Stage.say(w, String.valueOf(c));
+                PlatformTestBed.say(w, String.valueOf(c));
             }
             assertEquals(
                     EndpointState.DRAINING,
                     p.event(Event.EndpointListUpdate.class, 2).entries().get(0).state());
             w.close();
             w = p.discovery.call();
-            assertTrue(Stage.hear(w).startsWith("GET /v1/servers?watch=1&after=3 HTTP/1.1\r\n"));
-            Stage.say(
+            assertTrue(PlatformTestBed.hear(w).startsWith("GET /v1/servers?watch=1&after=3 HTTP/1.1\r\n"));
+            PlatformTestBed.say(
                     w,
-                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Stage.chunk(Stage.list(3, true) + "\n"));
+                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                            + PlatformTestBed.chunk(PlatformTestBed.list(3, true) + "\n"));
             assertEquals(
                     EndpointListKind.SNAPSHOT,
                     p.event(Event.EndpointListUpdate.class, 3).kind());
-            Stage.say(w, Stage.chunk("{\"noise\":1}\n"));
-            Stage.hear(p.discovery.call());
+            PlatformTestBed.say(w, PlatformTestBed.chunk("{\"noise\":1}\n"));
+            PlatformTestBed.hear(p.discovery.call());
             assertEquals(3, p.all(Event.EndpointListUpdate.class).size());
         }
     }
 
     @Test
     void anIdThatReturnsWithAnotherBuildGetsNoOldConnection() throws Exception {
-        try (Stage p = new Stage(Stage::once)) {
-            Socket w = p.watch(Stage.list(2, false, p.entry("active", 1, p.machine)));
+        try (PlatformTestBed p = new PlatformTestBed(PlatformTestBed::once)) {
+            Socket w = p.watch(PlatformTestBed.list(2, false, p.entry("active", 1, p.machine)));
             p.event(Event.EndpointListUpdate.class, 2);
             Socket c = p.client();
-            Stage.say(c, Stage.look("1", ""));
+            PlatformTestBed.say(c, PlatformTestBed.look("1", ""));
             Socket m = p.machine.call();
-            Stage.hear(m);
-            Stage.say(m, Stage.ok("old"));
-            Stage.hear(c);
-            Stage.say(w, Stage.chunk(Stage.list(3, false, p.entry("active", 2, p.machine)) + "\n"));
+            PlatformTestBed.hear(m);
+            PlatformTestBed.say(m, PlatformTestBed.ok("old"));
+            PlatformTestBed.hear(c);
+            PlatformTestBed.say(
+                    w, PlatformTestBed.chunk(PlatformTestBed.list(3, false, p.entry("active", 2, p.machine)) + "\n"));
             p.event(Event.EndpointListUpdate.class, 3);
-            assertTrue(Stage.hear(m).contains("<end>"));
-            Stage.say(c, Stage.look("2", ""));
-            Stage.hear(p.machine.call());
+            assertTrue(PlatformTestBed.hear(m).contains("<end>"));
+            PlatformTestBed.say(c, PlatformTestBed.look("2", ""));
+            PlatformTestBed.hear(p.machine.call());
         }
     }
 
     @Test
     void theDesksNewsAndWhatCannotBeRead() throws Exception {
-        try (Stage p = new Stage(Stage::nothing)) {
+        try (PlatformTestBed p = new PlatformTestBed(PlatformTestBed::nothing)) {
             assertEquals(
                     RolloutPhase.RELEASED, p.event(Event.RolloutUpdate.class, 1).phase());
             Socket d = p.desk.call();
-            assertEquals("SUB", Stage.lines(d).readLine());
-            Stage.say(d, "OK\r\n*\r\n* metrics 42 pay 57 2 18.5 900\r\n* progress 42 1 Progr");
+            assertEquals("SUB", PlatformTestBed.lines(d).readLine());
+            PlatformTestBed.say(d, "OK\r\n*\r\n* metrics 42 pay 57 2 18.5 900\r\n* progress 42 1 Progr");
             Event.BuildStatistics counts = p.event(Event.BuildStatistics.class, 1);
             assertEquals(
                     List.of(42, 1, 57L, 2L, 185L),
@@ -101,7 +103,7 @@
                             counts.attempts(),
                             counts.errors(),
                             counts.meanDurationTicks()));
-            Stage.say(d, "essing 0.28 310\r\n");
+            PlatformTestBed.say(d, "essing 0.28 310\r\n");
             Event.RolloutUpdate n = p.event(Event.RolloutUpdate.class, 2);
             assertEquals(
                     List.of(42, 1, 0.28, RolloutPhase.CANARY),
@@ -112,18 +114,18 @@
                     "* progress 42 1 Nothing 0.28 1",
                     "\1\2",
                     "* progress 42 1 Progressing 7 1")) {
-                Stage.say(d, spoilt + "\r\n");
+                PlatformTestBed.say(d, spoilt + "\r\n");
                 d = p.desk.call();
-                Stage.lines(d).readLine();
+                PlatformTestBed.lines(d).readLine();
             }
-            Stage.say(d, "OK\r\n* progress 42 2 Progressing 0.5 1\r\n");
+            PlatformTestBed.say(d, "OK\r\n* progress 42 2 Progressing 0.5 1\r\n");
             assertEquals(2, p.event(Event.RolloutUpdate.class, 3).stage());
             assertEquals(3, p.all(Event.RolloutUpdate.class).size());
         }
     }
 
     /** Votes 42 at the first req, 43 at the second, and so on. */
-    private static List<Action> voter(Stage p, Event e) {
+    private static List<Action> voter(PlatformTestBed p, Event e) {
         return e instanceof Event.RequestReceived r
                 ? List.of(
                         new Action.CastVote(
@@ -132,8 +134,8 @@
                 : List.of();
     }
 
-    private static Event.RolloutUpdate answered(Stage p, int count) {
-        Stage.await(
+    private static Event.RolloutUpdate answered(PlatformTestBed p, int count) {
+        PlatformTestBed.await(
                 count + " votes answered",
                 () -> p.all(Event.RolloutUpdate.class).stream()
                                 .filter(Event.RolloutUpdate::answersVote)
@@ -147,28 +149,28 @@
 
     @Test
     void aVotesLateAnswerIsNotTheNextOnes() throws Exception {
-        try (Stage p = new Stage(1024, 300, SourcesTest::voter)) {
+        try (PlatformTestBed p = new PlatformTestBed(1024, 300, PlatformSourcesTest::voter)) {
             p.desk.call();
             Socket c = p.client();
-            Stage.say(c, Stage.look("1", ""));
+            PlatformTestBed.say(c, PlatformTestBed.look("1", ""));
             Socket v = p.desk.call();
-            assertEquals("SAY 42 1 reject", Stage.lines(v).readLine());
+            assertEquals("SAY 42 1 reject", PlatformTestBed.lines(v).readLine());
             assertEquals(ControlStatus.TIMED_OUT, answered(p, 1).status());
-            Stage.hear(c);
-            Stage.say(c, Stage.look("2", ""));
+            PlatformTestBed.hear(c);
+            PlatformTestBed.say(c, PlatformTestBed.look("2", ""));
             Socket next = p.desk.call();
-            assertEquals("SAY 43 1 reject", Stage.lines(next).readLine());
-            Stage.say(next, "ERR too_many_calls\r\n");
+            assertEquals("SAY 43 1 reject", PlatformTestBed.lines(next).readLine());
+            PlatformTestBed.say(next, "ERR too_many_calls\r\n");
             assertEquals(ControlStatus.RATE_LIMITED, answered(p, 2).status());
-            Stage.hear(c);
-            Stage.say(c, Stage.look("3", ""));
-            assertEquals("SAY 44 1 reject", Stage.lines(next).readLine());
-            Stage.say(next, "OK 44 1 Aborting 0.0 5\r\n");
+            PlatformTestBed.hear(c);
+            PlatformTestBed.say(c, PlatformTestBed.look("3", ""));
+            assertEquals("SAY 44 1 reject", PlatformTestBed.lines(next).readLine());
+            PlatformTestBed.say(next, "OK 44 1 Aborting 0.0 5\r\n");
             assertEquals(RolloutPhase.ROLLING_BACK, answered(p, 3).phase());
-            Stage.hear(c);
-            Stage.say(c, Stage.look("4", ""));
-            Stage.lines(next).readLine();
-            Stage.say(next, "OK 45 no\r\n");
+            PlatformTestBed.hear(c);
+            PlatformTestBed.say(c, PlatformTestBed.look("4", ""));
+            PlatformTestBed.lines(next).readLine();
+            PlatformTestBed.say(next, "OK 45 no\r\n");
             assertEquals(ControlStatus.TIMED_OUT, answered(p, 4).status());
             assertEquals(-1, next.getInputStream().read());
         }
@@ -176,67 +178,71 @@
 
     @Test
     void aNewConfigurationMovesTheSourcesAndLosesNoReq() throws Exception {
-        try (Stage p = new Stage(Stage::once);
-                Stage.Party disco = new Stage.Party();
-                Stage.Party desk = new Stage.Party()) {
-            Socket old = p.watch(Stage.list(2, false, p.entry("active", 1, p.machine)));
+        try (PlatformTestBed p = new PlatformTestBed(PlatformTestBed::once);
+                PlatformTestBed.Party disco = new PlatformTestBed.Party();
+                PlatformTestBed.Party desk = new PlatformTestBed.Party()) {
+            Socket old = p.watch(PlatformTestBed.list(2, false, p.entry("active", 1, p.machine)));
             p.event(Event.EndpointListUpdate.class, 2);
             Socket c = p.client();
-            Stage.say(c, Stage.look("1", ""));
+            PlatformTestBed.say(c, PlatformTestBed.look("1", ""));
             Socket m = p.machine.call();
-            Stage.hear(m);
+            PlatformTestBed.hear(m);
             p.node.follow(p.config(disco, desk));
             Socket w = disco.call();
-            assertTrue(Stage.hear(w).contains("after=2 "));
-            assertEquals("SUB", Stage.lines(desk.call()).readLine());
+            assertTrue(PlatformTestBed.hear(w).contains("after=2 "));
+            assertEquals("SUB", PlatformTestBed.lines(desk.call()).readLine());
             // until the new one has spoken the old one is heard
-            Stage.say(old, Stage.chunk(Stage.list(3, false, p.entry("active", 1, p.machine)) + "\n"));
+            PlatformTestBed.say(
+                    old, PlatformTestBed.chunk(PlatformTestBed.list(3, false, p.entry("active", 1, p.machine)) + "\n"));
             p.event(Event.EndpointListUpdate.class, 3);
-            Stage.say(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Stage.chunk("\n"));
-            assertTrue(Stage.hear(old).contains("<end>"));
-            Stage.say(m, Stage.ok("held"));
-            assertTrue(Stage.hear(c).endsWith("held"));
+            PlatformTestBed.say(
+                    w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + PlatformTestBed.chunk("\n"));
+            assertTrue(PlatformTestBed.hear(old).contains("<end>"));
+            PlatformTestBed.say(m, PlatformTestBed.ok("held"));
+            assertTrue(PlatformTestBed.hear(c).endsWith("held"));
         }
     }
 
     @Test
     void aVoteAfterTheDeskHasMovedGoesToItsNewAddress() throws Exception {
-        try (Stage p = new Stage(SourcesTest::voter);
-                Stage.Party next = new Stage.Party()) {
+        try (PlatformTestBed p = new PlatformTestBed(PlatformSourcesTest::voter);
+                PlatformTestBed.Party next = new PlatformTestBed.Party()) {
             p.desk.call();
             Socket c = p.client();
-            Stage.say(c, Stage.look("1", ""));
+            PlatformTestBed.say(c, PlatformTestBed.look("1", ""));
             Socket old = p.desk.call();
-            assertEquals("SAY 42 1 reject", Stage.lines(old).readLine());
-            Stage.hear(c);
+            assertEquals("SAY 42 1 reject", PlatformTestBed.lines(old).readLine());
+            PlatformTestBed.hear(c);
             p.node.follow(p.config(p.discovery, next));
-            assertEquals("SUB", Stage.lines(next.call()).readLine());
+            assertEquals("SUB", PlatformTestBed.lines(next.call()).readLine());
             // its answer comes from the old address all the same
-            Stage.say(old, "OK 42 1 Progressing 0.28 1\r\n");
+            PlatformTestBed.say(old, "OK 42 1 Progressing 0.28 1\r\n");
             assertEquals(ControlStatus.OK, answered(p, 1).status());
-            Stage.say(c, Stage.look("2", ""));
-            assertEquals("SAY 43 1 reject", Stage.lines(next.call()).readLine());
+            PlatformTestBed.say(c, PlatformTestBed.look("2", ""));
+            assertEquals("SAY 43 1 reject", PlatformTestBed.lines(next.call()).readLine());
         }
     }
 
     /** The old address may go on without closing: it was looked at as heard, and the new one was not dialled again. */
     @Test
     void aNewAddressThatIsNotUpYetIsDialledAgainWhileTheOldOneStillSpeaks() throws Exception {
-        try (Stage p = new Stage(Stage::once);
-                Stage.Party disco = new Stage.Party();
-                Stage.Party desk = new Stage.Party()) {
-            Socket old = p.watch(Stage.list(2, false, p.entry("active", 1, p.machine)));
+        try (PlatformTestBed p = new PlatformTestBed(PlatformTestBed::once);
+                PlatformTestBed.Party disco = new PlatformTestBed.Party();
+                PlatformTestBed.Party desk = new PlatformTestBed.Party()) {
+            Socket old = p.watch(PlatformTestBed.list(2, false, p.entry("active", 1, p.machine)));
             p.event(Event.EndpointListUpdate.class, 2);
             int port = disco.at.getLocalPort();
-            Config next = p.config(disco, desk);
+            NodeConfiguration next = p.config(disco, desk);
             disco.close();
             p.node.follow(next);
-            Stage.lines(desk.call()).readLine();
+            PlatformTestBed.lines(desk.call()).readLine();
             try (var late = new java.net.ServerSocket(port, 5, java.net.InetAddress.getByName("127.0.0.1"))) {
                 late.setSoTimeout(2_000);
                 Socket w = late.accept();
-                assertTrue(Stage.hear(w).contains("after=2 "));
-                Stage.say(old, Stage.chunk(Stage.list(3, false, p.entry("active", 1, p.machine)) + "\n"));
+                assertTrue(PlatformTestBed.hear(w).contains("after=2 "));
+                PlatformTestBed.say(
+                        old,
+                        PlatformTestBed.chunk(PlatformTestBed.list(3, false, p.entry("active", 1, p.machine)) + "\n"));
                 p.event(Event.EndpointListUpdate.class, 3);
             }
         }
@@ -244,43 +250,44 @@
 
     @Test
     void aNodeToldToStopTakesWhatStillComesAndAnswersAll() throws Exception {
-        try (Stage p = new Stage(Stage::once)) {
-            p.watch(Stage.list(2, true, p.entry("active", 1, p.machine)));
+        try (PlatformTestBed p = new PlatformTestBed(PlatformTestBed::once)) {
+            p.watch(PlatformTestBed.list(2, true, p.entry("active", 1, p.machine)));
             Socket d = p.desk.call();
-            Stage.say(d, "OK\r\n");
+            PlatformTestBed.say(d, "OK\r\n");
             Socket h = p.client();
-            Stage.await("ready", () -> health(h).startsWith("HTTP/1.1 200 "));
+            PlatformTestBed.await("ready", () -> health(h).startsWith("HTTP/1.1 200 "));
             Socket a = p.client(), idle = p.client();
-            Stage.say(a, Stage.look("1", ""));
+            PlatformTestBed.say(a, PlatformTestBed.look("1", ""));
             Socket m1 = p.machine.call();
             // heard, so that it has its connection before the next req asks for one
-            Stage.hear(m1);
-            Stage.say(idle, Stage.look("0", ""));
+            PlatformTestBed.hear(m1);
+            PlatformTestBed.say(idle, PlatformTestBed.look("0", ""));
             Socket m0 = p.machine.call();
-            Stage.hear(m0);
-            Stage.say(m0, Stage.ok("0"));
-            Stage.hear(idle);
+            PlatformTestBed.hear(m0);
+            PlatformTestBed.say(m0, PlatformTestBed.ok("0"));
+            PlatformTestBed.hear(idle);
             p.front.drain();
-            Stage.await("unready", () -> health(h).startsWith("HTTP/1.1 503 "));
+            PlatformTestBed.await("unready", () -> health(h).startsWith("HTTP/1.1 503 "));
             Socket b = p.client();
-            Stage.say(b, Stage.look("2", ""));
+            PlatformTestBed.say(b, PlatformTestBed.look("2", ""));
             p.event(Event.RequestReceived.class, 3);
-            assertTrue(Stage.hear(idle).contains("<end>"), "idle connections end once nobody new is sent here");
-            Stage.say(m1, Stage.ok("one"));
-            String one = Stage.hear(a);
+            assertTrue(
+                    PlatformTestBed.hear(idle).contains("<end>"), "idle connections end once nobody new is sent here");
+            PlatformTestBed.say(m1, PlatformTestBed.ok("one"));
+            String one = PlatformTestBed.hear(a);
             assertTrue(one.endsWith("one") && one.contains("Connection: close\r\n"), one);
             // on the connection that served 0, or on one of its own
             Socket m2 = p.machine.calls.isEmpty() ? m0 : p.machine.call();
-            Stage.say(m2, Stage.ok("two"));
-            assertTrue(Stage.hear(b).endsWith("two"));
+            PlatformTestBed.say(m2, PlatformTestBed.ok("two"));
+            assertTrue(PlatformTestBed.hear(b).endsWith("two"));
             assertEquals(null, p.front.ended().get(20, java.util.concurrent.TimeUnit.SECONDS));
         }
     }
 
     private static String health(Socket s) {
         try {
-            Stage.say(s, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
-            return Stage.hear(s);
+            PlatformTestBed.say(s, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
+            return PlatformTestBed.hear(s);
         } catch (java.io.IOException e) {
             return "";
         }
@@ -288,27 +295,27 @@
 
     @Test
     void silentConnectionsNeverKeepClientsOut() throws Exception {
-        try (Stage p = new Stage(128, 5000, Stage::once)) {
+        try (PlatformTestBed p = new PlatformTestBed(128, 5000, PlatformTestBed::once)) {
             for (int i = 0; i < 300; i++) {
                 p.client();
             }
             Socket c = p.client();
-            Stage.say(c, Stage.look("1", ""));
+            PlatformTestBed.say(c, PlatformTestBed.look("1", ""));
             Socket m = p.machine.call();
-            Stage.hear(m);
-            Stage.say(m, Stage.ok("served"));
-            assertTrue(Stage.hear(c).endsWith("served"));
+            PlatformTestBed.hear(m);
+            PlatformTestBed.say(m, PlatformTestBed.ok("served"));
+            assertTrue(PlatformTestBed.hear(c).endsWith("served"));
             Socket slow = p.client();
-            Stage.say(slow, "GET /look HTTP/1.1\r\nHo");
-            assertTrue(Stage.hear(slow).startsWith("HTTP/1.1 408 "));
+            PlatformTestBed.say(slow, "GET /look HTTP/1.1\r\nHo");
+            assertTrue(PlatformTestBed.hear(slow).startsWith("HTTP/1.1 408 "));
         }
     }
 
     @Test
     void oneReaderGivesTheSameSettingsFromJsonAndFromTheWire() throws Exception {
-        var json = new ObjectMapper().readTree(Stage.SETTINGS.formatted(800));
+        var json = new ObjectMapper().readTree(PlatformTestBed.SETTINGS.formatted(800));
         Map<String, String> pairs = new TreeMap<>();
-        Config.flatten("", json, pairs);
+        NodeConfiguration.flatten("", json, pairs);
         assertEquals("2", pairs.get("services.count"));
         assertEquals("0.1,0.5,1.0", pairs.get("familyInfo.stageCap"));
         StringBuilder wire = new StringBuilder();
@@ -317,36 +324,39 @@
         for (String pair : wire.toString().strip().split(" ")) {
             read.put(pair.substring(0, pair.indexOf('=')), pair.substring(pair.indexOf('=') + 1));
         }
-        assertEquals(Options.settings(read), Options.settings(pairs));
-        assertEquals(8_000, Options.settings(pairs).rollout().voteTimeoutTicks());
-        assertEquals(List.of("look", "pay"), Options.real(pairs).routes());
+        assertEquals(OptionsParser.settings(read), OptionsParser.settings(pairs));
+        assertEquals(8_000, OptionsParser.settings(pairs).rollout().voteTimeoutTicks());
+        assertEquals(List.of("look", "pay"), OptionsParser.real(pairs).routes());
     }
 
     @Test
     void aConfigurationThatLacksAFieldNamesIt() throws Exception {
-        try (Stage p = new Stage(Stage::nothing)) {
-            Config sound = p.config(p.discovery, p.desk);
+        try (PlatformTestBed p = new PlatformTestBed(PlatformTestBed::nothing)) {
+            NodeConfiguration sound = p.config(p.discovery, p.desk);
             assertFalse(sound.settings().routes().isEmpty());
         }
         String sound =
                 "{\"name\":\"n\",\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",\"limits\":{\"sockets\":256},"
-                        + "\"rollouts\":{\"address\":\"127.0.0.1:3\"},\"settings\":" + Stage.SETTINGS.formatted(800)
+                        + "\"rollouts\":{\"address\":\"127.0.0.1:3\"},\"settings\":"
+                        + PlatformTestBed.SETTINGS.formatted(800)
                         + "}";
         ObjectMapper json = new ObjectMapper();
-        Config.of(json.readTree(sound), Map.of());
+        NodeConfiguration.of(json.readTree(sound), Map.of());
         for (String field : List.of("name", "listen", "discovery", "limits", "rollouts", "settings")) {
             ObjectNode cut = (ObjectNode) json.readTree(sound);
             cut.remove(field);
-            String told = assertThrows(BadConfig.class, () -> Config.of(cut, Map.of()))
+            String told = assertThrows(InvalidConfigurationException.class, () -> NodeConfiguration.of(cut, Map.of()))
                     .getMessage();
             assertTrue(told.startsWith(field), told);
         }
         String told = assertThrows(
-                        BadConfig.class,
-                        () -> Config.of(
+                        InvalidConfigurationException.class,
+                        () -> NodeConfiguration.of(
                                 json.readTree(sound.replace("\"effect\":\"safe\"", "\"effect\":\"odd\"")), Map.of()))
                 .getMessage();
         assertTrue(told.startsWith("settings.services.0.effect"), told);
-        assertThrows(BadConfig.class, () -> Config.read(java.nio.file.Path.of("no/such/file"), Map.of()));
+        assertThrows(
+                InvalidConfigurationException.class,
+                () -> NodeConfiguration.read(java.nio.file.Path.of("no/such/file"), Map.of()));
     }
 }
--- a/src/test/java/laurelkeel/platform/Stage.java
+++ b/src/test/java/laurelkeel/platform/PlatformTestBed.java
@@ -22,13 +22,13 @@
 import java.util.function.LongSupplier;
 import laurelkeel.api.Action;
 import laurelkeel.api.Event;
-import laurelkeel.front.Base;
-import laurelkeel.front.Front;
-import laurelkeel.front.Peers;
-import laurelkeel.front.Rig;
+import laurelkeel.front.FrontNode;
+import laurelkeel.front.FrontTestPeers;
+import laurelkeel.front.FrontTestRig;
+import laurelkeel.front.NodeRuntime;
 
 /** A front node between a machine, a discovery and a release desk whose every byte a test writes. */
-public final class Stage implements AutoCloseable {
+public final class PlatformTestBed implements AutoCloseable {
     public static final String SETTINGS =
             """
             {"selfIndex":0,"balancers":2,"zone":0,"zones":["a","b"],"kinds":["m1","m2"],"membershipMode":"push",
@@ -96,38 +96,42 @@
 
     final Party machine = new Party(), discovery = new Party(), desk = new Party();
     final List<Event> events = new CopyOnWriteArrayList<>();
-    final Node node;
-    final Front front;
+    final PlatformNode node;
+    final FrontNode front;
     final String at;
     private final int sockets, voteTimeout;
     private final List<Socket> clients = new ArrayList<>();
 
-    Stage(BiFunction<Stage, Event, List<Action>> decide) throws Exception {
+    PlatformTestBed(BiFunction<PlatformTestBed, Event, List<Action>> decide) throws Exception {
         this(1024, 5000, decide);
     }
 
-    Stage(int sockets, int voteTimeout, BiFunction<Stage, Event, List<Action>> decide) throws Exception {
-        this(sockets, voteTimeout, Base.clock(), decide);
+    PlatformTestBed(int sockets, int voteTimeout, BiFunction<PlatformTestBed, Event, List<Action>> decide)
+            throws Exception {
+        this(sockets, voteTimeout, NodeRuntime.clock(), decide);
     }
 
-    Stage(int sockets, int voteTimeout, LongSupplier clock, BiFunction<Stage, Event, List<Action>> decide)
+    PlatformTestBed(
+            int sockets, int voteTimeout, LongSupplier clock, BiFunction<PlatformTestBed, Event, List<Action>> decide)
             throws Exception {
         this.sockets = sockets;
         this.voteTimeout = voteTimeout;
-        node = Node.of(
-                config(discovery, desk), (set, seed) -> Peers.decider(events, e -> decide.apply(this, e)), clock);
+        node = PlatformNode.of(
+                config(discovery, desk),
+                (set, seed) -> FrontTestPeers.decider(events, e -> decide.apply(this, e)),
+                clock);
         front = node.front();
         at = "127.0.0.1:" + front.start().getPort();
     }
 
-    Config config(Party discoveryAt, Party deskAt) throws Exception {
+    NodeConfiguration config(Party discoveryAt, Party deskAt) throws Exception {
         String json = "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discoveryAt.address()
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":" + sockets
                 + "},\"rollouts\":{\"address\":\"" + deskAt.address() + "\",\"news\":{\"build\":1,\"stage\":0,"
                 + "\"phase\":\"Healthy\",\"cap\":1.0,\"age_ms\":50}},\"known\":"
                 + list(1, true, entry("active", 1, machine))
                 + ",\"settings\":" + SETTINGS.formatted(voteTimeout) + "}";
-        return Config.of(new ObjectMapper().readTree(json), Map.of());
+        return NodeConfiguration.of(new ObjectMapper().readTree(json), Map.of());
     }
 
     String entry(String state, int build, Party addr) {
@@ -145,7 +149,7 @@
     }
 
     /** Sends each req once to the machine and errors it if that fails. */
-    static List<Action> once(Stage p, Event e) {
+    static List<Action> once(PlatformTestBed p, Event e) {
         if (e instanceof Event.RequestReceived r) {
             return List.of(new Action.SendAttempt(r.requestId(), "s-1", 0));
         }
@@ -154,7 +158,7 @@
                 : List.of();
     }
 
-    static List<Action> nothing(Stage p, Event e) {
+    static List<Action> nothing(PlatformTestBed p, Event e) {
         return List.of();
     }
 
@@ -175,7 +179,7 @@
     }
 
     static void say(Socket s, String text) throws IOException {
-        Peers.say(s, text);
+        FrontTestPeers.say(s, text);
     }
 
     /** The watch that discovery was asked for, with its answer's head and these lines written. */
@@ -195,7 +199,7 @@
 
     /** As Peers.hear, and a connection that was reset has ended too. */
     static String hear(Socket s) throws IOException {
-        return Peers.hear(new FilterInputStream(s.getInputStream()) {
+        return FrontTestPeers.hear(new FilterInputStream(s.getInputStream()) {
             @Override
             public int read() throws IOException {
                 try {
@@ -222,7 +226,7 @@
     }
 
     static void await(String what, BooleanSupplier held) {
-        Rig.await(what, held);
+        FrontTestRig.await(what, held);
     }
 
     @Override
--- a/src/test/java/laurelkeel/platform/LinksTest.java
+++ b/src/test/java/laurelkeel/platform/ServiceConnectionsTest.java
@@ -8,25 +8,25 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import laurelkeel.front.Base;
-import laurelkeel.front.Rig;
-import laurelkeel.loop.Loop;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.front.FrontTestRig;
+import laurelkeel.front.NodeRuntime;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** What the platform's services say goes ahead of traffic on a loop that has fallen behind. */
-class LinksTest {
+class ServiceConnectionsTest {
     private static final int BACKLOG = 3_000;
 
-    private final Base base = Base.small(Base.clock());
-    private final Loop loop = base.loop();
-    private final Links links = new Links(loop, base.socketThreads(), base.processors(1));
+    private final NodeRuntime base = NodeRuntime.small(NodeRuntime.clock());
+    private final EventLoop loop = base.loop();
+    private final ServiceConnections links = new ServiceConnections(loop, base.socketThreads(), base.processors(1));
     private int handled;
 
     @BeforeEach
     void run() {
-        Rig.run(loop);
+        FrontTestRig.run(loop);
     }
 
     @AfterEach
@@ -44,7 +44,7 @@
     private int handledBeforeTheEnd(InetSocketAddress to) throws Exception {
         CompletableFuture<Integer> told = new CompletableFuture<>();
         loop.post(() -> {
-            links.open(to, new byte[0], new Links.Heard() {
+            links.open(to, new byte[0], new ServiceConnections.Heard() {
                 @Override
                 public void bytes(byte[] bytes, long arrived) {
                     // nothing is said
--- a/src/test/java/laurelkeel/platform/StartOrderTest.java
+++ b/src/test/java/laurelkeel/platform/StartOrderTest.java
@@ -19,9 +19,9 @@
 import laurelkeel.api.Action.Verdict;
 import laurelkeel.api.Decider;
 import laurelkeel.api.Event;
-import laurelkeel.front.Base;
-import laurelkeel.front.Outfit;
-import laurelkeel.front.Peers;
+import laurelkeel.front.FrontTestPeers;
+import laurelkeel.front.NodeRuntime;
+import laurelkeel.front.NodeServices;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -31,12 +31,12 @@
     private static final long HELD_UP_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final AtomicInteger turns = new AtomicInteger();
-    private Stage.Party discovery, control;
+    private PlatformTestBed.Party discovery, control;
 
     @BeforeEach
     void open() throws Exception {
-        discovery = new Stage.Party();
-        control = new Stage.Party();
+        discovery = new PlatformTestBed.Party();
+        control = new PlatformTestBed.Party();
     }
 
     @AfterEach
@@ -45,12 +45,13 @@
         control.close();
     }
 
-    private static Config config(Stage.Party discoveryAt, Stage.Party controlAt) throws Exception {
+    private static NodeConfiguration config(PlatformTestBed.Party discoveryAt, PlatformTestBed.Party controlAt)
+            throws Exception {
         String json = "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discoveryAt.address()
                 + "\",\"limits\":{\"sockets\":256},\"rollouts\":{\"address\":\"" + controlAt.address()
                 + "\",\"news\":{\"build\":24,\"stage\":1,\"phase\":\"Progressing\",\"cap\":0.5,\"age_ms\":9000}},\"settings\":"
-                + Stage.SETTINGS.formatted(800) + "}";
-        return Config.of(Config.JSON.readTree(json), java.util.Map.of());
+                + PlatformTestBed.SETTINGS.formatted(800) + "}";
+        return NodeConfiguration.of(NodeConfiguration.JSON.readTree(json), java.util.Map.of());
     }
 
     /** Votes at its first turn. */
@@ -60,9 +61,9 @@
     }
 
     /** The thread that starts the sources is held up until the first turn has come, or for a second. */
-    private Outfit heldUp(Outfit node) {
-        return (Outfit) Proxy.newProxyInstance(
-                Outfit.class.getClassLoader(), new Class<?>[] {Outfit.class}, (proxy, method, args) -> {
+    private NodeServices heldUp(NodeServices node) {
+        return (NodeServices) Proxy.newProxyInstance(
+                NodeServices.class.getClassLoader(), new Class<?>[] {NodeServices.class}, (proxy, method, args) -> {
                     if (method.getName().equals("start")) {
                         long end = System.nanoTime() + HELD_UP_NANOS;
                         while (turns.get() == 0 && System.nanoTime() < end) {
@@ -77,13 +78,15 @@
                 });
     }
 
-    private void votesReachTheControlService(UnaryOperator<Outfit> between) throws Exception {
-        Node node = Node.of(config(discovery, control), (settings, seed) -> voter(), Base.clock(), between);
+    private void votesReachTheControlService(UnaryOperator<NodeServices> between) throws Exception {
+        PlatformNode node =
+                PlatformNode.of(config(discovery, control), (settings, seed) -> voter(), NodeRuntime.clock(), between);
         node.front().start();
         Socket first = control.call();
         Socket second = control.call();
-        List<String> said =
-                List.of(Stage.lines(first).readLine(), Stage.lines(second).readLine());
+        List<String> said = List.of(
+                PlatformTestBed.lines(first).readLine(),
+                PlatformTestBed.lines(second).readLine());
         assertTrue(said.contains("SUB") && said.contains("SAY 24 1 approve"), said.toString());
         node.front().drain();
         assertEquals(null, node.front().ended().get(30, TimeUnit.SECONDS));
@@ -102,8 +105,9 @@
     /** SIGHUP right at the start: the addresses of the configuration before must not come back. */
     @Test
     void aConfigurationFollowedBeforeTheStartStays() throws Exception {
-        try (Stage.Party moved = new Stage.Party()) {
-            Node node = Node.of(config(discovery, control), (settings, seed) -> (now, events) -> List.of());
+        try (PlatformTestBed.Party moved = new PlatformTestBed.Party()) {
+            PlatformNode node =
+                    PlatformNode.of(config(discovery, control), (settings, seed) -> (now, events) -> List.of());
             node.follow(config(moved, control));
             node.front().start();
             moved.call().close();
@@ -118,12 +122,15 @@
     @Test
     void aVoteThatCannotBeSentIsAFailedVote() throws Exception {
         List<Event> events = new CopyOnWriteArrayList<>();
-        Decider decider = Peers.decider(
+        Decider decider = FrontTestPeers.decider(
                 events, e -> turns.getAndIncrement() == 0 ? List.of(new CastVote(24, 1, Verdict.PROMOTE)) : List.of());
-        Node node = Node.of(
-                config(discovery, control), (settings, seed) -> decider, Base.clock(), StartOrderTest::unableToVote);
+        PlatformNode node = PlatformNode.of(
+                config(discovery, control),
+                (settings, seed) -> decider,
+                NodeRuntime.clock(),
+                StartOrderTest::unableToVote);
         node.front().start();
-        Stage.await("the vote has failed", () -> events.stream()
+        PlatformTestBed.await("the vote has failed", () -> events.stream()
                 .anyMatch(e -> e instanceof Event.RolloutUpdate n
                         && n.answersVote()
                         && n.status() == Event.ControlStatus.FAILED));
@@ -132,14 +139,14 @@
         assertEquals(null, node.front().ended().get(30, TimeUnit.SECONDS));
     }
 
-    private static Outfit unableToVote(Outfit node) {
+    private static NodeServices unableToVote(NodeServices node) {
         return failing(node, "vote");
     }
 
     /** One that fails at whatever the decision module asks for by that name. */
-    private static Outfit failing(Outfit node, String name) {
-        return (Outfit) Proxy.newProxyInstance(
-                Outfit.class.getClassLoader(), new Class<?>[] {Outfit.class}, (proxy, method, args) -> {
+    private static NodeServices failing(NodeServices node, String name) {
+        return (NodeServices) Proxy.newProxyInstance(
+                NodeServices.class.getClassLoader(), new Class<?>[] {NodeServices.class}, (proxy, method, args) -> {
                     if (method.getName().equals(name)) {
                         throw new IllegalArgumentException("made");
                     }
@@ -156,13 +163,17 @@
         Decider decider = (now, events) -> turns.getAndIncrement() == 0
                 ? List.of(new Action.SendGossip(1, new byte[0]), new CastVote(24, 1, Verdict.PROMOTE))
                 : List.of();
-        Node node = Node.of(
-                config(discovery, control), (settings, seed) -> decider, Base.clock(), of -> failing(of, "tell"));
+        PlatformNode node = PlatformNode.of(
+                config(discovery, control),
+                (settings, seed) -> decider,
+                NodeRuntime.clock(),
+                of -> failing(of, "tell"));
         node.front().start();
         Socket first = control.call();
         Socket second = control.call();
-        List<String> said =
-                List.of(Stage.lines(first).readLine(), Stage.lines(second).readLine());
+        List<String> said = List.of(
+                PlatformTestBed.lines(first).readLine(),
+                PlatformTestBed.lines(second).readLine());
         assertTrue(said.contains("SAY 24 1 approve"), said.toString());
         node.front().drain();
         assertEquals(null, node.front().ended().get(30, TimeUnit.SECONDS));
@@ -171,11 +182,11 @@
     /** Closed in whatever state it is: a drain and a failure that come before the start end it once it has started. */
     @Test
     void aDrainBeforeTheStartEndsTheFrontAfterIt() throws Exception {
-        Node node = Node.of(config(discovery, control), (settings, seed) -> voter());
+        PlatformNode node = PlatformNode.of(config(discovery, control), (settings, seed) -> voter());
         node.front().drain();
         node.front().start();
         assertEquals(null, node.front().ended().get(30, TimeUnit.SECONDS));
-        Node failed = Node.of(config(discovery, control), (settings, seed) -> voter());
+        PlatformNode failed = PlatformNode.of(config(discovery, control), (settings, seed) -> voter());
         Error made = new OutOfMemoryError("made");
         failed.front().fail(made);
         failed.front().start();
--- a/src/test/java/laurelkeel/platform/StartClockTest.java
+++ b/src/test/java/laurelkeel/platform/StartTimeTranslatorTest.java
@@ -5,13 +5,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Starts on the front's clock, where the host's wall clock is right, ahead and behind. Tenths of a millisecond. */
-class StartClockTest {
+class StartTimeTranslatorTest {
     private static final long NOW = 50_000_000, UNIX_MS = 1_700_000_000_000L, SECOND = 10_000, HOUR = 3600 * SECOND;
     private static final long RIGHT = NOW - UNIX_MS * 10;
 
     /** @param ahead how far the host's clock was ahead when it was read */
-    private static StartClock clock(long ahead) {
-        return new StartClock(RIGHT - ahead);
+    private static StartTimeTranslator clock(long ahead) {
+        return new StartTimeTranslator(RIGHT - ahead);
     }
 
     @Test
@@ -24,7 +24,7 @@
     @Test
     void noStartIsInTheFutureHoweverFarTheClockWasBehind() {
         for (long behind : new long[] {5 * SECOND, HOUR}) {
-            StartClock clock = clock(-behind);
+            StartTimeTranslator clock = clock(-behind);
             assertEquals(NOW, clock.moment(UNIX_MS, NOW, false));
             assertEquals(NOW - 2 * SECOND, clock.moment(UNIX_MS - 2_000, NOW, false));
         }
@@ -33,7 +33,7 @@
     @Test
     void aStartThatIsToldAsItHappensCorrectsAClockThatWasFarAhead() {
         for (long ahead : new long[] {40 * SECOND, HOUR}) {
-            StartClock clock = clock(ahead);
+            StartTimeTranslator clock = clock(ahead);
             assertEquals(NOW, clock.moment(UNIX_MS, NOW, true));
             assertEquals(NOW + SECOND, clock.moment(UNIX_MS + 1_000, NOW + 2 * SECOND, true));
             // only what is fresh: a list tells old starts too
@@ -50,7 +50,7 @@
     /** What comes after it shows that it was old, and no start is taken for older than it is. */
     @Test
     void aMachineThatReturnsWithAnOldStartMisleadsNobodyForLong() {
-        StartClock clock = clock(0);
+        StartTimeTranslator clock = clock(0);
         assertEquals(NOW, clock.moment(UNIX_MS - 600_000, NOW, true));
         assertEquals(NOW + SECOND, clock.moment(UNIX_MS + 1_000, NOW + SECOND, true));
         assertEquals(NOW + SECOND, clock.moment(UNIX_MS + 1_000, NOW + 3 * SECOND, false));
@@ -58,7 +58,7 @@
 
     @Test
     void aTimeThatNoClockTellsCorrectsNothing() {
-        StartClock clock = clock(0);
+        StartTimeTranslator clock = clock(0);
         assertEquals(NOW, clock.moment(Long.MAX_VALUE, NOW, true));
         assertEquals(NOW, clock.moment(UNIX_MS * 2, NOW, false));
         assertEquals(NOW - SECOND, clock.moment(UNIX_MS - 1_000, NOW, false));
--- a/src/test/java/laurelkeel/records/RecorderTest.java
+++ b/src/test/java/laurelkeel/records/RecorderTest.java
@@ -22,7 +22,7 @@
         for (boolean eachAtOnce : new boolean[] {true, false}) {
             Recorder r = new Recorder(Path.of("/dev/full"), eachAtOnce);
             for (int i = 0; i < 1000; i++) {
-                r.record(new Rec.FrontUp(i, 0, "life"));
+                r.record(new TrafficRecord.FrontUp(i, 0, "life"));
             }
             r.close();
             assertEquals(1000, r.lost());
@@ -32,7 +32,10 @@
     @Test
     void recordsComeBackAsTheyWereAndACutLastLineIsPassedOver() throws IOException {
         Path file = folder.resolve("a.jsonl");
-        List<Rec> all = List.of(new Rec.FrontUp(1, 0, "x"), new Rec.Lost(2, 5), new Rec.FrontDown(3, 0, true));
+        List<TrafficRecord> all = List.of(
+                new TrafficRecord.FrontUp(1, 0, "x"),
+                new TrafficRecord.Lost(2, 5),
+                new TrafficRecord.FrontDown(3, 0, true));
         try (Recorder r = new Recorder(file, false)) {
             all.forEach(r::record);
         }
@@ -46,7 +49,7 @@
     @Test
     void aHalfLineOfALifeBeforeIsCutOffAtTheOpen() throws IOException {
         Path file = folder.resolve("a.jsonl");
-        List<Rec> all = List.of(new Rec.FrontUp(1, 0, "x"), new Rec.Lost(2, 5));
+        List<TrafficRecord> all = List.of(new TrafficRecord.FrontUp(1, 0, "x"), new TrafficRecord.Lost(2, 5));
         for (String half : List.of("", "{\"kind\":\"fr", "{}".repeat(3))) {
             Files.deleteIfExists(file);
             try (Recorder r = new Recorder(file, false)) {
--- a/src/test/java/laurelkeel/day/DayTest.java
+++ b/src/test/java/laurelkeel/scenario/ScenarioTest.java
@@ -1,4 +1,4 @@
-package laurelkeel.day;
+package laurelkeel.scenario;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -7,13 +7,13 @@
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.file.Path;
-import laurelkeel.audit.Judgement;
-import laurelkeel.config.Ini;
+import laurelkeel.audit.AuditReport;
+import laurelkeel.config.IniFile;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** Small days with real front processes: the verdict is the same however often they are played. */
-class DayTest {
+class ScenarioTest {
     @TempDir
     Path folder;
 
@@ -63,16 +63,17 @@
             leave-early = 0.05
             """;
 
-    private Judgement play(String more) throws Exception {
+    private AuditReport play(String more) throws Exception {
         return play("", more);
     }
 
     /** line: more of the release line's settings. */
-    private Judgement play(String line, String more) throws Exception {
+    private AuditReport play(String line, String more) throws Exception {
         ByteArrayOutputStream said = new ByteArrayOutputStream();
-        Judgement j = new Day(
-                        DayPlan.read(
-                                Ini.parse("small.ini", SMALL.replace("[line]\n", "[line]\n" + line) + more), "small"),
+        AuditReport j = new ScenarioRun(
+                        Scenario.read(
+                                IniFile.parse("small.ini", SMALL.replace("[line]\n", "[line]\n" + line) + more),
+                                "small"),
                         5,
                         folder,
                         new PrintStream(said))
--- a/src/test/java/laurelkeel/WireTest.java
+++ b/src/test/java/laurelkeel/simulatoradapter/SimulatorAdapterTest.java
@@ -1,4 +1,4 @@
-package laurelkeel;
+package laurelkeel.simulatoradapter;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -8,12 +8,10 @@
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
-import laurelkeel.benchlink.BenchLink;
-import laurelkeel.benchlink.Malformed;
-import laurelkeel.decision.Shifter;
+import laurelkeel.decision.RoutingDecider;
 import org.junit.jupiter.api.Test;
 
-class WireTest {
+class SimulatorAdapterTest {
     private static final String START =
             """
             round 1000.25 1
@@ -28,7 +26,8 @@
 
     private static String play(String text) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new BenchLink(Shifter::new).run(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), out);
+        new SimulatorAdapter(RoutingDecider::new)
+                .run(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), out);
         return out.toString(StandardCharsets.UTF_8);
     }
 
@@ -49,7 +48,8 @@
             {"round 1 2\nring 0 1.5\ncommit\n", "ring.handle"},
             {"round 1 2\nring 9 1\ncommit\n", "ring.front"}
         }) {
-            Malformed e = assertThrows(Malformed.class, () -> play(START + c[0]));
+            MalformedSimulatorMessageException e =
+                    assertThrows(MalformedSimulatorMessageException.class, () -> play(START + c[0]));
             assertTrue(e.getMessage().contains(c[1]) && e.getMessage().contains("line "), e.getMessage());
         }
     }
@@ -57,7 +57,7 @@
     @Test
     void aFailingDeciderBecomesAFaultOfItsFrontOnly() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new BenchLink((set, seed) -> (now, events) -> {
+        new SimulatorAdapter((set, seed) -> (now, events) -> {
                     throw new IllegalStateException("boom\nhere");
                 })
                 .run(new ByteArrayInputStream(START.getBytes(StandardCharsets.UTF_8)), out);
--- a/src/test/java/laurelkeel/soak/FailingCallsTest.java
+++ b/src/test/java/laurelkeel/soak/FailingCallsTest.java
@@ -14,9 +14,9 @@
 import java.nio.file.StandardCopyOption;
 import java.util.Map;
 import java.util.Optional;
-import laurelkeel.front.Rig;
-import laurelkeel.platform.Stage;
-import laurelkeel.standin.Ports;
+import laurelkeel.front.FrontTestRig;
+import laurelkeel.platform.PlatformTestBed;
+import laurelkeel.testbed.PortAllocator;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.BeforeEach;
@@ -46,7 +46,7 @@
     Path folder;
 
     private int port;
-    private Stage.Party discovery, control;
+    private PlatformTestBed.Party discovery, control;
     private NodeProcess node;
 
     @BeforeAll
@@ -57,9 +57,9 @@
 
     @BeforeEach
     void open() throws Exception {
-        port = Ports.free();
-        discovery = new Stage.Party();
-        control = new Stage.Party();
+        port = PortAllocator.free();
+        discovery = new PlatformTestBed.Party();
+        control = new PlatformTestBed.Party();
     }
 
     @AfterEach
@@ -74,7 +74,7 @@
     private String config() {
         return "{\"name\":\"n\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"" + discovery.address()
                 + "\",\"limits\":{\"sockets\":" + DESCRIPTORS + "},\"rollouts\":{\"address\":\"" + control.address()
-                + "\"},\"settings\":" + Stage.SETTINGS.formatted(800) + "}";
+                + "\"},\"settings\":" + PlatformTestBed.SETTINGS.formatted(800) + "}";
     }
 
     private void start(String faults) throws Exception {
@@ -113,15 +113,15 @@
     void anAcceptThatFailsCostsAMoment() throws Exception {
         // ECONNABORTED too, though the runtime tries again by itself there
         start("accept:" + ENFILE + ":0:" + FOREVER_MS + ":40,accept:" + ECONNABORTED + ":0:" + FOREVER_MS + ":10");
-        Rig.await("it answers", this::answers);
+        FrontTestRig.await("it answers", this::answers);
         answersInAMoment();
     }
 
     @Test
     void aNodeThatCanAcceptNothingStillEndsInOrder() throws Exception {
         start("accept:" + ENFILE + ":2500:" + FOREVER_MS + ":100");
-        Rig.await("it answers", this::answers);
-        Rig.await("accepts fail", () -> node.age() > 2_600);
+        FrontTestRig.await("it answers", this::answers);
+        FrontTestRig.await("accepts fail", () -> node.age() > 2_600);
         try (Socket waits = new Socket("127.0.0.1", port)) {
             assertTrue(waits.isConnected());
             node.signal("TERM");
@@ -137,7 +137,7 @@
         start("connect:" + EADDRNOTAVAIL + ":0:1500:100,socket:" + ENFILE + ":0:700:100");
         discovery.call();
         control.call();
-        Rig.await("it answers", this::answers);
+        FrontTestRig.await("it answers", this::answers);
         assertTrue(node.isAlive());
     }
 
@@ -149,7 +149,7 @@
         node = NodeProcess.start(image, file, folder.resolve("node.log"), Map.of(), DESCRIPTORS);
         try (OutputStream pipe = Files.newOutputStream(file)) {
             node.signal("TERM");
-            Rig.await("it is heard, or the node ends", () -> heard("SIGTERM") || !node.isAlive());
+            FrontTestRig.await("it is heard, or the node ends", () -> heard("SIGTERM") || !node.isAlive());
             assertTrue(node.isAlive(), node.log());
             pipe.write(config().getBytes(UTF_8));
         }
@@ -169,11 +169,11 @@
     void aConfigurationThatCannotBeReadYetIsReadAgain() throws Exception {
         Path file = Files.createSymbolicLink(folder.resolve("config.json"), folder);
         node = NodeProcess.start(image, file, folder.resolve("node.log"), Map.of(), DESCRIPTORS);
-        Rig.await("it reads again, or ends", () -> heard("is read again") || !node.isAlive());
+        FrontTestRig.await("it reads again, or ends", () -> heard("is read again") || !node.isAlive());
         assertTrue(node.isAlive(), node.log());
         Path aside = Files.writeString(folder.resolve("config.json.new"), config());
         Files.move(aside, file, StandardCopyOption.ATOMIC_MOVE);
-        Rig.await("it answers", this::answers);
+        FrontTestRig.await("it answers", this::answers);
     }
 
     @Test
@@ -183,10 +183,10 @@
         try (java.net.ServerSocket taken =
                 new java.net.ServerSocket(port, 5, java.net.InetAddress.getByName("127.0.0.1"))) {
             node = NodeProcess.start(image, file, folder.resolve("node.log"), Map.of(), DESCRIPTORS);
-            Rig.await("it waits, or ends", () -> heard("cannot be opened yet") || !node.isAlive());
+            FrontTestRig.await("it waits, or ends", () -> heard("cannot be opened yet") || !node.isAlive());
             assertTrue(node.isAlive(), node.log());
             assertEquals(port, taken.getLocalPort());
         }
-        Rig.await("it answers", this::answers);
+        FrontTestRig.await("it answers", this::answers);
     }
 }
--- a/src/test/java/laurelkeel/wire/HttpParserTest.java
+++ b/src/test/java/laurelkeel/wire/HttpParserTest.java
@@ -26,7 +26,7 @@
         return s.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static List<Object> read(HttpParser p, byte[] all, int... cuts) throws BadHttp {
+    private static List<Object> read(HttpParser p, byte[] all, int... cuts) throws HttpProtocolException {
         List<Object> out = new ArrayList<>();
         int from = 0;
         for (int i = 0; i <= cuts.length; i++) {
@@ -51,7 +51,7 @@
     void everyCutOfAnswersReadsTheSame() throws Exception {
         byte[] body = new byte[200];
         body[0] = 'r';
-        HttpAnswer a = new HttpAnswer(200, Headers.of("X", "1"), body);
+        HttpResponse a = new HttpResponse(200, Headers.of("X", "1"), body);
         byte[] one = new byte[HttpWriter.write(a).remaining()];
         HttpWriter.write(a).get(one);
         byte[] both = Arrays.copyOf(one, one.length * 2);
@@ -59,11 +59,11 @@
         for (int cut = 0; cut < both.length; cut++) {
             List<Object> got = read(new HttpParser(HttpParser.Side.ANSWERS, HttpLimits.USUAL), both, cut, cut + 64);
             assertEquals(2, got.size(), "cut at " + cut);
-            assertArrayEquals(body, ((HttpAnswer) got.get(1)).body());
+            assertArrayEquals(body, ((HttpResponse) got.get(1)).body());
         }
     }
 
-    record Message(String text, HttpReq is) {}
+    record Message(String text, HttpRequest is) {}
 
     @Provide
     Arbitrary<Message> messages() {
@@ -86,21 +86,21 @@
             } else {
                 s.append("Content-Length: ").append(b.length).append("\r\n\r\n").append(raw);
             }
-            return new Message(s.toString(), new HttpReq("POST", "/a/b?x=1", 1, Headers.of("V", v), b));
+            return new Message(s.toString(), new HttpRequest("POST", "/a/b?x=1", 1, Headers.of("V", v), b));
         });
     }
 
     @Property(tries = 300)
     void pipelinedReqsReadTheSameInAnyPieces(
             @ForAll("messages") Message a, @ForAll("messages") Message b, @ForAll int cut, @ForAll int second)
-            throws BadHttp {
+            throws HttpProtocolException {
         byte[] all = bytes(a.text + "\r\n" + b.text);
         int c = Math.floorMod(cut, all.length);
         List<Object> got = read(reqs(), all, c, c + Math.floorMod(second, 40));
         assertEquals(2, got.size());
         for (int i = 0; i < 2; i++) {
-            HttpReq want = (i == 0 ? a : b).is;
-            HttpReq is = (HttpReq) got.get(i);
+            HttpRequest want = (i == 0 ? a : b).is;
+            HttpRequest is = (HttpRequest) got.get(i);
             assertArrayEquals(want.body(), is.body());
             assertEquals(want.headers().get("V"), is.headers().get("V"));
             assertEquals("/a/b", is.path());
@@ -117,12 +117,12 @@
         HttpParser p = new HttpParser(answers ? HttpParser.Side.ANSWERS : HttpParser.Side.REQS, SMALL);
         try {
             read(p, all, all.length / 2);
-        } catch (BadHttp e) {
+        } catch (HttpProtocolException e) {
             assertTrue(e.status() >= 400 && e.status() < 600, e.getMessage());
             ByteBuffer more = ByteBuffer.wrap(bytes(m.text));
             try {
                 assertEquals(null, p.read(more));
-            } catch (BadHttp again) {
+            } catch (HttpProtocolException again) {
                 throw new AssertionError("a broken connection was read on", again);
             }
         }
@@ -158,7 +158,7 @@
             {head + "Transfer-Encoding: chunked\r\n\r\n1" + "0".repeat(20) + "\r\n", "400"}
         };
         for (String[] b : bad) {
-            BadHttp e = assertThrows(BadHttp.class, () -> read(reqs(), bytes(b[0])), b[0]);
+            HttpProtocolException e = assertThrows(HttpProtocolException.class, () -> read(reqs(), bytes(b[0])), b[0]);
             assertEquals(b[1], Integer.toString(e.status()), b[0] + " -> " + e.getMessage());
         }
     }
@@ -172,8 +172,8 @@
                         + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.0 200 OK\r\n\r\nto the end"));
         assertEquals(
                 List.of(204, 200),
-                got.stream().map(a -> ((HttpAnswer) a).status()).toList());
-        assertEquals("to the end", new String(((HttpAnswer) p.finish()).body(), UTF_8));
+                got.stream().map(a -> ((HttpResponse) a).status()).toList());
+        assertEquals("to the end", new String(((HttpResponse) p.finish()).body(), UTF_8));
         HttpParser head = new HttpParser(HttpParser.Side.ANSWERS, SMALL);
         head.nextIsToHead();
         assertEquals(
--- a/src/test/java/laurelkeel/wire/TellingHandler.java
+++ b/src/test/java/laurelkeel/wire/RecordingHandler.java
@@ -6,7 +6,7 @@
 import org.apache.mina.core.session.IoSession;
 
 /** Keeps what a connection's reader is told, up to CLOSED, and closes where the other side has ended or an error came. */
-class TellingHandler extends IoHandlerAdapter {
+class RecordingHandler extends IoHandlerAdapter {
     static final Object CLOSED = "closed";
 
     final BlockingQueue<Object> told = new LinkedBlockingQueue<>();
--- a/src/test/java/laurelkeel/wire/RequestEndsTest.java
+++ b/src/test/java/laurelkeel/wire/RequestEndTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A request counts only once its last byte has come, however its client ends the connection before (RFC 9112, 6.3 and 8). */
-class RequestEndsTest {
+class RequestEndTest {
     private static final List<String> REQUESTS = List.of(
             "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
             "HEAD / HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -30,7 +30,7 @@
         RESET
     }
 
-    private final TellingHandler handler = new TellingHandler();
+    private final RecordingHandler handler = new RecordingHandler();
     private final NioSocketAcceptor acceptor = new NioSocketAcceptor(1);
 
     @BeforeEach
@@ -67,9 +67,9 @@
     private int untilClosed() throws InterruptedException {
         int requests = 0;
         for (Object next = handler.told.poll(10, TimeUnit.SECONDS);
-                next != TellingHandler.CLOSED;
+                next != RecordingHandler.CLOSED;
                 next = handler.told.poll(10, TimeUnit.SECONDS)) {
-            assertTrue(next instanceof HttpReq, "told " + next);
+            assertTrue(next instanceof HttpRequest, "told " + next);
             requests++;
         }
         return requests;
--- a/src/test/java/laurelkeel/wire/AnswerEndsTest.java
+++ b/src/test/java/laurelkeel/wire/ResponseEndTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /** An answer counts as whole only where the server itself ended it, whatever way its body ends (RFC 9112, 6.3 and 8). */
-class AnswerEndsTest {
+class ResponseEndTest {
     private static final String UNTIL_CLOSE = "HTTP/1.1 200 OK\r\nX-A: b\r\n\r\nall of it";
     private static final String LENGTH = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nall of it";
     private static final String CHUNKED =
@@ -42,7 +42,7 @@
         OURS
     }
 
-    private final TellingHandler handler = new TellingHandler();
+    private final RecordingHandler handler = new RecordingHandler();
     private final NioSocketConnector connector = new NioSocketConnector(1);
     private ServerSocket server;
 
@@ -89,7 +89,7 @@
         }
         List<Object> all = new java.util.ArrayList<>();
         for (Object next = handler.told.poll(10, TimeUnit.SECONDS);
-                next != TellingHandler.CLOSED;
+                next != RecordingHandler.CLOSED;
                 next = handler.told.poll(10, TimeUnit.SECONDS)) {
             assertTrue(next != null, "the connection did not end");
             all.add(next);
@@ -98,7 +98,7 @@
     }
 
     private static boolean whole(List<Object> told) {
-        return told.stream().anyMatch(HttpAnswer.class::isInstance);
+        return told.stream().anyMatch(HttpResponse.class::isInstance);
     }
 
     @Test
