--- a/src/main/java/laurelkeel/admin/AdminServer.java
+++ b/src/main/java/laurelkeel/admin/AdminServer.java
@@ -61,7 +61,7 @@
         public void messageReceived(IoSession session, Object message) {
             if (message instanceof HttpRequest r) {
                 session.write(answer(r));
-                if (r.last()) {
+                if (r.closesConnection()) {
                     session.closeOnFlush();
                 }
             } else {
@@ -91,7 +91,7 @@
         int status =
                 !get ? 405 : h != null ? h.equals("ok") ? 200 : 503 : r.path().equals("/metrics") ? 200 : 404;
         Headers headers = Headers.of("Content-Type", "text/plain; version=0.0.4; charset=utf-8");
-        if (r.last()) {
+        if (r.closesConnection()) {
             headers.add("Connection", "close");
         }
         return new HttpResponse(
--- a/src/main/java/laurelkeel/bench/BareRelay.java
+++ b/src/main/java/laurelkeel/bench/BareRelay.java
@@ -40,12 +40,12 @@
         ports.forEach(
                 p -> machines.add(new Machine(new InetSocketAddress("127.0.0.1", p), new ConcurrentLinkedDeque<>())));
         connector.getSessionConfig().setTcpNoDelay(true);
-        connector.getFilterChain().addLast("http", HttpCodec.client(HttpLimits.USUAL));
+        connector.getFilterChain().addLast("http", HttpCodec.client(HttpLimits.DEFAULT));
         connector.setHandler(new Upstream());
         acceptor.setReuseAddress(true);
         acceptor.setBacklog(8192);
         acceptor.getSessionConfig().setTcpNoDelay(true);
-        acceptor.getFilterChain().addLast("http", HttpCodec.server(HttpLimits.USUAL));
+        acceptor.getFilterChain().addLast("http", HttpCodec.server(HttpLimits.DEFAULT));
         acceptor.setHandler(new Clients());
         new AdminServer(
                         Executors.newCachedThreadPool(),
--- a/src/main/java/laurelkeel/bench/EchoServers.java
+++ b/src/main/java/laurelkeel/bench/EchoServers.java
@@ -37,7 +37,7 @@
             NioSocketAcceptor a = new NioSocketAcceptor(threads, processors);
             a.setReuseAddress(true);
             a.getSessionConfig().setTcpNoDelay(true);
-            a.getFilterChain().addLast("http", HttpCodec.server(HttpLimits.USUAL));
+            a.getFilterChain().addLast("http", HttpCodec.server(HttpLimits.DEFAULT));
             a.setHandler(new IoHandlerAdapter() {
                 @Override
                 public void messageReceived(IoSession session, Object message) {
--- a/src/main/java/laurelkeel/bench/LoadClient.java
+++ b/src/main/java/laurelkeel/bench/LoadClient.java
@@ -39,7 +39,7 @@
 
     LoadClient(InetSocketAddress at, int connections) throws IOException {
         connector.getSessionConfig().setTcpNoDelay(true);
-        connector.getFilterChain().addLast("http", HttpCodec.client(HttpLimits.USUAL));
+        connector.getFilterChain().addLast("http", HttpCodec.client(HttpLimits.DEFAULT));
         connector.setHandler(new IoHandlerAdapter() {
             @Override
             public void messageReceived(IoSession session, Object message) {
--- a/src/main/java/laurelkeel/cli/ClassArchiveTraining.java
+++ b/src/main/java/laurelkeel/cli/ClassArchiveTraining.java
@@ -112,8 +112,8 @@
         String known = "{\"version\":1,\"full\":true,\"servers\":[" + old + "," + more + "]}";
         NodeConfiguration config =
                 NodeConfiguration.of(new ObjectMapper().readTree(CONFIG.formatted(discovery, desk, known)), Map.of());
-        PlatformNode node = PlatformNode.of(config, RoutingDecider::new);
-        FrontNode front = node.front();
+        PlatformNode node = PlatformNode.create(config, RoutingDecider::new);
+        FrontNode front = node.frontNode();
         int port = front.start().getPort();
         int served = 0;
         try (Socket c = new Socket(InetAddress.getLoopbackAddress(), port)) {
@@ -135,9 +135,9 @@
                 }
             }
         }
-        node.follow(config);
+        node.reconfigure(config);
         front.drain();
-        front.ended().get();
+        front.termination().get();
         System.err.println("rehearsed: " + served + " of " + REQS + " reqs served");
         return served == REQS ? 0 : Cli.FAILED;
     }
--- a/src/main/java/laurelkeel/cli/FrontCommand.java
+++ b/src/main/java/laurelkeel/cli/FrontCommand.java
@@ -25,16 +25,16 @@
     public Integer call() throws Exception {
         FrontSettings set = FrontSettings.read(file);
         FrontNode front = new FrontNode(set, RoutingDecider::new);
-        long most = set.decisions().routes().stream()
+        long most = set.decisionSettings().routes().stream()
                         .mapToLong(r -> r.timeoutTicks())
                         .max()
                         .orElse(0)
-                + set.ingress().drainMost();
+                + set.ingress().maxDrainTicks();
         Thread hook = new Thread(
                 () -> {
                     front.drain();
                     try {
-                        front.ended().get(most / 10 + 5_000, TimeUnit.MILLISECONDS);
+                        front.termination().get(most / 10 + 5_000, TimeUnit.MILLISECONDS);
                     } catch (Exception e) {
                         System.err.println("laurelkeel: the front did not end in its time: " + e);
                     }
@@ -45,7 +45,7 @@
         // threads of libraries too: none may die alone
         Thread.setDefaultUncaughtExceptionHandler((thread, e) -> front.fail(e));
         front.start();
-        Throwable failure = front.ended().get();
+        Throwable failure = front.termination().get();
         return failure == null ? 0 : Cli.FAILED;
     }
 }
--- a/src/main/java/laurelkeel/cli/Serve.java
+++ b/src/main/java/laurelkeel/cli/Serve.java
@@ -35,7 +35,7 @@
         Path file = Path.of(at);
         CompletableFuture<PlatformNode> serving = new CompletableFuture<>();
         // before all else: without a handler either signal would end the process
-        handle("TERM", () -> serving.join().front().drain());
+        handle("TERM", () -> serving.join().frontNode().drain());
         handle("HUP", () -> reread(file, env, serving.join()));
         NodeConfiguration config;
         try {
@@ -46,18 +46,18 @@
         }
         PlatformNode node;
         try {
-            node = PlatformNode.of(config, RoutingDecider::new);
+            node = PlatformNode.create(config, RoutingDecider::new);
         } catch (RuntimeException | Error e) {
             // signals that wait for it would keep the process alive
             serving.completeExceptionally(e);
             throw e;
         }
-        FrontNode front = node.front();
+        FrontNode front = node.frontNode();
         // threads of libraries too: none may die alone
         Thread.setDefaultUncaughtExceptionHandler((thread, e) -> front.fail(e));
         serving.complete(node);
         front.start();
-        Throwable failure = front.ended().get();
+        Throwable failure = front.termination().get();
         RateLimitedAsyncAppender.flush(Cli.LOGS_MS);
         return failure == null ? 0 : Cli.FAILED;
     }
@@ -102,7 +102,7 @@
         boolean readable = false;
         for (int i = 0; i < (readable ? REREADS : REREADS_UNREADABLE); i++) {
             try {
-                node.follow(NodeConfiguration.read(file, env));
+                node.reconfigure(NodeConfiguration.read(file, env));
                 return;
             } catch (InvalidConfigurationException e) {
                 why = e.getMessage();
--- a/src/main/java/laurelkeel/eventloop/EventLoop.java
+++ b/src/main/java/laurelkeel/eventloop/EventLoop.java
@@ -48,21 +48,21 @@
     private final MpscUnboundedArrayQueue<Runnable> posted = new MpscUnboundedArrayQueue<>(1024);
     private final MpscUnboundedArrayQueue<Runnable> news = new MpscUnboundedArrayQueue<>(64);
     private final PriorityQueue<ScheduledTask> alarms = new PriorityQueue<>();
-    private final LongSupplier clock;
+    private final LongSupplier clockTicks;
     private long order;
     private int cancelled;
-    private long now;
+    private long nowTicks;
     private volatile boolean asleep, stopped;
     private volatile Throwable failure;
     /** Counted by the loop's thread alone. */
-    private volatile int failures;
+    private volatile int failedTasks;
 
     private Thread thread;
 
     /** @param clock tenths of a millisecond, only advancing */
     public EventLoop(LongSupplier clock) {
-        this.clock = clock;
-        this.now = clock.getAsLong();
+        this.clockTicks = clock;
+        this.nowTicks = clock.getAsLong();
     }
 
     /** From any thread: run it in the next turn, in the order of posting. */
@@ -72,7 +72,7 @@
     }
 
     /** From any thread: as post, but ahead of all traffic. */
-    public void postNews(Runnable r) {
+    public void postPriority(Runnable r) {
         news.offer(r);
         wake();
     }
@@ -84,22 +84,22 @@
     }
 
     /** How much is posted and not yet run; what bounds the queue asks this before it posts. */
-    public int backlog() {
+    public int queuedTasks() {
         return posted.size();
     }
 
     /** The moment of the present turn. */
-    public long now() {
-        return now;
+    public long nowTicks() {
+        return nowTicks;
     }
 
     /** The moment right now, from any thread. */
-    public long clock() {
-        return clock.getAsLong();
+    public long clockTicks() {
+        return clockTicks.getAsLong();
     }
 
     /** Loop thread only. */
-    public ScheduledTask at(long when, Runnable then) {
+    public ScheduledTask schedule(long when, Runnable then) {
         if (cancelled > SWEEP && cancelled > alarms.size() / 2) {
             // most reqs end long before their time-outs: what guards those must not fill the heap
             alarms.removeIf(a -> a.then == null);
@@ -131,11 +131,11 @@
     public void run(java.util.function.BooleanSupplier end) {
         thread = Thread.currentThread();
         while (!stopped) {
-            now = Math.max(now, clock.getAsLong());
+            nowTicks = Math.max(nowTicks, clockTicks.getAsLong());
             // bounded too: a source that never pauses must not keep traffic and alarms from their turn
             boolean ran = drain(news, A_TURN);
             ran |= drain(posted, A_TURN);
-            while (!alarms.isEmpty() && alarms.peek().at <= now) {
+            while (!alarms.isEmpty() && alarms.peek().at <= nowTicks) {
                 ScheduledTask due = alarms.poll();
                 Runnable then = due.then;
                 due.then = null;
@@ -172,7 +172,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            failures++;
+            failedTasks++;
             LOG.error("a task of the loop failed; the loop goes on", e);
         }
     }
@@ -181,14 +181,14 @@
      * Runs what was posted and had no turn, on the loop's thread once run has ended: others may be owed something for it. Nothing
      * is decided any more, for no turn's end is called.
      */
-    public void runRest() {
+    public void runRemaining() {
         drain(news, Integer.MAX_VALUE);
         drain(posted, Integer.MAX_VALUE);
     }
 
     /** Tasks and alarms that failed since the start; on any thread. */
-    public int failures() {
-        return failures;
+    public int failedTasks() {
+        return failedTasks;
     }
 
     private void sleep() {
@@ -198,7 +198,7 @@
             if (alarms.isEmpty()) {
                 LockSupport.parkNanos(this, 1_000_000_000L);
             } else {
-                long left = alarms.peek().at - clock.getAsLong();
+                long left = alarms.peek().at - clockTicks.getAsLong();
                 if (left > 0) {
                     LockSupport.parkNanos(this, left * 100_000L);
                 }
--- a/src/main/java/laurelkeel/eventloop/LoopThreads.java
+++ b/src/main/java/laurelkeel/eventloop/LoopThreads.java
@@ -25,11 +25,11 @@
     }
 
     /** As many as are needed, for what brings its own number. */
-    public static ExecutorService many(EventLoop loop, String name) {
+    public static ExecutorService cachedPool(EventLoop loop, String name) {
         return Executors.newCachedThreadPool(named(loop, name));
     }
 
-    public static ExecutorService some(EventLoop loop, String name, int threads) {
+    public static ExecutorService fixedPool(EventLoop loop, String name, int threads) {
         return Executors.newFixedThreadPool(threads, named(loop, name));
     }
 
--- a/src/main/java/laurelkeel/front/ControlPlaneEvents.java
+++ b/src/main/java/laurelkeel/front/ControlPlaneEvents.java
@@ -42,12 +42,12 @@
         this.life = life;
         this.loop = loop;
         this.last = last;
-        this.records = set.records() == null ? null : new Recorder(set.records(), true);
+        this.records = set.recordFile() == null ? null : new Recorder(set.recordFile(), true);
         record(new TrafficRecord.FrontUp(Recorder.now(), self(), life));
     }
 
     private int self() {
-        return set.decisions().nodeIndex();
+        return set.decisionSettings().nodeIndex();
     }
 
     private void record(TrafficRecord r) {
@@ -74,13 +74,13 @@
 
     /** The host's clock at a moment of the front's. */
     private long hostTime(long arrived) {
-        return Recorder.now() - (loop.clock() - arrived);
+        return Recorder.now() - (loop.clockTicks() - arrived);
     }
 
     /** The list kept from the life before. */
     Event.EndpointListUpdate remembered() {
         List<EndpointListMessage.Machine> kept = last.read();
-        Event.EndpointListUpdate e = event(Event.EndpointListKind.CACHED, kept, loop.clock());
+        Event.EndpointListUpdate e = event(Event.EndpointListKind.CACHED, kept, loop.clockTicks());
         // the first real list tells better ages
         starts.clear();
         now.clear();
@@ -160,7 +160,7 @@
 
     private long age(RolloutMessage line, long arrived) {
         // counted from when the bytes came, not from when the loop got to them
-        return Math.max(0, (long) Math.floor(line.ageMs() * 10)) + Math.max(0, loop.now() - arrived);
+        return Math.max(0, (long) Math.floor(line.ageMs() * 10)) + Math.max(0, loop.nowTicks() - arrived);
     }
 
     /** What a line says; first the end of what it no longer names. */
--- a/src/main/java/laurelkeel/front/EventInbox.java
+++ b/src/main/java/laurelkeel/front/EventInbox.java
@@ -14,12 +14,12 @@
     private List<String> leftPlaces = new ArrayList<>();
 
     /** Hands an event to the decision module in the present turn. */
-    public void learn(Event event) {
+    public void add(Event event) {
         events.add(event);
     }
 
     /** Nothing new goes on idle connections to this place: its machine is not there any more. */
-    public void leave(String place) {
+    public void retireAddress(String place) {
         leftPlaces.add(place);
     }
 
@@ -35,7 +35,7 @@
     }
 
     /** The places that were left; each is handed over once. */
-    List<String> takeLeftPlaces() {
+    List<String> takeRetiredAddresses() {
         List<String> taken = leftPlaces;
         leftPlaces = new ArrayList<>();
         return taken;
--- a/src/main/java/laurelkeel/front/FrontMetrics.java
+++ b/src/main/java/laurelkeel/front/FrontMetrics.java
@@ -9,7 +9,6 @@
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.function.Supplier;
 import laurelkeel.api.Event.AttemptOutcome;
@@ -42,14 +41,10 @@
             outcomes.put(o, counter("laurelkeel_outcomes_total", "outcome", WireTerms.metricLabel(o)));
         }
         for (RequestOutcome e : RequestOutcome.values()) {
-            ends.put(e, counter("laurelkeel_answers_total", "answer", word(e)));
+            ends.put(e, counter("laurelkeel_answers_total", "answer", WireTerms.metricLabel(e)));
         }
     }
 
-    private static String word(Enum<?> e) {
-        return e.name().toLowerCase(Locale.ROOT);
-    }
-
     private Counter counter(String name, String tag, String value) {
         return Counter.builder(name).tag(tag, value).register(registry);
     }
--- a/src/main/java/laurelkeel/front/FrontNode.java
+++ b/src/main/java/laurelkeel/front/FrontNode.java
@@ -86,10 +86,10 @@
     private boolean listening = true;
     private volatile FrontState state = FrontState.CREATED;
     private final RequestTotals totals = new RequestTotals();
-    private final CompletableFuture<Throwable> ended = new CompletableFuture<>();
+    private final CompletableFuture<Throwable> termination = new CompletableFuture<>();
 
     public FrontNode(FrontSettings set, Decider.Factory maker) throws IOException {
-        this(set, maker, NodeRuntime.clock(), true);
+        this(set, maker, NodeRuntime.monotonicClock(), true);
     }
 
     /**
@@ -98,12 +98,12 @@
      *     proved on a decider that breaks the rules
      */
     FrontNode(FrontSettings set, Decider.Factory maker, LongSupplier clock, boolean guarded) throws IOException {
-        this(set, maker, NodeRuntime.of(clock), guarded);
+        this(set, maker, NodeRuntime.create(clock), guarded);
     }
 
     private FrontNode(FrontSettings set, Decider.Factory maker, NodeRuntime base, boolean guarded) throws IOException {
         this(
-                set.decisions(),
+                set.decisionSettings(),
                 set.ingress(),
                 set.upstream(),
                 base,
@@ -128,49 +128,49 @@
         this.base = base;
         this.outfit = outfit;
         this.guarded = guarded;
-        drainMost = door.drainMost();
-        lameDuck = door.lameDuck();
-        probeTimeout = upstream.probeTimeout();
+        drainMost = door.maxDrainTicks();
+        lameDuck = door.lameDuckTicks();
+        probeTimeout = upstream.healthCheckTimeoutTicks();
         loop = base.loop();
         inbox = base.inbox();
-        words = outfit.dialect();
+        words = outfit.protocol();
         decider = outfit.decider();
         pools = new ConnectionPools(upstream, words, loop, base.socketThreads(), base.processors(upstream.threads()));
         ingress = new Ingress(door, words, loop, base.socketThreads(), base.processors(door.threads()), new Taker());
     }
 
     @Override
-    public int held() {
+    public int activeRequests() {
         return held.size();
     }
 
     @Override
     public int clientConnections() {
-        return ingress.connections();
+        return ingress.openConnections();
     }
 
     @Override
     public Map<CloseReason, Long> closedConnections() {
-        return ingress.closed();
+        return ingress.closedConnections();
     }
 
     @Override
-    public int machineConnections() {
-        return pools.open();
+    public int endpointConnections() {
+        return pools.openConnections();
     }
 
     @Override
-    public int turnedAway() {
-        return ingress.turnedAway();
+    public int rejectedBeforeDecision() {
+        return ingress.rejectedBeforeDecision();
     }
 
     @Override
-    public long bodies() {
-        return ingress.bodies() + pools.bodies();
+    public long bodyBytes() {
+        return ingress.bodyBytes() + pools.bodyBytes();
     }
 
     private void enter(FrontState next, String why) {
-        LOG.info("front {} life {}: {} -> {}, {}", set.nodeIndex(), base.life(), state, next, why);
+        LOG.info("front {} life {}: {} -> {}, {}", set.nodeIndex(), base.incarnation(), state, next, why);
         state = next;
     }
 
@@ -178,15 +178,15 @@
         LOG.info(
                 "totals: {}, clients' connections {}, closed {}, failed accepts {}, machines' connections {}, failed tasks {}",
                 totals,
-                ingress.connections(),
-                ingress.closed(),
+                ingress.openConnections(),
+                ingress.closedConnections(),
                 ingress.failedAccepts(),
-                pools.open(),
-                loop.failures());
+                pools.openConnections(),
+                loop.failedTasks());
     }
 
     private void logTotalsAgain() {
-        loop.at(loop.now() + TOTALS_EVERY, this::logTotalsAgain);
+        loop.schedule(loop.nowTicks() + TOTALS_EVERY, this::logTotalsAgain);
         logTotals();
     }
 
@@ -203,9 +203,9 @@
         }
         enter(FrontState.STARTING, "started");
         ClassPreloader.preload();
-        loop.post(pools::begin);
-        loop.post(ingress::begin);
-        loop.post(() -> loop.at(loop.now() + TOTALS_EVERY, this::logTotalsAgain));
+        loop.post(pools::startSweeps);
+        loop.post(ingress::startSweeps);
+        loop.post(() -> loop.schedule(loop.nowTicks() + TOTALS_EVERY, this::logTotalsAgain));
         if (TRACE) {
             loop.post(this::trace);
         }
@@ -217,7 +217,7 @@
             finish(e);
             throw e;
         }
-        LOG.info("front {} of {} takes reqs on {}, life {}", set.nodeIndex(), set.nodeCount(), at, base.life());
+        LOG.info("front {} of {} takes reqs on {}, life {}", set.nodeIndex(), set.nodeCount(), at, base.incarnation());
         enter(FrontState.SERVING, "the listener is open");
         new Thread(this::live, "front-" + set.nodeIndex()).start();
         return at;
@@ -228,7 +228,7 @@
         long end = System.nanoTime() + LISTEN_NANOS;
         while (true) {
             try {
-                return ingress.open();
+                return ingress.bind();
             } catch (IOException | RuntimeException e) {
                 if (System.nanoTime() > end) {
                     throw e;
@@ -244,16 +244,16 @@
         Map<String, Integer> out = new TreeMap<>();
         held.values().forEach(h -> h.sent.stream()
                 .filter(t -> !t.over)
-                .forEach(t -> out.merge(outfit.place(t.machine).key(), 1, Integer::sum)));
+                .forEach(t -> out.merge(outfit.addressOf(t.machine).key(), 1, Integer::sum)));
         LOG.info(
                 "trace held {}, clients' connections {}, machines' {}, backlog {}, tries out {}, sockets {}",
                 held.size(),
-                ingress.connections(),
-                pools.open(),
-                loop.backlog(),
+                ingress.openConnections(),
+                pools.openConnections(),
+                loop.queuedTasks(),
                 out,
-                pools.told());
-        loop.at(loop.now() + 10_000, this::trace);
+                pools.describe());
+        loop.schedule(loop.nowTicks() + 10_000, this::trace);
     }
 
     private void live() {
@@ -277,7 +277,7 @@
         CompletableFuture.delayedExecutor(CLOSE_LIMIT_MS, TimeUnit.MILLISECONDS).execute(() -> giveUpClosing(failed));
         List<Runnable> ends = new ArrayList<>(List.of(this::endHeld, ingress::close, pools::close));
         // threads of sockets still close those, and end when nothing is left to do
-        ends.addAll(outfit.ends());
+        ends.addAll(outfit.closeTasks());
         ends.add(base.timer()::shutdown);
         for (Runnable end : ends) {
             try {
@@ -288,14 +288,14 @@
             }
         }
         enter(FrontState.ENDED, "all of it is closed");
-        ended.complete(failure);
+        termination.complete(failure);
     }
 
     /** Never half alive: who waits for its end must not wait for a part that never closes. */
     private void giveUpClosing(Throwable failed) {
         TimeoutException late =
                 new TimeoutException("not all of the front was closed within " + CLOSE_LIMIT_MS + " ms");
-        if (ended.complete(failed == null ? late : failed)) {
+        if (termination.complete(failed == null ? late : failed)) {
             LOG.error("it ends as it is", late);
         }
     }
@@ -312,12 +312,15 @@
         for (ActiveRequest h : List.copyOf(held.values())) {
             for (ActiveRequest.Attempt s : h.sent) {
                 if (!s.over && s.exchange != null) {
-                    s.exchange.end(AttemptOutcome.CANCELLED);
+                    s.exchange.cancel(AttemptOutcome.CANCELLED);
                 }
             }
             if (!h.answered) {
                 h.answered = true;
-                ingress.answer(h.conn, h.asked.last(), words.errored(false, "this front ended; the req may have run"));
+                ingress.answer(
+                        h.conn,
+                        h.asked.closesConnection(),
+                        words.failed(false, "this front ended; the req may have run"));
             }
         }
         ingress.flush();
@@ -330,11 +333,11 @@
     private void refuseRest() {
         long end = System.nanoTime() + REFUSE_NANOS;
         do {
-            loop.runRest();
+            loop.runRemaining();
             ingress.flush();
             ingress.closeIdle();
             LockSupport.parkNanos(REFUSE_AGAIN_NANOS);
-        } while (ingress.connections() > 0 && System.nanoTime() < end);
+        } while (ingress.openConnections() > 0 && System.nanoTime() < end);
     }
 
     EventLoop loop() {
@@ -342,8 +345,8 @@
     }
 
     /** Done with null after a drain, or with what the front failed of. */
-    public CompletableFuture<Throwable> ended() {
-        return ended;
+    public CompletableFuture<Throwable> termination() {
+        return termination;
     }
 
     /**
@@ -357,10 +360,10 @@
             if (state == FrontState.SERVING) {
                 enter(
                         FrontState.DRAINING,
-                        "asked to; " + held.size() + " requests held, " + ingress.connections()
+                        "asked to; " + held.size() + " requests held, " + ingress.openConnections()
                                 + " clients' connections");
                 if (lameDuck > 0) {
-                    loop.at(loop.now() + lameDuck, this::takeNoMore);
+                    loop.schedule(loop.nowTicks() + lameDuck, this::takeNoMore);
                 } else {
                     takeNoMore();
                 }
@@ -382,16 +385,16 @@
                 .mapToLong(Settings.Route::timeoutTicks)
                 .max()
                 .orElse(0);
-        loop.at(loop.now() + Math.max(longest, drainMost), loop::stop);
+        loop.schedule(loop.nowTicks() + Math.max(longest, drainMost), loop::stop);
         if (lameDuck > 0) {
             again();
         }
-        awaitDrained(loop.now());
+        awaitDrained(loop.nowTicks());
     }
 
     /** Connections become idle without an answer that ends them, as after one that crossed with the end. */
     private void again() {
-        loop.at(loop.now() + 5_000, this::again);
+        loop.schedule(loop.nowTicks() + 5_000, this::again);
         ingress.closeIdle();
     }
 
@@ -402,19 +405,19 @@
      * @param busy the last moment at which something was left
      */
     private void awaitDrained(long busy) {
-        boolean connected = listening || (lameDuck > 0 && ingress.connections() > 0);
+        boolean connected = listening || (lameDuck > 0 && ingress.openConnections() > 0);
         boolean owes = held.values().stream().anyMatch(h -> !h.answered);
-        long lastBusy = connected || owes ? loop.now() : busy;
-        if (loop.now() - lastBusy >= QUIET_BEFORE_END) {
+        long lastBusy = connected || owes ? loop.nowTicks() : busy;
+        if (loop.nowTicks() - lastBusy >= QUIET_BEFORE_END) {
             loop.stop();
         } else {
-            loop.at(loop.now() + 100, () -> awaitDrained(lastBusy));
+            loop.schedule(loop.nowTicks() + 100, () -> awaitDrained(lastBusy));
         }
     }
 
     @Override
     public String health() {
-        boolean failed = ended.getNow(null) != null;
+        boolean failed = termination.getNow(null) != null;
         return failed ? "failed" : state.leaving() ? "draining" : "ok";
     }
 
@@ -424,10 +427,10 @@
             ingress.flush();
             return false;
         }
-        inbox.takeLeftPlaces().forEach(pools::closeIdle);
+        inbox.takeRetiredAddresses().forEach(pools::closeIdle);
         List<Event> now = inbox.takeEvents();
-        outfit.turn(now.size());
-        for (Action a : decider.decide(loop.now(), now)) {
+        outfit.onTurn(now.size());
+        for (Action a : decider.decide(loop.nowTicks(), now)) {
             carryOut(a);
         }
         ingress.flush();
@@ -454,32 +457,33 @@
             ActiveRequest h = held.get(s.requestId());
             if (h != null && s.attempt() < h.sent.size() && !h.sent.get(s.attempt()).over) {
                 ActiveRequest.Attempt sent = h.sent.get(s.attempt());
-                ended(h, sent, sent.exchange.end(AttemptOutcome.CANCELLED), null);
+                termination(h, sent, sent.exchange.cancel(AttemptOutcome.CANCELLED), null);
             }
         } else if (a instanceof Action.RejectRequest s) {
             answer(
                     held.get(s.requestId()),
-                    RequestOutcome.SHED,
-                    words.shed(
+                    RequestOutcome.REJECTED,
+                    words.rejected(
                             set.capabilities().retryAfter() ? s.retryAfterTicks() : 0,
                             "shed: nothing was done, or a repeat does no harm"));
         } else if (a instanceof Action.FailRequest s) {
             answer(
                     held.get(s.requestId()),
-                    RequestOutcome.ERRORED,
-                    words.errored(false, "errored: the req may have run"));
+                    RequestOutcome.FAILED,
+                    words.failed(false, "errored: the req may have run"));
         } else if (a instanceof Action.StartTimer t) {
-            loop.at(Math.max(t.dueAtTicks(), loop.now() + 1), () -> inbox.learn(new Event.TimerFired(t.timerId())));
+            loop.schedule(
+                    Math.max(t.dueAtTicks(), loop.nowTicks() + 1), () -> inbox.add(new Event.TimerFired(t.timerId())));
         } else if (a instanceof Action.SendHealthCheck p) {
             probe(p.endpointId());
         } else if (a instanceof Action.CloseIdleConnections c) {
-            pools.closeIdle(outfit.place(c.endpointId()).key());
+            pools.closeIdle(outfit.addressOf(c.endpointId()).key());
         } else if (a instanceof Action.SendGossip t) {
-            outfit.tell(t.toNode(), t.payload());
+            outfit.sendGossip(t.toNode(), t.payload());
         } else if (a instanceof Action.WatchEndpoints w) {
-            outfit.watchList(w.enabled());
+            outfit.watchEndpoints(w.enabled());
         } else if (a instanceof Action.FetchEndpoints) {
-            outfit.fetchList();
+            outfit.fetchEndpoints();
         } else if (a instanceof Action.CastVote v) {
             vote(v);
         } else if (a instanceof Action.WriteLog l) {
@@ -490,26 +494,26 @@
     /** A vote that cannot even be tried has failed like one that could not connect. */
     private void vote(Action.CastVote vote) {
         try {
-            outfit.vote(vote);
+            outfit.castVote(vote);
         } catch (RuntimeException e) {
             LOG.error("a vote on build {} could not be sent", vote.build(), e);
-            inbox.learn(
-                    new Event.RolloutUpdate(Event.ControlStatus.FAILED, 0, 0, 0, Event.RolloutPhase.CANARY, 0, true));
+            inbox.add(new Event.RolloutUpdate(Event.ControlStatus.FAILED, 0, 0, 0, Event.RolloutPhase.CANARY, 0, true));
         }
     }
 
     private void probe(String machine) {
-        long at = loop.now();
+        long at = loop.nowTicks();
         boolean[] over = new boolean[1];
-        Exchange e = pools.start(outfit.place(machine), () -> words.probe(lines, machine), false, (outcome, came) -> {
-            over[0] = true;
-            pools.over(came);
-            inbox.learn(new Event.HealthCheckEnded(machine, outcome, loop.now() - at, load(came)));
-        });
-        loop.at(at + probeTimeout, () -> {
+        Exchange e = pools.startExchange(
+                outfit.addressOf(machine), () -> words.healthCheckRequest(lines, machine), false, (outcome, came) -> {
+                    over[0] = true;
+                    pools.releaseBody(came);
+                    inbox.add(new Event.HealthCheckEnded(machine, outcome, loop.nowTicks() - at, load(came)));
+                });
+        loop.schedule(at + probeTimeout, () -> {
             if (!over[0]) {
-                inbox.learn(new Event.HealthCheckEnded(
-                        machine, e.end(AttemptOutcome.TIMED_OUT), loop.now() - at, LoadReport.NONE));
+                inbox.add(new Event.HealthCheckEnded(
+                        machine, e.cancel(AttemptOutcome.TIMED_OUT), loop.nowTicks() - at, LoadReport.NONE));
             }
         });
     }
@@ -522,51 +526,54 @@
             LOG.error("the decider sends for a req that is not held: {}", s.requestId());
             return;
         }
-        ActiveRequest.Attempt sent = new ActiveRequest.Attempt(h.sent.size(), s.endpointId(), loop.now());
+        ActiveRequest.Attempt sent = new ActiveRequest.Attempt(h.sent.size(), s.endpointId(), loop.nowTicks());
         h.sent.add(sent);
-        boolean late = loop.now() >= h.leaves;
+        boolean late = loop.nowTicks() >= h.leaves;
         if ((guarded && (h.answered || late))
                 || h.sent.size() > set.capabilities().maxAttempts()) {
             sent.over = true;
-            inbox.learn(over(h, sent, AttemptOutcome.NOT_SENT, LoadReport.NONE));
+            inbox.add(over(h, sent, AttemptOutcome.NOT_SENT, LoadReport.NONE));
             return;
         }
-        outfit.tried(h.asked.route());
-        long limit = s.timeoutTicks() == 0 ? h.leaves : Math.min(h.leaves, loop.now() + Math.max(0, s.timeoutTicks()));
+        outfit.onAttemptStarted(h.asked.route());
+        long limit =
+                s.timeoutTicks() == 0 ? h.leaves : Math.min(h.leaves, loop.nowTicks() + Math.max(0, s.timeoutTicks()));
         try {
-            sent.exchange = pools.start(
-                    outfit.place(s.endpointId()),
+            sent.exchange = pools.startExchange(
+                    outfit.addressOf(s.endpointId()),
                     () -> upstream(h, sent, limit),
-                    h.asked.toHead(),
-                    (outcome, came) -> ended(h, sent, outcome, came));
+                    h.asked.headRequest(),
+                    (outcome, came) -> termination(h, sent, outcome, came));
         } catch (RuntimeException e) {
             // before a byte of it was handed to a connection: that is the last thing that start does
             LOG.error("request {} attempt {} at {} could not begin", h.id, sent.no, s.endpointId(), e);
             sent.over = true;
-            inbox.learn(over(h, sent, AttemptOutcome.NOT_SENT, LoadReport.NONE));
+            inbox.add(over(h, sent, AttemptOutcome.NOT_SENT, LoadReport.NONE));
             return;
         }
-        sent.limit = loop.at(limit, () -> ended(h, sent, sent.exchange.end(AttemptOutcome.TIMED_OUT), null));
+        sent.limit =
+                loop.schedule(limit, () -> termination(h, sent, sent.exchange.cancel(AttemptOutcome.TIMED_OUT), null));
     }
 
     /** Null where the try had to wait, and may not be written any more. */
     private byte[] upstream(ActiveRequest h, ActiveRequest.Attempt sent, long limit) {
-        if (loop.now() > sent.at && (h.answered || loop.now() >= h.leaves || !outfit.stillMay(sent.machine, sent.at))) {
+        if (loop.nowTicks() > sent.at
+                && (h.answered || loop.nowTicks() >= h.leaves || !outfit.mayStillSend(sent.machine, sent.at))) {
             return null;
         }
-        words.upstream(lines, sent.machine, sent.no, h.leaves - loop.now(), limit - loop.now());
-        return h.asked.crossing().with(lines, true);
+        words.writeAttemptHeaders(lines, sent.machine, sent.no, h.leaves - loop.nowTicks(), limit - loop.nowTicks());
+        return h.asked.forwarded().assemble(lines, true);
     }
 
     private Event.AttemptEnded over(ActiveRequest h, ActiveRequest.Attempt s, AttemptOutcome outcome, LoadReport load) {
-        return new Event.AttemptEnded(h.id, s.no, s.machine, outcome, loop.now() - s.at, h.answered, load);
+        return new Event.AttemptEnded(h.id, s.no, s.machine, outcome, loop.nowTicks() - s.at, h.answered, load);
     }
 
     private static LoadReport load(EndpointResponse came) {
-        return came == null ? LoadReport.NONE : came.load();
+        return came == null ? LoadReport.NONE : came.loadReport();
     }
 
-    private void ended(ActiveRequest h, ActiveRequest.Attempt s, AttemptOutcome outcome, EndpointResponse came) {
+    private void termination(ActiveRequest h, ActiveRequest.Attempt s, AttemptOutcome outcome, EndpointResponse came) {
         if (s.over) {
             return;
         }
@@ -574,27 +581,27 @@
         if (s.limit != null) {
             s.limit.cancel();
         }
-        outfit.tryEnded(s.machine, s.at, h.asked, outcome);
+        outfit.onAttemptEnded(s.machine, s.at, h.asked, outcome);
         totals.attemptEnded(outcome);
         if (outcome != AttemptOutcome.COMPLETED) {
             LOG.info(
                     "request {} ({}) attempt {} at {}: {} after {} ms",
                     h.id,
-                    h.asked.id(),
+                    h.asked.clientRequestId(),
                     s.no,
                     s.machine,
                     outcome,
-                    (loop.now() - s.at) / 10.0);
+                    (loop.nowTicks() - s.at) / 10.0);
         }
         if (outcome == AttemptOutcome.COMPLETED && !h.answered) {
-            outfit.completed(h.number, s.machine, s.at, h.asked);
+            outfit.onCompleted(h.number, s.machine, s.at, h.asked);
             close(h, RequestOutcome.COMPLETED);
-            words.completed(lines, h.id);
-            ingress.pass(h.conn, h.asked.last(), came.crossing(), lines, () -> pools.over(came));
+            words.writeResponseHeaders(lines, h.id);
+            ingress.forward(h.conn, h.asked.closesConnection(), came.forwarded(), lines, () -> pools.releaseBody(came));
         } else {
-            pools.over(came);
+            pools.releaseBody(came);
         }
-        inbox.learn(over(h, s, outcome, load(came)));
+        inbox.add(over(h, s, outcome, load(came)));
         forget(h);
     }
 
@@ -607,13 +614,13 @@
         LOG.info(
                 "request {} ({}) on connection {}: {} after {} ms and {} attempts",
                 h.id,
-                h.asked.id(),
+                h.asked.clientRequestId(),
                 h.conn.id(),
                 how,
-                (loop.now() - h.takenAt) / 10.0,
+                (loop.nowTicks() - h.takenAt) / 10.0,
                 h.sent.size());
         close(h, how);
-        ingress.answer(h.conn, h.asked.last(), with);
+        ingress.answer(h.conn, h.asked.closesConnection(), with);
         forget(h);
     }
 
@@ -623,91 +630,98 @@
             h.lastCall.cancel();
         }
         totals.answered(how);
-        outfit.answered(how, loop.now() - h.takenAt);
+        outfit.onAnswered(how, loop.nowTicks() - h.takenAt);
     }
 
     private void forget(ActiveRequest h) {
         if (h.done() && held.remove(h.id) != null) {
-            named.remove(h.asked.id());
-            ingress.over(h.asked);
+            named.remove(h.asked.clientRequestId());
+            ingress.releaseBody(h.asked);
         }
     }
 
     private void overdue(ActiveRequest h) {
         if (!h.answered) {
             LOG.error("req {} had no decision in its time; the front errors it", h.id);
-            outfit.overdue(h.asked.route());
-            answer(h, RequestOutcome.ERRORED, words.errored(true, "errored: no answer in time; the req may have run"));
-            inbox.learn(new Event.ClientDisconnected(h.id));
+            outfit.onOverdue(h.asked.route());
+            answer(h, RequestOutcome.FAILED, words.failed(true, "errored: no answer in time; the req may have run"));
+            inbox.add(new Event.ClientDisconnected(h.id));
         }
     }
 
     /** What the ingress tells. */
     private final class Taker implements IngressListener {
         @Override
-        public void taken(ClientConnection from, ClientRequest asked, long arrived) {
-            if (asked.id() != null && !named.add(asked.id())) {
+        public void onRequest(ClientConnection from, ClientRequest asked, long arrived) {
+            if (asked.clientRequestId() != null && !named.add(asked.clientRequestId())) {
                 // one id is one req: its machine's answer must not be this client's too
                 from.current(null);
-                ingress.over(asked);
+                ingress.releaseBody(asked);
                 ingress.answer(
                         from,
-                        asked.last(),
-                        words.refusal(new HttpProtocolException(409, "a req with this id is open"), null));
+                        asked.closesConnection(),
+                        words.badRequest(new HttpProtocolException(409, "a req with this id is open"), null));
                 return;
             }
             long number = ids++;
-            String id = base.life() + "-" + Long.toString(number, 36);
-            long leaves = arrived + asked.remaining();
-            ActiveRequest h = new ActiveRequest(id, number, from, asked, loop.now(), leaves);
+            String id = base.incarnation() + "-" + Long.toString(number, 36);
+            long leaves = arrived + asked.remainingTicks();
+            ActiveRequest h = new ActiveRequest(id, number, from, asked, loop.nowTicks(), leaves);
             from.current(h);
-            if (leaves <= loop.now()) {
+            if (leaves <= loop.nowTicks()) {
                 // it waited its time away on its connection: nothing was begun
                 h.answered = true;
-                named.remove(asked.id());
-                ingress.over(asked);
+                named.remove(asked.clientRequestId());
+                ingress.releaseBody(asked);
                 totals.taken();
-                totals.answered(RequestOutcome.SHED);
-                outfit.answered(RequestOutcome.SHED, 0);
-                ingress.answer(from, asked.last(), words.shed(0, "its time was up before its turn came"));
+                totals.answered(RequestOutcome.REJECTED);
+                outfit.onAnswered(RequestOutcome.REJECTED, 0);
+                ingress.answer(
+                        from, asked.closesConnection(), words.rejected(0, "its time was up before its turn came"));
                 return;
             }
             totals.taken();
             held.put(id, h);
             if (guarded) {
-                h.lastCall = loop.at(leaves - 10, () -> overdue(h));
+                h.lastCall = loop.schedule(leaves - 10, () -> overdue(h));
             }
-            inbox.learn(new Event.RequestReceived(
-                    id, asked.route(), asked.customer(), asked.key(), leaves, asked.cost(), asked.repeat()));
+            inbox.add(new Event.RequestReceived(
+                    id,
+                    asked.route(),
+                    asked.tenant(),
+                    asked.partitionKey(),
+                    leaves,
+                    asked.expectedWorkMillis(),
+                    asked.clientRetry()));
         }
 
         @Override
-        public void own(ClientConnection from, HttpRequest http) {
+        public void onNodeRequest(ClientConnection from, HttpRequest http) {
             from.current(null);
-            ingress.answer(from, http.last(), outfit.own(http, health()));
+            ingress.answer(from, http.closesConnection(), outfit.answerNodeRequest(http, health()));
         }
 
         @Override
-        public void left(Object current) {
+        public void onDisconnect(Object current) {
             if (current instanceof ActiveRequest h && !h.answered) {
-                close(h, RequestOutcome.LEFT);
-                inbox.learn(new Event.ClientDisconnected(h.id));
+                close(h, RequestOutcome.CLIENT_DISCONNECTED);
+                inbox.add(new Event.ClientDisconnected(h.id));
                 forget(h);
             }
         }
 
         @Override
-        public int held() {
+        public int activeRequests() {
             return held.size();
         }
 
         @Override
-        public boolean draining() {
+        public boolean isDraining() {
             return draining;
         }
 
         @Override
-        public boolean ended() {
+        public boolean hasEnded() {
             return decidesNoMore;
         }
     }
--- a/src/main/java/laurelkeel/front/FrontSettings.java
+++ b/src/main/java/laurelkeel/front/FrontSettings.java
@@ -25,19 +25,19 @@
  * @param records the file for what this front was told; null for none
  */
 public record FrontSettings(
-        Settings decisions,
+        Settings decisionSettings,
         long seed,
         List<String> zones,
         RouteTable routes,
         IngressSettings ingress,
         UpstreamSettings upstream,
-        InetSocketAddress admin,
-        InetSocketAddress list,
-        InetSocketAddress release,
-        InetSocketAddress notes,
-        Map<Integer, InetSocketAddress> peers,
-        Path state,
-        Path records) {
+        InetSocketAddress adminAddress,
+        InetSocketAddress endpointListAddress,
+        InetSocketAddress rolloutServiceAddress,
+        InetSocketAddress gossipAddress,
+        Map<Integer, InetSocketAddress> gossipPeers,
+        Path stateDirectory,
+        Path recordFile) {
 
     private enum ListMode {
         PUSH,
@@ -60,11 +60,11 @@
     /** What all fronts of a fleet share: routes, customers, limits, what is allowed, prices, the rollout. */
     public record Common(
             List<Settings.Route> routes,
-            RouteTable table,
-            List<Settings.Tenant> customers,
+            RouteTable routeTable,
+            List<Settings.Tenant> tenants,
             Settings.Limits limits,
-            Settings.Capabilities allowed,
-            Settings.Costs prices,
+            Settings.Capabilities capabilities,
+            Settings.Costs costs,
             Settings.Rollout rollout) {
 
         /** The sections that hold it, for those who pass them on. */
@@ -124,10 +124,10 @@
                 fronts,
                 Math.max(0, zones.indexOf(zone)),
                 c.routes(),
-                c.customers(),
+                c.tenants(),
                 c.limits(),
-                c.allowed(),
-                c.prices(),
+                c.capabilities(),
+                c.costs(),
                 c.rollout(),
                 front.choice("earnings-by", "req", EarningsBy.class) == EarningsBy.WORK);
         Path base = file.toAbsolutePath().getParent();
@@ -144,7 +144,7 @@
                 decisions,
                 front.whole("seed", Integer.toString(self + 1), 0, Long.MAX_VALUE),
                 zones,
-                c.table(),
+                c.routeTable(),
                 ingress(front.address("listen", null), ini.section("clients", true)),
                 upstream(ini.section("machines", true)),
                 optional(front, "admin"),
--- a/src/main/java/laurelkeel/front/FrontStatus.java
+++ b/src/main/java/laurelkeel/front/FrontStatus.java
@@ -9,7 +9,7 @@
     String health();
 
     /** Requests taken and not yet answered. */
-    int held();
+    int activeRequests();
 
     /** Clients' connections that are open. */
     int clientConnections();
@@ -18,11 +18,11 @@
     Map<CloseReason, Long> closedConnections();
 
     /** Connections to machines that are open. */
-    int machineConnections();
+    int endpointConnections();
 
     /** Requests and connections turned away before the decision module saw them. */
-    int turnedAway();
+    int rejectedBeforeDecision();
 
     /** Bytes of bodies held on both sides. */
-    long bodies();
+    long bodyBytes();
 }
--- a/src/main/java/laurelkeel/front/NodeRuntime.java
+++ b/src/main/java/laurelkeel/front/NodeRuntime.java
@@ -18,12 +18,12 @@
  * @param shared runs the sockets of all sides; null where each side has threads of its own
  */
 public record NodeRuntime(
-        String life,
+        String incarnation,
         EventLoop loop,
         EventInbox inbox,
         ExecutorService socketThreads,
         ScheduledExecutorService timer,
-        SimpleIoProcessorPool<NioSession> shared) {
+        SimpleIoProcessorPool<NioSession> sharedProcessors) {
     /** The front's clock begins here, so that what began before the front did still has a moment above 0. */
     private static final long ORIGIN = 36_000_000;
     /** As many random names of a start within one millisecond. */
@@ -35,32 +35,32 @@
                 + Integer.toString(LIVES + ThreadLocalRandom.current().nextInt(LIVES), 36);
     }
 
-    public static NodeRuntime of(LongSupplier clock) {
+    public static NodeRuntime create(LongSupplier clock) {
         EventLoop loop = new EventLoop(clock);
         return new NodeRuntime(
                 newLife(),
                 loop,
                 new EventInbox(),
-                LoopThreads.many(loop, "front-sockets"),
+                LoopThreads.cachedPool(loop, "front-sockets"),
                 LoopThreads.timer(loop, "front-timer"),
                 null);
     }
 
     /** For a machine with one core or less: one thread has all sockets. */
-    public static NodeRuntime small(LongSupplier clock) {
-        NodeRuntime b = of(clock);
-        return new NodeRuntime(b.life, b.loop, b.inbox, b.socketThreads, b.timer, b.processors(1));
+    public static NodeRuntime forSingleCore(LongSupplier clock) {
+        NodeRuntime b = create(clock);
+        return new NodeRuntime(b.incarnation, b.loop, b.inbox, b.socketThreads, b.timer, b.processors(1));
     }
 
     /** So many socket threads for one side, or the one that all share. */
     public SimpleIoProcessorPool<NioSession> processors(int threads) {
-        return shared != null
-                ? shared
+        return sharedProcessors != null
+                ? sharedProcessors
                 : new SimpleIoProcessorPool<>(UnexpectedInputProcessor.class, socketThreads, threads, null);
     }
 
     /** Tenths of a millisecond since this was called, on a clock that only advances. */
-    public static LongSupplier clock() {
+    public static LongSupplier monotonicClock() {
         long start = System.nanoTime();
         return () -> ORIGIN + (System.nanoTime() - start) / 100_000;
     }
--- a/src/main/java/laurelkeel/front/NodeServices.java
+++ b/src/main/java/laurelkeel/front/NodeServices.java
@@ -16,7 +16,7 @@
  * before start. Called on the front's thread unless said otherwise; what it has learned it tells to the inbox of its Base.
  */
 public interface NodeServices {
-    Protocol dialect();
+    Protocol protocol();
 
     Decider decider();
 
@@ -24,40 +24,40 @@
     void start(FrontStatus front) throws IOException;
 
     /** What ends its sources and threads, each to be run once the front has ended. */
-    List<Runnable> ends();
+    List<Runnable> closeTasks();
 
     /** Where a machine that the list named is reached. */
-    EndpointAddress place(String machine);
+    EndpointAddress addressOf(String machine);
 
     /** Whether a try begun at a moment, which had to wait for its connection, may still be written. */
-    default boolean stillMay(String machine, long begunAt) {
+    default boolean mayStillSend(String machine, long begunAt) {
         return true;
     }
 
     /** The answer to a message for the front itself, whose health is as FrontStatus tells it. */
-    HttpResponse own(HttpRequest http, String health);
+    HttpResponse answerNodeRequest(HttpRequest http, String health);
 
     // ---- what the decider asks for
 
-    void vote(Action.CastVote vote);
+    void castVote(Action.CastVote vote);
 
-    void watchList(boolean on);
+    void watchEndpoints(boolean on);
 
-    void fetchList();
+    void fetchEndpoints();
 
-    void tell(int to, byte[] bytes);
+    void sendGossip(int to, byte[] bytes);
 
     // ---- what the front saw
 
-    default void turn(int events) {}
+    default void onTurn(int events) {}
 
-    default void tried(int route) {}
+    default void onAttemptStarted(int route) {}
 
-    default void tryEnded(String machine, long begunAt, ClientRequest asked, AttemptOutcome outcome) {}
+    default void onAttemptEnded(String machine, long begunAt, ClientRequest asked, AttemptOutcome outcome) {}
 
-    default void completed(long number, String machine, long begunAt, ClientRequest asked) {}
+    default void onCompleted(long number, String machine, long begunAt, ClientRequest asked) {}
 
-    default void answered(RequestOutcome how, long tenths) {}
+    default void onAnswered(RequestOutcome how, long tenths) {}
 
-    default void overdue(int route) {}
+    default void onOverdue(int route) {}
 }
--- a/src/main/java/laurelkeel/front/Protocol.java
+++ b/src/main/java/laurelkeel/front/Protocol.java
@@ -12,11 +12,11 @@
      * @param left tenths of a millisecond that its client still waits
      * @param within tenths of a millisecond that the front waits for this try
      */
-    void upstream(MessageBuilder to, String machine, int tryNo, long left, long within);
+    void writeAttemptHeaders(MessageBuilder to, String machine, int tryNo, long left, long within);
 
     /** Adds this hop's lines to a machine's answer on its way to the client; id is the front's own. */
-    void completed(MessageBuilder to, String id);
+    void writeResponseHeaders(MessageBuilder to, String id);
 
     /** A whole message that asks a machine how it does. */
-    byte[] probe(MessageBuilder to, String machine);
+    byte[] healthCheckRequest(MessageBuilder to, String machine);
 }
--- a/src/main/java/laurelkeel/front/RequestOutcome.java
+++ b/src/main/java/laurelkeel/front/RequestOutcome.java
@@ -3,7 +3,7 @@
 /** How a req ended, as its front sees it. */
 public enum RequestOutcome {
     COMPLETED,
-    SHED,
-    ERRORED,
-    LEFT
+    REJECTED,
+    FAILED,
+    CLIENT_DISCONNECTED
 }
--- a/src/main/java/laurelkeel/front/StandaloneProtocol.java
+++ b/src/main/java/laurelkeel/front/StandaloneProtocol.java
@@ -32,36 +32,36 @@
     }
 
     @Override
-    public boolean own(HttpRequest http) {
+    public boolean isNodeRequest(HttpRequest http) {
         return http.path().equals(COMPLAINTS) && http.method().equals("POST");
     }
 
     @Override
-    public ClientRequest asked(HttpRequest http) throws HttpProtocolException {
+    public ClientRequest parseRequest(HttpRequest http) throws HttpProtocolException {
         return ClientRequest.read(http, table, timeouts);
     }
 
     @Override
-    public HttpResponse refusal(HttpProtocolException bad, HttpRequest http) {
+    public HttpResponse badRequest(HttpProtocolException bad, HttpRequest http) {
         HttpResponse a = plain(bad.status(), bad.getMessage());
         if (bad.status() == 405 && http != null) {
-            a.headers().add("Allow", table.allowed(http.path()));
+            a.headers().add("Allow", table.allowedMethods(http.path()));
         }
         return a;
     }
 
     @Override
-    public HttpResponse atDoor(String why) {
-        HttpResponse a = shed(RETRY_AT_DOOR, why);
-        a.headers().add(HeaderNames.TAKEN, "no");
+    public HttpResponse notAccepted(String why) {
+        HttpResponse a = rejected(RETRY_AT_DOOR, why);
+        a.headers().add(HeaderNames.ACCEPTED, "no");
         return a;
     }
 
     /** 503 and the word that asking again is harmless. */
     @Override
-    public HttpResponse shed(long after, String why) {
+    public HttpResponse rejected(long after, String why) {
         HttpResponse a = plain(503, why);
-        a.headers().add(HeaderNames.ANSWER, "shed").add(HeaderNames.RETRY, "harmless");
+        a.headers().add(HeaderNames.RESULT, "shed").add(HeaderNames.RETRY_SAFETY, "harmless");
         if (after > 0) {
             a.headers().add(HeaderNames.RETRY_AFTER, Long.toString((after + 9_999) / 10_000));
             a.headers().add(HeaderNames.RETRY_AFTER_MS, Long.toString((after + 9) / 10));
@@ -71,9 +71,9 @@
 
     /** 502 or 504, which promise nothing of what ran. */
     @Override
-    public HttpResponse errored(boolean late, String why) {
+    public HttpResponse failed(boolean late, String why) {
         HttpResponse a = plain(late ? 504 : 502, why);
-        a.headers().add(HeaderNames.ANSWER, "errored");
+        a.headers().add(HeaderNames.RESULT, "errored");
         return a;
     }
 
@@ -85,35 +85,35 @@
     }
 
     @Override
-    public EndpointResponse came(HttpResponse answer) {
+    public EndpointResponse parseResponse(HttpResponse answer) {
         return EndpointResponse.of(answer);
     }
 
     @Override
-    public AttemptOutcome unreadable() {
+    public AttemptOutcome unreadableOutcome() {
         return AttemptOutcome.FAILED;
     }
 
     @Override
-    public void upstream(MessageBuilder to, String machine, int tryNo, long left, long within) {
-        to.line("Host", machine)
-                .line(HeaderNames.REMAINING, Long.toString(Math.max(0, left / 10)))
-                .line(HeaderNames.TRY, Integer.toString(tryNo))
-                .line(HeaderNames.FRONT, fullName);
+    public void writeAttemptHeaders(MessageBuilder to, String machine, int tryNo, long left, long within) {
+        to.appendHeader("Host", machine)
+                .appendHeader(HeaderNames.REMAINING, Long.toString(Math.max(0, left / 10)))
+                .appendHeader(HeaderNames.ATTEMPT, Integer.toString(tryNo))
+                .appendHeader(HeaderNames.FRONT, fullName);
     }
 
     @Override
-    public void completed(MessageBuilder to, String id) {
-        to.line(HeaderNames.ANSWER, "completed").line(HeaderNames.REF, id);
+    public void writeResponseHeaders(MessageBuilder to, String id) {
+        to.appendHeader(HeaderNames.RESULT, "completed").appendHeader(HeaderNames.RESPONSE_REFERENCE, id);
     }
 
     @Override
-    public byte[] probe(MessageBuilder to, String machine) {
-        return to.text("GET ")
-                .text(probePath)
-                .text(" HTTP/1.1\r\n")
-                .line("Host", machine)
-                .text("\r\n")
-                .take();
+    public byte[] healthCheckRequest(MessageBuilder to, String machine) {
+        return to.appendText("GET ")
+                .appendText(probePath)
+                .appendText(" HTTP/1.1\r\n")
+                .appendHeader("Host", machine)
+                .appendText("\r\n")
+                .takeBytes();
     }
 }
--- a/src/main/java/laurelkeel/front/StandaloneServices.java
+++ b/src/main/java/laurelkeel/front/StandaloneServices.java
@@ -58,7 +58,7 @@
     private final RolloutSource release;
     private final String life;
     private final ResponseReferences refs = new ResponseReferences(REFS);
-    private final Map<Integer, PartitionedDecider.Blame> blames = new HashMap<>();
+    private final Map<Integer, PartitionedDecider.Attribution> blames = new HashMap<>();
     private final Map<String, EndpointAddress> places = new HashMap<>();
     private final EventInbox inbox;
     private final GossipChannel notes;
@@ -67,84 +67,90 @@
     StandaloneServices(FrontSettings set, Decider.Factory maker, NodeRuntime base, boolean guarded) throws IOException {
         this.set = set;
         this.base = base;
-        life = base.life();
+        life = base.incarnation();
         loop = base.loop();
         inbox = base.inbox();
         counts = new FrontMetrics(
                 set.routes().entries().stream().map(RouteTable.Entry::name).toList());
-        lanes = new PartitionedDecider(set.decisions(), set.seed(), maker);
-        decider = guarded ? lanes : maker.create(set.decisions(), set.seed());
-        List<Settings.Route> routes = set.decisions().routes();
-        int self = set.decisions().nodeIndex();
+        lanes = new PartitionedDecider(set.decisionSettings(), set.seed(), maker);
+        decider = guarded ? lanes : maker.create(set.decisionSettings(), set.seed());
+        List<Settings.Route> routes = set.decisionSettings().routes();
+        int self = set.decisionSettings().nodeIndex();
         dialect = new StandaloneProtocol(
                 set.routes(),
                 r -> routes.get(r).timeoutTicks(),
                 self + "/" + life,
-                set.upstream().probePath());
-        httpThreads = LoopThreads.some(loop, "front-news", 2);
+                set.upstream().healthCheckPath());
+        httpThreads = LoopThreads.fixedPool(loop, "front-news", 2);
         HttpClient http = HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
                 .executor(httpThreads)
                 .connectTimeout(Duration.ofSeconds(2))
                 .build();
-        told = new ControlPlaneEvents(set, life, loop, new EndpointListCache(set.state(), base.timer()));
+        told = new ControlPlaneEvents(set, life, loop, new EndpointListCache(set.stateDirectory(), base.timer()));
         // by number too: fronts set to one seed would still come back in step
         long pauses = 2 * (set.seed() * 100_003 + self);
-        list = set.list() == null
+        list = set.endpointListAddress() == null
                 ? null
                 : new EndpointListSource(
                         http,
-                        base(set.list()),
+                        base(set.endpointListAddress()),
                         base.timer(),
                         loop,
-                        !set.decisions().capabilities().endpointPolling(),
+                        !set.decisionSettings().capabilities().endpointPolling(),
                         pauses,
                         new EndpointListSource.Sink() {
                             @Override
                             public void list(laurelkeel.front.controlplane.EndpointListMessage line, long arrived) {
                                 Event.EndpointListUpdate l = told.list(line, arrived);
                                 reports.list(l);
-                                inbox.learn(l);
+                                inbox.add(l);
                             }
 
                             @Override
                             public void failed() {
-                                inbox.learn(new Event.EndpointListUpdate(Event.EndpointListKind.FAILED, List.of()));
+                                inbox.add(new Event.EndpointListUpdate(Event.EndpointListKind.FAILED, List.of()));
                             }
                         });
-        release = set.release() == null
+        release = set.rolloutServiceAddress() == null
                 ? null
                 : new RolloutSource(
-                        http, base(set.release()), self, base.timer(), loop, pauses + 1, new RolloutSource.Sink() {
+                        http,
+                        base(set.rolloutServiceAddress()),
+                        self,
+                        base.timer(),
+                        loop,
+                        pauses + 1,
+                        new RolloutSource.Sink() {
                             @Override
                             public void news(RolloutMessage line, long arrived) {
-                                told.news(line, arrived).forEach(inbox::learn);
+                                told.news(line, arrived).forEach(inbox::add);
                                 blamed(line);
                             }
 
                             @Override
                             public void voted(String answer, int build, RolloutMessage line, long arrived) {
-                                inbox.learn(told.voted(answer, build, line, arrived));
+                                inbox.add(told.voted(answer, build, line, arrived));
                             }
                         });
-        reports = new AttributionReporter(set.decisions(), life, r -> {
+        reports = new AttributionReporter(set.decisionSettings(), life, r -> {
             if (release != null) {
                 release.report(r);
             }
         });
-        notes = set.notes() == null
+        notes = set.gossipAddress() == null
                 ? null
                 : new GossipChannel(
-                        set.decisions().nodeIndex(),
-                        set.notes(),
-                        set.peers(),
+                        set.decisionSettings().nodeIndex(),
+                        set.gossipAddress(),
+                        set.gossipPeers(),
                         loop,
                         base.socketThreads(),
-                        (from, bytes) -> inbox.learn(new Event.GossipReceived(from, bytes)));
+                        (from, bytes) -> inbox.add(new Event.GossipReceived(from, bytes)));
         // the list kept from the life before is known from the first turn on
         Event.EndpointListUpdate kept = told.remembered();
         reports.list(kept);
-        inbox.learn(kept);
+        inbox.add(kept);
     }
 
     private static String base(InetSocketAddress a) {
@@ -157,18 +163,18 @@
     }
 
     @Override
-    public Protocol dialect() {
+    public Protocol protocol() {
         return dialect;
     }
 
     private void measure(FrontStatus front) {
-        counts.gauge("laurelkeel_lanes", lanes::open);
-        counts.gauge("laurelkeel_reqs_held", front::held);
+        counts.gauge("laurelkeel_lanes", lanes::openPartitions);
+        counts.gauge("laurelkeel_reqs_held", front::activeRequests);
         counts.gauge("laurelkeel_client_connections", front::clientConnections);
-        counts.gauge("laurelkeel_machine_connections", front::machineConnections);
-        counts.gauge("laurelkeel_loop_backlog", loop::backlog);
-        counts.gauge("laurelkeel_loop_failures", loop::failures);
-        counts.gauge("laurelkeel_turned_away", front::turnedAway);
+        counts.gauge("laurelkeel_machine_connections", front::endpointConnections);
+        counts.gauge("laurelkeel_loop_backlog", loop::queuedTasks);
+        counts.gauge("laurelkeel_loop_failures", loop::failedTasks);
+        counts.gauge("laurelkeel_turned_away", front::rejectedBeforeDecision);
         for (CloseReason why : CloseReason.values()) {
             counts.gauge(
                     "laurelkeel_client_connections_closed",
@@ -176,7 +182,7 @@
                     why.name().toLowerCase(Locale.ROOT),
                     () -> front.closedConnections().getOrDefault(why, 0L));
         }
-        counts.gauge("laurelkeel_body_bytes_held", front::bodies);
+        counts.gauge("laurelkeel_body_bytes_held", front::bodyBytes);
         counts.gauge("laurelkeel_records_lost", told::lost);
         counts.gauge("laurelkeel_report_cells_left_out", () -> reports.leftOut);
         counts.gauge("laurelkeel_log_lines_left_out", RateLimitedAsyncAppender::leftOut);
@@ -192,8 +198,8 @@
         if (notes != null) {
             notes.open();
         }
-        if (set.admin() != null) {
-            admin = new AdminServer(base.socketThreads(), set.admin(), front::health, counts::text);
+        if (set.adminAddress() != null) {
+            admin = new AdminServer(base.socketThreads(), set.adminAddress(), front::health, counts::text);
             admin.start();
         }
         if (list != null) {
@@ -205,7 +211,7 @@
     }
 
     @Override
-    public List<Runnable> ends() {
+    public List<Runnable> closeTasks() {
         List<Runnable> ends = new ArrayList<>();
         if (list != null) {
             ends.add(list::close);
@@ -225,32 +231,32 @@
     }
 
     private void report() {
-        loop.at(loop.now() + 5_000, this::report);
-        reports.tell(loop.now());
+        loop.schedule(loop.nowTicks() + 5_000, this::report);
+        reports.tell(loop.nowTicks());
     }
 
     /** What the release line says of a build beside its news. */
     private void blamed(RolloutMessage line) {
-        PartitionedDecider.Blame word;
+        PartitionedDecider.Attribution word;
         try {
             word = line.blame() == null
-                    ? PartitionedDecider.Blame.NONE
-                    : PartitionedDecider.Blame.valueOf(
+                    ? PartitionedDecider.Attribution.NONE
+                    : PartitionedDecider.Attribution.valueOf(
                             line.blame().toUpperCase(Locale.ROOT).replace('-', '_'));
         } catch (IllegalArgumentException e) {
             LOG.warn("the release line's blame '{}' is unknown and counts for none", line.blame());
-            word = PartitionedDecider.Blame.NONE;
+            word = PartitionedDecider.Attribution.NONE;
         }
-        if (word != blames.getOrDefault(line.build(), PartitionedDecider.Blame.NONE)) {
+        if (word != blames.getOrDefault(line.build(), PartitionedDecider.Attribution.NONE)) {
             blames.put(line.build(), word);
             LOG.info("blame on build {}: {}", line.build(), word);
             counts.add("laurelkeel_blame_total", "word", word.name().toLowerCase(Locale.ROOT));
         }
-        lanes.blame(line.build(), word);
+        lanes.attribute(line.build(), word);
     }
 
     @Override
-    public EndpointAddress place(String machine) {
+    public EndpointAddress addressOf(String machine) {
         // the list's names are addresses; they are resolved once while a machine's connections are in use
         return places.computeIfAbsent(machine, m -> {
             if (places.size() > MOST_PLACES) {
@@ -270,15 +276,16 @@
     }
 
     @Override
-    public HttpResponse own(HttpRequest http, String health) {
+    public HttpResponse answerNodeRequest(HttpRequest http, String health) {
         String ref = new String(http.body(), StandardCharsets.UTF_8).strip();
         ResponseReferences.Answer c = refs.take(numberOf(ref));
         if (c == null) {
             return StandaloneProtocol.plain(
                     404,
-                    "no answer of this front has that " + HeaderNames.REF + ", or it was too long ago or told before");
+                    "no answer of this front has that " + HeaderNames.RESPONSE_REFERENCE
+                            + ", or it was too long ago or told before");
         }
-        inbox.learn(new Event.ComplaintReceived(c.machine(), loop.now() - c.sentAt(), c.route()));
+        inbox.add(new Event.ComplaintReceived(c.machine(), loop.nowTicks() - c.sentAt(), c.route()));
         reports.wrong(c.sentAt(), c.machine(), c.route(), c.customer());
         counts.add("laurelkeel_complaints_total", "known", "yes");
         return StandaloneProtocol.plain(202, "noted");
@@ -294,69 +301,68 @@
     }
 
     @Override
-    public void vote(Action.CastVote v) {
+    public void castVote(Action.CastVote v) {
         String verdict = WireTerms.verdict(v.verdict());
         counts.add("laurelkeel_votes_total", "verdict", verdict);
         if (release == null) {
-            inbox.learn(
-                    new Event.RolloutUpdate(Event.ControlStatus.FAILED, 0, 0, 0, Event.RolloutPhase.CANARY, 0, true));
+            inbox.add(new Event.RolloutUpdate(Event.ControlStatus.FAILED, 0, 0, 0, Event.RolloutPhase.CANARY, 0, true));
             return;
         }
         release.vote(
-                new RolloutMessage.Ballot(set.decisions().nodeIndex(), v.build(), v.stage(), verdict),
-                Math.max(1, set.decisions().rollout().voteTimeoutTicks() / 10));
+                new RolloutMessage.Ballot(set.decisionSettings().nodeIndex(), v.build(), v.stage(), verdict),
+                Math.max(1, set.decisionSettings().rollout().voteTimeoutTicks() / 10));
     }
 
     @Override
-    public void watchList(boolean on) {
+    public void watchEndpoints(boolean on) {
         if (list != null) {
             list.watch(on);
         }
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpoints() {
         if (list != null) {
             list.fetch();
         }
     }
 
     @Override
-    public void tell(int to, byte[] bytes) {
-        if (notes != null && set.decisions().capabilities().gossip()) {
+    public void sendGossip(int to, byte[] bytes) {
+        if (notes != null && set.decisionSettings().capabilities().gossip()) {
             notes.tell(to, bytes);
             counts.add("laurelkeel_notes_total", "way", "out");
         }
     }
 
     @Override
-    public void turn(int events) {
+    public void onTurn(int events) {
         counts.turn(events);
     }
 
     @Override
-    public void tried(int route) {
+    public void onAttemptStarted(int route) {
         counts.tried(route);
     }
 
     @Override
-    public void tryEnded(String machine, long begunAt, ClientRequest asked, AttemptOutcome outcome) {
+    public void onAttemptEnded(String machine, long begunAt, ClientRequest asked, AttemptOutcome outcome) {
         counts.ended(outcome);
-        reports.ended(begunAt, loop.now(), machine, asked.route(), asked.customer(), outcome);
+        reports.ended(begunAt, loop.nowTicks(), machine, asked.route(), asked.tenant(), outcome);
     }
 
     @Override
-    public void completed(long number, String machine, long begunAt, ClientRequest asked) {
-        refs.put(number, machine, begunAt, asked.route(), asked.customer());
+    public void onCompleted(long number, String machine, long begunAt, ClientRequest asked) {
+        refs.put(number, machine, begunAt, asked.route(), asked.tenant());
     }
 
     @Override
-    public void answered(RequestOutcome how, long tenths) {
+    public void onAnswered(RequestOutcome how, long tenths) {
         counts.answered(how, tenths);
     }
 
     @Override
-    public void overdue(int route) {
+    public void onOverdue(int route) {
         counts.overdue(route);
     }
 }
--- a/src/main/java/laurelkeel/front/WireTerms.java
+++ b/src/main/java/laurelkeel/front/WireTerms.java
@@ -130,6 +130,16 @@
         };
     }
 
+    /** The label of a request's outcome in {@code laurelkeel_answers_total}. */
+    static String metricLabel(RequestOutcome outcome) {
+        return switch (outcome) {
+            case COMPLETED -> "completed";
+            case REJECTED -> "shed";
+            case FAILED -> "errored";
+            case CLIENT_DISCONNECTED -> "left";
+        };
+    }
+
     /** An endpoint's state as records keep it. */
     static TrafficRecord.State recorded(EndpointState state) {
         return switch (state) {
--- a/src/main/java/laurelkeel/front/controlplane/EndpointListSource.java
+++ b/src/main/java/laurelkeel/front/controlplane/EndpointListSource.java
@@ -103,7 +103,7 @@
         if (pushed) {
             timer.schedule(this::open, pause.ms(), TimeUnit.MILLISECONDS);
         } else {
-            loop.postNews(sink::failed);
+            loop.postPriority(sink::failed);
         }
     }
 
@@ -133,7 +133,7 @@
                 LOG.warn(
                         "the machine list could not be fetched: {}",
                         failure == null ? "status " + r.statusCode() : failure.getMessage());
-                loop.postNews(sink::failed);
+                loop.postPriority(sink::failed);
             } else {
                 line(r.body(), true);
             }
@@ -141,7 +141,7 @@
     }
 
     private void line(String text, boolean fetched) {
-        long arrived = loop.clock();
+        long arrived = loop.clockTicks();
         EndpointListMessage l;
         try {
             l = JSON.readValue(text, EndpointListMessage.class);
@@ -175,7 +175,7 @@
                 return;
             }
             version = l.version();
-            loop.postNews(() -> sink.list(l, arrived));
+            loop.postPriority(() -> sink.list(l, arrived));
         }
     }
 }
--- a/src/main/java/laurelkeel/front/controlplane/LineWatch.java
+++ b/src/main/java/laurelkeel/front/controlplane/LineWatch.java
@@ -30,7 +30,7 @@
         this.line = line;
         this.ended = ended;
         // the lines themselves are posted ahead of this
-        this.body = LineBodySubscriber.lines(this::heard, loop::postNews);
+        this.body = LineBodySubscriber.lines(this::heard, loop::postPriority);
     }
 
     /** @param ended told once, with the reason, unless cancelled from here */
--- a/src/main/java/laurelkeel/front/controlplane/RolloutSource.java
+++ b/src/main/java/laurelkeel/front/controlplane/RolloutSource.java
@@ -84,7 +84,7 @@
     }
 
     private void line(String text) {
-        long arrived = loop.clock();
+        long arrived = loop.clockTicks();
         try {
             RolloutMessage l = JSON.readValue(text, RolloutMessage.class);
             if (l == null) {
@@ -95,7 +95,7 @@
             if (!"beat".equals(l.kind()) && fault != null) {
                 LOG.warn("a line of the release line is passed over: {}", fault);
             } else if (!"beat".equals(l.kind())) {
-                loop.postNews(() -> sink.news(l, arrived));
+                loop.postPriority(() -> sink.news(l, arrived));
             }
         } catch (JsonProcessingException e) {
             LOG.warn("a line of the release line could not be read and is passed over: {}", e.getOriginalMessage());
@@ -130,7 +130,7 @@
             asked = CompletableFuture.failedFuture(e);
         }
         asked.whenComplete((r, failure) -> {
-            long arrived = loop.clock();
+            long arrived = loop.clockTicks();
             Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
             boolean late = cause instanceof HttpTimeoutException || cause instanceof CancellationException;
             String answer = late ? "timeout" : "error";
@@ -150,7 +150,7 @@
             }
             String told = answer;
             RolloutMessage with = line;
-            loop.postNews(() -> sink.voted(told, ballot.build(), with, arrived));
+            loop.postPriority(() -> sink.voted(told, ballot.build(), with, arrived));
         });
     }
 }
--- a/src/main/java/laurelkeel/front/ingress/ClientRequest.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientRequest.java
@@ -21,19 +21,19 @@
  * @param cost 0 where the client did not say
  */
 public record ClientRequest(
-        String id,
-        ForwardedMessage crossing,
-        boolean toHead,
-        boolean last,
+        String clientRequestId,
+        ForwardedMessage forwarded,
+        boolean headRequest,
+        boolean closesConnection,
         int route,
-        int customer,
-        String key,
-        long remaining,
-        double cost,
-        boolean repeat) {
+        int tenant,
+        String partitionKey,
+        long remainingTicks,
+        double expectedWorkMillis,
+        boolean clientRetry) {
     /** What only a front says: a peer that says it is not believed, and what it says ends here. */
     private static final Collection<String> OWN =
-            HopByHop.names(HeaderNames.REMAINING, HeaderNames.TRY, HeaderNames.FRONT);
+            HopByHop.names(HeaderNames.REMAINING, HeaderNames.ATTEMPT, HeaderNames.FRONT);
 
     private static final int LONGEST_KEY = 256;
     private static final Set<String> YES = Set.of("1", "true");
@@ -46,34 +46,36 @@
             throw new HttpProtocolException(404, "no route has this path");
         }
         if (route == -2) {
-            throw new HttpProtocolException(405, "this path takes " + table.allowed(http.path()));
+            throw new HttpProtocolException(405, "this path takes " + table.allowedMethods(http.path()));
         }
-        int customer = table.customer(http.headers().get(HeaderNames.CUSTOMER));
+        int customer = table.tenant(http.headers().get(HeaderNames.TENANT));
         if (customer < 0) {
-            throw new HttpProtocolException(400, HeaderNames.CUSTOMER + " must name one of the customers set");
+            throw new HttpProtocolException(400, HeaderNames.TENANT + " must name one of the customers set");
         }
-        if (table.entries().get(route).marked() && http.headers().get(HeaderNames.MARK) == null) {
+        if (table.entries().get(route).requiresIdempotencyKey()
+                && http.headers().get(HeaderNames.IDEMPOTENCY_KEY) == null) {
             throw new HttpProtocolException(
-                    400, "this route needs " + HeaderNames.MARK + ", a mark of its own for each req");
+                    400, "this route needs " + HeaderNames.IDEMPOTENCY_KEY + ", a mark of its own for each req");
         }
-        String key = http.headers().get(HeaderNames.KEY);
+        String key = http.headers().get(HeaderNames.PARTITION_KEY);
         if (key != null && (key.isEmpty() || key.getBytes(StandardCharsets.ISO_8859_1).length > LONGEST_KEY)) {
-            throw new HttpProtocolException(400, HeaderNames.KEY + " must have 1 to " + LONGEST_KEY + " characters");
+            throw new HttpProtocolException(
+                    400, HeaderNames.PARTITION_KEY + " must have 1 to " + LONGEST_KEY + " characters");
         }
         double left = number(http, HeaderNames.REMAINING, timeouts.applyAsLong(route) / 10.0);
         // deadlines round down: the client must never be answered later than it waits
         long remaining = Math.min(timeouts.applyAsLong(route), (long) Math.floor(left * 10));
-        String again = http.headers().get(HeaderNames.REPEAT);
+        String again = http.headers().get(HeaderNames.CLIENT_RETRY);
         return new ClientRequest(
                 null,
                 ForwardedMessage.of(http, OWN),
                 http.method().equals("HEAD"),
-                http.last(),
+                http.closesConnection(),
                 route,
                 customer,
                 key,
                 remaining,
-                number(http, HeaderNames.COST, 0),
+                number(http, HeaderNames.EXPECTED_WORK_MS, 0),
                 again != null && YES.contains(again));
     }
 
--- a/src/main/java/laurelkeel/front/ingress/Ingress.java
+++ b/src/main/java/laurelkeel/front/ingress/Ingress.java
@@ -43,10 +43,10 @@
     private final Executor threads;
     private final SimpleIoProcessorPool<NioSession> processors;
     private final ClientAcceptor acceptor;
-    private final ByteBudget room = ByteBudget.eighth();
-    private final AtomicInteger connections = new AtomicInteger();
+    private final ByteBudget room = ByteBudget.eighthOfHeap();
+    private final AtomicInteger openConnections = new AtomicInteger();
     private final AtomicInteger refused = new AtomicInteger();
-    private final AtomicLongArray closed = new AtomicLongArray(CloseReason.values().length);
+    private final AtomicLongArray closedConnections = new AtomicLongArray(CloseReason.values().length);
     private final ArrayList<Runnable> writes = new ArrayList<>();
 
     /** @param processors run its sockets */
@@ -63,7 +63,7 @@
         this.threads = threads;
         this.processors = processors;
         this.door = door;
-        acceptor = new ClientAcceptor(threads, processors, set.connections() + set.spare() + 1);
+        acceptor = new ClientAcceptor(threads, processors, set.maxConnections() + set.spareConnections() + 1);
         acceptor.setReuseAddress(true);
         acceptor.setBacklog(8192);
         // at a drain the port goes first, and what is held on open connections is still answered
@@ -73,18 +73,18 @@
         acceptor.getSessionConfig().setMaxReadBufferSize(16 << 10);
         // by the wall clock, which may be stepped: sweep bounds writes
         acceptor.getSessionConfig().setWriteTimeout(0);
-        acceptor.getFilterChain().addLast("http", HttpCodec.server(set.limits(), room));
+        acceptor.getFilterChain().addLast("http", HttpCodec.server(set.httpLimits(), room));
         acceptor.setHandler(new Handler());
     }
 
     /** Of the spare places, those for connections that are accepted and not yet looked at, or on their way out. */
     private static int unopened(IngressSettings set) {
-        return Math.min(MOST_UNOPENED, set.spare() / 4);
+        return Math.min(MOST_UNOPENED, set.spareConnections() / 4);
     }
 
     /** Binds and returns the address with its real port. */
-    public InetSocketAddress open() throws IOException {
-        acceptor.bind(set.listen());
+    public InetSocketAddress bind() throws IOException {
+        acceptor.bind(set.listenAddress());
         return acceptor.getLocalAddress();
     }
 
@@ -94,8 +94,8 @@
     }
 
     /** Starts closing what keeps a place without a req; on the front's thread. */
-    public void begin() {
-        loop.at(loop.now() + SWEEP, this::sweep);
+    public void startSweeps() {
+        loop.schedule(loop.nowTicks() + SWEEP, this::sweep);
     }
 
     /**
@@ -103,8 +103,8 @@
      * end connections under their answers. On the front's thread.
      */
     void sweep() {
-        long now = loop.now();
-        loop.at(now + SWEEP, this::sweep);
+        long now = loop.nowTicks();
+        loop.schedule(now + SWEEP, this::sweep);
         for (IoSession s : acceptor.getManagedSessions().values()) {
             if (s.getAttribute(CONN) instanceof ClientConnection conn) {
                 sweep(conn, now);
@@ -114,20 +114,23 @@
 
     private void sweep(ClientConnection conn, long now) {
         int requests = conn.requests;
-        if (conn.writeStalledFor(now) > set.writeTimeout()) {
+        if (conn.writeStalledFor(now) > set.writeTimeoutTicks()) {
             conn.closing(CloseReason.WRITE_STALLED);
             conn.session.closeNow();
         } else if (nothingOwed(conn) && !conn.retiring) {
             long half = halfFor(conn);
             long rests = now - conn.restsSince;
-            if (set.halfReq() > 0 && half > set.halfReq()) {
+            if (set.partialRequestTimeoutTicks() > 0 && half > set.partialRequestTimeoutTicks()) {
                 conn.closing(CloseReason.REQUEST_UNFINISHED);
                 conn.write(
-                        words.refusal(new HttpProtocolException(408, "the req did not come whole in time"), null),
+                        words.badRequest(new HttpProtocolException(408, "the req did not come whole in time"), null),
                         true);
-            } else if (set.firstReq() > 0 && half == 0 && requests == 0 && rests > set.firstReq()) {
+            } else if (set.firstRequestTimeoutTicks() > 0
+                    && half == 0
+                    && requests == 0
+                    && rests > set.firstRequestTimeoutTicks()) {
                 retire(conn, requests, CloseReason.FIRST_REQUEST_LATE, false);
-            } else if (half == 0 ? rests > set.idleClose() : half > set.idleClose()) {
+            } else if (half == 0 ? rests > set.idleTimeoutTicks() : half > set.idleTimeoutTicks()) {
                 // a client that sends a byte of a request now and then would keep its place for ever
                 retire(conn, requests, CloseReason.IDLE, half > 0);
             }
@@ -162,7 +165,7 @@
             } else {
                 c.retiring = false;
                 if (c.counted.compareAndSet(false, true)) {
-                    connections.incrementAndGet();
+                    openConnections.incrementAndGet();
                 }
                 readOn(c);
             }
@@ -171,14 +174,14 @@
 
     /** Unless too much of it waits, or it is being looked at. */
     private void readOn(ClientConnection c) {
-        if (c.owed.get() <= set.pipelined() && !c.retiring && c.session.isReadSuspended()) {
+        if (c.owed.get() <= set.maxPipelinedRequests() && !c.retiring && c.session.isReadSuspended()) {
             c.session.resumeRead();
         }
     }
 
     private void uncount(ClientConnection c) {
         if (c.counted.compareAndSet(true, false)) {
-            connections.decrementAndGet();
+            openConnections.decrementAndGet();
         }
     }
 
@@ -207,7 +210,7 @@
 
     private boolean mayGiveItsPlace(ClientConnection c, int requests) {
         boolean free = nothingOwed(c) && !c.retiring && !c.session.isClosing();
-        boolean rested = HttpCodec.halfSince(c.session) == 0 && loop.clock() - c.restsSince > set.keep();
+        boolean rested = HttpCodec.halfSince(c.session) == 0 && loop.clockTicks() - c.restsSince > set.minIdleTicks();
         return free && (requests == 0 || rested);
     }
 
@@ -243,16 +246,16 @@
         threads.execute(processors::dispose);
     }
 
-    public int connections() {
-        return connections.get();
+    public int openConnections() {
+        return openConnections.get();
     }
 
     /** Clients' connections that have ended since the start, by reason; on any thread. */
-    public Map<CloseReason, Long> closed() {
+    public Map<CloseReason, Long> closedConnections() {
         Map<CloseReason, Long> out = new EnumMap<>(CloseReason.class);
         for (CloseReason why : CloseReason.values()) {
-            if (closed.get(why.ordinal()) > 0) {
-                out.put(why, closed.get(why.ordinal()));
+            if (closedConnections.get(why.ordinal()) > 0) {
+                out.put(why, closedConnections.get(why.ordinal()));
             }
         }
         return out;
@@ -275,23 +278,23 @@
     }
 
     /** Bytes of reqs' bodies that are held, half read or whole. */
-    public long bodies() {
-        return room.held();
+    public long bodyBytes() {
+        return room.reservedBytes();
     }
 
     /** A req that was taken is over: its body is held no more. */
-    public void over(ClientRequest asked) {
-        room.give(asked.crossing().body().length);
+    public void releaseBody(ClientRequest asked) {
+        room.release(asked.forwarded().body().length);
     }
 
     private void drop(Object message) {
         if (message instanceof ClientRequest a) {
-            over(a);
+            releaseBody(a);
         }
     }
 
     /** Reqs and connections turned away at the door since the start. */
-    public int turnedAway() {
+    public int rejectedBeforeDecision() {
         return refused.get();
     }
 
@@ -300,12 +303,12 @@
         public void sessionOpened(IoSession session) {
             acceptor.opened();
             ClientConnection conn = new ClientConnection(session);
-            conn.restsSince = loop.clock();
+            conn.restsSince = loop.clockTicks();
             session.setAttribute(CONN, conn);
-            if (connections.incrementAndGet() > set.connections() && set.keep() > 0) {
+            if (openConnections.incrementAndGet() > set.maxConnections() && set.minIdleTicks() > 0) {
                 makeRoom(conn);
             }
-            if (connections.get() > set.connections() + set.spare() - unopened(set)) {
+            if (openConnections.get() > set.maxConnections() + set.spareConnections() - unopened(set)) {
                 // told at once that nothing was taken, so nothing that it sent meanwhile may be
                 conn.turnedAway = true;
                 conn.closing(CloseReason.NO_PLACE);
@@ -318,13 +321,13 @@
         @Override
         public void messageReceived(IoSession session, Object message) {
             ClientConnection conn = (ClientConnection) session.getAttribute(CONN);
-            long arrived = loop.clock();
+            long arrived = loop.clockTicks();
             if (conn.turnedAway && message instanceof HttpRequest http) {
-                room.give(http.body().length);
+                room.release(http.body().length);
             } else if (message instanceof HttpRequest || message instanceof HttpProtocolException) {
                 conn.requests++;
                 // counted here, not by the loop: while that is held up, a client that pours must wait too
-                if (conn.owed.incrementAndGet() > set.pipelined()) {
+                if (conn.owed.incrementAndGet() > set.maxPipelinedRequests()) {
                     session.suspendRead();
                     readOn(conn);
                 }
@@ -333,7 +336,7 @@
                         ? understood(session, http)
                         : refusal((HttpProtocolException) message, null);
                 if (message instanceof HttpRequest http && !(read instanceof ClientRequest)) {
-                    room.give(http.body().length);
+                    room.release(http.body().length);
                 }
                 loop.post(() -> received(conn, read, arrived));
             }
@@ -375,7 +378,7 @@
         public void sessionClosed(IoSession session) {
             ClientConnection conn = (ClientConnection) session.getAttribute(CONN);
             uncount(conn);
-            closed.incrementAndGet(conn.closeReason().ordinal());
+            closedConnections.incrementAndGet(conn.closeReason().ordinal());
             int unanswered = conn.owed.get();
             if (unanswered > 0) {
                 LOG.info(
@@ -388,7 +391,7 @@
                 conn.gone = true;
                 empty(conn);
                 if (conn.busy) {
-                    door.left(conn.current);
+                    door.onDisconnect(conn.current);
                 }
             });
         }
@@ -400,7 +403,7 @@
     /** An Asked, a Refusal, or the HttpReq itself where it is for the front. */
     private Object understood(IoSession session, HttpRequest http) {
         try {
-            return words.own(http) ? http : words.asked(http);
+            return words.isNodeRequest(http) ? http : words.parseRequest(http);
         } catch (HttpProtocolException e) {
             return refusal(e, http);
         } catch (RuntimeException e) {
@@ -416,7 +419,9 @@
             return new Refusal(shedAtDoor("this front has no room for more bodies", true), false, true);
         }
         return new Refusal(
-                words.refusal(bad, http), http != null && http.method().equals("HEAD"), http == null || http.last());
+                words.badRequest(bad, http),
+                http != null && http.method().equals("HEAD"),
+                http == null || http.closesConnection());
     }
 
     // ---- on the front's thread
@@ -443,14 +448,14 @@
         // an answer of this turn may be among those that are not handed over yet
         flush();
         if (conn.busy && conn.current != null) {
-            door.left(conn.current);
+            door.onDisconnect(conn.current);
             conn.current = null;
-            conn.write(words.errored(false, "its client ended the connection; the req may have run"), false);
+            conn.write(words.failed(false, "its client ended the connection; the req may have run"), false);
         }
         for (ClientConnection.Waiting waits : conn.waiting) {
             boolean refused = waits.message() instanceof Refusal;
             conn.write(
-                    refused ? ((Refusal) waits.message()).answer : words.atDoor("its client ended the connection"),
+                    refused ? ((Refusal) waits.message()).answer : words.notAccepted("its client ended the connection"),
                     false);
         }
         empty(conn);
@@ -463,11 +468,11 @@
     private void next(ClientConnection conn) {
         while (!conn.busy && !conn.gone && !conn.lastSaid && !conn.waiting.isEmpty()) {
             ClientConnection.Waiting w = conn.waiting.poll();
-            begin(conn, w.message(), w.arrived());
+            startSweeps(conn, w.message(), w.arrived());
         }
     }
 
-    private void begin(ClientConnection conn, Object message, long arrived) {
+    private void startSweeps(ClientConnection conn, Object message, long arrived) {
         conn.toHead = false;
         if (message instanceof Refusal r) {
             conn.toHead = r.toHead;
@@ -475,34 +480,34 @@
             owesLess(conn);
         } else if (message instanceof HttpRequest own) {
             conn.busy = true;
-            door.own(conn, own);
+            door.onNodeRequest(conn, own);
         } else {
             ClientRequest asked = (ClientRequest) message;
-            conn.toHead = asked.toHead();
+            conn.toHead = asked.headRequest();
             // the time a pipelined req waited for its turn is time its client has waited
-            boolean full = door.held() >= set.openReqs() || loop.backlog() >= set.backlog();
-            if (door.ended() || (door.draining() && set.lameDuck() == 0) || full) {
+            boolean full = door.activeRequests() >= set.maxOpenRequests() || loop.queuedTasks() >= set.maxQueuedTasks();
+            if (door.hasEnded() || (door.isDraining() && set.lameDuckTicks() == 0) || full) {
                 refused.incrementAndGet();
-                over(asked);
-                boolean last = door.draining() || asked.last();
+                releaseBody(asked);
+                boolean last = door.isDraining() || asked.closesConnection();
                 conn.write(shedAtDoor(full ? "this front is full" : "this front is stopping", last), last);
                 owesLess(conn);
                 return;
             }
             conn.busy = true;
-            door.taken(conn, asked, arrived);
+            door.onRequest(conn, asked, arrived);
         }
     }
 
     private void owesLess(ClientConnection conn) {
-        if (conn.owed.decrementAndGet() <= set.pipelined() / 2 + 1) {
+        if (conn.owed.decrementAndGet() <= set.maxPipelinedRequests() / 2 + 1) {
             readOn(conn);
         }
     }
 
     /** The final answer of the req in progress; its connection's next one begins once this is written. */
     public void answer(ClientConnection conn, boolean last, HttpResponse answer) {
-        boolean ends = last || door.draining();
+        boolean ends = last || door.isDraining();
         if (ends) {
             answer.headers().add("Connection", "close");
         }
@@ -514,12 +519,13 @@
      *
      * @param gone run once it has left or never will, on any thread
      */
-    public void pass(ClientConnection conn, boolean last, ForwardedMessage answer, MessageBuilder own, Runnable gone) {
-        boolean ends = last || door.draining();
+    public void forward(
+            ClientConnection conn, boolean last, ForwardedMessage answer, MessageBuilder own, Runnable gone) {
+        boolean ends = last || door.isDraining();
         if (ends) {
-            own.line("Connection", "close");
+            own.appendHeader("Connection", "close");
         }
-        byte[] bytes = answer.with(own, !conn.toHead);
+        byte[] bytes = answer.assemble(own, !conn.toHead);
         answered(conn, () -> {
             if (conn.gone) {
                 gone.run();
@@ -553,7 +559,7 @@
 
     private void written(ClientConnection conn, Supplier<WriteFuture> write) {
         WriteFuture written = write.get();
-        conn.restsSince = loop.now();
+        conn.restsSince = loop.nowTicks();
         owesLess(conn);
         if (conn.gone || conn.waiting.isEmpty()) {
             conn.busy = false;
@@ -567,7 +573,7 @@
     }
 
     private HttpResponse shedAtDoor(String why, boolean last) {
-        HttpResponse a = words.atDoor(why);
+        HttpResponse a = words.notAccepted(why);
         if (last) {
             a.headers().add("Connection", "close");
         }
--- a/src/main/java/laurelkeel/front/ingress/IngressSettings.java
+++ b/src/main/java/laurelkeel/front/ingress/IngressSettings.java
@@ -18,18 +18,18 @@
  *     that come when all places are taken are turned away
  */
 public record IngressSettings(
-        InetSocketAddress listen,
-        HttpLimits limits,
-        int connections,
-        int spare,
-        int openReqs,
-        int backlog,
-        int pipelined,
-        long idleClose,
-        long writeTimeout,
+        InetSocketAddress listenAddress,
+        HttpLimits httpLimits,
+        int maxConnections,
+        int spareConnections,
+        int maxOpenRequests,
+        int maxQueuedTasks,
+        int maxPipelinedRequests,
+        long idleTimeoutTicks,
+        long writeTimeoutTicks,
         int threads,
-        long drainMost,
-        long lameDuck,
-        long firstReq,
-        long halfReq,
-        long keep) {}
+        long maxDrainTicks,
+        long lameDuckTicks,
+        long firstRequestTimeoutTicks,
+        long partialRequestTimeoutTicks,
+        long minIdleTicks) {}
--- a/src/main/java/laurelkeel/front/ingress/RouteTable.java
+++ b/src/main/java/laurelkeel/front/ingress/RouteTable.java
@@ -9,7 +9,7 @@
 public final class RouteTable {
 
     /** marked: reqs of the route must carry a mark against repeats. */
-    public record Entry(String name, String method, String prefix, boolean marked) {}
+    public record Entry(String name, String method, String prefix, boolean requiresIdempotencyKey) {}
 
     private final List<Entry> entries;
     private final Map<String, Integer> customers = new HashMap<>();
@@ -47,7 +47,7 @@
     }
 
     /** The methods that a path takes, for the Allow header. */
-    public String allowed(String path) {
+    public String allowedMethods(String path) {
         List<String> out = new ArrayList<>();
         for (Entry e : entries) {
             if (under(path, e.prefix) && !out.contains(e.method)) {
@@ -58,7 +58,7 @@
     }
 
     /** The number of a customer; -1 where it is not known; 0 for none where the table names none. */
-    public int customer(String name) {
+    public int tenant(String name) {
         return customers.isEmpty() ? 0 : name == null ? -1 : customers.getOrDefault(name, -1);
     }
 }
--- a/src/main/java/laurelkeel/front/upstream/ConnectAttempt.java
+++ b/src/main/java/laurelkeel/front/upstream/ConnectAttempt.java
@@ -27,7 +27,7 @@
     private static final AttributeKey DIAL = new AttributeKey(ConnectAttempt.class, "dial");
 
     /** What comes of it, told once on the loop's thread, but never from within start. */
-    public interface Outcome {
+    public interface Listener {
         void connected(IoSession session);
 
         void failed(Throwable why);
@@ -36,10 +36,10 @@
         void timedOut();
     }
 
-    private final Outcome outcome;
+    private final Listener outcome;
     private volatile boolean abandoned;
 
-    private ConnectAttempt(Outcome outcome) {
+    private ConnectAttempt(Listener outcome) {
         this.outcome = outcome;
     }
 
@@ -59,14 +59,14 @@
             long limit,
             SocketAddress to,
             Consumer<IoSession> prepare,
-            Outcome outcome) {
+            Listener outcome) {
         ConnectAttempt dial = new ConnectAttempt(outcome);
         IoSessionInitializer<ConnectFuture> initializer = (session, future) -> {
             session.setAttribute(DIAL, dial);
             prepare.accept(session);
         };
         ConnectFuture future = connector.connect(to, initializer);
-        EventLoop.ScheduledTask alarm = loop.at(loop.now() + limit, () -> dial.abandon(future));
+        EventLoop.ScheduledTask alarm = loop.schedule(loop.nowTicks() + limit, () -> dial.abandon(future));
         future.addListener(f -> post.accept(() -> {
             alarm.cancel();
             dial.ended(future);
--- a/src/main/java/laurelkeel/front/upstream/ConnectionPools.java
+++ b/src/main/java/laurelkeel/front/upstream/ConnectionPools.java
@@ -47,12 +47,12 @@
     private final Executor threads;
     private final SimpleIoProcessorPool<NioSession> processors;
     private final NioSocketConnector connector;
-    private final ByteBudget room = ByteBudget.eighth();
+    private final ByteBudget room = ByteBudget.eighthOfHeap();
     private final Map<String, EndpointPool> pools = new HashMap<>();
     /** Those with tries that wait until a connection to another machine gives its place up. */
     private final LinkedHashSet<EndpointPool> starved = new LinkedHashSet<>();
 
-    private int open, dialling;
+    private int openConnections, dialling;
 
     /** @param processors run its sockets */
     public ConnectionPools(
@@ -73,13 +73,13 @@
         connector.getSessionConfig().setWriteTimeout(0);
         connector.getSessionConfig().setReadBufferSize(2048);
         connector.getSessionConfig().setMaxReadBufferSize(32 << 10);
-        connector.getFilterChain().addLast("http", HttpCodec.client(set.limits(), room));
+        connector.getFilterChain().addLast("http", HttpCodec.client(set.httpLimits(), room));
         connector.setHandler(new Handler());
     }
 
     /** Starts closing what is idle for long; on the front's thread. */
-    public void begin() {
-        loop.at(loop.now() + 10_000, this::sweep);
+    public void startSweeps() {
+        loop.schedule(loop.nowTicks() + 10_000, this::sweep);
     }
 
     public void close() {
@@ -89,19 +89,19 @@
     }
 
     /** Bytes of machines' answers that are held, half read or whole. */
-    public long bodies() {
-        return room.held();
+    public long bodyBytes() {
+        return room.reservedBytes();
     }
 
     /** An answer that was heard has gone on, or goes nowhere. */
-    public void over(EndpointResponse came) {
-        if (came != null && came.crossing() != null) {
-            room.give(came.crossing().body().length);
+    public void releaseBody(EndpointResponse came) {
+        if (came != null && came.forwarded() != null) {
+            room.release(came.forwarded().body().length);
         }
     }
 
     /** By place: connections open, of those idle, dialling, tries waiting. */
-    public Map<String, String> told() {
+    public Map<String, String> describe() {
         Map<String, String> out = new TreeMap<>();
         pools.forEach((k, p) -> out.put(k, p.open + "/" + p.idle.size() + "/" + p.dialling + "/" + p.waiting.size()));
         return out;
@@ -112,8 +112,8 @@
     }
 
     /** Connections open to all machines. */
-    public int open() {
-        return open;
+    public int openConnections() {
+        return openConnections;
     }
 
     /**
@@ -123,10 +123,12 @@
      *     not be written any more
      * @param toHead its answer has no body
      */
-    public Exchange start(EndpointAddress place, Supplier<byte[]> message, boolean toHead, Exchange.Heard heard) {
+    public Exchange startExchange(
+            EndpointAddress place, Supplier<byte[]> message, boolean toHead, Exchange.Listener heard) {
         EndpointPool pool = pools.computeIfAbsent(place.key(), k -> new EndpointPool(place));
         Exchange e = new Exchange(pool, message, toHead, heard);
-        if (place.at() == null || (pool.waiting.size() >= set.waiting() && pool.idle.isEmpty())) {
+        if (place.socketAddress() == null
+                || (pool.waiting.size() >= set.maxWaitingPerEndpoint() && pool.idle.isEmpty())) {
             loop.post(() -> e.tell(AttemptOutcome.CONNECT_FAILED, null));
         } else {
             place(e);
@@ -139,7 +141,7 @@
             EndpointConnection c = idle.next();
             if (c.gone || c.session.isClosing()) {
                 idle.remove();
-            } else if (c.idleSince + set.rest() <= loop.now()) {
+            } else if (c.idleSince + set.restAfterResponseTicks() <= loop.nowTicks()) {
                 idle.remove();
                 if (!write(c, e)) {
                     free(c);
@@ -149,7 +151,7 @@
         }
         e.pool.waiting.addLast(e);
         if (e.dialLimit == null) {
-            e.dialLimit = loop.at(loop.now() + set.dialTimeout(), () -> {
+            e.dialLimit = loop.schedule(loop.nowTicks() + set.connectTimeoutTicks(), () -> {
                 e.pool.waiting.remove(e);
                 e.tell(starved.contains(e.pool) ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED, null);
             });
@@ -178,7 +180,7 @@
         c.used = true;
         e.on = c;
         e.writtenBefore = c.session.getWrittenBytes();
-        e.writtenAt = loop.now();
+        e.writtenAt = loop.nowTicks();
         if (e.toHead) {
             HttpCodec.nextIsToHead(c.session);
         }
@@ -188,8 +190,8 @@
     }
 
     private void dial(EndpointPool pool) {
-        while (pool.dialling < pool.waiting.size() && pool.open + pool.dialling < set.connections()) {
-            if (open + dialling >= set.most()) {
+        while (pool.dialling < pool.waiting.size() && pool.open + pool.dialling < set.maxConnectionsPerEndpoint()) {
+            if (openConnections + dialling >= set.maxConnections()) {
                 starved.add(pool);
                 giveUpIdle();
                 return;
@@ -201,10 +203,10 @@
                         connector,
                         loop,
                         loop::post,
-                        Math.max(10, set.dialTimeout() * DIAL_OUTLASTS),
-                        pool.place.at(),
+                        Math.max(10, set.connectTimeoutTicks() * DIAL_OUTLASTS),
+                        pool.place.socketAddress(),
                         session -> {},
-                        new ConnectAttempt.Outcome() {
+                        new ConnectAttempt.Listener() {
                             @Override
                             public void connected(IoSession session) {
                                 dialled(pool, session);
@@ -221,7 +223,7 @@
                             }
                         });
             } catch (RuntimeException e) {
-                LOG.error("{} could not be dialled", pool.place.at(), e);
+                LOG.error("{} could not be dialled", pool.place.socketAddress(), e);
                 loop.post(() -> undialled(pool, false));
                 return;
             }
@@ -267,10 +269,10 @@
             return;
         }
         pool.open++;
-        open++;
+        openConnections++;
         session.setAttribute(CONN, c);
         // nothing can come behind an answer that there was not
-        c.idleSince = loop.now() - set.rest();
+        c.idleSince = loop.nowTicks() - set.restAfterResponseTicks();
         free(c);
     }
 
@@ -286,7 +288,7 @@
         dialEnded(pool);
         Exchange first = pool.waiting.peekFirst();
         if (first != null && !theirs && ++first.dials < MOST_DIALS) {
-            loop.at(loop.now() + AFTER_LACK, () -> dial(pool));
+            loop.schedule(loop.nowTicks() + AFTER_LACK, () -> dial(pool));
         } else {
             if (first != null) {
                 pool.waiting.pollFirst();
@@ -320,13 +322,13 @@
 
     /** After an answer: more may come behind it, and must not meet another req's wait. */
     private void rested(EndpointConnection c) {
-        c.idleSince = loop.now();
-        if (set.rest() == 0) {
+        c.idleSince = loop.nowTicks();
+        if (set.restAfterResponseTicks() == 0) {
             free(c);
         } else {
             c.pool.idle.addFirst(c);
             if (!c.pool.waiting.isEmpty() || !starved.isEmpty()) {
-                loop.at(loop.now() + set.rest(), () -> {
+                loop.schedule(loop.nowTicks() + set.restAfterResponseTicks(), () -> {
                     if (c.pool.idle.remove(c)) {
                         free(c);
                     }
@@ -341,7 +343,7 @@
         }
         c.gone = true;
         c.pool.open--;
-        open--;
+        openConnections--;
         c.pool.idle.remove(c);
         Exchange e = c.current;
         c.current = null;
@@ -374,19 +376,19 @@
         Exchange e = c.current;
         if (e == null) {
             // an answer that nothing asked: the connection has lost step
-            over(came);
+            releaseBody(came);
             c.session.closeNow();
             return;
         }
         c.current = null;
         e.on = null;
-        if (came.last()) {
+        if (came.closesConnection()) {
             c.session.closeNow();
         } else {
             rested(c);
         }
         if (e.over) {
-            over(came);
+            releaseBody(came);
         }
         e.tell(came.outcome(), came);
     }
@@ -410,8 +412,8 @@
     }
 
     private void sweep() {
-        loop.at(loop.now() + 10_000, this::sweep);
-        long before = loop.now() - set.idleClose();
+        loop.schedule(loop.nowTicks() + 10_000, this::sweep);
+        long before = loop.nowTicks() - set.idleTimeoutTicks();
         for (EndpointPool p : pools.values()) {
             p.closeIdle(before);
         }
@@ -421,20 +423,20 @@
     private final class Handler extends ConnectAttempt.Handler {
         @Override
         public void messageReceived(IoSession session, Object message) {
-            Object read = message instanceof HttpResponse a ? words.came(a) : message;
-            if (message instanceof HttpResponse a && ((EndpointResponse) read).crossing() == null) {
-                room.give(a.body().length);
+            Object read = message instanceof HttpResponse a ? words.parseResponse(a) : message;
+            if (message instanceof HttpResponse a && ((EndpointResponse) read).forwarded() == null) {
+                room.release(a.body().length);
             }
             loop.post(() -> {
                 EndpointConnection c = session.getAttribute(CONN) instanceof EndpointConnection known ? known : null;
                 if (c == null) {
-                    over(read instanceof EndpointResponse came ? came : null);
+                    releaseBody(read instanceof EndpointResponse came ? came : null);
                     session.closeNow();
                 } else if (read instanceof EndpointResponse came) {
                     answered(c, came);
                 } else if (message instanceof HttpProtocolException b) {
                     // a front without room for an answer gave it up; that is no error of the machine's build
-                    unreadable(c, b.status() == 503 ? AttemptOutcome.CANCELLED : words.unreadable());
+                    unreadable(c, b.status() == 503 ? AttemptOutcome.CANCELLED : words.unreadableOutcome());
                 }
             });
         }
--- a/src/main/java/laurelkeel/front/upstream/EndpointAddress.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointAddress.java
@@ -7,4 +7,4 @@
  *
  * @param at null where it cannot be reached
  */
-public record EndpointAddress(String key, InetSocketAddress at) {}
+public record EndpointAddress(String key, InetSocketAddress socketAddress) {}
--- a/src/main/java/laurelkeel/front/upstream/EndpointProtocol.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointProtocol.java
@@ -5,8 +5,8 @@
 
 /** What one protocol's machines mean. Called on any thread. */
 public interface EndpointProtocol {
-    EndpointResponse came(HttpResponse answer);
+    EndpointResponse parseResponse(HttpResponse answer);
 
     /** What an answer counts as that cannot be read. */
-    AttemptOutcome unreadable();
+    AttemptOutcome unreadableOutcome();
 }
--- a/src/main/java/laurelkeel/front/upstream/EndpointResponse.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointResponse.java
@@ -17,20 +17,21 @@
  * @param load what the machine told of its load, by name; empty for nothing
  * @param last the machine ends the connection with it
  */
-public record EndpointResponse(AttemptOutcome outcome, ForwardedMessage crossing, LoadReport load, boolean last) {
+public record EndpointResponse(
+        AttemptOutcome outcome, ForwardedMessage forwarded, LoadReport loadReport, boolean closesConnection) {
     /** What only a front says: a machine that says it is not believed. Its load is for the front alone. */
     private static final Collection<String> OWN = HopByHop.names(
-            HeaderNames.LOAD,
-            HeaderNames.ANSWER,
-            HeaderNames.RETRY,
+            HeaderNames.LOAD_REPORT,
+            HeaderNames.RESULT,
+            HeaderNames.RETRY_SAFETY,
             HeaderNames.RETRY_AFTER_MS,
-            HeaderNames.TAKEN,
-            HeaderNames.REF,
-            HeaderNames.RAN);
+            HeaderNames.ACCEPTED,
+            HeaderNames.RESPONSE_REFERENCE,
+            HeaderNames.EXECUTED);
 
     public static EndpointResponse of(HttpResponse a) {
         boolean refused = (a.status() == 503 || a.status() == 429)
-                && "no".equals(a.headers().get(HeaderNames.RAN));
+                && "no".equals(a.headers().get(HeaderNames.EXECUTED));
         AttemptOutcome outcome = refused
                 ? AttemptOutcome.OVERLOADED
                 : a.status() < 500 ? AttemptOutcome.COMPLETED : AttemptOutcome.FAILED;
@@ -38,11 +39,11 @@
         return new EndpointResponse(
                 outcome,
                 outcome == AttemptOutcome.COMPLETED ? ForwardedMessage.of(a, OWN) : null,
-                load(a.headers().get(HeaderNames.LOAD)),
-                a.last());
+                loadReport(a.headers().get(HeaderNames.LOAD_REPORT)),
+                a.closesConnection());
     }
 
-    private static LoadReport load(String told) {
+    private static LoadReport loadReport(String told) {
         if (told == null) {
             return LoadReport.NONE;
         }
--- a/src/main/java/laurelkeel/front/upstream/Exchange.java
+++ b/src/main/java/laurelkeel/front/upstream/Exchange.java
@@ -8,7 +8,7 @@
 public final class Exchange {
 
     /** Told once, on the front's thread, but never from within start or end. */
-    public interface Heard {
+    public interface Listener {
         /** came is null unless an answer came whole. */
         void ended(AttemptOutcome outcome, EndpointResponse came);
     }
@@ -18,14 +18,14 @@
     final Supplier<byte[]> message;
 
     final boolean toHead;
-    final Heard heard;
+    final Listener heard;
     EndpointConnection on;
     long writtenBefore, writtenAt;
     int dials;
     boolean over;
     EventLoop.ScheduledTask dialLimit;
 
-    Exchange(EndpointPool pool, Supplier<byte[]> message, boolean toHead, Heard heard) {
+    Exchange(EndpointPool pool, Supplier<byte[]> message, boolean toHead, Listener heard) {
         this.pool = pool;
         this.message = message;
         this.toHead = toHead;
@@ -38,7 +38,7 @@
      * @param asked how it is to count if it may have run
      * @return that, or what it was in truth where no byte of it was ever handed to a connection
      */
-    public AttemptOutcome end(AttemptOutcome asked) {
+    public AttemptOutcome cancel(AttemptOutcome asked) {
         boolean left = on != null;
         over = true;
         if (dialLimit != null) {
--- a/src/main/java/laurelkeel/front/upstream/UpstreamSettings.java
+++ b/src/main/java/laurelkeel/front/upstream/UpstreamSettings.java
@@ -11,13 +11,13 @@
  * @param rest what a connection rests after an answer, so that what comes behind it is not taken for the next one
  */
 public record UpstreamSettings(
-        HttpLimits limits,
-        int connections,
-        int most,
-        int waiting,
-        long dialTimeout,
-        long idleClose,
+        HttpLimits httpLimits,
+        int maxConnectionsPerEndpoint,
+        int maxConnections,
+        int maxWaitingPerEndpoint,
+        long connectTimeoutTicks,
+        long idleTimeoutTicks,
         int threads,
-        String probePath,
-        long probeTimeout,
-        long rest) {}
+        String healthCheckPath,
+        long healthCheckTimeoutTicks,
+        long restAfterResponseTicks) {}
--- a/src/main/java/laurelkeel/options/OptionsParser.java
+++ b/src/main/java/laurelkeel/options/OptionsParser.java
@@ -47,13 +47,13 @@
      */
     public record SocketOptions(
             List<String> routes,
-            List<String> customers,
+            List<String> tenants,
             List<String> zones,
             List<String> kinds,
-            boolean marksRepeats,
-            long dialTimeout,
-            long idleClose,
-            int mostOpen) {}
+            boolean clientsMarkRetries,
+            long connectTimeoutTicks,
+            long idleTimeoutTicks,
+            int maxOpenRequests) {}
 
     private final Map<String, String> pairs;
 
@@ -65,7 +65,7 @@
         return new OptionsParser(pairs).settings();
     }
 
-    public static SocketOptions real(Map<String, String> pairs) {
+    public static SocketOptions socketOptions(Map<String, String> pairs) {
         OptionsParser o = new OptionsParser(pairs);
         return new SocketOptions(
                 o.names("services"),
--- a/src/main/java/laurelkeel/partition/PartitionedDecider.java
+++ b/src/main/java/laurelkeel/partition/PartitionedDecider.java
@@ -35,7 +35,7 @@
  */
 public final class PartitionedDecider implements Decider {
     /** Releases on trial at once; a further one gets no reqs until one of them ends. */
-    public static final int MOST = 3;
+    public static final int MAX_ROLLOUTS = 3;
 
     private static final int MOST_KEYS = 600_000;
     /** A build that may have all serves beside later releases once it is so many times the one before it. */
@@ -44,7 +44,7 @@
     private static final long DOUBT = 150_000;
 
     /** What is held against one release from outside, as the release line pools it. */
-    public enum Blame {
+    public enum Attribution {
         NONE,
         GUILTY,
         CLEARED,
@@ -82,7 +82,7 @@
     private final List<TrafficPartition> lanes = new ArrayList<>();
 
     private final TreeMap<Integer, ReleaseState> releases = new TreeMap<>();
-    private final Map<Integer, Blame> blame = new HashMap<>();
+    private final Map<Integer, Attribution> attribute = new HashMap<>();
     private final Map<Integer, Long> doubtedSince = new HashMap<>();
     private final Map<Integer, Long> votedBack = new HashMap<>();
     private final Map<String, EndpointEntry> list = new LinkedHashMap<>();
@@ -124,18 +124,18 @@
     }
 
     /** How many lanes take reqs. */
-    public int open() {
+    public int openPartitions() {
         return (int) lanes.stream().filter(l -> !l.closing).count();
     }
 
     /** How many keys are kept to their lanes. */
-    int keysKept() {
+    int rememberedKeys() {
         return laneOfKey.size();
     }
 
     /** What others hold against a release; it counts from the next decisions on. */
-    public void blame(int build, Blame b) {
-        blame.put(build, b);
+    public void attribute(int build, Attribution b) {
+        attribute.put(build, b);
     }
 
     @Override
@@ -233,7 +233,7 @@
                 }
             }
         }
-        int n = open();
+        int n = openPartitions();
         int at = (int) Math.min(n - 1, n * (key == null ? chance() : fraction(key)));
         for (TrafficPartition l : lanes) {
             if (!l.closing && at-- == 0) {
@@ -436,7 +436,7 @@
         }
         if (!now.onTrial()) {
             least = least == n.build() ? -1 : least;
-            blame.remove(n.build());
+            attribute.remove(n.build());
             doubtedSince.remove(n.build());
             votedBack.remove(n.build());
         }
@@ -479,7 +479,7 @@
         for (TrafficPartition l : lanes) {
             ReleaseState own = releases.get(l.build);
             boolean over = own == null || !own.onTrial();
-            if (over && !l.closing && open() > 1) {
+            if (over && !l.closing && openPartitions() > 1) {
                 l.closing = true;
                 recut = true;
                 ReleaseState floor = releases.get(l.floor);
@@ -510,7 +510,7 @@
     }
 
     private TrafficPartition openLane(RolloutUpdate n) {
-        if (n.build() <= released || open() >= MOST) {
+        if (n.build() <= released || openPartitions() >= MAX_ROLLOUTS) {
             return null;
         }
         TrafficPartition lane =
@@ -540,7 +540,7 @@
 
     /** After a change of releases or machines: what serves beside each, and what each sees. */
     private void cut() {
-        boolean alone = open() == 1;
+        boolean alone = openPartitions() == 1;
         for (TrafficPartition lane : lanes) {
             // a decider passes over news of builds before its own: what was released since stays its floor
             boolean whole = alone && !lane.closing && lane.knows >= released && least < 0;
@@ -563,7 +563,7 @@
         }
         double cap = lanes.size() == 1
                 ? r.cap()
-                : Math.min(1, r.cap() * AcceptedRequestWindow.times(all, lane.taken, now, open()));
+                : Math.min(1, r.cap() * AcceptedRequestWindow.times(all, lane.taken, now, openPartitions()));
         boolean told = !Double.isNaN(lane.toldCap);
         if (told ? cap != lane.toldCap : cap != r.cap()) {
             lane.events.add(new RolloutUpdate(ControlStatus.OK, r.stage(), cap, 0, r.phase(), r.build(), false));
@@ -673,19 +673,19 @@
 
     /** A lane's decider compares its release with the build beside it; among several the blame has a word too. */
     private void vote(TrafficPartition lane, Action.CastVote v) {
-        if (open() == 1) {
+        if (openPartitions() == 1) {
             out.add(v);
             return;
         }
-        Blame own = blame.getOrDefault(v.build(), Blame.NONE);
-        boolean otherGuilty =
-                blame.entrySet().stream().anyMatch(e -> e.getKey() != v.build() && e.getValue() == Blame.GUILTY);
-        boolean open = blame.containsValue(Blame.OPEN);
-        if (v.verdict() == Verdict.PROMOTE && (open || otherGuilty || own == Blame.GUILTY)) {
+        Attribution own = attribute.getOrDefault(v.build(), Attribution.NONE);
+        boolean otherGuilty = attribute.entrySet().stream()
+                .anyMatch(e -> e.getKey() != v.build() && e.getValue() == Attribution.GUILTY);
+        boolean open = attribute.containsValue(Attribution.OPEN);
+        if (v.verdict() == Verdict.PROMOTE && (open || otherGuilty || own == Attribution.GUILTY)) {
             refuse(lane, v, "holds while blame is open");
         } else if (v.verdict() == Verdict.ROLL_BACK
-                && own != Blame.GUILTY
-                && (otherGuilty || own == Blame.CLEARED || open)
+                && own != Attribution.GUILTY
+                && (otherGuilty || own == Attribution.CLEARED || open)
                 && now < doubtedSince.computeIfAbsent(v.build(), b -> now) + DOUBT) {
             refuse(lane, v, "blame does not fall on it");
         } else {
@@ -702,10 +702,10 @@
 
     /** The guilty one is voted back whatever its own lane has seen, as long as it is on trial. */
     private void blamed() {
-        blame.forEach((build, b) -> {
+        attribute.forEach((build, b) -> {
             ReleaseState r = releases.get(build);
             Long at = votedBack.get(build);
-            if ((b == Blame.GUILTY || b == Blame.SET_ASIDE)
+            if ((b == Attribution.GUILTY || b == Attribution.SET_ASIDE)
                     && r != null
                     && r.onTrial()
                     && (at == null || now >= at + set.rollout().voteLifetimeTicks() * 6 / 10)) {
@@ -713,7 +713,7 @@
                 out.add(new Action.CastVote(build, r.stage(), Verdict.ROLL_BACK));
                 if (at == null) {
                     out.add(new Action.WriteLog("votes back on build " + build
-                            + (b == Blame.GUILTY
+                            + (b == Attribution.GUILTY
                                     ? ": blame falls on it"
                                     : ": set aside, to tell whether the harm ends with it")));
                 }
--- a/src/main/java/laurelkeel/platform/ControlServiceClient.java
+++ b/src/main/java/laurelkeel/platform/ControlServiceClient.java
@@ -71,7 +71,7 @@
 
         /** Whether the next vote may go on it: it may have moved while one was answered. */
         boolean useful() {
-            return link.open() && where.equals(at) && loop.now() <= idleSince + VOTES_IDLE;
+            return link.open() && where.equals(at) && loop.nowTicks() <= idleSince + VOTES_IDLE;
         }
 
         void say(Action.CastVote next) {
@@ -93,7 +93,7 @@
                     Event.RolloutUpdate n = answer(text, arrived);
                     vote = null;
                     limit.cancel();
-                    idleSince = loop.now();
+                    idleSince = loop.nowTicks();
                     LOG.info(
                             "a vote was answered {}: build {} stage {} {}",
                             n.status(),
@@ -200,7 +200,7 @@
             ballots.say(v);
         }
         Ballots mine = ballots;
-        mine.limit = loop.at(loop.now() + voteTimeout, () -> mine.end(ControlStatus.TIMED_OUT));
+        mine.limit = loop.schedule(loop.nowTicks() + voteTimeout, () -> mine.end(ControlStatus.TIMED_OUT));
     }
 
     private static byte[] said(Action.CastVote v) {
@@ -261,7 +261,7 @@
 
     /** Counted from when the bytes came, not from when the loop got to them. */
     private long age(String ms, long arrived) throws MalformedMessageException {
-        return (long) Math.floor(number(ms) * 10) + Math.max(0, loop.now() - arrived);
+        return (long) Math.floor(number(ms) * 10) + Math.max(0, loop.nowTicks() - arrived);
     }
 
     private static long whole(String s) throws MalformedMessageException {
--- a/src/main/java/laurelkeel/platform/DiscoveryClient.java
+++ b/src/main/java/laurelkeel/platform/DiscoveryClient.java
@@ -94,7 +94,7 @@
     }
 
     private void told(JsonNode value) throws MalformedMessageException {
-        Event.EndpointListUpdate list = machines.told(value, loop.now());
+        Event.EndpointListUpdate list = machines.told(value, loop.nowTicks());
         heard = true;
         if (FrontNode.TRACE) {
             String text = value.toString();
--- a/src/main/java/laurelkeel/platform/NodeConfiguration.java
+++ b/src/main/java/laurelkeel/platform/NodeConfiguration.java
@@ -26,13 +26,13 @@
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
-        InetSocketAddress desk,
+        InetSocketAddress controlService,
         long seed,
-        int sockets,
-        JsonNode news,
-        JsonNode known,
+        int maxSockets,
+        JsonNode rolloutNews,
+        JsonNode cachedEndpoints,
         Settings settings,
-        OptionsParser.SocketOptions real) {
+        OptionsParser.SocketOptions socketOptions) {
     static final ObjectMapper JSON = new ObjectMapper();
 
     /** @param env the environment, whose RELAY_NAME and RELAY_LISTEN stand for fields that the file lacks */
@@ -81,7 +81,7 @@
                     object(rollouts.get("news")),
                     object(all.get("known")),
                     set,
-                    OptionsParser.real(pairs));
+                    OptionsParser.socketOptions(pairs));
         } catch (InvalidOptionException e) {
             throw new InvalidConfigurationException("settings." + e.getMessage());
         }
--- a/src/main/java/laurelkeel/platform/PlatformNode.java
+++ b/src/main/java/laurelkeel/platform/PlatformNode.java
@@ -61,7 +61,7 @@
     private final EventInbox inbox;
     private final long startedAt;
     /** Made for this node, which itself never calls it: set before anybody has the node. */
-    private FrontNode front;
+    private FrontNode frontNode;
 
     private int newsBuild = -1;
     private double newsCap;
@@ -73,20 +73,23 @@
         this.base = base;
         loop = base.loop();
         inbox = base.inbox();
-        startedAt = loop.now();
-        words = new PlatformProtocol(config.settings(), config.real());
-        long epoch = loop.clock() - System.currentTimeMillis() * 10;
+        startedAt = loop.nowTicks();
+        words = new PlatformProtocol(config.settings(), config.socketOptions());
+        long epoch = loop.clockTicks() - System.currentTimeMillis() * 10;
         machines = new EndpointDirectory(
-                config.real().zones(), config.real().kinds(), new StartTimeTranslator(epoch), inbox::leave);
-        links = new ServiceConnections(loop, base.socketThreads(), base.shared());
-        discovery = new DiscoveryClient(links, loop, config.seed() * 2, machines, config.discovery(), inbox::learn);
+                config.socketOptions().zones(),
+                config.socketOptions().kinds(),
+                new StartTimeTranslator(epoch),
+                inbox::retireAddress);
+        links = new ServiceConnections(loop, base.socketThreads(), base.sharedProcessors());
+        discovery = new DiscoveryClient(links, loop, config.seed() * 2, machines, config.discovery(), inbox::add);
         desk = new ControlServiceClient(
                 links,
                 loop,
                 config.seed() * 2 + 1,
                 config.settings().rollout().voteTimeoutTicks(),
                 words::route,
-                config.desk(),
+                config.controlService(),
                 this::news);
         learnConfiguration();
     }
@@ -94,33 +97,33 @@
     /** What the configuration tells is known from the first turn on. */
     private void learnConfiguration() {
         try {
-            if (config.known() != null) {
-                inbox.learn(machines.known(config.known(), loop.now()));
+            if (config.cachedEndpoints() != null) {
+                inbox.add(machines.known(config.cachedEndpoints(), loop.nowTicks()));
             }
         } catch (MalformedMessageException e) {
             LOG.warn("known: the list of the configuration cannot be read; waiting for discovery: {}", e.getMessage());
         }
-        Event.RolloutUpdate news = ControlServiceClient.known(config.news());
+        Event.RolloutUpdate news = ControlServiceClient.known(config.rolloutNews());
         if (news != null) {
             news(news);
         }
     }
 
     /** A front node with the decider that maker makes; it runs once its front is started. */
-    public static PlatformNode of(NodeConfiguration config, Decider.Factory maker) {
-        return of(config, maker, NodeRuntime.clock());
+    public static PlatformNode create(NodeConfiguration config, Decider.Factory maker) {
+        return create(config, maker, NodeRuntime.monotonicClock());
     }
 
     /** @param clock tenths of a millisecond that only advance */
-    static PlatformNode of(NodeConfiguration config, Decider.Factory maker, LongSupplier clock) {
-        return of(config, maker, clock, node -> node);
+    static PlatformNode create(NodeConfiguration config, Decider.Factory maker, LongSupplier clock) {
+        return create(config, maker, clock, node -> node);
     }
 
     /** @param between what the front is handed for the node: a test may stand between the two */
-    static PlatformNode of(
+    static PlatformNode create(
             NodeConfiguration config, Decider.Factory maker, LongSupplier clock, UnaryOperator<NodeServices> between) {
-        PlatformNode node = new PlatformNode(config, maker, NodeRuntime.small(clock));
-        node.front =
+        PlatformNode node = new PlatformNode(config, maker, NodeRuntime.forSingleCore(clock));
+        node.frontNode =
                 new FrontNode(config.settings(), door(config), machineSide(config), node.base, between.apply(node));
         return node;
     }
@@ -129,8 +132,8 @@
         return machines.version();
     }
 
-    public FrontNode front() {
-        return front;
+    public FrontNode frontNode() {
+        return frontNode;
     }
 
     private static int clientConnections(int sockets) {
@@ -144,8 +147,10 @@
     }
 
     private static IngressSettings door(NodeConfiguration c) {
-        int open = clientConnections(c.sockets());
-        int held = c.real().mostOpen() > 0 ? Math.min(c.real().mostOpen(), open * 2) : open * 2;
+        int open = clientConnections(c.maxSockets());
+        int held = c.socketOptions().maxOpenRequests() > 0
+                ? Math.min(c.socketOptions().maxOpenRequests(), open * 2)
+                : open * 2;
         // a drain takes as long as the longest route at least, and need not take longer
         return new IngressSettings(
                 c.listen(),
@@ -166,14 +171,14 @@
     }
 
     private static UpstreamSettings machineSide(NodeConfiguration c) {
-        int most = machineConnections(c.sockets());
-        long idle = c.real().idleClose() > 0 ? c.real().idleClose() : 100_000;
+        int most = machineConnections(c.maxSockets());
+        long idle = c.socketOptions().idleTimeoutTicks() > 0 ? c.socketOptions().idleTimeoutTicks() : 100_000;
         return new UpstreamSettings(
                 new HttpLimits(1 << 10, 8 << 10, 64, BODY),
                 most,
                 most,
                 1024,
-                c.real().dialTimeout() > 0 ? c.real().dialTimeout() : 2_500,
+                c.socketOptions().connectTimeoutTicks() > 0 ? c.socketOptions().connectTimeoutTicks() : 2_500,
                 Math.max(idle / 2, idle - IDLE_SOONER),
                 1,
                 "/load",
@@ -190,16 +195,16 @@
     }
 
     /** Follows a configuration that has replaced the one before; from any thread. */
-    public void follow(NodeConfiguration next) {
-        loop.postNews(() -> {
-            LOG.info("discovery is at {}, the release desk at {}", next.discovery(), next.desk());
+    public void reconfigure(NodeConfiguration next) {
+        loop.postPriority(() -> {
+            LOG.info("discovery is at {}, the release desk at {}", next.discovery(), next.controlService());
             discovery.move(next.discovery());
-            desk.move(next.desk());
+            desk.move(next.controlService());
         });
     }
 
     @Override
-    public List<Runnable> ends() {
+    public List<Runnable> closeTasks() {
         return List.of(discovery::close, desk::close, links::close);
     }
 
@@ -207,16 +212,16 @@
         if (e instanceof Event.RolloutUpdate n && n.status() == Event.ControlStatus.OK && n.build() >= newsBuild) {
             double cap = n.phase() == RolloutPhase.CANARY || n.phase() == RolloutPhase.RELEASED ? n.exposureCap() : 0;
             if (n.build() > newsBuild || cap < newsCap) {
-                loweredAt = loop.now();
+                loweredAt = loop.nowTicks();
             }
             newsBuild = n.build();
             newsCap = cap;
         }
-        inbox.learn(e);
+        inbox.add(e);
     }
 
     @Override
-    public Protocol dialect() {
+    public Protocol protocol() {
         return words;
     }
 
@@ -226,38 +231,38 @@
     }
 
     @Override
-    public EndpointAddress place(String machine) {
+    public EndpointAddress addressOf(String machine) {
         return machines.place(machine);
     }
 
     @Override
-    public boolean stillMay(String machine, long begunAt) {
+    public boolean mayStillSend(String machine, long begunAt) {
         int build = machines.sameSince(machine, begunAt);
         return build >= 0 && (build < newsBuild || loweredAt < begunAt);
     }
 
     @Override
-    public HttpResponse own(HttpRequest http, String health) {
-        boolean ready =
-                !machines.empty() && ((discovery.heard() && desk.heard()) || loop.now() > startedAt + READY_ANYWAY);
+    public HttpResponse answerNodeRequest(HttpRequest http, String health) {
+        boolean ready = !machines.empty()
+                && ((discovery.heard() && desk.heard()) || loop.nowTicks() > startedAt + READY_ANYWAY);
         boolean well = ready && health.equals("ok");
         String text = well ? "ok\n" : ready ? health + "\n" : "starting\n";
         return new HttpResponse(well ? 200 : 503, new Headers(), text.getBytes(StandardCharsets.US_ASCII));
     }
 
     @Override
-    public void vote(Action.CastVote vote) {
+    public void castVote(Action.CastVote vote) {
         desk.vote(vote);
     }
 
     /** Discovery is followed all the time. */
     @Override
-    public void watchList(boolean on) {}
+    public void watchEndpoints(boolean on) {}
 
     @Override
-    public void fetchList() {}
+    public void fetchEndpoints() {}
 
     /** The platform's settings allow no notes. */
     @Override
-    public void tell(int to, byte[] bytes) {}
+    public void sendGossip(int to, byte[] bytes) {}
 }
--- a/src/main/java/laurelkeel/platform/PlatformProtocol.java
+++ b/src/main/java/laurelkeel/platform/PlatformProtocol.java
@@ -39,10 +39,10 @@
 
     PlatformProtocol(Settings settings, OptionsParser.SocketOptions real) {
         real.routes().forEach(r -> routes.put(r, routes.size()));
-        real.customers().forEach(c -> customers.put(c, customers.size()));
+        real.tenants().forEach(c -> customers.put(c, customers.size()));
         set = settings.routes();
         allowed = settings.capabilities();
-        marksRepeats = real.marksRepeats();
+        marksRepeats = real.clientsMarkRetries();
     }
 
     /** The number of a route by its name; -1 for one that is not known. */
@@ -53,12 +53,12 @@
     // ---- clients
 
     @Override
-    public boolean own(HttpRequest http) {
+    public boolean isNodeRequest(HttpRequest http) {
         return http.path().equals(HEALTH);
     }
 
     @Override
-    public ClientRequest asked(HttpRequest http) throws HttpProtocolException {
+    public ClientRequest parseRequest(HttpRequest http) throws HttpProtocolException {
         String path = http.path();
         int end = path.indexOf('/', 1);
         int route = route(end < 0 ? path.substring(1) : path.substring(1, end));
@@ -93,7 +93,7 @@
                 id,
                 ForwardedMessage.of(new HttpRequest(http.method(), http.target(), 1, crossing, http.body()), List.of()),
                 false,
-                http.last(),
+                http.closesConnection(),
                 route,
                 customer,
                 name(http, KEY),
@@ -132,17 +132,17 @@
     }
 
     @Override
-    public HttpResponse refusal(HttpProtocolException bad, HttpRequest http) {
+    public HttpResponse badRequest(HttpProtocolException bad, HttpRequest http) {
         return plain(bad.status(), bad.getMessage());
     }
 
     @Override
-    public HttpResponse atDoor(String why) {
-        return shed(allowed.retryAfter() ? allowed.maxRetryAfterTicks() : 0, why);
+    public HttpResponse notAccepted(String why) {
+        return rejected(allowed.retryAfter() ? allowed.maxRetryAfterTicks() : 0, why);
     }
 
     @Override
-    public HttpResponse shed(long after, String why) {
+    public HttpResponse rejected(long after, String why) {
         HttpResponse a = plain(503, why);
         if (after > 0) {
             long ms = (after + 9) / 10;
@@ -153,14 +153,14 @@
     }
 
     @Override
-    public HttpResponse errored(boolean late, String why) {
+    public HttpResponse failed(boolean late, String why) {
         return plain(late ? 504 : 502, why);
     }
 
     // ---- machines
 
     @Override
-    public EndpointResponse came(HttpResponse a) {
+    public EndpointResponse parseResponse(HttpResponse a) {
         boolean neverRan = (a.status() == 503 || a.status() == 504)
                 && "1".equals(a.headers().get(NOT_RUN));
         AttemptOutcome outcome = neverRan
@@ -171,29 +171,29 @@
                 ? null
                 : ForwardedMessage.of(new HttpResponse(200, new Headers(), a.body()), List.of());
         return new EndpointResponse(
-                outcome, crossing, LoadReportParser.read(a.headers().get(LOAD)), a.last());
+                outcome, crossing, LoadReportParser.read(a.headers().get(LOAD)), a.closesConnection());
     }
 
     /** Noise may come from any machine alike and says nothing of its build; the req has run. */
     @Override
-    public AttemptOutcome unreadable() {
+    public AttemptOutcome unreadableOutcome() {
         return AttemptOutcome.CONNECTION_LOST;
     }
 
     @Override
-    public void upstream(MessageBuilder to, String machine, int tryNo, long left, long within) {
+    public void writeAttemptHeaders(MessageBuilder to, String machine, int tryNo, long left, long within) {
         String rest = Long.toString(10_000 + Math.max(0, within) % 10_000).substring(1);
-        to.line("Host", "app.svc").line(LEFT, Math.max(0, within) / 10_000 + "." + rest);
+        to.appendHeader("Host", "app.svc").appendHeader(LEFT, Math.max(0, within) / 10_000 + "." + rest);
     }
 
     @Override
-    public void completed(MessageBuilder to, String id) {}
+    public void writeResponseHeaders(MessageBuilder to, String id) {}
 
     @Override
-    public byte[] probe(MessageBuilder to, String machine) {
-        return to.text("GET /load HTTP/1.1\r\n")
-                .line("Host", "app.svc")
-                .text("\r\n")
-                .take();
+    public byte[] healthCheckRequest(MessageBuilder to, String machine) {
+        return to.appendText("GET /load HTTP/1.1\r\n")
+                .appendHeader("Host", "app.svc")
+                .appendText("\r\n")
+                .takeBytes();
     }
 }
--- a/src/main/java/laurelkeel/platform/ServiceConnections.java
+++ b/src/main/java/laurelkeel/platform/ServiceConnections.java
@@ -86,11 +86,11 @@
             ConnectAttempt.start(
                     connector,
                     loop,
-                    loop::postNews,
+                    loop::postPriority,
                     DIAL,
                     at,
                     session -> session.setAttribute(LINK, link),
-                    new ConnectAttempt.Outcome() {
+                    new ConnectAttempt.Listener() {
                         @Override
                         public void connected(IoSession session) {
                             link.connected(session, opening);
@@ -110,7 +110,7 @@
                     });
         } catch (RuntimeException e) {
             LOG.warn("{} could not be dialled: {}", at, e.toString());
-            loop.postNews(() -> ended(link, false));
+            loop.postPriority(() -> ended(link, false));
         }
         return link;
     }
@@ -128,9 +128,9 @@
             IoBuffer in = (IoBuffer) message;
             byte[] bytes = new byte[in.remaining()];
             in.get(bytes);
-            long arrived = loop.clock();
+            long arrived = loop.clockTicks();
             ServiceConnection link = (ServiceConnection) session.getAttribute(LINK);
-            loop.postNews(() -> {
+            loop.postPriority(() -> {
                 if (!link.over) {
                     link.heard.bytes(bytes, arrived);
                 }
@@ -141,7 +141,7 @@
         public void sessionClosed(IoSession session) {
             ServiceConnection link = (ServiceConnection) session.getAttribute(LINK);
             boolean written = session.getWrittenBytes() > 0;
-            loop.postNews(() -> ended(link, written));
+            loop.postPriority(() -> ended(link, written));
         }
 
         @Override
--- a/src/main/java/laurelkeel/platform/StreamConnection.java
+++ b/src/main/java/laurelkeel/platform/StreamConnection.java
@@ -41,7 +41,7 @@
     private final class One implements ServiceConnections.Heard {
         private final Ear ear = ears.get();
         private final InetSocketAddress where = at;
-        private final long since = loop.now();
+        private final long since = loop.nowTicks();
         /** When it last told something, and when bytes of it last came, which may be of something not yet whole. */
         private long toldAt = since, bytesAt = since;
 
@@ -49,7 +49,7 @@
 
         @Override
         public void bytes(byte[] bytes, long arrived) {
-            bytesAt = loop.now();
+            bytesAt = loop.nowTicks();
             try {
                 if (ear.take(bytes, arrived)) {
                     toldAt = bytesAt;
@@ -151,7 +151,7 @@
         current = told ? null : current;
         beside = one == beside ? null : beside;
         // one that had told is likely back at once; one that never did is not
-        again = told ? loop.now() : loop.now() + pause.ms() * 10;
+        again = told ? loop.nowTicks() : loop.nowTicks() + pause.ms() * 10;
         if (told && beside == null && !closed) {
             beside = new One();
         }
@@ -161,8 +161,8 @@
         if (closed) {
             return;
         }
-        long now = loop.now();
-        loop.at(now + LOOK, this::look);
+        long now = loop.nowTicks();
+        loop.schedule(now + LOOK, this::look);
         if (beside != null && (now > beside.bytesAt + FIRST_WORD || now > beside.since + silence)) {
             drop();
             again = now + pause.ms() * 10;
--- a/src/main/java/laurelkeel/scenario/Scenario.java
+++ b/src/main/java/laurelkeel/scenario/Scenario.java
@@ -83,7 +83,7 @@
         Map<String, TrafficRecord.RouteRule> rules = new HashMap<>();
         List<LoadGenerator.Route> routes = new ArrayList<>();
         for (int i = 0; i < common.routes().size(); i++) {
-            RouteTable.Entry e = common.table().entries().get(i);
+            RouteTable.Entry e = common.routeTable().entries().get(i);
             Settings.Route r = common.routes().get(i);
             TrafficRecord.RouteRule rule = new TrafficRecord.RouteRule(
                     e.name(),
--- a/src/main/java/laurelkeel/scenario/ScenarioEnvironment.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioEnvironment.java
@@ -147,7 +147,7 @@
     /** Lets a trouble befall; those of fronts are not its matter. */
     public void befall(ScenarioFault t) {
         on(() -> {
-            long until = loop.now() + t.lasts();
+            long until = loop.nowTicks() + t.lasts();
             switch (t.what()) {
                 case OFFER -> line.offer(plan.builds().get(t.build()));
                 case CRASH -> some(t.machines()).forEach(m -> crash(m, t));
@@ -167,15 +167,15 @@
                 case LINE_LATE -> line.late(until, (long) t.by());
                 case BURST -> {
                     clients.burst(t.by());
-                    loop.at(until, () -> clients.burst(1));
+                    loop.schedule(until, () -> clients.burst(1));
                 }
                 case SHIFT -> {
                     clients.shift(t.front(), t.by());
-                    loop.at(until, () -> clients.shift(t.front(), 0));
+                    loop.schedule(until, () -> clients.shift(t.front(), 0));
                 }
                 case HOT_KEY -> {
                     clients.hotKey(t.by());
-                    loop.at(until, () -> clients.hotKey(0));
+                    loop.schedule(until, () -> clients.hotKey(0));
                 }
                 default -> {}
             }
@@ -188,7 +188,7 @@
         if (t.lasts() > 0) {
             BuildProfile again =
                     t.build() > 0 ? plan.builds().getOrDefault(t.build(), BuildProfile.good(t.build())) : m.build();
-            loop.at(loop.now() + t.lasts(), () -> fleet.start(m.at(), again, m.cell(), true));
+            loop.schedule(loop.nowTicks() + t.lasts(), () -> fleet.start(m.at(), again, m.cell(), true));
         }
     }
 
--- a/src/main/java/laurelkeel/testbed/EndpointListService.java
+++ b/src/main/java/laurelkeel/testbed/EndpointListService.java
@@ -38,7 +38,7 @@
         this.loop = loop;
         this.lag = lag;
         this.callsPerSecond = callsPerSecond;
-        fleet.watch((m, state) -> later(entry(m, state), m.startedAt, loop.now() + lag));
+        fleet.watch((m, state) -> later(entry(m, state), m.startedAt, loop.nowTicks() + lag));
         service.on("/list/watch", this::watch);
         service.on("/list", x -> {
             if (allowed()) {
@@ -67,7 +67,7 @@
     public void down(long until) {
         down = true;
         service.watchers.forEach(JsonLineService.Watcher::cut);
-        loop.at(until, () -> down = false);
+        loop.schedule(until, () -> down = false);
     }
 
     private static Map<String, Object> entry(SimulatedServer m, TrafficRecord.State state) {
@@ -86,8 +86,8 @@
 
     private void later(Map<String, Object> entry, long started, long at) {
         long when = Math.max(at, staleUntil + lag);
-        loop.at(when, () -> {
-            if (loop.now() < staleUntil) {
+        loop.schedule(when, () -> {
+            if (loop.nowTicks() < staleUntil) {
                 later(entry, started, staleUntil);
             } else {
                 apply(entry, started);
@@ -129,7 +129,7 @@
     private Map<String, Object> aged(Map<String, Object> entry) {
         Map<String, Object> e = new LinkedHashMap<>(entry);
         boolean cold = (boolean) e.remove("cold");
-        e.put("ageMs", cold ? (loop.clock() - startedAt.get((String) e.get("machine"))) / 10.0 : -1);
+        e.put("ageMs", cold ? (loop.clockTicks() - startedAt.get((String) e.get("machine"))) / 10.0 : -1);
         return e;
     }
 
@@ -138,7 +138,7 @@
     }
 
     private synchronized boolean allowed() {
-        long second = loop.clock() / 10_000;
+        long second = loop.clockTicks() / 10_000;
         callsInSecond = second == secondOf ? callsInSecond + 1 : 1;
         secondOf = second;
         return !down && callsInSecond <= callsPerSecond;
--- a/src/main/java/laurelkeel/testbed/LoadGenerator.java
+++ b/src/main/java/laurelkeel/testbed/LoadGenerator.java
@@ -63,7 +63,7 @@
         final String of;
         final Route route;
         final String customer, key, mark;
-        final long firstAt = loop.now();
+        final long firstAt = loop.nowTicks();
         final Tally tally;
         long mayHaveRunAt = Long.MIN_VALUE;
         int again, unreached;
@@ -146,7 +146,7 @@
         rule.routes().forEach(r -> tallies.put(r.name(), new Tally()));
         connector.setConnectTimeoutMillis(1000);
         connector.getSessionConfig().setTcpNoDelay(true);
-        connector.getFilterChain().addLast("http", HttpCodec.client(HttpLimits.USUAL));
+        connector.getFilterChain().addLast("http", HttpCodec.client(HttpLimits.DEFAULT));
         connector.setHandler(new Handler());
     }
 
@@ -200,8 +200,8 @@
         }
         double wait = -Math.log(1 - random.nextDouble()) / (rule.rate() * burst) * 10_000;
         // from when the last one was due, not from when this thread got to it: else a busy host thins the load
-        due = (due == 0 ? loop.now() : due) + Math.round(wait);
-        loop.at(due, () -> {
+        due = (due == 0 ? loop.nowTicks() : due) + Math.round(wait);
+        loop.schedule(due, () -> {
             next();
             begin();
         });
@@ -258,12 +258,12 @@
     }
 
     private void ask(Call c, boolean again) {
-        long left = c.firstAt + c.route.timeout() - loop.now();
+        long left = c.firstAt + c.route.timeout() - loop.nowTicks();
         if (left < 2 * WAY) {
             return;
         }
         int front = (front() + c.unreached) % fronts.size();
-        Try t = new Try(c, c.of + "." + ids++, front, loop.now() + left, false);
+        Try t = new Try(c, c.of + "." + ids++, front, loop.nowTicks() + left, false);
         open++;
         c.tally.tries++;
         connected(front, t, conn -> {
@@ -276,13 +276,13 @@
                     c.customer,
                     c.key,
                     c.mark,
-                    Recorder.now() + (t.leaves - loop.clock()),
+                    Recorder.now() + (t.leaves - loop.clockTicks()),
                     again));
             conn.session.write(http(c, t, again));
-            t.end = loop.at(t.leaves + SLACK, () -> giveUp(conn, t, false));
+            t.end = loop.schedule(t.leaves + SLACK, () -> giveUp(conn, t, false));
             if (random.nextDouble() < rule.leaveEarly()) {
-                t.early = loop.at(
-                        loop.now() + (long) (random.nextDouble() * Math.min(left / 4, 400)),
+                t.early = loop.schedule(
+                        loop.nowTicks() + (long) (random.nextDouble() * Math.min(left / 4, 400)),
                         () -> giveUp(conn, t, true));
             }
         });
@@ -291,19 +291,19 @@
     private HttpRequest http(Call c, Try t, boolean again) {
         Headers h = new Headers()
                 .add("Host", "front")
-                .add(HeaderNames.REQ_ID, t.id)
-                .add(HeaderNames.REMAINING, Double.toString(Math.max(10, t.leaves - WAY - loop.clock()) / 10.0));
+                .add(HeaderNames.REQUEST_ID, t.id)
+                .add(HeaderNames.REMAINING, Double.toString(Math.max(10, t.leaves - WAY - loop.clockTicks()) / 10.0));
         if (c.customer != null) {
-            h.add(HeaderNames.CUSTOMER, c.customer);
+            h.add(HeaderNames.TENANT, c.customer);
         }
         if (c.key != null) {
-            h.add(HeaderNames.KEY, c.key);
+            h.add(HeaderNames.PARTITION_KEY, c.key);
         }
         if (c.mark != null) {
-            h.add(HeaderNames.MARK, c.mark);
+            h.add(HeaderNames.IDEMPOTENCY_KEY, c.mark);
         }
         if (again) {
-            h.add(HeaderNames.REPEAT, "1");
+            h.add(HeaderNames.CLIENT_RETRY, "1");
         }
         boolean body = !c.route.method().equals("GET");
         return new HttpRequest(
@@ -384,7 +384,7 @@
         }
         conn.current = null;
         over(t);
-        if (a.last()) {
+        if (a.closesConnection()) {
             conn.session.closeNow();
         } else {
             idle.get(conn.front).addFirst(conn);
@@ -393,20 +393,20 @@
             return;
         }
         Tally tally = t.call.tally;
-        String how = a.headers().get(HeaderNames.ANSWER);
+        String how = a.headers().get(HeaderNames.RESULT);
         TrafficRecord.Final is = "completed".equals(how)
                 ? TrafficRecord.Final.COMPLETED
                 : "shed".equals(how) ? TrafficRecord.Final.SHED : TrafficRecord.Final.ERRORED;
         records.accept(new TrafficRecord.Answered(
-                at, t.id, a.status(), is, "no".equals(a.headers().get(HeaderNames.TAKEN))));
+                at, t.id, a.status(), is, "no".equals(a.headers().get(HeaderNames.ACCEPTED))));
         switch (is) {
             case COMPLETED -> {
                 tally.completed++;
                 tally.reqsCompleted++;
-                tally.completedTenths.recordValue(Math.max(0, loop.now() - t.call.firstAt));
+                tally.completedTenths.recordValue(Math.max(0, loop.nowTicks() - t.call.firstAt));
                 boolean wrong = a.body().length >= 5 && new String(a.body(), 0, 5, UTF_8).equals("wrong");
                 if (wrong && random.nextDouble() < rule.complain()) {
-                    complain(t.front, t.call, a.headers().get(HeaderNames.REF));
+                    complain(t.front, t.call, a.headers().get(HeaderNames.RESPONSE_REFERENCE));
                 }
             }
             case SHED -> {
@@ -423,25 +423,25 @@
     }
 
     private void complain(int front, Call c, String ref) {
-        Try t = new Try(c, "complaint", front, loop.now() + 10_000, true);
+        Try t = new Try(c, "complaint", front, loop.nowTicks() + 10_000, true);
         HttpRequest http = new HttpRequest(
                 "POST",
                 "/.laurelkeel/complaints",
                 1,
                 Headers.of("Host", "front"),
                 String.valueOf(ref).getBytes(StandardCharsets.US_ASCII));
-        loop.at(loop.now() + 3_000, () -> connected(front, t, conn -> conn.session.write(http)));
+        loop.schedule(loop.nowTicks() + 3_000, () -> connected(front, t, conn -> conn.session.write(http)));
     }
 
     /** What failed may have run: only a route that bears it is asked again. */
     private void retryIfHarmless(Try t) {
         Call c = t.call;
-        c.mayHaveRunAt = c.mayHaveRunAt == Long.MIN_VALUE ? loop.now() : c.mayHaveRunAt;
+        c.mayHaveRunAt = c.mayHaveRunAt == Long.MIN_VALUE ? loop.nowTicks() : c.mayHaveRunAt;
         TrafficRecord.RouteRule r = c.route.rule();
         // the machines' memory began with a try that ran later than the first ask
         boolean marked = r.effect() == TrafficRecord.Effect.DEDUPED
                 && r.group() == TrafficRecord.Group.ALL
-                && loop.now() < c.firstAt + r.window() / 2;
+                && loop.nowTicks() < c.firstAt + r.window() / 2;
         if (r.effect() == TrafficRecord.Effect.RETRIABLE || marked) {
             retry(c, 200);
         }
@@ -450,7 +450,7 @@
     private void retry(Call c, long after) {
         if (running && c.again < rule.retries()) {
             c.again++;
-            loop.at(loop.now() + after + (long) (random.nextDouble() * after / 4), () -> ask(c, true));
+            loop.schedule(loop.nowTicks() + after + (long) (random.nextDouble() * after / 4), () -> ask(c, true));
         }
     }
 
--- a/src/main/java/laurelkeel/testbed/RolloutService.java
+++ b/src/main/java/laurelkeel/testbed/RolloutService.java
@@ -92,16 +92,16 @@
         base = first;
         places = machines;
         newest = new OfferedRelease(first);
-        newest.move(0, TrafficRecord.Phase.RELEASED, 1, loop.now());
+        newest.move(0, TrafficRecord.Phase.RELEASED, 1, loop.nowTicks());
         offers.put(first.number(), newest);
         for (int i = 0; i < machines; i++) {
             fleet.start(null, first, i, false);
         }
         records.accept(newest.record());
         service.start();
-        loop.at(loop.now() + rule.newsEvery(), this::again);
-        loop.at(loop.now() + 500, this::tick);
-        loop.at(loop.now() + BLAME_EVERY, this::judge);
+        loop.schedule(loop.nowTicks() + rule.newsEvery(), this::again);
+        loop.schedule(loop.nowTicks() + 500, this::tick);
+        loop.schedule(loop.nowTicks() + BLAME_EVERY, this::judge);
         return service.address();
     }
 
@@ -112,7 +112,7 @@
     /** Says nothing and answers no vote for a while, though some count. */
     public void stall(long until) {
         stalledUntil = until;
-        loop.at(until, this::tell);
+        loop.schedule(until, this::tell);
     }
 
     /** Tells its news later than usual for a while. */
@@ -168,7 +168,7 @@
         OfferedRelease o = new OfferedRelease(b);
         newest = o;
         offers.put(b.number(), o);
-        blaming.offered(b.number(), loop.now());
+        blaming.offered(b.number(), loop.nowTicks());
         move(o, 0, TrafficRecord.Phase.TRIAL);
     }
 
@@ -177,7 +177,7 @@
                 to,
                 as,
                 as == TrafficRecord.Phase.TRIAL ? rule.caps().get(to) : as == TrafficRecord.Phase.RELEASED ? 1 : 0,
-                loop.now());
+                loop.nowTicks());
         records.accept(o.record());
         tell();
         if (as == TrafficRecord.Phase.TRIAL) {
@@ -188,11 +188,11 @@
         }
         if (o.over()) {
             // votes can be quicker than reports: what is on its way still says whether they were right
-            loop.at(
-                    loop.now() + (as == TrafficRecord.Phase.RELEASED ? 0 : LAST_REPORTS),
+            loop.schedule(
+                    loop.nowTicks() + (as == TrafficRecord.Phase.RELEASED ? 0 : LAST_REPORTS),
                     () -> blaming.ended(o.build.number(), as == TrafficRecord.Phase.RELEASED));
             // the news of what has ended is still told for a while
-            loop.at(loop.now() + 20 * 10_000, () -> {
+            loop.schedule(loop.nowTicks() + 20 * 10_000, () -> {
                 if (o != newest && o.build != base) {
                     offers.remove(o.build.number(), o);
                 }
@@ -227,13 +227,13 @@
     private void fill(OfferedRelease o) {
         int wanted = (int) Math.ceil(rule.shares().get(o.stage) * (places - liveOnOtherTrials(o)) - 1e-9);
         int have = fleet.live(o.build.number()).size() + o.replacing;
-        o.readyAt = loop.now();
+        o.readyAt = loop.nowTicks();
         for (int i = have; i < wanted; i++) {
             o.replacing++;
             int place = i;
-            long at = loop.now() + rule.startTime() / 2 + (long) (fleet.chance() * rule.startTime() / 2);
+            long at = loop.nowTicks() + rule.startTime() / 2 + (long) (fleet.chance() * rule.startTime() / 2);
             o.readyAt = Math.max(o.readyAt, at);
-            loop.at(at, () -> {
+            loop.schedule(at, () -> {
                 o.replacing--;
                 if (!o.onTrial() && o.phase != TrafficRecord.Phase.RELEASED) {
                     return;
@@ -270,19 +270,19 @@
         BuildProfile b = base;
         for (int i = 0; i < missing; i++) {
             int place = i;
-            loop.at(
-                    loop.now() + rule.startTime() / 2 + (long) (fleet.chance() * rule.startTime() / 2),
+            loop.schedule(
+                    loop.nowTicks() + rule.startTime() / 2 + (long) (fleet.chance() * rule.startTime() / 2),
                     () -> fleet.start(null, b, place, true));
         }
         fleet.live(o.build.number()).forEach(m -> fleet.drain(m, rule.drainMost()));
-        loop.at(
-                loop.now() + rule.startTime() + rule.drainMost(),
+        loop.schedule(
+                loop.nowTicks() + rule.startTime() + rule.drainMost(),
                 () -> move(o, o.stage, TrafficRecord.Phase.WITHDRAWN));
     }
 
     private void judge() {
-        loop.at(loop.now() + BLAME_EVERY, this::judge);
-        for (AttributionFinding f : blaming.judge(loop.now())) {
+        loop.schedule(loop.nowTicks() + BLAME_EVERY, this::judge);
+        for (AttributionFinding f : blaming.judge(loop.nowTicks())) {
             String word = blaming.word(f.build());
             if (!word.equals(words.put(f.build(), word))) {
                 records.accept(
@@ -300,7 +300,7 @@
     }
 
     private void tick() {
-        loop.at(loop.now() + 500, this::tick);
+        loop.schedule(loop.nowTicks() + 500, this::tick);
         for (OfferedRelease o : List.copyOf(offers.values())) {
             tick(o);
         }
@@ -308,7 +308,7 @@
 
     private void tick(OfferedRelease o) {
         boolean late = o.phase == TrafficRecord.Phase.RELEASED && o == newest && o.build == base && offers.size() > 1;
-        if ((o.onTrial() || late) && o.count("back", loop.now()) >= Math.max(1, rule.backVotes())) {
+        if ((o.onTrial() || late) && o.count("back", loop.nowTicks()) >= Math.max(1, rule.backVotes())) {
             if (late) {
                 int before = o.build.number();
                 base = offers.headMap(before).isEmpty()
@@ -318,18 +318,18 @@
             back(o);
             return;
         }
-        if (!o.onTrial() || loop.now() < stalledUntil) {
+        if (!o.onTrial() || loop.nowTicks() < stalledUntil) {
             return;
         }
         boolean held = rule.control() == Control.CLOCK
-                && ((rule.holdVotes() > 0 && o.count("hold", loop.now()) >= rule.holdVotes())
+                && ((rule.holdVotes() > 0 && o.count("hold", loop.nowTicks()) >= rule.holdVotes())
                         || (onTrial() > 1 && blaming.word(o.build.number()).equals("open")));
-        o.held(held, loop.now());
-        boolean longEnough = loop.now() >= Math.max(o.since, o.readyAt) + rule.leastStage() + o.heldFor;
+        o.held(held, loop.nowTicks());
+        boolean longEnough = loop.nowTicks() >= Math.max(o.since, o.readyAt) + rule.leastStage() + o.heldFor;
         boolean voted =
                 switch (rule.control()) {
-                    case ANY -> o.count("on", loop.now()) >= 1;
-                    case COUNT -> o.count("on", loop.now()) >= Math.max(1, rule.onVotes());
+                    case ANY -> o.count("on", loop.nowTicks()) >= 1;
+                    case COUNT -> o.count("on", loop.nowTicks()) >= Math.max(1, rule.onVotes());
                     case CLOCK -> !held;
                 };
         if (longEnough && voted) {
@@ -342,7 +342,7 @@
     }
 
     private Map<String, Object> news(OfferedRelease o, String kind, String answer) {
-        Map<String, Object> n = o.news(kind, answer, loop.clock());
+        Map<String, Object> n = o.news(kind, answer, loop.clockTicks());
         n.put(
                 "standing",
                 offers.values().stream()
@@ -358,33 +358,34 @@
     }
 
     private void again() {
-        loop.at(loop.now() + rule.newsEvery(), this::again);
+        loop.schedule(loop.nowTicks() + rule.newsEvery(), this::again);
         tell();
     }
 
     /** Tells each watcher by itself, each with its own lag. */
     private void tell() {
-        if (loop.now() < stalledUntil) {
+        if (loop.nowTicks() < stalledUntil) {
             return;
         }
-        long seenAt = loop.now();
+        long seenAt = loop.nowTicks();
         List<Map<String, Object>> all =
                 offers.values().stream().map(o -> news(o, "news", null)).toList();
         for (JsonLineService.Watcher w : new ArrayList<>(service.watchers)) {
-            long lag = (long) (rule.newsLag() * (0.5 + fleet.chance() / 2)) + (loop.now() < lateUntil ? lateBy : 0);
-            w.lastDue = Math.max(w.lastDue, loop.now() + lag);
-            loop.at(
+            long lag =
+                    (long) (rule.newsLag() * (0.5 + fleet.chance() / 2)) + (loop.nowTicks() < lateUntil ? lateBy : 0);
+            w.lastDue = Math.max(w.lastDue, loop.nowTicks() + lag);
+            loop.schedule(
                     w.lastDue,
                     () -> all.forEach(n -> {
                         Map<String, Object> late = new LinkedHashMap<>(n);
-                        late.put("ageMs", (double) n.get("ageMs") + (loop.now() - seenAt) / 10.0);
+                        late.put("ageMs", (double) n.get("ageMs") + (loop.nowTicks() - seenAt) / 10.0);
                         w.tell(late);
                     }));
         }
     }
 
     private void watch(HttpExchange x) throws IOException {
-        if (loop.clock() < stalledUntil) {
+        if (loop.clockTicks() < stalledUntil) {
             JsonLineService.say(x, 503, null);
             return;
         }
@@ -406,12 +407,12 @@
     }
 
     private void reported(HttpExchange x) throws IOException {
-        if (loop.clock() < stalledUntil) {
+        if (loop.clockTicks() < stalledUntil) {
             JsonLineService.say(x, 503, null);
             return;
         }
         JsonNode r = JsonLineService.JSON.readTree(x.getRequestBody());
-        String fault = asked(() -> String.valueOf(blaming.take(r, loop.now())));
+        String fault = asked(() -> String.valueOf(blaming.take(r, loop.nowTicks())));
         boolean bad = fault.startsWith("a report");
         JsonLineService.say(x, bad ? 400 : 200, Map.of("answer", fault.equals("null") ? "ok" : fault));
     }
@@ -437,10 +438,10 @@
 
     private Map<String, Object> vote(int front, int build, int at, String verdict) {
         tokens = Math.min(
-                2 * rule.votesPerSecond(), tokens + (loop.now() - tokensAt) / 10_000.0 * rule.votesPerSecond());
-        tokensAt = loop.now();
+                2 * rule.votesPerSecond(), tokens + (loop.nowTicks() - tokensAt) / 10_000.0 * rule.votesPerSecond());
+        tokensAt = loop.nowTicks();
         String answer;
-        boolean stalled = loop.now() < stalledUntil;
+        boolean stalled = loop.nowTicks() < stalledUntil;
         boolean counts = !stalled || fleet.chance() < 0.5;
         OfferedRelease o = offers.get(build);
         boolean judged =
@@ -453,7 +454,7 @@
             answer = "ok";
             tokens--;
             if (counts) {
-                o.vote(front, at, verdict, loop.now() + rule.voteLife());
+                o.vote(front, at, verdict, loop.nowTicks() + rule.voteLife());
             }
         }
         records.accept(new TrafficRecord.Voted(Recorder.now(), front, build, at, verdict, stalled ? "none" : answer));
--- a/src/main/java/laurelkeel/testbed/SimulatedFleet.java
+++ b/src/main/java/laurelkeel/testbed/SimulatedFleet.java
@@ -103,7 +103,7 @@
         List<SimulatedServer> live = live();
         // a build's harm to all goes with its share of the machines
         double harm = live.stream().mapToDouble(m -> m.build.harmsAll() - 1).sum() / Math.max(1, live.size());
-        return (loop.now() < slowUntil ? slowBy : 1) * (1 + harm);
+        return (loop.nowTicks() < slowUntil ? slowBy : 1) * (1 + harm);
     }
 
     /** Something that all machines depend on slows. */
@@ -151,7 +151,7 @@
             m.state = TrafficRecord.State.DRAINING;
             watcher.accept(m, TrafficRecord.State.DRAINING);
             // fronts need the news before it goes
-            loop.at(loop.now() + 8_000, () -> drained(m, loop.now() + most));
+            loop.schedule(loop.nowTicks() + 8_000, () -> drained(m, loop.nowTicks() + most));
         }
     }
 
@@ -159,11 +159,11 @@
         if (m.dead) {
             return;
         }
-        if (m.held() == 0 || loop.now() >= latest) {
+        if (m.held() == 0 || loop.nowTicks() >= latest) {
             m.die("drained");
             died(m);
         } else {
-            loop.at(loop.now() + 500, () -> drained(m, latest));
+            loop.schedule(loop.nowTicks() + 500, () -> drained(m, latest));
         }
     }
 
--- a/src/main/java/laurelkeel/testbed/SimulatedServer.java
+++ b/src/main/java/laurelkeel/testbed/SimulatedServer.java
@@ -96,12 +96,12 @@
         this.cell = cell;
         this.build = build;
         this.cold = cold;
-        this.startedAt = fleet.loop.now();
+        this.startedAt = fleet.loop.nowTicks();
         acceptor = new NioSocketAcceptor(fleet.executor, fleet.processors);
         acceptor.setReuseAddress(true);
         acceptor.setBacklog(1024);
         acceptor.getSessionConfig().setTcpNoDelay(true);
-        acceptor.getFilterChain().addLast("http", HttpCodec.server(HttpLimits.USUAL));
+        acceptor.getFilterChain().addLast("http", HttpCodec.server(HttpLimits.DEFAULT));
         acceptor.setHandler(new Handler());
         acceptor.bind(at);
         this.at = acceptor.getLocalAddress();
@@ -135,7 +135,7 @@
 
     /** The part of its capacity that it has now. */
     double warmth() {
-        double share = cold ? Math.min(1, (fleet.loop.now() - startedAt) / (double) shape.coldFor()) : 1;
+        double share = cold ? Math.min(1, (fleet.loop.nowTicks() - startedAt) / (double) shape.coldFor()) : 1;
         return shape.coldFrom() + (1 - shape.coldFrom()) * share;
     }
 
@@ -145,7 +145,7 @@
         if (what == Fault.REFUSE) {
             acceptor.unbind();
             sessions.forEach(IoSession::closeNow);
-            fleet.loop.at(until, () -> {
+            fleet.loop.schedule(until, () -> {
                 try {
                     if (!dead) {
                         acceptor.bind(at);
@@ -158,7 +158,7 @@
     }
 
     private boolean has(Fault what) {
-        return faults.getOrDefault(what, Long.MIN_VALUE) > fleet.loop.now();
+        return faults.getOrDefault(what, Long.MIN_VALUE) > fleet.loop.nowTicks();
     }
 
     /** Ends it at once, with whatever it held. */
@@ -231,10 +231,10 @@
             }
             return;
         }
-        String req = String.valueOf(http.headers().get(HeaderNames.REQ_ID));
+        String req = String.valueOf(http.headers().get(HeaderNames.REQUEST_ID));
         String front = String.valueOf(http.headers().get(HeaderNames.FRONT));
         int slash = front.indexOf('/');
-        int no = whole(http.headers().get(HeaderNames.TRY));
+        int no = whole(http.headers().get(HeaderNames.ATTEMPT));
         fleet.record(new TrafficRecord.Arrived(
                 t,
                 id,
@@ -256,7 +256,7 @@
             inHand.remove(from);
             fleet.record(new TrafficRecord.TurnedAway(fleet.time(), id, run, req, no));
             HttpResponse a = answer(503, "no room\n", null);
-            a.headers().add(HeaderNames.RAN, "no");
+            a.headers().add(HeaderNames.EXECUTED, "no");
             from.write(a);
             return;
         }
@@ -274,7 +274,7 @@
 
     /** Work that a cold machine is sent past a multiple of what it can do pushes it over, and it stays down. */
     private boolean toppled() {
-        long now = fleet.loop.now();
+        long now = fleet.loop.nowTicks();
         if (!cold || now - startedAt > shape.coldFor()) {
             return false;
         }
@@ -300,14 +300,14 @@
             busy++;
             boolean crowded = busy >= shape.cores();
             TrafficRecord.RouteRule rule = shape.rules().get(j.route);
-            String mark = j.http.headers().get(HeaderNames.MARK);
+            String mark = j.http.headers().get(HeaderNames.IDEMPOTENCY_KEY);
             boolean repeat = rule != null
                     && rule.effect() == TrafficRecord.Effect.DEDUPED
                     && mark != null
-                    && fleet.marks(rule.group(), this).repeat(mark, fleet.loop.now(), rule.window());
+                    && fleet.marks(rule.group(), this).repeat(mark, fleet.loop.nowTicks(), rule.window());
             fleet.record(new TrafficRecord.Ran(fleet.time(), id, run, j.req, j.no, repeat));
             long took = repeat ? 10 : work(j);
-            j.end = fleet.loop.at(fleet.loop.now() + took, () -> done(j, took, crowded));
+            j.end = fleet.loop.schedule(fleet.loop.nowTicks() + took, () -> done(j, took, crowded));
         }
     }
 
@@ -316,9 +316,9 @@
                 * build.work()
                 * (0.5 + fleet.chance())
                 * (busy >= shape.cores() && !room.isEmpty() ? build.workBusy() : 1);
-        String key = j.http.headers().get(HeaderNames.KEY);
+        String key = j.http.headers().get(HeaderNames.PARTITION_KEY);
         if (key != null) {
-            long now = fleet.loop.now();
+            long now = fleet.loop.nowTicks();
             Long met = keys.put(key, now);
             work *= met != null && met > now - shape.keyMemory() ? 1 - shape.warmKeys() : 1;
             if (keys.size() > 20_000) {
@@ -349,7 +349,7 @@
             j.left = true;
             return;
         }
-        boolean acts = fleet.loop.now() - startedAt >= build.failsAfter()
+        boolean acts = fleet.loop.nowTicks() - startedAt >= build.failsAfter()
                 && (build.togetherWith() == 0
                         || !fleet.live(build.togetherWith()).isEmpty());
         boolean fails = (acts && fleet.chance() < build.failing().getOrDefault(j.route, 0.0))
@@ -378,7 +378,7 @@
     }
 
     private HttpResponse answer(int status, String text, byte[] filler) {
-        long now = fleet.loop.now();
+        long now = fleet.loop.nowTicks();
         if (now >= loadAt) {
             loadAt = now + shape.loadEvery();
             loadTold = held();
@@ -394,7 +394,7 @@
                         "text/plain",
                         HeaderNames.BUILD,
                         Integer.toString(build.number()),
-                        HeaderNames.LOAD,
+                        HeaderNames.LOAD_REPORT,
                         String.format(Locale.ROOT, "concurrent=%.0f,mean_ms=%.1f", loadTold, meanTold)),
                 body);
     }
--- a/src/main/java/laurelkeel/wire/ByteBudget.java
+++ b/src/main/java/laurelkeel/wire/ByteBudget.java
@@ -8,7 +8,7 @@
  */
 public final class ByteBudget {
     private final long most;
-    private final AtomicLong held = new AtomicLong();
+    private final AtomicLong reservedBytes = new AtomicLong();
 
     public ByteBudget(long most) {
         this.most = most;
@@ -18,25 +18,25 @@
      * An eighth of the heap for each of two sides: a body stands twice while it goes on, as it was read and as it is
      * written, and half must stay for all else.
      */
-    public static ByteBudget eighth() {
+    public static ByteBudget eighthOfHeap() {
         return new ByteBudget(Runtime.getRuntime().maxMemory() / 8);
     }
 
     /** False where there is no room for so much more. */
-    boolean take(int bytes) {
-        if (held.addAndGet(bytes) > most) {
-            held.addAndGet(-bytes);
+    boolean tryReserve(int bytes) {
+        if (reservedBytes.addAndGet(bytes) > most) {
+            reservedBytes.addAndGet(-bytes);
             return false;
         }
         return true;
     }
 
     /** Whoever dealt with a body says so, once. */
-    public void give(int bytes) {
-        held.addAndGet(-bytes);
+    public void release(int bytes) {
+        reservedBytes.addAndGet(-bytes);
     }
 
-    public long held() {
-        return held.get();
+    public long reservedBytes() {
+        return reservedBytes.get();
     }
 }
--- a/src/main/java/laurelkeel/wire/ForwardedMessage.java
+++ b/src/main/java/laurelkeel/wire/ForwardedMessage.java
@@ -12,29 +12,32 @@
 
     /** @param leftOut names that end here beside those that end at every hop */
     public static ForwardedMessage of(HttpRequest r, Collection<String> leftOut) {
-        MessageBuilder to =
-                new MessageBuilder().text(r.method()).text(" ").text(r.target()).text(" HTTP/1.1\r\n");
+        MessageBuilder to = new MessageBuilder()
+                .appendText(r.method())
+                .appendText(" ")
+                .appendText(r.target())
+                .appendText(" HTTP/1.1\r\n");
         HopByHop.lines(r.headers(), to, leftOut);
         return ended(to, r.body(), HttpWriter.tellsLength(r));
     }
 
     /** @param leftOut as above */
     public static ForwardedMessage of(HttpResponse a, Collection<String> leftOut) {
-        MessageBuilder to = new MessageBuilder().text(HttpWriter.statusLine(a.status()));
+        MessageBuilder to = new MessageBuilder().appendText(HttpWriter.statusLine(a.status()));
         HopByHop.lines(a.headers(), to, leftOut);
         return ended(to, a.body(), a.status() != 204);
     }
 
     private static ForwardedMessage ended(MessageBuilder to, byte[] body, boolean length) {
         if (length) {
-            to.line("Content-Length", Integer.toString(body.length));
+            to.appendHeader("Content-Length", Integer.toString(body.length));
         }
-        return new ForwardedMessage(to.take(), body);
+        return new ForwardedMessage(to.takeBytes(), body);
     }
 
     /** The whole message: own lines, each with its end, stand after those that crossed. */
-    public byte[] with(MessageBuilder own, boolean withBody) {
-        byte[] mine = own.text("\r\n").take();
+    public byte[] assemble(MessageBuilder own, boolean withBody) {
+        byte[] mine = own.appendText("\r\n").takeBytes();
         byte[] out = new byte[head.length + mine.length + (withBody ? body.length : 0)];
         System.arraycopy(head, 0, out, 0, head.length);
         System.arraycopy(mine, 0, out, head.length, mine.length);
--- a/src/main/java/laurelkeel/wire/HopByHop.java
+++ b/src/main/java/laurelkeel/wire/HopByHop.java
@@ -34,7 +34,7 @@
                     || leftOut.contains(name)
                     || (named && from.has("Connection", name.toLowerCase(Locale.ROOT)));
             if (!ends) {
-                to.line(name, from.value(i));
+                to.appendHeader(name, from.value(i));
             }
         }
     }
--- a/src/main/java/laurelkeel/wire/HttpParser.java
+++ b/src/main/java/laurelkeel/wire/HttpParser.java
@@ -79,7 +79,7 @@
 
     /** The connection is gone: what is half read is given back. */
     public void close() {
-        room.give(body.length);
+        room.release(body.length);
         body = new byte[0];
         bodyLength = 0;
         at = At.BROKEN;
@@ -172,13 +172,13 @@
             parts.accept(part);
             return;
         }
-        if ((long) bodyLength + n > limits.body()) {
-            throw new HttpProtocolException(413, "the body is over " + limits.body() + " bytes");
+        if ((long) bodyLength + n > limits.maxBodyBytes()) {
+            throw new HttpProtocolException(413, "the body is over " + limits.maxBodyBytes() + " bytes");
         }
         if (bodyLength + n > body.length) {
-            int longer = Math.min(limits.body(), Math.max(bodyLength + n, body.length * 2 + 512));
-            if (!room.take(longer - body.length)) {
-                throw HttpProtocolException.noRoom();
+            int longer = Math.min(limits.maxBodyBytes(), Math.max(bodyLength + n, body.length * 2 + 512));
+            if (!room.tryReserve(longer - body.length)) {
+                throw HttpProtocolException.bodyBudgetExhausted();
             }
             body = Arrays.copyOf(body, longer);
         }
@@ -191,7 +191,7 @@
      * requests it does not: a reader behind us may not think so, and see another request there.
      */
     private String line(ByteBuffer in) throws HttpProtocolException {
-        int most = at == At.START ? limits.line() : at == At.CHUNK_SIZE ? 256 : limits.headerBytes();
+        int most = at == At.START ? limits.maxLineBytes() : at == At.CHUNK_SIZE ? 256 : limits.maxHeaderBytes();
         while (in.hasRemaining()) {
             byte b = in.get();
             if (b == '\n') {
@@ -328,10 +328,11 @@
 
     private void header(String text, Headers into) throws HttpProtocolException {
         headerBytes += text.length() + 2;
-        if (headerBytes > limits.headerBytes() || into.size() >= limits.headers()) {
+        if (headerBytes > limits.maxHeaderBytes() || into.size() >= limits.maxHeaders()) {
             throw new HttpProtocolException(
                     431,
-                    "more than " + limits.headers() + " header lines or " + limits.headerBytes() + " bytes of them");
+                    "more than " + limits.maxHeaders() + " header lines or " + limits.maxHeaderBytes()
+                            + " bytes of them");
         }
         int colon = text.indexOf(':');
         String name = colon < 0 ? text : text.substring(0, colon);
@@ -377,8 +378,8 @@
         if (none) {
             return whole();
         }
-        if (length > limits.body()) {
-            throw new HttpProtocolException(413, "the body is over " + limits.body() + " bytes");
+        if (length > limits.maxBodyBytes()) {
+            throw new HttpProtocolException(413, "the body is over " + limits.maxBodyBytes() + " bytes");
         }
         if (chunked) {
             at = At.CHUNK_SIZE;
@@ -421,8 +422,8 @@
         if (size.isEmpty() || n < 0) {
             throw new HttpProtocolException(400, "no chunk size: '" + shown(text) + "'");
         }
-        if (bodyLength + n > limits.body()) {
-            throw new HttpProtocolException(413, "the body is over " + limits.body() + " bytes");
+        if (bodyLength + n > limits.maxBodyBytes()) {
+            throw new HttpProtocolException(413, "the body is over " + limits.maxBodyBytes() + " bytes");
         }
         chunkLeft = n;
         at = n == 0 ? At.TRAILERS : At.CHUNK;
@@ -431,7 +432,7 @@
     private Object whole() {
         at = At.START;
         byte[] whole = bodyLength == body.length ? body : Arrays.copyOf(body, bodyLength);
-        room.give(body.length - bodyLength);
+        room.release(body.length - bodyLength);
         body = new byte[0];
         boolean head = bodiless;
         bodiless = false;
--- a/src/main/java/laurelkeel/wire/HttpProtocolException.java
+++ b/src/main/java/laurelkeel/wire/HttpProtocolException.java
@@ -11,7 +11,7 @@
     }
 
     /** Nothing is wrong with it but that there is no room for its body now. */
-    public static HttpProtocolException noRoom() {
+    public static HttpProtocolException bodyBudgetExhausted() {
         return new HttpProtocolException(503, "no room for this body now");
     }
 
--- a/src/main/java/laurelkeel/wire/HttpRequest.java
+++ b/src/main/java/laurelkeel/wire/HttpRequest.java
@@ -1,7 +1,7 @@
 package laurelkeel.wire;
 
 /** One whole HTTP request; minor is 0 or 1, of HTTP/1.x. */
-public record HttpRequest(String method, String target, int minor, Headers headers, byte[] body) {
+public record HttpRequest(String method, String target, int minorVersion, Headers headers, byte[] body) {
 
     /** The path without its query. */
     public String path() {
@@ -10,7 +10,7 @@
     }
 
     /** Whether the sender wants the connection to end after the answer. */
-    public boolean last() {
-        return minor == 0 ? !headers.has("Connection", "keep-alive") : headers.has("Connection", "close");
+    public boolean closesConnection() {
+        return minorVersion == 0 ? !headers.has("Connection", "keep-alive") : headers.has("Connection", "close");
     }
 }
--- a/src/main/java/laurelkeel/wire/HttpWriter.java
+++ b/src/main/java/laurelkeel/wire/HttpWriter.java
@@ -49,7 +49,7 @@
     public static IoBuffer write(HttpResponse a) {
         StringBuilder head = new StringBuilder(256);
         head.append(statusLine(a.status()));
-        return put(head, a.headers(), a.body(), a.status() != 204, !a.toHead());
+        return put(head, a.headers(), a.body(), a.status() != 204, !a.answersHead());
     }
 
     private static IoBuffer put(StringBuilder head, Headers headers, byte[] body, boolean length, boolean withBody) {
--- a/src/test/java/laurelkeel/cli/ConfigurationReloadTest.java
+++ b/src/test/java/laurelkeel/cli/ConfigurationReloadTest.java
@@ -36,18 +36,18 @@
         desk = new PlatformTestBed.Party();
         file = folder.resolve("config.json");
         Files.writeString(file, config(first));
-        node = PlatformNode.of(NodeConfiguration.read(file, Map.of()), (set, seed) -> (now, events) -> List.of());
-        node.front().start();
+        node = PlatformNode.create(NodeConfiguration.read(file, Map.of()), (set, seed) -> (now, events) -> List.of());
+        node.frontNode().start();
         first.call();
     }
 
     @AfterEach
     void end() throws Exception {
-        node.front().drain();
+        node.frontNode().drain();
         for (PlatformTestBed.Party p : List.of(first, second, third, desk)) {
             p.close();
         }
-        assertEquals(null, node.front().ended().get(30, TimeUnit.SECONDS));
+        assertEquals(null, node.frontNode().termination().get(30, TimeUnit.SECONDS));
     }
 
     private String config(PlatformTestBed.Party discovery) {
--- a/src/test/java/laurelkeel/config/IniFileTest.java
+++ b/src/test/java/laurelkeel/config/IniFileTest.java
@@ -44,9 +44,9 @@
         Path f = folder.resolve("f.ini");
         Files.writeString(f, GOOD);
         FrontSettings s = FrontSettings.read(f);
-        assertEquals(3000, s.decisions().routes().get(0).latencyObjectiveTicks());
-        assertEquals(List.of(0.1, 1.0), s.decisions().rollout().stageExposureCaps());
-        assertEquals(folder.resolve("state"), s.state());
+        assertEquals(3000, s.decisionSettings().routes().get(0).latencyObjectiveTicks());
+        assertEquals(List.of(0.1, 1.0), s.decisionSettings().rollout().stageExposureCaps());
+        assertEquals(folder.resolve("state"), s.stateDirectory());
     }
 
     @Test
--- a/src/test/java/laurelkeel/eventloop/EventLoopTest.java
+++ b/src/test/java/laurelkeel/eventloop/EventLoopTest.java
@@ -32,15 +32,15 @@
     @Test
     void newsWithoutEndKeepsNeitherTrafficNorAlarmsFromTheirTurn() throws Exception {
         CountDownLatch both = new CountDownLatch(2);
-        loop.postNews(new Runnable() {
+        loop.postPriority(new Runnable() {
             @Override
             public void run() {
-                loop.postNews(this);
+                loop.postPriority(this);
             }
         });
         loop.post(() -> {
             both.countDown();
-            loop.at(loop.now(), both::countDown);
+            loop.schedule(loop.nowTicks(), both::countDown);
         });
         CompletableFuture<Throwable> ended = running();
         assertTrue(both.await(10, TimeUnit.SECONDS), "left waiting: " + both.getCount());
@@ -53,20 +53,20 @@
     void aTaskOrAnAlarmThatFailsEndsNothingAndIsCounted() throws Exception {
         CountDownLatch after = new CountDownLatch(3);
         CompletableFuture<Throwable> ended = running();
-        loop.postNews(() -> {
+        loop.postPriority(() -> {
             throw new IllegalStateException("made");
         });
         loop.post(() -> {
-            loop.at(loop.now(), () -> {
+            loop.schedule(loop.nowTicks(), () -> {
                 throw new IllegalStateException("made");
             });
-            loop.at(loop.now(), after::countDown);
+            loop.schedule(loop.nowTicks(), after::countDown);
             throw new IllegalStateException("made");
         });
-        loop.postNews(after::countDown);
+        loop.postPriority(after::countDown);
         loop.post(after::countDown);
         assertTrue(after.await(10, TimeUnit.SECONDS), "left waiting: " + after.getCount());
-        assertEquals(3, loop.failures());
+        assertEquals(3, loop.failedTasks());
         loop.stop();
         assertEquals(null, ended.get(10, TimeUnit.SECONDS));
         loop = new EventLoop(() -> System.nanoTime() / 100_000);
@@ -85,12 +85,12 @@
 
     @Test
     void aSocketThreadThatDiesEndsTheLoop() throws Exception {
-        endsWith((l, r) -> LoopThreads.many(l, "t").execute(r));
+        endsWith((l, r) -> LoopThreads.cachedPool(l, "t").execute(r));
     }
 
     @Test
     void aNewsThreadThatDiesEndsTheLoop() throws Exception {
-        endsWith((l, r) -> LoopThreads.some(l, "t", 1).execute(r));
+        endsWith((l, r) -> LoopThreads.fixedPool(l, "t", 1).execute(r));
     }
 
     @Test
--- a/src/test/java/laurelkeel/front/ControlPlaneTest.java
+++ b/src/test/java/laurelkeel/front/ControlPlaneTest.java
@@ -252,7 +252,7 @@
             assertEquals(1, p.event(Event.RolloutUpdate.class).stage());
             FrontTestRig.await("the list", () -> lists(p).size() == 2);
             assertEquals(4, lists(p).get(1).entries().get(0).build());
-            assertTrue(!p.front.ended().isDone());
+            assertTrue(!p.front.termination().isDone());
         }
     }
 
@@ -393,7 +393,7 @@
 
     @Test
     void frontsWithClocksApartKeepTheRulesThroughARollout() throws Exception {
-        LongSupplier mine = NodeRuntime.clock();
+        LongSupplier mine = NodeRuntime.monotonicClock();
         try (FrontTestRig rig = new FrontTestRig(
                 folder, "", 2, 5, RoutingDecider::new, true, mine, () -> mine.getAsLong() + 99_999_999_999L)) {
             rig.load();
--- a/src/test/java/laurelkeel/front/FrontNodeTest.java
+++ b/src/test/java/laurelkeel/front/FrontNodeTest.java
@@ -228,7 +228,7 @@
         FrontTestPeers.say(second, FrontTestPeers.look("Laurelkeel-Key: k\r\n"));
         assertTrue(FrontTestPeers.hear(first).startsWith("HTTP/1.1 502"));
         assertTrue(FrontTestPeers.hear(second).startsWith("HTTP/1.1 502"));
-        assertEquals("made to fail", p.front.ended().get().getMessage());
+        assertEquals("made to fail", p.front.termination().get().getMessage());
         p.close();
     }
 
--- a/src/test/java/laurelkeel/front/FrontRulesTest.java
+++ b/src/test/java/laurelkeel/front/FrontRulesTest.java
@@ -196,7 +196,7 @@
         @Override
         public void close() throws Exception {
             front.drain();
-            front.ended().get();
+            front.termination().get();
             for (ServerSocket m : machines) {
                 m.close();
             }
--- a/src/test/java/laurelkeel/front/FrontShutdownTest.java
+++ b/src/test/java/laurelkeel/front/FrontShutdownTest.java
@@ -46,7 +46,7 @@
             Socket other = peers.client();
             FrontTestPeers.say(other, FrontTestPeers.look(""));
             FrontTestPeers.say(first, FrontTestPeers.look(""));
-            FrontTestRig.await("both are read", () -> peers.front.loop().backlog() >= 2);
+            FrontTestRig.await("both are read", () -> peers.front.loop().queuedTasks() >= 2);
             go.countDown();
             String errored = FrontTestPeers.hear(first);
             assertTrue(errored.startsWith("HTTP/1.1 502 "), "it may have run, for all that is known");
@@ -56,7 +56,7 @@
             assertEquals("<end>", FrontTestPeers.hear(other));
             assertEquals(
                     "made to fail",
-                    peers.front.ended().get(10, TimeUnit.SECONDS).getMessage());
+                    peers.front.termination().get(10, TimeUnit.SECONDS).getMessage());
         }
     }
 }
--- a/src/test/java/laurelkeel/front/FrontTestPeers.java
+++ b/src/test/java/laurelkeel/front/FrontTestPeers.java
@@ -182,6 +182,6 @@
         }
         machine.close();
         front.drain();
-        front.ended().join();
+        front.termination().join();
     }
 }
--- a/src/test/java/laurelkeel/front/FrontTestRig.java
+++ b/src/test/java/laurelkeel/front/FrontTestRig.java
@@ -108,7 +108,10 @@
                             + "\n[release]\naddress = 127.0.0.1:"
                             + world.lineAt().getPort() + "\n");
             FrontNode f = new FrontNode(
-                    FrontSettings.read(file), maker, i < clocks.length ? clocks[i] : NodeRuntime.clock(), guarded);
+                    FrontSettings.read(file),
+                    maker,
+                    i < clocks.length ? clocks[i] : NodeRuntime.monotonicClock(),
+                    guarded);
             fronts.add(f);
             at.add(f.start());
         }
@@ -161,7 +164,7 @@
         await("clients are done", () -> world.on(() -> world.clients().open()) == 0);
         List<TrafficRecord> all = new ArrayList<>(records);
         fronts.forEach(FrontNode::drain);
-        fronts.forEach(f -> f.ended().join());
+        fronts.forEach(f -> f.termination().join());
         all.addAll(Recorder.readAll(folder));
         all.sort(java.util.Comparator.comparingLong(TrafficRecord::t));
         return Auditor.judge(all);
--- a/src/test/java/laurelkeel/front/MisbehavingPeersTest.java
+++ b/src/test/java/laurelkeel/front/MisbehavingPeersTest.java
@@ -217,7 +217,7 @@
     @Test
     void anErrorThatKillsASocketThreadEndsTheFrontsLoop() throws Exception {
         Error made = new StackOverflowError("made");
-        NodeRuntime base = NodeRuntime.of(NodeRuntime.clock());
+        NodeRuntime base = NodeRuntime.create(NodeRuntime.monotonicClock());
         EventLoop loop = base.loop();
         CompletableFuture<Throwable> ended = new CompletableFuture<>();
         Thread t = new Thread(() -> {
@@ -239,7 +239,7 @@
                 "0/a",
                 "/health");
         Ingress in = new Ingress(set.ingress(), words, loop, base.socketThreads(), base.processors(1), null);
-        InetSocketAddress at = in.open();
+        InetSocketAddress at = in.bind();
         try (Socket c = new Socket(at.getAddress(), at.getPort())) {
             FrontTestPeers.say(c, FrontTestPeers.look(""));
             assertSame(made, ended.get(10, TimeUnit.SECONDS));
--- a/src/test/java/laurelkeel/front/WireTermsTest.java
+++ b/src/test/java/laurelkeel/front/WireTermsTest.java
@@ -25,6 +25,15 @@
                         .toList());
     }
 
+    @Test
+    void requestOutcomesKeepTheirMetricLabels() {
+        assertEquals(
+                List.of("completed", "shed", "errored", "left"),
+                Arrays.stream(RequestOutcome.values())
+                        .map(WireTerms::metricLabel)
+                        .toList());
+    }
+
     @Test
     void verdictsAreWrittenAsTheReleaseLineKnowsThem() {
         assertEquals(
