--- a/src/test/java/laurelkeel/front/ingress/ConnectionEndsTest.java
+++ b/src/test/java/laurelkeel/front/ingress/ConnectionEndsTest.java
@@ -37,7 +37,7 @@
 
     private final AtomicLong clock = new AtomicLong(1_000_000);
     private final EventLoop loop = new EventLoop(clock::get);
-    private final ExecutorService threads = LoopThreads.many(loop, "test-sockets");
+    private final ExecutorService threads = LoopThreads.cachedPool(loop, "test-sockets");
     private final List<Socket> clients = new ArrayList<>();
     private Ingress ingress;
     private Socket inHand;
@@ -71,7 +71,7 @@
 
     private void opened(int connections, long idleClose) throws IOException {
         made(connections, idleClose);
-        port = ingress.open().getPort();
+        port = ingress.bind().getPort();
     }
 
     private void runLoop() {
@@ -105,32 +105,32 @@
     /** Every req is for the front itself. */
     private static class Words implements ClientProtocol {
         @Override
-        public boolean own(HttpRequest http) {
+        public boolean isNodeRequest(HttpRequest http) {
             return true;
         }
 
         @Override
-        public ClientRequest asked(HttpRequest http) {
+        public ClientRequest parseRequest(HttpRequest http) {
             throw new AssertionError("all are its own");
         }
 
         @Override
-        public HttpResponse refusal(HttpProtocolException bad, HttpRequest http) {
+        public HttpResponse badRequest(HttpProtocolException bad, HttpRequest http) {
             return new HttpResponse(bad.status(), new Headers(), new byte[0]);
         }
 
         @Override
-        public HttpResponse atDoor(String why) {
+        public HttpResponse notAccepted(String why) {
             return new HttpResponse(503, new Headers(), new byte[0]);
         }
 
         @Override
-        public HttpResponse shed(long after, String why) {
-            return atDoor(why);
+        public HttpResponse rejected(long after, String why) {
+            return notAccepted(why);
         }
 
         @Override
-        public HttpResponse errored(boolean late, String why) {
+        public HttpResponse failed(boolean late, String why) {
             return new HttpResponse(502, new Headers(), new byte[0]);
         }
     }
@@ -138,28 +138,28 @@
     /** Answers each at once. */
     private final class Answering implements IngressListener {
         @Override
-        public void taken(ClientConnection from, ClientRequest asked, long arrived) {}
+        public void onRequest(ClientConnection from, ClientRequest asked, long arrived) {}
 
         @Override
-        public void own(ClientConnection from, HttpRequest http) {
+        public void onNodeRequest(ClientConnection from, HttpRequest http) {
             ingress.answer(from, false, new HttpResponse(200, new Headers(), new byte[0]));
         }
 
         @Override
-        public void left(Object current) {}
+        public void onDisconnect(Object current) {}
 
         @Override
-        public int held() {
+        public int activeRequests() {
             return 0;
         }
 
         @Override
-        public boolean draining() {
+        public boolean isDraining() {
             return false;
         }
 
         @Override
-        public boolean ended() {
+        public boolean hasEnded() {
             return false;
         }
     }
@@ -203,7 +203,7 @@
         clock.addAndGet(older);
         end.run();
         CountDownLatch passed = new CountDownLatch(1);
-        loop.at(clock.addAndGet(10_000), passed::countDown);
+        loop.schedule(clock.addAndGet(10_000), passed::countDown);
         runLoop();
         assertTrue(passed.await(10, TimeUnit.SECONDS));
         hold.go.countDown();
@@ -215,7 +215,7 @@
     void aReqThatCannotBeHandledIsAnsweredAndItsConnectionGoesOn() throws Exception {
         words = new Words() {
             @Override
-            public boolean own(HttpRequest http) {
+            public boolean isNodeRequest(HttpRequest http) {
                 throw new IllegalStateException("made");
             }
         };
@@ -291,7 +291,7 @@
         held.await();
         clock.addAndGet(30_000);
         FrontTestPeers.say(a, ASK);
-        FrontTestRig.await("read", () -> loop.backlog() >= 1);
+        FrontTestRig.await("read", () -> loop.queuedTasks() >= 1);
         client();
         assertEquals("<end>", FrontTestPeers.hear(b), "the other gives its place, though it has rested for less");
         go.countDown();
@@ -310,7 +310,7 @@
         opened(10, 20_000);
         Socket c = client();
         FrontTestPeers.say(c, ASK);
-        FrontTestRig.await("read", () -> loop.backlog() > 0);
+        FrontTestRig.await("read", () -> loop.queuedTasks() > 0);
         runLoop();
         assertTrue(answered(c));
         for (int i = 0; i < 3; i++) {
@@ -364,7 +364,7 @@
         Slow slow = new Slow();
         made(10, 600_000);
         ingress.acceptor().setSessionDataStructureFactory(slow);
-        port = ingress.open().getPort();
+        port = ingress.bind().getPort();
         runLoop();
         Socket held = client();
         assertTrue(slow.first.await(10, TimeUnit.SECONDS));
--- a/src/test/java/laurelkeel/front/upstream/ConnectAttemptTest.java
+++ b/src/test/java/laurelkeel/front/upstream/ConnectAttemptTest.java
@@ -52,7 +52,7 @@
     }
 
     private void begin(InetSocketAddress to) {
-        ConnectAttempt.start(connector, loop, loop::post, LIMIT, to, session -> {}, new ConnectAttempt.Outcome() {
+        ConnectAttempt.start(connector, loop, loop::post, LIMIT, to, session -> {}, new ConnectAttempt.Listener() {
             @Override
             public void connected(IoSession session) {
                 told.add(session);
--- a/src/test/java/laurelkeel/front/upstream/ConnectionPoolsTest.java
+++ b/src/test/java/laurelkeel/front/upstream/ConnectionPoolsTest.java
@@ -34,19 +34,22 @@
 class ConnectionPoolsTest {
     private static final EndpointProtocol WORDS = new EndpointProtocol() {
         @Override
-        public EndpointResponse came(HttpResponse answer) {
+        public EndpointResponse parseResponse(HttpResponse answer) {
             return new EndpointResponse(
-                    AttemptOutcome.COMPLETED, ForwardedMessage.of(answer, List.of()), LoadReport.NONE, answer.last());
+                    AttemptOutcome.COMPLETED,
+                    ForwardedMessage.of(answer, List.of()),
+                    LoadReport.NONE,
+                    answer.closesConnection());
         }
 
         @Override
-        public AttemptOutcome unreadable() {
+        public AttemptOutcome unreadableOutcome() {
             return AttemptOutcome.CONNECTION_LOST;
         }
     };
 
-    private final EventLoop loop = new EventLoop(NodeRuntime.clock());
-    private final ExecutorService threads = LoopThreads.many(loop, "test-sockets");
+    private final EventLoop loop = new EventLoop(NodeRuntime.monotonicClock());
+    private final ExecutorService threads = LoopThreads.cachedPool(loop, "test-sockets");
     /** The dial's time is far longer than a test. */
     private final ConnectionPools pools = new ConnectionPools(
             new UpstreamSettings(
@@ -79,12 +82,12 @@
 
     private CompletableFuture<Ended> start() {
         CompletableFuture<Ended> ended = new CompletableFuture<>();
-        loop.post(() -> pools.start(
+        loop.post(() -> pools.startExchange(
                 at,
                 () -> "GET / HTTP/1.1\r\n\r\n".getBytes(UTF_8),
                 false,
                 (outcome, came) -> ended.complete(new Ended(
-                        outcome, came == null ? "" : new String(came.crossing().body(), UTF_8)))));
+                        outcome, came == null ? "" : new String(came.forwarded().body(), UTF_8)))));
         return ended;
     }
 
@@ -117,7 +120,7 @@
         assertEquals(new Ended(AttemptOutcome.COMPLETED, "first"), told(first));
         what.machine(m);
         CountDownLatch rested = new CountDownLatch(1);
-        loop.post(() -> loop.at(loop.now() + 200, rested::countDown));
+        loop.post(() -> loop.schedule(loop.nowTicks() + 200, rested::countDown));
         rested.await();
         CompletableFuture<Ended> second = start();
         CountDownLatch handedOver = new CountDownLatch(1);
--- a/src/test/java/laurelkeel/partition/PartitionedDeciderTest.java
+++ b/src/test/java/laurelkeel/partition/PartitionedDeciderTest.java
@@ -347,7 +347,7 @@
             w.tells(2, 1, RolloutPhase.CANARY);
             w.traffic(8 * SECOND, 5, 0);
             assertEquals(List.of(), w.broken);
-            assertEquals(2, w.lanes.open());
+            assertEquals(2, w.lanes.openPartitions());
             double sent = w.sentTo(2) - two + w.sentTo(3) - three + w.sentTo(1) - one;
             // its cap is 0.4 of all reqs, not of its lane's
             assertTrue((w.sentTo(2) - two) / sent > 0.2, w.all.toString());
@@ -361,7 +361,7 @@
             World w = begun(seed % 2 == 0, seed % 3, seed);
             dayOfAllKinds(w, seed);
             assertEquals(List.of(), w.broken, "day " + seed);
-            assertTrue(w.lanes.open() <= PartitionedDecider.MOST);
+            assertTrue(w.lanes.openPartitions() <= PartitionedDecider.MAX_ROLLOUTS);
         }
     }
 
@@ -433,12 +433,12 @@
     @Test
     void whileBlameIsOpenNobodyGoesOnAndTheGuiltyIsVotedBack() {
         World w = twoOnTrial(6);
-        w.lanes.blame(2, PartitionedDecider.Blame.OPEN);
-        w.lanes.blame(3, PartitionedDecider.Blame.OPEN);
+        w.lanes.attribute(2, PartitionedDecider.Attribution.OPEN);
+        w.lanes.attribute(3, PartitionedDecider.Attribution.OPEN);
         w.traffic(15 * SECOND, 5, 0);
         assertEquals(List.of(), w.votes);
-        w.lanes.blame(2, PartitionedDecider.Blame.CLEARED);
-        w.lanes.blame(3, PartitionedDecider.Blame.GUILTY);
+        w.lanes.attribute(2, PartitionedDecider.Attribution.CLEARED);
+        w.lanes.attribute(3, PartitionedDecider.Attribution.GUILTY);
         w.traffic(5 * SECOND, 5, 0);
         assertTrue(
                 w.votes.stream().allMatch(v -> v.build() == 3 && v.verdict() == Verdict.ROLL_BACK), w.votes.toString());
@@ -462,7 +462,7 @@
         w.traffic(12 * SECOND, 5, 0);
         w.lists(List.of(new EndpointEntry("b1.cold", 1, 0, 0, 0, 1, EndpointState.ACTIVE, w.now)));
         w.traffic(2 * SECOND, 5, 0);
-        assertEquals(3, w.lanes.open());
+        assertEquals(3, w.lanes.openPartitions());
         assertEquals(List.of(), w.broken);
         // 200 reqs a second over 12 machines: a usual 33 in the 2 s that may tip it, 3 times that when warm, 0.4 cold
         int sent = w.toMachine.getOrDefault("b1.cold", 0);
@@ -515,7 +515,7 @@
             answered(lanes, now, "k" + i);
         }
         lanes.decide(now, List.of(news(2, RolloutPhase.RELEASED)));
-        assertEquals(0, lanes.keysKept(), "the release is over");
+        assertEquals(0, lanes.rememberedKeys(), "the release is over");
         lanes.decide(
                 now,
                 List.of(
@@ -524,13 +524,13 @@
                                 List.of(new EndpointEntry("m", 3, 0, 0, 0, 1, EndpointState.ACTIVE, 0))),
                         news(3, RolloutPhase.CANARY)));
         answered(lanes, now, "new");
-        assertEquals(1, lanes.keysKept(), "a build on trial answered it: it must not be cut anew");
+        assertEquals(1, lanes.rememberedKeys(), "a build on trial answered it: it must not be cut anew");
     }
 
     @Test
     void whileBlameFallsOnAnotherAVoteToSendBackWaits() {
         World w = twoOnTrial(8);
-        w.lanes.blame(3, PartitionedDecider.Blame.GUILTY);
+        w.lanes.attribute(3, PartitionedDecider.Attribution.GUILTY);
         w.traffic(10 * SECOND, 5, 0.5);
         assertTrue(w.votes.stream().noneMatch(v -> v.build() == 2), "its errors may be the guilty one's: " + w.votes);
         w.traffic(20 * SECOND, 5, 0.5);
--- a/src/test/java/laurelkeel/platform/PlatformRaceTest.java
+++ b/src/test/java/laurelkeel/platform/PlatformRaceTest.java
@@ -22,7 +22,7 @@
     /** Real time, and what a test adds to it. */
     private final AtomicLong ahead = new AtomicLong();
 
-    private final LongSupplier real = NodeRuntime.clock();
+    private final LongSupplier real = NodeRuntime.monotonicClock();
 
     private long clock() {
         return real.getAsLong() + ahead.get();
--- a/src/test/java/laurelkeel/platform/PlatformSourcesTest.java
+++ b/src/test/java/laurelkeel/platform/PlatformSourcesTest.java
@@ -187,7 +187,7 @@
             PlatformTestBed.say(c, PlatformTestBed.look("1", ""));
             Socket m = p.machine.call();
             PlatformTestBed.hear(m);
-            p.node.follow(p.config(disco, desk));
+            p.node.reconfigure(p.config(disco, desk));
             Socket w = disco.call();
             assertTrue(PlatformTestBed.hear(w).contains("after=2 "));
             assertEquals("SUB", PlatformTestBed.lines(desk.call()).readLine());
@@ -213,7 +213,7 @@
             Socket old = p.desk.call();
             assertEquals("SAY 42 1 reject", PlatformTestBed.lines(old).readLine());
             PlatformTestBed.hear(c);
-            p.node.follow(p.config(p.discovery, next));
+            p.node.reconfigure(p.config(p.discovery, next));
             assertEquals("SUB", PlatformTestBed.lines(next.call()).readLine());
             // its answer comes from the old address all the same
             PlatformTestBed.say(old, "OK 42 1 Progressing 0.28 1\r\n");
@@ -234,7 +234,7 @@
             int port = disco.at.getLocalPort();
             NodeConfiguration next = p.config(disco, desk);
             disco.close();
-            p.node.follow(next);
+            p.node.reconfigure(next);
             PlatformTestBed.lines(desk.call()).readLine();
             try (var late = new java.net.ServerSocket(port, 5, java.net.InetAddress.getByName("127.0.0.1"))) {
                 late.setSoTimeout(2_000);
@@ -280,7 +280,7 @@
             Socket m2 = p.machine.calls.isEmpty() ? m0 : p.machine.call();
             PlatformTestBed.say(m2, PlatformTestBed.ok("two"));
             assertTrue(PlatformTestBed.hear(b).endsWith("two"));
-            assertEquals(null, p.front.ended().get(20, java.util.concurrent.TimeUnit.SECONDS));
+            assertEquals(null, p.front.termination().get(20, java.util.concurrent.TimeUnit.SECONDS));
         }
     }
 
@@ -326,7 +326,7 @@
         }
         assertEquals(OptionsParser.settings(read), OptionsParser.settings(pairs));
         assertEquals(8_000, OptionsParser.settings(pairs).rollout().voteTimeoutTicks());
-        assertEquals(List.of("look", "pay"), OptionsParser.real(pairs).routes());
+        assertEquals(List.of("look", "pay"), OptionsParser.socketOptions(pairs).routes());
     }
 
     @Test
--- a/src/test/java/laurelkeel/platform/PlatformTestBed.java
+++ b/src/test/java/laurelkeel/platform/PlatformTestBed.java
@@ -108,7 +108,7 @@
 
     PlatformTestBed(int sockets, int voteTimeout, BiFunction<PlatformTestBed, Event, List<Action>> decide)
             throws Exception {
-        this(sockets, voteTimeout, NodeRuntime.clock(), decide);
+        this(sockets, voteTimeout, NodeRuntime.monotonicClock(), decide);
     }
 
     PlatformTestBed(
@@ -116,11 +116,11 @@
             throws Exception {
         this.sockets = sockets;
         this.voteTimeout = voteTimeout;
-        node = PlatformNode.of(
+        node = PlatformNode.create(
                 config(discovery, desk),
                 (set, seed) -> FrontTestPeers.decider(events, e -> decide.apply(this, e)),
                 clock);
-        front = node.front();
+        front = node.frontNode();
         at = "127.0.0.1:" + front.start().getPort();
     }
 
@@ -238,6 +238,6 @@
         machine.close();
         discovery.close();
         desk.close();
-        front.ended().get(30, TimeUnit.SECONDS);
+        front.termination().get(30, TimeUnit.SECONDS);
     }
 }
--- a/src/test/java/laurelkeel/platform/ServiceConnectionsTest.java
+++ b/src/test/java/laurelkeel/platform/ServiceConnectionsTest.java
@@ -19,7 +19,7 @@
 class ServiceConnectionsTest {
     private static final int BACKLOG = 3_000;
 
-    private final NodeRuntime base = NodeRuntime.small(NodeRuntime.clock());
+    private final NodeRuntime base = NodeRuntime.forSingleCore(NodeRuntime.monotonicClock());
     private final EventLoop loop = base.loop();
     private final ServiceConnections links = new ServiceConnections(loop, base.socketThreads(), base.processors(1));
     private int handled;
--- a/src/test/java/laurelkeel/platform/StartOrderTest.java
+++ b/src/test/java/laurelkeel/platform/StartOrderTest.java
@@ -79,17 +79,17 @@
     }
 
     private void votesReachTheControlService(UnaryOperator<NodeServices> between) throws Exception {
-        PlatformNode node =
-                PlatformNode.of(config(discovery, control), (settings, seed) -> voter(), NodeRuntime.clock(), between);
-        node.front().start();
+        PlatformNode node = PlatformNode.create(
+                config(discovery, control), (settings, seed) -> voter(), NodeRuntime.monotonicClock(), between);
+        node.frontNode().start();
         Socket first = control.call();
         Socket second = control.call();
         List<String> said = List.of(
                 PlatformTestBed.lines(first).readLine(),
                 PlatformTestBed.lines(second).readLine());
         assertTrue(said.contains("SUB") && said.contains("SAY 24 1 approve"), said.toString());
-        node.front().drain();
-        assertEquals(null, node.front().ended().get(30, TimeUnit.SECONDS));
+        node.frontNode().drain();
+        assertEquals(null, node.frontNode().termination().get(30, TimeUnit.SECONDS));
     }
 
     @Test
@@ -107,14 +107,14 @@
     void aConfigurationFollowedBeforeTheStartStays() throws Exception {
         try (PlatformTestBed.Party moved = new PlatformTestBed.Party()) {
             PlatformNode node =
-                    PlatformNode.of(config(discovery, control), (settings, seed) -> (now, events) -> List.of());
-            node.follow(config(moved, control));
-            node.front().start();
+                    PlatformNode.create(config(discovery, control), (settings, seed) -> (now, events) -> List.of());
+            node.reconfigure(config(moved, control));
+            node.frontNode().start();
             moved.call().close();
             moved.call();
             assertTrue(discovery.isUncalled());
-            node.front().drain();
-            assertEquals(null, node.front().ended().get(30, TimeUnit.SECONDS));
+            node.frontNode().drain();
+            assertEquals(null, node.frontNode().termination().get(30, TimeUnit.SECONDS));
         }
     }
 
@@ -124,19 +124,19 @@
         List<Event> events = new CopyOnWriteArrayList<>();
         Decider decider = FrontTestPeers.decider(
                 events, e -> turns.getAndIncrement() == 0 ? List.of(new CastVote(24, 1, Verdict.PROMOTE)) : List.of());
-        PlatformNode node = PlatformNode.of(
+        PlatformNode node = PlatformNode.create(
                 config(discovery, control),
                 (settings, seed) -> decider,
-                NodeRuntime.clock(),
+                NodeRuntime.monotonicClock(),
                 StartOrderTest::unableToVote);
-        node.front().start();
+        node.frontNode().start();
         PlatformTestBed.await("the vote has failed", () -> events.stream()
                 .anyMatch(e -> e instanceof Event.RolloutUpdate n
                         && n.answersVote()
                         && n.status() == Event.ControlStatus.FAILED));
-        assertFalse(node.front().ended().isDone());
-        node.front().drain();
-        assertEquals(null, node.front().ended().get(30, TimeUnit.SECONDS));
+        assertFalse(node.frontNode().termination().isDone());
+        node.frontNode().drain();
+        assertEquals(null, node.frontNode().termination().get(30, TimeUnit.SECONDS));
     }
 
     private static NodeServices unableToVote(NodeServices node) {
@@ -163,34 +163,34 @@
         Decider decider = (now, events) -> turns.getAndIncrement() == 0
                 ? List.of(new Action.SendGossip(1, new byte[0]), new CastVote(24, 1, Verdict.PROMOTE))
                 : List.of();
-        PlatformNode node = PlatformNode.of(
+        PlatformNode node = PlatformNode.create(
                 config(discovery, control),
                 (settings, seed) -> decider,
-                NodeRuntime.clock(),
+                NodeRuntime.monotonicClock(),
                 of -> failing(of, "tell"));
-        node.front().start();
+        node.frontNode().start();
         Socket first = control.call();
         Socket second = control.call();
         List<String> said = List.of(
                 PlatformTestBed.lines(first).readLine(),
                 PlatformTestBed.lines(second).readLine());
         assertTrue(said.contains("SAY 24 1 approve"), said.toString());
-        node.front().drain();
-        assertEquals(null, node.front().ended().get(30, TimeUnit.SECONDS));
+        node.frontNode().drain();
+        assertEquals(null, node.frontNode().termination().get(30, TimeUnit.SECONDS));
     }
 
     /** Closed in whatever state it is: a drain and a failure that come before the start end it once it has started. */
     @Test
     void aDrainBeforeTheStartEndsTheFrontAfterIt() throws Exception {
-        PlatformNode node = PlatformNode.of(config(discovery, control), (settings, seed) -> voter());
-        node.front().drain();
-        node.front().start();
-        assertEquals(null, node.front().ended().get(30, TimeUnit.SECONDS));
-        PlatformNode failed = PlatformNode.of(config(discovery, control), (settings, seed) -> voter());
+        PlatformNode node = PlatformNode.create(config(discovery, control), (settings, seed) -> voter());
+        node.frontNode().drain();
+        node.frontNode().start();
+        assertEquals(null, node.frontNode().termination().get(30, TimeUnit.SECONDS));
+        PlatformNode failed = PlatformNode.create(config(discovery, control), (settings, seed) -> voter());
         Error made = new OutOfMemoryError("made");
-        failed.front().fail(made);
-        failed.front().start();
-        assertEquals(made, failed.front().ended().get(30, TimeUnit.SECONDS));
-        assertThrows(IllegalStateException.class, () -> failed.front().start());
+        failed.frontNode().fail(made);
+        failed.frontNode().start();
+        assertEquals(made, failed.frontNode().termination().get(30, TimeUnit.SECONDS));
+        assertThrows(IllegalStateException.class, () -> failed.frontNode().start());
     }
 }
--- a/src/test/java/laurelkeel/wire/HttpParserTest.java
+++ b/src/test/java/laurelkeel/wire/HttpParserTest.java
@@ -57,7 +57,7 @@
         byte[] both = Arrays.copyOf(one, one.length * 2);
         System.arraycopy(one, 0, both, one.length, one.length);
         for (int cut = 0; cut < both.length; cut++) {
-            List<Object> got = read(new HttpParser(HttpParser.Side.ANSWERS, HttpLimits.USUAL), both, cut, cut + 64);
+            List<Object> got = read(new HttpParser(HttpParser.Side.ANSWERS, HttpLimits.DEFAULT), both, cut, cut + 64);
             assertEquals(2, got.size(), "cut at " + cut);
             assertArrayEquals(body, ((HttpResponse) got.get(1)).body());
         }
