--- a/src/main/java/laurelkeel/simulatoradapter/MalformedSimulatorMessageException.java
+++ b/src/main/java/laurelkeel/simulatoradapter/MalformedSimulatorMessageException.java
@@ -1,10 +1,10 @@
 package laurelkeel.simulatoradapter;
 
-/** Input that is not the wire's. */
+/** Input that does not follow the simulator's protocol; the message names the line, the field and the reason. */
 public final class MalformedSimulatorMessageException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    MalformedSimulatorMessageException(long line, String field, String what) {
-        super("input line " + line + ", " + field + ": " + what);
+    MalformedSimulatorMessageException(long lineNumber, String field, String reason) {
+        super("input line " + lineNumber + ", " + field + ": " + reason);
     }
 }
--- a/src/main/java/laurelkeel/simulatoradapter/MessageFields.java
+++ b/src/main/java/laurelkeel/simulatoradapter/MessageFields.java
@@ -1,58 +1,70 @@
 package laurelkeel.simulatoradapter;
 
 import java.util.HashMap;
+import java.util.HexFormat;
 import java.util.Map;
 import java.util.function.Function;
 import laurelkeel.api.LoadReport;
 import laurelkeel.options.Numbers;
+import org.jspecify.annotations.Nullable;
 
-/** The values of one line, read in order. */
+/**
+ * The values of one line of the simulator's protocol, read in order. Each reader names the field that it expects next;
+ * where the value cannot be read, it throws a {@link MalformedSimulatorMessageException} that names that field.
+ */
 final class MessageFields {
-    private final long line;
+    private static final String ABSENT = "-";
+
+    private final long lineNumber;
     private final String[] parts;
-    private int at = 1;
+    private int next = 1;
 
-    MessageFields(long line, String text) {
-        this.line = line;
+    MessageFields(long lineNumber, String text) {
+        this.lineNumber = lineNumber;
         this.parts = text.split(" ", -1);
     }
 
+    /** The message's name: the first part of the line. */
     String name() {
         return parts[0];
     }
 
+    /** Checks the number of values. */
     void expect(int values) {
-        if (parts.length - 1 != values) {
-            throw new MalformedSimulatorMessageException(
-                    line, name(), "has " + (parts.length - 1) + " values, not " + values);
+        int found = parts.length - 1;
+        if (found != values) {
+            throw new MalformedSimulatorMessageException(lineNumber, name(), "has " + found + " values, not " + values);
         }
     }
 
-    MalformedSimulatorMessageException bad(String field, String what) {
-        return new MalformedSimulatorMessageException(line, name() + "." + field, what);
+    /** The error of a field, for the caller to throw. */
+    MalformedSimulatorMessageException malformed(String field, String reason) {
+        return new MalformedSimulatorMessageException(lineNumber, name() + "." + field, reason);
     }
 
-    boolean more() {
-        return at < parts.length;
+    private boolean hasMore() {
+        return next < parts.length;
     }
 
     String text(String field) {
-        if (!more() || parts[at].isEmpty()) {
-            throw bad(field, "is missing");
+        if (!hasMore() || parts[next].isEmpty()) {
+            throw malformed(field, "is missing");
         }
-        return parts[at++];
+        return parts[next++];
     }
 
+    /** A text; null where the field holds the mark of an absent value. */
+    @Nullable
     String optionalText(String field) {
-        String s = text(field);
-        return s.equals("-") ? null : s;
+        String value = text(field);
+        return value.equals(ABSENT) ? null : value;
     }
 
-    private <T> T parsed(String field, String s, String what, Function<String, T> parse) {
+    private <T> T parsed(String field, String value, String form, Function<String, T> parser) {
         try {
-            return parse.apply(s);
+            return parser.apply(value);
         } catch (RuntimeException e) {
-            throw bad(field, "'" + s + "' is no " + what);
+            throw malformed(field, "'" + value + "' is no " + form);
         }
     }
 
@@ -60,73 +72,78 @@
         return parsed(field, text(field), "whole number", Long::parseLong);
     }
 
-    int small(String field) {
+    int integer(String field) {
         return parsed(field, text(field), "small whole number", Integer::parseInt);
     }
 
-    int small(String field, int absent) {
-        String s = optionalText(field);
-        return s == null ? absent : parsed(field, s, "small whole number", Integer::parseInt);
+    int optionalInteger(String field, int absent) {
+        String value = optionalText(field);
+        return value == null ? absent : parsed(field, value, "small whole number", Integer::parseInt);
     }
 
     double number(String field, double absent) {
-        String s = optionalText(field);
-        return s == null ? absent : parsed(field, s, "number", Numbers::finite);
+        String value = optionalText(field);
+        return value == null ? absent : parsed(field, value, "number", Numbers::finite);
     }
 
-    long time(String field) {
+    /** A time, which the protocol gives in milliseconds; 0 where it is absent. */
+    long ticks(String field) {
         return Numbers.tenths(number(field, 0));
     }
 
     boolean flag(String field) {
-        String s = text(field);
-        return switch (s) {
+        String value = text(field);
+        return switch (value) {
             case "1" -> true;
-            case "0", "-" -> false;
-            default -> throw bad(field, "'" + s + "' is neither 0 nor 1");
+            case "0", ABSENT -> false;
+            default -> throw malformed(field, "'" + value + "' is neither 0 nor 1");
         };
     }
 
-    <T> T oneOf(String field, Map<String, T> words) {
-        String s = text(field);
-        T t = words.get(s);
-        if (t == null) {
-            throw bad(field, "'" + s + "' is unknown");
+    /** One of the protocol's names, as the term that it stands for. */
+    <T> T oneOf(String field, Map<String, T> terms) {
+        String value = text(field);
+        T term = terms.get(value);
+        if (term == null) {
+            throw malformed(field, "'" + value + "' is unknown");
         }
-        return t;
+        return term;
     }
 
-    LoadReport load(String field) {
-        String s = optionalText(field);
-        if (s == null) {
+    /** Pairs of name and value, joined by commas. */
+    LoadReport loadReport(String field) {
+        String value = optionalText(field);
+        if (value == null) {
             return LoadReport.NONE;
         }
-        Map<String, Double> out = new HashMap<>();
-        for (String pair : s.split(",")) {
+        Map<String, Double> values = new HashMap<>();
+        for (String pair : value.split(",", 0)) {
             int colon = pair.indexOf(':');
             if (colon < 1) {
-                throw bad(field, "'" + pair + "' is no name:value");
+                throw malformed(field, "'" + pair + "' is no name:value");
             }
-            out.put(pair.substring(0, colon), parsed(field, pair.substring(colon + 1), "number", Numbers::finite));
+            String number = pair.substring(colon + 1);
+            values.put(pair.substring(0, colon), parsed(field, number, "number", Numbers::finite));
         }
-        return new LoadReport(out);
+        return new LoadReport(values);
     }
 
     byte[] bytes(String field) {
-        String s = optionalText(field);
-        return s == null ? new byte[0] : parsed(field, s, "hex", java.util.HexFormat.of()::parseHex);
+        String value = optionalText(field);
+        return value == null ? new byte[0] : parsed(field, value, "hex", HexFormat.of()::parseHex);
     }
 
+    /** All that is left of the line, as pairs of path and value. */
     Map<String, String> pairs(String field) {
-        Map<String, String> out = new HashMap<>();
-        while (more()) {
+        Map<String, String> pairs = new HashMap<>();
+        while (hasMore()) {
             String pair = text(field);
-            int eq = pair.indexOf('=');
-            if (eq < 1) {
-                throw bad(field, "'" + pair + "' is no path=value");
+            int equals = pair.indexOf('=');
+            if (equals < 1) {
+                throw malformed(field, "'" + pair + "' is no path=value");
             }
-            out.put(pair.substring(0, eq), pair.substring(eq + 1));
+            pairs.put(pair.substring(0, equals), pair.substring(equals + 1));
         }
-        return out;
+        return pairs;
     }
 }
--- a/src/main/java/laurelkeel/simulatoradapter/SimulatorAdapter.java
+++ b/src/main/java/laurelkeel/simulatoradapter/SimulatorAdapter.java
@@ -11,324 +11,152 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HexFormat;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import laurelkeel.api.Action;
 import laurelkeel.api.Decider;
 import laurelkeel.api.Event;
-import laurelkeel.api.Event.AttemptOutcome;
-import laurelkeel.api.Event.ControlStatus;
 import laurelkeel.api.Event.EndpointEntry;
-import laurelkeel.api.Event.EndpointListKind;
-import laurelkeel.api.Event.EndpointState;
-import laurelkeel.api.Event.RolloutPhase;
 import laurelkeel.api.Settings;
 import laurelkeel.options.InvalidOptionException;
 import laurelkeel.options.OptionsParser;
 
-/** Hosts one decider a front and speaks the wire cedar-a60e for them. It decides nothing. */
+/** Answers the simulator's batches: hands each front node's events to its decider and writes the actions back. */
 public final class SimulatorAdapter {
-    private static final Map<String, AttemptOutcome> OUTCOMES = Map.of(
-            "OK",
-            AttemptOutcome.COMPLETED,
-            "INTERNAL",
-            AttemptOutcome.FAILED,
-            "RESOURCE_EXHAUSTED",
-            AttemptOutcome.OVERLOADED,
-            "DEADLINE_EXCEEDED",
-            AttemptOutcome.TIMED_OUT,
-            "UNAVAILABLE",
-            AttemptOutcome.CONNECT_FAILED,
-            "ABORTED",
-            AttemptOutcome.CONNECTION_LOST,
-            "CANCELLED",
-            AttemptOutcome.CANCELLED,
-            "TOO_LATE",
-            AttemptOutcome.NOT_SENT);
-    private static final Map<String, ControlStatus> ANSWERS = Map.of(
-            "OK",
-            ControlStatus.OK,
-            "TOO_LATE",
-            ControlStatus.STALE,
-            "RESOURCE_EXHAUSTED",
-            ControlStatus.RATE_LIMITED,
-            "INTERNAL",
-            ControlStatus.FAILED,
-            "DEADLINE_EXCEEDED",
-            ControlStatus.TIMED_OUT);
-    private static final Map<String, EndpointListKind> LISTS = Map.of(
-            "D",
-            EndpointListKind.DELTA,
-            "F",
-            EndpointListKind.SNAPSHOT,
-            "C",
-            EndpointListKind.CACHED,
-            "X",
-            EndpointListKind.FAILED);
-    private static final Map<String, EndpointState> STATES =
-            Map.of("live", EndpointState.ACTIVE, "quiescing", EndpointState.DRAINING, "dead", EndpointState.REMOVED);
+    private static final int BUFFER_BYTES = 1 << 16;
 
-    private final Decider.Factory maker;
-    private final Map<Integer, Decider> fronts = new HashMap<>();
-    private final Map<Integer, List<EndpointEntry>> lists = new HashMap<>();
-    private BufferedReader in;
-    private long line;
+    private final Decider.Factory deciders;
+    private final Map<Integer, Decider> nodes = new HashMap<>();
+    private final SimulatorEventReader events = new SimulatorEventReader();
 
-    public SimulatorAdapter(Decider.Factory maker) {
-        this.maker = maker;
+    /** What one batch holds: events by node, and the nodes whose decider failed with the reason. */
+    private static final class Batch {
+        final Map<Integer, List<Event>> eventsByNode = new LinkedHashMap<>();
+        final Map<Integer, String> faults = new HashMap<>();
     }
 
-    /** Answers batches until the input ends. */
-    public void run(InputStream from, OutputStream to) throws IOException {
-        in = new BufferedReader(new InputStreamReader(from, StandardCharsets.UTF_8), 1 << 16);
-        Writer out = new BufferedWriter(new OutputStreamWriter(to, StandardCharsets.UTF_8), 1 << 16);
-        for (MessageFields f = next(); f != null; f = next()) {
-            if (!f.name().equals("round")) {
-                throw f.bad("round", "a batch begins with it");
-            }
-            f.expect(2);
-            long now = f.time("clock");
-            answer(now, f.whole("number"), out);
-            out.flush();
-        }
+    /**
+     * Creates the adapter.
+     *
+     * @param deciders creates the decider of each front node
+     */
+    public SimulatorAdapter(Decider.Factory deciders) {
+        this.deciders = deciders;
     }
 
-    private MessageFields next() throws IOException {
-        String text = in.readLine();
-        while (text != null && text.isEmpty()) {
-            line++;
-            text = in.readLine();
+    /**
+     * Answers batches until the input ends.
+     *
+     * @throws MalformedSimulatorMessageException where the input does not follow the protocol
+     */
+    public void run(InputStream input, OutputStream output) throws IOException {
+        MessageReader in = new MessageReader(
+                new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8), BUFFER_BYTES));
+        Writer out = new BufferedWriter(new OutputStreamWriter(output, StandardCharsets.UTF_8), BUFFER_BYTES);
+        SimulatorActionWriter actions = new SimulatorActionWriter(out);
+        for (MessageFields fields = in.next(); fields != null; fields = in.next()) {
+            if (!fields.name().equals("round")) {
+                throw fields.malformed("round", "a batch begins with it");
+            }
+            fields.expect(2);
+            long nowTicks = fields.ticks("clock");
+            long batchNumber = fields.whole("number");
+            Batch batch = readBatch(in);
+            decide(nowTicks, batch, actions);
+            actions.writeAcknowledgement(batchNumber);
+            out.flush();
         }
-        line++;
-        return text == null ? null : new MessageFields(line, text);
     }
 
-    private MessageFields inside() throws IOException {
-        MessageFields f = next();
-        if (f == null) {
-            throw new MalformedSimulatorMessageException(line, "commit", "the input ends within a batch");
+    private Batch readBatch(MessageReader in) throws IOException {
+        Batch batch = new Batch();
+        for (MessageFields fields = in.nextInBatch(); !fields.name().equals("commit"); fields = in.nextInBatch()) {
+            switch (fields.name()) {
+                case "pool" -> readEndpointList(fields, in);
+                case "create" -> createNode(fields, batch);
+                case "detach" -> detachNode(fields, batch);
+                default -> readEvent(fields, batch);
+            }
         }
-        return f;
+        return batch;
     }
 
-    private void answer(long now, long number, Writer out) throws IOException {
-        Map<Integer, List<Event>> news = new LinkedHashMap<>();
-        Map<Integer, String> broken = new HashMap<>();
-        for (MessageFields f = inside(); !f.name().equals("commit"); f = inside()) {
-            switch (f.name()) {
-                case "pool" -> pool(f);
-                case "create" -> {
-                    int front = f.small("front");
-                    long seed = f.whole("rngSeed");
-                    Settings settings = settings(f);
-                    news.put(front, new ArrayList<>());
-                    try {
-                        fronts.put(front, maker.create(settings, seed));
-                    } catch (RuntimeException e) {
-                        broken.put(front, told(front, e));
-                    }
-                }
-                case "detach" -> {
-                    f.expect(1);
-                    int front = f.small("front");
-                    fronts.remove(front);
-                    news.remove(front);
-                }
-                default -> {
-                    int front = f.small("front");
-                    Event e = event(f);
-                    if (!fronts.containsKey(front) && !broken.containsKey(front)) {
-                        throw f.bad("front", "front " + front + " was not created");
-                    }
-                    news.computeIfAbsent(front, k -> new ArrayList<>()).add(e);
-                }
-            }
-        }
-        for (Map.Entry<Integer, List<Event>> e : news.entrySet()) {
-            int front = e.getKey();
-            if (!broken.containsKey(front)) {
-                try {
-                    for (Action a : fronts.get(front).decide(now, e.getValue())) {
-                        write(out, front, a);
-                    }
-                } catch (RuntimeException failure) {
-                    broken.put(front, told(front, failure));
-                }
-            }
-            if (broken.containsKey(front)) {
-                out.write("fault " + front + " " + broken.get(front) + "\n");
+    private void readEndpointList(MessageFields fields, MessageReader in) throws IOException {
+        fields.expect(2);
+        int slot = fields.integer("slot");
+        int count = fields.integer("lines");
+        List<EndpointEntry> entries = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            MessageFields item = in.nextInBatch();
+            if (!item.name().equals("item")) {
+                throw item.malformed("item", "the list is short");
             }
+            entries.add(SimulatorEventReader.readEntry(item));
         }
-        out.write("ack " + number + "\n");
+        events.keepList(slot, entries);
     }
 
-    private static Settings settings(MessageFields f) {
+    private void createNode(MessageFields fields, Batch batch) {
+        int node = fields.integer("front");
+        long seed = fields.whole("rngSeed");
+        Settings settings = settings(fields);
+        batch.eventsByNode.put(node, new ArrayList<>());
         try {
-            return OptionsParser.settings(f.pairs("options"));
-        } catch (InvalidOptionException e) {
-            throw f.bad(e.path(), e.what());
+            nodes.put(node, deciders.create(settings, seed));
+        } catch (RuntimeException failure) {
+            batch.faults.put(node, reportFailure(node, failure));
         }
     }
 
-    private static String told(int front, RuntimeException e) {
-        System.err.println("front " + front + ":");
-        e.printStackTrace();
-        return e.toString().replaceAll("\\s+", " ");
+    private void detachNode(MessageFields fields, Batch batch) {
+        fields.expect(1);
+        int node = fields.integer("front");
+        nodes.remove(node);
+        batch.eventsByNode.remove(node);
     }
 
-    private void pool(MessageFields f) throws IOException {
-        f.expect(2);
-        int slot = f.small("slot");
-        int count = f.small("lines");
-        List<EndpointEntry> entries = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            MessageFields e = inside();
-            if (!e.name().equals("item")) {
-                throw e.bad("item", "the list is short");
-            }
-            e.expect(8);
-            int build = (int) e.number("build", 0);
-            int cell = e.small("pod", 0);
-            int kind = e.small("kind", 0);
-            int zone = e.small("campus", 0);
-            double size = e.number("nominal", 1);
-            EndpointState state = e.oneOf("status", STATES);
-            long started = e.time("since");
-            entries.add(new EndpointEntry(e.text("machine"), build, zone, cell, kind, size, state, started));
+    private void readEvent(MessageFields fields, Batch batch) {
+        int node = fields.integer("front");
+        Event event = events.read(fields);
+        if (!nodes.containsKey(node) && !batch.faults.containsKey(node)) {
+            throw fields.malformed("front", "front " + node + " was not created");
         }
-        lists.put(slot, entries);
+        batch.eventsByNode.computeIfAbsent(node, k -> new ArrayList<>()).add(event);
     }
 
-    private Event event(MessageFields f) {
-        switch (f.name()) {
-            case "membership" -> {
-                f.expect(4);
-                EndpointListKind kind = f.oneOf("how", LISTS);
-                int slot = f.small("slot", -1);
-                if (kind == EndpointListKind.FAILED) {
-                    return new Event.EndpointListUpdate(kind, List.of());
-                }
-                if (!lists.containsKey(slot)) {
-                    throw f.bad("slot", "list " + slot + " was not given");
-                }
-                return new Event.EndpointListUpdate(kind, lists.get(slot));
-            }
-            case "incoming" -> {
-                f.expect(9);
-                String id = f.text("opId");
-                int route = f.small("qos");
-                int customer = f.small("clientGroup", 0);
-                String key = f.optionalText("partitionKey");
-                return new Event.RequestReceived(
-                        id, route, customer, key, f.time("notAfter"), f.number("expected", 0), f.flag("resent"));
-            }
-            case "under_way" -> {
-                f.expect(5);
-                String id = f.text("opId");
-                f.time("lag");
-                return new Event.ResponseStarted(id, f.small("sendNo"));
-            }
-            case "returned" -> {
-                f.expect(8);
-                return new Event.AttemptEnded(
-                        f.text("opId"),
-                        f.small("sendNo"),
-                        f.text("machine"),
-                        f.oneOf("status", OUTCOMES),
-                        f.time("lag"),
-                        f.flag("ended"),
-                        f.load("gauge"));
-            }
-            case "withdrawn" -> {
-                f.expect(2);
-                return new Event.ClientDisconnected(f.text("opId"));
-            }
-            case "ring" -> {
-                f.expect(2);
-                return new Event.TimerFired(f.whole("handle"));
-            }
-            case "pong" -> {
-                f.expect(5);
-                return new Event.HealthCheckEnded(
-                        f.text("machine"), f.oneOf("status", OUTCOMES), f.time("lag"), f.load("gauge"));
-            }
-            case "note_from" -> {
-                f.expect(3);
-                return new Event.GossipReceived(f.small("from"), f.bytes("bytes"));
-            }
-            case "release_state" -> {
-                f.expect(8);
-                ControlStatus answer = f.oneOf("status", ANSWERS);
-                int stage = f.small("tranche", 0);
-                double cap = f.number("ceiling", 0);
-                long age = f.time("since");
-                int phase = f.small("whereAt", 0);
-                if (phase < 0 || phase >= RolloutPhase.values().length) {
-                    throw f.bad("whereAt", phase + " is unknown");
+    private void decide(long nowTicks, Batch batch, SimulatorActionWriter actions) throws IOException {
+        for (Map.Entry<Integer, List<Event>> entry : batch.eventsByNode.entrySet()) {
+            int node = entry.getKey();
+            Decider decider = nodes.get(node);
+            if (decider != null && !batch.faults.containsKey(node)) {
+                try {
+                    for (Action action : decider.decide(nowTicks, entry.getValue())) {
+                        actions.write(node, action);
+                    }
+                } catch (RuntimeException failure) {
+                    batch.faults.put(node, reportFailure(node, failure));
                 }
-                int build = f.small("build", 0);
-                return new Event.RolloutUpdate(
-                        answer, stage, cap, age, RolloutPhase.values()[phase], build, f.flag("sense"));
-            }
-            case "counts_by_build" -> {
-                f.expect(7);
-                return new Event.BuildStatistics(
-                        f.small("build"),
-                        f.small("qos"),
-                        f.whole("count"),
-                        f.whole("errors"),
-                        f.time("lag"),
-                        f.time("since"));
             }
-            case "contested" -> {
-                f.expect(4);
-                return new Event.ComplaintReceived(f.text("machine"), f.time("since"), f.small("qos", 0));
+            String fault = batch.faults.get(node);
+            if (fault != null) {
+                actions.writeFault(node, fault);
             }
-            default -> throw f.bad(f.name(), "is no message of the wire");
         }
     }
 
-    private static void write(Writer out, int front, Action a) throws IOException {
-        String head;
-        if (a instanceof Action.SendAttempt s) {
-            head = "hand_off " + front + " " + s.requestId() + " " + s.endpointId() + " " + ms(s.timeoutTicks());
-        } else if (a instanceof Action.CancelAttempt s) {
-            head = "stop_attempt " + front + " " + s.requestId() + " " + s.attempt();
-        } else if (a instanceof Action.RejectRequest s) {
-            head = "deny " + front + " " + s.requestId() + " " + ms(s.retryAfterTicks());
-        } else if (a instanceof Action.FailRequest s) {
-            head = "lose " + front + " " + s.requestId();
-        } else if (a instanceof Action.StartTimer s) {
-            head = "after " + front + " " + ms(s.dueAtTicks()) + " " + s.timerId();
-        } else if (a instanceof Action.SendHealthCheck s) {
-            head = "ask_load " + front + " " + s.endpointId();
-        } else if (a instanceof Action.CloseIdleConnections s) {
-            head = "disconnect " + front + " " + s.endpointId();
-        } else if (a instanceof Action.SendGossip s) {
-            String to = s.toNode() < 0 ? "all" : Integer.toString(s.toNode());
-            String hex = s.payload().length == 0 ? "-" : HexFormat.of().formatHex(s.payload());
-            head = "notify " + front + " " + to + " " + hex;
-        } else if (a instanceof Action.WatchEndpoints s) {
-            head = "watch " + front + " " + (s.enabled() ? 1 : 0);
-        } else if (a instanceof Action.FetchEndpoints) {
-            head = "query_all " + front;
-        } else if (a instanceof Action.CastVote s) {
-            head = "say_so " + front + " " + s.build() + " " + s.stage() + " "
-                    + s.verdict().ordinal();
-        } else if (a instanceof Action.WriteLog s) {
-            head = "print " + front + " " + s.message();
-        } else {
-            throw new IllegalStateException("an action the wire lacks: " + a);
+    private static Settings settings(MessageFields fields) {
+        try {
+            return OptionsParser.settings(fields.pairs("options"));
+        } catch (InvalidOptionException e) {
+            throw fields.malformed(e.path(), e.what());
         }
-        out.write(head);
-        out.write('\n');
     }
 
-    private static String ms(long tenths) {
-        long whole = tenths / 10;
-        long rest = Math.abs(tenths % 10);
-        return (tenths < 0 && whole == 0 ? "-0" : Long.toString(whole)) + "." + rest;
+    /** Writes the trace to standard error, which is not part of the protocol, and returns the failure in one line. */
+    private static String reportFailure(int node, RuntimeException failure) {
+        System.err.println("front " + node + ":");
+        failure.printStackTrace();
+        return failure.toString().replaceAll("\\s+", " ");
     }
 }
--- a/src/test/java/laurelkeel/simulatoradapter/SimulatorAdapterTest.java
+++ b/src/test/java/laurelkeel/simulatoradapter/SimulatorAdapterTest.java
@@ -11,6 +11,7 @@
 import laurelkeel.decision.RoutingDecider;
 import org.junit.jupiter.api.Test;
 
+/** The adapter answers batches of the simulator and refuses malformed ones. */
 class SimulatorAdapterTest {
     private static final String START =
             """
@@ -32,15 +33,15 @@
     }
 
     @Test
-    void aReqIsHandedOffAndTheBatchAcknowledged() throws Exception {
-        String said = play(START + "round 1005.25 2\nincoming 0 r-1 0 0 - 1800.0 - 0 0\ncommit\n");
-        assertTrue(said.contains("hand_off 0 r-1 10.0.0.1:80 "), said);
-        assertTrue(said.endsWith("ack 2\n"), said);
+    void requestIsForwardedAndBatchAcknowledged() throws Exception {
+        String reply = play(START + "round 1005.25 2\nincoming 0 r-1 0 0 - 1800.0 - 0 0\ncommit\n");
+        assertTrue(reply.contains("hand_off 0 r-1 10.0.0.1:80 "), reply);
+        assertTrue(reply.endsWith("ack 2\n"), reply);
     }
 
     @Test
-    void malformedInputNamesLineAndField() {
-        for (String[] c : new String[][] {
+    void malformedInputIsRefusedWithLineAndField() {
+        for (String[] inputAndField : new String[][] {
             {"round x 2\ncommit\n", "round.clock"},
             {"round 1 2\n", "commit"},
             {"round 1 2\nring 0\ncommit\n", "ring"},
@@ -49,13 +50,14 @@
             {"round 1 2\nring 9 1\ncommit\n", "ring.front"}
         }) {
             MalformedSimulatorMessageException e =
-                    assertThrows(MalformedSimulatorMessageException.class, () -> play(START + c[0]));
-            assertTrue(e.getMessage().contains(c[1]) && e.getMessage().contains("line "), e.getMessage());
+                    assertThrows(MalformedSimulatorMessageException.class, () -> play(START + inputAndField[0]));
+            assertTrue(
+                    e.getMessage().contains(inputAndField[1]) && e.getMessage().contains("line "), e.getMessage());
         }
     }
 
     @Test
-    void aFailingDeciderBecomesAFaultOfItsFrontOnly() throws Exception {
+    void failingDeciderIsReportedAsFaultOfItsNodeOnly() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new SimulatorAdapter((set, seed) -> (now, events) -> {
                     throw new IllegalStateException("boom\nhere");
