--- a/src/test/java/laurelkeel/platform/StartOrderTest.java
+++ b/src/test/java/laurelkeel/platform/StartOrderTest.java
@@ -8,6 +8,7 @@
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Proxy;
 import java.net.Socket;
+import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
@@ -31,12 +32,12 @@
     private static final long HELD_UP_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final AtomicInteger turns = new AtomicInteger();
-    private PlatformTestBed.Party discovery, control;
+    private PlatformTestBed.FakeServer discovery, control;
 
     @BeforeEach
     void open() throws Exception {
-        discovery = new PlatformTestBed.Party();
-        control = new PlatformTestBed.Party();
+        discovery = new PlatformTestBed.FakeServer();
+        control = new PlatformTestBed.FakeServer();
     }
 
     @AfterEach
@@ -45,8 +46,8 @@
         control.close();
     }
 
-    private static NodeConfiguration config(PlatformTestBed.Party discoveryAt, PlatformTestBed.Party controlAt)
-            throws Exception {
+    private static NodeConfiguration config(
+            PlatformTestBed.FakeServer discoveryAt, PlatformTestBed.FakeServer controlAt) throws Exception {
         String json = "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discoveryAt.address()
                 + "\",\"limits\":{\"sockets\":256},\"rollouts\":{\"address\":\"" + controlAt.address()
                 + "\",\"news\":{\"build\":24,\"stage\":1,\"phase\":\"Progressing\",\"cap\":0.5,\"age_ms\":9000}},\"settings\":"
@@ -82,8 +83,8 @@
         PlatformNode node = PlatformNode.create(
                 config(discovery, control), (settings, seed) -> voter(), NodeRuntime.monotonicClock(), between);
         node.frontNode().start();
-        Socket first = control.call();
-        Socket second = control.call();
+        Socket first = control.nextConnection();
+        Socket second = control.nextConnection();
         List<String> said = List.of(
                 PlatformTestBed.lines(first).readLine(),
                 PlatformTestBed.lines(second).readLine());
@@ -105,14 +106,14 @@
     /** SIGHUP right at the start: the addresses of the configuration before must not come back. */
     @Test
     void aConfigurationFollowedBeforeTheStartStays() throws Exception {
-        try (PlatformTestBed.Party moved = new PlatformTestBed.Party()) {
+        try (PlatformTestBed.FakeServer moved = new PlatformTestBed.FakeServer()) {
             PlatformNode node =
                     PlatformNode.create(config(discovery, control), (settings, seed) -> (now, events) -> List.of());
             node.reconfigure(config(moved, control));
             node.frontNode().start();
-            moved.call().close();
-            moved.call();
-            assertTrue(discovery.isUncalled());
+            moved.nextConnection().close();
+            moved.nextConnection();
+            assertTrue(discovery.hasNoConnection());
             node.frontNode().drain();
             assertEquals(null, node.frontNode().termination().get(30, TimeUnit.SECONDS));
         }
@@ -140,11 +141,15 @@
     }
 
     private static NodeServices unableToVote(NodeServices node) {
-        return failing(node, "vote");
+        return failing(node, "castVote");
     }
 
     /** One that fails at whatever the decision module asks for by that name. */
     private static NodeServices failing(NodeServices node, String name) {
+        assertTrue(
+                Arrays.stream(NodeServices.class.getMethods())
+                        .anyMatch(method -> method.getName().equals(name)),
+                () -> "no call is named " + name);
         return (NodeServices) Proxy.newProxyInstance(
                 NodeServices.class.getClassLoader(), new Class<?>[] {NodeServices.class}, (proxy, method, args) -> {
                     if (method.getName().equals(name)) {
@@ -167,10 +172,10 @@
                 config(discovery, control),
                 (settings, seed) -> decider,
                 NodeRuntime.monotonicClock(),
-                of -> failing(of, "tell"));
+                of -> failing(of, "sendGossip"));
         node.frontNode().start();
-        Socket first = control.call();
-        Socket second = control.call();
+        Socket first = control.nextConnection();
+        Socket second = control.nextConnection();
         List<String> said = List.of(
                 PlatformTestBed.lines(first).readLine(),
                 PlatformTestBed.lines(second).readLine());
