--- a/src/main/java/laurelkeel/cli/Cli.java
+++ b/src/main/java/laurelkeel/cli/Cli.java
@@ -103,7 +103,7 @@
     static final class ServeCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
-            return Serve.run(System.getenv());
+            return NodeLauncher.run(System.getenv());
         }
     }
 
--- a/src/main/java/laurelkeel/cli/Main.java
+++ b/src/main/java/laurelkeel/cli/Main.java
@@ -17,7 +17,7 @@
         if (args.length == 1 && args[0].equals("benchlink")) {
             benchlink();
         } else if (args.length == 1 && args[0].equals("serve")) {
-            System.exit(Serve.run(System.getenv()));
+            System.exit(NodeLauncher.run(System.getenv()));
         } else if (args.length == 1 && args[0].equals("rehearse")) {
             System.exit(ClassArchiveTraining.run());
         } else {
--- a/src/main/java/laurelkeel/cli/Serve.java
+++ b/src/main/java/laurelkeel/cli/NodeLauncher.java
@@ -15,8 +15,8 @@
 import sun.misc.Signal;
 
 /** Runs one front node of the users' platform in the foreground, set by its environment (docs/platform.md). */
-final class Serve {
-    private static final Logger LOG = LoggerFactory.getLogger(Serve.class);
+final class NodeLauncher {
+    private static final Logger LOG = LoggerFactory.getLogger(NodeLauncher.class);
     private static final int REREADS = 20;
     /** Where the system does not hand the file over (no descriptor, an error of the disk) it will, sooner or later. */
     private static final int REREADS_UNREADABLE = 300;
@@ -24,7 +24,7 @@
     private static final int READS_AT_START = 50;
     private static final long REREAD_NANOS = 100_000_000;
 
-    private Serve() {}
+    private NodeLauncher() {}
 
     static int run(Map<String, String> env) throws Exception {
         String at = env.get("RELAY_CONFIG");
--- a/src/main/java/laurelkeel/options/Numbers.java
+++ b/src/main/java/laurelkeel/options/Numbers.java
@@ -4,7 +4,7 @@
 public final class Numbers {
     private Numbers() {}
 
-    public static double finite(String s) {
+    public static double parseFinite(String s) {
         double d = Double.parseDouble(s);
         if (Double.isNaN(d) || Double.isInfinite(d)) {
             throw new NumberFormatException(s);
@@ -13,7 +13,7 @@
     }
 
     /** Milliseconds as tenths, rounded down: a moment or a limit must never seem later than it is. */
-    public static long tenths(double ms) {
+    public static long millisToTicks(double ms) {
         return (long) Math.floor(ms * 10 + 1e-6);
     }
 }
--- a/src/main/java/laurelkeel/options/OptionsParser.java
+++ b/src/main/java/laurelkeel/options/OptionsParser.java
@@ -104,15 +104,15 @@
     }
 
     private double number(String path) {
-        return get(path, "0", "number", Numbers::finite);
+        return get(path, "0", "number", Numbers::parseFinite);
     }
 
     private long time(String path) {
-        return Numbers.tenths(number(path));
+        return Numbers.millisToTicks(number(path));
     }
 
     private int whole(String path) {
-        return get(path, "0", "whole number", s -> (int) Math.round(Numbers.finite(s)));
+        return get(path, "0", "whole number", s -> (int) Math.round(Numbers.parseFinite(s)));
     }
 
     private boolean on(String path) {
@@ -126,7 +126,7 @@
                 "list of numbers",
                 s -> s.isEmpty()
                         ? List.of()
-                        : Arrays.stream(s.split(",")).map(Numbers::finite).toList());
+                        : Arrays.stream(s.split(",")).map(Numbers::parseFinite).toList());
     }
 
     private Settings settings() {
--- a/src/main/java/laurelkeel/simulatoradapter/MessageFields.java
+++ b/src/main/java/laurelkeel/simulatoradapter/MessageFields.java
@@ -71,11 +71,11 @@
 
     double number(String field, double absent) {
         String s = optionalText(field);
-        return s == null ? absent : parsed(field, s, "number", Numbers::finite);
+        return s == null ? absent : parsed(field, s, "number", Numbers::parseFinite);
     }
 
     long time(String field) {
-        return Numbers.tenths(number(field, 0));
+        return Numbers.millisToTicks(number(field, 0));
     }
 
     boolean flag(String field) {
@@ -107,7 +107,7 @@
             if (colon < 1) {
                 throw bad(field, "'" + pair + "' is no name:value");
             }
-            out.put(pair.substring(0, colon), parsed(field, pair.substring(colon + 1), "number", Numbers::finite));
+            out.put(pair.substring(0, colon), parsed(field, pair.substring(colon + 1), "number", Numbers::parseFinite));
         }
         return new LoadReport(out);
     }
--- a/src/main/java/laurelkeel/simulatoradapter/SimulatorAdapter.java
+++ b/src/main/java/laurelkeel/simulatoradapter/SimulatorAdapter.java
@@ -168,7 +168,7 @@
         try {
             return OptionsParser.settings(f.pairs("options"));
         } catch (InvalidOptionException e) {
-            throw f.bad(e.path(), e.what());
+            throw f.bad(e.path(), e.reason());
         }
     }
 
--- a/src/test/java/laurelkeel/cli/ConfigurationReloadTest.java
+++ b/src/test/java/laurelkeel/cli/ConfigurationReloaderTest.java
@@ -20,44 +20,44 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What SIGHUP does, in the orders that a file's replacement and two signals may take. */
-class ConfigurationReloadTest {
+class ConfigurationReloaderTest {
     @TempDir
     Path folder;
 
-    private PlatformTestBed.Party first, second, third, desk;
+    private PlatformTestBed.FakeServer first, second, third, desk;
     private Path file;
     private PlatformNode node;
 
     @BeforeEach
     void start() throws Exception {
-        first = new PlatformTestBed.Party();
-        second = new PlatformTestBed.Party();
-        third = new PlatformTestBed.Party();
-        desk = new PlatformTestBed.Party();
+        first = new PlatformTestBed.FakeServer();
+        second = new PlatformTestBed.FakeServer();
+        third = new PlatformTestBed.FakeServer();
+        desk = new PlatformTestBed.FakeServer();
         file = folder.resolve("config.json");
         Files.writeString(file, config(first));
         node = PlatformNode.create(NodeConfiguration.read(file, Map.of()), (set, seed) -> (now, events) -> List.of());
         node.frontNode().start();
-        first.call();
+        first.nextConnection();
     }
 
     @AfterEach
     void end() throws Exception {
         node.frontNode().drain();
-        for (PlatformTestBed.Party p : List.of(first, second, third, desk)) {
+        for (PlatformTestBed.FakeServer p : List.of(first, second, third, desk)) {
             p.close();
         }
         assertEquals(null, node.frontNode().termination().get(30, TimeUnit.SECONDS));
     }
 
-    private String config(PlatformTestBed.Party discovery) {
+    private String config(PlatformTestBed.FakeServer discovery) {
         return "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery.address()
                 + "\",\"limits\":{\"sockets\":256},\"rollouts\":{\"address\":\"" + desk.address() + "\"},\"settings\":"
                 + PlatformTestBed.SETTINGS.formatted(800) + "}";
     }
 
     private Thread signalled() {
-        Thread t = new Thread(() -> Serve.reread(file, Map.of(), node));
+        Thread t = new Thread(() -> NodeLauncher.reread(file, Map.of(), node));
         t.start();
         return t;
     }
@@ -70,7 +70,7 @@
         FrontTestRig.await(
                 "it was read and found wanting", () -> t.getState() == Thread.State.TIMED_WAITING || !t.isAlive());
         Files.writeString(file, next);
-        second.call();
+        second.nextConnection();
         t.join();
     }
 
@@ -94,7 +94,7 @@
         }
         older.join();
         // an address that says nothing is dialled again and again, and only the last one followed is
-        third.call();
-        third.call();
+        third.nextConnection();
+        third.nextConnection();
     }
 }
--- a/src/test/java/laurelkeel/cli/ServeStartTest.java
+++ b/src/test/java/laurelkeel/cli/NodeLauncherTest.java
@@ -20,20 +20,20 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A real node, started again and again as in the incident of 2026-12-02 (docs/incidents). */
-class ServeStartTest {
+class NodeLauncherTest {
     /** On the build of the incident more than one start in three ended. */
     private static final int STARTS = 10;
 
     @TempDir
     Path folder;
 
-    private PlatformTestBed.Party discovery, control;
+    private PlatformTestBed.FakeServer discovery, control;
     private final AtomicInteger votes = new AtomicInteger();
 
     @BeforeEach
     void open() throws Exception {
-        discovery = new PlatformTestBed.Party();
-        control = new PlatformTestBed.Party();
+        discovery = new PlatformTestBed.FakeServer();
+        control = new PlatformTestBed.FakeServer();
         Thread reads = new Thread(this::readVotes);
         reads.setDaemon(true);
         reads.start();
@@ -49,7 +49,7 @@
     private void readVotes() {
         try {
             while (true) {
-                Socket call = control.call();
+                Socket call = control.nextConnection();
                 Thread each = new Thread(() -> {
                     try (BufferedReader in = PlatformTestBed.lines(call)) {
                         for (String line = in.readLine(); line != null; line = in.readLine()) {
--- a/src/test/java/laurelkeel/platform/PlatformProtocolTest.java
+++ b/src/test/java/laurelkeel/platform/PlatformProtocolTest.java
@@ -21,7 +21,7 @@
                     c,
                     "POST /pay/x%20y?q=1 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: 9b1f\r\nX-Account: acme\r\n"
                             + "X-Session-Key: k\r\nX-Time-Left: 0.480\r\nIdempotency-Key: m1\r\nContent-Length: 3\r\n\r\na\0b");
-            Socket m = p.machine.call();
+            Socket m = p.machine.nextConnection();
             String got = PlatformTestBed.hear(m);
             assertTrue(got.startsWith("POST /pay/x%20y?q=1 HTTP/1.1\r\n"), got);
             assertTrue(got.contains("X-Correlation-Id: 9b1f\r\n") && got.contains("Idempotency-Key: m1\r\n"), got);
@@ -51,7 +51,7 @@
             Socket c = p.client();
             for (int i = 0; i < rows.length; i++) {
                 PlatformTestBed.say(c, PlatformTestBed.look("id-" + i, ""));
-                Socket m = p.machine.call();
+                Socket m = p.machine.nextConnection();
                 PlatformTestBed.hear(m);
                 PlatformTestBed.say(m, rows[i][0]);
                 m.close();
@@ -125,7 +125,7 @@
         try (PlatformTestBed p = new PlatformTestBed(PlatformTestBed::once)) {
             Socket a = p.client(), b = p.client();
             PlatformTestBed.say(a, PlatformTestBed.look("same", ""));
-            Socket m = p.machine.call();
+            Socket m = p.machine.nextConnection();
             PlatformTestBed.hear(m);
             PlatformTestBed.say(b, PlatformTestBed.look("same", ""));
             assertTrue(PlatformTestBed.hear(b).startsWith("HTTP/1.1 409 "));
@@ -142,12 +142,12 @@
             try (PlatformTestBed p = new PlatformTestBed(PlatformTestBed::once)) {
                 Socket c = p.client();
                 PlatformTestBed.say(c, PlatformTestBed.look("1", ""));
-                Socket m = p.machine.call();
+                Socket m = p.machine.nextConnection();
                 PlatformTestBed.hear(m);
                 PlatformTestBed.say(m, PlatformTestBed.ok("first") + behind);
                 assertTrue(PlatformTestBed.hear(c).endsWith("first"));
                 PlatformTestBed.say(c, PlatformTestBed.look("2", ""));
-                Socket other = p.machine.call();
+                Socket other = p.machine.nextConnection();
                 PlatformTestBed.hear(other);
                 PlatformTestBed.say(other, PlatformTestBed.ok("second"));
                 assertTrue(PlatformTestBed.hear(c).endsWith("second"), behind);
@@ -163,7 +163,7 @@
             Socket c = p.client();
             for (int cut = 0; cut <= whole.length(); cut++) {
                 PlatformTestBed.say(c, PlatformTestBed.look("cut-" + cut, ""));
-                Socket m = p.machine.call();
+                Socket m = p.machine.nextConnection();
                 PlatformTestBed.hear(m);
                 PlatformTestBed.say(m, whole.substring(0, cut));
                 m.close();
@@ -179,7 +179,7 @@
         for (boolean drain : List.of(true, false)) {
             try (PlatformTestBed p = new PlatformTestBed(60, 5000, PlatformTestBed::once)) {
                 Socket w = p.watch(PlatformTestBed.list(2, true, p.entry("active", 2, p.machine)));
-                Socket d = p.desk.call();
+                Socket d = p.desk.nextConnection();
                 PlatformTestBed.lines(d).readLine();
                 PlatformTestBed.say(d, "OK\r\n* progress 2 1 Progressing 0.5 10\r\n");
                 p.event(Event.RolloutUpdate.class, 2);
@@ -188,9 +188,9 @@
                 for (int i = 0; i < most; i++) {
                     PlatformTestBed.say(p.client(), PlatformTestBed.look("r-" + i, ""));
                 }
-                Socket first = p.machine.call();
+                Socket first = p.machine.nextConnection();
                 for (int i = 1; i < most; i++) {
-                    p.machine.call();
+                    p.machine.nextConnection();
                 }
                 PlatformTestBed.hear(first);
                 PlatformTestBed.say(p.client(), PlatformTestBed.look("late", ""));
--- a/src/test/java/laurelkeel/platform/PlatformRaceTest.java
+++ b/src/test/java/laurelkeel/platform/PlatformRaceTest.java
@@ -71,7 +71,7 @@
                     "{\"version\":9,\"full\":true,\"servers\":[{\"id\":\"s-9\"}]}",
                     "\1\2",
                     "{\"a\":\"" + "x".repeat(1 << 20))) {
-                Socket w = p.discovery.call();
+                Socket w = p.discovery.nextConnection();
                 assertTrue(PlatformTestBed.hear(w).contains("after=1 "), "nothing of it was followed");
                 try {
                     PlatformTestBed.say(
@@ -80,7 +80,7 @@
                     // the node ended it while the last of so much was still on its way
                 }
             }
-            p.discovery.call();
+            p.discovery.nextConnection();
             assertEquals(1, p.all(Event.EndpointListUpdate.class).size());
         }
     }
@@ -93,17 +93,17 @@
             p.event(Event.EndpointListUpdate.class, 2);
             String old = PlatformTestBed.chunk(PlatformTestBed.list(4, true, p.entry("active", 1, p.machine)) + "\n");
             PlatformTestBed.say(w, old);
-            Socket next = p.discovery.call();
+            Socket next = p.discovery.nextConnection();
             assertTrue(PlatformTestBed.hear(next).contains("after=5 "));
             PlatformTestBed.say(next, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + old);
-            next = p.discovery.call();
+            next = p.discovery.nextConnection();
             PlatformTestBed.hear(next);
             assertEquals(2, p.all(Event.EndpointListUpdate.class).size());
             // discovery has begun anew: nothing newer comes for longer than it may take, so the silent watch is given
             // up too
             ahead.addAndGet(61_000);
             assertTrue(PlatformTestBed.hear(next).contains("<end>"));
-            next = p.discovery.call();
+            next = p.discovery.nextConnection();
             PlatformTestBed.hear(next);
             PlatformTestBed.say(next, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + old);
             assertEquals(
@@ -120,14 +120,14 @@
         try (PlatformTestBed p = new PlatformTestBed(1024, 5000, this::standing, PlatformTestBed::nothing)) {
             p.watch(PlatformTestBed.list(2, false, p.entry("active", 1, p.machine)));
             p.event(Event.EndpointListUpdate.class, 2);
-            PlatformTestBed.lines(p.desk.call()).readLine();
+            PlatformTestBed.lines(p.desk.nextConnection()).readLine();
             ahead.addAndGet(32_000);
-            Socket second = p.discovery.call();
+            Socket second = p.discovery.nextConnection();
             PlatformTestBed.hear(second);
             ahead.addAndGet(8_000);
             assertTrue(PlatformTestBed.hear(second).contains("<end>"));
             ahead.addAndGet(10_500);
-            Socket third = p.discovery.call();
+            Socket third = p.discovery.nextConnection();
             assertTrue(PlatformTestBed.hear(third).contains("after=2 "));
             // bytes that never become anything are no sign of life for ever
             PlatformTestBed.say(
@@ -149,7 +149,7 @@
             Socket c = p.client();
             PlatformTestBed.say(c, PlatformTestBed.look("a" + i, ""));
             asking.add(c);
-            Socket m = p.machine.call();
+            Socket m = p.machine.nextConnection();
             PlatformTestBed.hear(m);
             machine.add(m);
         }
@@ -213,7 +213,7 @@
         try (PlatformTestBed p = new PlatformTestBed(1024, 5000, this::standing, PlatformTestBed::once)) {
             Socket c = p.client();
             PlatformTestBed.say(c, PlatformTestBed.look("1", ""));
-            Socket m = p.machine.call();
+            Socket m = p.machine.nextConnection();
             PlatformTestBed.hear(m);
             PlatformTestBed.say(m, PlatformTestBed.ok("1"));
             PlatformTestBed.hear(c);
@@ -232,7 +232,7 @@
 
     @Test
     void aPlaceThatBecomesFreeGoesToTheMachineThatWaitsForOne() throws Exception {
-        try (PlatformTestBed.Party other = new PlatformTestBed.Party();
+        try (PlatformTestBed.FakeServer other = new PlatformTestBed.FakeServer();
                 PlatformTestBed p = small("s-2")) {
             p.watch(PlatformTestBed.list(2, false, p.entry("s-2", "active", 1, other)));
             p.event(Event.EndpointListUpdate.class, 2);
@@ -241,7 +241,7 @@
             PlatformTestBed.say(waits, PlatformTestBed.look("waits", ""));
             p.event(Event.RequestReceived.class, 9);
             PlatformTestBed.say(all.get(1).get(0), PlatformTestBed.ok("x"));
-            Socket m = other.call();
+            Socket m = other.nextConnection();
             assertTrue(PlatformTestBed.hear(m).contains("X-Correlation-Id: waits\r\n"));
             PlatformTestBed.say(m, PlatformTestBed.ok("y"));
             assertTrue(PlatformTestBed.hear(waits).endsWith("y"));
@@ -254,7 +254,7 @@
         try (PlatformTestBed p = new PlatformTestBed(PlatformTestBed::once)) {
             Socket c = p.client();
             PlatformTestBed.say(c, PlatformTestBed.look("1", ""));
-            PlatformTestBed.hear(p.machine.call());
+            PlatformTestBed.hear(p.machine.nextConnection());
             c.shutdownOutput();
             assertTrue(PlatformTestBed.hear(c).startsWith("HTTP/1.1 502 "));
             assertEquals("<end>", PlatformTestBed.hear(c));
@@ -271,7 +271,7 @@
                     c,
                     PlatformTestBed.look("1", "") + PlatformTestBed.look("2", "")
                             + "GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n");
-            PlatformTestBed.hear(p.machine.call());
+            PlatformTestBed.hear(p.machine.nextConnection());
             c.shutdownOutput();
             assertTrue(PlatformTestBed.hear(c).startsWith("HTTP/1.1 502 "));
             assertTrue(PlatformTestBed.hear(c).startsWith("HTTP/1.1 503 "));
--- a/src/test/java/laurelkeel/platform/PlatformSourcesTest.java
+++ b/src/test/java/laurelkeel/platform/PlatformSourcesTest.java
@@ -33,7 +33,7 @@
             assertEquals(
                     new Event.EndpointEntry("s-1", 1, 1, 3, 1, 1.5, EndpointState.ACTIVE, 0),
                     known.entries().get(0));
-            Socket w = p.discovery.call();
+            Socket w = p.discovery.nextConnection();
             assertTrue(PlatformTestBed.hear(w).startsWith("GET /v1/servers?watch=1&after=1 HTTP/1.1\r\n"));
             String all = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                     + PlatformTestBed.chunk(PlatformTestBed.list(3, false, p.entry("leaving", 1, p.machine)) + "\n\n")
@@ -51,7 +51,7 @@
                     EndpointState.DRAINING,
                     p.event(Event.EndpointListUpdate.class, 2).entries().get(0).state());
             w.close();
-            w = p.discovery.call();
+            w = p.discovery.nextConnection();
             assertTrue(PlatformTestBed.hear(w).startsWith("GET /v1/servers?watch=1&after=3 HTTP/1.1\r\n"));
             PlatformTestBed.say(
                     w,
@@ -61,7 +61,7 @@
                     EndpointListKind.SNAPSHOT,
                     p.event(Event.EndpointListUpdate.class, 3).kind());
             PlatformTestBed.say(w, PlatformTestBed.chunk("{\"noise\":1}\n"));
-            PlatformTestBed.hear(p.discovery.call());
+            PlatformTestBed.hear(p.discovery.nextConnection());
             assertEquals(3, p.all(Event.EndpointListUpdate.class).size());
         }
     }
@@ -73,7 +73,7 @@
             p.event(Event.EndpointListUpdate.class, 2);
             Socket c = p.client();
             PlatformTestBed.say(c, PlatformTestBed.look("1", ""));
-            Socket m = p.machine.call();
+            Socket m = p.machine.nextConnection();
             PlatformTestBed.hear(m);
             PlatformTestBed.say(m, PlatformTestBed.ok("old"));
             PlatformTestBed.hear(c);
@@ -82,7 +82,7 @@
             p.event(Event.EndpointListUpdate.class, 3);
             assertTrue(PlatformTestBed.hear(m).contains("<end>"));
             PlatformTestBed.say(c, PlatformTestBed.look("2", ""));
-            PlatformTestBed.hear(p.machine.call());
+            PlatformTestBed.hear(p.machine.nextConnection());
         }
     }
 
@@ -91,7 +91,7 @@
         try (PlatformTestBed p = new PlatformTestBed(PlatformTestBed::nothing)) {
             assertEquals(
                     RolloutPhase.RELEASED, p.event(Event.RolloutUpdate.class, 1).phase());
-            Socket d = p.desk.call();
+            Socket d = p.desk.nextConnection();
             assertEquals("SUB", PlatformTestBed.lines(d).readLine());
             PlatformTestBed.say(d, "OK\r\n*\r\n* metrics 42 pay 57 2 18.5 900\r\n* progress 42 1 Progr");
             Event.BuildStatistics counts = p.event(Event.BuildStatistics.class, 1);
@@ -115,7 +115,7 @@
                     "\1\2",
                     "* progress 42 1 Progressing 7 1")) {
                 PlatformTestBed.say(d, spoilt + "\r\n");
-                d = p.desk.call();
+                d = p.desk.nextConnection();
                 PlatformTestBed.lines(d).readLine();
             }
             PlatformTestBed.say(d, "OK\r\n* progress 42 2 Progressing 0.5 1\r\n");
@@ -150,15 +150,15 @@
     @Test
     void aVotesLateAnswerIsNotTheNextOnes() throws Exception {
         try (PlatformTestBed p = new PlatformTestBed(1024, 300, PlatformSourcesTest::voter)) {
-            p.desk.call();
+            p.desk.nextConnection();
             Socket c = p.client();
             PlatformTestBed.say(c, PlatformTestBed.look("1", ""));
-            Socket v = p.desk.call();
+            Socket v = p.desk.nextConnection();
             assertEquals("SAY 42 1 reject", PlatformTestBed.lines(v).readLine());
             assertEquals(ControlStatus.TIMED_OUT, answered(p, 1).status());
             PlatformTestBed.hear(c);
             PlatformTestBed.say(c, PlatformTestBed.look("2", ""));
-            Socket next = p.desk.call();
+            Socket next = p.desk.nextConnection();
             assertEquals("SAY 43 1 reject", PlatformTestBed.lines(next).readLine());
             PlatformTestBed.say(next, "ERR too_many_calls\r\n");
             assertEquals(ControlStatus.RATE_LIMITED, answered(p, 2).status());
@@ -179,18 +179,18 @@
     @Test
     void aNewConfigurationMovesTheSourcesAndLosesNoReq() throws Exception {
         try (PlatformTestBed p = new PlatformTestBed(PlatformTestBed::once);
-                PlatformTestBed.Party disco = new PlatformTestBed.Party();
-                PlatformTestBed.Party desk = new PlatformTestBed.Party()) {
+                PlatformTestBed.FakeServer disco = new PlatformTestBed.FakeServer();
+                PlatformTestBed.FakeServer desk = new PlatformTestBed.FakeServer()) {
             Socket old = p.watch(PlatformTestBed.list(2, false, p.entry("active", 1, p.machine)));
             p.event(Event.EndpointListUpdate.class, 2);
             Socket c = p.client();
             PlatformTestBed.say(c, PlatformTestBed.look("1", ""));
-            Socket m = p.machine.call();
+            Socket m = p.machine.nextConnection();
             PlatformTestBed.hear(m);
             p.node.reconfigure(p.config(disco, desk));
-            Socket w = disco.call();
+            Socket w = disco.nextConnection();
             assertTrue(PlatformTestBed.hear(w).contains("after=2 "));
-            assertEquals("SUB", PlatformTestBed.lines(desk.call()).readLine());
+            assertEquals("SUB", PlatformTestBed.lines(desk.nextConnection()).readLine());
             // until the new one has spoken the old one is heard
             PlatformTestBed.say(
                     old, PlatformTestBed.chunk(PlatformTestBed.list(3, false, p.entry("active", 1, p.machine)) + "\n"));
@@ -206,20 +206,22 @@
     @Test
     void aVoteAfterTheDeskHasMovedGoesToItsNewAddress() throws Exception {
         try (PlatformTestBed p = new PlatformTestBed(PlatformSourcesTest::voter);
-                PlatformTestBed.Party next = new PlatformTestBed.Party()) {
-            p.desk.call();
+                PlatformTestBed.FakeServer next = new PlatformTestBed.FakeServer()) {
+            p.desk.nextConnection();
             Socket c = p.client();
             PlatformTestBed.say(c, PlatformTestBed.look("1", ""));
-            Socket old = p.desk.call();
+            Socket old = p.desk.nextConnection();
             assertEquals("SAY 42 1 reject", PlatformTestBed.lines(old).readLine());
             PlatformTestBed.hear(c);
             p.node.reconfigure(p.config(p.discovery, next));
-            assertEquals("SUB", PlatformTestBed.lines(next.call()).readLine());
+            assertEquals("SUB", PlatformTestBed.lines(next.nextConnection()).readLine());
             // its answer comes from the old address all the same
             PlatformTestBed.say(old, "OK 42 1 Progressing 0.28 1\r\n");
             assertEquals(ControlStatus.OK, answered(p, 1).status());
             PlatformTestBed.say(c, PlatformTestBed.look("2", ""));
-            assertEquals("SAY 43 1 reject", PlatformTestBed.lines(next.call()).readLine());
+            assertEquals(
+                    "SAY 43 1 reject",
+                    PlatformTestBed.lines(next.nextConnection()).readLine());
         }
     }
 
@@ -227,15 +229,15 @@
     @Test
     void aNewAddressThatIsNotUpYetIsDialledAgainWhileTheOldOneStillSpeaks() throws Exception {
         try (PlatformTestBed p = new PlatformTestBed(PlatformTestBed::once);
-                PlatformTestBed.Party disco = new PlatformTestBed.Party();
-                PlatformTestBed.Party desk = new PlatformTestBed.Party()) {
+                PlatformTestBed.FakeServer disco = new PlatformTestBed.FakeServer();
+                PlatformTestBed.FakeServer desk = new PlatformTestBed.FakeServer()) {
             Socket old = p.watch(PlatformTestBed.list(2, false, p.entry("active", 1, p.machine)));
             p.event(Event.EndpointListUpdate.class, 2);
             int port = disco.at.getLocalPort();
             NodeConfiguration next = p.config(disco, desk);
             disco.close();
             p.node.reconfigure(next);
-            PlatformTestBed.lines(desk.call()).readLine();
+            PlatformTestBed.lines(desk.nextConnection()).readLine();
             try (var late = new java.net.ServerSocket(port, 5, java.net.InetAddress.getByName("127.0.0.1"))) {
                 late.setSoTimeout(2_000);
                 Socket w = late.accept();
@@ -252,17 +254,17 @@
     void aNodeToldToStopTakesWhatStillComesAndAnswersAll() throws Exception {
         try (PlatformTestBed p = new PlatformTestBed(PlatformTestBed::once)) {
             p.watch(PlatformTestBed.list(2, true, p.entry("active", 1, p.machine)));
-            Socket d = p.desk.call();
+            Socket d = p.desk.nextConnection();
             PlatformTestBed.say(d, "OK\r\n");
             Socket h = p.client();
             PlatformTestBed.await("ready", () -> health(h).startsWith("HTTP/1.1 200 "));
             Socket a = p.client(), idle = p.client();
             PlatformTestBed.say(a, PlatformTestBed.look("1", ""));
-            Socket m1 = p.machine.call();
+            Socket m1 = p.machine.nextConnection();
             // heard, so that it has its connection before the next req asks for one
             PlatformTestBed.hear(m1);
             PlatformTestBed.say(idle, PlatformTestBed.look("0", ""));
-            Socket m0 = p.machine.call();
+            Socket m0 = p.machine.nextConnection();
             PlatformTestBed.hear(m0);
             PlatformTestBed.say(m0, PlatformTestBed.ok("0"));
             PlatformTestBed.hear(idle);
@@ -277,7 +279,7 @@
             String one = PlatformTestBed.hear(a);
             assertTrue(one.endsWith("one") && one.contains("Connection: close\r\n"), one);
             // on the connection that served 0, or on one of its own
-            Socket m2 = p.machine.calls.isEmpty() ? m0 : p.machine.call();
+            Socket m2 = p.machine.calls.isEmpty() ? m0 : p.machine.nextConnection();
             PlatformTestBed.say(m2, PlatformTestBed.ok("two"));
             assertTrue(PlatformTestBed.hear(b).endsWith("two"));
             assertEquals(null, p.front.termination().get(20, java.util.concurrent.TimeUnit.SECONDS));
@@ -301,7 +303,7 @@
             }
             Socket c = p.client();
             PlatformTestBed.say(c, PlatformTestBed.look("1", ""));
-            Socket m = p.machine.call();
+            Socket m = p.machine.nextConnection();
             PlatformTestBed.hear(m);
             PlatformTestBed.say(m, PlatformTestBed.ok("served"));
             assertTrue(PlatformTestBed.hear(c).endsWith("served"));
--- a/src/test/java/laurelkeel/platform/PlatformTestBed.java
+++ b/src/test/java/laurelkeel/platform/PlatformTestBed.java
@@ -43,13 +43,13 @@
               "callTimeout":%d.0,"voteTtl":6000.0,"votesPerS":100.0,"countedOver":4000.0,"uncounted":3.0}}""";
 
     /** A listener of one party, and its connections as they come. */
-    public static final class Party implements AutoCloseable {
+    public static final class FakeServer implements AutoCloseable {
         final ServerSocket at = new ServerSocket(0, 200, InetAddress.getByName("127.0.0.1"));
         final BlockingQueue<Socket> calls = new LinkedBlockingQueue<>();
         private final List<Socket> open = new CopyOnWriteArrayList<>();
         private final Thread accepts;
 
-        public Party() throws IOException {
+        public FakeServer() throws IOException {
             accepts = new Thread(() -> {
                 try {
                     while (true) {
@@ -71,11 +71,11 @@
         }
 
         /** True where nobody has connected, less those that call has returned. */
-        public boolean isUncalled() {
+        public boolean hasNoConnection() {
             return calls.isEmpty();
         }
 
-        public Socket call() throws InterruptedException {
+        public Socket nextConnection() throws InterruptedException {
             Socket s = calls.poll(10, TimeUnit.SECONDS);
             if (s == null) {
                 throw new AssertionError("nobody connected");
@@ -94,7 +94,7 @@
         }
     }
 
-    final Party machine = new Party(), discovery = new Party(), desk = new Party();
+    final FakeServer machine = new FakeServer(), discovery = new FakeServer(), desk = new FakeServer();
     final List<Event> events = new CopyOnWriteArrayList<>();
     final PlatformNode node;
     final FrontNode front;
@@ -124,7 +124,7 @@
         at = "127.0.0.1:" + front.start().getPort();
     }
 
-    NodeConfiguration config(Party discoveryAt, Party deskAt) throws Exception {
+    NodeConfiguration config(FakeServer discoveryAt, FakeServer deskAt) throws Exception {
         String json = "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discoveryAt.address()
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":" + sockets
                 + "},\"rollouts\":{\"address\":\"" + deskAt.address() + "\",\"news\":{\"build\":1,\"stage\":0,"
@@ -134,11 +134,11 @@
         return NodeConfiguration.of(new ObjectMapper().readTree(json), Map.of());
     }
 
-    String entry(String state, int build, Party addr) {
+    String entry(String state, int build, FakeServer addr) {
         return entry("s-1", state, build, addr);
     }
 
-    String entry(String id, String state, int build, Party addr) {
+    String entry(String id, String state, int build, FakeServer addr) {
         return "{\"id\":\"" + id + "\",\"addr\":\"" + addr.address()
                 + "\",\"zone\":\"b\",\"kind\":\"m2\",\"cell\":3,\"state\":\"" + state
                 + "\",\"weight\":1.5,\"started_ms\":0,\"revision_no\":" + build + "}";
@@ -184,7 +184,7 @@
 
     /** The watch that discovery was asked for, with its answer's head and these lines written. */
     Socket watch(String... lines) throws Exception {
-        Socket s = discovery.call();
+        Socket s = discovery.nextConnection();
         hear(s);
         say(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         for (String l : lines) {
--- a/src/test/java/laurelkeel/soak/FailingCallsTest.java
+++ b/src/test/java/laurelkeel/soak/FailingCallsTest.java
@@ -46,7 +46,7 @@
     Path folder;
 
     private int port;
-    private PlatformTestBed.Party discovery, control;
+    private PlatformTestBed.FakeServer discovery, control;
     private NodeProcess node;
 
     @BeforeAll
@@ -58,8 +58,8 @@
     @BeforeEach
     void open() throws Exception {
         port = PortAllocator.free();
-        discovery = new PlatformTestBed.Party();
-        control = new PlatformTestBed.Party();
+        discovery = new PlatformTestBed.FakeServer();
+        control = new PlatformTestBed.FakeServer();
     }
 
     @AfterEach
@@ -135,8 +135,8 @@
     @Test
     void aConnectThatFailsEndsNothing() throws Exception {
         start("connect:" + EADDRNOTAVAIL + ":0:1500:100,socket:" + ENFILE + ":0:700:100");
-        discovery.call();
-        control.call();
+        discovery.nextConnection();
+        control.nextConnection();
         FrontTestRig.await("it answers", this::answers);
         assertTrue(node.isAlive());
     }
