--- a/src/main/java/laurelkeel/simulatoradapter/MessageFields.java
+++ b/src/main/java/laurelkeel/simulatoradapter/MessageFields.java
@@ -83,12 +83,12 @@
 
     double number(String field, double absent) {
         String value = optionalText(field);
-        return value == null ? absent : parsed(field, value, "number", Numbers::finite);
+        return value == null ? absent : parsed(field, value, "number", Numbers::parseFinite);
     }
 
     /** A time, which the protocol gives in milliseconds; 0 where it is absent. */
     long ticks(String field) {
-        return Numbers.tenths(number(field, 0));
+        return Numbers.millisToTicks(number(field, 0));
     }
 
     boolean flag(String field) {
@@ -123,7 +123,7 @@
                 throw malformed(field, "'" + pair + "' is no name:value");
             }
             String number = pair.substring(colon + 1);
-            values.put(pair.substring(0, colon), parsed(field, number, "number", Numbers::finite));
+            values.put(pair.substring(0, colon), parsed(field, number, "number", Numbers::parseFinite));
         }
         return new LoadReport(values);
     }
--- a/src/main/java/laurelkeel/simulatoradapter/SimulatorAdapter.java
+++ b/src/main/java/laurelkeel/simulatoradapter/SimulatorAdapter.java
@@ -149,7 +149,7 @@
         try {
             return OptionsParser.settings(fields.pairs("options"));
         } catch (InvalidOptionException e) {
-            throw fields.malformed(e.path(), e.what());
+            throw fields.malformed(e.path(), e.reason());
         }
     }
 
