--- a/src/main/java/laurelkeel/eventloop/EventLoop.java
+++ b/src/main/java/laurelkeel/eventloop/EventLoop.java
@@ -1,209 +1,214 @@
 package laurelkeel.eventloop;
 
-import java.util.PriorityQueue;
+import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.locks.LockSupport;
+import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 import org.jctools.queues.MpscUnboundedArrayQueue;
+import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread that owns all state of its user. Other threads post; the loop runs what was posted, then what is
- * due, then calls the turn's end. What was told (lists, rollout news) is run before anything else of a turn, so
- * that a backlog of traffic never delays it.
+ * A single-threaded event loop that owns all state of its user. Each turn runs priority tasks, then ordinary tasks, then the
+ * scheduled tasks that are due, and calls the end-of-turn hook if any of them ran.
  *
- * <p>A posted task or an alarm that throws a RuntimeException has failed by itself: it is logged and counted, and the loop
- * goes on, for ending would fail all that others hold as well. What the turn's end throws, and every Error, ends the loop.
+ * <p>A task that throws a {@code RuntimeException} is logged and counted, and the loop continues: ending it would fail all
+ * other work in flight as well. An {@code Error}, and whatever the end-of-turn hook throws, ends the loop.
+ *
+ * <p>Threading: {@link #schedule}, {@link #nowTicks} and {@link #runRemaining} are called on the loop's thread, which is the
+ * one that calls {@link #run}; {@link #schedule} may also be called before the loop starts. All other methods are thread-safe.
  */
 public final class EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
-    private static final int A_TURN = 512;
-    private static final int SWEEP = 1024;
-
-    /** Something due at a moment. Cancelled ones stay in their place, and are swept out when most are. */
-    public final class ScheduledTask implements Comparable<ScheduledTask> {
-        private final long at, order;
-        private Runnable then;
-
-        private ScheduledTask(long at, long order, Runnable then) {
-            this.at = at;
-            this.order = order;
-            this.then = then;
-        }
+    /** Bounds each queue's share of a turn, so that no source starves the others. */
+    private static final int MAX_TASKS_PER_TURN = 512;
 
-        /** Loop thread only. */
-        public void cancel() {
-            if (then != null) {
-                then = null;
-                cancelled++;
-            }
-        }
+    private static final int TASK_QUEUE_CHUNK = 1024;
+    private static final int PRIORITY_QUEUE_CHUNK = 64;
+    private static final long NANOS_PER_TICK = 100_000;
+    private static final long MAX_SLEEP_NANOS = 1_000_000_000L;
 
-        @Override
-        public int compareTo(ScheduledTask o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
-        }
+    /** A task that runs at a given time unless it is cancelled. */
+    public interface ScheduledTask {
+        /** Cancels the task if it has not run yet; on the loop's thread. */
+        void cancel();
     }
 
-    private final MpscUnboundedArrayQueue<Runnable> posted = new MpscUnboundedArrayQueue<>(1024);
-    private final MpscUnboundedArrayQueue<Runnable> news = new MpscUnboundedArrayQueue<>(64);
-    private final PriorityQueue<ScheduledTask> alarms = new PriorityQueue<>();
-    private final LongSupplier clockTicks;
-    private long order;
-    private int cancelled;
+    private final MpscUnboundedArrayQueue<Runnable> tasks = new MpscUnboundedArrayQueue<>(TASK_QUEUE_CHUNK);
+    private final MpscUnboundedArrayQueue<Runnable> priorityTasks = new MpscUnboundedArrayQueue<>(PRIORITY_QUEUE_CHUNK);
+    private final TaskScheduler scheduler = new TaskScheduler();
+    private final LongSupplier clock;
+    private final AtomicInteger failedTasks = new AtomicInteger();
     private long nowTicks;
-    private volatile boolean asleep, stopped;
-    private volatile Throwable failure;
-    /** Counted by the loop's thread alone. */
-    private volatile int failedTasks;
+    private volatile boolean sleeping;
+    private volatile boolean stopped;
+    private volatile @Nullable Throwable failure;
+    /** Set before {@code sleeping} is, and read only after that. */
+    private @Nullable Thread thread;
 
-    private Thread thread;
-
-    /** @param clock tenths of a millisecond, only advancing */
+    /**
+     * Creates a loop that is not running yet.
+     *
+     * @param clock the monotonic time in ticks, of a tenth of a millisecond
+     */
     public EventLoop(LongSupplier clock) {
-        this.clockTicks = clock;
+        this.clock = clock;
         this.nowTicks = clock.getAsLong();
     }
 
-    /** From any thread: run it in the next turn, in the order of posting. */
-    public void post(Runnable r) {
-        posted.offer(r);
+    /** Runs a task in one of the next turns, in the order of posting. */
+    public void post(Runnable task) {
+        tasks.offer(task);
         wake();
     }
 
-    /** From any thread: as post, but ahead of all traffic. */
-    public void postPriority(Runnable r) {
-        news.offer(r);
+    /** Runs a task ahead of all ordinary tasks: a backlog of traffic never delays updates of endpoints and rollouts. */
+    public void postPriority(Runnable task) {
+        priorityTasks.offer(task);
         wake();
     }
 
     private void wake() {
-        if (asleep) {
+        if (sleeping) {
             LockSupport.unpark(thread);
         }
     }
 
-    /** How much is posted and not yet run; what bounds the queue asks this before it posts. */
+    /** Returns how many ordinary tasks wait; the queue has no bound of its own, so that sources of load check this. */
     public int queuedTasks() {
-        return posted.size();
+        return tasks.size();
     }
 
-    /** The moment of the present turn. */
+    /** Returns the time of the current turn in ticks. */
     public long nowTicks() {
         return nowTicks;
     }
 
-    /** The moment right now, from any thread. */
+    /** Returns the time of the clock in ticks, which runs on within a turn. */
     public long clockTicks() {
-        return clockTicks.getAsLong();
+        return clock.getAsLong();
     }
 
-    /** Loop thread only. */
-    public ScheduledTask schedule(long when, Runnable then) {
-        if (cancelled > SWEEP && cancelled > alarms.size() / 2) {
-            // most reqs end long before their time-outs: what guards those must not fill the heap
-            alarms.removeIf(a -> a.then == null);
-            cancelled = 0;
-        }
-        ScheduledTask a = new ScheduledTask(when, order++, then);
-        alarms.add(a);
-        return a;
+    /**
+     * Schedules a task.
+     *
+     * @param dueTicks when to run it; a time that has passed means in this turn or the next
+     */
+    public ScheduledTask schedule(long dueTicks, Runnable task) {
+        return scheduler.schedule(dueTicks, task);
     }
 
+    /** Ends the loop after the task that is running. */
     public void stop() {
         stopped = true;
         wake();
     }
 
-    /** From any thread: run ends with this. For what killed a thread beside the loop, which nobody would miss else. */
-    public void fail(Throwable why) {
+    /** Ends the loop with an error that {@link #run} then throws; the first one given counts. */
+    public void fail(Throwable cause) {
         if (failure == null) {
-            failure = why;
+            failure = cause;
         }
         stop();
     }
 
     /**
-     * Runs until stopped.
+     * Runs until the loop is stopped.
      *
-     * @param end called at the end of each turn in which anything ran; true asks for another turn at once
+     * @param endOfTurn called at the end of each turn in which any task ran, and again for as long as it returns true
+     * @throws IllegalStateException where the loop failed with a checked exception; unchecked ones and errors are rethrown
      */
-    public void run(java.util.function.BooleanSupplier end) {
+    public void run(BooleanSupplier endOfTurn) {
         thread = Thread.currentThread();
         while (!stopped) {
-            nowTicks = Math.max(nowTicks, clockTicks.getAsLong());
-            // bounded too: a source that never pauses must not keep traffic and alarms from their turn
-            boolean ran = drain(news, A_TURN);
-            ran |= drain(posted, A_TURN);
-            while (!alarms.isEmpty() && alarms.peek().at <= nowTicks) {
-                ScheduledTask due = alarms.poll();
-                Runnable then = due.then;
-                due.then = null;
-                cancelled -= then == null ? 1 : 0;
-                if (then != null) {
-                    runTask(then);
-                    ran = true;
-                }
-            }
+            nowTicks = Math.max(nowTicks, clock.getAsLong());
+            boolean ran = drain(priorityTasks, MAX_TASKS_PER_TURN);
+            ran |= drain(tasks, MAX_TASKS_PER_TURN);
+            ran |= runDueTasks();
             boolean more = ran;
             while (more && !stopped) {
-                more = end.getAsBoolean();
+                more = endOfTurn.getAsBoolean();
             }
             if (!ran) {
-                sleep();
+                sleepUntilNextTask();
             }
         }
-        if (failure instanceof Error e) {
-            throw e;
-        } else if (failure != null) {
-            throw failure instanceof RuntimeException e ? e : new IllegalStateException(failure);
+        throwFailure();
+    }
+
+    /**
+     * Runs the posted tasks that had no turn, once {@link #run} has ended: they may release what others wait for. The
+     * end-of-turn hook isn't called.
+     */
+    public void runRemaining() {
+        drain(priorityTasks, Integer.MAX_VALUE);
+        drain(tasks, Integer.MAX_VALUE);
+    }
+
+    /** Returns how many tasks have failed since the start. */
+    public int failedTasks() {
+        return failedTasks.get();
+    }
+
+    private boolean drain(MpscUnboundedArrayQueue<Runnable> queue, int maxTasks) {
+        int count = 0;
+        while (count < maxTasks) {
+            Runnable task = queue.poll();
+            if (task == null) {
+                break;
+            }
+            runTask(task);
+            count++;
         }
+        return count > 0;
     }
 
-    private boolean drain(MpscUnboundedArrayQueue<Runnable> from, int most) {
-        int n = 0;
-        for (Runnable r; n < most && (r = from.poll()) != null; n++) {
-            runTask(r);
+    private boolean runDueTasks() {
+        boolean ran = false;
+        for (Runnable due = scheduler.pollDue(nowTicks); due != null; due = scheduler.pollDue(nowTicks)) {
+            runTask(due);
+            ran = true;
         }
-        return n > 0;
+        return ran;
     }
 
     private void runTask(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
-            failedTasks++;
-            LOG.error("a task of the loop failed; the loop goes on", e);
+            failedTasks.incrementAndGet();
+            LOG.error("event loop task failed; the loop continues", e);
         }
     }
 
-    /**
-     * Runs what was posted and had no turn, on the loop's thread once run has ended: others may be owed something for it. Nothing
-     * is decided any more, for no turn's end is called.
-     */
-    public void runRemaining() {
-        drain(news, Integer.MAX_VALUE);
-        drain(posted, Integer.MAX_VALUE);
-    }
-
-    /** Tasks and alarms that failed since the start; on any thread. */
-    public int failedTasks() {
-        return failedTasks;
-    }
-
-    private void sleep() {
-        asleep = true;
-        // looked at again after the flag: a post in between would else sleep through
-        if (posted.isEmpty() && news.isEmpty() && !stopped) {
-            if (alarms.isEmpty()) {
-                LockSupport.parkNanos(this, 1_000_000_000L);
+    private void sleepUntilNextTask() {
+        sleeping = true;
+        // checked again after the flag is set: a task posted in between would not wake the loop
+        if (tasks.isEmpty() && priorityTasks.isEmpty() && !stopped) {
+            long dueTicks = scheduler.nextDueTicks();
+            if (dueTicks == Long.MAX_VALUE) {
+                LockSupport.parkNanos(this, MAX_SLEEP_NANOS);
             } else {
-                long left = alarms.peek().at - clockTicks.getAsLong();
-                if (left > 0) {
-                    LockSupport.parkNanos(this, left * 100_000L);
+                long remainingTicks = dueTicks - clock.getAsLong();
+                if (remainingTicks > 0) {
+                    LockSupport.parkNanos(this, remainingTicks * NANOS_PER_TICK);
                 }
             }
         }
-        asleep = false;
+        sleeping = false;
+    }
+
+    private void throwFailure() {
+        Throwable cause = failure;
+        if (cause instanceof Error error) {
+            throw error;
+        }
+        if (cause instanceof RuntimeException exception) {
+            throw exception;
+        }
+        if (cause != null) {
+            throw new IllegalStateException(cause);
+        }
     }
 }
--- a/src/main/java/laurelkeel/eventloop/package-info.java
+++ b/src/main/java/laurelkeel/eventloop/package-info.java
@@ -1,2 +1,5 @@
-/** One thread that owns state, with posts from others and alarms; fronts and stand-ins are built on it. */
+/** A single-threaded event loop with scheduled tasks, and the threads that run beside it. */
+@NullMarked
 package laurelkeel.eventloop;
+
+import org.jspecify.annotations.NullMarked;
--- a/src/test/java/laurelkeel/eventloop/EventLoopTest.java
+++ b/src/test/java/laurelkeel/eventloop/EventLoopTest.java
@@ -12,11 +12,14 @@
 import org.junit.jupiter.api.Test;
 
 class EventLoopTest {
-    private EventLoop loop = new EventLoop(() -> System.nanoTime() / 100_000);
+    private static final long WAIT_SECONDS = 10;
 
-    private CompletableFuture<Throwable> running() {
+    private final EventLoop loop = new EventLoop(() -> System.nanoTime() / 100_000);
+
+    /** Completes with what the loop threw, or null where it was stopped. */
+    private CompletableFuture<Throwable> startLoop() {
         CompletableFuture<Throwable> ended = new CompletableFuture<>();
-        Thread t = new Thread(() -> {
+        Thread thread = new Thread(() -> {
             try {
                 loop.run(() -> false);
                 ended.complete(null);
@@ -24,13 +27,25 @@
                 ended.complete(e);
             }
         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
         return ended;
     }
 
+    private static Throwable await(CompletableFuture<Throwable> ended) throws Exception {
+        return ended.get(WAIT_SECONDS, TimeUnit.SECONDS);
+    }
+
+    private static void await(CountDownLatch latch) throws InterruptedException {
+        assertTrue(latch.await(WAIT_SECONDS, TimeUnit.SECONDS), "not run: " + latch.getCount());
+    }
+
+    private static void fail() {
+        throw new IllegalStateException("made");
+    }
+
     @Test
-    void newsWithoutEndKeepsNeitherTrafficNorAlarmsFromTheirTurn() throws Exception {
+    void priorityTasksWithoutEndStarveNeitherOrdinaryNorScheduledTasks() throws Exception {
         CountDownLatch both = new CountDownLatch(2);
         loop.postPriority(new Runnable() {
             @Override
@@ -42,60 +57,57 @@
             both.countDown();
             loop.schedule(loop.nowTicks(), both::countDown);
         });
-        CompletableFuture<Throwable> ended = running();
-        assertTrue(both.await(10, TimeUnit.SECONDS), "left waiting: " + both.getCount());
+        CompletableFuture<Throwable> ended = startLoop();
+        await(both);
         loop.stop();
-        assertEquals(null, ended.get(10, TimeUnit.SECONDS));
+        assertEquals(null, await(ended));
     }
 
-    /** What one task meets is no reason to drop what all others hold; an Error is. */
     @Test
-    void aTaskOrAnAlarmThatFailsEndsNothingAndIsCounted() throws Exception {
-        CountDownLatch after = new CountDownLatch(3);
-        CompletableFuture<Throwable> ended = running();
-        loop.postPriority(() -> {
-            throw new IllegalStateException("made");
-        });
+    void aTaskThatThrowsIsCountedAndTheLoopContinues() throws Exception {
+        CountDownLatch others = new CountDownLatch(3);
+        CompletableFuture<Throwable> ended = startLoop();
+        loop.postPriority(EventLoopTest::fail);
         loop.post(() -> {
-            loop.schedule(loop.nowTicks(), () -> {
-                throw new IllegalStateException("made");
-            });
-            loop.schedule(loop.nowTicks(), after::countDown);
-            throw new IllegalStateException("made");
+            loop.schedule(loop.nowTicks(), EventLoopTest::fail);
+            loop.schedule(loop.nowTicks(), others::countDown);
+            fail();
         });
-        loop.postPriority(after::countDown);
-        loop.post(after::countDown);
-        assertTrue(after.await(10, TimeUnit.SECONDS), "left waiting: " + after.getCount());
+        loop.postPriority(others::countDown);
+        loop.post(others::countDown);
+        await(others);
         assertEquals(3, loop.failedTasks());
         loop.stop();
-        assertEquals(null, ended.get(10, TimeUnit.SECONDS));
-        loop = new EventLoop(() -> System.nanoTime() / 100_000);
-        endsWith(EventLoop::post);
+        assertEquals(null, await(ended));
     }
 
-    /** What each kind of thread beside the loop throws ends the loop with it. */
-    private void endsWith(BiConsumer<EventLoop, Runnable> runs) throws Exception {
-        Error made = new OutOfMemoryError("made");
-        CompletableFuture<Throwable> ended = running();
-        runs.accept(loop, () -> {
-            throw made;
-        });
-        assertSame(made, ended.get(10, TimeUnit.SECONDS));
+    @Test
+    void anErrorInATaskEndsTheLoop() throws Exception {
+        assertErrorEndsLoop(EventLoop::post);
     }
 
     @Test
-    void aSocketThreadThatDiesEndsTheLoop() throws Exception {
-        endsWith((l, r) -> LoopThreads.cachedPool(l, "t").execute(r));
+    void anErrorOnASocketThreadEndsTheLoop() throws Exception {
+        assertErrorEndsLoop((l, task) -> LoopThreads.cachedPool(l, "test").execute(task));
     }
 
     @Test
-    void aNewsThreadThatDiesEndsTheLoop() throws Exception {
-        endsWith((l, r) -> LoopThreads.fixedPool(l, "t", 1).execute(r));
+    void anErrorOnAWorkerThreadEndsTheLoop() throws Exception {
+        assertErrorEndsLoop((l, task) -> LoopThreads.fixedPool(l, "test", 1).execute(task));
     }
 
     @Test
-    void aTimedTaskThatThrowsEndsTheLoop() throws Exception {
-        ScheduledExecutorService timer = LoopThreads.timer(loop, "t");
-        endsWith((l, r) -> timer.scheduleWithFixedDelay(r, 0, 1, TimeUnit.MILLISECONDS));
+    void anErrorInATimedTaskEndsTheLoop() throws Exception {
+        ScheduledExecutorService timer = LoopThreads.timer(loop, "test");
+        assertErrorEndsLoop((l, task) -> timer.scheduleWithFixedDelay(task, 0, 1, TimeUnit.MILLISECONDS));
+    }
+
+    private void assertErrorEndsLoop(BiConsumer<EventLoop, Runnable> executor) throws Exception {
+        Error made = new OutOfMemoryError("made");
+        CompletableFuture<Throwable> ended = startLoop();
+        executor.accept(loop, () -> {
+            throw made;
+        });
+        assertSame(made, await(ended));
     }
 }
