--- a/src/main/java/laurelkeel/cli/CheckCommand.java
+++ b/src/main/java/laurelkeel/cli/CheckCommand.java
@@ -26,7 +26,7 @@
         int code = 0;
         for (Path file : files) {
             try {
-                if (IniFile.read(file).has("day")) {
+                if (IniFile.read(file).hasSection("day")) {
                     Scenario.find(file.toString());
                 } else {
                     FrontSettings.read(file);
--- a/src/main/java/laurelkeel/config/IniFile.java
+++ b/src/main/java/laurelkeel/config/IniFile.java
@@ -93,7 +93,7 @@
                 } else if (in == null) {
                     fault(n, "'" + line.substring(0, eq).strip() + "' stands before any section; put it under one");
                 } else {
-                    in.number(line.substring(0, eq).strip(), n);
+                    in.addLine(line.substring(0, eq).strip(), n);
                 }
             }
         }
@@ -104,12 +104,12 @@
     }
 
     /** Notes a fault of the whole file. */
-    public void missing(String text) {
+    public void addError(String text) {
         fault(0, text);
     }
 
     /** The lines of the sections of some kinds as they stand, for files made from this one. */
-    public String copy(List<String> kinds) {
+    public String copySections(List<String> kinds) {
         StringBuilder out = new StringBuilder();
         sections.forEach((name, s) -> {
             if (kinds.contains(name.split(" ")[0])) {
@@ -135,12 +135,12 @@
         return s;
     }
 
-    public boolean has(String section) {
+    public boolean hasSection(String section) {
         return sections.containsKey(section);
     }
 
     /** The sections named "kind NAME", by NAME, in the order of the file. */
-    public Map<String, IniSection> each(String kind) {
+    public Map<String, IniSection> sectionsOfKind(String kind) {
         askedKinds.add(kind + " NAME");
         Map<String, IniSection> out = new LinkedHashMap<>();
         for (IniSection s : sections.values()) {
@@ -153,7 +153,7 @@
     }
 
     /** Throws all faults found, in the order of their lines, after naming what nobody asked for. */
-    public void done() throws InvalidSettingsException {
+    public void throwIfInvalid() throws InvalidSettingsException {
         for (IniSection s : sections.values()) {
             if (!s.asked) {
                 fault(s.line, "section [" + s.name + "] is unknown" + nearest(s.name, askedKinds));
--- a/src/main/java/laurelkeel/config/IniSection.java
+++ b/src/main/java/laurelkeel/config/IniSection.java
@@ -9,6 +9,7 @@
 import java.util.Map;
 import java.util.TreeSet;
 import java.util.function.Function;
+import org.jspecify.annotations.Nullable;
 
 /**
  * One section while it is read. Getters take the default as text, in the form a user would write; null means that
@@ -16,6 +17,9 @@
  * reading finds all faults.
  */
 public final class IniSection {
+    /** The default of a key that must be given. */
+    public static final @Nullable String REQUIRED = null;
+
     private static final Map<String, Long> UNITS = Map.of("ms", 10L, "s", 10_000L, "min", 600_000L, "h", 36_000_000L);
     private static final Map<String, Long> BYTES = Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30);
 
@@ -36,7 +40,7 @@
         return line;
     }
 
-    void number(String key, int at) {
+    void addLine(String key, int at) {
         Integer before = lines.putIfAbsent(key, at);
         if (before != null) {
             file.fault(at, "'" + key + "' stands already on line " + before + "; keep one");
@@ -63,7 +67,7 @@
     }
 
     /** Notes a fault at a key, for checks that look at several. */
-    public void fault(String key, String text) {
+    public void addError(String key, String text) {
         file.fault(lines.getOrDefault(key, line), "'" + key + "' " + text);
     }
 
@@ -78,7 +82,7 @@
         if (s == null || s.isBlank()) {
             if (absent == null) {
                 if (!missing) {
-                    fault(key, "is missing in [" + name + "]; add a line '" + key + " = " + form + "'");
+                    addError(key, "is missing in [" + name + "]; add a line '" + key + " = " + form + "'");
                 }
                 return harmless;
             }
@@ -92,33 +96,33 @@
         } catch (RuntimeException e) {
             // told below: what matters to the user is the form, not what the parser met
         }
-        fault(key, "is '" + s.strip() + "'; write " + form);
+        addError(key, "is '" + s.strip() + "'; write " + form);
         return harmless;
     }
 
-    public String text(String key, String absent) {
+    public String stringValue(String key, String absent) {
         return get(key, absent, "", "some text", s -> s);
     }
 
-    public long whole(String key, String absent, long least, long most) {
+    public long longValue(String key, String absent, long least, long most) {
         return get(key, absent, least, "a whole number from " + least + " to " + most, s -> {
             long n = Long.parseLong(s);
             return n < least || n > most ? null : n;
         });
     }
 
-    public int small(String key, String absent, int least, int most) {
-        return (int) whole(key, absent, least, most);
+    public int intValue(String key, String absent, int least, int most) {
+        return (int) longValue(key, absent, least, most);
     }
 
-    public double number(String key, String absent, double least, double most) {
+    public double doubleValue(String key, String absent, double least, double most) {
         return get(key, absent, least, "a number from " + least + " to " + most, s -> {
             double d = Double.parseDouble(s);
             return d >= least && d <= most ? d : null;
         });
     }
 
-    public boolean on(String key, String absent) {
+    public boolean booleanValue(String key, String absent) {
         return get(key, absent, false, "yes or no", s -> switch (s) {
             case "yes", "true", "on" -> true;
             case "no", "false", "off" -> false;
@@ -129,7 +133,7 @@
     public <E extends Enum<E>> E choice(String key, String absent, Class<E> of) {
         Map<String, E> values = new LinkedHashMap<>();
         for (E e : of.getEnumConstants()) {
-            values.put(word(e), e);
+            values.put(settingName(e), e);
         }
         return choice(key, absent, values);
     }
@@ -146,12 +150,12 @@
     }
 
     /** NON_RETRIABLE reads non-retriable. */
-    public static String word(Enum<?> e) {
+    public static String settingName(Enum<?> e) {
         return e.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     /** A duration with its unit, in tenths of a millisecond. */
-    public long time(String key, String absent, String least, String most) {
+    public long durationTicks(String key, String absent, String least, String most) {
         long from = units(least, UNITS);
         long to = units(most, UNITS);
         return get(key, absent, from, "a time with its unit (ms, s, min, h) from " + least + " to " + most, s -> {
@@ -161,7 +165,7 @@
     }
 
     /** A number of bytes with its unit. */
-    public long bytes(String key, String absent, String least, String most) {
+    public long byteSize(String key, String absent, String least, String most) {
         long from = units(least, BYTES);
         long to = units(most, BYTES);
         return get(key, absent, from, "a size with its unit (B, KiB, MiB, GiB) from " + least + " to " + most, s -> {
@@ -182,7 +186,7 @@
         return (long) Math.floor(Double.parseDouble(s.substring(0, i)) * unit + 1e-6);
     }
 
-    public List<Double> numbers(String key, String absent, double least, double most) {
+    public List<Double> doubleList(String key, String absent, double least, double most) {
         String form = "numbers from " + least + " to " + most + " with commas between";
         return get(key, absent, List.of(), form, s -> {
             List<Double> out = new ArrayList<>();
@@ -197,7 +201,7 @@
         });
     }
 
-    public List<String> words(String key, String absent) {
+    public List<String> stringList(String key, String absent) {
         return get(key, absent, List.of(), "words with commas between", s -> {
             List<String> out = new ArrayList<>();
             for (String part : s.split(",")) {
--- a/src/main/java/laurelkeel/front/WireTerms.java
+++ b/src/main/java/laurelkeel/front/WireTerms.java
@@ -12,6 +12,8 @@
 import laurelkeel.api.Settings.DeduplicationScope;
 import laurelkeel.api.Settings.Idempotency;
 import laurelkeel.api.Settings.PromotionPolicy;
+import laurelkeel.front.FrontSettingsReader.EndpointListMode;
+import laurelkeel.front.FrontSettingsReader.ValueBasis;
 import laurelkeel.records.TrafficRecord;
 
 /**
@@ -37,6 +39,14 @@
             Map.entry("count", PromotionPolicy.VOTE_COUNT),
             Map.entry("clock", PromotionPolicy.AUTOMATIC));
 
+    /** Values of {@code mode} in the endpoint list's section. */
+    static final Map<String, EndpointListMode> ENDPOINT_LIST_MODE =
+            inOrder(Map.entry("push", EndpointListMode.PUSH), Map.entry("ask", EndpointListMode.POLL));
+
+    /** Values of {@code earnings-by} in the front node's section. */
+    static final Map<String, ValueBasis> VALUE_BASIS =
+            inOrder(Map.entry("req", ValueBasis.REQUEST), Map.entry("work", ValueBasis.WORK));
+
     private static final Map<String, EndpointState> ENDPOINT_STATES =
             Map.of("live", EndpointState.ACTIVE, "draining", EndpointState.DRAINING, "gone", EndpointState.REMOVED);
 
--- a/src/main/java/laurelkeel/front/controlplane/EndpointListSource.java
+++ b/src/main/java/laurelkeel/front/controlplane/EndpointListSource.java
@@ -101,7 +101,7 @@
         }
         LOG.warn("the watch on the machine list ended: {}", why);
         if (pushed) {
-            timer.schedule(this::open, pause.ms(), TimeUnit.MILLISECONDS);
+            timer.schedule(this::open, pause.nextDelayMillis(), TimeUnit.MILLISECONDS);
         } else {
             loop.postPriority(sink::failed);
         }
@@ -153,7 +153,7 @@
             return;
         }
         if (!fetched) {
-            pause.well();
+            pause.reset();
         }
         if ("beat".equals(l.kind()) || l.machines() == null) {
             return;
--- a/src/main/java/laurelkeel/front/controlplane/ReconnectBackoff.java
+++ b/src/main/java/laurelkeel/front/controlplane/ReconnectBackoff.java
@@ -29,11 +29,11 @@
     }
 
     /** It said something. */
-    public synchronized void well() {
+    public synchronized void reset() {
         next = least;
     }
 
-    public synchronized long ms() {
+    public synchronized long nextDelayMillis() {
         CRC32 crc = new CRC32();
         crc.update(ByteBuffer.allocate(16).putLong(seed).putLong(draws++).array());
         double chance = ((crc.getValue() * 0x9E3779B97F4A7C15L) >>> 11) * 0x1.0p-53;
--- a/src/main/java/laurelkeel/front/controlplane/RolloutSource.java
+++ b/src/main/java/laurelkeel/front/controlplane/RolloutSource.java
@@ -79,7 +79,7 @@
     private synchronized void ended(String why) {
         if (!closed) {
             LOG.warn("the watch on the release line ended: {}", why);
-            timer.schedule(this::start, pause.ms(), TimeUnit.MILLISECONDS);
+            timer.schedule(this::start, pause.nextDelayMillis(), TimeUnit.MILLISECONDS);
         }
     }
 
@@ -90,7 +90,7 @@
             if (l == null) {
                 return;
             }
-            pause.well();
+            pause.reset();
             String fault = l.fault();
             if (!"beat".equals(l.kind()) && fault != null) {
                 LOG.warn("a line of the release line is passed over: {}", fault);
--- a/src/main/java/laurelkeel/platform/StreamConnection.java
+++ b/src/main/java/laurelkeel/platform/StreamConnection.java
@@ -75,7 +75,7 @@
             }
             current = this;
             beside = null;
-            pause.well();
+            pause.reset();
         }
 
         @Override
@@ -151,7 +151,7 @@
         current = told ? null : current;
         beside = one == beside ? null : beside;
         // one that had told is likely back at once; one that never did is not
-        again = told ? loop.nowTicks() : loop.nowTicks() + pause.ms() * 10;
+        again = told ? loop.nowTicks() : loop.nowTicks() + pause.nextDelayMillis() * 10;
         if (told && beside == null && !closed) {
             beside = new One();
         }
@@ -165,7 +165,7 @@
         loop.schedule(now + LOOK, this::look);
         if (beside != null && (now > beside.bytesAt + FIRST_WORD || now > beside.since + silence)) {
             drop();
-            again = now + pause.ms() * 10;
+            again = now + pause.nextDelayMillis() * 10;
         }
         // one at an address that was given up ends soon, or is told nothing more
         boolean silent = current == null || !current.where.equals(at) || now > current.toldAt + silence;
--- a/src/main/java/laurelkeel/scenario/Scenario.java
+++ b/src/main/java/laurelkeel/scenario/Scenario.java
@@ -14,7 +14,7 @@
 import laurelkeel.config.IniFile;
 import laurelkeel.config.IniSection;
 import laurelkeel.config.InvalidSettingsException;
-import laurelkeel.front.FrontSettings.Common;
+import laurelkeel.front.FleetSettings;
 import laurelkeel.front.WireTerms;
 import laurelkeel.front.ingress.RouteTable;
 import laurelkeel.records.TrafficRecord;
@@ -35,7 +35,7 @@
         int machines,
         List<String> zones,
         long seed,
-        Common common,
+        FleetSettings common,
         String frontSections,
         boolean listAsked,
         long listLag,
@@ -72,11 +72,11 @@
 
     public static Scenario read(IniFile ini, String name) throws InvalidSettingsException {
         IniSection day = ini.section("day", false);
-        int fronts = day.small("fronts", "4", 1, 64);
-        List<String> zones = day.words("zones", "here");
+        int fronts = day.intValue("fronts", "4", 1, 64);
+        List<String> zones = day.stringList("zones", "here");
         IniSection list = ini.section("list", true);
         boolean asked = list.choice("mode", "push", ListMode.class) == ListMode.ASK;
-        Common common = Common.read(ini, asked);
+        FleetSettings common = FleetSettings.read(ini, asked);
         IniSection work = ini.section("work", false);
         IniSection share = ini.section("share", true);
         Map<String, Long> works = new LinkedHashMap<>();
@@ -91,54 +91,62 @@
                     WireTerms.recorded(r.deduplicationScope()),
                     r.deduplicationWindowTicks());
             rules.put(e.name(), rule);
-            works.put(e.name(), work.time(e.name(), null, "1 ms", "1 min"));
+            works.put(e.name(), work.durationTicks(e.name(), null, "1 ms", "1 min"));
             routes.add(new LoadGenerator.Route(
-                    e.name(), e.method(), e.prefix(), rule, r.timeoutTicks(), share.number(e.name(), "1", 0, 1e6)));
+                    e.name(),
+                    e.method(),
+                    e.prefix(),
+                    rule,
+                    r.timeoutTicks(),
+                    share.doubleValue(e.name(), "1", 0, 1e6)));
         }
         Map<String, Double> customers = new LinkedHashMap<>();
         IniSection asks = ini.section("asks", true);
-        for (String c : ini.each("customer").keySet()) {
-            customers.put(c, asks.number(c, "1", 0, 1e6));
+        for (String c : ini.sectionsOfKind("customer").keySet()) {
+            customers.put(c, asks.doubleValue(c, "1", 0, 1e6));
         }
         IniSection load = ini.section("load", true);
         LoadGenerator.Rule clients = new LoadGenerator.Rule(
                 routes,
                 customers,
-                load.number("rate", "200", 0.1, 100_000),
-                load.small("keys", "1000", 1, 10_000_000),
-                load.number("popular", "0.8", 0, 5),
-                load.number("keyless", "0.1", 0, 1),
-                load.small("retries", "2", 0, 100),
-                load.number("leave-early", "0", 0, 1),
-                load.number("complain", "0.3", 0, 1));
+                load.doubleValue("rate", "200", 0.1, 100_000),
+                load.intValue("keys", "1000", 1, 10_000_000),
+                load.doubleValue("popular", "0.8", 0, 5),
+                load.doubleValue("keyless", "0.1", 0, 1),
+                load.intValue("retries", "2", 0, 100),
+                load.doubleValue("leave-early", "0", 0, 1),
+                load.doubleValue("complain", "0.3", 0, 1));
         Map<Integer, BuildProfile> builds = new HashMap<>();
-        ini.each("build").forEach((n, s) -> {
+        ini.sectionsOfKind("build").forEach((n, s) -> {
             Map<String, Double> failing = new HashMap<>();
             for (String route : works.keySet()) {
-                failing.put(route, s.number("failing-" + route, s.has("failing") ? s.text("failing", "0") : "0", 0, 1));
+                failing.put(
+                        route,
+                        s.doubleValue(
+                                "failing-" + route, s.has("failing") ? s.stringValue("failing", "0") : "0", 0, 1));
             }
             if (!n.matches("\\d{1,5}")) {
-                s.fault("work", "is of build '" + n + "'; a build is a whole number");
+                s.addError("work", "is of build '" + n + "'; a build is a whole number");
             } else {
                 builds.put(
                         Integer.parseInt(n),
                         new BuildProfile(
                                 Integer.parseInt(n),
-                                s.number("work", "1", 0.01, 1000),
+                                s.doubleValue("work", "1", 0.01, 1000),
                                 failing,
-                                s.number("failing-busy", "0", 0, 1),
-                                s.number("wrong", "0", 0, 1),
-                                s.number("work-busy", "1", 0.01, 1000),
-                                s.time("fails-after", "0 ms", "0 ms", "24 h"),
-                                s.small("together-with", "0", 0, 65_535),
-                                s.number("harms-all", "1", 1, 1000)));
+                                s.doubleValue("failing-busy", "0", 0, 1),
+                                s.doubleValue("wrong", "0", 0, 1),
+                                s.doubleValue("work-busy", "1", 0.01, 1000),
+                                s.durationTicks("fails-after", "0 ms", "0 ms", "24 h"),
+                                s.intValue("together-with", "0", 0, 65_535),
+                                s.doubleValue("harms-all", "1", 1, 1000)));
             }
         });
         List<ScenarioFault> troubles = new ArrayList<>();
-        ini.each("event").forEach((n, s) -> {
+        ini.sectionsOfKind("event").forEach((n, s) -> {
             ScenarioFault t = ScenarioFault.read(n, s, fronts);
             if (t.what() == ScenarioFault.What.OFFER && !builds.containsKey(t.build())) {
-                s.fault(
+                s.addError(
                         "build",
                         "is " + t.build() + ", of which nothing is said; add a section [build " + t.build() + "]");
             }
@@ -147,41 +155,41 @@
         troubles.sort(Comparator.comparingLong(ScenarioFault::at));
         Scenario plan = new Scenario(
                 name,
-                day.time("length", "60 s", "1 s", "24 h"),
+                day.durationTicks("length", "60 s", "1 s", "24 h"),
                 fronts,
-                day.small("machines", "12", 1, 5000),
+                day.intValue("machines", "12", 1, 5000),
                 zones,
-                day.whole("seed", "1", 0, Long.MAX_VALUE),
+                day.longValue("seed", "1", 0, Long.MAX_VALUE),
                 common,
-                ini.copy(Common.SECTIONS),
+                ini.copySections(FleetSettings.SECTIONS),
                 asked,
-                list.time("lag", "300 ms", "0 ms", "1 h"),
-                list.small("calls-per-second", "50", 1, 1_000_000),
+                list.durationTicks("lag", "300 ms", "0 ms", "1 h"),
+                list.intValue("calls-per-second", "50", 1, 1_000_000),
                 shape(ini.section("fleet", true), common.limits(), works, rules),
                 clients,
                 line(ini, common.rollout()),
                 builds,
                 troubles);
-        ini.done();
+        ini.throwIfInvalid();
         return plan;
     }
 
     private static ServerProfile shape(
             IniSection s, Settings.Limits l, Map<String, Long> works, Map<String, TrafficRecord.RouteRule> rules) {
         return new ServerProfile(
-                s.small("cores", "2", 1, 1024),
-                s.small("room", "40", 0, 1_000_000),
-                s.small("connections", "400", 1, 1_000_000),
+                s.intValue("cores", "2", 1, 1024),
+                s.intValue("room", "40", 0, 1_000_000),
+                s.intValue("connections", "400", 1, 1_000_000),
                 works,
                 rules,
                 l.warmUpInitialShare(),
                 l.warmUpTicks(),
                 l.overloadMultiple(),
                 l.overloadWindowTicks(),
-                s.number("warm-keys", "0.2", 0, 0.99),
-                s.time("key-memory", "5 s", "0 ms", "1 h"),
-                s.time("load-every", "200 ms", "0 ms", "1 min"),
-                (int) s.bytes("answer", "200 B", "0 B", "1 MiB"));
+                s.doubleValue("warm-keys", "0.2", 0, 0.99),
+                s.durationTicks("key-memory", "5 s", "0 ms", "1 h"),
+                s.durationTicks("load-every", "200 ms", "0 ms", "1 min"),
+                (int) s.byteSize("answer", "200 B", "0 B", "1 MiB"));
     }
 
     private static RolloutService.Control control(Settings.PromotionPolicy policy) {
@@ -194,9 +202,9 @@
 
     private static RolloutService.Rule line(IniFile ini, Settings.Rollout r) {
         IniSection s = ini.section("line", true);
-        List<Double> shares = s.numbers("shares", "0.1, 0.4, 1", 0.001, 1);
+        List<Double> shares = s.doubleList("shares", "0.1, 0.4, 1", 0.001, 1);
         if (shares.size() != r.stageExposureCaps().size()) {
-            s.fault(
+            s.addError(
                     "shares",
                     "has " + shares.size() + " stages and stage-caps of [rollout] has "
                             + r.stageExposureCaps().size() + "; give both as many");
@@ -212,11 +220,11 @@
                 r.minStageTicks(),
                 r.voteLifetimeTicks(),
                 r.votesPerSecond(),
-                s.time("news-lag", "300 ms", "0 ms", "1 h"),
-                s.time("news-every", "3 s", "100 ms", "1 h"),
-                s.time("start-time", "1 s", "0 ms", "1 h"),
-                s.time("drain-most", "4 s", "0 ms", "1 h"),
-                s.small("together", "1", 1, 3));
+                s.durationTicks("news-lag", "300 ms", "0 ms", "1 h"),
+                s.durationTicks("news-every", "3 s", "100 ms", "1 h"),
+                s.durationTicks("start-time", "1 s", "0 ms", "1 h"),
+                s.durationTicks("drain-most", "4 s", "0 ms", "1 h"),
+                s.intValue("together", "1", 1, 3));
     }
 
     /** The figures that the audit needs. */
--- a/src/main/java/laurelkeel/scenario/ScenarioFault.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioFault.java
@@ -34,49 +34,49 @@
     }
 
     static ScenarioFault read(String name, IniSection s, int fronts) {
-        long at = s.time("at", null, "0 ms", "24 h");
+        long at = s.durationTicks("at", null, "0 ms", "24 h");
         What what = s.choice("what", null, What.class);
         int machines = 0, front = 0, build = 0;
         long lasts = 0;
         double by = 0;
         switch (what) {
-            case OFFER -> build = s.small("build", null, 2, 65_535);
+            case OFFER -> build = s.intValue("build", null, 2, 65_535);
             case CRASH -> {
-                machines = s.small("machines", "1", 1, 10_000);
-                lasts = s.time("back-after", "0 ms", "0 ms", "24 h");
-                build = s.small("as-build", "0", 0, 65_535);
+                machines = s.intValue("machines", "1", 1, 10_000);
+                lasts = s.durationTicks("back-after", "0 ms", "0 ms", "24 h");
+                build = s.intValue("as-build", "0", 0, 65_535);
             }
             case HANG, LOSE_ANSWERS, RESET, HALF, REFUSE -> {
-                machines = s.small("machines", "1", 1, 10_000);
-                lasts = s.time("for", null, "1 ms", "24 h");
+                machines = s.intValue("machines", "1", 1, 10_000);
+                lasts = s.durationTicks("for", null, "1 ms", "24 h");
             }
             case SLOW -> {
-                machines = s.small("machines", "1", 1, 10_000);
-                lasts = s.time("for", null, "1 ms", "24 h");
-                by = s.number("by", "3", 1, 1000);
+                machines = s.intValue("machines", "1", 1, 10_000);
+                lasts = s.durationTicks("for", null, "1 ms", "24 h");
+                by = s.doubleValue("by", "3", 1, 1000);
             }
-            case DRAIN -> machines = s.small("machines", "1", 1, 10_000);
+            case DRAIN -> machines = s.intValue("machines", "1", 1, 10_000);
             case SLOW_ALL, BURST -> {
-                lasts = s.time("for", null, "1 ms", "24 h");
-                by = s.number("by", "2", 0.01, 1000);
+                lasts = s.durationTicks("for", null, "1 ms", "24 h");
+                by = s.doubleValue("by", "2", 0.01, 1000);
             }
-            case LIST_STALE, LIST_DOWN, LINE_STALL -> lasts = s.time("for", null, "1 ms", "24 h");
+            case LIST_STALE, LIST_DOWN, LINE_STALL -> lasts = s.durationTicks("for", null, "1 ms", "24 h");
             case LINE_LATE -> {
-                lasts = s.time("for", null, "1 ms", "24 h");
-                by = s.time("by", "2 s", "0 ms", "1 h");
+                lasts = s.durationTicks("for", null, "1 ms", "24 h");
+                by = s.durationTicks("by", "2 s", "0 ms", "1 h");
             }
             case KILL_FRONT, STOP_FRONT -> {
-                front = s.small("front", "0", 0, fronts - 1);
-                lasts = s.time("back-after", "2 s", "0 ms", "24 h");
+                front = s.intValue("front", "0", 0, fronts - 1);
+                lasts = s.durationTicks("back-after", "2 s", "0 ms", "24 h");
             }
             case SHIFT -> {
-                front = s.small("front", "0", 0, fronts - 1);
-                lasts = s.time("for", null, "1 ms", "24 h");
-                by = s.number("share", "0.25", 0, 1);
+                front = s.intValue("front", "0", 0, fronts - 1);
+                lasts = s.durationTicks("for", null, "1 ms", "24 h");
+                by = s.doubleValue("share", "0.25", 0, 1);
             }
             case HOT_KEY -> {
-                lasts = s.time("for", null, "1 ms", "24 h");
-                by = s.number("share", "0.2", 0, 1);
+                lasts = s.durationTicks("for", null, "1 ms", "24 h");
+                by = s.doubleValue("share", "0.2", 0, 1);
             }
             default -> throw new IllegalStateException(what.name());
         }
@@ -85,6 +85,6 @@
 
     @Override
     public String toString() {
-        return name + " (" + IniSection.word(what) + ")";
+        return name + " (" + IniSection.settingName(what) + ")";
     }
 }
--- a/src/test/java/laurelkeel/config/IniFileTest.java
+++ b/src/test/java/laurelkeel/config/IniFileTest.java
@@ -34,7 +34,7 @@
     private List<String> faults(String text) throws Exception {
         Path f = folder.resolve("f.ini");
         Files.writeString(f, text);
-        return assertThrows(InvalidSettingsException.class, () -> FrontSettings.read(f)).faults().stream()
+        return assertThrows(InvalidSettingsException.class, () -> FrontSettings.read(f)).errors().stream()
                 .map(s -> s.substring(s.indexOf("f.ini")))
                 .toList();
     }
