--- a/src/main/java/laurelkeel/attribution/NodeReport.java
+++ b/src/main/java/laurelkeel/attribution/NodeReport.java
@@ -6,9 +6,9 @@
  * What one front saw in one second. front, life and second name it: it counts once however often it comes. The second
  * is counted on a clock that all fronts share well enough, as the release line's.
  */
-public record NodeReport(int front, String life, long second, List<Cell> cells) {
+public record NodeReport(int nodeIndex, String incarnation, long second, List<Cell> cells) {
     /** Cells of one report; what goes beyond is left out and counted. */
-    public static final int MOST_CELLS = 1024;
+    public static final int MAX_CELLS = 1024;
 
     /**
      * One build's tries of one route at one machine for one customer, by when they were sent.
@@ -34,7 +34,7 @@
             double logSquare) {
 
         /** Whether its figures can be true of any tries. */
-        public boolean sound() {
+        public boolean isValid() {
             boolean counts = build >= 0
                     && route >= 0
                     && machine != null
--- a/src/main/java/laurelkeel/attribution/RegressionAttributor.java
+++ b/src/main/java/laurelkeel/attribution/RegressionAttributor.java
@@ -51,7 +51,7 @@
     }
 
     /** A build goes on trial. */
-    public void offered(int build, long second) {
+    public void rolloutStarted(int build, long second) {
         if (trials.size() < MOST_TRIALS) {
             apart.remove(build);
             trials.computeIfAbsent(build, b -> new CanaryComparison(b, second, routes));
@@ -61,14 +61,14 @@
     }
 
     /** Its trial is over; released, it is a measure for the others from now on. */
-    public void ended(int build, boolean released) {
+    public void rolloutEnded(int build, boolean released) {
         if (trials.remove(build) != null && !released) {
             apart.add(build);
         }
     }
 
     /** Sent back to tell whether the harm ends with it; it may still be found guilty. */
-    public void setAside(int build) {
+    public void rolloutSetAside(int build) {
         CanaryComparison t = trials.remove(build);
         if (t != null) {
             apart.add(build);
@@ -77,17 +77,17 @@
     }
 
     /** Takes a front's report; false where it is left out (doubled, too late, from the future). */
-    public boolean take(NodeReport r, long now) {
+    public boolean addReport(NodeReport r, long now) {
         return pool.take(r, now);
     }
 
-    /** Reports left out so far: doubled, late, unsound cells, beyond the bounds. */
-    public long[] leftOut() {
-        return new long[] {pool.doubled, pool.late, pool.unsound, pool.left};
+    /** What was not counted so far. */
+    public DiscardCounts discarded() {
+        return new DiscardCounts(pool.doubled, pool.late, pool.unsound, pool.left);
     }
 
     /** What is known now, a finding a release on trial. */
-    public List<AttributionFinding> judge(long now) {
+    public List<AttributionFinding> evaluate(long now) {
         List<ReportAggregator.Second> closed = pool.closed(now);
         if (closed.isEmpty()) {
             return last;
--- a/src/main/java/laurelkeel/attribution/ReportAggregator.java
+++ b/src/main/java/laurelkeel/attribution/ReportAggregator.java
@@ -42,22 +42,22 @@
             unsound++;
             return false;
         }
-        String name = r.front() + "/" + r.life() + "/" + r.second();
+        String name = r.nodeIndex() + "/" + r.incarnation() + "/" + r.second();
         if (!seen.add(name)) {
             doubled++;
             return false;
         }
         seenAt.computeIfAbsent(r.second(), k -> new ArrayList<>()).add(name);
         Map<Integer, List<NodeReport.Cell>> at = open.computeIfAbsent(r.second(), k -> new TreeMap<>());
-        if (at.size() >= MOST_FRONTS && !at.containsKey(r.front())) {
+        if (at.size() >= MOST_FRONTS && !at.containsKey(r.nodeIndex())) {
             left++;
             return false;
         }
-        List<NodeReport.Cell> cells = at.computeIfAbsent(r.front(), k -> new ArrayList<>());
+        List<NodeReport.Cell> cells = at.computeIfAbsent(r.nodeIndex(), k -> new ArrayList<>());
         for (NodeReport.Cell c : r.cells()) {
-            if (cells.size() >= NodeReport.MOST_CELLS) {
+            if (cells.size() >= NodeReport.MAX_CELLS) {
                 left++;
-            } else if (c.sound()) {
+            } else if (c.isValid()) {
                 cells.add(c);
             } else {
                 unsound++;
--- a/src/main/java/laurelkeel/bench/AttributionScenario.java
+++ b/src/main/java/laurelkeel/bench/AttributionScenario.java
@@ -131,13 +131,13 @@
             for (Release r : releases) {
                 if (now == r.at) {
                     r.since = now;
-                    blame.offered(r.build, now);
+                    blame.rolloutStarted(r.build, now);
                 }
             }
             second(now, onTheirWay);
             while (!onTheirWay.isEmpty() && onTheirWay.firstKey() <= now) {
                 for (NodeReport r : onTheirWay.pollFirstEntry().getValue()) {
-                    blame.take(r, now);
+                    blame.addReport(r, now);
                 }
             }
             int first = alone();
@@ -145,7 +145,7 @@
                 alone = first;
                 aloneWrong = first != badBuild;
             }
-            for (AttributionFinding f : blame.judge(now)) {
+            for (AttributionFinding f : blame.evaluate(now)) {
                 Release r = releases.get(f.build() - 2);
                 if (f.verdict() == AttributionFinding.Verdict.GUILTY) {
                     if (f.build() == badBuild && caughtAt < 0) {
@@ -155,10 +155,10 @@
                     }
                     honest |= f.build() != badBuild;
                     r.over = true;
-                    blame.ended(f.build(), false);
+                    blame.rolloutEnded(f.build(), false);
                 } else if (f.setAside()) {
                     r.over = true;
-                    blame.setAside(f.build());
+                    blame.rolloutSetAside(f.build());
                     asides += f.build() != badBuild ? 1 : 0;
                 } else if (!f.hold() && now - r.since >= 10) {
                     if (r.stage + 1 < SHARES.length) {
@@ -167,7 +167,7 @@
                         stageMoved(now);
                     } else if (f.verdict() == AttributionFinding.Verdict.CLEARED) {
                         r.over = true;
-                        blame.ended(f.build(), true);
+                        blame.rolloutEnded(f.build(), true);
                     }
                 }
             }
--- a/src/main/java/laurelkeel/bench/PartitionBenchmark.java
+++ b/src/main/java/laurelkeel/bench/PartitionBenchmark.java
@@ -162,7 +162,7 @@
         long before = heap();
         RegressionAttributor blame = new RegressionAttributor(4, 4);
         for (int b = 2; b <= 4; b++) {
-            blame.offered(b, 0);
+            blame.rolloutStarted(b, 0);
         }
         var threads = ManagementFactory.getThreadMXBean();
         long cpu = 0, cells = 0, worst = 0;
@@ -191,9 +191,9 @@
             }
             long start = threads.getCurrentThreadCpuTime();
             for (NodeReport r : reports) {
-                blame.take(r, s);
+                blame.addReport(r, s);
             }
-            blame.judge(s);
+            blame.evaluate(s);
             long took = threads.getCurrentThreadCpuTime() - start;
             cpu += took;
             worst = Math.max(worst, s > 20 ? took : 0);
@@ -210,6 +210,6 @@
                 cpu / 1e6 / seconds,
                 worst / 1e6,
                 (heap() - before) / 1048576.0);
-        java.util.Objects.requireNonNull(blame.judge(seconds));
+        java.util.Objects.requireNonNull(blame.evaluate(seconds));
     }
 }
--- a/src/main/java/laurelkeel/front/AttributionReporter.java
+++ b/src/main/java/laurelkeel/front/AttributionReporter.java
@@ -65,7 +65,7 @@
         Map<Place, Sum> cells = seconds.computeIfAbsent(second, k -> new HashMap<>());
         Place p = new Place(m.build(), route, machine, customer);
         Sum s = cells.get(p);
-        if (s == null && cells.size() >= NodeReport.MOST_CELLS) {
+        if (s == null && cells.size() >= NodeReport.MAX_CELLS) {
             leftOut++;
             return null;
         }
--- a/src/main/java/laurelkeel/testbed/AttributionService.java
+++ b/src/main/java/laurelkeel/testbed/AttributionService.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import laurelkeel.attribution.AttributionFinding;
+import laurelkeel.attribution.DiscardCounts;
 import laurelkeel.attribution.NodeReport;
 import laurelkeel.attribution.RegressionAttributor;
 
@@ -26,15 +27,15 @@
     }
 
     void offered(int build, long now) {
-        blame.offered(build, now / 10_000);
+        blame.rolloutStarted(build, now / 10_000);
     }
 
     void ended(int build, boolean released) {
-        blame.ended(build, released);
+        blame.rolloutEnded(build, released);
     }
 
     void setAside(int build) {
-        blame.setAside(build);
+        blame.rolloutSetAside(build);
     }
 
     /** Takes a report as it came over the wire; its errors are said. */
@@ -69,11 +70,11 @@
                     c.path("logTime").asDouble(),
                     c.path("logSquare").asDouble()));
         }
-        return blame.take(new NodeReport(front, life, own + offset, cells), now / 10_000) ? null : "left out";
+        return blame.addReport(new NodeReport(front, life, own + offset, cells), now / 10_000) ? null : "left out";
     }
 
     List<AttributionFinding> judge(long now) {
-        findings = blame.judge(now / 10_000);
+        findings = blame.evaluate(now / 10_000);
         return findings;
     }
 
@@ -98,11 +99,11 @@
     Map<String, Object> told() {
         Map<String, Object> out = new LinkedHashMap<>();
         out.put("findings", findings);
-        long[] left = blame.leftOut();
-        out.put("reportsDoubled", left[0]);
-        out.put("reportsLate", left[1]);
-        out.put("cellsUnsound", left[2]);
-        out.put("beyondBounds", left[3]);
+        DiscardCounts discarded = blame.discarded();
+        out.put("reportsDoubled", discarded.duplicateReports());
+        out.put("reportsLate", discarded.lateReports());
+        out.put("cellsUnsound", discarded.invalidCells());
+        out.put("beyondBounds", discarded.overLimitCells());
         return out;
     }
 }
--- a/src/test/java/laurelkeel/attribution/RegressionAttributorTest.java
+++ b/src/test/java/laurelkeel/attribution/RegressionAttributorTest.java
@@ -38,9 +38,9 @@
     private void play(int seconds, int fronts, List<Integer> trials, int machines, World world) {
         for (int s = 0; s < seconds; s++, now++) {
             for (int f = 0; f < fronts; f++) {
-                blame.take(new NodeReport(f, "x", now, cells(trials, machines, world)), now);
+                blame.addReport(new NodeReport(f, "x", now, cells(trials, machines, world)), now);
             }
-            found = blame.judge(now);
+            found = blame.evaluate(now);
         }
     }
 
@@ -94,7 +94,7 @@
 
     private void offered(int... builds) {
         for (int b : builds) {
-            blame.offered(b, now);
+            blame.rolloutStarted(b, now);
         }
     }
 
@@ -104,7 +104,7 @@
         offered(2, 3);
         play(25, 4, List.of(2, 3), 3, (b, m) -> b == 3 && random.nextInt(6) == 0 ? new Met(true, false, 0) : usual());
         assertEquals(Verdict.GUILTY, of(3));
-        blame.ended(3, false);
+        blame.rolloutEnded(3, false);
         play(15, 4, List.of(2), 3, (b, m) -> usual());
         assertEquals(Verdict.CLEARED, of(2));
     }
@@ -175,9 +175,9 @@
                                     c.logSquare()))
                             .toList();
                 }
-                blame.take(new NodeReport(f, "x", now, cells), now);
+                blame.addReport(new NodeReport(f, "x", now, cells), now);
             }
-            found = blame.judge(now);
+            found = blame.evaluate(now);
         }
         assertTrue(of(2) != Verdict.GUILTY, found.toString());
     }
@@ -209,28 +209,28 @@
                                 (b, m) -> b == 2 && random.nextInt(5) == 0 ? new Met(true, false, 0) : usual())));
             }
         }
-        one.offered(2, 0);
-        other.offered(2, 0);
+        one.rolloutStarted(2, 0);
+        other.rolloutStarted(2, 0);
         for (int s = 0; s < 12; s += 2) {
             List<NodeReport> two = new ArrayList<>(all.subList(s * 4, s * 4 + 8));
             int at = s + 1;
-            two.forEach(r -> one.take(r, at));
+            two.forEach(r -> one.addReport(r, at));
             two.addAll(List.copyOf(two));
             java.util.Collections.shuffle(two, random);
-            two.forEach(r -> other.take(r, at));
-            assertEquals(one.judge(at).toString(), other.judge(at).toString());
+            two.forEach(r -> other.addReport(r, at));
+            assertEquals(one.evaluate(at).toString(), other.evaluate(at).toString());
         }
-        assertEquals(48, other.leftOut()[0]);
-        assertFalse(one.take(all.get(0), 30), "too late");
-        assertFalse(one.take(new NodeReport(0, "x", 500, List.of()), 30), "from the future");
+        assertEquals(48, other.discarded().duplicateReports());
+        assertFalse(one.addReport(all.get(0), 30), "too late");
+        assertFalse(one.addReport(new NodeReport(0, "x", 500, List.of()), 30), "from the future");
         List<Cell> many = new ArrayList<>();
         for (int i = 0; i < 3000; i++) {
             many.add(new Cell(1, 0, "m" + i, -1, 1, 0, 0, 0, 1, 1, 1));
         }
         many.add(0, new Cell(1, 0, "m", -1, 1, 5, 0, 0, 1, 1, 1));
-        one.take(new NodeReport(9, "x", 30, many), 30);
-        assertEquals(3000 - NodeReport.MOST_CELLS, one.leftOut()[3]);
-        assertEquals(2, one.leftOut()[2], "a report from the future, and a cell that cannot be true");
+        one.addReport(new NodeReport(9, "x", 30, many), 30);
+        assertEquals(3000 - NodeReport.MAX_CELLS, one.discarded().overLimitCells());
+        assertEquals(2, one.discarded().invalidCells(), "a report from the future, and a cell that cannot be true");
     }
 
     /** The mean of the ratio under chance is 1: what makes looking at it any time safe. */
