--- a/src/main/java/laurelkeel/decision/EndpointSubset.java
+++ b/src/main/java/laurelkeel/decision/EndpointSubset.java
@@ -1,101 +1,104 @@
 package laurelkeel.decision;
 
-import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.function.IntPredicate;
 import java.util.stream.IntStream;
-import java.util.zip.CRC32;
 
 /**
- * Which machines of a build one front asks in turn where there are far more than its traffic needs: a connection that is made
- * for one request in many seconds costs more than it serves. All fronts see the machines on one ring, by a hash of their ids,
- * and each begins at a point of its own, so that together they ask all machines about alike. A machine under suspicion gives its
- * place to the next one. While answers wait at machines the rotation widens, in the end to all of them.
+ * Chooses the endpoints of a build that one front node uses where there are far more than its traffic needs.
+ *
+ * <p>A connection that carries one request in many seconds costs more than it serves. All nodes see the endpoints on one
+ * ring, by a hash of their ids, and each starts at a position of its own, so that the nodes together use all endpoints
+ * about equally. Suspected endpoints give their places to others. The subset grows while answers wait at endpoints, if
+ * need be to all of them.
  */
 final class EndpointSubset {
-    /** Fewer machines than this are all asked; so many near ones, and as many far ones. */
-    static final int LEAST = 64;
+    /** Number of endpoints of the own zone that are always used, and likewise of other zones. */
+    static final int MIN_SIZE = 64;
 
-    private static final int MACHINES_A_REQUEST = 8;
-    /** How much the last second says of the requests out. */
-    private static final double OF_LATE = 0.2;
+    private static final int ENDPOINTS_PER_REQUEST_IN_FLIGHT = 8;
+    /** Weight of the last second in the mean number of requests in flight. */
+    private static final double IN_FLIGHT_SMOOTHING = 0.2;
 
-    private static final double WIDER = 1.5;
-    private static final double NARROWER = 0.95;
-    /** Chosen anew where the size has changed by this part of it. */
-    private static final double NOTABLE = 0.125;
-    /** A machine that is asked already counts as so much nearer on the ring. */
-    private static final double STAYS = 0.5;
+    private static final double GROWTH_PER_SECOND = 1.5;
+    private static final double SHRINKAGE_PER_SECOND = 0.95;
+    /** Relative change of the size from which the endpoints are selected anew. */
+    private static final double RESELECTION_CHANGE = 0.125;
+    /** Scales the distance of endpoints already used, for connections to them are open. */
+    private static final double MEMBER_DISTANCE_FACTOR = 0.5;
 
-    private final double start;
-    private double meanOpen;
-    private double size = LEAST;
-    private double chosen = LEAST;
+    /** Separates the ring positions from other hashes of the same ids. */
+    private static final long RING_SALT = 0x632BE59BD9B4E019L;
+
+    private final double startPosition;
+    private double meanInFlight;
+    private double size = MIN_SIZE;
+    private double selectedSize = MIN_SIZE;
 
     /**
-     * @param self the front's number, from 0
-     * @param fronts how many there are
+     * Creates the subset of a front node.
+     *
+     * @param nodeIndex the node's number, from 0
+     * @param nodeCount how many front nodes there are
      */
-    EndpointSubset(int self, int fronts) {
-        start = (double) Math.floorMod(self, Math.max(1, fronts)) / Math.max(1, fronts);
+    EndpointSubset(int nodeIndex, int nodeCount) {
+        int nodes = Math.max(1, nodeCount);
+        startPosition = (double) Math.floorMod(nodeIndex, nodes) / nodes;
     }
 
-    /** A machine's place on the ring, from 0 to 1. */
-    static double placeOf(String id) {
-        CRC32 crc = new CRC32();
-        crc.update(id.getBytes(StandardCharsets.UTF_8));
-        // CRC32 is linear: unmixed, ids that are counted up would stand in runs
-        long mixed = (crc.getValue() + 0x632BE59BD9B4E019L) * 0x9E3779B97F4A7C15L;
-        mixed = (mixed ^ mixed >>> 32) * 0xD6E8FEB86659FD93L;
-        return ((mixed ^ mixed >>> 29) >>> 11) * 0x1.0p-53;
+    /** Returns an endpoint's position on the ring, from 0 to 1. */
+    static double ringPosition(String endpointId) {
+        return UnitHash.toFraction(UnitHash.mix(UnitHash.checksum(endpointId) + RING_SALT));
     }
 
     /**
-     * To be told once a second; true where the machines are to be chosen anew.
+     * Adapts the size to the traffic; called once a second.
      *
-     * @param open this front's requests that are out at machines
-     * @param waiting answers wait at machines
-     * @param most machines of the largest build
+     * @param inFlight this node's attempts in flight
+     * @param areAnswersWaiting whether attempts wait at endpoints before they are served
+     * @param largestPool number of endpoints of the largest build
+     * @return whether the endpoints are to be selected anew
      */
-    boolean adapt(int open, boolean waiting, int most) {
-        meanOpen += (open - meanOpen) * OF_LATE;
-        double needed = Math.max(LEAST, MACHINES_A_REQUEST * meanOpen);
-        double wanted = waiting ? size * WIDER : size * NARROWER;
-        size = Math.max(needed, Math.min(wanted, Math.max(LEAST, most)));
-        boolean notable = Math.abs(size - chosen) > NOTABLE * chosen;
-        chosen = notable ? size : chosen;
-        return notable;
+    boolean adapt(int inFlight, boolean areAnswersWaiting, int largestPool) {
+        meanInFlight += (inFlight - meanInFlight) * IN_FLIGHT_SMOOTHING;
+        double needed = Math.max(MIN_SIZE, ENDPOINTS_PER_REQUEST_IN_FLIGHT * meanInFlight);
+        double wanted = areAnswersWaiting ? size * GROWTH_PER_SECOND : size * SHRINKAGE_PER_SECOND;
+        size = Math.max(needed, Math.min(wanted, Math.max(MIN_SIZE, largestPool)));
+        boolean hasChanged = Math.abs(size - selectedSize) > RESELECTION_CHANGE * selectedSize;
+        selectedSize = hasChanged ? size : selectedSize;
+        return hasChanged;
     }
 
     /**
-     * The indices of the machines to ask, ascending.
+     * Selects the endpoints to use.
      *
-     * @param places of all machines on the ring
-     * @param near whether a machine is asked without a crossing
-     * @param suspect whether it is passed over while there are others
-     * @param asked whether it is in the rotation so far: connections to it are open
+     * @param positions of all endpoints on the ring
+     * @param isLocal whether an endpoint is in the node's zone
+     * @param isSuspect whether an endpoint is used only where there are no others
+     * @param isMember whether an endpoint is in the subset so far
+     * @return indices of the endpoints, ascending
      */
-    int[] choose(double[] places, boolean[] near, boolean[] suspect, boolean[] asked) {
-        int each = (int) chosen;
-        if (places.length <= each) {
-            return IntStream.range(0, places.length).toArray();
+    int[] select(double[] positions, boolean[] isLocal, boolean[] isSuspect, boolean[] isMember) {
+        int count = (int) selectedSize;
+        if (positions.length <= count) {
+            return IntStream.range(0, positions.length).toArray();
         }
-        Integer[] inTurn = IntStream.range(0, places.length).boxed().toArray(Integer[]::new);
+        Integer[] byPreference = IntStream.range(0, positions.length).boxed().toArray(Integer[]::new);
         Arrays.sort(
-                inTurn,
-                Comparator.comparing((Integer i) -> suspect[i])
-                        .thenComparingDouble(i -> fromStart(places[i]) * (asked[i] ? STAYS : 1)));
-        IntStream nearOnes = first(each, inTurn, i -> near[i]);
-        IntStream farOnes = first(each, inTurn, i -> !near[i]);
-        return IntStream.concat(nearOnes, farOnes).sorted().toArray();
+                byPreference,
+                Comparator.comparing((Integer i) -> isSuspect[i])
+                        .thenComparingDouble(i -> distance(positions[i]) * (isMember[i] ? MEMBER_DISTANCE_FACTOR : 1)));
+        IntStream local = first(count, byPreference, i -> isLocal[i]);
+        IntStream remote = first(count, byPreference, i -> !isLocal[i]);
+        return IntStream.concat(local, remote).sorted().toArray();
     }
 
-    private static IntStream first(int count, Integer[] inTurn, IntPredicate kind) {
-        return Arrays.stream(inTurn).mapToInt(i -> i).filter(kind).limit(count);
+    private static IntStream first(int count, Integer[] byPreference, IntPredicate filter) {
+        return Arrays.stream(byPreference).mapToInt(i -> i).filter(filter).limit(count);
     }
 
-    private double fromStart(double place) {
-        return place >= start ? place - start : place - start + 1;
+    private double distance(double position) {
+        return position >= startPosition ? position - startPosition : position - startPosition + 1;
     }
 }
--- a/src/main/java/laurelkeel/decision/RoutingDecider.java
+++ b/src/main/java/laurelkeel/decision/RoutingDecider.java
@@ -1,9 +1,7 @@
 package laurelkeel.decision;
 
-import java.nio.charset.StandardCharsets;
 import java.util.*;
 import java.util.function.ToIntFunction;
-import java.util.zip.CRC32;
 import laurelkeel.api.Action;
 import laurelkeel.api.Action.Verdict;
 import laurelkeel.api.Decider;
@@ -11,6 +9,7 @@
 import laurelkeel.api.Event.*;
 import laurelkeel.api.Settings;
 import laurelkeel.api.Settings.*;
+import laurelkeel.api.Ticks;
 
 /**
  * All decisions of one front: which build and machine each req goes to, when it is tried again or given up,
@@ -22,13 +21,12 @@
  * caller's, in tenths of a millisecond. The mechanism is explained in docs/design.md.
  */
 public final class RoutingDecider implements Decider {
-    private static final long SECOND = 10_000;
+    private static final long SECOND = Ticks.PER_SECOND;
 
     // ---- tuned values; docs/design.md says what each was tried against
     private static final double TARGET = 0.8;
     private static final double RESERVE = 0.15;
     private static final double RAMP = 1.25;
-    private static final int MOST_PINS = 200_000;
     private static final long READY = 3 * SECOND;
     private static final double MARGIN = 0.02;
     private static final double SURE = 3.0;
@@ -42,8 +40,6 @@
     private static final long TICK = SECOND / 10;
     private static final long LAST_CALL = 150;
     private static final long WINDOW_EDGE = 60;
-    private static final double RETRY_RATE = 0.2;
-    private static final double RETRY_MOST = 10;
     private static final double CROSS = 8;
     private static final double PILE = 1.3;
     private static final double WAITING = 0.1;
@@ -58,7 +54,6 @@
     private static final double CALM_DRIFT = 1.02;
     private static final double YIELD = 0.7;
     private static final long FRESH = 2 * SECOND;
-    private static final long REPEATS = 5 * SECOND;
     private static final double ERRS_RATE = 0.1;
     private static final double ERRS_SICK = 0.25;
     private static final double ERRS_MORE = 2.5;
@@ -107,11 +102,11 @@
         boolean weighed, inRotation;
         Side side = new Side(List.of());
         int at;
-        final ArrayDeque<Long> sends = new ArrayDeque<>();
+        final SlidingWindow sends = new SlidingWindow();
 
         Machine(EndpointEntry is, double far) {
             this.far = far;
-            ringPlace = EndpointSubset.placeOf(is.endpointId());
+            ringPlace = EndpointSubset.ringPosition(is.endpointId());
             id = is.endpointId();
             build = is.build();
             zone = is.zone();
@@ -162,7 +157,7 @@
                 asked[i] = live.get(i).inRotation;
                 live.get(i).inRotation = false;
             }
-            rotation = by.choose(places, near, suspect, asked);
+            rotation = by.select(places, near, suspect, asked);
             for (int i : rotation) {
                 live.get(i).inRotation = true;
             }
@@ -229,8 +224,7 @@
 
     // ---- the instance's own
     private final Settings set;
-    private final byte[] seed;
-    private long draws;
+    private final SeededRandom random;
     private long now;
     private final Map<String, Rq> reqs = new HashMap<>();
     private final Map<String, Machine> machines = new TreeMap<>();
@@ -240,12 +234,12 @@
     private int newestLive = Integer.MIN_VALUE;
     private double liveSize;
     private final LinkedHashSet<Rq> touched = new LinkedHashSet<>();
-    private final TreeMap<Long, List<Rq>> alarms = new TreeMap<>();
+    private final DeadlineQueue<Rq> alarms = new DeadlineQueue<>();
     private long armedFor = Long.MAX_VALUE;
     private long nextTick, tickedAt;
     private double span = 3;
     private final List<Times> times = new ArrayList<>();
-    private double retryTokens = RETRY_MOST;
+    private final RetryBudget retryBudget = new RetryBudget();
     private final double sure;
     private double answered, wait, places;
     private int answeredNow;
@@ -261,9 +255,9 @@
     private final StickyKeys pins = new StickyKeys();
     private final TreeSet<Integer> released = new TreeSet<>(Set.of(-1));
     private final Set<Integer> takenOff = new HashSet<>();
-    private final List<ArrayDeque<Long>> taken = new ArrayList<>();
-    private final Map<Integer, List<ArrayDeque<Long>>> exposed = new HashMap<>();
-    private final Map<String, Long> given = new HashMap<>();
+    private final List<SlidingWindow> taken = new ArrayList<>();
+    private final Map<Integer, List<SlidingWindow>> exposed = new HashMap<>();
+    private final ClientRetryDetector clientRetries = new ClientRetryDetector();
     private final TreeMap<Long, Second> seconds = new TreeMap<>();
     /** What the platform counted of all fronts' tries. */
     private final TreeMap<Long, Second> counted = new TreeMap<>();
@@ -274,16 +268,16 @@
     private long stoodAt, nextVerdict;
     private String reason;
 
-    // the list
-    private boolean listAsked;
-    private long listAskAt, listPause = SECOND / 2;
+    private final EndpointPoller poller;
 
     private final List<Action> out = new ArrayList<>();
 
     public RoutingDecider(Settings settings, long seed) {
         this.set = settings;
         this.rotation = new EndpointSubset(settings.nodeIndex(), settings.nodeCount());
-        this.seed = Long.toString(seed).getBytes(StandardCharsets.US_ASCII);
+        this.random = new SeededRandom(seed);
+        this.poller = new EndpointPoller(
+                settings.capabilities().endpointPolling(), settings.limits().maxPollIntervalTicks());
         // of many fronts, some see a lead by mere chance: the fewer votes send a build back, the surer each
         int enough = Math.max(1, settings.rollout().rollBackVotes());
         sure = Math.sqrt(SURE * SURE + 2 * Math.log(Math.max(1, settings.nodeCount() / (double) enough)));
@@ -293,7 +287,7 @@
         answered = quota > 0 ? quota / settings.nodeCount() : 1;
         for (Route route : settings.routes()) {
             times.add(new Times(route.latencyObjectiveTicks() / 5.0));
-            taken.add(new ArrayDeque<>());
+            taken.add(new SlidingWindow());
         }
     }
 
@@ -305,11 +299,13 @@
             learn(e);
         }
         findBuilds();
-        while (!alarms.isEmpty() && alarms.firstKey() <= now) {
-            // most have long ended: nothing is left to want for them
-            alarms.pollFirstEntry().getValue().stream()
-                    .filter(rq -> !rq.ended || rq.out != null)
-                    .forEach(touched::add);
+        while (alarms.nextAtTicks() <= now) {
+            for (Rq rq : alarms.removeNext()) {
+                // most have long ended: nothing is left to want for them
+                if (!rq.ended || rq.out != null) {
+                    touched.add(rq);
+                }
+            }
         }
         if (now >= nextTick) {
             nextTick = now + TICK;
@@ -357,19 +353,10 @@
     // ---- the list
 
     private void readList(EndpointListUpdate l) {
+        poller.updateReceived(l.kind(), now);
         if (l.kind() == EndpointListKind.FAILED) {
-            listAsked = false;
-            listAskAt = now + listPause;
-            listPause = Math.min(listPause * 2, 4 * SECOND);
             return;
         }
-        if (l.kind() != EndpointListKind.CACHED) {
-            listPause = SECOND / 2;
-            if (listAsked) {
-                listAsked = false;
-                listAskAt = now + set.limits().maxPollIntervalTicks() / 2;
-            }
-        }
         Set<String> named = new HashSet<>();
         for (EndpointEntry i : l.entries()) {
             named.add(i.endpointId());
@@ -380,10 +367,10 @@
                 m = new Machine(
                         i, i.zone() == set.zone() ? 0 : CROSS * set.costs().crossZone());
                 machines.put(m.id, m);
-                m.luck = chance();
+                m.luck = random.nextDouble();
                 m.luckUntil = now + set.limits().overloadWindowTicks();
                 // fronts that all began their turns at the same machine would meet there
-                m.credit = (chance() - 0.5)
+                m.credit = (random.nextDouble() - 0.5)
                         * i.weight()
                         * Math.max(machines.size(), l.entries().size());
             }
@@ -441,10 +428,10 @@
         if (phase == RolloutPhase.ROLLING_BACK || phase == RolloutPhase.ROLLED_BACK) {
             takenOff.add(newsBuild);
             released.remove(newsBuild);
-            pins.sentBack(newsBuild);
+            pins.buildRolledBack(newsBuild);
         } else if (phase == RolloutPhase.RELEASED) {
             released.add(newsBuild);
-            pins.released(newsBuild);
+            pins.buildReleased(newsBuild);
         }
     }
 
@@ -509,23 +496,6 @@
         return trial > newsBuild ? 0 : stage;
     }
 
-    private static double fractionOf(String key, int build) {
-        CRC32 crc = new CRC32();
-        crc.update((build + "/" + key).getBytes(StandardCharsets.UTF_8));
-        // CRC32 is linear: without this mixing one build's slice of keys would decide the next one's
-        long h = (crc.getValue() ^ (long) build << 32) * 0x9E3779B97F4A7C15L;
-        h = (h ^ h >>> 32) * 0xD6E8FEB86659FD93L;
-        h = (h ^ h >>> 29) * 0x9E3779B97F4A7C15L;
-        return (h >>> 11) * 0x1.0p-53;
-    }
-
-    private double chance() {
-        CRC32 crc = new CRC32();
-        crc.update(seed);
-        crc.update(Long.toString(draws++).getBytes(StandardCharsets.US_ASCII));
-        return ((crc.getValue() * 0x9E3779B97F4A7C15L) >>> 11) * 0x1.0p-53;
-    }
-
     private void raiseThreshold() {
         if (trial < 0) {
             return;
@@ -544,10 +514,10 @@
     }
 
     /** A build that leaves the list ahead of its news, or is passed, and returns, has its tries still. */
-    private ArrayDeque<Long> exposed(int build, int route) {
-        return exposed.computeIfAbsent(build, k -> set.routes().stream()
-                        .map(r -> new ArrayDeque<Long>())
-                        .toList())
+    private SlidingWindow exposed(int build, int route) {
+        return exposed.computeIfAbsent(
+                        build,
+                        k -> set.routes().stream().map(r -> new SlidingWindow()).toList())
                 .get(scope(route));
     }
 
@@ -559,30 +529,24 @@
         }
         int s = scope(rq.is.route());
         long window = set.rollout().exposureWindowTicks();
-        int tries = countSince(exposed(trial, rq.is.route()), now - window - WINDOW_EDGE);
-        double share = trialCap() * countSince(taken.get(s), now - window + WINDOW_EDGE);
+        int tries = exposed(trial, rq.is.route()).countSince(now - window - WINDOW_EDGE);
+        double share = trialCap() * taken.get(s).countSince(now - window + WINDOW_EDGE);
         double reserve = pinned ? 0 : RESERVE * share;
         return tries + 1 + reserve <= set.rollout().exposureAllowance() + share;
     }
 
-    /** Each list is asked with moments that only advance, so what is older is never asked for again. */
-    private static int countSince(ArrayDeque<Long> times, long from) {
-        forget(times, from);
-        return times.size();
-    }
-
     // ---- reqs
 
     private void alarm(Rq rq, long at) {
-        alarms.computeIfAbsent(Math.max(at, now + 1), k -> new ArrayList<>(2)).add(rq);
+        alarms.add(rq, Math.max(at, now + 1));
     }
 
     private void take(RequestReceived r) {
-        taken.get(scope(r.route())).addLast(now);
-        retryTokens = Math.min(RETRY_MOST, retryTokens + RETRY_RATE);
-        Rq rq = new Rq(r, now, r.partitionKey() == null ? chance() : -1);
+        taken.get(scope(r.route())).record(now);
+        retryBudget.requestReceived();
+        Rq rq = new Rq(r, now, r.partitionKey() == null ? random.nextDouble() : -1);
         // clients ask again for what was shed: neither more load nor further evidence
-        rq.repeat = r.clientRetry() || (r.partitionKey() != null && given.containsKey(r.partitionKey()));
+        rq.repeat = clientRetries.isRetry(r);
         second(now).taken += rq.repeat ? 0 : 1;
         reqs.put(r.requestId(), rq);
         alarm(rq, rq.endBy);
@@ -614,12 +578,12 @@
         judgeMachine(was, t, rq);
         judgeBuild(was, t, rq);
         if (rq.is.partitionKey() != null) {
-            pins.ended(rq.is.partitionKey(), was.to.build);
+            pins.attemptEnded(rq.is.partitionKey(), was.to.build);
         }
         if (t.outcome().mayHaveServed() && binds(rq, was.to.build)) {
             // by the build that answered: one not announced yet can leave the list before its answer comes;
             // an answer that could not be read, or came as the front gave it up, was one all the same
-            pins.answered(rq.is.partitionKey(), was.to.build);
+            pins.served(rq.is.partitionKey(), was.to.build);
         }
         if (t.outcome() == AttemptOutcome.COMPLETED) {
             answeredNow++;
@@ -811,7 +775,7 @@
         } else if (rq.out == null) {
             // turned-away tries count too: a full fleet must not be asked by every req at every machine
             boolean again = rq.tries > 0;
-            boolean may = mayResend(rq) && (!again || retryTokens >= 1);
+            boolean may = mayResend(rq) && (!again || retryBudget.allows(1));
             rq.want = may ? choose(rq) : null;
             // a route whose answers all come late only holds places, whatever keeps them; but two tries
             // go out at any wait: a front that only sheds would never learn of its end
@@ -823,7 +787,9 @@
             }
             rq.wantEnd = rq.want == null;
             if (rq.want != null) {
-                retryTokens -= again ? 1 : 0;
+                if (again) {
+                    retryBudget.spend();
+                }
                 rq.within = limit(rq);
                 send(rq);
             }
@@ -831,12 +797,12 @@
     }
 
     private Machine choose(Rq rq) {
-        int pin = rq.is.partitionKey() == null ? StickyKeys.NONE : pins.of(rq.is.partitionKey());
+        int pin = rq.is.partitionKey() == null ? StickyKeys.NO_BUILD : pins.oldestAllowedBuild(rq.is.partitionKey());
         if (pin > base) {
             return pin == trial && trialOpen(rq, true) ? pick(trial, rq) : null;
         }
-        double at = rq.fraction >= 0 ? rq.fraction : fractionOf(rq.is.partitionKey(), trial);
-        boolean room = trial >= 0 && pins.size() < MOST_PINS && trialOpen(rq, false);
+        double at = rq.fraction >= 0 ? rq.fraction : StickyKeySlice.fractionOf(rq.is.partitionKey(), trial);
+        boolean room = trial >= 0 && !pins.isFull() && trialOpen(rq, false);
         Machine m = null;
         if (room && at < threshold && !rq.keptOffTrial) {
             m = pick(trial, rq);
@@ -961,7 +927,7 @@
         double usual = answered * window / SECOND * m.size / Math.max(places, 1e-9);
         // under one a window, chance rounds: one from each of many fronts would topple it
         double most = Math.floor(COLD_USE * set.limits().overloadMultiple() * warmth(m) * usual + m.luck);
-        return countSince(m.sends, now - window) + 1 > most;
+        return m.sends.countSince(now - window) + 1 > most;
     }
 
     private long limit(Rq rq) {
@@ -973,7 +939,7 @@
         int level = level(rq.want.open);
         double typical = t.seen[level] < 8 ? t.calm : t.usual[level];
         double patient = Math.max(typical * (1 + 6 * t.spread), 0.35 * route.latencyObjectiveTicks());
-        boolean waits = !again || patient + typical > route.latencyObjectiveTicks() || retryTokens < 2;
+        boolean waits = !again || patient + typical > route.latencyObjectiveTicks() || !retryBudget.allows(2);
         return waits ? left : Math.min(left, (long) patient);
     }
 
@@ -981,11 +947,11 @@
         Machine m = rq.want;
         opened(m, 1);
         times.get(rq.is.route()).open++;
-        m.sends.addLast(now);
+        m.sends.record(now);
         second(now).sends++;
         second(now).trialSends += m.build == judged() ? 1 : 0;
         if (m.build == trial) {
-            exposed(trial, rq.is.route()).addLast(now);
+            exposed(trial, rq.is.route()).record(now);
         }
     }
 
@@ -1234,12 +1200,10 @@
                 out.add(new Action.WriteLog("votes back on build " + vote.build() + ": " + reason));
             }
         }
-        if (set.capabilities().endpointPolling() && now >= listAskAt) {
-            listAsked = true;
-            listAskAt = now + 5 * SECOND;
+        if (poller.startPoll(now)) {
             out.add(new Action.WatchEndpoints(true));
         }
-        long wake = alarms.isEmpty() ? nextTick : Math.min(nextTick, alarms.firstKey());
+        long wake = Math.min(nextTick, alarms.nextAtTicks());
         if (wake < armedFor) {
             armedFor = wake;
             out.add(new Action.StartTimer(wake, 0));
@@ -1256,7 +1220,7 @@
                             : new Action.FailRequest(rq.is.requestId()));
             rq.ended = true;
             if (rq.is.partitionKey() != null) {
-                given.put(rq.is.partitionKey(), now);
+                clientRetries.requestUnserved(rq.is.partitionKey(), now);
             }
         }
         if (rq.ended && rq.out != null && !rq.stopped && set.capabilities().cancellation()) {
@@ -1268,7 +1232,7 @@
             int open = rq.want.open;
             rq.out = new Try(rq.tries++, rq.want, now, settled, open, level(open + rq.want.others));
             if (binds(rq, rq.want.build)) {
-                pins.sent(rq.is.partitionKey(), rq.want.build);
+                pins.attemptSent(rq.is.partitionKey(), rq.want.build);
             }
             out.add(new Action.SendAttempt(rq.is.requestId(), rq.want.id, rq.within));
         }
@@ -1286,24 +1250,18 @@
         answeredNow = 0;
         tickedAt = now;
         long keep = Math.max(set.rollout().exposureWindowTicks(), set.limits().overloadWindowTicks()) + SECOND;
-        taken.forEach(times -> forget(times, now - keep));
-        exposed.values().forEach(routes -> routes.forEach(times -> forget(times, now - keep)));
-        exposed.values().removeIf(routes -> routes.stream().allMatch(ArrayDeque::isEmpty));
+        taken.forEach(times -> times.forgetBefore(now - keep));
+        exposed.values().forEach(routes -> routes.forEach(times -> times.forgetBefore(now - keep)));
+        exposed.values().removeIf(routes -> routes.stream().allMatch(SlidingWindow::isEmpty));
         for (Machine m : machines.values()) {
             if (now >= m.luckUntil) {
-                m.luck = chance();
+                m.luck = random.nextDouble();
                 m.luckUntil = now + set.limits().overloadWindowTicks();
             }
-            forget(m.sends, now - keep);
+            m.sends.forgetBefore(now - keep);
         }
         seconds.headMap((now - MEMORY) / SECOND).clear();
         counted.headMap((now - MEMORY) / SECOND).clear();
-        given.values().removeIf(at -> at < now - REPEATS);
-    }
-
-    private static void forget(ArrayDeque<Long> times, long before) {
-        while (!times.isEmpty() && times.peekFirst() < before) {
-            times.pollFirst();
-        }
+        clientRetries.forgetOld(now);
     }
 }
--- a/src/main/java/laurelkeel/decision/StickyKeys.java
+++ b/src/main/java/laurelkeel/decision/StickyKeys.java
@@ -5,62 +5,67 @@
 import java.util.TreeMap;
 
 /**
- * Behind which build a key may not go back, where keys move one way. A build binds a key by its answer; and while a try is
- * out it may have answered already, for an answer can lie unread on a connection that has fallen silent.
+ * The oldest build that each partition key may still be sent to, where keys are sticky.
+ *
+ * <p>A build binds a key by serving it, and for as long as an attempt of the key is in flight there: the endpoint may have
+ * served it already, with the answer unread on a silent connection.
  */
 final class StickyKeys {
     /** No build binds the key. */
-    static final int NONE = -1;
+    static final int NO_BUILD = -1;
 
-    private final Map<String, Integer> answered = new HashMap<>();
-    /** Tries out, by key and build. */
-    private final Map<String, TreeMap<Integer, Integer>> awaited = new HashMap<>();
+    /** Bounds the memory: no further keys are exposed to a canary build beyond it. */
+    private static final int MAX_SERVED_KEYS = 200_000;
 
-    /** A try goes to a build ahead of the earlier one. */
-    void sent(String key, int build) {
-        awaited.computeIfAbsent(key, k -> new TreeMap<>()).merge(build, 1, Integer::sum);
+    private final Map<String, Integer> servedBy = new HashMap<>();
+    /** Number of attempts in flight, by key and build. */
+    private final Map<String, TreeMap<Integer, Integer>> inFlight = new HashMap<>();
+
+    /** Records that an attempt is sent to a build newer than the stable one. */
+    void attemptSent(String partitionKey, int build) {
+        inFlight.computeIfAbsent(partitionKey, key -> new TreeMap<>()).merge(build, 1, Integer::sum);
     }
 
-    /** A try has ended; one of which sent was not told is passed over. */
-    void ended(String key, int build) {
-        TreeMap<Integer, Integer> tries = awaited.get(key);
-        if (tries == null) {
+    /** Records the end of an attempt; one that was never recorded as sent changes nothing. */
+    void attemptEnded(String partitionKey, int build) {
+        TreeMap<Integer, Integer> attempts = inFlight.get(partitionKey);
+        if (attempts == null) {
             return;
         }
-        tries.computeIfPresent(build, (b, count) -> count > 1 ? count - 1 : null);
-        if (tries.isEmpty()) {
-            awaited.remove(key);
+        attempts.computeIfPresent(build, (key, count) -> count > 1 ? count - 1 : null);
+        if (attempts.isEmpty()) {
+            inFlight.remove(partitionKey);
         }
     }
 
-    /** The build has answered the key, whether or not that answer could be read. */
-    void answered(String key, int build) {
-        answered.merge(key, build, Math::max);
+    /** Records that a build has served a key, whether or not its answer could be read. */
+    void served(String partitionKey, int build) {
+        servedBy.merge(partitionKey, build, Math::max);
     }
 
-    /** The build behind which the key may not go back; NONE where there is none. */
-    int of(String key) {
-        TreeMap<Integer, Integer> tries = awaited.get(key);
-        int out = tries == null ? NONE : tries.lastKey();
-        return Math.max(out, answered.getOrDefault(key, NONE));
+    /** Returns the oldest build that a key may be sent to, or {@link #NO_BUILD} where any build may serve it. */
+    int oldestAllowedBuild(String partitionKey) {
+        TreeMap<Integer, Integer> attempts = inFlight.get(partitionKey);
+        int newestInFlight = attempts == null ? NO_BUILD : attempts.lastKey();
+        return Math.max(newestInFlight, servedBy.getOrDefault(partitionKey, NO_BUILD));
     }
 
-    /** Keys that a build has answered. */
-    int size() {
-        return answered.size();
+    /** Whether no further key may become sticky. */
+    boolean isFull() {
+        return servedBy.size() >= MAX_SERVED_KEYS;
     }
 
-    /** The build binds no key any more. */
-    void sentBack(int build) {
-        answered.values().removeIf(by -> by == build);
-        awaited.values().forEach(tries -> tries.remove(build));
-        awaited.values().removeIf(TreeMap::isEmpty);
+    /** Frees the keys of a build that is taken back. */
+    void buildRolledBack(int build) {
+        servedBy.values().removeIf(by -> by == build);
+        inFlight.values().forEach(attempts -> attempts.remove(build));
+        inFlight.values().removeIf(TreeMap::isEmpty);
     }
 
-    /** Nothing goes below a released build again, so keys of it and of earlier ones need no pins. */
-    void released(int build) {
-        answered.values().removeIf(by -> by <= build);
-        awaited.values().forEach(tries -> tries.headMap(build, true).clear());
-        awaited.values().removeIf(TreeMap::isEmpty);
+    /** Frees the keys of a released build and of older ones: nothing is sent to a build older than it again. */
+    void buildReleased(int build) {
+        servedBy.values().removeIf(by -> by <= build);
+        inFlight.values().forEach(attempts -> attempts.headMap(build, true).clear());
+        inFlight.values().removeIf(TreeMap::isEmpty);
     }
 }
--- a/src/test/java/laurelkeel/decision/EndpointSubsetTest.java
+++ b/src/test/java/laurelkeel/decision/EndpointSubsetTest.java
@@ -9,123 +9,127 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Which of many machines a front asks in turn. */
+/** Which of many endpoints a front node uses. */
 class EndpointSubsetTest {
     private static final int MANY = 2_400;
 
-    /** No machine is under suspicion. */
-    private static final boolean[] NONE = new boolean[MANY + 1];
+    /** For no endpoint. */
+    private static final boolean[] NO_FLAGS = new boolean[MANY + 1];
 
-    private static double[] places(int from, int to) {
+    private static double[] positions(int from, int to) {
         return IntStream.range(from, to)
-                .mapToDouble(i -> EndpointSubset.placeOf("s-" + i))
+                .mapToDouble(i -> EndpointSubset.ringPosition("s-" + i))
                 .toArray();
     }
 
-    private static boolean[] near(int machines, int zones) {
-        boolean[] near = new boolean[machines];
-        for (int i = 0; i < machines; i++) {
-            near[i] = i % zones == 0;
+    private static boolean[] isLocal(int endpoints, int zones) {
+        boolean[] isLocal = new boolean[endpoints];
+        for (int i = 0; i < endpoints; i++) {
+            isLocal[i] = i % zones == 0;
         }
-        return near;
+        return isLocal;
     }
 
     @Test
-    void allOfFewMachinesAreAsked() {
+    void allOfFewEndpointsAreUsed() {
         int[] chosen = new EndpointSubset(3, 10)
-                .choose(places(0, EndpointSubset.LEAST), near(EndpointSubset.LEAST, 1), NONE, NONE);
-        assertArrayEquals(IntStream.range(0, EndpointSubset.LEAST).toArray(), chosen);
+                .select(positions(0, EndpointSubset.MIN_SIZE), isLocal(EndpointSubset.MIN_SIZE, 1), NO_FLAGS, NO_FLAGS);
+        assertArrayEquals(IntStream.range(0, EndpointSubset.MIN_SIZE).toArray(), chosen);
     }
 
     @Test
-    void ofManyItTakesAsManyNearAsFarOnes() {
-        boolean[] near = near(MANY, 3);
-        int[] chosen = new EndpointSubset(3, 10).choose(places(0, MANY), near, NONE, NONE);
-        assertEquals(2 * EndpointSubset.LEAST, chosen.length);
+    void ofManyItTakesAsManyLocalAsRemoteOnes() {
+        boolean[] isLocal = isLocal(MANY, 3);
+        int[] chosen = new EndpointSubset(3, 10).select(positions(0, MANY), isLocal, NO_FLAGS, NO_FLAGS);
+        assertEquals(2 * EndpointSubset.MIN_SIZE, chosen.length);
         assertEquals(
-                EndpointSubset.LEAST, Arrays.stream(chosen).filter(i -> near[i]).count());
+                EndpointSubset.MIN_SIZE,
+                Arrays.stream(chosen).filter(i -> isLocal[i]).count());
     }
 
     @Test
-    void allFrontsTogetherAskAllMachinesAboutAlike() {
-        int fronts = 100;
-        int[] askedBy = new int[MANY];
-        for (int self = 0; self < fronts; self++) {
-            for (int i : new EndpointSubset(self, fronts).choose(places(0, MANY), near(MANY, 1), NONE, NONE)) {
-                askedBy[i]++;
+    void allNodesTogetherUseAllEndpointsAboutEqually() {
+        int nodes = 100;
+        int[] usedBy = new int[MANY];
+        for (int node = 0; node < nodes; node++) {
+            for (int i :
+                    new EndpointSubset(node, nodes).select(positions(0, MANY), isLocal(MANY, 1), NO_FLAGS, NO_FLAGS)) {
+                usedBy[i]++;
             }
         }
-        int least = Arrays.stream(askedBy).min().orElseThrow();
-        int most = Arrays.stream(askedBy).max().orElseThrow();
-        assertTrue(least >= 1 && most <= 6, "from " + least + " to " + most + " fronts ask a machine");
+        int least = Arrays.stream(usedBy).min().orElseThrow();
+        int most = Arrays.stream(usedBy).max().orElseThrow();
+        assertTrue(least >= 1 && most <= 6, "from " + least + " to " + most + " nodes use an endpoint");
     }
 
     @Test
-    void oneMachineMoreChangesOneAtMost() {
-        EndpointSubset rotation = new EndpointSubset(0, 1);
-        double[] before = places(0, MANY);
-        double[] after = places(0, MANY + 1);
-        int[] was = rotation.choose(before, near(MANY, 1), NONE, NONE);
-        int[] is = rotation.choose(after, near(MANY + 1, 1), NONE, NONE);
+    void oneMoreEndpointChangesOneAtMost() {
+        EndpointSubset subset = new EndpointSubset(0, 1);
+        double[] before = positions(0, MANY);
+        double[] after = positions(0, MANY + 1);
+        int[] was = subset.select(before, isLocal(MANY, 1), NO_FLAGS, NO_FLAGS);
+        int[] is = subset.select(after, isLocal(MANY + 1, 1), NO_FLAGS, NO_FLAGS);
         long kept =
                 Arrays.stream(is).filter(i -> Arrays.binarySearch(was, i) >= 0).count();
-        assertTrue(kept >= EndpointSubset.LEAST - 1, "kept " + kept);
+        assertTrue(kept >= EndpointSubset.MIN_SIZE - 1, "kept " + kept);
     }
 
     /** Connections to them are open. */
     @Test
-    void machinesThatAreAskedStayWhileTheBuildGrows() {
-        EndpointSubset rotation = new EndpointSubset(0, 1);
-        boolean[] asked = new boolean[MANY];
-        boolean[] ever = new boolean[MANY];
-        for (int machines = 1; machines <= 160; machines++) {
-            int[] chosen = rotation.choose(places(0, machines), near(machines, 1), NONE, asked);
-            Arrays.fill(asked, false);
+    void membersStayWhileTheBuildGrows() {
+        EndpointSubset subset = new EndpointSubset(0, 1);
+        boolean[] isMember = new boolean[MANY];
+        boolean[] wasMember = new boolean[MANY];
+        for (int count = 1; count <= 160; count++) {
+            int[] chosen = subset.select(positions(0, count), isLocal(count, 1), NO_FLAGS, isMember);
+            Arrays.fill(isMember, false);
             for (int i : chosen) {
-                asked[i] = true;
-                ever[i] = true;
+                isMember[i] = true;
+                wasMember[i] = true;
             }
         }
-        long met = IntStream.range(0, MANY).filter(i -> ever[i]).count();
-        assertTrue(met < 1.5 * EndpointSubset.LEAST, "asked " + met);
+        long used = IntStream.range(0, MANY).filter(i -> wasMember[i]).count();
+        assertTrue(used < 1.5 * EndpointSubset.MIN_SIZE, "used " + used);
     }
 
     @Test
-    void machinesUnderSuspicionGiveTheirPlacesToOthersWhileThereAreAny() {
-        EndpointSubset rotation = new EndpointSubset(0, 1);
-        boolean[] suspect = new boolean[MANY];
-        for (int i : rotation.choose(places(0, MANY), near(MANY, 1), suspect, NONE)) {
-            suspect[i] = true;
+    void suspectedEndpointsGiveTheirPlacesToOthersWhileThereAreAny() {
+        EndpointSubset subset = new EndpointSubset(0, 1);
+        boolean[] isSuspect = new boolean[MANY];
+        for (int i : subset.select(positions(0, MANY), isLocal(MANY, 1), isSuspect, NO_FLAGS)) {
+            isSuspect[i] = true;
         }
-        assertTrue(Arrays.stream(rotation.choose(places(0, MANY), near(MANY, 1), suspect, NONE))
-                .noneMatch(i -> suspect[i]));
-        Arrays.fill(suspect, true);
-        assertEquals(EndpointSubset.LEAST, rotation.choose(places(0, MANY), near(MANY, 1), suspect, NONE).length);
+        assertTrue(Arrays.stream(subset.select(positions(0, MANY), isLocal(MANY, 1), isSuspect, NO_FLAGS))
+                .noneMatch(i -> isSuspect[i]));
+        Arrays.fill(isSuspect, true);
+        assertEquals(
+                EndpointSubset.MIN_SIZE,
+                subset.select(positions(0, MANY), isLocal(MANY, 1), isSuspect, NO_FLAGS).length);
     }
 
     @Test
-    void itWidensToAllWhileAnswersWaitAndNarrowsAfterwards() {
-        EndpointSubset rotation = new EndpointSubset(0, 1);
+    void itGrowsToAllWhileAnswersWaitAndShrinksAfterwards() {
+        EndpointSubset subset = new EndpointSubset(0, 1);
         for (int second = 0; second < 20; second++) {
-            rotation.adapt(1, true, MANY);
+            subset.adapt(1, true, MANY);
         }
-        assertEquals(MANY, rotation.choose(places(0, MANY), near(MANY, 1), NONE, NONE).length);
+        assertEquals(MANY, subset.select(positions(0, MANY), isLocal(MANY, 1), NO_FLAGS, NO_FLAGS).length);
         for (int second = 0; second < 120; second++) {
-            rotation.adapt(1, false, MANY);
+            subset.adapt(1, false, MANY);
         }
-        int narrow = rotation.choose(places(0, MANY), near(MANY, 1), NONE, NONE).length;
-        assertTrue(narrow < 1.25 * EndpointSubset.LEAST, "still " + narrow);
+        int size = subset.select(positions(0, MANY), isLocal(MANY, 1), NO_FLAGS, NO_FLAGS).length;
+        assertTrue(size < 1.25 * EndpointSubset.MIN_SIZE, "still " + size);
     }
 
     @Test
-    void aFrontWithMoreRequestsOutAsksMoreMachines() {
-        EndpointSubset rotation = new EndpointSubset(0, 1);
-        assertFalse(rotation.adapt(EndpointSubset.LEAST / 8, false, MANY), "enough for these");
-        assertFalse(rotation.adapt(EndpointSubset.LEAST / 4, false, MANY), "for a moment only");
+    void aNodeWithMoreRequestsInFlightUsesMoreEndpoints() {
+        EndpointSubset subset = new EndpointSubset(0, 1);
+        assertFalse(subset.adapt(EndpointSubset.MIN_SIZE / 8, false, MANY), "enough for these");
+        assertFalse(subset.adapt(EndpointSubset.MIN_SIZE / 4, false, MANY), "for a moment only");
         for (int second = 0; second < 30; second++) {
-            rotation.adapt(50, false, MANY);
+            subset.adapt(50, false, MANY);
         }
-        int machines = rotation.choose(places(0, MANY), near(MANY, 1), NONE, NONE).length;
-        assertTrue(machines > 330 && machines <= 400, "asked " + machines);
+        int size = subset.select(positions(0, MANY), isLocal(MANY, 1), NO_FLAGS, NO_FLAGS).length;
+        assertTrue(size > 330 && size <= 400, "used " + size);
     }
 }
--- /dev/null
+++ b/src/test/java/laurelkeel/decision/SlidingWindowTest.java
@@ -0,0 +1,32 @@
+package laurelkeel.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+class SlidingWindowTest {
+    private final SlidingWindow window = new SlidingWindow();
+
+    @Test
+    void itCountsFromAMomentInclusive() {
+        window.record(10);
+        window.record(20);
+        window.record(20);
+        window.record(30);
+        assertEquals(4, window.countSince(10));
+        assertEquals(3, window.countSince(11));
+        assertEquals(1, window.countSince(21));
+    }
+
+    @Test
+    void itIsEmptyOnceAllIsForgotten() {
+        assertTrue(window.isEmpty());
+        window.record(10);
+        window.forgetBefore(10);
+        assertFalse(window.isEmpty());
+        window.forgetBefore(11);
+        assertTrue(window.isEmpty());
+    }
+}
