--- a/src/main/java/laurelkeel/front/ingress/Ingress.java
+++ b/src/main/java/laurelkeel/front/ingress/Ingress.java
@@ -143,7 +143,7 @@
 
     /** How long a req of it has been half read; 0 where none is. */
     private static long halfFor(ClientConnection c) {
-        long half = HttpCodec.halfSince(c.session);
+        long half = HttpCodec.partialMessageSinceNanos(c.session);
         return half == 0 ? 0 : Math.max(1, (System.nanoTime() - half) / 100_000);
     }
 
@@ -158,8 +158,10 @@
     private void retire(ClientConnection c, int requests, CloseReason why, boolean halfToo) {
         c.retiring = true;
         c.session.suspendRead();
-        c.session.write(HttpCodec.Mark.MARK).addListener(f -> {
-            if (nothingOwed(c) && c.requests == requests && (halfToo || HttpCodec.halfSince(c.session) == 0)) {
+        c.session.write(HttpCodec.FlushMarker.INSTANCE).addListener(f -> {
+            if (nothingOwed(c)
+                    && c.requests == requests
+                    && (halfToo || HttpCodec.partialMessageSinceNanos(c.session) == 0)) {
                 c.closing(why);
                 c.session.closeOnFlush();
             } else {
@@ -210,7 +212,8 @@
 
     private boolean mayGiveItsPlace(ClientConnection c, int requests) {
         boolean free = nothingOwed(c) && !c.retiring && !c.session.isClosing();
-        boolean rested = HttpCodec.halfSince(c.session) == 0 && loop.clockTicks() - c.restsSince > set.minIdleTicks();
+        boolean rested = HttpCodec.partialMessageSinceNanos(c.session) == 0
+                && loop.clockTicks() - c.restsSince > set.minIdleTicks();
         return free && (requests == 0 || rested);
     }
 
@@ -269,7 +272,7 @@
     /** Connections of which a req has come in part. */
     int halfRead() {
         return (int) acceptor.getManagedSessions().values().stream()
-                .filter(s -> HttpCodec.halfSince(s) != 0)
+                .filter(s -> HttpCodec.partialMessageSinceNanos(s) != 0)
                 .count();
     }
 
--- a/src/main/java/laurelkeel/front/upstream/ConnectAttempt.java
+++ b/src/main/java/laurelkeel/front/upstream/ConnectAttempt.java
@@ -14,81 +14,85 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * One connection that is being opened, within a span of real time. MINA measures its own limit by the wall clock: a step
- * forward would end all that are being opened at once and a step back none in time, so the loop's clock measures here.
+ * Opens one connection within a timeout that goes by the event loop's monotonic clock. MINA's own timeout goes by the wall
+ * clock: a step forward would end all pending connects at once, and a step back would end none in time.
  *
- * <p>One whose time is over is not cancelled through MINA's future. That may meet the moment in which it comes up, and
- * MINA 2.2.5 then counts its socket as gone twice, takes itself to have none, and leaves the others unwatched.
+ * <p>A timed-out connect is not cancelled through MINA's future: if it completes at that moment, MINA 2.2.5 counts its
+ * socket as gone twice, believes that it has none left and stops watching the others.
+ *
+ * <p>Not thread-safe; called on the event loop's thread.
  */
 public final class ConnectAttempt {
-    /** For MINA's own limit: longer than any step of a wall clock that it should survive. */
+    /** For MINA's own connect timeout, in milliseconds: longer than any step of the wall clock that should do no harm. */
     public static final long MINA_TIMEOUT_MS = 7L * 24 * 3600 * 1000;
 
-    private static final AttributeKey DIAL = new AttributeKey(ConnectAttempt.class, "dial");
+    private static final AttributeKey ATTEMPT = new AttributeKey(ConnectAttempt.class, "attempt");
 
-    /** What comes of it, told once on the loop's thread, but never from within start. */
+    /** Receives the result, once, on the event loop's thread but never from within {@link ConnectAttempt#start}. */
     public interface Listener {
+        /** Called when the connection is open. */
         void connected(IoSession session);
 
-        void failed(Throwable why);
+        /** Called when the connection could not be opened. */
+        void failed(Throwable cause);
 
-        /** It did not come up within its limit. */
+        /** Called when the connection did not open in time; if it still opens, it is closed. */
         void timedOut();
     }
 
-    private final Listener outcome;
-    private volatile boolean abandoned;
+    private final Listener listener;
+    private volatile boolean timedOut;
 
-    private ConnectAttempt(Listener outcome) {
-        this.outcome = outcome;
+    private ConnectAttempt(Listener listener) {
+        this.listener = listener;
     }
 
     /**
-     * Starts it; on the loop's thread.
+     * Starts an attempt.
      *
-     * @param loop measures the limit
-     * @param post puts what comes of it on that loop: with its traffic, or ahead of it
-     * @param limit tenths of a millisecond in which it has to be open
+     * @param loop measures the timeout
+     * @param post posts the result to that loop, as an ordinary or a priority task
+     * @param timeoutTicks how long the connection may take to open
      * @param prepare run on the new session before anything is read from it
-     * @throws RuntimeException where nothing was started; outcome is not told then
+     * @throws RuntimeException where nothing was started; the listener is not called then
      */
     public static void start(
             NioSocketConnector connector,
             EventLoop loop,
             Consumer<Runnable> post,
-            long limit,
-            SocketAddress to,
+            long timeoutTicks,
+            SocketAddress address,
             Consumer<IoSession> prepare,
-            Listener outcome) {
-        ConnectAttempt dial = new ConnectAttempt(outcome);
+            Listener listener) {
+        ConnectAttempt attempt = new ConnectAttempt(listener);
         IoSessionInitializer<ConnectFuture> initializer = (session, future) -> {
-            session.setAttribute(DIAL, dial);
+            session.setAttribute(ATTEMPT, attempt);
             prepare.accept(session);
         };
-        ConnectFuture future = connector.connect(to, initializer);
-        EventLoop.ScheduledTask alarm = loop.schedule(loop.nowTicks() + limit, () -> dial.abandon(future));
-        future.addListener(f -> post.accept(() -> {
-            alarm.cancel();
-            dial.ended(future);
+        ConnectFuture future = connector.connect(address, initializer);
+        EventLoop.ScheduledTask timeout = loop.schedule(loop.nowTicks() + timeoutTicks, () -> attempt.timeOut(future));
+        future.addListener(ignored -> post.accept(() -> {
+            timeout.cancel();
+            attempt.completed(future);
         }));
     }
 
-    private void ended(ConnectFuture future) {
-        if (abandoned) {
+    private void completed(ConnectFuture future) {
+        if (timedOut) {
             closeIfConnected(future);
         } else if (future.isConnected()) {
-            outcome.connected(future.getSession());
+            listener.connected(future.getSession());
         } else {
-            outcome.failed(future.getException());
+            listener.failed(future.getException());
         }
     }
 
-    private void abandon(ConnectFuture future) {
-        abandoned = true;
+    private void timeOut(ConnectFuture future) {
+        timedOut = true;
         if (!closeIfConnected(future)) {
             closeSocket(future);
         }
-        outcome.timedOut();
+        listener.timedOut();
     }
 
     private static boolean closeIfConnected(ConnectFuture future) {
@@ -104,23 +108,23 @@
                 && request.getHandle() instanceof Channel socket) {
             try {
                 socket.close();
-            } catch (IOException e) {
+            } catch (IOException ignored) {
                 // it is given up either way
             }
         }
     }
 
-    /** Handles what happens on connections that were opened so, for their connector. */
+    /** Base of the handlers for connections that were opened by an attempt. */
     public abstract static class Handler extends IoHandlerAdapter {
-        /** It may have come up in the moment in which it was given up, and nobody has it then. */
+        /** Closes a connection that opened in the moment in which its attempt timed out: nobody uses it. */
         @Override
         public final void sessionOpened(IoSession session) {
-            if (session.getAttribute(DIAL) instanceof ConnectAttempt dial && dial.abandoned) {
+            if (session.getAttribute(ATTEMPT) instanceof ConnectAttempt attempt && attempt.timedOut) {
                 session.closeNow();
             }
         }
 
-        /** A server that has ended its output in order answers nothing any more. */
+        /** Closes the connection: a server that has ended its output in order sends no further response. */
         @Override
         public final void inputClosed(IoSession session) {
             session.closeNow();
--- /dev/null
+++ b/src/main/java/laurelkeel/front/upstream/ConnectionLimiter.java
@@ -0,0 +1,71 @@
+package laurelkeel.front.upstream;
+
+import java.util.Iterator;
+import java.util.LinkedHashSet;
+import java.util.Set;
+import org.jspecify.annotations.Nullable;
+
+/**
+ * Counts the connections to all endpoints against their common limit, and queues the pools that wait for it.
+ *
+ * <p>Not thread-safe; called on the event loop's thread.
+ */
+final class ConnectionLimiter {
+    private final int maxConnections;
+    private final Set<EndpointPool> starvedPools = new LinkedHashSet<>();
+    private int openConnections;
+    private int pendingConnects;
+
+    ConnectionLimiter(int maxConnections) {
+        this.maxConnections = maxConnections;
+    }
+
+    int openConnections() {
+        return openConnections;
+    }
+
+    boolean isFull() {
+        return openConnections + pendingConnects >= maxConnections;
+    }
+
+    void connectStarted() {
+        pendingConnects++;
+    }
+
+    void connectEnded() {
+        pendingConnects--;
+    }
+
+    void connectionOpened() {
+        openConnections++;
+    }
+
+    void connectionClosed() {
+        openConnections--;
+    }
+
+    /** Queues a pool that waits until a connection to another endpoint is closed. */
+    void addStarved(EndpointPool pool) {
+        starvedPools.add(pool);
+    }
+
+    boolean isStarved(EndpointPool pool) {
+        return starvedPools.contains(pool);
+    }
+
+    boolean hasStarvedPools() {
+        return !starvedPools.isEmpty();
+    }
+
+    /** Removes the pool that has waited longest; null for none. */
+    @Nullable
+    EndpointPool pollStarved() {
+        Iterator<EndpointPool> pools = starvedPools.iterator();
+        if (!pools.hasNext()) {
+            return null;
+        }
+        EndpointPool first = pools.next();
+        pools.remove();
+        return first;
+    }
+}
--- a/src/main/java/laurelkeel/front/upstream/EndpointAddress.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointAddress.java
@@ -1,10 +1,12 @@
 package laurelkeel.front.upstream;
 
 import java.net.InetSocketAddress;
+import org.jspecify.annotations.Nullable;
 
 /**
- * Where a machine is reached. Connections belong to a place: one whose key differs gets none of another's.
+ * Where an endpoint is reached.
  *
- * @param at null where it cannot be reached
+ * @param key names its connection pool: endpoints with different keys never share a connection
+ * @param socketAddress null where the endpoint cannot be reached
  */
-public record EndpointAddress(String key, InetSocketAddress socketAddress) {}
+public record EndpointAddress(String key, @Nullable InetSocketAddress socketAddress) {}
--- /dev/null
+++ b/src/main/java/laurelkeel/front/upstream/EndpointIoHandler.java
@@ -0,0 +1,88 @@
+package laurelkeel.front.upstream;
+
+import java.io.IOException;
+import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.wire.ByteBudget;
+import laurelkeel.wire.HttpProtocolException;
+import laurelkeel.wire.HttpResponse;
+import org.apache.mina.core.session.IoSession;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Interprets what is read from endpoints, and posts it to the event loop.
+ *
+ * <p>Thread-safe; called on the I/O threads of the connections.
+ */
+final class EndpointIoHandler extends ConnectAttempt.Handler {
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointIoHandler.class);
+    private static final int SERVICE_UNAVAILABLE = 503;
+
+    private final EndpointProtocol protocol;
+    private final EventLoop loop;
+    private final ExchangeDispatcher dispatcher;
+    private final ByteBudget bodyBudget;
+
+    EndpointIoHandler(EndpointProtocol protocol, EventLoop loop, ExchangeDispatcher dispatcher, ByteBudget bodyBudget) {
+        this.protocol = protocol;
+        this.loop = loop;
+        this.dispatcher = dispatcher;
+        this.bodyBudget = bodyBudget;
+    }
+
+    @Override
+    public void messageReceived(IoSession session, Object message) {
+        if (message instanceof HttpResponse http) {
+            EndpointResponse response = protocol.parseResponse(http);
+            if (response.forwarded() == null) {
+                bodyBudget.release(http.body().length);
+            }
+            loop.post(() -> responseReceived(session, response));
+        } else if (message instanceof HttpProtocolException failure) {
+            loop.post(() -> responseUnreadable(session, failure));
+        }
+    }
+
+    private void responseReceived(IoSession session, EndpointResponse response) {
+        EndpointConnection connection = EndpointConnection.of(session);
+        if (connection == null) {
+            response.releaseBody(bodyBudget);
+            session.closeNow();
+        } else {
+            dispatcher.responseReceived(connection, response);
+        }
+    }
+
+    private void responseUnreadable(IoSession session, HttpProtocolException failure) {
+        EndpointConnection connection = EndpointConnection.of(session);
+        if (connection == null) {
+            session.closeNow();
+        } else {
+            // a response that this node had no memory for is no failure of the endpoint
+            dispatcher.responseUnreadable(
+                    connection,
+                    failure.status() == SERVICE_UNAVAILABLE ? AttemptOutcome.CANCELLED : protocol.unreadableOutcome());
+        }
+    }
+
+    @Override
+    public void sessionClosed(IoSession session) {
+        loop.post(() -> {
+            EndpointConnection connection = EndpointConnection.of(session);
+            if (connection == null) {
+                EndpointConnection.markClosedUnattached(session);
+            } else {
+                dispatcher.connectionClosed(connection);
+            }
+        });
+    }
+
+    @Override
+    public void exceptionCaught(IoSession session, Throwable cause) {
+        if (!(cause instanceof IOException)) {
+            LOG.error("cannot handle the input from {}", session.getRemoteAddress(), cause);
+        }
+        session.closeNow();
+    }
+}
--- a/src/main/java/laurelkeel/front/upstream/EndpointProtocol.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointProtocol.java
@@ -3,10 +3,11 @@
 import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.wire.HttpResponse;
 
-/** What one protocol's machines mean. Called on any thread. */
+/** Interprets the responses of one protocol's endpoints. Thread-safe; called on I/O threads. */
 public interface EndpointProtocol {
-    EndpointResponse parseResponse(HttpResponse answer);
+    /** Interprets a complete response. */
+    EndpointResponse parseResponse(HttpResponse response);
 
-    /** What an answer counts as that cannot be read. */
+    /** Returns the outcome of an attempt whose response is not valid HTTP or is too large. */
     AttemptOutcome unreadableOutcome();
 }
--- a/src/main/java/laurelkeel/front/upstream/EndpointResponse.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointResponse.java
@@ -5,22 +5,25 @@
 import java.util.Map;
 import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.api.LoadReport;
+import laurelkeel.wire.ByteBudget;
 import laurelkeel.wire.ForwardedMessage;
 import laurelkeel.wire.HeaderNames;
 import laurelkeel.wire.HopByHop;
 import laurelkeel.wire.HttpResponse;
+import org.jspecify.annotations.Nullable;
 
 /**
- * A machine's whole answer, read by the thread that has its connection.
+ * A complete response of an endpoint, interpreted on the I/O thread that read it.
  *
- * @param crossing what of it goes on to the client
- * @param load what the machine told of its load, by name; empty for nothing
- * @param last the machine ends the connection with it
+ * @param outcome how the attempt ended
+ * @param forwarded the part that goes to the client; null unless the attempt completed
+ * @param loadReport the load that the endpoint reported
+ * @param closesConnection whether the endpoint closes the connection after it
  */
 public record EndpointResponse(
-        AttemptOutcome outcome, ForwardedMessage forwarded, LoadReport loadReport, boolean closesConnection) {
-    /** What only a front says: a machine that says it is not believed. Its load is for the front alone. */
-    private static final Collection<String> OWN = HopByHop.names(
+        AttemptOutcome outcome, @Nullable ForwardedMessage forwarded, LoadReport loadReport, boolean closesConnection) {
+    /** Headers that only a front node sets, and the load report, which is for the front node alone. */
+    private static final Collection<String> NOT_FORWARDED = HopByHop.names(
             HeaderNames.LOAD_REPORT,
             HeaderNames.RESULT,
             HeaderNames.RETRY_SAFETY,
@@ -29,37 +32,48 @@
             HeaderNames.RESPONSE_REFERENCE,
             HeaderNames.EXECUTED);
 
-    public static EndpointResponse of(HttpResponse a) {
-        boolean refused = (a.status() == 503 || a.status() == 429)
-                && "no".equals(a.headers().get(HeaderNames.EXECUTED));
-        AttemptOutcome outcome = refused
-                ? AttemptOutcome.OVERLOADED
-                : a.status() < 500 ? AttemptOutcome.COMPLETED : AttemptOutcome.FAILED;
-        // only what completed goes on to a client
+    /** Interprets a response by its status and this project's own headers. */
+    public static EndpointResponse of(HttpResponse response) {
+        AttemptOutcome outcome = outcomeOf(response);
         return new EndpointResponse(
                 outcome,
-                outcome == AttemptOutcome.COMPLETED ? ForwardedMessage.of(a, OWN) : null,
-                loadReport(a.headers().get(HeaderNames.LOAD_REPORT)),
-                a.closesConnection());
+                outcome == AttemptOutcome.COMPLETED ? ForwardedMessage.of(response, NOT_FORWARDED) : null,
+                loadReport(response.headers().get(HeaderNames.LOAD_REPORT)),
+                response.closesConnection());
     }
 
-    private static LoadReport loadReport(String told) {
-        if (told == null) {
+    private static AttemptOutcome outcomeOf(HttpResponse response) {
+        int status = response.status();
+        if ((status == 503 || status == 429) && "no".equals(response.headers().get(HeaderNames.EXECUTED))) {
+            return AttemptOutcome.OVERLOADED;
+        }
+        return status < 500 ? AttemptOutcome.COMPLETED : AttemptOutcome.FAILED;
+    }
+
+    private static LoadReport loadReport(@Nullable String header) {
+        if (header == null) {
             return LoadReport.NONE;
         }
-        Map<String, Double> out = new HashMap<>();
-        for (String pair : told.split(",")) {
-            int eq = pair.indexOf('=');
+        Map<String, Double> values = new HashMap<>();
+        for (String pair : header.split(",", -1)) {
+            int equals = pair.indexOf('=');
             try {
-                if (eq > 0) {
-                    out.put(
-                            pair.substring(0, eq).strip(),
-                            Double.parseDouble(pair.substring(eq + 1).strip()));
+                if (equals > 0) {
+                    values.put(
+                            pair.substring(0, equals).strip(),
+                            Double.parseDouble(pair.substring(equals + 1).strip()));
                 }
-            } catch (NumberFormatException e) {
-                // one value that is no number: the rest still tell
+            } catch (NumberFormatException ignored) {
+                // the other values still count
             }
         }
-        return new LoadReport(out);
+        return new LoadReport(values);
+    }
+
+    /** Returns the bytes of the forwarded body, if there is one, to the budget that they were reserved from. */
+    void releaseBody(ByteBudget budget) {
+        if (forwarded != null) {
+            budget.release(forwarded.body().length);
+        }
     }
 }
--- a/src/main/java/laurelkeel/front/upstream/Exchange.java
+++ b/src/main/java/laurelkeel/front/upstream/Exchange.java
@@ -3,71 +3,141 @@
 import java.util.function.Supplier;
 import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.eventloop.EventLoop;
+import org.jspecify.annotations.Nullable;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
-/** One upstream try on its way: waiting for a connection, written to one, or over. Front's thread only. */
+/**
+ * One request to an endpoint and its response: waiting for a connection, sent on one, or ended.
+ *
+ * <p>Not thread-safe; called on the event loop's thread.
+ */
 public final class Exchange {
+    private static final Logger LOG = LoggerFactory.getLogger(Exchange.class);
+    /** Connections that may fail before they carry a byte of the exchange, until it is given up. */
+    private static final int MAX_UNSENT_FAILURES = 3;
 
-    /** Told once, on the front's thread, but never from within start or end. */
+    /** Receives the end of an exchange. */
     public interface Listener {
-        /** came is null unless an answer came whole. */
-        void ended(AttemptOutcome outcome, EndpointResponse came);
+        /**
+         * Called once, on the event loop's thread, but never from within {@link ConnectionPools#startExchange} or
+         * {@link #cancel}.
+         *
+         * @param response null unless a complete response was read
+         */
+        void ended(AttemptOutcome outcome, @Nullable EndpointResponse response);
     }
 
-    final EndpointPool pool;
-    /** Its bytes at the moment they are written, for they tell what time is left; null where it may not be any more. */
-    final Supplier<byte[]> message;
+    private final EndpointPool pool;
+    private final Supplier<byte @Nullable []> message;
+    private final boolean headRequest;
+    private final Listener listener;
+    /** Null unless the request was handed to a connection. */
+    private @Nullable EndpointConnection connection;
 
-    final boolean toHead;
-    final Listener heard;
-    EndpointConnection on;
-    long writtenBefore, writtenAt;
-    int dials;
-    boolean over;
-    EventLoop.ScheduledTask dialLimit;
+    private EventLoop.@Nullable ScheduledTask connectTimeout;
+    private long sentAtTicks;
+    private int unsentFailures;
+    private boolean ended;
 
-    Exchange(EndpointPool pool, Supplier<byte[]> message, boolean toHead, Listener heard) {
+    /**
+     * Creates an exchange that is not dispatched yet.
+     *
+     * @param message see {@link ConnectionPools#startExchange}
+     * @param headRequest whether its response has no body
+     */
+    Exchange(EndpointPool pool, Supplier<byte @Nullable []> message, boolean headRequest, Listener listener) {
         this.pool = pool;
         this.message = message;
-        this.toHead = toHead;
-        this.heard = heard;
+        this.headRequest = headRequest;
+        this.listener = listener;
     }
 
     /**
-     * Ends it from this side, without Heard: its connection is closed, since its answer may still come on it.
+     * Ends the exchange without a call of the listener. If it was sent, its connection is closed, since the response may
+     * still arrive on it.
      *
-     * @param asked how it is to count if it may have run
-     * @return that, or what it was in truth where no byte of it was ever handed to a connection
+     * @param outcomeIfSent the outcome if the request may have been executed
+     * @return that, or the outcome that holds where no byte of the request was handed to a connection
      */
-    public AttemptOutcome cancel(AttemptOutcome asked) {
-        boolean left = on != null;
-        over = true;
-        if (dialLimit != null) {
-            dialLimit.cancel();
+    public AttemptOutcome cancel(AttemptOutcome outcomeIfSent) {
+        ended = true;
+        cancelConnectTimeout();
+        EndpointConnection sentOn = connection;
+        if (sentOn == null) {
+            pool.removeWaiting(this);
+            return outcomeIfSent == AttemptOutcome.TIMED_OUT ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT;
         }
-        if (left) {
-            EndpointConnection c = on;
-            on = null;
-            c.current = null;
-            c.session.closeNow();
-            if (asked == AttemptOutcome.TIMED_OUT) {
-                // a machine that went without a word leaves them all like this one: each would cost its req a time-out
-                pool.closeIdle(writtenAt);
-            }
-        } else {
-            pool.waiting.remove(this);
+        connection = null;
+        sentOn.takeExchange();
+        sentOn.close();
+        if (outcomeIfSent == AttemptOutcome.TIMED_OUT) {
+            // an endpoint that vanished silently leaves all its connections like this one: each would cost a timeout
+            pool.closeIdleSinceBefore(sentAtTicks);
         }
-        return left
-                ? asked
-                : asked == AttemptOutcome.TIMED_OUT ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT;
+        return outcomeIfSent;
+    }
+
+    EndpointPool pool() {
+        return pool;
+    }
+
+    boolean isHeadRequest() {
+        return headRequest;
+    }
+
+    boolean hasEnded() {
+        return ended;
+    }
+
+    /** Returns the bytes to send now; null where the request may not be sent any more or cannot be built. */
+    byte @Nullable [] createMessage() {
+        try {
+            return message.get();
+        } catch (RuntimeException e) {
+            LOG.error("cannot build the request to {}", pool.address().key(), e);
+            return null;
+        }
+    }
+
+    boolean hasConnectTimeout() {
+        return connectTimeout != null;
+    }
+
+    void setConnectTimeout(EventLoop.ScheduledTask timeout) {
+        connectTimeout = timeout;
+    }
+
+    private void cancelConnectTimeout() {
+        if (connectTimeout != null) {
+            connectTimeout.cancel();
+            connectTimeout = null;
+        }
+    }
+
+    /** Records that the request is handed to a connection. */
+    void sentOn(EndpointConnection connection, long nowTicks) {
+        cancelConnectTimeout();
+        this.connection = connection;
+        sentAtTicks = nowTicks;
+    }
+
+    /** Records that its connection has ended or is done with it. */
+    void detachFromConnection() {
+        connection = null;
+    }
+
+    /** Counts a connection that failed before it carried a byte of this; returns whether another may be tried. */
+    boolean mayRetryUnsent() {
+        return ++unsentFailures < MAX_UNSENT_FAILURES;
     }
 
-    void tell(AttemptOutcome outcome, EndpointResponse came) {
-        if (!over) {
-            over = true;
-            if (dialLimit != null) {
-                dialLimit.cancel();
-            }
-            heard.ended(outcome, came);
+    /** Ends the exchange and calls its listener, unless it has ended before. */
+    void end(AttemptOutcome outcome, @Nullable EndpointResponse response) {
+        if (!ended) {
+            ended = true;
+            cancelConnectTimeout();
+            listener.ended(outcome, response);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/laurelkeel/front/upstream/ExchangeDispatcher.java
@@ -0,0 +1,177 @@
+package laurelkeel.front.upstream;
+
+import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.wire.ByteBudget;
+import org.apache.mina.transport.socket.nio.NioSocketConnector;
+import org.jspecify.annotations.Nullable;
+
+/**
+ * Assigns exchanges to connections and ends them with what happens on these.
+ *
+ * <p>Not thread-safe; called on the event loop's thread.
+ */
+final class ExchangeDispatcher {
+    private final EventLoop loop;
+    private final ConnectionLimiter limiter;
+    private final ByteBudget bodyBudget;
+    private final ConnectionOpener opener;
+    private final long connectTimeoutTicks;
+    private final long restAfterResponseTicks;
+
+    ExchangeDispatcher(
+            UpstreamSettings settings,
+            EventLoop loop,
+            NioSocketConnector connector,
+            EndpointPoolRegistry pools,
+            ConnectionLimiter limiter,
+            ByteBudget bodyBudget) {
+        this.loop = loop;
+        this.limiter = limiter;
+        this.bodyBudget = bodyBudget;
+        this.connectTimeoutTicks = settings.connectTimeoutTicks();
+        this.restAfterResponseTicks = settings.restAfterResponseTicks();
+        this.opener = new ConnectionOpener(settings, loop, connector, pools, limiter, this::connectionAvailable);
+    }
+
+    /** Sends an exchange on an idle connection, or queues it for a new one. */
+    void dispatch(Exchange exchange) {
+        EndpointPool pool = exchange.pool();
+        EndpointConnection idle = pool.pollIdle(loop.nowTicks() - restAfterResponseTicks);
+        if (idle != null) {
+            if (!send(idle, exchange)) {
+                connectionAvailable(idle);
+            }
+            return;
+        }
+        pool.addWaiting(exchange);
+        if (!exchange.hasConnectTimeout()) {
+            exchange.setConnectTimeout(
+                    loop.schedule(loop.nowTicks() + connectTimeoutTicks, () -> connectTimedOut(exchange)));
+        }
+        opener.openFor(pool);
+    }
+
+    private void connectTimedOut(Exchange exchange) {
+        EndpointPool pool = exchange.pool();
+        pool.removeWaiting(exchange);
+        // a pool that waits for the common limit says nothing about its endpoint
+        exchange.end(limiter.isStarved(pool) ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED, null);
+    }
+
+    /** Returns false where the exchange may not be sent any more; its listener is called later. */
+    private boolean send(EndpointConnection connection, Exchange exchange) {
+        byte[] message = exchange.createMessage();
+        if (message == null) {
+            loop.post(() -> exchange.end(AttemptOutcome.NOT_SENT, null));
+            return false;
+        }
+        connection.send(exchange, message, loop.nowTicks());
+        return true;
+    }
+
+    /** Gives a connection that carries nothing to the next waiting exchange, or makes it idle. */
+    private void connectionAvailable(EndpointConnection connection) {
+        if (!connection.isUsable()) {
+            return;
+        }
+        EndpointPool pool = connection.pool();
+        for (Exchange next = pool.pollWaiting(); next != null; next = pool.pollWaiting()) {
+            if (send(connection, next)) {
+                return;
+            }
+        }
+        if (limiter.hasStarvedPools()) {
+            connection.close();
+            return;
+        }
+        pool.addIdle(connection);
+    }
+
+    /** Ends the exchange on a connection with its response, and lets the connection rest. */
+    void responseReceived(EndpointConnection connection, EndpointResponse response) {
+        Exchange exchange = connection.takeExchange();
+        if (exchange == null) {
+            // responses are out of step with requests on this connection
+            response.releaseBody(bodyBudget);
+            connection.close();
+            return;
+        }
+        exchange.detachFromConnection();
+        if (response.closesConnection()) {
+            connection.close();
+        } else {
+            rest(connection);
+        }
+        if (exchange.hasEnded()) {
+            response.releaseBody(bodyBudget);
+        }
+        exchange.end(response.outcome(), response);
+    }
+
+    /** Surplus bytes may follow a response, and must not meet another exchange. */
+    private void rest(EndpointConnection connection) {
+        connection.idleSince(loop.nowTicks());
+        if (restAfterResponseTicks == 0) {
+            connectionAvailable(connection);
+            return;
+        }
+        EndpointPool pool = connection.pool();
+        pool.addIdle(connection);
+        if (pool.hasWaiting() || limiter.hasStarvedPools()) {
+            loop.schedule(loop.nowTicks() + restAfterResponseTicks, () -> {
+                if (pool.removeIdle(connection)) {
+                    connectionAvailable(connection);
+                }
+            });
+        }
+    }
+
+    /** Ends the exchange on a connection whose input cannot be read on. */
+    void responseUnreadable(EndpointConnection connection, AttemptOutcome outcome) {
+        Exchange exchange = connection.takeExchange();
+        connection.close();
+        if (exchange != null) {
+            exchange.detachFromConnection();
+            exchange.end(outcome, null);
+        }
+    }
+
+    /** Ends or dispatches again the exchange on a connection that has closed, and uses the capacity that it leaves. */
+    void connectionClosed(EndpointConnection connection) {
+        if (!connection.markClosed()) {
+            return;
+        }
+        EndpointPool pool = connection.pool();
+        pool.connectionClosed(connection);
+        exchangeInterrupted(connection, connection.takeExchange());
+        if (!connection.wasUsed()) {
+            unusedConnectionClosed(pool);
+        }
+        opener.openFor(pool);
+        opener.openForStarvedPool();
+    }
+
+    private void exchangeInterrupted(EndpointConnection connection, @Nullable Exchange exchange) {
+        if (exchange == null || exchange.hasEnded()) {
+            return;
+        }
+        exchange.detachFromConnection();
+        if (connection.hasWrittenExchange()) {
+            exchange.end(AttemptOutcome.CONNECTION_LOST, null);
+        } else if (exchange.mayRetryUnsent()) {
+            dispatch(exchange);
+        } else {
+            exchange.end(AttemptOutcome.CONNECT_FAILED, null);
+        }
+    }
+
+    /** An endpoint that accepts connections and closes them at once would be connected to again and again without pause. */
+    private static void unusedConnectionClosed(EndpointPool pool) {
+        Exchange first = pool.peekWaiting();
+        if (first != null && !first.mayRetryUnsent()) {
+            pool.pollWaiting();
+            first.end(AttemptOutcome.CONNECT_FAILED, null);
+        }
+    }
+}
--- a/src/main/java/laurelkeel/front/upstream/UpstreamSettings.java
+++ b/src/main/java/laurelkeel/front/upstream/UpstreamSettings.java
@@ -3,12 +3,19 @@
 import laurelkeel.wire.HttpLimits;
 
 /**
- * The pools' bounds; times in tenths of a millisecond.
+ * Limits and timeouts of the connections to endpoints.
  *
- * @param connections open and being opened, a machine
- * @param most open and being opened to all machines; past them what is idle elsewhere gives way
- * @param waiting exchanges that wait for a connection, a machine; past them an exchange ends without one
- * @param rest what a connection rests after an answer, so that what comes behind it is not taken for the next one
+ * @param httpLimits limits on each response
+ * @param maxConnectionsPerEndpoint connections to one endpoint, open or being opened
+ * @param maxConnections connections to all endpoints, open or being opened; at the limit idle ones are closed
+ * @param maxWaitingPerEndpoint exchanges that may wait for a connection to one endpoint; further ones fail at once
+ * @param connectTimeoutTicks how long an exchange waits for a connection
+ * @param idleTimeoutTicks how long a connection may be idle before it is closed
+ * @param threads I/O threads
+ * @param healthCheckPath path of a health check
+ * @param healthCheckTimeoutTicks how long a health check may take
+ * @param restAfterResponseTicks how long a connection stays unused after a response, so that surplus bytes behind that
+ *     response are not taken for the next one
  */
 public record UpstreamSettings(
         HttpLimits httpLimits,
--- a/src/main/java/laurelkeel/wire/ForwardedMessage.java
+++ b/src/main/java/laurelkeel/wire/ForwardedMessage.java
@@ -17,14 +17,14 @@
                 .appendText(" ")
                 .appendText(r.target())
                 .appendText(" HTTP/1.1\r\n");
-        HopByHop.lines(r.headers(), to, leftOut);
-        return ended(to, r.body(), HttpWriter.tellsLength(r));
+        HopByHop.appendForwardable(r.headers(), to, leftOut);
+        return ended(to, r.body(), HttpWriter.hasContentLength(r));
     }
 
     /** @param leftOut as above */
     public static ForwardedMessage of(HttpResponse a, Collection<String> leftOut) {
         MessageBuilder to = new MessageBuilder().appendText(HttpWriter.statusLine(a.status()));
-        HopByHop.lines(a.headers(), to, leftOut);
+        HopByHop.appendForwardable(a.headers(), to, leftOut);
         return ended(to, a.body(), a.status() != 204);
     }
 
--- a/src/main/java/laurelkeel/wire/HopByHop.java
+++ b/src/main/java/laurelkeel/wire/HopByHop.java
@@ -26,7 +26,7 @@
     private HopByHop() {}
 
     /** Adds what may cross from one connection to another, but for the names left out. */
-    static void lines(Headers from, MessageBuilder to, Collection<String> leftOut) {
+    static void appendForwardable(Headers from, MessageBuilder to, Collection<String> leftOut) {
         boolean named = from.get("Connection") != null;
         for (int i = 0; i < from.size(); i++) {
             String name = from.name(i);
--- a/src/main/java/laurelkeel/wire/HttpCodec.java
+++ b/src/main/java/laurelkeel/wire/HttpCodec.java
@@ -22,8 +22,8 @@
     public record Raw(byte[] bytes) {}
 
     /** No bytes: what is written for it is told by the thread that has the connection, once all before it has left. */
-    public enum Mark {
-        MARK
+    public enum FlushMarker {
+        INSTANCE
     }
 
     private static final AttributeKey READER = new AttributeKey(HttpCodec.class, "reader");
@@ -34,12 +34,12 @@
 
     private static final ProtocolEncoder WRITER = new Writer();
 
-    private final HttpParser.Side side;
+    private final HttpParser.MessageKind side;
     private final HttpLimits limits;
     private final ByteBudget room;
     private final boolean oneByOne;
 
-    private HttpCodec(HttpParser.Side side, HttpLimits limits, ByteBudget room, boolean oneByOne) {
+    private HttpCodec(HttpParser.MessageKind side, HttpLimits limits, ByteBudget room, boolean oneByOne) {
         this.oneByOne = oneByOne;
         this.side = side;
         this.limits = limits;
@@ -53,36 +53,37 @@
 
     /** The same, with a bound for all bodies together; who takes a message gives its body's bytes back. */
     public static ProtocolCodecFilter server(HttpLimits limits, ByteBudget room) {
-        return new ProtocolCodecFilter(new HttpCodec(HttpParser.Side.REQS, limits, room, false));
+        return new ProtocolCodecFilter(new HttpCodec(HttpParser.MessageKind.REQUEST, limits, room, false));
     }
 
     /** The filter for the side that takes answers. */
     public static ProtocolCodecFilter client(HttpLimits limits) {
-        return new AnswerFilter(new HttpCodec(HttpParser.Side.ANSWERS, limits, new ByteBudget(Long.MAX_VALUE), false));
+        return new AnswerFilter(
+                new HttpCodec(HttpParser.MessageKind.RESPONSE, limits, new ByteBudget(Long.MAX_VALUE), false));
     }
 
     /** For connections with one request at a time, each told by toAsk: bytes that nothing asked for end them. Needs LookingProcessor. */
     public static ProtocolCodecFilter client(HttpLimits limits, ByteBudget room) {
-        return new AnswerFilter(new HttpCodec(HttpParser.Side.ANSWERS, limits, room, true));
+        return new AnswerFilter(new HttpCodec(HttpParser.MessageKind.RESPONSE, limits, room, true));
     }
 
     /** Said before a request is handed over to be written, where requests go one by one. */
-    public static void toAsk(IoSession session) {
+    public static void announceRequest(IoSession session) {
         session.setAttribute(TO_ASK, true);
     }
 
     /** True once for each request that is to be written now. */
-    static boolean isToAsk(IoSession session) {
+    static boolean takeAnnouncedRequest(IoSession session) {
         return session.removeAttribute(TO_ASK) != null;
     }
 
     /** What comes from here on is an answer; by the thread that reads and writes. */
-    static void asks(IoSession session) {
+    static void expectResponse(IoSession session) {
         session.setAttribute(ASKED, true);
     }
 
     /** Since when a message is half read, on System.nanoTime's clock; 0 where none is. On any thread. */
-    public static long halfSince(IoSession session) {
+    public static long partialMessageSinceNanos(IoSession session) {
         return session.getAttribute(READER) instanceof Reader r ? r.halfSince : 0;
     }
 
@@ -103,7 +104,7 @@
     }
 
     /** Said by a client before it writes a HEAD request, on a connection with one request at a time. */
-    public static void nextIsToHead(IoSession session) {
+    public static void expectHeadResponse(IoSession session) {
         session.setAttribute(TO_HEAD, true);
     }
 
@@ -148,7 +149,7 @@
             }
             if (session.containsAttribute(TO_HEAD)) {
                 session.removeAttribute(TO_HEAD);
-                parser.nextIsToHead();
+                parser.expectHeadResponse();
             }
             try {
                 boolean inBody = parser.inBody();
@@ -210,7 +211,7 @@
                 out.write(HttpWriter.write(a));
             } else if (message instanceof Raw r) {
                 out.write(IoBuffer.wrap(r.bytes()));
-            } else if (message != Mark.MARK) {
+            } else if (message != FlushMarker.INSTANCE) {
                 throw new IllegalArgumentException("not an HTTP message: " + message.getClass());
             }
         }
--- a/src/main/java/laurelkeel/wire/HttpParser.java
+++ b/src/main/java/laurelkeel/wire/HttpParser.java
@@ -14,9 +14,9 @@
 public final class HttpParser {
 
     /** Which side of HTTP it reads. */
-    public enum Side {
-        REQS,
-        ANSWERS
+    public enum MessageKind {
+        REQUEST,
+        RESPONSE
     }
 
     private enum At {
@@ -31,7 +31,7 @@
         BROKEN
     }
 
-    private final Side side;
+    private final MessageKind side;
     private final HttpLimits limits;
     private final ByteBudget room;
     /** Given the bytes of bodies as they come, where those are streams; null where bodies are held whole. */
@@ -51,16 +51,16 @@
     private byte[] body = new byte[0];
     private int bodyLength;
 
-    public HttpParser(Side side, HttpLimits limits) {
+    public HttpParser(MessageKind side, HttpLimits limits) {
         this(side, limits, new ByteBudget(Long.MAX_VALUE));
     }
 
     /** @param room for bodies; a whole message's body is given back by whoever takes the message */
-    public HttpParser(Side side, HttpLimits limits, ByteBudget room) {
+    public HttpParser(MessageKind side, HttpLimits limits, ByteBudget room) {
         this(side, limits, room, null);
     }
 
-    private HttpParser(Side side, HttpLimits limits, ByteBudget room, Consumer<byte[]> parts) {
+    private HttpParser(MessageKind side, HttpLimits limits, ByteBudget room, Consumer<byte[]> parts) {
         this.side = side;
         this.limits = limits;
         this.room = room;
@@ -69,7 +69,7 @@
 
     /** For an answer that never ends: its body goes on as it comes, and each chunk has the limit of a body. */
     public static HttpParser streamed(HttpLimits limits, Consumer<byte[]> parts) {
-        return new HttpParser(Side.ANSWERS, limits, new ByteBudget(0), parts);
+        return new HttpParser(MessageKind.RESPONSE, limits, new ByteBudget(0), parts);
     }
 
     /** Of the answer that is being read, once its first line is. */
@@ -86,7 +86,7 @@
     }
 
     /** For answers: the next one is to a HEAD request and carries no body whatever its headers say. */
-    public void nextIsToHead() {
+    public void expectHeadResponse() {
         bodiless = true;
     }
 
@@ -102,7 +102,11 @@
 
     /** True where the request whose body is awaited asked to be told to go on. */
     public boolean wantsContinue() {
-        return side == Side.REQS && inBody() && minor == 1 && bodyLength == 0 && headers.has("Expect", "100-continue");
+        return side == MessageKind.REQUEST
+                && inBody()
+                && minor == 1
+                && bodyLength == 0
+                && headers.has("Expect", "100-continue");
     }
 
     /**
@@ -195,7 +199,7 @@
         while (in.hasRemaining()) {
             byte b = in.get();
             if (b == '\n') {
-                if (!sawCr && side == Side.REQS) {
+                if (!sawCr && side == MessageKind.REQUEST) {
                     throw new HttpProtocolException(400, "a LF without CR");
                 }
                 String text = new String(line, 0, lineLength, StandardCharsets.ISO_8859_1);
@@ -268,8 +272,8 @@
     }
 
     private void start(String text) throws HttpProtocolException {
-        String[] parts = text.split(" ", side == Side.REQS ? -1 : 3);
-        if (side == Side.REQS) {
+        String[] parts = text.split(" ", side == MessageKind.REQUEST ? -1 : 3);
+        if (side == MessageKind.REQUEST) {
             if (parts.length != 3 || !token(parts[0]) || parts[1].isEmpty()) {
                 throw new HttpProtocolException(400, "no request line: '" + shown(text) + "'");
             }
@@ -352,10 +356,11 @@
     private Object afterHeaders() throws HttpProtocolException {
         boolean chunked = headers.count("Transfer-Encoding") > 0;
         int lengths = headers.count("Content-Length");
-        if (side == Side.REQS && minor == 1 && headers.count("Host") != 1) {
+        if (side == MessageKind.REQUEST && minor == 1 && headers.count("Host") != 1) {
             throw new HttpProtocolException(400, "HTTP/1.1 asks for one Host header");
         }
-        boolean none = side == Side.ANSWERS && (bodiless || status / 100 == 1 || status == 204 || status == 304);
+        boolean none =
+                side == MessageKind.RESPONSE && (bodiless || status / 100 == 1 || status == 204 || status == 304);
         if (none && status / 100 == 1) {
             // an interim answer: the real one follows
             at = At.START;
@@ -385,7 +390,7 @@
             at = At.CHUNK_SIZE;
             return null;
         }
-        if (lengths == 0 && side == Side.ANSWERS) {
+        if (lengths == 0 && side == MessageKind.RESPONSE) {
             at = At.UNTIL_CLOSE;
             return null;
         }
@@ -436,7 +441,7 @@
         body = new byte[0];
         boolean head = bodiless;
         bodiless = false;
-        return side == Side.REQS
+        return side == MessageKind.REQUEST
                 ? new HttpRequest(first, second, minor, headers, whole)
                 : new HttpResponse(status, minor, headers, whole, head);
     }
--- a/src/main/java/laurelkeel/wire/HttpWriter.java
+++ b/src/main/java/laurelkeel/wire/HttpWriter.java
@@ -28,17 +28,17 @@
 
     private HttpWriter() {}
 
-    static boolean framing(String name) {
+    static boolean isFramingHeader(String name) {
         return name.equalsIgnoreCase("Content-Length") || name.equalsIgnoreCase("Transfer-Encoding");
     }
 
     public static IoBuffer write(HttpRequest r) {
         StringBuilder head = new StringBuilder(256);
         head.append(r.method()).append(' ').append(r.target()).append(" HTTP/1.1\r\n");
-        return put(head, r.headers(), r.body(), tellsLength(r), true);
+        return put(head, r.headers(), r.body(), hasContentLength(r), true);
     }
 
-    static boolean tellsLength(HttpRequest r) {
+    static boolean hasContentLength(HttpRequest r) {
         return r.body().length > 0 || (!r.method().equals("GET") && !r.method().equals("HEAD"));
     }
 
@@ -55,7 +55,7 @@
     private static IoBuffer put(StringBuilder head, Headers headers, byte[] body, boolean length, boolean withBody) {
         for (int i = 0; i < headers.size(); i++) {
             // the reader's framing ended with the reader: this message has its own
-            if (!framing(headers.name(i))) {
+            if (!isFramingHeader(headers.name(i))) {
                 head.append(headers.name(i))
                         .append(": ")
                         .append(headers.value(i))
--- a/src/main/java/laurelkeel/wire/UnexpectedInputProcessor.java
+++ b/src/main/java/laurelkeel/wire/UnexpectedInputProcessor.java
@@ -20,12 +20,12 @@
 
     @Override
     protected int write(NioSession session, IoBuffer bytes, int length) throws IOException {
-        if (HttpCodec.isToAsk(session)) {
+        if (HttpCodec.takeAnnouncedRequest(session)) {
             if (look(session) != 0) {
                 // MINA ends the session, and not a byte of the request has left
                 throw new IOException("something stands before the request: its connection has lost step or ended");
             }
-            HttpCodec.asks(session);
+            HttpCodec.expectResponse(session);
         }
         return super.write(session, bytes, length);
     }
--- a/src/test/java/laurelkeel/front/upstream/ConnectAttemptTest.java
+++ b/src/test/java/laurelkeel/front/upstream/ConnectAttemptTest.java
@@ -6,6 +6,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
+import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
@@ -20,54 +21,56 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Connections end in their time by the loop's clock, which is driven by hand here, and harm no other that is being opened. */
+/** Attempts time out by the event loop's clock, which the tests advance, and harm no other attempt. */
 class ConnectAttemptTest {
     private static final String TIMED_OUT = "timed out";
-    private static final int LIMIT = 1_000, ROUNDS = 200;
+    private static final int TIMEOUT_TICKS = 1_000;
+    private static final int ROUNDS = 200;
 
     private final AtomicLong clock = new AtomicLong(1_000_000);
     private final EventLoop loop = new EventLoop(clock::get);
     private final NioSocketConnector connector = new NioSocketConnector(1);
-    private final List<Object> told = new CopyOnWriteArrayList<>();
+    private final List<Object> results = new CopyOnWriteArrayList<>();
 
     @BeforeEach
-    void run() {
+    void runLoop() {
         connector.setConnectTimeoutMillis(ConnectAttempt.MINA_TIMEOUT_MS);
         connector.setHandler(new ConnectAttempt.Handler() {});
         FrontTestRig.run(loop);
     }
 
     @AfterEach
-    void stop() {
+    void stopLoop() {
         loop.stop();
         connector.dispose();
     }
 
-    /** Begun when this returns: the clock may be driven on. */
-    private void dial(InetSocketAddress to) throws InterruptedException {
-        CountDownLatch begun = new CountDownLatch(1);
-        loop.post(() -> begin(to));
-        loop.post(begun::countDown);
-        assertTrue(begun.await(10, TimeUnit.SECONDS));
+    /** Starts an attempt before it returns, so that the clock may be advanced. */
+    private void connect(InetSocketAddress address) throws InterruptedException {
+        CountDownLatch started = new CountDownLatch(1);
+        loop.post(() -> startAttempt(address));
+        loop.post(started::countDown);
+        assertTrue(started.await(10, TimeUnit.SECONDS));
     }
 
-    private void begin(InetSocketAddress to) {
-        ConnectAttempt.start(connector, loop, loop::post, LIMIT, to, session -> {}, new ConnectAttempt.Listener() {
-            @Override
-            public void connected(IoSession session) {
-                told.add(session);
-            }
+    private void startAttempt(InetSocketAddress address) {
+        ConnectAttempt.start(
+                connector, loop, loop::post, TIMEOUT_TICKS, address, session -> {}, new ConnectAttempt.Listener() {
+                    @Override
+                    public void connected(IoSession session) {
+                        results.add(session);
+                    }
 
-            @Override
-            public void failed(Throwable why) {
-                told.add(why);
-            }
+                    @Override
+                    public void failed(Throwable cause) {
+                        results.add(cause);
+                    }
 
-            @Override
-            public void timedOut() {
-                told.add(TIMED_OUT);
-            }
-        });
+                    @Override
+                    public void timedOut() {
+                        results.add(TIMED_OUT);
+                    }
+                });
     }
 
     private static InetSocketAddress address(ServerSocket server) {
@@ -75,40 +78,40 @@
     }
 
     @Test
-    void oneThatNeverComesUpFailsInItsTimeAndNotBefore() throws Exception {
+    void anAttemptThatNeverConnectsTimesOutAtItsTimeoutAndNotBefore() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            // its backlog takes two, and the kernel drops what comes then
-            List<java.net.Socket> fill = new ArrayList<>();
+            // its backlog holds two connections, and the kernel drops further ones
+            List<Socket> fill = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
-                fill.add(new java.net.Socket("127.0.0.1", full.getLocalPort()));
+                fill.add(new Socket("127.0.0.1", full.getLocalPort()));
             }
-            dial(address(full));
-            clock.addAndGet(LIMIT - 1);
-            loop.post(() -> told.add("a turn"));
-            FrontTestRig.await("a turn", () -> told.size() == 1);
-            assertEquals(List.of("a turn"), told);
+            connect(address(full));
+            clock.addAndGet(TIMEOUT_TICKS - 1);
+            loop.post(() -> results.add("a turn"));
+            FrontTestRig.await("a turn", () -> results.size() == 1);
+            assertEquals(List.of("a turn"), results);
             clock.addAndGet(2);
-            FrontTestRig.await("it fails", () -> told.size() == 2);
-            assertEquals(TIMED_OUT, told.get(1));
-            for (java.net.Socket each : fill) {
+            FrontTestRig.await("it times out", () -> results.size() == 2);
+            assertEquals(TIMED_OUT, results.get(1));
+            for (Socket each : fill) {
                 each.close();
             }
         }
     }
 
-    /** Given up in the very moment in which it comes up: the next one must come up all the same. */
+    /** The first attempt times out in the very moment in which it connects: the next one must connect all the same. */
     @Test
-    void oneThatIsGivenUpAsItComesUpHarmsNoOther() throws Exception {
+    void anAttemptThatConnectsAsItTimesOutHarmsNoOther() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 500, InetAddress.getByName("127.0.0.1"))) {
             for (int i = 0; i < ROUNDS; i++) {
-                int before = told.size();
-                dial(address(server));
-                clock.addAndGet(LIMIT + 1);
-                dial(address(server));
-                FrontTestRig.await("both are told", () -> told.size() >= before + 2);
+                int before = results.size();
+                connect(address(server));
+                clock.addAndGet(TIMEOUT_TICKS + 1);
+                connect(address(server));
+                FrontTestRig.await("both have a result", () -> results.size() >= before + 2);
                 server.accept().close();
             }
         }
-        assertEquals(2 * ROUNDS, told.size());
+        assertEquals(2 * ROUNDS, results.size());
     }
 }
--- a/src/test/java/laurelkeel/front/upstream/ConnectionPoolsTest.java
+++ b/src/test/java/laurelkeel/front/upstream/ConnectionPoolsTest.java
@@ -30,16 +30,16 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Connections to a machine in the moments in which one attempt could meet what belongs to another, or none. */
+/** Connections in the moments in which one exchange could meet bytes of another, or a connection that has ended. */
 class ConnectionPoolsTest {
-    private static final EndpointProtocol WORDS = new EndpointProtocol() {
+    private static final EndpointProtocol PROTOCOL = new EndpointProtocol() {
         @Override
-        public EndpointResponse parseResponse(HttpResponse answer) {
+        public EndpointResponse parseResponse(HttpResponse response) {
             return new EndpointResponse(
                     AttemptOutcome.COMPLETED,
-                    ForwardedMessage.of(answer, List.of()),
+                    ForwardedMessage.of(response, List.of()),
                     LoadReport.NONE,
-                    answer.closesConnection());
+                    response.closesConnection());
         }
 
         @Override
@@ -50,112 +50,113 @@
 
     private final EventLoop loop = new EventLoop(NodeRuntime.monotonicClock());
     private final ExecutorService threads = LoopThreads.cachedPool(loop, "test-sockets");
-    /** The dial's time is far longer than a test. */
+    /** The connect timeout is far longer than a test. */
     private final ConnectionPools pools = new ConnectionPools(
             new UpstreamSettings(
                     new HttpLimits(1024, 8192, 64, 1024), 8, 8, 8, 600_000, 600_000, 1, "/load", 2_500, 100),
-            WORDS,
+            PROTOCOL,
             loop,
             threads,
             new SimpleIoProcessorPool<>(UnexpectedInputProcessor.class, threads, 1, null));
 
-    private final Thread runs = new Thread(() -> loop.run(() -> false));
-    private final ServerSocket machine;
-    private final EndpointAddress at;
+    private final Thread loopThread = new Thread(() -> loop.run(() -> false));
+    private final ServerSocket server;
+    private final EndpointAddress address;
 
     ConnectionPoolsTest() throws IOException {
-        machine = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        machine.setSoTimeout(10_000);
-        at = new EndpointAddress("m", new InetSocketAddress(machine.getInetAddress(), machine.getLocalPort()));
-        runs.start();
+        server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+        server.setSoTimeout(10_000);
+        address = new EndpointAddress("m", new InetSocketAddress(server.getInetAddress(), server.getLocalPort()));
+        loopThread.start();
     }
 
     @AfterEach
-    void end() throws Exception {
+    void close() throws Exception {
         loop.stop();
-        runs.join();
+        loopThread.join();
         pools.close();
-        machine.close();
+        server.close();
     }
 
     private record Ended(AttemptOutcome outcome, String body) {}
 
-    private CompletableFuture<Ended> start() {
+    private CompletableFuture<Ended> startExchange() {
         CompletableFuture<Ended> ended = new CompletableFuture<>();
         loop.post(() -> pools.startExchange(
-                at,
+                address,
                 () -> "GET / HTTP/1.1\r\n\r\n".getBytes(UTF_8),
                 false,
-                (outcome, came) -> ended.complete(new Ended(
-                        outcome, came == null ? "" : new String(came.forwarded().body(), UTF_8)))));
+                (outcome, response) -> ended.complete(new Ended(
+                        outcome,
+                        response == null ? "" : new String(response.forwarded().body(), UTF_8)))));
         return ended;
     }
 
-    private static Ended told(CompletableFuture<Ended> ended) throws Exception {
+    private static Ended await(CompletableFuture<Ended> ended) throws Exception {
         return ended.get(10, TimeUnit.SECONDS);
     }
 
-    private static void answer(Socket machine, String body) throws IOException {
-        FrontTestPeers.say(machine, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+    private static void respond(Socket connection, String body) throws IOException {
+        FrontTestPeers.say(connection, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    private interface Befalls {
-        void machine(Socket m) throws IOException;
+    private interface ServerAction {
+        void run(Socket connection) throws IOException;
     }
 
-    /** It befalls a connection while the socket thread is held, and the loop hands over the next request meanwhile. */
-    private void theNextRequestGoesElsewhereAfter(Befalls what) throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        pools.connector().getFilterChain().addFirst("hold", new IoFilterAdapter() {
+    /** The server acts on a connection while its I/O thread is blocked, and the loop sends the next request meanwhile. */
+    private void assertNextRequestIsSentElsewhereAfter(ServerAction action) throws Exception {
+        CountDownLatch released = new CountDownLatch(1);
+        pools.connector().getFilterChain().addFirst("block", new IoFilterAdapter() {
             @Override
             public void messageReceived(NextFilter next, IoSession session, Object message) throws Exception {
                 next.messageReceived(session, message);
-                go.await();
+                released.await();
             }
         });
-        CompletableFuture<Ended> first = start();
-        Socket m = machine.accept();
-        FrontTestPeers.hear(m);
-        answer(m, "first");
-        assertEquals(new Ended(AttemptOutcome.COMPLETED, "first"), told(first));
-        what.machine(m);
+        CompletableFuture<Ended> first = startExchange();
+        Socket firstConnection = server.accept();
+        FrontTestPeers.hear(firstConnection);
+        respond(firstConnection, "first");
+        assertEquals(new Ended(AttemptOutcome.COMPLETED, "first"), await(first));
+        action.run(firstConnection);
         CountDownLatch rested = new CountDownLatch(1);
         loop.post(() -> loop.schedule(loop.nowTicks() + 200, rested::countDown));
         rested.await();
-        CompletableFuture<Ended> second = start();
+        CompletableFuture<Ended> second = startExchange();
         CountDownLatch handedOver = new CountDownLatch(1);
         loop.post(handedOver::countDown);
         handedOver.await();
-        go.countDown();
-        Socket again = machine.accept();
-        FrontTestPeers.hear(again);
-        answer(again, "second");
-        assertEquals(new Ended(AttemptOutcome.COMPLETED, "second"), told(second));
+        released.countDown();
+        Socket secondConnection = server.accept();
+        FrontTestPeers.hear(secondConnection);
+        respond(secondConnection, "second");
+        assertEquals(new Ended(AttemptOutcome.COMPLETED, "second"), await(second));
     }
 
     @Test
-    void aSecondAnswerThatLiesUnreadIsNotTheNextRequests() throws Exception {
-        theNextRequestGoesElsewhereAfter(m -> answer(m, "wrong"));
+    void anUnreadSecondResponseIsNotTakenForTheNextRequests() throws Exception {
+        assertNextRequestIsSentElsewhereAfter(connection -> respond(connection, "wrong"));
     }
 
-    /** Such a connection has provably carried nothing of it. */
+    /** Provably no byte of the request was sent on it. */
     @Test
-    void aConnectionThatEndedUnseenCarriesNoRequest() throws Exception {
-        theNextRequestGoesElsewhereAfter(Socket::close);
+    void aConnectionThatTheEndpointClosedUnnoticedCarriesNoRequest() throws Exception {
+        assertNextRequestIsSentElsewhereAfter(Socket::close);
     }
 
     @Test
-    void aMachineWhoseConnectionsEndAsTheyComeUpIsDialledThreeTimesForAnAttempt() throws Exception {
-        AtomicInteger dials = new AtomicInteger();
+    void anEndpointThatClosesEachNewConnectionIsConnectedToThreeTimesForAnExchange() throws Exception {
+        AtomicInteger connects = new AtomicInteger();
         pools.connector().getFilterChain().addFirst("ends", new IoFilterAdapter() {
             @Override
             public void sessionCreated(NextFilter next, IoSession session) throws Exception {
-                dials.incrementAndGet();
+                connects.incrementAndGet();
                 session.closeNow();
                 next.sessionCreated(session);
             }
         });
-        assertEquals(AttemptOutcome.CONNECT_FAILED, told(start()).outcome);
-        assertEquals(3, dials.get());
+        assertEquals(AttemptOutcome.CONNECT_FAILED, await(startExchange()).outcome);
+        assertEquals(3, connects.get());
     }
 }
--- a/src/test/java/laurelkeel/wire/HttpParserTest.java
+++ b/src/test/java/laurelkeel/wire/HttpParserTest.java
@@ -44,7 +44,7 @@
     }
 
     private static HttpParser reqs() {
-        return new HttpParser(HttpParser.Side.REQS, SMALL);
+        return new HttpParser(HttpParser.MessageKind.REQUEST, SMALL);
     }
 
     @Test
@@ -57,7 +57,8 @@
         byte[] both = Arrays.copyOf(one, one.length * 2);
         System.arraycopy(one, 0, both, one.length, one.length);
         for (int cut = 0; cut < both.length; cut++) {
-            List<Object> got = read(new HttpParser(HttpParser.Side.ANSWERS, HttpLimits.DEFAULT), both, cut, cut + 64);
+            List<Object> got =
+                    read(new HttpParser(HttpParser.MessageKind.RESPONSE, HttpLimits.DEFAULT), both, cut, cut + 64);
             assertEquals(2, got.size(), "cut at " + cut);
             assertArrayEquals(body, ((HttpResponse) got.get(1)).body());
         }
@@ -114,7 +115,8 @@
         for (int i = 0; i < noise.length && i < 6; i++) {
             all[Math.floorMod(at + i * 3, all.length)] = noise[i];
         }
-        HttpParser p = new HttpParser(answers ? HttpParser.Side.ANSWERS : HttpParser.Side.REQS, SMALL);
+        HttpParser p =
+                new HttpParser(answers ? HttpParser.MessageKind.RESPONSE : HttpParser.MessageKind.REQUEST, SMALL);
         try {
             read(p, all, all.length / 2);
         } catch (HttpProtocolException e) {
@@ -165,7 +167,7 @@
 
     @Test
     void answersEndByLengthByStatusOrByTheEndOfInput() throws Exception {
-        HttpParser p = new HttpParser(HttpParser.Side.ANSWERS, SMALL);
+        HttpParser p = new HttpParser(HttpParser.MessageKind.RESPONSE, SMALL);
         List<Object> got = read(
                 p,
                 bytes("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"
@@ -174,8 +176,8 @@
                 List.of(204, 200),
                 got.stream().map(a -> ((HttpResponse) a).status()).toList());
         assertEquals("to the end", new String(((HttpResponse) p.finish()).body(), UTF_8));
-        HttpParser head = new HttpParser(HttpParser.Side.ANSWERS, SMALL);
-        head.nextIsToHead();
+        HttpParser head = new HttpParser(HttpParser.MessageKind.RESPONSE, SMALL);
+        head.expectHeadResponse();
         assertEquals(
                 1,
                 read(head, bytes("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n"))
--- a/src/test/java/laurelkeel/wire/ResponseEndTest.java
+++ b/src/test/java/laurelkeel/wire/ResponseEndTest.java
@@ -71,7 +71,7 @@
                 .getSession();
         try (Socket peer = server.accept()) {
             if (toHead) {
-                HttpCodec.nextIsToHead(session);
+                HttpCodec.expectHeadResponse(session);
             }
             session.write(IoBuffer.wrap("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
             Peer.hear(peer);
