--- a/src/main/java/laurelkeel/cli/NodeLauncher.java
+++ b/src/main/java/laurelkeel/cli/NodeLauncher.java
@@ -3,6 +3,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import laurelkeel.decision.RoutingDecider;
 import laurelkeel.front.FrontNode;
@@ -10,106 +11,86 @@
 import laurelkeel.platform.InvalidConfigurationException;
 import laurelkeel.platform.NodeConfiguration;
 import laurelkeel.platform.PlatformNode;
+import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sun.misc.Signal;
 
-/** Runs one front node of the users' platform in the foreground, set by its environment (docs/platform.md). */
+/** Runs one front node of the users' platform in the foreground, configured by its environment (docs/platform.md). */
 final class NodeLauncher {
     private static final Logger LOG = LoggerFactory.getLogger(NodeLauncher.class);
-    private static final int REREADS = 20;
-    /** Where the system does not hand the file over (no descriptor, an error of the disk) it will, sooner or later. */
-    private static final int REREADS_UNREADABLE = 300;
-
-    private static final int READS_AT_START = 50;
-    private static final long REREAD_NANOS = 100_000_000;
+    private static final String CONFIGURATION_VARIABLE = "RELAY_CONFIG";
+    private static final int MAX_INITIAL_READS = 50;
+    private static final long READ_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     private NodeLauncher() {}
 
-    static int run(Map<String, String> env) throws Exception {
-        String at = env.get("RELAY_CONFIG");
-        if (at == null || at.isEmpty()) {
-            System.err.println("laurelkeel: RELAY_CONFIG is not set; it must name the configuration");
+    /**
+     * Runs a node until it has drained or failed.
+     *
+     * @param environment the process's variables
+     * @return the process's exit code
+     * @throws Exception where the node cannot be created or started
+     */
+    static int run(Map<String, String> environment) throws Exception {
+        String path = environment.get(CONFIGURATION_VARIABLE);
+        if (path == null || path.isEmpty()) {
+            System.err.println("laurelkeel: " + CONFIGURATION_VARIABLE + " is not set; it must name the configuration");
             return Cli.BAD_INPUT;
         }
-        Path file = Path.of(at);
-        CompletableFuture<PlatformNode> serving = new CompletableFuture<>();
+        Path file = Path.of(path);
+        CompletableFuture<PlatformNode> created = new CompletableFuture<>();
         // before all else: without a handler either signal would end the process
-        handle("TERM", () -> serving.join().frontNode().drain());
-        handle("HUP", () -> reread(file, env, serving.join()));
-        NodeConfiguration config;
+        handleSignals(created, new ConfigurationReloader(file, environment));
+        NodeConfiguration configuration;
         try {
-            config = readAtStart(file, env);
+            configuration = readInitialConfiguration(file, environment);
         } catch (InvalidConfigurationException e) {
             System.err.println("laurelkeel: " + e.getMessage());
             return Cli.BAD_INPUT;
         }
-        PlatformNode node;
-        try {
-            node = PlatformNode.create(config, RoutingDecider::new);
-        } catch (RuntimeException | Error e) {
-            // signals that wait for it would keep the process alive
-            serving.completeExceptionally(e);
-            throw e;
-        }
-        FrontNode front = node.frontNode();
-        // threads of libraries too: none may die alone
-        Thread.setDefaultUncaughtExceptionHandler((thread, e) -> front.fail(e));
-        serving.complete(node);
-        front.start();
-        Throwable failure = front.termination().get();
+        Throwable failure = runNode(configuration, created);
         RateLimitedAsyncAppender.flush(Cli.LOGS_MS);
         return failure == null ? 0 : Cli.FAILED;
     }
 
-    /** Whoever starts a node waits for it: one that the system does not hand over is tried for a while, no other is. */
-    private static NodeConfiguration readAtStart(Path file, Map<String, String> env)
+    /** A signal that comes before there is a node waits for it. */
+    private static void handleSignals(CompletableFuture<PlatformNode> created, ConfigurationReloader reloader) {
+        SignalHandlers.install("TERM", () -> created.join().frontNode().drain());
+        SignalHandlers.install("HUP", () -> reloader.reload(created.join()));
+    }
+
+    /** Reads again only a file that the system fails to read: whoever starts a node waits for it. */
+    private static NodeConfiguration readInitialConfiguration(Path file, Map<String, String> environment)
             throws InvalidConfigurationException {
-        for (int tries = 1; ; tries++) {
+        for (int reads = 1; ; reads++) {
             try {
-                return NodeConfiguration.read(file, env);
+                return NodeConfiguration.read(file, environment);
             } catch (InvalidConfigurationException e) {
-                if (e.readable() || tries == READS_AT_START) {
+                if (e.isFileReadable() || reads == MAX_INITIAL_READS) {
                     throw e;
                 }
                 LOG.warn("the configuration is read again: {}", e.getMessage());
-                LockSupport.parkNanos(REREAD_NANOS);
+                LockSupport.parkNanos(READ_INTERVAL_NANOS);
             }
         }
     }
 
-    /**
-     * Each signal has a thread of its own, which may come before there is a node and waits for it then. What fails there
-     * is told, and ends nothing.
-     */
-    private static void handle(String signal, Runnable then) {
-        Signal.handle(new Signal(signal), s -> {
-            LOG.info("SIG{}", signal);
-            try {
-                then.run();
-            } catch (RuntimeException | StackOverflowError e) {
-                LOG.error("SIG{} could not be followed; all goes on as before", signal, e);
-            }
-        });
-    }
-
-    /**
-     * A file may be read while it is being replaced: one that cannot be followed is read again for two seconds, and one
-     * that cannot be read for thirty. One signal after the other, or a file that was replaced since could be followed last.
-     */
-    static synchronized void reread(Path file, Map<String, String> env, PlatformNode node) {
-        String why = "";
-        boolean readable = false;
-        for (int i = 0; i < (readable ? REREADS : REREADS_UNREADABLE); i++) {
-            try {
-                node.reconfigure(NodeConfiguration.read(file, env));
-                return;
-            } catch (InvalidConfigurationException e) {
-                why = e.getMessage();
-                readable = e.readable();
-                LockSupport.parkNanos(REREAD_NANOS);
-            }
+    /** Returns what the node failed of; null where it has drained. */
+    private static @Nullable Throwable runNode(NodeConfiguration configuration, CompletableFuture<PlatformNode> created)
+            throws Exception {
+        PlatformNode node;
+        try {
+            node = PlatformNode.create(configuration, RoutingDecider::new);
+        } catch (RuntimeException | Error e) {
+            // signals that wait for the node would keep the process alive
+            created.completeExceptionally(e);
+            throw e;
         }
-        System.err.println("laurelkeel: the configuration before stays in force: " + why);
+        FrontNode front = node.frontNode();
+        // for the threads of libraries too: a node without one of its threads would be half alive
+        Thread.setDefaultUncaughtExceptionHandler((thread, failure) -> front.fail(failure));
+        created.complete(node);
+        front.start();
+        return front.termination().get();
     }
 }
--- a/src/main/java/laurelkeel/options/Numbers.java
+++ b/src/main/java/laurelkeel/options/Numbers.java
@@ -1,19 +1,29 @@
 package laurelkeel.options;
 
-/** How the bench writes numbers. */
+import laurelkeel.api.Ticks;
+
+/** Parses and converts numbers as the platform writes them; thread-safe. */
 public final class Numbers {
+    /** What the binary form of a decimal number may lack. */
+    private static final double ROUNDING_TICKS = 1e-6;
+
     private Numbers() {}
 
-    public static double parseFinite(String s) {
-        double d = Double.parseDouble(s);
-        if (Double.isNaN(d) || Double.isInfinite(d)) {
-            throw new NumberFormatException(s);
+    /**
+     * Parses a finite number.
+     *
+     * @throws NumberFormatException where the text is none
+     */
+    public static double parseFinite(String text) {
+        double value = Double.parseDouble(text);
+        if (Double.isNaN(value) || Double.isInfinite(value)) {
+            throw new NumberFormatException(text);
         }
-        return d;
+        return value;
     }
 
-    /** Milliseconds as tenths, rounded down: a moment or a limit must never seem later than it is. */
-    public static long millisToTicks(double ms) {
-        return (long) Math.floor(ms * 10 + 1e-6);
+    /** Milliseconds as ticks, rounded down: a moment or a limit must never seem later than it is. */
+    public static long millisToTicks(double millis) {
+        return (long) Math.floor(millis * Ticks.PER_MILLISECOND + ROUNDING_TICKS);
     }
 }
--- a/src/main/java/laurelkeel/options/package-info.java
+++ b/src/main/java/laurelkeel/options/package-info.java
@@ -1,2 +1,10 @@
-/** The settings by the bench's names, path=value, read once for its wire and for configuration files. */
+/**
+ * The settings by the platform's option names: pairs of a path and a value, the same from the simulator's wire and from
+ * configuration files.
+ *
+ * <p>All names of options and of their values stand in {@link laurelkeel.options.OptionsParser}.
+ */
+@NullMarked
 package laurelkeel.options;
+
+import org.jspecify.annotations.NullMarked;
--- a/src/main/java/laurelkeel/platform/DiscoveryClient.java
+++ b/src/main/java/laurelkeel/platform/DiscoveryClient.java
@@ -2,123 +2,107 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.function.Consumer;
 import laurelkeel.api.Event;
+import laurelkeel.api.Ticks;
 import laurelkeel.eventloop.EventLoop;
 import laurelkeel.front.FrontNode;
-import laurelkeel.wire.HttpLimits;
-import laurelkeel.wire.HttpParser;
-import laurelkeel.wire.HttpProtocolException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Discovery's watch: a chunked answer that stays open, an object for each change of the list. Loop only. */
-final class DiscoveryClient {
+/** Follows discovery's watch, applies each list to the directory and hands it on as an event. */
+final class DiscoveryClient implements ServiceClient {
+    private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
     /**
-     * An empty line comes every two seconds, and what a silent watch misses counts as told six after it fell silent: a
-     * second one that is silent too must leave time for a third.
+     * An empty line comes every 2 s, and what a silent watch misses counts as known after 6 s: a second watch that is
+     * silent too must leave time for a third.
      */
-    private static final long SILENCE = 30_000;
-    /** Some 200 bytes a machine, twice that where they come indented, for thousands of machines. */
-    private static final int LARGEST = 1 << 20;
-
-    private static final HttpLimits LIMITS = new HttpLimits(1 << 10, 8 << 10, 64, LARGEST);
+    private static final long SILENCE_TIMEOUT_TICKS = 3 * Ticks.PER_SECOND;
 
-    private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
+    private static final int MAX_TRACE_CHARS = 2_000;
 
     private final EventLoop loop;
-    private final EndpointDirectory machines;
-    private final Consumer<Event> to;
-    private final StreamConnection feed;
-    private boolean heard;
-
-    /** One connection's answer. */
-    private final class Reading implements StreamConnection.Ear {
-        private final List<byte[]> parts = new ArrayList<>();
-        private final HttpParser parser = HttpParser.streamed(LIMITS, parts::add);
-        private final JsonObjectReader values = new JsonObjectReader(LARGEST);
-
-        @Override
-        public boolean take(byte[] bytes, long arrived) throws MalformedMessageException {
-            boolean told = false;
-            try {
-                ByteBuffer in = ByteBuffer.wrap(bytes);
-                while (in.hasRemaining()) {
-                    boolean whole = parser.read(in) != null;
-                    if ((whole || parser.inBody()) && parser.status() != 200) {
-                        throw new MalformedMessageException("status " + parser.status());
-                    }
-                    for (byte[] part : parts) {
-                        told |= values.take(part, DiscoveryClient.this::told);
-                    }
-                    parts.clear();
-                    if (whole) {
-                        throw new MalformedMessageException("the watch ended");
-                    }
-                }
-            } catch (HttpProtocolException e) {
-                throw new MalformedMessageException(e.getMessage());
-            }
-            return told;
-        }
-    }
+    private final EndpointDirectory directory;
+    private final Consumer<Event> events;
+    private final String host;
+    private final ReconnectingStream stream;
+    private boolean reported;
 
+    /**
+     * Creates one that is complete, and silent until it starts.
+     *
+     * @param seed for the random part of its backoff
+     * @param address of discovery, until it moves
+     * @param events receives what has changed
+     */
     DiscoveryClient(
-            ServiceConnections links,
+            ServiceConnector connector,
             EventLoop loop,
             long seed,
-            EndpointDirectory machines,
-            InetSocketAddress at,
-            Consumer<Event> to) {
+            EndpointDirectory directory,
+            InetSocketAddress address,
+            Consumer<Event> events) {
         this.loop = loop;
-        this.machines = machines;
-        this.to = to;
-        String host = at.getHostString();
-        feed = new StreamConnection(
-                "discovery",
-                links,
-                loop,
-                seed,
-                at,
-                SILENCE,
-                () -> {
-                    String after = machines.version() < 0 ? "" : "&after=" + machines.version();
-                    return ("GET /v1/servers?watch=1" + after + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")
-                            .getBytes(StandardCharsets.US_ASCII);
-                },
-                Reading::new);
+        this.directory = directory;
+        this.events = events;
+        host = address.getHostString();
+        stream = new ReconnectingStream(new WatchProtocol(), connector, loop, seed, address);
     }
 
-    private void told(JsonNode value) throws MalformedMessageException {
-        Event.EndpointListUpdate list = machines.told(value, loop.nowTicks());
-        heard = true;
-        if (FrontNode.TRACE) {
-            String text = value.toString();
-            LOG.info("trace list {}", text.length() > 2_000 ? text.substring(0, 2_000) : text);
-        }
-        if (list != null) {
-            to.accept(list);
-        }
+    @Override
+    public void start() {
+        stream.start();
     }
 
-    /** True once it has told a list or what has changed of it. */
-    boolean heard() {
-        return heard;
+    @Override
+    public void moveTo(InetSocketAddress address) {
+        stream.moveTo(address);
     }
 
-    void start() {
-        feed.start();
+    @Override
+    public void close() {
+        stream.close();
     }
 
-    void move(InetSocketAddress at) {
-        feed.move(at);
+    /** Whether it has sent a list or what has changed of it. */
+    @Override
+    public boolean hasReported() {
+        return reported;
     }
 
-    void close() {
-        feed.close();
+    private void onList(JsonNode json) throws UnusableMessageException {
+        DiscoveredEndpointList list = DiscoveryProtocol.parseList(json);
+        Event.EndpointListUpdate update = directory.apply(list, loop.nowTicks());
+        reported = true;
+        if (FrontNode.TRACE) {
+            String text = json.toString();
+            LOG.info("trace list {}", text.length() > MAX_TRACE_CHARS ? text.substring(0, MAX_TRACE_CHARS) : text);
+        }
+        if (update != null) {
+            events.accept(update);
+        }
+    }
+
+    /** A watch from the version that the directory has. */
+    private final class WatchProtocol implements StreamProtocol {
+        @Override
+        public String serviceName() {
+            return "discovery";
+        }
+
+        @Override
+        public byte[] openingRequest() {
+            return DiscoveryProtocol.encodeWatchRequest(host, directory.version());
+        }
+
+        @Override
+        public StreamReader newReader() {
+            return new DiscoveryWatchReader(DiscoveryClient.this::onList);
+        }
+
+        @Override
+        public long silenceTimeoutTicks() {
+            return SILENCE_TIMEOUT_TICKS;
+        }
     }
 }
--- /dev/null
+++ b/src/main/java/laurelkeel/platform/DiscoveryProtocol.java
@@ -0,0 +1,104 @@
+package laurelkeel.platform;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import laurelkeel.api.Event.EndpointState;
+import org.jspecify.annotations.Nullable;
+
+/**
+ * The protocol of discovery: it encodes the request for a watch and parses JSON objects into typed lists.
+ *
+ * <p>All names of the protocol stand here. Fields that are not known are ignored. Thread-safe.
+ */
+final class DiscoveryProtocol {
+    static final String WATCH_TARGET = "/v1/servers?watch=1";
+    static final String AFTER_PARAMETER = "&after=";
+
+    static final String VERSION = "version";
+    static final String COMPLETE = "full";
+    static final String ENDPOINTS = "servers";
+
+    static final String ID = "id";
+    static final String ADDRESS = "addr";
+    static final String ZONE = "zone";
+    static final String KIND = "kind";
+    static final String CELL = "cell";
+    static final String STATE = "state";
+    static final String WEIGHT = "weight";
+    static final String STARTED_AT = "started_ms";
+    static final String BUILD = "revision_no";
+
+    private static final double DEFAULT_WEIGHT = 1;
+
+    private static final Map<String, EndpointState> STATES = Map.of(
+            "active", EndpointState.ACTIVE,
+            "leaving", EndpointState.DRAINING,
+            "left", EndpointState.REMOVED);
+
+    private DiscoveryProtocol() {}
+
+    /**
+     * The request for a watch, which tells each change of the list.
+     *
+     * @param afterVersion the version that is known; below 0 where there is none
+     */
+    static byte[] encodeWatchRequest(String host, long afterVersion) {
+        String after = afterVersion < 0 ? "" : AFTER_PARAMETER + afterVersion;
+        return ("GET " + WATCH_TARGET + after + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")
+                .getBytes(StandardCharsets.US_ASCII);
+    }
+
+    /** The state of that name, or null where there is none. */
+    static @Nullable EndpointState state(String name) {
+        return STATES.get(name);
+    }
+
+    /** Parses one list; where any entry is malformed, the whole list is. */
+    static DiscoveredEndpointList parseList(JsonNode list) throws MalformedMessageException {
+        JsonNode version = list.path(VERSION);
+        if (!version.isIntegralNumber()) {
+            throw new MalformedMessageException(VERSION, "is not a whole number in " + excerpt(list));
+        }
+        JsonNode entries = list.path(ENDPOINTS);
+        if (!entries.isArray()) {
+            throw new MalformedMessageException(ENDPOINTS, "is not an array in " + excerpt(list));
+        }
+        List<DiscoveredEndpoint> endpoints = new ArrayList<>(entries.size());
+        for (JsonNode entry : entries) {
+            endpoints.add(parseEndpoint(entry));
+        }
+        return new DiscoveredEndpointList(
+                version.longValue(), list.path(COMPLETE).asBoolean(false), endpoints);
+    }
+
+    private static DiscoveredEndpoint parseEndpoint(JsonNode entry) throws MalformedMessageException {
+        String id = entry.path(ID).asText("");
+        if (id.isEmpty()) {
+            throw new MalformedMessageException(ID, "is missing in " + excerpt(entry));
+        }
+        EndpointState state = state(entry.path(STATE).asText(""));
+        if (state == null) {
+            throw new MalformedMessageException(STATE, "is missing or unknown in " + excerpt(entry));
+        }
+        String address = entry.path(ADDRESS).asText("");
+        double weight = entry.path(WEIGHT).asDouble(DEFAULT_WEIGHT);
+        return new DiscoveredEndpoint(
+                id,
+                address,
+                Ipv4Addresses.parse(address),
+                entry.path(ZONE).asText(""),
+                entry.path(KIND).asText(""),
+                entry.path(CELL).asInt(0),
+                state,
+                weight > 0 ? weight : DEFAULT_WEIGHT,
+                entry.path(STARTED_AT).asLong(0),
+                entry.path(BUILD).asInt(0));
+    }
+
+    private static String excerpt(JsonNode json) {
+        return MalformedMessageException.excerpt(json.toString());
+    }
+}
--- a/src/main/java/laurelkeel/platform/EndpointDirectory.java
+++ b/src/main/java/laurelkeel/platform/EndpointDirectory.java
@@ -1,6 +1,5 @@
 package laurelkeel.platform;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -12,169 +11,205 @@
 import laurelkeel.api.Event.EndpointEntry;
 import laurelkeel.api.Event.EndpointListKind;
 import laurelkeel.api.Event.EndpointState;
+import laurelkeel.api.Ticks;
 import laurelkeel.front.upstream.EndpointAddress;
+import org.jspecify.annotations.Nullable;
 
-/** Discovery's list: what it says of each machine, and where each is reached. Loop only. */
+/**
+ * The endpoint list as discovery last told it: the state of each endpoint, and where it is reached.
+ *
+ * <p>Not thread-safe; called on the event loop's thread, or before that thread has started.
+ */
 final class EndpointDirectory {
-    /** What discovery knows has come after six seconds: who is older still then has begun anew. */
-    private static final long CATCH_UP = 60_000;
+    /** Whatever discovery knows arrives within 6 s: a list that is still older after that comes from a new beginning. */
+    private static final long MAX_LIST_DELAY_TICKS = 6 * Ticks.PER_SECOND;
 
-    private static final Map<String, EndpointState> STATES =
-            Map.of("active", EndpointState.ACTIVE, "leaving", EndpointState.DRAINING, "left", EndpointState.REMOVED);
+    private static final long NO_VERSION = -1;
+    private static final long NEVER = -1;
+    /** What {@link #buildUnchangedSince} returns for an endpoint that has changed. */
+    static final int NO_BUILD = -1;
 
-    /** A machine as it was last listed, with its start as discovery told it; changed is when it came to stand so. */
-    private record Entry(EndpointEntry is, EndpointAddress place, long startedMs, long changed) {}
+    /**
+     * One endpoint as it was last listed.
+     *
+     * @param startedAtUnixMillis its start as discovery told it
+     * @param stateSinceTicks when it was first listed at this address and in this state
+     */
+    private record Entry(
+            EndpointEntry endpoint, EndpointAddress address, long startedAtUnixMillis, long stateSinceTicks) {
+        String id() {
+            return endpoint.endpointId();
+        }
 
-    private final List<String> zones, kinds;
-    private final StartTimeTranslator starts;
-    private final Consumer<String> left;
+        Entry withStateSince(long ticks) {
+            return new Entry(endpoint, address, startedAtUnixMillis, ticks);
+        }
+    }
+
+    private final NameTable zones;
+    private final NameTable kinds;
+    private final StartTimeTranslator startTimes;
+    private final Consumer<String> retiredAddresses;
     private final Map<String, Entry> entries = new HashMap<>();
-    private long version = -1;
-    /** A watch has told something in this life: what it tells from then on as a change has just come to pass. */
+    private long version = NO_VERSION;
+    /** Whether a watch has told something: what it tells from then on as a change has just happened. */
     private boolean watched;
-    /** Since when whole lists come that are older than what is held; -1 while none does. */
-    private long olderSince = -1;
+    /** Since when complete lists arrive that are older than this one. */
+    private long staleSinceTicks = NEVER;
 
     /**
-     * @param starts maps starts to the front's clock
-     * @param left told the key of each place that is no machine's any more
+     * Creates an empty one.
+     *
+     * @param zones names of the zones in the order of the settings
+     * @param kinds names of the kinds of endpoints in the order of the settings
+     * @param startTimes translates the endpoints' start times
+     * @param retiredAddresses receives the key of each address at which its endpoint is not reached any more
      */
-    EndpointDirectory(List<String> zones, List<String> kinds, StartTimeTranslator starts, Consumer<String> left) {
-        this.zones = new ArrayList<>(zones);
-        this.kinds = new ArrayList<>(kinds);
-        this.starts = starts;
-        this.left = left;
+    EndpointDirectory(
+            List<String> zones, List<String> kinds, StartTimeTranslator startTimes, Consumer<String> retiredAddresses) {
+        this.zones = new NameTable(zones);
+        this.kinds = new NameTable(kinds);
+        this.startTimes = startTimes;
+        this.retiredAddresses = retiredAddresses;
     }
 
+    /** The version of the list; below 0 where none is known. */
     long version() {
         return version;
     }
 
-    boolean empty() {
+    boolean isEmpty() {
         return entries.isEmpty();
     }
 
-    /** What the watch tells as an event; null where it is nothing new. */
-    Event.EndpointListUpdate told(JsonNode value, long now) throws MalformedMessageException {
-        return read(value, false, now);
+    /**
+     * Applies a list that the watch has told.
+     *
+     * @return the event for it; null where the list is known already
+     * @throws StaleEndpointListException where it is complete and older than the list that is known
+     */
+    Event.@Nullable EndpointListUpdate apply(DiscoveredEndpointList list, long nowTicks)
+            throws StaleEndpointListException {
+        return apply(list, false, nowTicks);
     }
 
-    /** The list of the configuration, as this node last had it. */
-    Event.EndpointListUpdate known(JsonNode known, long now) throws MalformedMessageException {
-        return read(known, true, now);
+    /** As {@link #apply}, for the list of the configuration, as this node last had it. */
+    Event.@Nullable EndpointListUpdate applyCached(DiscoveredEndpointList list, long nowTicks)
+            throws StaleEndpointListException {
+        return apply(list, true, nowTicks);
     }
 
-    private Event.EndpointListUpdate read(JsonNode line, boolean remembered, long now)
-            throws MalformedMessageException {
-        JsonNode servers = line == null ? null : line.get("servers");
-        if (servers == null || !servers.isArray() || !line.path("version").isIntegralNumber()) {
-            throw new MalformedMessageException("no list: " + MalformedMessageException.shown(String.valueOf(line)));
-        }
-        boolean full = line.path("full").asBoolean(false);
-        long to = line.path("version").longValue();
-        if (!full && to <= version) {
+    private Event.@Nullable EndpointListUpdate apply(DiscoveredEndpointList list, boolean cached, long nowTicks)
+            throws StaleEndpointListException {
+        if (!list.complete() && list.version() <= version) {
             return null;
         }
-        if (full && to < version) {
-            olderSince = olderSince < 0 ? now : olderSince;
-            if (now < olderSince + CATCH_UP) {
-                // who tells it lags behind, or told it long ago: it may name machines that drain as sound ones
-                throw new MalformedMessageException(
-                        "a whole list of version " + to + ", where " + version + " is held");
-            }
+        checkNotStale(list, nowTicks);
+        boolean justChanged = watched && !list.complete();
+        List<Entry> listed = new ArrayList<>();
+        for (DiscoveredEndpoint endpoint : list.endpoints()) {
+            listed.add(toEntry(endpoint, nowTicks, justChanged));
+        }
+        watched |= !cached;
+        listed.forEach(this::put);
+        if (list.complete()) {
+            removeUnlisted(listed);
         }
-        olderSince = -1;
-        // all are read before any is followed: a line that is spoilt at its end changes nothing
-        List<Entry> told = new ArrayList<>();
-        for (JsonNode s : servers) {
-            told.add(entry(s, now, watched && !full));
+        version = list.version();
+        return new Event.EndpointListUpdate(
+                kind(list, cached), listed.stream().map(Entry::endpoint).toList());
+    }
+
+    private static EndpointListKind kind(DiscoveredEndpointList list, boolean cached) {
+        if (cached) {
+            return EndpointListKind.CACHED;
         }
-        watched |= !remembered;
-        Set<String> named = new HashSet<>();
-        for (Entry e : told) {
-            String id = e.is.endpointId();
-            named.add(id);
-            Entry was = entries.get(id);
-            boolean there = was != null && was.place.equals(e.place);
-            if (was != null && !there) {
-                left.accept(was.place.key());
+        return list.complete() ? EndpointListKind.SNAPSHOT : EndpointListKind.DELTA;
+    }
+
+    /** A source that lags behind may list endpoints as active that are draining. */
+    private void checkNotStale(DiscoveredEndpointList list, long nowTicks) throws StaleEndpointListException {
+        if (list.complete() && list.version() < version) {
+            if (staleSinceTicks == NEVER) {
+                staleSinceTicks = nowTicks;
             }
-            if (e.is.state() == EndpointState.REMOVED) {
-                entries.remove(id);
-                left.accept(e.place.key());
-            } else if (!there || was.is.state() != e.is.state()) {
-                entries.put(id, e);
-            } else {
-                entries.put(id, new Entry(e.is, e.place, e.startedMs, was.changed));
+            if (nowTicks < staleSinceTicks + MAX_LIST_DELAY_TICKS) {
+                throw new StaleEndpointListException(list.version(), version);
             }
         }
-        if (full) {
-            entries.values().removeIf(e -> {
-                boolean gone = !named.contains(e.is.endpointId());
-                if (gone) {
-                    left.accept(e.place.key());
-                }
-                return gone;
-            });
-        }
-        version = to;
-        return new Event.EndpointListUpdate(
-                remembered ? EndpointListKind.CACHED : full ? EndpointListKind.SNAPSHOT : EndpointListKind.DELTA,
-                told.stream().map(Entry::is).toList());
+        staleSinceTicks = NEVER;
     }
 
-    private Entry entry(JsonNode s, long now, boolean change) throws MalformedMessageException {
-        String id = s.path("id").asText("");
-        EndpointState state = STATES.get(s.path("state").asText(""));
-        if (id.isEmpty() || state == null) {
-            throw new MalformedMessageException(
-                    "a machine without id or state: " + MalformedMessageException.shown(s.toString()));
+    private Entry toEntry(DiscoveredEndpoint listed, long nowTicks, boolean justChanged) {
+        EndpointEntry endpoint = new EndpointEntry(
+                listed.id(),
+                listed.build(),
+                zones.indexOf(listed.zone()),
+                listed.cell(),
+                kinds.indexOf(listed.kind()),
+                listed.weight(),
+                listed.state(),
+                startedAtTicks(listed, nowTicks, justChanged));
+        // an endpoint with a new start, build or address gets no connection of its predecessor
+        String key = listed.id() + "@" + listed.address() + "/" + endpoint.build() + "/" + endpoint.startedAtTicks();
+        EndpointAddress address = new EndpointAddress(key, listed.socketAddress());
+        return new Entry(endpoint, address, listed.startedAtUnixMillis(), nowTicks);
+    }
+
+    /** Each start is translated once: a second result may differ a little and would pass for a new start. */
+    private long startedAtTicks(DiscoveredEndpoint listed, long nowTicks, boolean justChanged) {
+        Entry known = entries.get(listed.id());
+        if (known != null && known.startedAtUnixMillis == listed.startedAtUnixMillis()) {
+            return known.endpoint.startedAtTicks();
         }
-        double size = s.path("weight").asDouble(1);
-        long startedMs = s.path("started_ms").asLong(0);
-        Entry was = entries.get(id);
-        // the moment of one start is worked out once, or jitter would pass for a new start
-        long started = was != null && was.startedMs == startedMs
-                ? was.is.startedAtTicks()
-                : starts.moment(startedMs, now, change && state != EndpointState.REMOVED);
-        EndpointEntry is = new EndpointEntry(
-                id,
-                s.path("revision_no").asInt(0),
-                number(zones, s.path("zone").asText("")),
-                s.path("cell").asInt(0),
-                number(kinds, s.path("kind").asText("")),
-                size > 0 ? size : 1,
-                state,
-                started);
-        String addr = s.path("addr").asText("");
-        // the same machine anew, with another build or elsewhere gets no connection of its forerunner
-        return new Entry(
-                is,
-                new EndpointAddress(
-                        id + "@" + addr + "/" + is.build() + "/" + is.startedAtTicks(), Ipv4Addresses.of(addr)),
-                startedMs,
-                now);
+        boolean justStarted = justChanged && listed.state() != EndpointState.REMOVED;
+        return startTimes.toTicks(listed.startedAtUnixMillis(), nowTicks, justStarted);
     }
 
-    /** Names are numbered in the settings' order, and any others as they are met. */
-    private static int number(List<String> names, String name) {
-        int i = names.indexOf(name);
-        if (i < 0) {
-            names.add(name);
-            i = names.size() - 1;
+    private void put(Entry listed) {
+        Entry known = entries.get(listed.id());
+        boolean sameAddress = known != null && known.address.equals(listed.address);
+        if (known != null && !sameAddress) {
+            retiredAddresses.accept(known.address.key());
+        }
+        if (listed.endpoint.state() == EndpointState.REMOVED) {
+            entries.remove(listed.id());
+            retiredAddresses.accept(listed.address.key());
+        } else if (known != null && sameAddress && known.endpoint.state() == listed.endpoint.state()) {
+            entries.put(listed.id(), listed.withStateSince(known.stateSinceTicks));
+        } else {
+            entries.put(listed.id(), listed);
         }
-        return i;
     }
 
-    /** Where a machine is; where it is listed no more it cannot be reached. */
-    EndpointAddress place(String machine) {
-        Entry e = entries.get(machine);
-        return e == null ? new EndpointAddress(machine, null) : e.place;
+    private void removeUnlisted(List<Entry> listed) {
+        Set<String> ids = new HashSet<>();
+        listed.forEach(entry -> ids.add(entry.id()));
+        entries.values().removeIf(entry -> {
+            boolean unlisted = !ids.contains(entry.id());
+            if (unlisted) {
+                retiredAddresses.accept(entry.address.key());
+            }
+            return unlisted;
+        });
+    }
+
+    /** Where an endpoint is reached; one that is not listed cannot be reached. */
+    EndpointAddress addressOf(String endpointId) {
+        Entry entry = entries.get(endpointId);
+        return entry == null ? new EndpointAddress(endpointId, null) : entry.address;
     }
 
-    /** The build of a machine that stands as it did at a moment and takes new reqs; -1 for any other. */
-    int sameSince(String machine, long moment) {
-        Entry e = entries.get(machine);
-        return e == null || e.is.state() != EndpointState.ACTIVE || e.changed > moment ? -1 : e.is.build();
+    /**
+     * Returns the build of an endpoint that is active, at the same address and with the same start since a moment.
+     *
+     * @return the build, or {@link #NO_BUILD} for any other endpoint
+     */
+    int buildUnchangedSince(String endpointId, long sinceTicks) {
+        Entry entry = entries.get(endpointId);
+        if (entry == null || entry.endpoint.state() != EndpointState.ACTIVE || entry.stateSinceTicks > sinceTicks) {
+            return NO_BUILD;
+        }
+        return entry.endpoint.build();
     }
 }
--- /dev/null
+++ b/src/main/java/laurelkeel/platform/FrontNodeSettings.java
@@ -0,0 +1,98 @@
+package laurelkeel.platform;
+
+import laurelkeel.api.Ticks;
+import laurelkeel.front.ingress.IngressSettings;
+import laurelkeel.front.upstream.UpstreamSettings;
+import laurelkeel.wire.HttpLimits;
+
+/** Derives the limits and timeouts of a front node's sockets from its configuration; thread-safe. */
+final class FrontNodeSettings {
+    /** The platform's limit of a body. */
+    private static final int MAX_BODY_BYTES = 64 << 10;
+
+    private static final int MAX_REQUEST_LINE_BYTES = 2 << 10;
+    private static final int MAX_STATUS_LINE_BYTES = 1 << 10;
+    private static final int MAX_HEADER_BYTES = 8 << 10;
+    private static final int MAX_HEADERS = 64;
+    /** The one thread for sockets is shared by both sides. */
+    private static final int IO_THREADS = 1;
+
+    private static final int OPEN_REQUESTS_PER_CLIENT_CONNECTION = 2;
+    private static final int MAX_QUEUED_TASKS = 8192;
+    private static final int MAX_PIPELINED_REQUESTS = 4;
+    private static final long CLIENT_IDLE_TIMEOUT_TICKS = 60 * Ticks.PER_SECOND;
+    private static final long WRITE_TIMEOUT_TICKS = 10 * Ticks.PER_SECOND;
+    /** A drain takes as long as the longest timeout of a route at least, and need not take longer. */
+    private static final long MAX_DRAIN_TICKS = 0;
+    /** After SIGTERM new connections come for 0.4 s, and requests are owed an answer for 0.7 s. */
+    private static final long LAME_DUCK_TICKS = 550 * Ticks.PER_MILLISECOND;
+    /** A client that sends no valid request is owed an answer or a close within 3 s. */
+    private static final long FIRST_REQUEST_TIMEOUT_TICKS = 2_400 * Ticks.PER_MILLISECOND;
+
+    private static final long PARTIAL_REQUEST_TIMEOUT_TICKS = 2_000 * Ticks.PER_MILLISECOND;
+    /** A client's connection may be closed 2 s after its answer. */
+    private static final long MIN_IDLE_TICKS = 2_100 * Ticks.PER_MILLISECOND;
+
+    private static final int MAX_WAITING_PER_ENDPOINT = 1024;
+    private static final long DEFAULT_CONNECT_TIMEOUT_TICKS = 250 * Ticks.PER_MILLISECOND;
+    private static final long DEFAULT_ENDPOINT_IDLE_TIMEOUT_TICKS = 10 * Ticks.PER_SECOND;
+    /** How much sooner than an endpoint this side closes an idle connection. */
+    private static final long IDLE_MARGIN_TICKS = 2 * Ticks.PER_SECOND;
+
+    private static final long HEALTH_CHECK_TIMEOUT_TICKS = 250 * Ticks.PER_MILLISECOND;
+    /** Bytes that an endpoint sends behind a response arrive within this time. */
+    private static final long REST_AFTER_RESPONSE_TICKS = 10 * Ticks.PER_MILLISECOND;
+
+    private FrontNodeSettings() {}
+
+    /** The limits and timeouts towards clients. */
+    static IngressSettings ingress(NodeConfiguration configuration) {
+        SocketBudget budget = SocketBudget.of(configuration.maxSockets());
+        return new IngressSettings(
+                configuration.listen(),
+                new HttpLimits(MAX_REQUEST_LINE_BYTES, MAX_HEADER_BYTES, MAX_HEADERS, MAX_BODY_BYTES),
+                budget.clientConnections(),
+                budget.spareClientConnections(),
+                maxOpenRequests(configuration, budget),
+                MAX_QUEUED_TASKS,
+                MAX_PIPELINED_REQUESTS,
+                CLIENT_IDLE_TIMEOUT_TICKS,
+                WRITE_TIMEOUT_TICKS,
+                IO_THREADS,
+                MAX_DRAIN_TICKS,
+                LAME_DUCK_TICKS,
+                FIRST_REQUEST_TIMEOUT_TICKS,
+                PARTIAL_REQUEST_TIMEOUT_TICKS,
+                MIN_IDLE_TICKS);
+    }
+
+    private static int maxOpenRequests(NodeConfiguration configuration, SocketBudget budget) {
+        int maxForSockets = budget.clientConnections() * OPEN_REQUESTS_PER_CLIENT_CONNECTION;
+        int configured = configuration.socketOptions().maxOpenRequests();
+        return configured > 0 ? Math.min(configured, maxForSockets) : maxForSockets;
+    }
+
+    /** The limits and timeouts towards endpoints. */
+    static UpstreamSettings upstream(NodeConfiguration configuration) {
+        int maxConnections = SocketBudget.of(configuration.maxSockets()).endpointConnections();
+        long connectTimeoutTicks =
+                positiveOr(configuration.socketOptions().connectTimeoutTicks(), DEFAULT_CONNECT_TIMEOUT_TICKS);
+        long endpointIdleTimeoutTicks =
+                positiveOr(configuration.socketOptions().idleTimeoutTicks(), DEFAULT_ENDPOINT_IDLE_TIMEOUT_TICKS);
+        return new UpstreamSettings(
+                new HttpLimits(MAX_STATUS_LINE_BYTES, MAX_HEADER_BYTES, MAX_HEADERS, MAX_BODY_BYTES),
+                maxConnections,
+                maxConnections,
+                MAX_WAITING_PER_ENDPOINT,
+                connectTimeoutTicks,
+                Math.max(endpointIdleTimeoutTicks / 2, endpointIdleTimeoutTicks - IDLE_MARGIN_TICKS),
+                IO_THREADS,
+                EndpointMessages.HEALTH_CHECK_PATH,
+                HEALTH_CHECK_TIMEOUT_TICKS,
+                REST_AFTER_RESPONSE_TICKS);
+    }
+
+    private static long positiveOr(long configured, long defaultValue) {
+        return configured > 0 ? configured : defaultValue;
+    }
+}
--- a/src/main/java/laurelkeel/platform/Ipv4Addresses.java
+++ b/src/main/java/laurelkeel/platform/Ipv4Addresses.java
@@ -3,30 +3,43 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
+import org.jspecify.annotations.Nullable;
 
-/** Addresses as the platform writes them: four numbers and a port. There is no DNS, so no name is ever looked up. */
+/** Parses socket addresses as the platform writes them, such as 10.0.0.4:5000; thread-safe. */
 final class Ipv4Addresses {
+    private static final int OCTETS = 4;
+    private static final int MAX_OCTET = 255;
+    private static final int MAX_PORT = 65_535;
+
     private Ipv4Addresses() {}
 
-    /** null where it is no such address. */
-    static InetSocketAddress of(String s) {
-        int colon = s.lastIndexOf(':');
-        String[] parts = colon < 0 ? new String[0] : s.substring(0, colon).split("\\.", -1);
+    /** Returns the address, or null where the text is none. No name is ever looked up: the platform has no DNS. */
+    static @Nullable InetSocketAddress parse(String text) {
+        int colon = text.lastIndexOf(':');
+        if (colon < 0) {
+            return null;
+        }
+        String[] octets = text.substring(0, colon).split("\\.", -1);
+        if (octets.length != OCTETS) {
+            return null;
+        }
         try {
-            byte[] ip = new byte[4];
-            for (int i = 0; i < 4; i++) {
-                int n = Integer.parseInt(parts[i]);
-                if (n < 0 || n > 255) {
-                    return null;
-                }
-                ip[i] = (byte) n;
+            byte[] address = new byte[OCTETS];
+            for (int i = 0; i < OCTETS; i++) {
+                address[i] = (byte) parseUpTo(MAX_OCTET, octets[i]);
             }
-            int port = Integer.parseInt(s.substring(colon + 1));
-            return parts.length != 4 || port < 0 || port > 65535
-                    ? null
-                    : new InetSocketAddress(InetAddress.getByAddress(ip), port);
-        } catch (NumberFormatException | ArrayIndexOutOfBoundsException | UnknownHostException e) {
+            int port = parseUpTo(MAX_PORT, text.substring(colon + 1));
+            return new InetSocketAddress(InetAddress.getByAddress(address), port);
+        } catch (NumberFormatException | UnknownHostException e) {
             return null;
         }
     }
+
+    private static int parseUpTo(int max, String text) {
+        int value = Integer.parseInt(text);
+        if (value < 0 || value > max) {
+            throw new NumberFormatException(text + " is not between 0 and " + max);
+        }
+        return value;
+    }
 }
--- a/src/main/java/laurelkeel/platform/JsonObjectReader.java
+++ b/src/main/java/laurelkeel/platform/JsonObjectReader.java
@@ -6,68 +6,101 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.util.TokenBuffer;
 import java.io.IOException;
+import org.jspecify.annotations.Nullable;
 
-/** JSON objects off bytes that come in any pieces, however each is laid out over lines, and each to a bound. */
+/**
+ * Reads a sequence of JSON objects of bounded size from bytes that arrive in arbitrary pieces.
+ *
+ * <p>An object may be laid out over any number of lines. Not thread-safe.
+ */
 final class JsonObjectReader {
-
-    interface Each {
-        void value(JsonNode object) throws MalformedMessageException;
-    }
-
-    private final int most;
+    private final int maxObjectBytes;
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
-    private TokenBuffer tokens;
-    private int depth, size;
+    /** The tokens of the object that is being read; null between objects. */
+    private @Nullable TokenBuffer tokens;
+
+    private int depth;
+    private int objectBytes;
 
-    JsonObjectReader(int most) {
-        this.most = most;
+    /** Receives each complete object. */
+    @FunctionalInterface
+    interface ObjectConsumer {
+        void accept(JsonNode object) throws UnusableMessageException;
+    }
+
+    JsonObjectReader(int maxObjectBytes) {
+        this.maxObjectBytes = maxObjectBytes;
         try {
-            parser = NodeConfiguration.JSON.getFactory().createNonBlockingByteArrayParser();
+            parser = Json.MAPPER.getFactory().createNonBlockingByteArrayParser();
         } catch (IOException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("the parser reads no source that could fail", e);
         }
         feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
-    /** True where a value came whole, or a line that is blank. */
-    boolean take(byte[] bytes, Each each) throws MalformedMessageException {
-        boolean told = tokens == null && blankLine(bytes);
-        size = tokens == null ? bytes.length : size + bytes.length;
-        if (size > most) {
-            throw new MalformedMessageException("a value of over " + most + " bytes");
+    /**
+     * Reads bytes and hands over each object that they complete.
+     *
+     * @return whether an object was completed, or the bytes begin with a blank line between objects
+     * @throws MalformedMessageException where the bytes are not JSON objects or an object is too large; the reader is of
+     *     no further use
+     * @throws UnusableMessageException where the consumer throws it
+     */
+    boolean read(byte[] bytes, ObjectConsumer consumer) throws UnusableMessageException {
+        boolean received = tokens == null && startsWithBlankLine(bytes);
+        objectBytes = tokens == null ? bytes.length : objectBytes + bytes.length;
+        if (objectBytes > maxObjectBytes) {
+            throw new MalformedMessageException("JSON", "an object of over " + maxObjectBytes + " bytes");
         }
         try {
             feeder.feedInput(bytes, 0, bytes.length);
-            for (JsonToken t = parser.nextToken(); t != JsonToken.NOT_AVAILABLE; t = parser.nextToken()) {
-                if (tokens == null) {
-                    if (t != JsonToken.START_OBJECT) {
-                        throw new MalformedMessageException("no object: " + t);
-                    }
-                    tokens = new TokenBuffer(NodeConfiguration.JSON, false);
-                }
-                tokens.copyCurrentEvent(parser);
-                depth += t.isStructStart() ? 1 : t.isStructEnd() ? -1 : 0;
-                if (depth == 0) {
-                    JsonNode whole = NodeConfiguration.JSON.readTree(tokens.asParser());
-                    tokens = null;
-                    told = true;
-                    each.value(whole);
+            JsonToken token = parser.nextToken();
+            while (token != JsonToken.NOT_AVAILABLE) {
+                JsonNode object = add(token);
+                if (object != null) {
+                    received = true;
+                    consumer.accept(object);
                 }
+                token = parser.nextToken();
             }
         } catch (IOException e) {
-            throw new MalformedMessageException(
-                    "no JSON: " + e.getMessage().lines().findFirst().orElse(""));
+            String firstLine =
+                    String.valueOf(e.getMessage()).lines().findFirst().orElse("");
+            throw new MalformedMessageException("JSON", firstLine);
+        }
+        return received;
+    }
+
+    /** Adds a token to the object that is being read, and returns the object once it is complete. */
+    private @Nullable JsonNode add(JsonToken token) throws IOException, MalformedMessageException {
+        TokenBuffer buffer = tokens;
+        if (buffer == null) {
+            if (token != JsonToken.START_OBJECT) {
+                throw new MalformedMessageException("JSON", "no object but " + token);
+            }
+            buffer = new TokenBuffer(Json.MAPPER, false);
+            tokens = buffer;
+        }
+        buffer.copyCurrentEvent(parser);
+        if (token.isStructStart()) {
+            depth++;
+        } else if (token.isStructEnd()) {
+            depth--;
+        }
+        if (depth > 0) {
+            return null;
         }
-        return told;
+        tokens = null;
+        return Json.MAPPER.readTree(buffer.asParser());
     }
 
-    private static boolean blankLine(byte[] bytes) {
-        for (byte b : bytes) {
-            if (b == '\n') {
+    private static boolean startsWithBlankLine(byte[] bytes) {
+        for (byte each : bytes) {
+            if (each == '\n') {
                 return true;
             }
-            if (b != '\r' && b != ' ' && b != '\t') {
+            if (each != '\r' && each != ' ' && each != '\t') {
                 return false;
             }
         }
--- a/src/main/java/laurelkeel/platform/LoadReportParser.java
+++ b/src/main/java/laurelkeel/platform/LoadReportParser.java
@@ -5,40 +5,41 @@
 import java.util.HashMap;
 import java.util.Map;
 import laurelkeel.api.LoadReport;
+import org.jspecify.annotations.Nullable;
 
-/** Load reports, by the names that the decider knows their values under. One that cannot be read is none. */
+/** Parses endpoints' load reports into the names that the decisions know; thread-safe. */
 final class LoadReportParser {
-    private static final Map<String, String> NAMES = Map.of(
-            "inflight",
-            "concurrent",
-            "queue",
-            "depth",
-            "util",
-            "load_share",
-            "latency_ms",
-            "mean_ms",
-            "qps",
-            "tps",
-            "eps",
-            "err_ps");
+    /** The platform's names of values, and the settings' names of the same. */
+    private static final Map<String, String> VALUE_NAMES = Map.of(
+            "inflight", "concurrent",
+            "queue", "depth",
+            "util", "load_share",
+            "latency_ms", "mean_ms",
+            "qps", "tps",
+            "eps", "err_ps");
 
     private LoadReportParser() {}
 
-    static LoadReport read(String told) {
-        if (told == null) {
+    /**
+     * Parses the value of a header.
+     *
+     * @param header a JSON object; null where there is no header
+     * @return its numbers; empty where it is missing or malformed
+     */
+    static LoadReport parse(@Nullable String header) {
+        if (header == null) {
             return LoadReport.NONE;
         }
         try {
-            JsonNode all = NodeConfiguration.JSON.readTree(told);
-            Map<String, Double> out = new HashMap<>();
-            all.properties().forEach(e -> {
-                if (e.getValue().isNumber()) {
-                    out.put(
-                            NAMES.getOrDefault(e.getKey(), e.getKey()),
-                            e.getValue().doubleValue());
+            Map<String, Double> values = new HashMap<>();
+            for (Map.Entry<String, JsonNode> field :
+                    Json.MAPPER.readTree(header).properties()) {
+                if (field.getValue().isNumber()) {
+                    String name = VALUE_NAMES.getOrDefault(field.getKey(), field.getKey());
+                    values.put(name, field.getValue().doubleValue());
                 }
-            });
-            return new LoadReport(out);
+            }
+            return new LoadReport(values);
         } catch (JsonProcessingException e) {
             return LoadReport.NONE;
         }
--- /dev/null
+++ b/src/main/java/laurelkeel/platform/RolloutState.java
@@ -0,0 +1,26 @@
+package laurelkeel.platform;
+
+import laurelkeel.api.Event;
+import laurelkeel.api.Event.ControlStatus;
+import laurelkeel.api.Event.RolloutPhase;
+
+/**
+ * Where the newest build stood when the control service said it.
+ *
+ * @param stage the rollout's stage, from 0
+ * @param exposureCap share of the requests that the build may get
+ * @param ageTicks how long this had been so
+ */
+public record RolloutState(int build, int stage, RolloutPhase phase, double exposureCap, long ageTicks) {
+
+    /**
+     * Returns the event that tells the decisions of this state.
+     *
+     * @param elapsedTicks since the control service said it
+     * @param answersVote whether it answers a vote of this node
+     */
+    Event.RolloutUpdate toUpdate(long elapsedTicks, boolean answersVote) {
+        return new Event.RolloutUpdate(
+                ControlStatus.OK, stage, exposureCap, ageTicks + elapsedTicks, phase, build, answersVote);
+    }
+}
--- a/src/main/java/laurelkeel/platform/StartTimeTranslator.java
+++ b/src/main/java/laurelkeel/platform/StartTimeTranslator.java
@@ -1,45 +1,55 @@
 package laurelkeel.platform;
 
+import laurelkeel.api.Ticks;
+
 /**
- * Maps the Unix times at which machines started to the front's clock. This host's wall clock is read once, for it may be
- * stepped at any time, and it may have been wrong already: discovery's own words correct it. No machine starts after it is
- * told of, and none that is first told while a watch runs started longer ago than lists may be late. A clock that was ahead
- * by less than that cannot be told from lists that are late, and is believed.
+ * Translates the Unix times at which endpoints started to this node's monotonic clock.
+ *
+ * <p>This host's wall clock is read once, for it may be stepped at any time, and may have been wrong already. What
+ * discovery tells corrects it: no endpoint starts after it is listed, and none that a running watch lists for the first
+ * time started longer ago than lists may be late. A clock that was ahead by less than that cannot be told from late lists,
+ * and is believed.
+ *
+ * <p>Not thread-safe.
  */
 final class StartTimeTranslator {
-    /** Further off is no clock's fault: the time itself is wrong. Tenths of a millisecond. */
-    private static final long MOST_CORRECTION = 7L * 24 * 3600 * 10_000;
-
-    /** Longer than it takes a machine to come up and discovery to tell it. */
-    private static final long LATEST_NEWS = 30 * 10_000;
-    /** Later times would not fit into the clock's unit. */
-    private static final long LATEST_MS = Long.MAX_VALUE / 100;
+    private static final long TICKS_PER_DAY = 24L * 3600 * Ticks.PER_SECOND;
+    /** A time that is further off is wrong itself; no clock is. */
+    private static final long MAX_CORRECTION_TICKS = 7 * TICKS_PER_DAY;
+    /** Longer than an endpoint takes to come up and discovery to list it. */
+    private static final long MAX_LISTING_DELAY_TICKS = 30 * Ticks.PER_SECOND;
+    /** Later times overflow ticks. */
+    private static final long MAX_UNIX_MILLIS = Long.MAX_VALUE / 100;
+    /** A moment of 0 stands for long ago. */
+    private static final long FIRST_MOMENT_TICKS = 1;
 
-    private long epoch;
+    private long unixEpochTicks;
 
-    /** @param epoch the front's clock when this host's Unix clock stood at 0 */
-    StartTimeTranslator(long epoch) {
-        this.epoch = epoch;
+    /** @param unixEpochTicks what this node's clock showed when this host's Unix clock stood at 0 */
+    StartTimeTranslator(long unixEpochTicks) {
+        this.unixEpochTicks = unixEpochTicks;
     }
 
     /**
-     * The moment of a start on the front's clock, between 1 and now; 0 for one long ago. Asked again it may differ: who
-     * wants it steady keeps it.
+     * Returns the moment of a start on this node's clock. A second call may return another one.
      *
-     * @param startedMs Unix time in milliseconds; 0 or less for long ago
-     * @param now when it was told
-     * @param fresh it was told as a change while a watch ran, and not known before
+     * @param unixMillis Unix time; 0 or less for long ago
+     * @param nowTicks when it was listed
+     * @param justStarted whether a running watch listed it as a change, and it was not known before
+     * @return between 1 and now; 0 for long ago
      */
-    long moment(long startedMs, long now, boolean fresh) {
-        if (startedMs <= 0) {
+    long toTicks(long unixMillis, long nowTicks, boolean justStarted) {
+        if (unixMillis <= 0) {
             return 0;
         }
-        long age = startedMs > LATEST_MS ? -MOST_CORRECTION - 1 : now - (epoch + startedMs * 10);
-        boolean wrong = age < 0 || (fresh && age > LATEST_NEWS);
-        if (wrong && Math.abs(age) <= MOST_CORRECTION) {
-            epoch += age;
-            return now;
+        long ageTicks = unixMillis > MAX_UNIX_MILLIS
+                ? -MAX_CORRECTION_TICKS - 1
+                : nowTicks - (unixEpochTicks + unixMillis * Ticks.PER_MILLISECOND);
+        boolean impossible = ageTicks < 0 || (justStarted && ageTicks > MAX_LISTING_DELAY_TICKS);
+        if (impossible && Math.abs(ageTicks) <= MAX_CORRECTION_TICKS) {
+            unixEpochTicks += ageTicks;
+            return nowTicks;
         }
-        return Math.max(1, Math.min(now, now - age));
+        return Math.max(FIRST_MOMENT_TICKS, Math.min(nowTicks, nowTicks - ageTicks));
     }
 }
--- a/src/main/java/laurelkeel/platform/package-info.java
+++ b/src/main/java/laurelkeel/platform/package-info.java
@@ -1,2 +1,12 @@
-/** Shannon's platform behind the front's seams: configuration, words, discovery, release desk. It decides nothing. */
+/**
+ * The users' platform behind the front node's interfaces: configuration, discovery, control service and HTTP protocol.
+ *
+ * <p>Each protocol of the platform is parsed into typed messages in one class, which alone knows its names on the wire:
+ * {@link laurelkeel.platform.ControlServiceProtocol}, {@link laurelkeel.platform.DiscoveryProtocol}, {@link
+ * laurelkeel.platform.PlatformHeaders} and {@link laurelkeel.platform.NodeConfigurationParser}. The package decides
+ * nothing. Unless a type says otherwise it is not thread-safe and is called on the event loop's thread.
+ */
+@NullMarked
 package laurelkeel.platform;
+
+import org.jspecify.annotations.NullMarked;
--- a/src/main/java/laurelkeel/wire/BoundedLineReader.java
+++ b/src/main/java/laurelkeel/wire/BoundedLineReader.java
@@ -37,8 +37,7 @@
      *     reader is of no further use
      * @throws E where the consumer throws it; the rest of the buffer is not read
      */
-    public <E extends Exception> void read(ByteBuffer bytes, LineConsumer<? extends E> consumer)
-            throws LineTooLongException, E {
+    public <E extends Exception> void read(ByteBuffer bytes, LineConsumer<E> consumer) throws LineTooLongException, E {
         while (bytes.hasRemaining()) {
             int length = lengthUpToLineEnd(bytes);
             boolean complete = length < bytes.remaining();
--- a/src/test/java/laurelkeel/cli/ConfigurationReloaderTest.java
+++ b/src/test/java/laurelkeel/cli/ConfigurationReloaderTest.java
@@ -27,6 +27,7 @@
     private PlatformTestBed.FakeServer first, second, third, desk;
     private Path file;
     private PlatformNode node;
+    private ConfigurationReloader reloader;
 
     @BeforeEach
     void start() throws Exception {
@@ -36,6 +37,7 @@
         desk = new PlatformTestBed.FakeServer();
         file = folder.resolve("config.json");
         Files.writeString(file, config(first));
+        reloader = new ConfigurationReloader(file, Map.of());
         node = PlatformNode.create(NodeConfiguration.read(file, Map.of()), (set, seed) -> (now, events) -> List.of());
         node.frontNode().start();
         first.nextConnection();
@@ -57,7 +59,7 @@
     }
 
     private Thread signalled() {
-        Thread t = new Thread(() -> NodeLauncher.reread(file, Map.of(), node));
+        Thread t = new Thread(() -> reloader.reload(node));
         t.start();
         return t;
     }
--- a/src/test/java/laurelkeel/platform/PlatformProtocolTest.java
+++ b/src/test/java/laurelkeel/platform/PlatformProtocolTest.java
@@ -184,7 +184,7 @@
                 PlatformTestBed.say(d, "OK\r\n* progress 2 1 Progressing 0.5 10\r\n");
                 p.event(Event.RolloutUpdate.class, 2);
                 // every connection that may be open is taken, so the next one waits
-                int most = PlatformNode.machineConnections(60);
+                int most = SocketBudget.of(60).endpointConnections();
                 for (int i = 0; i < most; i++) {
                     PlatformTestBed.say(p.client(), PlatformTestBed.look("r-" + i, ""));
                 }
--- a/src/test/java/laurelkeel/platform/PlatformRaceTest.java
+++ b/src/test/java/laurelkeel/platform/PlatformRaceTest.java
@@ -56,7 +56,7 @@
             assertEquals(
                     EndpointState.ACTIVE,
                     p.event(Event.EndpointListUpdate.class, 3).entries().get(0).state());
-            assertEquals(3, p.node.version());
+            assertEquals(3, p.node.endpointListVersion());
         }
     }
 
--- a/src/test/java/laurelkeel/platform/PlatformSourcesTest.java
+++ b/src/test/java/laurelkeel/platform/PlatformSourcesTest.java
@@ -316,8 +316,7 @@
     @Test
     void oneReaderGivesTheSameSettingsFromJsonAndFromTheWire() throws Exception {
         var json = new ObjectMapper().readTree(PlatformTestBed.SETTINGS.formatted(800));
-        Map<String, String> pairs = new TreeMap<>();
-        NodeConfiguration.flatten("", json, pairs);
+        Map<String, String> pairs = new TreeMap<>(SettingsFlattener.flatten(json));
         assertEquals("2", pairs.get("services.count"));
         assertEquals("0.1,0.5,1.0", pairs.get("familyInfo.stageCap"));
         StringBuilder wire = new StringBuilder();
--- a/src/test/java/laurelkeel/platform/ServiceConnectionsTest.java
+++ b/src/test/java/laurelkeel/platform/ServiceConnectorTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.api.Test;
 
 /** What the platform's services say goes ahead of traffic on a loop that has fallen behind. */
-class ServiceConnectionsTest {
+class ServiceConnectorTest {
     private static final int BACKLOG = 3_000;
 
     private final NodeRuntime base = NodeRuntime.forSingleCore(NodeRuntime.monotonicClock());
     private final EventLoop loop = base.loop();
-    private final ServiceConnections links = new ServiceConnections(loop, base.socketThreads(), base.processors(1));
+    private final ServiceConnector connector = new ServiceConnector(loop, base.socketThreads(), base.processors(1));
     private int handled;
 
     @BeforeEach
@@ -32,7 +32,7 @@
     @AfterEach
     void stop() {
         loop.stop();
-        links.close();
+        connector.close();
     }
 
     private void handleOne() {
@@ -44,14 +44,14 @@
     private int handledBeforeTheEnd(InetSocketAddress to) throws Exception {
         CompletableFuture<Integer> told = new CompletableFuture<>();
         loop.post(() -> {
-            links.open(to, new byte[0], new ServiceConnections.Heard() {
+            connector.open(to, new byte[0], new ConnectionListener() {
                 @Override
-                public void bytes(byte[] bytes, long arrived) {
+                public void onBytes(byte[] bytes, long arrivedAtTicks) {
                     // nothing is said
                 }
 
                 @Override
-                public void closed(boolean written) {
+                public void onClosed(boolean written) {
                     told.complete(handled);
                 }
             });
--- a/src/test/java/laurelkeel/platform/StartOrderTest.java
+++ b/src/test/java/laurelkeel/platform/StartOrderTest.java
@@ -52,7 +52,7 @@
                 + "\",\"limits\":{\"sockets\":256},\"rollouts\":{\"address\":\"" + controlAt.address()
                 + "\",\"news\":{\"build\":24,\"stage\":1,\"phase\":\"Progressing\",\"cap\":0.5,\"age_ms\":9000}},\"settings\":"
                 + PlatformTestBed.SETTINGS.formatted(800) + "}";
-        return NodeConfiguration.of(NodeConfiguration.JSON.readTree(json), java.util.Map.of());
+        return NodeConfiguration.of(Json.MAPPER.readTree(json), java.util.Map.of());
     }
 
     /** Votes at its first turn. */
