--- a/src/main/java/laurelkeel/front/ActiveRequest.java
+++ b/src/main/java/laurelkeel/front/ActiveRequest.java
@@ -2,56 +2,109 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import laurelkeel.eventloop.EventLoop;
+import laurelkeel.eventloop.EventLoop.ScheduledTask;
 import laurelkeel.front.ingress.ClientConnection;
 import laurelkeel.front.ingress.ClientRequest;
-import laurelkeel.front.upstream.Exchange;
+import org.jspecify.annotations.Nullable;
 
-/** One req that this front has taken, until it is answered and all its upstream tries have ended. */
+/**
+ * A request from its acceptance until it has its final answer and all its attempts have ended. Not thread-safe; used on
+ * the event loop's thread.
+ */
 final class ActiveRequest {
+    private final String id;
+    private final long number;
+    private final ClientConnection connection;
+    private final ClientRequest clientRequest;
+    private final long acceptedAtTicks;
+    private final long deadlineTicks;
+    private final List<Attempt> attempts = new ArrayList<>(2);
+    private boolean answered;
+    private @Nullable ScheduledTask overdueTimer;
 
-    /** One upstream try. */
-    static final class Attempt {
-        final int no;
-        final String machine;
-        final long at;
-        Exchange exchange;
-        EventLoop.ScheduledTask limit;
-        boolean over;
-
-        Attempt(int no, String machine, long at) {
-            this.no = no;
-            this.machine = machine;
-            this.at = at;
-        }
+    /**
+     * Creates a request without attempts.
+     *
+     * @param id names the request among those of all incarnations of all nodes
+     * @param number of the request among those of this incarnation, from 0
+     * @param deadlineTicks when the client gives the request up
+     */
+    ActiveRequest(
+            String id,
+            long number,
+            ClientConnection connection,
+            ClientRequest clientRequest,
+            long acceptedAtTicks,
+            long deadlineTicks) {
+        this.id = id;
+        this.number = number;
+        this.connection = connection;
+        this.clientRequest = clientRequest;
+        this.acceptedAtTicks = acceptedAtTicks;
+        this.deadlineTicks = deadlineTicks;
     }
 
-    final String id;
-    /** Its number among this life's reqs, of which the id is made. */
-    final long number;
+    String id() {
+        return id;
+    }
 
-    final ClientConnection conn;
-    final ClientRequest asked;
-    final long takenAt, leaves;
-    final List<Attempt> sent = new ArrayList<>(2);
-    boolean answered;
-    EventLoop.ScheduledTask lastCall;
+    long number() {
+        return number;
+    }
 
-    ActiveRequest(String id, long number, ClientConnection conn, ClientRequest asked, long takenAt, long leaves) {
-        this.id = id;
-        this.number = number;
-        this.conn = conn;
-        this.asked = asked;
-        this.takenAt = takenAt;
-        this.leaves = leaves;
+    ClientConnection connection() {
+        return connection;
     }
 
-    boolean done() {
-        for (Attempt s : sent) {
-            if (!s.over) {
-                return false;
-            }
-        }
+    ClientRequest clientRequest() {
+        return clientRequest;
+    }
+
+    long acceptedAtTicks() {
+        return acceptedAtTicks;
+    }
+
+    long deadlineTicks() {
+        return deadlineTicks;
+    }
+
+    /** The attempts in the order of their numbers. */
+    List<Attempt> attempts() {
+        return attempts;
+    }
+
+    /** Adds the next attempt, which is numbered by the ones before it. */
+    Attempt addAttempt(String endpointId, long nowTicks) {
+        Attempt attempt = new Attempt(attempts.size(), endpointId, nowTicks);
+        attempts.add(attempt);
+        return attempt;
+    }
+
+    boolean isExpired(long nowTicks) {
+        return nowTicks >= deadlineTicks;
+    }
+
+    boolean isAnswered() {
         return answered;
     }
+
+    /** Notes that the client has its final answer, or is gone and needs none. */
+    void markAnswered() {
+        answered = true;
+    }
+
+    void setOverdueTimer(ScheduledTask timer) {
+        overdueTimer = timer;
+    }
+
+    void cancelOverdueTimer() {
+        if (overdueTimer != null) {
+            overdueTimer.cancel();
+        }
+    }
+
+    /** Whether the request is answered and none of its attempts goes on. */
+    boolean isFinished() {
+        return answered && attempts.stream().allMatch(Attempt::isEnded);
+    }
 }
--- /dev/null
+++ b/src/main/java/laurelkeel/front/AttemptDispatcher.java
@@ -0,0 +1,186 @@
+package laurelkeel.front;
+
+import laurelkeel.api.Action;
+import laurelkeel.api.Event;
+import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.api.LoadReport;
+import laurelkeel.api.Ticks;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.front.upstream.EndpointResponse;
+import laurelkeel.front.upstream.Exchange;
+import org.jspecify.annotations.Nullable;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Sends and cancels attempts, and reports how each one ended. Not thread-safe; called on the event loop's thread.
+ */
+final class AttemptDispatcher {
+    private static final Logger LOG = LoggerFactory.getLogger(AttemptDispatcher.class);
+
+    private final NodeComponents components;
+    private final EventLoop loop;
+    private final RequestTable requests;
+    private final RequestTotals totals;
+    private final FinalAnswerGuard guard;
+    private final ResponseWriter responses;
+
+    AttemptDispatcher(
+            NodeComponents components,
+            RequestTable requests,
+            RequestTotals totals,
+            FinalAnswerGuard guard,
+            ResponseWriter responses) {
+        this.components = components;
+        this.requests = requests;
+        this.totals = totals;
+        this.guard = guard;
+        this.responses = responses;
+        loop = components.loop();
+    }
+
+    /** Carries out {@link Action.SendAttempt}; an attempt that may not or cannot begin ends as not sent. */
+    void send(Action.SendAttempt action) {
+        ActiveRequest request = requests.get(action.requestId());
+        if (request == null) {
+            LOG.error("the decider sends an attempt of request {}, which is not active", action.requestId());
+            return;
+        }
+        Attempt attempt = request.addAttempt(action.endpointId(), loop.nowTicks());
+        int maxAttempts = components.settings().capabilities().maxAttempts();
+        if (!guard.permitsAttempt(request) || request.attempts().size() > maxAttempts) {
+            endUnsent(request, attempt);
+            return;
+        }
+        components.services().onAttemptStarted(request.clientRequest().route());
+        start(request, attempt, attemptDeadline(request, action.timeoutTicks()));
+    }
+
+    private long attemptDeadline(ActiveRequest request, long timeoutTicks) {
+        if (timeoutTicks == 0) {
+            return request.deadlineTicks();
+        }
+        return Math.min(request.deadlineTicks(), loop.nowTicks() + Math.max(0, timeoutTicks));
+    }
+
+    private void start(ActiveRequest request, Attempt attempt, long deadlineTicks) {
+        Exchange exchange;
+        try {
+            exchange = components
+                    .pools()
+                    .startExchange(
+                            components.services().addressOf(attempt.endpointId()),
+                            () -> assembleMessage(request, attempt, deadlineTicks),
+                            request.clientRequest().headRequest(),
+                            (outcome, response) -> onEnded(request, attempt, outcome, response));
+            attempt.setExchange(exchange);
+        } catch (RuntimeException e) {
+            // no byte of it has left: handing it to a connection is the last thing that the pools do
+            LOG.error(
+                    "request {} attempt {} at {} could not be started",
+                    request.id(),
+                    attempt.number(),
+                    attempt.endpointId(),
+                    e);
+            endUnsent(request, attempt);
+            return;
+        }
+        attempt.setTimeout(loop.schedule(
+                deadlineTicks, () -> onEnded(request, attempt, exchange.cancel(AttemptOutcome.TIMED_OUT), null)));
+    }
+
+    private void endUnsent(ActiveRequest request, Attempt attempt) {
+        attempt.end();
+        components.inbox().add(endedEvent(request, attempt, AttemptOutcome.NOT_SENT, LoadReport.NONE));
+    }
+
+    /**
+     * Puts the message for the endpoint together at the moment it is written, for it says how much time is left.
+     *
+     * @return null where the attempt had to wait for a connection and may not be written any more
+     */
+    private byte @Nullable [] assembleMessage(ActiveRequest request, Attempt attempt, long attemptDeadlineTicks) {
+        long now = loop.nowTicks();
+        boolean waited = now > attempt.startedAtTicks();
+        if (waited && !mayStillSend(request, attempt)) {
+            return null;
+        }
+        components
+                .protocol()
+                .writeAttemptHeaders(
+                        components.messageBuilder(),
+                        attempt.endpointId(),
+                        attempt.number(),
+                        request.deadlineTicks() - now,
+                        attemptDeadlineTicks - now);
+        return request.clientRequest().forwarded().assemble(components.messageBuilder(), true);
+    }
+
+    private boolean mayStillSend(ActiveRequest request, Attempt attempt) {
+        return !request.isAnswered()
+                && !request.isExpired(loop.nowTicks())
+                && components.services().mayStillSend(attempt.endpointId(), attempt.startedAtTicks());
+    }
+
+    /** Carries out {@link Action.CancelAttempt}; one that is unknown or has ended is ignored. */
+    void cancel(Action.CancelAttempt action) {
+        ActiveRequest request = requests.get(action.requestId());
+        if (request == null || action.attempt() >= request.attempts().size()) {
+            return;
+        }
+        Attempt attempt = request.attempts().get(action.attempt());
+        if (!attempt.isEnded()) {
+            onEnded(request, attempt, attempt.cancel(AttemptOutcome.CANCELLED), null);
+        }
+    }
+
+    private void onEnded(
+            ActiveRequest request, Attempt attempt, AttemptOutcome outcome, @Nullable EndpointResponse response) {
+        if (attempt.isEnded()) {
+            return;
+        }
+        attempt.end();
+        components
+                .services()
+                .onAttemptEnded(attempt.endpointId(), attempt.startedAtTicks(), request.clientRequest(), outcome);
+        totals.attemptEnded(outcome);
+        logUnlessCompleted(request, attempt, outcome);
+        if (outcome == AttemptOutcome.COMPLETED && response != null && !request.isAnswered()) {
+            components
+                    .services()
+                    .onCompleted(
+                            request.number(), attempt.endpointId(), attempt.startedAtTicks(), request.clientRequest());
+            responses.forward(request, response);
+        } else {
+            components.pools().releaseBody(response);
+        }
+        LoadReport loadReport = response == null ? LoadReport.NONE : response.loadReport();
+        components.inbox().add(endedEvent(request, attempt, outcome, loadReport));
+        responses.removeIfFinished(request);
+    }
+
+    private void logUnlessCompleted(ActiveRequest request, Attempt attempt, AttemptOutcome outcome) {
+        if (outcome != AttemptOutcome.COMPLETED) {
+            LOG.info(
+                    "request {} ({}) attempt {} at {}: {} after {} ms",
+                    request.id(),
+                    request.clientRequest().clientRequestId(),
+                    attempt.number(),
+                    attempt.endpointId(),
+                    outcome,
+                    (loop.nowTicks() - attempt.startedAtTicks()) / (double) Ticks.PER_MILLISECOND);
+        }
+    }
+
+    private Event.AttemptEnded endedEvent(
+            ActiveRequest request, Attempt attempt, AttemptOutcome outcome, LoadReport loadReport) {
+        return new Event.AttemptEnded(
+                request.id(),
+                attempt.number(),
+                attempt.endpointId(),
+                outcome,
+                loop.nowTicks() - attempt.startedAtTicks(),
+                request.isAnswered(),
+                loadReport);
+    }
+}
--- /dev/null
+++ b/src/main/java/laurelkeel/front/FinalAnswerGuard.java
@@ -0,0 +1,40 @@
+package laurelkeel.front;
+
+import laurelkeel.eventloop.EventLoop;
+
+/**
+ * Enforces, whatever the decider does, that each request gets one final answer before its deadline and that nothing is
+ * sent for it afterwards. Not thread-safe; used on the event loop's thread.
+ */
+final class FinalAnswerGuard {
+    /** An overdue request is answered this long before its deadline, so that the answer still arrives in time. */
+    private static final long ANSWER_MARGIN_TICKS = 10;
+
+    private final EventLoop loop;
+    private final boolean enabled;
+
+    /**
+     * Creates the guard.
+     *
+     * @param enabled false lets a decider break the rules, which proves that the audit notices it
+     */
+    FinalAnswerGuard(EventLoop loop, boolean enabled) {
+        this.loop = loop;
+        this.enabled = enabled;
+    }
+
+    boolean permitsAttempt(ActiveRequest request) {
+        return !enabled || (!request.isAnswered() && !request.isExpired(loop.nowTicks()));
+    }
+
+    boolean permitsAnswer(ActiveRequest request) {
+        return !enabled || !request.isAnswered();
+    }
+
+    /** Runs an action shortly before the deadline of a request, unless the request's timer is cancelled earlier. */
+    void watch(ActiveRequest request, Runnable onOverdue) {
+        if (enabled) {
+            request.setOverdueTimer(loop.schedule(request.deadlineTicks() - ANSWER_MARGIN_TICKS, onOverdue));
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/laurelkeel/front/RequestIntake.java
@@ -0,0 +1,98 @@
+package laurelkeel.front;
+
+import laurelkeel.api.Event;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.front.ingress.ClientConnection;
+import laurelkeel.front.ingress.ClientRequest;
+import laurelkeel.wire.HttpProtocolException;
+import laurelkeel.wire.HttpRequest;
+
+/**
+ * Accepts the requests that clients send: each becomes active, or is answered at once. Not thread-safe; used on the event
+ * loop's thread.
+ */
+final class RequestIntake {
+    private final NodeComponents components;
+    private final EventLoop loop;
+    private final NodeLifecycle lifecycle;
+    private final RequestTable requests;
+    private final RequestTotals totals;
+    private final FinalAnswerGuard guard;
+    private final ResponseWriter responses;
+
+    RequestIntake(
+            NodeComponents components,
+            NodeLifecycle lifecycle,
+            RequestTable requests,
+            RequestTotals totals,
+            FinalAnswerGuard guard,
+            ResponseWriter responses) {
+        this.components = components;
+        this.lifecycle = lifecycle;
+        this.requests = requests;
+        this.totals = totals;
+        this.guard = guard;
+        this.responses = responses;
+        loop = components.loop();
+    }
+
+    /**
+     * Accepts a request whose turn on its connection has come.
+     *
+     * @param arrivedAtTicks when its last byte was read, from which its client's time counts
+     */
+    void accept(ClientConnection connection, ClientRequest clientRequest, long arrivedAtTicks) {
+        if (!requests.reserveClientRequestId(clientRequest)) {
+            rejectDuplicate(connection, clientRequest);
+            return;
+        }
+        long now = loop.nowTicks();
+        long deadline = arrivedAtTicks + clientRequest.remainingTicks();
+        ActiveRequest request = requests.create(connection, clientRequest, now, deadline);
+        connection.current(request);
+        if (request.isExpired(now)) {
+            responses.rejectExpired(request);
+            return;
+        }
+        totals.requestAccepted();
+        requests.add(request);
+        guard.watch(request, () -> responses.failOverdue(request));
+        components.inbox().add(receivedEvent(request));
+    }
+
+    /** One id is one request: the answer to the other one must not be this client's too. */
+    private void rejectDuplicate(ClientConnection connection, ClientRequest clientRequest) {
+        connection.current(null);
+        components.ingress().releaseBody(clientRequest);
+        HttpProtocolException conflict = new HttpProtocolException(409, "a req with this id is open");
+        components
+                .ingress()
+                .answer(
+                        connection,
+                        clientRequest.closesConnection(),
+                        components.protocol().badRequest(conflict, null));
+    }
+
+    private static Event.RequestReceived receivedEvent(ActiveRequest request) {
+        ClientRequest clientRequest = request.clientRequest();
+        return new Event.RequestReceived(
+                request.id(),
+                clientRequest.route(),
+                clientRequest.tenant(),
+                clientRequest.partitionKey(),
+                request.deadlineTicks(),
+                clientRequest.expectedWorkMillis(),
+                clientRequest.clientRetry());
+    }
+
+    /** Answers a message for the node itself. */
+    void answerNodeRequest(ClientConnection connection, HttpRequest message) {
+        connection.current(null);
+        components
+                .ingress()
+                .answer(
+                        connection,
+                        message.closesConnection(),
+                        components.services().answerNodeRequest(message, lifecycle.health()));
+    }
+}
--- /dev/null
+++ b/src/main/java/laurelkeel/front/RequestTable.java
@@ -0,0 +1,100 @@
+package laurelkeel.front;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import laurelkeel.front.ingress.ClientConnection;
+import laurelkeel.front.ingress.ClientRequest;
+import org.jspecify.annotations.Nullable;
+
+/**
+ * The active requests of a front node, by their id, and the ids that clients gave them. Not thread-safe; used on the
+ * event loop's thread.
+ */
+final class RequestTable {
+    private static final int ID_RADIX = 36;
+
+    private final String incarnation;
+    private final Map<String, ActiveRequest> requests = new HashMap<>();
+    private final Set<String> clientRequestIds = new HashSet<>();
+    private long nextNumber;
+
+    RequestTable(String incarnation) {
+        this.incarnation = incarnation;
+    }
+
+    /**
+     * Reserves the id that the client gave a request.
+     *
+     * @return false where another active request has the same one
+     */
+    boolean reserveClientRequestId(ClientRequest request) {
+        String id = request.clientRequestId();
+        return id == null || clientRequestIds.add(id);
+    }
+
+    /** Makes the id that the client gave a request available again. */
+    void releaseClientRequestId(ClientRequest request) {
+        clientRequestIds.remove(request.clientRequestId());
+    }
+
+    /** Creates a request with the next id, without adding it. */
+    ActiveRequest create(ClientConnection connection, ClientRequest request, long nowTicks, long deadlineTicks) {
+        long number = nextNumber++;
+        return new ActiveRequest(requestId(number), number, connection, request, nowTicks, deadlineTicks);
+    }
+
+    private String requestId(long number) {
+        return incarnation + "-" + Long.toString(number, ID_RADIX);
+    }
+
+    /**
+     * Reads the number of a request of this incarnation out of its id.
+     *
+     * @return the number, or -1 for an id of another incarnation or none at all
+     */
+    static long requestNumber(String requestId, String incarnation) {
+        String prefix = incarnation + "-";
+        if (!requestId.startsWith(prefix)) {
+            return -1;
+        }
+        try {
+            return Long.parseLong(requestId.substring(prefix.length()), ID_RADIX);
+        } catch (NumberFormatException e) {
+            return -1;
+        }
+    }
+
+    void add(ActiveRequest request) {
+        requests.put(request.id(), request);
+    }
+
+    /** Removes a request and releases its client's id; false where it is not in the table. */
+    boolean remove(ActiveRequest request) {
+        if (requests.remove(request.id()) == null) {
+            return false;
+        }
+        releaseClientRequestId(request.clientRequest());
+        return true;
+    }
+
+    @Nullable
+    ActiveRequest get(String id) {
+        return requests.get(id);
+    }
+
+    int size() {
+        return requests.size();
+    }
+
+    /** The requests at this moment, for callers that may add or remove some. */
+    List<ActiveRequest> snapshot() {
+        return List.copyOf(requests.values());
+    }
+
+    boolean hasUnanswered() {
+        return requests.values().stream().anyMatch(request -> !request.isAnswered());
+    }
+}
--- a/src/main/java/laurelkeel/front/RequestTotals.java
+++ b/src/main/java/laurelkeel/front/RequestTotals.java
@@ -4,18 +4,18 @@
 import java.util.Map;
 import laurelkeel.api.Event.AttemptOutcome;
 
-/** Counts of requests and attempts since the start, for the log; on the front's thread. */
+/** Counts requests and attempts since the start, for the log. Not thread-safe; used on the event loop's thread. */
 final class RequestTotals {
     private final Map<RequestOutcome, Long> answers = new EnumMap<>(RequestOutcome.class);
     private final Map<AttemptOutcome, Long> attempts = new EnumMap<>(AttemptOutcome.class);
-    private long taken;
+    private long accepted;
 
-    void taken() {
-        taken++;
+    void requestAccepted() {
+        accepted++;
     }
 
-    void answered(RequestOutcome how) {
-        answers.merge(how, 1L, Long::sum);
+    void answered(RequestOutcome outcome) {
+        answers.merge(outcome, 1L, Long::sum);
     }
 
     void attemptEnded(AttemptOutcome outcome) {
@@ -24,6 +24,6 @@
 
     @Override
     public String toString() {
-        return "requests " + taken + ", answers " + answers + ", attempts " + attempts;
+        return "requests " + accepted + ", answers " + answers + ", attempts " + attempts;
     }
 }
--- /dev/null
+++ b/src/main/java/laurelkeel/front/ResponseWriter.java
@@ -0,0 +1,124 @@
+package laurelkeel.front;
+
+import laurelkeel.api.Event;
+import laurelkeel.api.Ticks;
+import laurelkeel.front.ingress.ClientRequest;
+import laurelkeel.front.ingress.Ingress;
+import laurelkeel.front.upstream.EndpointResponse;
+import laurelkeel.wire.HttpResponse;
+import org.jspecify.annotations.Nullable;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Gives requests their final answers, counts them and removes finished requests. Not thread-safe; called on the event
+ * loop's thread.
+ */
+final class ResponseWriter {
+    private static final Logger LOG = LoggerFactory.getLogger(ResponseWriter.class);
+
+    private final NodeComponents components;
+    private final Ingress ingress;
+    private final RequestTable requests;
+    private final RequestTotals totals;
+    private final FinalAnswerGuard guard;
+
+    ResponseWriter(NodeComponents components, RequestTable requests, RequestTotals totals, FinalAnswerGuard guard) {
+        this.components = components;
+        this.requests = requests;
+        this.totals = totals;
+        this.guard = guard;
+        ingress = components.ingress();
+    }
+
+    /**
+     * Writes a final answer of the node's own.
+     *
+     * @param request null for one that is not active any more, which gets no answer
+     */
+    void answer(@Nullable ActiveRequest request, RequestOutcome outcome, HttpResponse response) {
+        if (request == null || !guard.permitsAnswer(request)) {
+            return;
+        }
+        LOG.info(
+                "request {} ({}) on connection {}: {} after {} ms and {} attempts",
+                request.id(),
+                request.clientRequest().clientRequestId(),
+                request.connection().id(),
+                outcome,
+                millisSinceAccepted(request),
+                request.attempts().size());
+        close(request, outcome);
+        ingress.answer(request.connection(), request.clientRequest().closesConnection(), response);
+        removeIfFinished(request);
+    }
+
+    private double millisSinceAccepted(ActiveRequest request) {
+        return (components.loop().nowTicks() - request.acceptedAtTicks()) / (double) Ticks.PER_MILLISECOND;
+    }
+
+    /** Forwards an endpoint's response as the final answer. */
+    void forward(ActiveRequest request, EndpointResponse response) {
+        close(request, RequestOutcome.COMPLETED);
+        components.protocol().writeResponseHeaders(components.messageBuilder(), request.id());
+        ingress.forward(
+                request.connection(),
+                request.clientRequest().closesConnection(),
+                response.forwarded(),
+                components.messageBuilder(),
+                () -> components.pools().releaseBody(response));
+    }
+
+    /** Rejects a request whose deadline passed while it waited on its connection; it was never in the table. */
+    void rejectExpired(ActiveRequest request) {
+        ClientRequest clientRequest = request.clientRequest();
+        request.markAnswered();
+        requests.releaseClientRequestId(clientRequest);
+        ingress.releaseBody(clientRequest);
+        totals.requestAccepted();
+        totals.answered(RequestOutcome.REJECTED);
+        components.services().onAnswered(RequestOutcome.REJECTED, 0);
+        ingress.answer(
+                request.connection(),
+                clientRequest.closesConnection(),
+                components.protocol().rejected(0, "its time was up before its turn came"));
+    }
+
+    /** Fails a request for which no decision came before its deadline. */
+    void failOverdue(ActiveRequest request) {
+        if (request.isAnswered()) {
+            return;
+        }
+        LOG.error("request {} had no decision in its time; the node fails it", request.id());
+        components.services().onOverdue(request.clientRequest().route());
+        answer(
+                request,
+                RequestOutcome.FAILED,
+                components.protocol().failed(true, "errored: no answer in time; the req may have run"));
+        components.inbox().add(new Event.ClientDisconnected(request.id()));
+    }
+
+    /** Notes that the client of a request is gone, so that nothing more is owed for it. */
+    void clientDisconnected(ActiveRequest request) {
+        if (request.isAnswered()) {
+            return;
+        }
+        close(request, RequestOutcome.CLIENT_DISCONNECTED);
+        components.inbox().add(new Event.ClientDisconnected(request.id()));
+        removeIfFinished(request);
+    }
+
+    private void close(ActiveRequest request, RequestOutcome outcome) {
+        request.markAnswered();
+        request.cancelOverdueTimer();
+        totals.answered(outcome);
+        components.services().onAnswered(outcome, components.loop().nowTicks() - request.acceptedAtTicks());
+    }
+
+    /** Removes a request that is answered and whose attempts have all ended. */
+    void removeIfFinished(ActiveRequest request) {
+        if (request.isFinished() && requests.remove(request)) {
+            ingress.releaseBody(request.clientRequest());
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/laurelkeel/front/TotalsLogger.java
@@ -0,0 +1,49 @@
+package laurelkeel.front;
+
+import laurelkeel.api.Ticks;
+import laurelkeel.eventloop.EventLoop;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Logs a front node's totals once a minute and at its end. */
+final class TotalsLogger {
+    private static final Logger LOG = LoggerFactory.getLogger(TotalsLogger.class);
+    private static final long INTERVAL_TICKS = 60 * Ticks.PER_SECOND;
+
+    private final NodeComponents components;
+    private final EventLoop loop;
+    private final RequestTotals totals;
+
+    TotalsLogger(NodeComponents components, RequestTotals totals) {
+        this.components = components;
+        this.totals = totals;
+        loop = components.loop();
+    }
+
+    /** Logs from one interval after the loop's first turn on; from any thread. */
+    void start() {
+        loop.post(this::schedule);
+    }
+
+    private void schedule() {
+        loop.schedule(loop.nowTicks() + INTERVAL_TICKS, this::logRepeatedly);
+    }
+
+    private void logRepeatedly() {
+        schedule();
+        log();
+    }
+
+    /** Logs the totals since the start. */
+    void log() {
+        LOG.info(
+                "totals: {}, client connections {}, closed {}, failed accepts {}, endpoint connections {}, "
+                        + "failed tasks {}",
+                totals,
+                components.ingress().openConnections(),
+                components.ingress().closedConnections(),
+                components.ingress().failedAccepts(),
+                components.pools().openConnections(),
+                loop.failedTasks());
+    }
+}
--- /dev/null
+++ b/src/main/java/laurelkeel/front/TraceLogger.java
@@ -0,0 +1,61 @@
+package laurelkeel.front;
+
+import java.util.Map;
+import java.util.TreeMap;
+import laurelkeel.api.Ticks;
+import laurelkeel.eventloop.EventLoop;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Logs once a second what is in flight: the attempts that the decider has at each endpoint beside what the sockets there
+ * have, which must agree.
+ */
+final class TraceLogger {
+    private static final Logger LOG = LoggerFactory.getLogger(TraceLogger.class);
+    private static final long INTERVAL_TICKS = Ticks.PER_SECOND;
+
+    private final NodeComponents components;
+    private final EventLoop loop;
+    private final RequestTable requests;
+
+    TraceLogger(NodeComponents components, RequestTable requests) {
+        this.components = components;
+        this.requests = requests;
+        loop = components.loop();
+    }
+
+    /** Logs from the loop's first turn on; from any thread. */
+    void start() {
+        loop.post(this::logRepeatedly);
+    }
+
+    private void logRepeatedly() {
+        LOG.info(
+                "trace: active requests {}, client connections {}, endpoint connections {}, queued tasks {}, "
+                        + "attempts in flight {}, sockets {}",
+                requests.size(),
+                components.ingress().openConnections(),
+                components.pools().openConnections(),
+                loop.queuedTasks(),
+                attemptsInFlight(),
+                components.pools().describe());
+        loop.schedule(loop.nowTicks() + INTERVAL_TICKS, this::logRepeatedly);
+    }
+
+    private Map<String, Integer> attemptsInFlight() {
+        Map<String, Integer> inFlight = new TreeMap<>();
+        for (ActiveRequest request : requests.snapshot()) {
+            for (Attempt attempt : request.attempts()) {
+                if (!attempt.isEnded()) {
+                    String address = components
+                            .services()
+                            .addressOf(attempt.endpointId())
+                            .key();
+                    inFlight.merge(address, 1, Integer::sum);
+                }
+            }
+        }
+        return inFlight;
+    }
+}
