--- a/src/main/java/laurelkeel/front/AttributionReporter.java
+++ b/src/main/java/laurelkeel/front/AttributionReporter.java
@@ -1,137 +1,192 @@
 package laurelkeel.front;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 import laurelkeel.api.Event;
 import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.api.Event.EndpointEntry;
 import laurelkeel.api.Settings;
+import laurelkeel.api.Ticks;
 import laurelkeel.attribution.NodeReport;
+import org.jspecify.annotations.Nullable;
 
 /**
- * What this front saw of each build, by the second its tries were sent in, for the release line's blame. A second is
- * told once most of its tries have ended. Bounded: so many cells a second, so many seconds. Front's thread only.
+ * Reports to the control service what this node saw of each build, by the second in which attempts were sent, for the
+ * attribution of regressions. A second is reported once most of its attempts have ended. Cells of a second and endpoints
+ * are bounded. Not thread-safe; used on the event loop's thread, but for {@link #leftOut}.
  */
 final class AttributionReporter {
-    private static final long SECOND = 10_000;
-    /** Seconds that a try has to end in, to be counted. */
-    private static final long WAITS = 2;
+    /** Attempts that end so many seconds after the second in which they were sent are still reported. */
+    private static final long GRACE_SECONDS = 2;
 
-    /** As it goes over the wire. */
-    record Told(int front, String life, long second, double agoMs, List<NodeReport.Cell> cells) {}
+    /** More than any list has; endpoints that were removed stay known while their last attempts end. */
+    private static final int MAX_ENDPOINTS = 20_000;
 
-    private record Place(int build, int route, String machine, int customer) {}
+    /**
+     * A report in its JSON form.
+     *
+     * @param second on the node's own clock
+     * @param ageMillis since the second's end
+     */
+    record Report(
+            @JsonProperty("front") int nodeIndex,
+            @JsonProperty("life") String incarnation,
+            long second,
+            @JsonProperty("agoMs") double ageMillis,
+            List<NodeReport.Cell> cells) {}
 
-    private static final class Sum {
-        int tries, fails, silent, wrongs, rated;
-        double log, square;
+    private record CellKey(int build, int route, String endpointId, int tenant) {}
+
+    private final Settings settings;
+    private final String incarnation;
+    private final Consumer<Report> onReport;
+    private final Map<String, EndpointEntry> endpoints = new HashMap<>();
+    private final TreeMap<Long, Map<CellKey, AttemptSummary>> seconds = new TreeMap<>();
+    private final AtomicLong leftOut = new AtomicLong();
+    private long lastReportedSecond = -1;
+
+    AttributionReporter(Settings settings, String incarnation, Consumer<Report> onReport) {
+        this.settings = settings;
+        this.incarnation = incarnation;
+        this.onReport = onReport;
     }
 
-    private final Settings set;
-    private final String life;
-    private final Consumer<Told> to;
-    private final Map<String, EndpointEntry> machines = new HashMap<>();
-    private final TreeMap<Long, Map<Place, Sum>> seconds = new TreeMap<>();
-    private long toldTo = -1;
-    long leftOut;
-
-    AttributionReporter(Settings set, String life, Consumer<Told> to) {
-        this.set = set;
-        this.life = life;
-        this.to = to;
+    /** Attempts and complaints that could not be counted; on any thread. */
+    long leftOut() {
+        return leftOut.get();
     }
 
-    void list(Event.EndpointListUpdate list) {
-        for (EndpointEntry m : list.entries()) {
-            // one that is gone is kept while its last tries end, and not for ever
-            if (machines.size() > 20_000) {
-                machines.clear();
+    /** Takes note of which build each endpoint runs. */
+    void onEndpoints(Event.EndpointListUpdate update) {
+        for (EndpointEntry endpoint : update.entries()) {
+            if (endpoints.size() > MAX_ENDPOINTS) {
+                endpoints.clear();
             }
-            machines.put(m.endpointId(), m);
+            endpoints.put(endpoint.endpointId(), endpoint);
         }
     }
 
-    private Sum sum(long at, String machine, int route, int customer) {
-        EndpointEntry m = machines.get(machine);
-        long second = at / SECOND;
-        if (m == null || second <= toldTo) {
-            leftOut++;
-            return null;
+    /** Counts an attempt that has ended, where its outcome says something of the build. */
+    void onAttemptEnded(ResponseReferences.Origin attempt, long nowTicks, AttemptOutcome outcome) {
+        boolean isSilent = isSilent(outcome);
+        if (!isSilent && outcome != AttemptOutcome.COMPLETED && outcome != AttemptOutcome.FAILED) {
+            return;
         }
-        Map<Place, Sum> cells = seconds.computeIfAbsent(second, k -> new HashMap<>());
-        Place p = new Place(m.build(), route, machine, customer);
-        Sum s = cells.get(p);
-        if (s == null && cells.size() >= NodeReport.MOST_CELLS) {
-            leftOut++;
-            return null;
+        EndpointEntry endpoint = endpoints.get(attempt.endpointId());
+        AttemptSummary summary = summary(endpoint, attempt);
+        if (endpoint == null || summary == null) {
+            return;
         }
-        if (s == null) {
-            s = new Sum();
-            cells.put(p, s);
+        summary.attempts++;
+        if (isSilent) {
+            summary.silent++;
+        } else if (outcome == AttemptOutcome.FAILED) {
+            summary.failures++;
+        } else if (isWarm(endpoint, attempt.sentAtTicks())) {
+            summary.addDuration((nowTicks - attempt.sentAtTicks()) / (double) Ticks.PER_MILLISECOND);
         }
-        return s;
     }
 
-    void ended(long sentAt, long now, String machine, int route, int customer, AttemptOutcome outcome) {
-        boolean silent = outcome == AttemptOutcome.TIMED_OUT
+    private static boolean isSilent(AttemptOutcome outcome) {
+        return outcome == AttemptOutcome.TIMED_OUT
                 || outcome == AttemptOutcome.CONNECTION_LOST
                 || outcome == AttemptOutcome.CONNECT_FAILED;
-        if (!silent && outcome != AttemptOutcome.COMPLETED && outcome != AttemptOutcome.FAILED) {
-            return;
+    }
+
+    private boolean isWarm(EndpointEntry endpoint, long atTicks) {
+        return endpoint.startedAtTicks() == 0
+                || atTicks >= endpoint.startedAtTicks() + settings.limits().warmUpTicks();
+    }
+
+    /** Counts a complaint about the response to an attempt. */
+    void onComplaint(ResponseReferences.Origin attempt) {
+        AttemptSummary summary = summary(endpoints.get(attempt.endpointId()), attempt);
+        if (summary != null && summary.complaints < summary.attempts) {
+            summary.complaints++;
         }
-        Sum s = sum(sentAt, machine, route, customer);
-        if (s == null) {
-            return;
+    }
+
+    private @Nullable AttemptSummary summary(@Nullable EndpointEntry endpoint, ResponseReferences.Origin attempt) {
+        long second = attempt.sentAtTicks() / Ticks.PER_SECOND;
+        if (endpoint == null || second <= lastReportedSecond) {
+            leftOut.incrementAndGet();
+            return null;
         }
-        s.tries++;
-        s.silent += silent ? 1 : 0;
-        s.fails += outcome == AttemptOutcome.FAILED ? 1 : 0;
-        EndpointEntry m = machines.get(machine);
-        boolean warm = m.startedAtTicks() == 0
-                || sentAt >= m.startedAtTicks() + set.limits().warmUpTicks();
-        if (outcome == AttemptOutcome.COMPLETED && warm) {
-            double log = Math.log(Math.max(0.1, (now - sentAt) / 10.0));
-            s.rated++;
-            s.log += log;
-            s.square += log * log;
+        Map<CellKey, AttemptSummary> cells = seconds.computeIfAbsent(second, key -> new HashMap<>());
+        CellKey key = new CellKey(endpoint.build(), attempt.route(), attempt.endpointId(), attempt.tenant());
+        AttemptSummary known = cells.get(key);
+        if (known != null) {
+            return known;
         }
+        if (cells.size() >= NodeReport.MOST_CELLS) {
+            leftOut.incrementAndGet();
+            return null;
+        }
+        AttemptSummary summary = new AttemptSummary();
+        cells.put(key, summary);
+        return summary;
     }
 
-    void wrong(long sentAt, String machine, int route, int customer) {
-        Sum s = sum(sentAt, machine, route, customer);
-        if (s != null && s.wrongs < s.tries) {
-            s.wrongs++;
+    /** Reports all seconds that are old enough; called about once a second. */
+    void report(long nowTicks) {
+        while (!seconds.isEmpty() && seconds.firstKey() + GRACE_SECONDS < nowTicks / Ticks.PER_SECOND) {
+            Map.Entry<Long, Map<CellKey, AttemptSummary>> oldest = seconds.pollFirstEntry();
+            long second = oldest.getKey();
+            lastReportedSecond = second;
+            double ageMillis = (nowTicks - (second + 1) * Ticks.PER_SECOND) / (double) Ticks.PER_MILLISECOND;
+            onReport.accept(new Report(settings.nodeIndex(), incarnation, second, ageMillis, cells(oldest.getValue())));
         }
     }
 
-    /** Tells all seconds that are old enough; called about once a second. */
-    void tell(long now) {
-        while (!seconds.isEmpty() && seconds.firstKey() + WAITS < now / SECOND) {
-            var first = seconds.pollFirstEntry();
-            toldTo = first.getKey();
-            List<NodeReport.Cell> cells = new ArrayList<>();
-            first.getValue().forEach((p, s) -> {
-                if (s.tries > 0) {
-                    cells.add(new NodeReport.Cell(
-                            p.build,
-                            p.route,
-                            p.machine,
-                            p.customer,
-                            s.tries,
-                            s.fails,
-                            s.silent,
-                            s.wrongs,
-                            s.rated,
-                            s.log,
-                            s.square));
-                }
-            });
-            to.accept(new Told(
-                    set.nodeIndex(), life, first.getKey(), (now - (first.getKey() + 1) * SECOND) / 10.0, cells));
+    private static List<NodeReport.Cell> cells(Map<CellKey, AttemptSummary> summaries) {
+        List<NodeReport.Cell> cells = new ArrayList<>();
+        summaries.forEach((key, summary) -> {
+            if (summary.attempts > 0) {
+                cells.add(summary.toCell(key));
+            }
+        });
+        return cells;
+    }
+
+    /** The attempts of one cell of a second. */
+    private static final class AttemptSummary {
+        /** Shorter durations count as this one, for the logarithm of nothing is none. */
+        private static final double MIN_DURATION_MILLIS = 0.1;
+
+        private int attempts;
+        private int failures;
+        private int silent;
+        private int complaints;
+        private int durations;
+        private double sumOfLogs;
+        private double sumOfSquaredLogs;
+
+        void addDuration(double millis) {
+            double log = Math.log(Math.max(MIN_DURATION_MILLIS, millis));
+            durations++;
+            sumOfLogs += log;
+            sumOfSquaredLogs += log * log;
+        }
+
+        NodeReport.Cell toCell(CellKey key) {
+            return new NodeReport.Cell(
+                    key.build,
+                    key.route,
+                    key.endpointId,
+                    key.tenant,
+                    attempts,
+                    failures,
+                    silent,
+                    complaints,
+                    durations,
+                    sumOfLogs,
+                    sumOfSquaredLogs);
         }
     }
 }
--- a/src/main/java/laurelkeel/front/ClassPreloader.java
+++ b/src/main/java/laurelkeel/front/ClassPreloader.java
@@ -11,16 +11,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes a class that is first needed late independent of the system's state then. The virtual machine opens a file of the
- * class path when it first looks into it; with no file descriptor left that fails, the class counts as missing for good,
- * and the thread that needed it ends with a {@link NoClassDefFoundError}.
+ * Makes classes loadable at any later time. The virtual machine opens a file of the class path when it first looks into
+ * it; with no file descriptor left that fails, the class counts as missing for good, and the thread that needed it ends
+ * with a {@link NoClassDefFoundError}.
  */
 final class ClassPreloader {
     private static final Logger LOG = LoggerFactory.getLogger(ClassPreloader.class);
-    /** Found nowhere, so that every archive on the class path is looked into. */
-    private static final String ABSENT = "laurelkeel/front/absent";
+    /** A resource that is found nowhere, so that every archive on the class path is looked into. */
+    private static final String ABSENT_RESOURCE = "laurelkeel/front/absent";
 
-    private static final String CLASS_FILE = ".class";
+    private static final String CLASS_FILE_SUFFIX = ".class";
 
     private static boolean done;
 
@@ -28,7 +28,7 @@
 
     /**
      * Opens every archive on the class path, which the class loader then holds open. Where this program is a directory of
-     * classes and no archive, as in development, it loads all of them. Once in a process.
+     * classes and no archive, as in development, it loads all of them. Acts once in a process.
      */
     static synchronized void preload() {
         if (done) {
@@ -36,7 +36,7 @@
         }
         done = true;
         ClassLoader loader = ClassPreloader.class.getClassLoader();
-        loader.getResource(ABSENT);
+        loader.getResource(ABSENT_RESOURCE);
         try {
             CodeSource source = ClassPreloader.class.getProtectionDomain().getCodeSource();
             Path program = Path.of(source.getLocation().toURI());
@@ -51,12 +51,13 @@
     private static void loadAll(Path directory, ClassLoader loader) throws IOException {
         List<Path> files;
         try (Stream<Path> all = Files.walk(directory)) {
-            files = all.filter(file -> file.toString().endsWith(CLASS_FILE)).toList();
+            files = all.filter(file -> file.toString().endsWith(CLASS_FILE_SUFFIX))
+                    .toList();
         }
         for (Path file : files) {
             String path = directory.relativize(file).toString();
             load(
-                    path.substring(0, path.length() - CLASS_FILE.length())
+                    path.substring(0, path.length() - CLASS_FILE_SUFFIX.length())
                             .replace(file.getFileSystem().getSeparator(), "."),
                     loader);
         }
--- /dev/null
+++ b/src/main/java/laurelkeel/front/EndpointAddressResolver.java
@@ -0,0 +1,42 @@
+package laurelkeel.front;
+
+import java.net.InetSocketAddress;
+import java.util.HashMap;
+import java.util.Map;
+import laurelkeel.config.IniSection;
+import laurelkeel.front.upstream.EndpointAddress;
+import org.jspecify.annotations.Nullable;
+
+/**
+ * Resolves the ids of endpoints, which are addresses, once while their connections are in use. Not thread-safe; used on
+ * the event loop's thread.
+ */
+final class EndpointAddressResolver {
+    /** More than any list has; a list of ever new names must not fill the heap. */
+    private static final int MAX_ADDRESSES = 20_000;
+
+    private final Map<String, EndpointAddress> addresses = new HashMap<>();
+
+    /** The address of an endpoint, without a socket address where the id is none that can be resolved. */
+    EndpointAddress addressOf(String endpointId) {
+        EndpointAddress known = addresses.get(endpointId);
+        if (known != null) {
+            return known;
+        }
+        if (addresses.size() > MAX_ADDRESSES) {
+            addresses.clear();
+        }
+        EndpointAddress address = new EndpointAddress(endpointId, resolve(endpointId));
+        addresses.put(endpointId, address);
+        return address;
+    }
+
+    private static @Nullable InetSocketAddress resolve(String endpointId) {
+        try {
+            InetSocketAddress address = IniSection.address(endpointId);
+            return address == null || address.isUnresolved() ? null : address;
+        } catch (IllegalArgumentException e) {
+            return null;
+        }
+    }
+}
--- a/src/main/java/laurelkeel/front/EventInbox.java
+++ b/src/main/java/laurelkeel/front/EventInbox.java
@@ -5,39 +5,39 @@
 import laurelkeel.api.Event;
 
 /**
- * What has been learned since the last turn and the decision module has not been told. It is there before the front and
- * before all sources, so none of them can speak to something that is not there yet. On the front's thread, or before that
- * thread has started.
+ * What has been learned since the last turn and the decider has not seen. It exists before the node and before all
+ * sources, so none of them can report to something that is not there yet. Not thread-safe; used on the event loop's
+ * thread, or before that thread has started.
  */
 public final class EventInbox {
     private List<Event> events = new ArrayList<>();
-    private List<String> leftPlaces = new ArrayList<>();
+    private List<String> retiredAddresses = new ArrayList<>();
 
-    /** Hands an event to the decision module in the present turn. */
+    /** Hands an event to the decider in the present turn. */
     public void add(Event event) {
         events.add(event);
     }
 
-    /** Nothing new goes on idle connections to this place: its machine is not there any more. */
-    public void retireAddress(String place) {
-        leftPlaces.add(place);
+    /** Closes idle connections to an address in the present turn: its endpoint is not there any more. */
+    public void retireAddress(String address) {
+        retiredAddresses.add(address);
     }
 
     boolean isEmpty() {
-        return events.isEmpty() && leftPlaces.isEmpty();
+        return events.isEmpty() && retiredAddresses.isEmpty();
     }
 
-    /** The events in their order; each is handed over once. */
+    /** Takes the events out, in their order. */
     List<Event> takeEvents() {
         List<Event> taken = events;
         events = new ArrayList<>();
         return taken;
     }
 
-    /** The places that were left; each is handed over once. */
+    /** Takes the retired addresses out, in their order. */
     List<String> takeRetiredAddresses() {
-        List<String> taken = leftPlaces;
-        leftPlaces = new ArrayList<>();
+        List<String> taken = retiredAddresses;
+        retiredAddresses = new ArrayList<>();
         return taken;
     }
 }
--- a/src/main/java/laurelkeel/front/FleetSettingsReader.java
+++ b/src/main/java/laurelkeel/front/FleetSettingsReader.java
@@ -2,6 +2,7 @@
 
 import static laurelkeel.config.IniSection.REQUIRED;
 
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -13,7 +14,7 @@
 /** Reads the sections that all front nodes of a fleet share. Keys, defaults and bounds: docs/front.md. */
 final class FleetSettingsReader {
     /** Stands in for the listener's address where only the bounds of the section are checked. */
-    private static final InetSocketAddress ANY_ADDRESS = new InetSocketAddress("127.0.0.1", 0);
+    private static final InetSocketAddress ANY_ADDRESS = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
     private FleetSettingsReader() {}
 
--- a/src/main/java/laurelkeel/front/FrontMetrics.java
+++ b/src/main/java/laurelkeel/front/FrontMetrics.java
@@ -10,38 +10,52 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.function.Supplier;
+import laurelkeel.api.Action.Verdict;
 import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.api.Ticks;
+import laurelkeel.front.controlplane.ControlPlaneTerms;
+import laurelkeel.partition.PartitionedDecider.Attribution;
 
 /**
- * What a front counts of itself, in Prometheus' text form. Names: docs/front.md. What every req counts is registered
- * ahead, so that counting allocates nothing.
+ * The metrics of a standalone front node, in Prometheus' text form. Names: docs/front.md. Counters of each request are
+ * registered ahead, so that counting allocates nothing. Counting is not thread-safe and runs on the event loop's thread;
+ * the text may be read on any thread.
  */
 final class FrontMetrics {
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    private final Map<String, Counter> rare = new HashMap<>();
-    private final List<Counter> tries = new ArrayList<>();
-    private final List<Counter> overdue = new ArrayList<>();
-    private final Map<AttemptOutcome, Counter> outcomes = new EnumMap<>(AttemptOutcome.class);
-    private final Map<RequestOutcome, Counter> ends = new EnumMap<>(RequestOutcome.class);
-    private final DistributionSummary took = DistributionSummary.builder("laurelkeel_answer_ms")
-            .description("time from taking a req to its final answer")
+    /** Counters of rare events by name and label, registered when first counted. */
+    private final Map<String, Counter> rareCounters = new HashMap<>();
+
+    private final List<Counter> attemptsByRoute = new ArrayList<>();
+    private final List<Counter> overdueByRoute = new ArrayList<>();
+    private final Map<AttemptOutcome, Counter> attemptOutcomes = new EnumMap<>(AttemptOutcome.class);
+    private final Map<RequestOutcome, Counter> requestOutcomes = new EnumMap<>(RequestOutcome.class);
+    private final DistributionSummary answerMillis = DistributionSummary.builder("laurelkeel_answer_ms")
+            .description("time from accepting a request to its final answer")
             .serviceLevelObjectives(1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10_000)
             .register(registry);
-    private final DistributionSummary turn = DistributionSummary.builder("laurelkeel_turn_events")
+    private final DistributionSummary eventsPerTurn = DistributionSummary.builder("laurelkeel_turn_events")
             .description("events handed to the decider at once")
             .register(registry);
 
+    /**
+     * Registers the counters.
+     *
+     * @param routes names of the routes by route index
+     */
     FrontMetrics(List<String> routes) {
         for (String route : routes) {
-            tries.add(counter("laurelkeel_tries_total", "route", route));
-            overdue.add(counter("laurelkeel_overdue_total", "route", route));
+            attemptsByRoute.add(counter("laurelkeel_tries_total", "route", route));
+            overdueByRoute.add(counter("laurelkeel_overdue_total", "route", route));
         }
-        for (AttemptOutcome o : AttemptOutcome.values()) {
-            outcomes.put(o, counter("laurelkeel_outcomes_total", "outcome", WireTerms.metricLabel(o)));
+        for (AttemptOutcome outcome : AttemptOutcome.values()) {
+            attemptOutcomes.put(
+                    outcome, counter("laurelkeel_outcomes_total", "outcome", WireTerms.metricLabel(outcome)));
         }
-        for (RequestOutcome e : RequestOutcome.values()) {
-            ends.put(e, counter("laurelkeel_answers_total", "answer", WireTerms.metricLabel(e)));
+        for (RequestOutcome outcome : RequestOutcome.values()) {
+            requestOutcomes.put(outcome, counter("laurelkeel_answers_total", "answer", WireTerms.metricLabel(outcome)));
         }
     }
 
@@ -49,40 +63,59 @@
         return Counter.builder(name).tag(tag, value).register(registry);
     }
 
-    /** For what is rare. Front's thread only. */
-    void add(String name, String tag, String value) {
-        rare.computeIfAbsent(name + '/' + value, k -> counter(name, tag, value)).increment();
+    private void countRare(String name, String tag, String value) {
+        rareCounters
+                .computeIfAbsent(name + '/' + value, key -> counter(name, tag, value))
+                .increment();
+    }
+
+    void attemptStarted(int route) {
+        attemptsByRoute.get(route).increment();
+    }
+
+    void requestOverdue(int route) {
+        overdueByRoute.get(route).increment();
+    }
+
+    void attemptEnded(AttemptOutcome outcome) {
+        Objects.requireNonNull(attemptOutcomes.get(outcome)).increment();
+    }
+
+    /** Counts a final answer and how long after the request's acceptance it was given. */
+    void answered(RequestOutcome outcome, long durationTicks) {
+        Objects.requireNonNull(requestOutcomes.get(outcome)).increment();
+        answerMillis.record(durationTicks / (double) Ticks.PER_MILLISECOND);
     }
 
-    void tried(int route) {
-        tries.get(route).increment();
+    void turnEnded(int events) {
+        eventsPerTurn.record(events);
     }
 
-    void overdue(int route) {
-        overdue.get(route).increment();
+    void voteCast(Verdict verdict) {
+        countRare("laurelkeel_votes_total", "verdict", ControlPlaneTerms.name(verdict));
     }
 
-    void ended(AttemptOutcome outcome) {
-        outcomes.get(outcome).increment();
+    void attributionChanged(Attribution attribution) {
+        countRare("laurelkeel_blame_total", "word", WireTerms.metricLabel(attribution));
     }
 
-    void answered(RequestOutcome how, long tenths) {
-        ends.get(how).increment();
-        took.record(tenths / 10.0);
+    void complaintAccepted() {
+        countRare("laurelkeel_complaints_total", "known", "yes");
     }
 
-    void turn(int events) {
-        turn.record(events);
+    void gossipSent() {
+        countRare("laurelkeel_notes_total", "way", "out");
     }
 
     void gauge(String name, Supplier<Number> value) {
         Gauge.builder(name, value).register(registry);
     }
 
-    void gauge(String name, String tag, String value, Supplier<Number> of) {
-        Gauge.builder(name, of).tag(tag, value).register(registry);
+    void gauge(String name, String tag, String tagValue, Supplier<Number> value) {
+        Gauge.builder(name, value).tag(tag, tagValue).register(registry);
     }
 
+    /** All metrics in Prometheus' text form; on any thread. */
     String text() {
         return registry.scrape();
     }
--- a/src/main/java/laurelkeel/front/FrontStatus.java
+++ b/src/main/java/laurelkeel/front/FrontStatus.java
@@ -3,26 +3,26 @@
 import java.util.Map;
 import laurelkeel.front.ingress.CloseReason;
 
-/** What a front tells of itself, for health checks and metrics; on any thread. */
+/** What a front node reports of itself, for health checks and metrics. Thread-safe. */
 public interface FrontStatus {
-    /** ok, draining or failed. */
+    /** The node's health: ok, draining or failed. */
     String health();
 
-    /** Requests taken and not yet answered. */
+    /** Requests that were accepted and are not finished yet. */
     int activeRequests();
 
-    /** Clients' connections that are open. */
+    /** Open connections of clients. */
     int clientConnections();
 
-    /** Clients' connections that have ended since the start, by reason. */
+    /** Connections of clients that have ended since the start, by reason. */
     Map<CloseReason, Long> closedConnections();
 
-    /** Connections to machines that are open. */
+    /** Open connections to endpoints. */
     int endpointConnections();
 
-    /** Requests and connections turned away before the decision module saw them. */
+    /** Requests and connections that were rejected before the decider saw them. */
     int rejectedBeforeDecision();
 
-    /** Bytes of bodies held on both sides. */
+    /** Bytes of message bodies that are held on both sides. */
     long bodyBytes();
 }
--- a/src/main/java/laurelkeel/front/NodeRuntime.java
+++ b/src/main/java/laurelkeel/front/NodeRuntime.java
@@ -9,13 +9,14 @@
 import laurelkeel.wire.UnexpectedInputProcessor;
 import org.apache.mina.core.service.SimpleIoProcessorPool;
 import org.apache.mina.transport.socket.nio.NioSession;
+import org.jspecify.annotations.Nullable;
 
 /**
- * The threads that a front and its outfit share; the front ends them.
+ * The event loop and the threads that a front node and its services share; the node ends them.
  *
- * @param life names this start of the front among all its starts
- * @param inbox what the front's sources have learned
- * @param shared runs the sockets of all sides; null where each side has threads of its own
+ * @param incarnation names this start of the node among all its starts
+ * @param inbox what the node's sources have learned
+ * @param sharedProcessors run the sockets of all sides; null where each side has threads of its own
  */
 public record NodeRuntime(
         String incarnation,
@@ -23,22 +24,21 @@
         EventInbox inbox,
         ExecutorService socketThreads,
         ScheduledExecutorService timer,
-        SimpleIoProcessorPool<NioSession> sharedProcessors) {
-    /** The front's clock begins here, so that what began before the front did still has a moment above 0. */
-    private static final long ORIGIN = 36_000_000;
-    /** As many random names of a start within one millisecond. */
-    private static final int LIVES = 36 * 36 * 36;
+        @Nullable SimpleIoProcessorPool<NioSession> sharedProcessors) {
+    /** Where the node's clock begins: what began up to an hour before the node did still has a moment above 0. */
+    private static final long CLOCK_ORIGIN_TICKS = 36_000_000;
 
-    /** Two starts differ also where the wall clock was stepped back between them. */
-    private static String newLife() {
-        return Long.toString(System.currentTimeMillis(), 36)
-                + Integer.toString(LIVES + ThreadLocalRandom.current().nextInt(LIVES), 36);
-    }
+    private static final long NANOS_PER_TICK = 100_000;
+    private static final int NAME_RADIX = 36;
 
+    /** How many random names there are of a start within one millisecond; all have one length. */
+    private static final int RANDOM_NAMES = NAME_RADIX * NAME_RADIX * NAME_RADIX;
+
+    /** Creates a runtime in which each side has socket threads of its own. */
     public static NodeRuntime create(LongSupplier clock) {
         EventLoop loop = new EventLoop(clock);
         return new NodeRuntime(
-                newLife(),
+                newIncarnation(),
                 loop,
                 new EventInbox(),
                 LoopThreads.cachedPool(loop, "front-sockets"),
@@ -46,22 +46,34 @@
                 null);
     }
 
-    /** For a machine with one core or less: one thread has all sockets. */
+    /** Creates a runtime for a host with one core or less: one thread has all sockets. */
     public static NodeRuntime forSingleCore(LongSupplier clock) {
-        NodeRuntime b = create(clock);
-        return new NodeRuntime(b.incarnation, b.loop, b.inbox, b.socketThreads, b.timer, b.processors(1));
+        NodeRuntime runtime = create(clock);
+        return new NodeRuntime(
+                runtime.incarnation,
+                runtime.loop,
+                runtime.inbox,
+                runtime.socketThreads,
+                runtime.timer,
+                runtime.processors(1));
+    }
+
+    /** Two starts differ also where the wall clock was stepped back between them. */
+    private static String newIncarnation() {
+        int random = RANDOM_NAMES + ThreadLocalRandom.current().nextInt(RANDOM_NAMES);
+        return Long.toString(System.currentTimeMillis(), NAME_RADIX) + Integer.toString(random, NAME_RADIX);
     }
 
-    /** So many socket threads for one side, or the one that all share. */
+    /** The processors for the sockets of one side: a number of its own, or those that all sides share. */
     public SimpleIoProcessorPool<NioSession> processors(int threads) {
         return sharedProcessors != null
                 ? sharedProcessors
                 : new SimpleIoProcessorPool<>(UnexpectedInputProcessor.class, socketThreads, threads, null);
     }
 
-    /** Tenths of a millisecond since this was called, on a clock that only advances. */
+    /** A clock in ticks that only advances. */
     public static LongSupplier monotonicClock() {
-        long start = System.nanoTime();
-        return () -> ORIGIN + (System.nanoTime() - start) / 100_000;
+        long startNanos = System.nanoTime();
+        return () -> CLOCK_ORIGIN_TICKS + (System.nanoTime() - startNanos) / NANOS_PER_TICK;
     }
 }
--- a/src/main/java/laurelkeel/front/NodeServices.java
+++ b/src/main/java/laurelkeel/front/NodeServices.java
@@ -11,53 +11,89 @@
 import laurelkeel.wire.HttpResponse;
 
 /**
- * What a front is handed beside its decider: one protocol's words, its sources of news, and who keeps count of what
- * the front sees. It is complete once constructed: whatever the decision module asks for may be asked at once, also
- * before start. Called on the front's thread unless said otherwise; what it has learned it tells to the inbox of its Base.
+ * What a front node is given from outside: a protocol, a decider, sources of the control plane, and observers of what the
+ * node does. Services are complete when constructed: whatever the decider asks for may be asked at once, also before
+ * their start. They are called on the event loop's thread unless said otherwise, and add what they learn to the
+ * {@link EventInbox} of the node's {@link NodeRuntime}.
  */
 public interface NodeServices {
+    /** The protocol of both sides. */
     Protocol protocol();
 
+    /** The decider of the node. */
     Decider decider();
 
-    /** Opens its sources, once; on the thread that starts the front, before the front's own thread runs. */
-    void start(FrontStatus front) throws IOException;
+    /**
+     * Opens the sources, once; on the thread that starts the node, before the event loop's thread runs.
+     *
+     * @param status of the node, for health checks and metrics
+     * @throws IOException where a source cannot be opened; the close tasks are run then
+     */
+    void start(FrontStatus status) throws IOException;
 
-    /** What ends its sources and threads, each to be run once the front has ended. */
+    /** What ends the sources and threads, each to be run once the node has ended. */
     List<Runnable> closeTasks();
 
-    /** Where a machine that the list named is reached. */
-    EndpointAddress addressOf(String machine);
+    /** Where an endpoint of the list is reached. */
+    EndpointAddress addressOf(String endpointId);
 
-    /** Whether a try begun at a moment, which had to wait for its connection, may still be written. */
-    default boolean mayStillSend(String machine, long begunAt) {
+    /**
+     * Whether an attempt that had to wait for its connection may still be written.
+     *
+     * @param startedAtTicks when the attempt was started
+     */
+    default boolean mayStillSend(String endpointId, long startedAtTicks) {
         return true;
     }
 
-    /** The answer to a message for the front itself, whose health is as FrontStatus tells it. */
-    HttpResponse answerNodeRequest(HttpRequest http, String health);
-
-    // ---- what the decider asks for
+    /**
+     * The answer to a message for the node itself.
+     *
+     * @param health as {@link FrontStatus#health()} reports it
+     */
+    HttpResponse answerNodeRequest(HttpRequest message, String health);
 
+    /** Carries out {@link Action.CastVote}. */
     void castVote(Action.CastVote vote);
 
-    void watchEndpoints(boolean on);
+    /** Carries out {@link Action.WatchEndpoints}. */
+    void watchEndpoints(boolean enabled);
 
+    /** Carries out {@link Action.FetchEndpoints}. */
     void fetchEndpoints();
 
-    void sendGossip(int to, byte[] bytes);
-
-    // ---- what the front saw
+    /** Carries out {@link Action.SendGossip}. */
+    void sendGossip(int toNode, byte[] payload);
 
+    /**
+     * Called before a turn's events are handed to the decider.
+     *
+     * @param events how many there are
+     */
     default void onTurn(int events) {}
 
+    /** Called when an attempt is about to be started. */
     default void onAttemptStarted(int route) {}
 
-    default void onAttemptEnded(String machine, long begunAt, ClientRequest asked, AttemptOutcome outcome) {}
-
-    default void onCompleted(long number, String machine, long begunAt, ClientRequest asked) {}
-
-    default void onAnswered(RequestOutcome how, long tenths) {}
-
+    /** Called when an attempt has ended that was started at a moment. */
+    default void onAttemptEnded(
+            String endpointId, long startedAtTicks, ClientRequest request, AttemptOutcome outcome) {}
+
+    /**
+     * Called when an endpoint's response is about to be forwarded.
+     *
+     * @param requestNumber of the request among those of this incarnation, of which its id is made
+     * @param startedAtTicks when the attempt was started
+     */
+    default void onCompleted(long requestNumber, String endpointId, long startedAtTicks, ClientRequest request) {}
+
+    /**
+     * Called when a request gets its final answer, or its client is gone.
+     *
+     * @param durationTicks since the request was accepted
+     */
+    default void onAnswered(RequestOutcome outcome, long durationTicks) {}
+
+    /** Called when a request had no decision before its deadline. */
     default void onOverdue(int route) {}
 }
--- a/src/main/java/laurelkeel/front/Protocol.java
+++ b/src/main/java/laurelkeel/front/Protocol.java
@@ -4,19 +4,25 @@
 import laurelkeel.front.upstream.EndpointProtocol;
 import laurelkeel.wire.MessageBuilder;
 
-/** One protocol's words on both sides of a front. It translates; it decides nothing. */
+/** The protocol that a front node speaks on both sides. It translates messages and decides nothing. */
 public interface Protocol extends ClientProtocol, EndpointProtocol {
     /**
-     * Adds this hop's lines to a req on its way to a machine.
+     * Adds this hop's headers to a request on its way to an endpoint.
      *
-     * @param left tenths of a millisecond that its client still waits
-     * @param within tenths of a millisecond that the front waits for this try
+     * @param attempt number of the attempt, from 0
+     * @param remainingTicks how long the client still waits
+     * @param timeoutTicks how long the node waits for this attempt
      */
-    void writeAttemptHeaders(MessageBuilder to, String machine, int tryNo, long left, long within);
+    void writeAttemptHeaders(
+            MessageBuilder message, String endpointId, int attempt, long remainingTicks, long timeoutTicks);
 
-    /** Adds this hop's lines to a machine's answer on its way to the client; id is the front's own. */
-    void writeResponseHeaders(MessageBuilder to, String id);
+    /**
+     * Adds this hop's headers to an endpoint's response on its way to the client.
+     *
+     * @param requestId the node's own id of the request
+     */
+    void writeResponseHeaders(MessageBuilder message, String requestId);
 
-    /** A whole message that asks a machine how it does. */
-    byte[] healthCheckRequest(MessageBuilder to, String machine);
+    /** A complete message that asks an endpoint for its health and load. */
+    byte[] healthCheckRequest(MessageBuilder message, String endpointId);
 }
--- a/src/main/java/laurelkeel/front/ResponseReferences.java
+++ b/src/main/java/laurelkeel/front/ResponseReferences.java
@@ -1,45 +1,68 @@
 package laurelkeel.front;
 
+import org.jspecify.annotations.Nullable;
+
 /**
- * The last answers that went out, for complaints about them: by the number of their req, in rings that grow no more.
- * Front's thread only.
+ * The origins of the last completed responses, by the numbers of their requests, in a ring of fixed size. Not
+ * thread-safe; used on the event loop's thread.
  */
 final class ResponseReferences {
-    /** An answer that a complaint may be about. */
-    record Answer(String machine, long sentAt, int route, int customer) {}
+    /**
+     * Where a response came from.
+     *
+     * @param sentAtTicks when the attempt that it answers was sent
+     */
+    record Origin(String endpointId, long sentAtTicks, int route, int tenant) {}
 
     private final int mask;
-    private final long[] req, sentAt;
-    private final String[] machine;
-    private final int[] route, customer;
+    // one array a field: an object a response, kept this long, would be work for the garbage collector
+    private final long[] requestNumbers;
+    private final @Nullable String[] endpointIds;
+    private final long[] sentAtTicks;
+    private final int[] routes;
+    private final int[] tenants;
+
+    /**
+     * Creates a ring.
+     *
+     * @param capacity a power of two
+     */
+    ResponseReferences(int capacity) {
+        mask = capacity - 1;
+        requestNumbers = new long[capacity];
+        endpointIds = new String[capacity];
+        sentAtTicks = new long[capacity];
+        routes = new int[capacity];
+        tenants = new int[capacity];
+    }
 
-    /** @param most a power of two */
-    ResponseReferences(int most) {
-        mask = most - 1;
-        req = new long[most];
-        sentAt = new long[most];
-        machine = new String[most];
-        route = new int[most];
-        customer = new int[most];
+    private int slot(long requestNumber) {
+        return (int) (requestNumber & mask);
     }
 
-    void put(long number, String to, long at, int onRoute, int of) {
-        int i = (int) (number & mask);
-        req[i] = number;
-        machine[i] = to;
-        sentAt[i] = at;
-        route[i] = onRoute;
-        customer[i] = of;
+    /** Keeps the origin of a response in place of an older one. */
+    void put(long requestNumber, Origin origin) {
+        int slot = slot(requestNumber);
+        requestNumbers[slot] = requestNumber;
+        endpointIds[slot] = origin.endpointId;
+        sentAtTicks[slot] = origin.sentAtTicks;
+        routes[slot] = origin.route;
+        tenants[slot] = origin.tenant;
     }
 
-    /** The answer to a req, once; null where it is unknown, too long ago or told before. */
-    Answer take(long number) {
-        int i = (int) (number & mask);
-        if (number < 0 || req[i] != number || machine[i] == null) {
+    /**
+     * Takes the origin of a response out.
+     *
+     * @return null where it is unknown, too old or taken already
+     */
+    @Nullable
+    Origin take(long requestNumber) {
+        int slot = slot(requestNumber);
+        String endpointId = endpointIds[slot];
+        if (requestNumber < 0 || requestNumbers[slot] != requestNumber || endpointId == null) {
             return null;
         }
-        Answer a = new Answer(machine[i], sentAt[i], route[i], customer[i]);
-        machine[i] = null;
-        return a;
+        endpointIds[slot] = null;
+        return new Origin(endpointId, sentAtTicks[slot], routes[slot], tenants[slot]);
     }
 }
--- a/src/main/java/laurelkeel/front/StandaloneProtocol.java
+++ b/src/main/java/laurelkeel/front/StandaloneProtocol.java
@@ -3,6 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.IntToLongFunction;
 import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.api.Ticks;
 import laurelkeel.front.ingress.ClientRequest;
 import laurelkeel.front.ingress.RouteTable;
 import laurelkeel.front.upstream.EndpointResponse;
@@ -12,71 +13,90 @@
 import laurelkeel.wire.HttpRequest;
 import laurelkeel.wire.HttpResponse;
 import laurelkeel.wire.MessageBuilder;
+import org.jspecify.annotations.Nullable;
 
-/** The words of laurelkeel.wire.Names; docs/front.md explains each. */
+/** The protocol of a standalone front node, with the header names of {@link HeaderNames}; docs/front.md explains each. */
 final class StandaloneProtocol implements Protocol {
-    /** Where clients complain of an answer; a path of the front's own. */
-    static final String COMPLAINTS = "/.laurelkeel/complaints";
-
-    private static final long RETRY_AT_DOOR = 1000;
-
-    private final RouteTable table;
-    private final IntToLongFunction timeouts;
-    private final String fullName, probePath;
-
-    StandaloneProtocol(RouteTable table, IntToLongFunction timeouts, String fullName, String probePath) {
-        this.table = table;
-        this.timeouts = timeouts;
-        this.fullName = fullName;
-        this.probePath = probePath;
+    /** Where clients complain of a response; a path of the node's own. */
+    static final String COMPLAINTS_PATH = "/.laurelkeel/complaints";
+
+    /** How long a client is asked to stay away that was rejected before any decision. */
+    private static final long NOT_ACCEPTED_RETRY_AFTER_TICKS = 100 * Ticks.PER_MILLISECOND;
+
+    private static final int METHOD_NOT_ALLOWED = 405;
+    private static final int BAD_GATEWAY = 502;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int GATEWAY_TIMEOUT = 504;
+
+    private final RouteTable routes;
+    private final IntToLongFunction timeoutTicks;
+    private final String senderName;
+    private final String healthCheckPath;
+
+    /**
+     * Creates the protocol.
+     *
+     * @param timeoutTicks by route index
+     * @param senderName names the node and its incarnation to endpoints
+     */
+    StandaloneProtocol(RouteTable routes, IntToLongFunction timeoutTicks, String senderName, String healthCheckPath) {
+        this.routes = routes;
+        this.timeoutTicks = timeoutTicks;
+        this.senderName = senderName;
+        this.healthCheckPath = healthCheckPath;
     }
 
     @Override
-    public boolean isNodeRequest(HttpRequest http) {
-        return http.path().equals(COMPLAINTS) && http.method().equals("POST");
+    public boolean isNodeRequest(HttpRequest message) {
+        return message.path().equals(COMPLAINTS_PATH) && message.method().equals("POST");
     }
 
     @Override
-    public ClientRequest parseRequest(HttpRequest http) throws HttpProtocolException {
-        return ClientRequest.read(http, table, timeouts);
+    public ClientRequest parseRequest(HttpRequest message) throws HttpProtocolException {
+        return ClientRequest.read(message, routes, timeoutTicks);
     }
 
     @Override
-    public HttpResponse badRequest(HttpProtocolException bad, HttpRequest http) {
-        HttpResponse a = plain(bad.status(), bad.getMessage());
-        if (bad.status() == 405 && http != null) {
-            a.headers().add("Allow", table.allowedMethods(http.path()));
+    public HttpResponse badRequest(HttpProtocolException error, @Nullable HttpRequest message) {
+        HttpResponse response = plain(error.status(), String.valueOf(error.getMessage()));
+        if (error.status() == METHOD_NOT_ALLOWED && message != null) {
+            response.headers().add("Allow", routes.allowedMethods(message.path()));
         }
-        return a;
+        return response;
     }
 
     @Override
-    public HttpResponse notAccepted(String why) {
-        HttpResponse a = rejected(RETRY_AT_DOOR, why);
-        a.headers().add(HeaderNames.ACCEPTED, "no");
-        return a;
+    public HttpResponse notAccepted(String reason) {
+        HttpResponse response = rejected(NOT_ACCEPTED_RETRY_AFTER_TICKS, reason);
+        response.headers().add(HeaderNames.ACCEPTED, "no");
+        return response;
     }
 
-    /** 503 and the word that asking again is harmless. */
+    /** 503 and the statement that a retry does no harm. */
     @Override
-    public HttpResponse rejected(long after, String why) {
-        HttpResponse a = plain(503, why);
-        a.headers().add(HeaderNames.RESULT, "shed").add(HeaderNames.RETRY_SAFETY, "harmless");
-        if (after > 0) {
-            a.headers().add(HeaderNames.RETRY_AFTER, Long.toString((after + 9_999) / 10_000));
-            a.headers().add(HeaderNames.RETRY_AFTER_MS, Long.toString((after + 9) / 10));
+    public HttpResponse rejected(long retryAfterTicks, String reason) {
+        HttpResponse response = plain(SERVICE_UNAVAILABLE, reason);
+        response.headers().add(HeaderNames.RESULT, "shed").add(HeaderNames.RETRY_SAFETY, "harmless");
+        if (retryAfterTicks > 0) {
+            response.headers().add(HeaderNames.RETRY_AFTER, roundedUp(retryAfterTicks, Ticks.PER_SECOND));
+            response.headers().add(HeaderNames.RETRY_AFTER_MS, roundedUp(retryAfterTicks, Ticks.PER_MILLISECOND));
         }
-        return a;
+        return response;
+    }
+
+    private static String roundedUp(long ticks, long ticksPerUnit) {
+        return Long.toString((ticks + ticksPerUnit - 1) / ticksPerUnit);
     }
 
     /** 502 or 504, which promise nothing of what ran. */
     @Override
-    public HttpResponse failed(boolean late, String why) {
-        HttpResponse a = plain(late ? 504 : 502, why);
-        a.headers().add(HeaderNames.RESULT, "errored");
-        return a;
+    public HttpResponse failed(boolean late, String reason) {
+        HttpResponse response = plain(late ? GATEWAY_TIMEOUT : BAD_GATEWAY, reason);
+        response.headers().add(HeaderNames.RESULT, "errored");
+        return response;
     }
 
+    /** A response with a line of text. */
     static HttpResponse plain(int status, String text) {
         return new HttpResponse(
                 status,
@@ -85,8 +105,8 @@
     }
 
     @Override
-    public EndpointResponse parseResponse(HttpResponse answer) {
-        return EndpointResponse.of(answer);
+    public EndpointResponse parseResponse(HttpResponse message) {
+        return EndpointResponse.of(message);
     }
 
     @Override
@@ -95,24 +115,25 @@
     }
 
     @Override
-    public void writeAttemptHeaders(MessageBuilder to, String machine, int tryNo, long left, long within) {
-        to.appendHeader("Host", machine)
-                .appendHeader(HeaderNames.REMAINING, Long.toString(Math.max(0, left / 10)))
-                .appendHeader(HeaderNames.ATTEMPT, Integer.toString(tryNo))
-                .appendHeader(HeaderNames.FRONT, fullName);
+    public void writeAttemptHeaders(
+            MessageBuilder message, String endpointId, int attempt, long remainingTicks, long timeoutTicks) {
+        message.appendHeader("Host", endpointId)
+                .appendHeader(HeaderNames.REMAINING, Long.toString(Math.max(0, remainingTicks / Ticks.PER_MILLISECOND)))
+                .appendHeader(HeaderNames.ATTEMPT, Integer.toString(attempt))
+                .appendHeader(HeaderNames.FRONT, senderName);
     }
 
     @Override
-    public void writeResponseHeaders(MessageBuilder to, String id) {
-        to.appendHeader(HeaderNames.RESULT, "completed").appendHeader(HeaderNames.RESPONSE_REFERENCE, id);
+    public void writeResponseHeaders(MessageBuilder message, String requestId) {
+        message.appendHeader(HeaderNames.RESULT, "completed").appendHeader(HeaderNames.RESPONSE_REFERENCE, requestId);
     }
 
     @Override
-    public byte[] healthCheckRequest(MessageBuilder to, String machine) {
-        return to.appendText("GET ")
-                .appendText(probePath)
+    public byte[] healthCheckRequest(MessageBuilder message, String endpointId) {
+        return message.appendText("GET ")
+                .appendText(healthCheckPath)
                 .appendText(" HTTP/1.1\r\n")
-                .appendHeader("Host", machine)
+                .appendHeader("Host", endpointId)
                 .appendText("\r\n")
                 .takeBytes();
     }
--- a/src/main/java/laurelkeel/front/WireTerms.java
+++ b/src/main/java/laurelkeel/front/WireTerms.java
@@ -1,11 +1,8 @@
 package laurelkeel.front;
 
 import java.util.LinkedHashMap;
-import java.util.Locale;
 import java.util.Map;
-import laurelkeel.api.Action.Verdict;
 import laurelkeel.api.Event.AttemptOutcome;
-import laurelkeel.api.Event.ControlStatus;
 import laurelkeel.api.Event.EndpointListKind;
 import laurelkeel.api.Event.EndpointState;
 import laurelkeel.api.Event.RolloutPhase;
@@ -14,11 +11,13 @@
 import laurelkeel.api.Settings.PromotionPolicy;
 import laurelkeel.front.FrontSettingsReader.EndpointListMode;
 import laurelkeel.front.FrontSettingsReader.ValueBasis;
+import laurelkeel.partition.PartitionedDecider.Attribution;
 import laurelkeel.records.TrafficRecord;
 
 /**
- * Maps the names that stand on the wire, in settings files, in records and in metric labels to the terms of the API.
- * Those names are part of the product's interface and stay as they are; this class is the only place that knows both.
+ * Maps the names that stand in settings files, in records and in metric labels to the terms of the API. Those names are
+ * part of the product's interface and stay as they are. Names in messages of the control plane:
+ * {@link laurelkeel.front.controlplane.ControlPlaneTerms}.
  */
 public final class WireTerms {
     /** Values of {@code effect} in a route's section, in the order in which errors list them. */
@@ -47,29 +46,6 @@
     static final Map<String, ValueBasis> VALUE_BASIS =
             inOrder(Map.entry("req", ValueBasis.REQUEST), Map.entry("work", ValueBasis.WORK));
 
-    private static final Map<String, EndpointState> ENDPOINT_STATES =
-            Map.of("live", EndpointState.ACTIVE, "draining", EndpointState.DRAINING, "gone", EndpointState.REMOVED);
-
-    private static final Map<String, RolloutPhase> PHASES = Map.of(
-            "trial",
-            RolloutPhase.CANARY,
-            "going-back",
-            RolloutPhase.ROLLING_BACK,
-            "released",
-            RolloutPhase.RELEASED,
-            "withdrawn",
-            RolloutPhase.ROLLED_BACK);
-
-    private static final Map<String, ControlStatus> CONTROL_STATUSES = Map.of(
-            "ok",
-            ControlStatus.OK,
-            "moot",
-            ControlStatus.STALE,
-            "over-limit",
-            ControlStatus.RATE_LIMITED,
-            "timeout",
-            ControlStatus.TIMED_OUT);
-
     private WireTerms() {}
 
     @SafeVarargs
@@ -81,51 +57,6 @@
         return map;
     }
 
-    private static String normalized(String name) {
-        return name.toLowerCase(Locale.ROOT).replace('_', '-');
-    }
-
-    /**
-     * Reads an endpoint's state as endpoint lists name it.
-     *
-     * @throws IllegalArgumentException where the state is unknown
-     */
-    static EndpointState endpointState(String name) {
-        EndpointState state = ENDPOINT_STATES.get(normalized(name));
-        if (state == null) {
-            throw new IllegalArgumentException("unknown endpoint state '" + name + "'");
-        }
-        return state;
-    }
-
-    /**
-     * Reads a rollout's phase as the release line names it.
-     *
-     * @throws IllegalArgumentException where the phase is unknown
-     */
-    static RolloutPhase phase(String name) {
-        RolloutPhase phase = PHASES.get(normalized(name));
-        if (phase == null) {
-            throw new IllegalArgumentException("unknown rollout phase '" + name + "'");
-        }
-        return phase;
-    }
-
-    /** Reads the answer to a vote; one that is not known counts as failed. */
-    static ControlStatus controlStatus(String name) {
-        return CONTROL_STATUSES.getOrDefault(name, ControlStatus.FAILED);
-    }
-
-    /** The verdict of a vote as it is written in a ballot and in the label of the metric of votes. */
-    static String verdict(Verdict verdict) {
-        return switch (verdict) {
-            case NONE -> "none";
-            case PROMOTE -> "on";
-            case HOLD -> "hold";
-            case ROLL_BACK -> "back";
-        };
-    }
-
     /** The label of an attempt's outcome in {@code laurelkeel_outcomes_total}. */
     static String metricLabel(AttemptOutcome outcome) {
         return switch (outcome) {
@@ -150,6 +81,17 @@
         };
     }
 
+    /** The label of an attribution in {@code laurelkeel_blame_total}. */
+    static String metricLabel(Attribution attribution) {
+        return switch (attribution) {
+            case NONE -> "none";
+            case GUILTY -> "guilty";
+            case CLEARED -> "cleared";
+            case OPEN -> "open";
+            case SET_ASIDE -> "set_aside";
+        };
+    }
+
     /** An endpoint's state as records keep it. */
     static TrafficRecord.State recorded(EndpointState state) {
         return switch (state) {
--- a/src/main/java/laurelkeel/front/controlplane/EndpointListSource.java
+++ b/src/main/java/laurelkeel/front/controlplane/EndpointListSource.java
@@ -1,181 +1,157 @@
 package laurelkeel.front.controlplane;
 
-import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.databind.ObjectMapper;
-import java.net.URI;
-import java.net.http.HttpClient;
-import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
-import java.time.Duration;
-import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.ScheduledExecutorService;
-import java.util.concurrent.TimeUnit;
 import laurelkeel.eventloop.EventLoop;
+import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows a list service. Pushed: it subscribes at the start and again whenever the watch ends. Asked: it calls only
- * when told to, and says so when a call fails. Lines that do not follow the version held are never applied: the whole
- * list is fetched in their place.
+ * Follows the endpoint list service. Where the list is pushed, it keeps a watch open from its start on; where it is
+ * polled, it makes calls only when asked to and reports when one failed. Changes that do not follow the version at hand
+ * are never applied: the whole list is fetched instead. Thread-safe.
  */
 public final class EndpointListSource {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListSource.class);
-    private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** On the front's thread, ahead of traffic. arrived is the moment the line's bytes were read. */
-    public interface Sink {
-        void list(EndpointListMessage line, long arrived);
+    private static final String WATCH_PATH = "/list/watch";
+    private static final String LIST_PATH = "/list";
+    private static final long FETCH_HEADER_TIMEOUT_MILLIS = ControlPlaneClient.SILENCE_TIMEOUT_MILLIS;
+    private static final long FETCH_TIMEOUT_MILLIS = 2 * FETCH_HEADER_TIMEOUT_MILLIS;
+    private static final int OK = 200;
+    private static final long NO_VERSION = -1;
 
-        void failed();
+    /** Receives what the source learns, on the event loop's thread and ahead of traffic. */
+    public interface Listener {
+        /**
+         * A version of the list has come in.
+         *
+         * @param arrivedAtTicks when its bytes were read
+         */
+        void onList(EndpointListMessage list, long arrivedAtTicks);
+
+        /** A fetch failed, or a watch that is not opened again by itself has ended. */
+        void onFailure();
     }
 
-    private final HttpClient http;
-    private final String base;
-    private final ScheduledExecutorService timer;
+    private final ControlPlaneClient client;
     private final EventLoop loop;
-    private final Sink sink;
-    private final boolean pushed;
-    private final ReconnectBackoff pause;
-    private LineWatch watch;
-    private long version = -1;
-    private boolean closed, fetching;
-
-    public EndpointListSource(
-            HttpClient http,
-            String base,
-            ScheduledExecutorService timer,
-            EventLoop loop,
-            boolean pushed,
-            long seed,
-            Sink sink) {
-        this.http = http;
-        this.base = base;
-        this.timer = timer;
-        this.loop = loop;
-        this.pushed = pushed;
-        this.pause = new ReconnectBackoff(seed);
-        this.sink = sink;
+    private final Listener listener;
+    private final boolean isPushed;
+    private final WatchSupervisor watch;
+    private long version = NO_VERSION;
+    private boolean isFetching;
+    private boolean closed;
+
+    /**
+     * Creates a source that makes no call before its start.
+     *
+     * @param isPushed whether the source keeps a watch open by itself
+     * @param seed of the random part of the backoff
+     */
+    public EndpointListSource(ControlPlaneClient client, boolean isPushed, long seed, Listener listener) {
+        this.client = client;
+        this.isPushed = isPushed;
+        this.listener = listener;
+        loop = client.loop();
+        watch = isPushed
+                ? WatchSupervisor.reconnecting(client, "endpoint list", this::watchPath, this::onWatchLine, seed)
+                : WatchSupervisor.notifying(
+                        client, "endpoint list", this::watchPath, this::onWatchLine, this::reportFailure);
     }
 
-    public synchronized void start() {
-        if (pushed) {
-            open();
+    /** Opens the watch of a pushed list. */
+    public void start() {
+        if (isPushed) {
+            watch.open();
         }
     }
 
-    public synchronized void close() {
-        closed = true;
-        if (watch != null) {
-            watch.cancel();
+    /** Ends the watch; no further call is made. */
+    public void close() {
+        synchronized (this) {
+            closed = true;
         }
+        watch.close();
     }
 
-    /** Asks for changes from now on, missed ones first; or withdraws. */
-    public synchronized void watch(boolean on) {
-        if (watch != null) {
+    /** Subscribes to changes, of which the missed ones come first, or ends the subscription. */
+    public void watch(boolean enabled) {
+        if (enabled) {
+            watch.reopen();
+        } else {
             watch.cancel();
-            watch = null;
-        }
-        if (on && !closed) {
-            open();
         }
     }
 
-    private synchronized void open() {
-        if (!closed) {
-            String after = version < 0 ? "" : "?after=" + version;
-            try {
-                watch = LineWatch.open(
-                        http, URI.create(base + "/list/watch" + after), timer, loop, l -> line(l, false), this::ended);
-            } catch (RuntimeException e) {
-                ended(e.toString());
-            }
-        }
+    private synchronized String watchPath() {
+        return version == NO_VERSION ? WATCH_PATH : WATCH_PATH + "?after=" + version;
     }
 
-    private synchronized void ended(String why) {
-        watch = null;
-        if (closed) {
-            return;
-        }
-        LOG.warn("the watch on the machine list ended: {}", why);
-        if (pushed) {
-            timer.schedule(this::open, pause.nextDelayMillis(), TimeUnit.MILLISECONDS);
-        } else {
-            loop.postPriority(sink::failed);
-        }
+    private void reportFailure() {
+        loop.postPriority(listener::onFailure);
     }
 
-    /** Asks for the whole list once; while an answer is awaited, that one stands for all that ask. */
+    /** Fetches the whole list once; while a response is awaited, it stands for all calls. */
     public void fetch() {
         synchronized (this) {
-            if (closed || fetching) {
+            if (closed || isFetching) {
                 return;
             }
-            fetching = true;
-        }
-        CompletableFuture<HttpResponse<String>> answer;
-        try {
-            HttpRequest ask = HttpRequest.newBuilder(URI.create(base + "/list"))
-                    .timeout(Duration.ofMillis(LineWatch.SILENCE_MS))
-                    .GET()
-                    .build();
-            answer = LineBodySubscriber.ask(http, ask, timer, 2 * LineWatch.SILENCE_MS);
-        } catch (RuntimeException e) {
-            answer = CompletableFuture.failedFuture(e);
+            isFetching = true;
         }
-        answer.whenComplete((r, failure) -> {
-            synchronized (this) {
-                fetching = false;
-            }
-            if (failure != null || r.statusCode() != 200) {
-                LOG.warn(
-                        "the machine list could not be fetched: {}",
-                        failure == null ? "status " + r.statusCode() : failure.getMessage());
-                loop.postPriority(sink::failed);
-            } else {
-                line(r.body(), true);
-            }
-        });
+        ControlPlaneClient.whenDone(
+                client.get(LIST_PATH, FETCH_HEADER_TIMEOUT_MILLIS, FETCH_TIMEOUT_MILLIS), this::onFetched);
     }
 
-    private void line(String text, boolean fetched) {
-        long arrived = loop.clockTicks();
-        EndpointListMessage l;
-        try {
-            l = JSON.readValue(text, EndpointListMessage.class);
-        } catch (JsonProcessingException e) {
-            LOG.warn("a line of the machine list could not be read and is passed over: {}", e.getOriginalMessage());
-            return;
+    private void onFetched(@Nullable HttpResponse<String> response, @Nullable Throwable failure) {
+        synchronized (this) {
+            isFetching = false;
         }
-        if (l == null) {
+        if (response != null && response.statusCode() == OK) {
+            onText(response.body(), true);
             return;
         }
-        if (!fetched) {
-            pause.reset();
+        LOG.warn(
+                "the endpoint list could not be fetched: {}",
+                response != null ? "status " + response.statusCode() : String.valueOf(failure));
+        reportFailure();
+    }
+
+    private void onWatchLine(String line) {
+        onText(line, false);
+    }
+
+    private void onText(String text, boolean isFetched) {
+        long arrivedAtTicks = loop.clockTicks();
+        try {
+            EndpointListJson json = EndpointListJson.read(text);
+            if (json == null) {
+                return;
+            }
+            if (!isFetched) {
+                watch.resetBackoff();
+            }
+            EndpointListMessage list = json.parse();
+            if (list != null) {
+                apply(list, isFetched, arrivedAtTicks);
+            }
+        } catch (InvalidMessageException e) {
+            LOG.warn("a line of the endpoint list is passed over: {}", e.getMessage());
         }
-        if ("beat".equals(l.kind()) || l.machines() == null) {
+    }
+
+    private synchronized void apply(EndpointListMessage list, boolean isFetched, long arrivedAtTicks) {
+        if (isFetched && list.version() < version) {
+            // later changes came by the watch meanwhile
             return;
         }
-        String fault = l.fault();
-        if (fault != null) {
-            LOG.warn("a line of the machine list is passed over: {}", fault);
+        if (!list.isSnapshot() && list.previousVersion() != version) {
+            LOG.warn("the endpoint list jumped from version {} to {}; fetching all of it", version, list.version());
+            fetch();
             return;
         }
-        synchronized (this) {
-            boolean full = "full".equals(l.kind());
-            if (fetched && l.version() < version) {
-                // changes after it came by the watch meanwhile
-                return;
-            }
-            if (!full && l.previous() != version) {
-                LOG.warn("the list jumped from version {} to {}; fetching it whole", version, l.version());
-                fetch();
-                return;
-            }
-            version = l.version();
-            loop.postPriority(() -> sink.list(l, arrived));
-        }
+        version = list.version();
+        loop.postPriority(() -> listener.onList(list, arrivedAtTicks));
     }
 }
--- a/src/main/java/laurelkeel/front/controlplane/GossipChannel.java
+++ b/src/main/java/laurelkeel/front/controlplane/GossipChannel.java
@@ -14,85 +14,116 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Short notes between fronts: one datagram each, "LK1", the sender's number in four bytes, then 256 bytes at most.
- * They may be lost, doubled or late; whoever reads them must bear that.
+ * Exchanges short messages with other nodes: one UDP datagram each, with "LK1", the sender's node index in four bytes,
+ * and the payload. Messages may be lost, duplicated or late, and the receiver must bear that.
  */
 public final class GossipChannel {
-    public static final int MOST = 256;
+    /** The longest payload of a message. */
+    public static final int MAX_PAYLOAD_BYTES = 256;
+
     private static final Logger LOG = LoggerFactory.getLogger(GossipChannel.class);
     private static final byte[] MAGIC = {'L', 'K', '1'};
-    private static final int HEAD = MAGIC.length + 4;
+    private static final int HEADER_BYTES = MAGIC.length + Integer.BYTES;
+    private static final int RECEIVE_BUFFER_BYTES = 1 << 20;
 
-    private final int self;
+    private final int nodeIndex;
     private final Map<Integer, InetSocketAddress> peers;
+    private final EventLoop loop;
+    private final BiConsumer<Integer, byte[]> onMessage;
     private final NioDatagramAcceptor socket;
-    private final InetSocketAddress at;
+    private final InetSocketAddress address;
 
-    /** @param heard on the front's thread: sender and bytes */
+    /**
+     * Creates a channel that is not open yet.
+     *
+     * @param address where messages are received
+     * @param peers the addresses of all nodes by node index
+     * @param threads run the socket
+     * @param onMessage called on the event loop's thread with the sender's node index and the payload
+     */
     public GossipChannel(
-            int self,
-            InetSocketAddress at,
+            int nodeIndex,
+            InetSocketAddress address,
             Map<Integer, InetSocketAddress> peers,
             EventLoop loop,
             Executor threads,
-            BiConsumer<Integer, byte[]> heard) {
-        this.self = self;
-        this.at = at;
+            BiConsumer<Integer, byte[]> onMessage) {
+        this.nodeIndex = nodeIndex;
+        this.address = address;
         this.peers = Map.copyOf(peers);
+        this.loop = loop;
+        this.onMessage = onMessage;
         socket = new NioDatagramAcceptor(threads);
         socket.getSessionConfig().setReuseAddress(true);
-        socket.getSessionConfig().setReceiveBufferSize(1 << 20);
-        socket.setHandler(new IoHandlerAdapter() {
-            @Override
-            public void messageReceived(IoSession session, Object message) {
-                IoBuffer in = (IoBuffer) message;
-                if (in.remaining() < HEAD || in.remaining() > HEAD + MOST) {
-                    return;
-                }
-                for (byte b : MAGIC) {
-                    if (in.get() != b) {
-                        return;
-                    }
-                }
-                int from = in.getInt();
-                byte[] bytes = new byte[in.remaining()];
-                in.get(bytes);
-                if (from != self && GossipChannel.this.peers.containsKey(from)) {
-                    loop.post(() -> heard.accept(from, bytes));
-                }
-            }
-
-            @Override
-            public void exceptionCaught(IoSession session, Throwable cause) {
-                // a peer that is down answers with a port unreachable: nothing to mend from here
-            }
-        });
+        socket.getSessionConfig().setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
+        socket.setHandler(new DatagramHandler());
     }
 
+    /**
+     * Opens the socket.
+     *
+     * @throws IOException where the address cannot be bound
+     */
     public void open() throws IOException {
-        socket.bind(at);
+        socket.bind(address);
     }
 
+    /** Closes the socket, without waiting for it. */
     public void close() {
         socket.dispose(false);
     }
 
-    /** To one front, or to all where to is below 0; over 256 bytes is a fault of the caller. */
-    public void tell(int to, byte[] bytes) {
-        if (bytes.length > MOST) {
-            throw new IllegalArgumentException("a note has " + bytes.length + " bytes, over " + MOST);
+    /**
+     * Sends a message to one node, or to all others where the receiver's index is below 0.
+     *
+     * @throws IllegalArgumentException where the payload is over {@link #MAX_PAYLOAD_BYTES}
+     */
+    public void send(int toNode, byte[] payload) {
+        if (payload.length > MAX_PAYLOAD_BYTES) {
+            throw new IllegalArgumentException(
+                    "a gossip payload has " + payload.length + " bytes, over " + MAX_PAYLOAD_BYTES);
         }
-        peers.forEach((n, address) -> {
-            if (n != self && (to < 0 || to == n)) {
-                IoBuffer out = IoBuffer.allocate(HEAD + bytes.length);
-                out.put(MAGIC).putInt(self).put(bytes).flip();
-                try {
-                    socket.newSession(address, at).write(out);
-                } catch (RuntimeException e) {
-                    // notes may be lost: to a socket that is not open, or for want of something of this host's
-                    LOG.warn("a note to front {} could not be sent: {}", n, e.toString());
-                }
+        peers.forEach((peer, peerAddress) -> {
+            if (peer != nodeIndex && (toNode < 0 || toNode == peer)) {
+                send(peer, peerAddress, payload);
             }
         });
     }
+
+    private void send(int peer, InetSocketAddress peerAddress, byte[] payload) {
+        IoBuffer datagram = IoBuffer.allocate(HEADER_BYTES + payload.length);
+        datagram.put(MAGIC).putInt(nodeIndex).put(payload).flip();
+        try {
+            socket.newSession(peerAddress, address).write(datagram);
+        } catch (RuntimeException e) {
+            // messages may be lost: to a socket that is not open, or for want of something of this host's
+            LOG.warn("gossip to node {} could not be sent: {}", peer, e.toString());
+        }
+    }
+
+    private final class DatagramHandler extends IoHandlerAdapter {
+        @Override
+        public void messageReceived(IoSession session, Object message) {
+            IoBuffer datagram = (IoBuffer) message;
+            if (datagram.remaining() < HEADER_BYTES || datagram.remaining() > HEADER_BYTES + MAX_PAYLOAD_BYTES) {
+                return;
+            }
+            for (byte expected : MAGIC) {
+                if (datagram.get() != expected) {
+                    return;
+                }
+            }
+            int fromNode = datagram.getInt();
+            byte[] payload = new byte[datagram.remaining()];
+            datagram.get(payload);
+            if (fromNode != nodeIndex && peers.containsKey(fromNode)) {
+                loop.post(() -> onMessage.accept(fromNode, payload));
+            }
+        }
+
+        @Override
+        public void exceptionCaught(IoSession session, Throwable cause) {
+            // a peer that is down answers with a port unreachable, about which nothing can be done here
+        }
+    }
 }
--- a/src/main/java/laurelkeel/front/controlplane/RolloutMessage.java
+++ b/src/main/java/laurelkeel/front/controlplane/RolloutMessage.java
@@ -1,80 +1,55 @@
 package laurelkeel.front.controlplane;
 
-import com.fasterxml.jackson.annotation.JsonIgnoreProperties;
-import com.fasterxml.jackson.annotation.JsonInclude;
 import java.util.List;
-
-/**
- * One line of the release line's watch, or its answer to a vote.
- *
- * @param kind news, counts, beat or vote
- * @param answer to a vote: ok, moot, over-limit or error
- * @param phase trial, going-back, released or withdrawn
- * @param ageMs how long ago the state began, or the counted period ended, when the line was written
- * @param meanMs counts: the mean time of tries that did not fail
- * @param standing all builds that are not withdrawn; null from a line that knows one release only
- * @param blame none, open, cleared, guilty or set-aside; null for none
- */
-@JsonIgnoreProperties(ignoreUnknown = true)
-@JsonInclude(JsonInclude.Include.NON_NULL)
-public record RolloutMessage(
-        String kind,
-        String answer,
-        int build,
-        int stage,
-        double cap,
-        String phase,
-        double ageMs,
-        int route,
-        long tries,
-        long errors,
-        double meanMs,
-        List<Integer> standing,
-        String blame) {
-
-    private static final List<String> PHASES = List.of("trial", "going-back", "released", "withdrawn");
-
-    /** Why it cannot be followed; null where it can. */
-    public String fault() {
-        boolean counts = "counts".equals(kind);
-        return counts
-                ? null
-                : phase == null || !PHASES.contains(phase)
-                        ? "its phase is '" + phase + "'"
-                        : stage < 0 || !(cap >= 0 && cap <= 1)
-                                ? "its stage is " + stage + ", its cap " + cap
-                                : standing != null && standing.contains(null) ? "a standing build is none" : null;
-    }
-
-    public static RolloutMessage news(int build, int stage, double cap, String phase, double ageMs) {
-        return new RolloutMessage("news", null, build, stage, cap, phase, ageMs, 0, 0, 0, 0, null, null);
-    }
-
-    public static RolloutMessage vote(String answer, RolloutMessage now) {
-        return new RolloutMessage(
-                "vote",
-                answer,
-                now.build,
-                now.stage,
-                now.cap,
-                now.phase,
-                now.ageMs,
-                0,
-                0,
-                0,
-                0,
-                now.standing,
-                now.blame);
-    }
-
-    public static RolloutMessage counts(int build, int route, long tries, long errors, double meanMs, double ageMs) {
-        return new RolloutMessage("counts", null, build, 0, 0, null, ageMs, route, tries, errors, meanMs, null, null);
-    }
-
-    public static RolloutMessage beat() {
-        return new RolloutMessage("beat", null, 0, 0, 0, null, 0, 0, 0, 0, 0, null, null);
+import laurelkeel.api.Event.RolloutPhase;
+import laurelkeel.partition.PartitionedDecider.Attribution;
+import org.jspecify.annotations.Nullable;
+
+/** What the control service says of a build. */
+public sealed interface RolloutMessage {
+    /** The build that the message is about. */
+    int build();
+
+    /** What a regression of the build is attributed to. */
+    Attribution attribution();
+
+    /**
+     * Where the rollout of a build stands.
+     *
+     * @param stage from 0
+     * @param exposureCap share of the requests that the build may get, from 0 to 1
+     * @param ageMillis how long this had been so when the message was sent
+     * @param activeBuilds all builds that are not rolled back; null where the service knows one rollout only
+     */
+    record Status(
+            int build,
+            int stage,
+            double exposureCap,
+            RolloutPhase phase,
+            double ageMillis,
+            @Nullable List<Integer> activeBuilds,
+            Attribution attribution)
+            implements RolloutMessage {
+
+        /** The status of a build of which the service no longer speaks: it has been rolled back. */
+        public Status rolledBack() {
+            return new Status(build, stage, 0, RolloutPhase.ROLLED_BACK, 0, null, Attribution.NONE);
+        }
     }
 
-    /** A vote as it is sent. */
-    public record Ballot(int front, int build, int stage, String verdict) {}
+    /**
+     * What the platform counted of all nodes' attempts at a build over its last period.
+     *
+     * @param meanMillis the mean duration of attempts that did not fail
+     * @param ageMillis how long ago the period had ended when the message was sent
+     */
+    record Statistics(
+            int build,
+            int route,
+            long attempts,
+            long errors,
+            double meanMillis,
+            double ageMillis,
+            Attribution attribution)
+            implements RolloutMessage {}
 }
--- a/src/main/java/laurelkeel/front/controlplane/RolloutSource.java
+++ b/src/main/java/laurelkeel/front/controlplane/RolloutSource.java
@@ -2,155 +2,144 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import java.net.URI;
-import java.net.http.HttpClient;
-import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.net.http.HttpTimeoutException;
-import java.time.Duration;
 import java.util.concurrent.CancellationException;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
-import java.util.concurrent.ScheduledExecutorService;
-import java.util.concurrent.TimeUnit;
+import laurelkeel.api.Action;
+import laurelkeel.api.Event.ControlStatus;
 import laurelkeel.eventloop.EventLoop;
+import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Follows the release line's news and carries votes to it. Its watch is opened again whenever it ends. */
+/**
+ * Follows the control service's rollouts over a watch that it keeps open, and sends votes and reports to the service.
+ * Thread-safe.
+ */
 public final class RolloutSource {
     private static final Logger LOG = LoggerFactory.getLogger(RolloutSource.class);
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** On the front's thread, ahead of traffic. */
-    public interface Sink {
-        void news(RolloutMessage line, long arrived);
+    private static final String WATCH_PATH = "/release/watch?front=";
+    private static final String VOTES_PATH = "/release/votes";
+    private static final String REPORTS_PATH = "/release/reports";
+    private static final long REPORT_TIMEOUT_MILLIS = 2_000;
+    private static final int OK = 200;
 
-        /** answer: as in ReleaseLine, or timeout; line is null unless the answer came. */
-        void voted(String answer, int build, RolloutMessage line, long arrived);
+    /** Receives what the source learns, on the event loop's thread and ahead of traffic. */
+    public interface Listener {
+        /**
+         * A message of the watch has come in.
+         *
+         * @param arrivedAtTicks when its bytes were read
+         */
+        void onMessage(RolloutMessage message, long arrivedAtTicks);
+
+        /**
+         * A vote has ended; each one does once.
+         *
+         * @param build that the vote was on
+         * @param arrivedAtTicks when the response came or was given up
+         */
+        void onVoteEnded(int build, VoteResponse response, long arrivedAtTicks);
     }
 
-    private final HttpClient http;
-    private final String base;
-    private final int front;
-    private final ScheduledExecutorService timer;
+    private final ControlPlaneClient client;
+    private final int nodeIndex;
     private final EventLoop loop;
-    private final Sink sink;
-    private final ReconnectBackoff pause;
-    private LineWatch watch;
-    private boolean closed;
+    private final Listener listener;
+    private final WatchSupervisor watch;
 
-    public RolloutSource(
-            HttpClient http,
-            String base,
-            int front,
-            ScheduledExecutorService timer,
-            EventLoop loop,
-            long seed,
-            Sink sink) {
-        this.http = http;
-        this.base = base;
-        this.front = front;
-        this.timer = timer;
-        this.loop = loop;
-        this.sink = sink;
-        this.pause = new ReconnectBackoff(seed);
+    /**
+     * Creates a source that makes no call before its start.
+     *
+     * @param seed of the random part of the backoff
+     */
+    public RolloutSource(ControlPlaneClient client, int nodeIndex, long seed, Listener listener) {
+        this.client = client;
+        this.nodeIndex = nodeIndex;
+        this.listener = listener;
+        loop = client.loop();
+        watch = WatchSupervisor.reconnecting(client, "rollout", () -> WATCH_PATH + nodeIndex, this::onLine, seed);
     }
 
-    public synchronized void start() {
-        if (closed) {
-            return;
-        }
-        try {
-            watch = LineWatch.open(
-                    http, URI.create(base + "/release/watch?front=" + front), timer, loop, this::line, this::ended);
-        } catch (RuntimeException e) {
-            ended(e.toString());
-        }
+    /** Opens the watch. */
+    public void start() {
+        watch.open();
     }
 
-    public synchronized void close() {
-        closed = true;
-        if (watch != null) {
-            watch.cancel();
-        }
+    /** Ends the watch. */
+    public void close() {
+        watch.close();
     }
 
-    private synchronized void ended(String why) {
-        if (!closed) {
-            LOG.warn("the watch on the release line ended: {}", why);
-            timer.schedule(this::start, pause.nextDelayMillis(), TimeUnit.MILLISECONDS);
-        }
-    }
-
-    private void line(String text) {
-        long arrived = loop.clockTicks();
+    private void onLine(String line) {
+        long arrivedAtTicks = loop.clockTicks();
         try {
-            RolloutMessage l = JSON.readValue(text, RolloutMessage.class);
-            if (l == null) {
+            RolloutJson json = RolloutJson.read(line);
+            if (json == null) {
                 return;
             }
-            pause.reset();
-            String fault = l.fault();
-            if (!"beat".equals(l.kind()) && fault != null) {
-                LOG.warn("a line of the release line is passed over: {}", fault);
-            } else if (!"beat".equals(l.kind())) {
-                loop.postPriority(() -> sink.news(l, arrived));
+            watch.resetBackoff();
+            RolloutMessage message = json.parse();
+            if (message != null) {
+                loop.postPriority(() -> listener.onMessage(message, arrivedAtTicks));
             }
-        } catch (JsonProcessingException e) {
-            LOG.warn("a line of the release line could not be read and is passed over: {}", e.getOriginalMessage());
+        } catch (InvalidMessageException e) {
+            LOG.warn("a line of the rollout is passed over: {}", e.getMessage());
         }
     }
 
-    /** Sends what this front saw in one second; lost where the line does not answer, for the next says more. */
+    /** Sends what this node saw in one second; lost where the service does not answer, for the next report says more. */
     public void report(Object report) {
         try {
-            HttpRequest ask = HttpRequest.newBuilder(URI.create(base + "/release/reports"))
-                    .timeout(Duration.ofSeconds(2))
-                    .header("Content-Type", "application/json")
-                    .POST(HttpRequest.BodyPublishers.ofByteArray(JSON.writeValueAsBytes(report)))
-                    .build();
-            http.sendAsync(ask, HttpResponse.BodyHandlers.discarding());
+            client.postWithoutResponse(REPORTS_PATH, JSON.writeValueAsBytes(report), REPORT_TIMEOUT_MILLIS);
         } catch (JsonProcessingException | RuntimeException e) {
             LOG.warn("a report could not be sent: {}", e.toString());
         }
     }
 
-    /** Sends a vote; exactly one answer follows, within timeoutMs or as a timeout. */
-    public void vote(RolloutMessage.Ballot ballot, long timeoutMs) {
-        CompletableFuture<HttpResponse<String>> asked;
+    /** Sends a vote; exactly one {@link Listener#onVoteEnded} follows. */
+    public void vote(Action.CastVote vote, long timeoutMillis) {
+        Ballot ballot = new Ballot(nodeIndex, vote.build(), vote.stage(), ControlPlaneTerms.name(vote.verdict()));
+        ControlPlaneClient.whenDone(send(ballot, timeoutMillis), (response, failure) -> {
+            long arrivedAtTicks = loop.clockTicks();
+            VoteResponse result = voteResponse(response, failure);
+            loop.postPriority(() -> listener.onVoteEnded(vote.build(), result, arrivedAtTicks));
+        });
+    }
+
+    private CompletableFuture<HttpResponse<String>> send(Ballot ballot, long timeoutMillis) {
         try {
-            HttpRequest ask = HttpRequest.newBuilder(URI.create(base + "/release/votes"))
-                    .timeout(Duration.ofMillis(timeoutMs))
-                    .header("Content-Type", "application/json")
-                    .POST(HttpRequest.BodyPublishers.ofByteArray(JSON.writeValueAsBytes(ballot)))
-                    .build();
-            asked = LineBodySubscriber.ask(http, ask, timer, timeoutMs);
-        } catch (JsonProcessingException | RuntimeException e) {
-            asked = CompletableFuture.failedFuture(e);
+            return client.post(VOTES_PATH, JSON.writeValueAsBytes(ballot), timeoutMillis);
+        } catch (JsonProcessingException e) {
+            return CompletableFuture.failedFuture(e);
+        }
+    }
+
+    private static VoteResponse voteResponse(@Nullable HttpResponse<String> response, @Nullable Throwable failure) {
+        if (response == null) {
+            return new VoteResponse(isTimeout(failure) ? ControlStatus.TIMED_OUT : ControlStatus.FAILED, null);
         }
-        asked.whenComplete((r, failure) -> {
-            long arrived = loop.clockTicks();
-            Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-            boolean late = cause instanceof HttpTimeoutException || cause instanceof CancellationException;
-            String answer = late ? "timeout" : "error";
-            RolloutMessage line = null;
-            if (failure == null && r.statusCode() == 200) {
-                try {
-                    RolloutMessage said = JSON.readValue(r.body(), RolloutMessage.class);
-                    if (said == null || (said.phase() != null && said.fault() != null)) {
-                        LOG.warn("the answer to a vote is passed over: {}", said == null ? "empty" : said.fault());
-                    } else {
-                        line = said;
-                        answer = line.answer() == null ? "error" : line.answer();
-                    }
-                } catch (JsonProcessingException e) {
-                    LOG.warn("the answer to a vote could not be read: {}", e.getOriginalMessage());
+        if (response.statusCode() == OK) {
+            try {
+                RolloutJson json = RolloutJson.read(response.body());
+                if (json != null) {
+                    return json.parseVoteResponse();
                 }
+                LOG.warn("the answer to a vote is passed over: it is empty");
+            } catch (InvalidMessageException e) {
+                LOG.warn("the answer to a vote is passed over: {}", e.getMessage());
             }
-            String told = answer;
-            RolloutMessage with = line;
-            loop.postPriority(() -> sink.voted(told, ballot.build(), with, arrived));
-        });
+        }
+        return new VoteResponse(ControlStatus.FAILED, null);
+    }
+
+    /** A call that was given up is cancelled: the timeout of the HTTP client itself ends with the headers. */
+    private static boolean isTimeout(@Nullable Throwable failure) {
+        Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
+        return cause instanceof HttpTimeoutException || cause instanceof CancellationException;
     }
 }
--- a/src/test/java/laurelkeel/front/ControlPlaneTest.java
+++ b/src/test/java/laurelkeel/front/ControlPlaneTest.java
@@ -376,13 +376,13 @@
         try (java.net.DatagramSocket stranger = new java.net.DatagramSocket()) {
             stranger.send(new java.net.DatagramPacket("LK1\0\0\0\7x".getBytes(UTF_8), 8, b));
             stranger.send(new java.net.DatagramPacket("noise".getBytes(UTF_8), 5, b));
-            first.tell(-1, new byte[256]);
+            first.send(-1, new byte[256]);
             assertEquals("0:256", heard.poll(10, TimeUnit.SECONDS));
-            second.tell(0, new byte[0]);
+            second.send(0, new byte[0]);
             assertEquals("1:0", heard.poll(10, TimeUnit.SECONDS));
             assertTrue(heard.isEmpty());
             org.junit.jupiter.api.Assertions.assertThrows(
-                    IllegalArgumentException.class, () -> first.tell(1, new byte[257]));
+                    IllegalArgumentException.class, () -> first.send(1, new byte[257]));
         } finally {
             first.close();
             second.close();
--- a/src/test/java/laurelkeel/front/WireTermsTest.java
+++ b/src/test/java/laurelkeel/front/WireTermsTest.java
@@ -5,16 +5,16 @@
 
 import java.util.Arrays;
 import java.util.List;
-import laurelkeel.api.Action.Verdict;
+import java.util.stream.Stream;
 import laurelkeel.api.Event.AttemptOutcome;
-import laurelkeel.api.Event.ControlStatus;
 import laurelkeel.api.Event.EndpointListKind;
 import laurelkeel.api.Event.EndpointState;
 import laurelkeel.api.Event.RolloutPhase;
+import laurelkeel.partition.PartitionedDecider.Attribution;
 import laurelkeel.records.TrafficRecord;
 import org.junit.jupiter.api.Test;
 
-/** The names outside (wire, settings, records, metrics) are those of the pages, whatever the code calls things. */
+/** Names in settings, records and metrics are those of the pages, whatever the code calls things. */
 class WireTermsTest {
     @Test
     void metricLabelsAreThoseOfThePages() {
@@ -35,34 +35,17 @@
     }
 
     @Test
-    void verdictsAreWrittenAsTheReleaseLineKnowsThem() {
+    void attributionsKeepTheirMetricLabels() {
         assertEquals(
-                List.of("none", "on", "hold", "back"),
-                Arrays.stream(Verdict.values()).map(WireTerms::verdict).toList());
-    }
-
-    @Test
-    void statesAndPhasesAreReadInAnyCase() {
-        assertEquals(EndpointState.ACTIVE, WireTerms.endpointState("live"));
-        assertEquals(EndpointState.DRAINING, WireTerms.endpointState("Draining"));
-        assertEquals(EndpointState.REMOVED, WireTerms.endpointState("GONE"));
-        assertEquals(RolloutPhase.CANARY, WireTerms.phase("trial"));
-        assertEquals(RolloutPhase.ROLLING_BACK, WireTerms.phase("going_back"));
-        assertEquals(RolloutPhase.ROLLING_BACK, WireTerms.phase("going-back"));
-        assertEquals(RolloutPhase.RELEASED, WireTerms.phase("released"));
-        assertEquals(RolloutPhase.ROLLED_BACK, WireTerms.phase("withdrawn"));
-        assertThrows(IllegalArgumentException.class, () -> WireTerms.endpointState("active"));
-        assertThrows(IllegalArgumentException.class, () -> WireTerms.phase("canary"));
-    }
-
-    @Test
-    void answersToVotesAreReadAndUnknownOnesFail() {
-        assertEquals(ControlStatus.OK, WireTerms.controlStatus("ok"));
-        assertEquals(ControlStatus.STALE, WireTerms.controlStatus("moot"));
-        assertEquals(ControlStatus.RATE_LIMITED, WireTerms.controlStatus("over-limit"));
-        assertEquals(ControlStatus.TIMED_OUT, WireTerms.controlStatus("timeout"));
-        assertEquals(ControlStatus.FAILED, WireTerms.controlStatus("error"));
-        assertEquals(ControlStatus.FAILED, WireTerms.controlStatus("anything else"));
+                List.of("none", "guilty", "cleared", "open", "set_aside"),
+                Stream.of(
+                                Attribution.NONE,
+                                Attribution.GUILTY,
+                                Attribution.CLEARED,
+                                Attribution.OPEN,
+                                Attribution.SET_ASIDE)
+                        .map(WireTerms::metricLabel)
+                        .toList());
     }
 
     @Test
@@ -88,5 +71,7 @@
                 WireTerms.IDEMPOTENCY.keySet().toString());
         assertEquals("[all, zone, cell]", WireTerms.DEDUPLICATION_SCOPE.keySet().toString());
         assertEquals("[any, count, clock]", WireTerms.PROMOTION_POLICY.keySet().toString());
+        assertEquals("[push, ask]", WireTerms.ENDPOINT_LIST_MODE.keySet().toString());
+        assertEquals("[req, work]", WireTerms.VALUE_BASIS.keySet().toString());
     }
 }
