--- a/src/main/java/laurelkeel/config/IniFile.java
+++ b/src/main/java/laurelkeel/config/IniFile.java
@@ -7,6 +7,7 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -14,24 +15,36 @@
 import org.apache.commons.configuration2.INIConfiguration;
 import org.apache.commons.configuration2.SubnodeConfiguration;
 import org.apache.commons.configuration2.ex.ConfigurationException;
+import org.jspecify.annotations.Nullable;
 
 /**
- * One INI file. The library reads the values; lines are numbered here, since it does not keep them. Readers take
- * what they know through Section; whatever was not asked for by the time of {@link #done()} is unknown and a fault.
+ * One INI file while it is read. The values come from a library that keeps no line numbers, which are therefore counted
+ * here. Readers take what they know through {@link IniSection}; whatever nobody asked for by the time of
+ * {@link #throwIfInvalid} is unknown and an error. Not thread-safe.
  */
 public final class IniFile {
+    private static final String BYTE_ORDER_MARK = "\uFEFF";
+
+    /** The line of an error of the whole file. */
+    private static final int NO_LINE = 0;
+
+    private record Problem(int line, String text) {}
+
     private final String name;
     private final Map<String, IniSection> sections = new LinkedHashMap<>();
-    private final List<Fault> faults = new ArrayList<>();
-    private final TreeSet<String> askedKinds = new TreeSet<>();
-
-    private record Fault(int line, String text) {}
+    private final List<Problem> errors = new ArrayList<>();
+    /** What was asked for, as a user would write it. */
+    private final TreeSet<String> knownSections = new TreeSet<>();
 
     private IniFile(String name) {
         this.name = name;
     }
 
-    /** Reads a file. Faults of form are kept for done(); only a file that cannot be read at all throws here. */
+    /**
+     * Reads a file. Errors of form are kept for {@link #throwIfInvalid}.
+     *
+     * @throws InvalidSettingsException where the file cannot be read at all
+     */
     public static IniFile read(Path file) throws InvalidSettingsException {
         try {
             return parse(file.toString(), Files.readString(file));
@@ -44,160 +57,176 @@
         }
     }
 
+    /**
+     * Reads a text. Errors of form are kept for {@link #throwIfInvalid}.
+     *
+     * @param name of the text in errors
+     * @throws InvalidSettingsException where the text is not INI at all
+     */
     public static IniFile parse(String name, String text) throws InvalidSettingsException {
-        IniFile ini = new IniFile(name);
-        ini.number(text);
+        IniFile file = new IniFile(name);
+        file.indexLines(text);
+        file.readValues(text);
+        return file;
+    }
+
+    private void readValues(String text) throws InvalidSettingsException {
         INIConfiguration values = new INIConfiguration();
         values.setSeparatorUsedInInput("=");
         try {
-            values.read(new StringReader(text.replace("\uFEFF", "")));
+            values.read(new StringReader(text.replace(BYTE_ORDER_MARK, "")));
         } catch (ConfigurationException | IOException e) {
             throw new InvalidSettingsException(List.of(name + ": not INI: " + e.getMessage()));
         }
-        for (String s : values.getSections()) {
-            IniSection section = s == null ? null : ini.sections.get(s);
+        for (String sectionName : values.getSections()) {
+            IniSection section = sectionName == null ? null : sections.get(sectionName);
             if (section != null) {
-                SubnodeConfiguration in = values.getSection(s);
-                in.getKeys().forEachRemaining(k -> section.put(k.replace("..", "."), in.getString(k)));
+                SubnodeConfiguration sectionValues = values.getSection(sectionName);
+                // the library doubles the dots of a key
+                sectionValues
+                        .getKeys()
+                        .forEachRemaining(key -> section.put(key.replace("..", "."), sectionValues.getString(key)));
             }
         }
-        return ini;
     }
 
-    private void number(String text) {
-        IniSection in = null;
-        int n = 0;
-        for (String raw : text.split("\n", -1)) {
-            n++;
-            String line = raw.replace("\uFEFF", "").strip();
+    /** Finds the lines of all sections and keys, and errors of form. */
+    private void indexLines(String text) {
+        IniSection section = null;
+        int number = 0;
+        for (String rawLine : text.split("\n", -1)) {
+            number++;
+            String line = rawLine.replace(BYTE_ORDER_MARK, "").strip();
             if (line.isEmpty() || line.startsWith("#") || line.startsWith(";")) {
                 continue;
             }
             if (line.startsWith("[")) {
-                int end = line.indexOf(']');
-                if (end < 2) {
-                    fault(n, "'" + line + "' is no section; write [name]");
-                    in = null;
-                    continue;
-                }
-                String s = line.substring(1, end).strip();
-                if (sections.containsKey(s)) {
-                    fault(n, "section [" + s + "] stands already on line " + sections.get(s).line + "; join the two");
-                }
-                in = sections.computeIfAbsent(s, k -> new IniSection(this, k));
-                in.line = in.line == 0 ? n : in.line;
+                section = indexSection(line, number);
             } else {
-                int eq = line.indexOf('=');
-                if (eq < 1) {
-                    fault(n, "'" + line + "' is neither a section, a key = value nor a comment (# or ;)");
-                } else if (in == null) {
-                    fault(n, "'" + line.substring(0, eq).strip() + "' stands before any section; put it under one");
-                } else {
-                    in.addLine(line.substring(0, eq).strip(), n);
-                }
+                indexKey(section, line, number);
             }
         }
     }
 
-    void fault(int line, String text) {
-        faults.add(new Fault(line, text));
+    private @Nullable IniSection indexSection(String line, int number) {
+        int end = line.indexOf(']');
+        if (end < 2) {
+            addError(number, "'" + line + "' is no section; write [name]");
+            return null;
+        }
+        String sectionName = line.substring(1, end).strip();
+        IniSection known = sections.get(sectionName);
+        if (known != null) {
+            addError(number, "section [" + sectionName + "] stands already on line " + known.line() + "; join the two");
+            return known;
+        }
+        IniSection section = new IniSection(this, sectionName, number, false);
+        sections.put(sectionName, section);
+        return section;
+    }
+
+    private void indexKey(@Nullable IniSection section, String line, int number) {
+        int separator = line.indexOf('=');
+        if (separator < 1) {
+            addError(number, "'" + line + "' is neither a section, a key = value nor a comment (# or ;)");
+            return;
+        }
+        String key = line.substring(0, separator).strip();
+        if (section == null) {
+            addError(number, "'" + key + "' stands before any section; put it under one");
+        } else {
+            section.addKey(key, number);
+        }
+    }
+
+    void addError(int line, String text) {
+        errors.add(new Problem(line, text));
     }
 
-    /** Notes a fault of the whole file. */
+    /** Adds an error of the whole file. */
     public void addError(String text) {
-        fault(0, text);
+        addError(NO_LINE, text);
     }
 
-    /** The lines of the sections of some kinds as they stand, for files made from this one. */
+    /**
+     * The lines of sections as they stand, for files made from this one.
+     *
+     * @param kinds the first words of the sections' names
+     */
     public String copySections(List<String> kinds) {
-        StringBuilder out = new StringBuilder();
-        sections.forEach((name, s) -> {
-            if (kinds.contains(name.split(" ")[0])) {
-                out.append('[').append(name).append("]\n");
-                s.copy(out);
+        StringBuilder copy = new StringBuilder();
+        sections.forEach((sectionName, section) -> {
+            if (kinds.contains(kindOf(sectionName))) {
+                copy.append('[').append(sectionName).append("]\n");
+                section.copyTo(copy);
             }
         });
-        return out.toString();
+        return copy.toString();
     }
 
-    /** The section of that name; one that is missing is a fault unless optional. */
-    public IniSection section(String section, boolean optional) {
-        askedKinds.add(section);
-        IniSection s = sections.get(section);
-        if (s == null) {
+    private static String kindOf(String sectionName) {
+        int space = sectionName.indexOf(' ');
+        return space < 0 ? sectionName : sectionName.substring(0, space);
+    }
+
+    /** The section of a name; one that is missing is an error unless it is optional. */
+    public IniSection section(String sectionName, boolean optional) {
+        knownSections.add(sectionName);
+        IniSection section = sections.get(sectionName);
+        if (section == null) {
             if (!optional) {
-                fault(0, "section [" + section + "] is missing; add it");
+                addError("section [" + sectionName + "] is missing; add it");
             }
-            s = new IniSection(this, section);
-            s.missing = !optional;
+            return new IniSection(this, sectionName, NO_LINE, !optional);
         }
-        s.asked = true;
-        return s;
+        section.markAsKnown();
+        return section;
     }
 
-    public boolean hasSection(String section) {
-        return sections.containsKey(section);
+    /** Whether a section stands in the file. */
+    public boolean hasSection(String sectionName) {
+        return sections.containsKey(sectionName);
     }
 
     /** The sections named "kind NAME", by NAME, in the order of the file. */
     public Map<String, IniSection> sectionsOfKind(String kind) {
-        askedKinds.add(kind + " NAME");
-        Map<String, IniSection> out = new LinkedHashMap<>();
-        for (IniSection s : sections.values()) {
-            if (s.name.startsWith(kind + " ")) {
-                s.asked = true;
-                out.put(s.name.substring(kind.length() + 1).strip(), s);
+        knownSections.add(kind + " NAME");
+        String prefix = kind + " ";
+        Map<String, IniSection> found = new LinkedHashMap<>();
+        sections.forEach((sectionName, section) -> {
+            if (sectionName.startsWith(prefix)) {
+                section.markAsKnown();
+                found.put(sectionName.substring(prefix.length()).strip(), section);
             }
-        }
-        return out;
+        });
+        return found;
     }
 
-    /** Throws all faults found, in the order of their lines, after naming what nobody asked for. */
+    /**
+     * Ends the reading: adds an error for whatever nobody asked for.
+     *
+     * @throws InvalidSettingsException where there are errors; it lists all in the order of their lines
+     */
     public void throwIfInvalid() throws InvalidSettingsException {
-        for (IniSection s : sections.values()) {
-            if (!s.asked) {
-                fault(s.line, "section [" + s.name + "] is unknown" + nearest(s.name, askedKinds));
+        sections.forEach((sectionName, section) -> {
+            if (section.isKnown()) {
+                section.addErrorsForUnknownKeys();
             } else {
-                s.unknown();
-            }
-        }
-        if (!faults.isEmpty()) {
-            List<String> told = new ArrayList<>();
-            faults.stream()
-                    .sorted(java.util.Comparator.comparingInt(Fault::line))
-                    .forEach(f -> told.add(name + (f.line > 0 ? ":" + f.line : "") + ": " + f.text));
-            throw new InvalidSettingsException(told);
-        }
-    }
-
-    static String nearest(String word, Iterable<String> known) {
-        String best = null;
-        int least = Math.max(2, word.length() / 3) + 1;
-        for (String k : known) {
-            int d = distance(word, k);
-            if (d < least) {
-                least = d;
-                best = k;
+                addError(
+                        section.line(),
+                        "section [" + sectionName + "] is unknown"
+                                + SpellingSuggestion.suggest(sectionName, knownSections));
             }
+        });
+        if (!errors.isEmpty()) {
+            throw new InvalidSettingsException(errors.stream()
+                    .sorted(Comparator.comparingInt(Problem::line))
+                    .map(this::describe)
+                    .toList());
         }
-        return best == null ? "; known are " + String.join(", ", known) : "; did you mean '" + best + "'?";
     }
 
-    /** Levenshtein's, by rows. */
-    private static int distance(String a, String b) {
-        int[] row = new int[b.length() + 1];
-        for (int j = 0; j <= b.length(); j++) {
-            row[j] = j;
-        }
-        for (int i = 1; i <= a.length(); i++) {
-            int diagonal = row[0];
-            row[0] = i;
-            for (int j = 1; j <= b.length(); j++) {
-                int change = diagonal + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
-                diagonal = row[j];
-                row[j] = Math.min(change, Math.min(row[j], row[j - 1]) + 1);
-            }
-        }
-        return row[b.length()];
+    private String describe(Problem problem) {
+        return name + (problem.line > NO_LINE ? ":" + problem.line : "") + ": " + problem.text;
     }
 }
--- a/src/main/java/laurelkeel/config/IniSection.java
+++ b/src/main/java/laurelkeel/config/IniSection.java
@@ -1,5 +1,6 @@
 package laurelkeel.config;
 
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,38 +13,53 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One section while it is read. Getters take the default as text, in the form a user would write; null means that
- * the key must be given. A fault is noted and the default, or a harmless value, goes on in its place, so that one
- * reading finds all faults.
+ * One section of an INI file while it is read. Getters take the default as text, in the form that a user would write, or
+ * {@link #REQUIRED}. An error is noted and the default, or a harmless value, stands in, so that one reading finds all
+ * errors. Not thread-safe.
  */
 public final class IniSection {
     /** The default of a key that must be given. */
     public static final @Nullable String REQUIRED = null;
 
-    private static final Map<String, Long> UNITS = Map.of("ms", 10L, "s", 10_000L, "min", 600_000L, "h", 36_000_000L);
-    private static final Map<String, Long> BYTES = Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30);
+    private static final int MAX_PORT = 65_535;
 
-    final String name;
     private final IniFile file;
-    int line;
-    boolean asked, missing;
-    private final Map<String, Integer> lines = new LinkedHashMap<>();
+    private final String name;
+    private final int line;
+    private final boolean missing;
+    private final Map<String, Integer> linesByKey = new LinkedHashMap<>();
     private final Map<String, String> values = new HashMap<>();
-    private final TreeSet<String> known = new TreeSet<>();
+    private final TreeSet<String> knownKeys = new TreeSet<>();
+    private boolean known;
 
-    IniSection(IniFile file, String name) {
+    /**
+     * Creates a section without keys.
+     *
+     * @param missing whether it should stand in the file and does not, so that its keys are no errors of their own
+     */
+    IniSection(IniFile file, String name, int line, boolean missing) {
         this.file = file;
         this.name = name;
+        this.line = line;
+        this.missing = missing;
     }
 
-    public int line() {
+    int line() {
         return line;
     }
 
-    void addLine(String key, int at) {
-        Integer before = lines.putIfAbsent(key, at);
-        if (before != null) {
-            file.fault(at, "'" + key + "' stands already on line " + before + "; keep one");
+    void markAsKnown() {
+        known = true;
+    }
+
+    boolean isKnown() {
+        return known;
+    }
+
+    void addKey(String key, int keyLine) {
+        Integer firstLine = linesByKey.putIfAbsent(key, keyLine);
+        if (firstLine != null) {
+            file.addError(keyLine, "'" + key + "' stands already on line " + firstLine + "; keep one");
         }
     }
 
@@ -51,194 +67,240 @@
         values.put(key, value);
     }
 
-    void copy(StringBuilder out) {
-        lines.keySet().forEach(k -> out.append(k)
-                .append(" = ")
-                .append(values.getOrDefault(k, ""))
-                .append('\n'));
+    void copyTo(StringBuilder copy) {
+        for (String key : linesByKey.keySet()) {
+            copy.append(key).append(" = ").append(values.getOrDefault(key, "")).append('\n');
+        }
     }
 
-    void unknown() {
-        lines.forEach((key, at) -> {
-            if (!known.contains(key)) {
-                file.fault(at, "'" + key + "' is unknown in [" + name + "]" + IniFile.nearest(key, known));
+    void addErrorsForUnknownKeys() {
+        linesByKey.forEach((key, keyLine) -> {
+            if (!knownKeys.contains(key)) {
+                file.addError(
+                        keyLine,
+                        "'" + key + "' is unknown in [" + name + "]" + SpellingSuggestion.suggest(key, knownKeys));
             }
         });
     }
 
-    /** Notes a fault at a key, for checks that look at several. */
+    /** Adds an error at a key, for checks that look at several keys. */
     public void addError(String key, String text) {
-        file.fault(lines.getOrDefault(key, line), "'" + key + "' " + text);
+        file.addError(linesByKey.getOrDefault(key, line), "'" + key + "' " + text);
     }
 
+    /** Whether a key stands in the section. */
     public boolean has(String key) {
-        known.add(key);
+        knownKeys.add(key);
         return values.containsKey(key);
     }
 
-    private <T> T get(String key, String absent, T harmless, String form, Function<String, T> parse) {
-        known.add(key);
-        String s = values.get(key);
-        if (s == null || s.isBlank()) {
-            if (absent == null) {
-                if (!missing) {
-                    addError(key, "is missing in [" + name + "]; add a line '" + key + " = " + form + "'");
-                }
-                return harmless;
+    /**
+     * Reads a value.
+     *
+     * @param harmlessValue stands in for one that is missing or wrong
+     * @param form what to write, for errors
+     * @param parser gives null or throws for a wrong value
+     */
+    private <T> T read(
+            String key,
+            @Nullable String defaultText,
+            T harmlessValue,
+            String form,
+            Function<String, ? extends @Nullable T> parser) {
+        knownKeys.add(key);
+        String text = values.get(key);
+        if (text == null || text.isBlank()) {
+            if (defaultText == null) {
+                addErrorForMissing(key, form);
+                return harmlessValue;
             }
-            s = absent;
+            text = defaultText;
+        }
+        T value = parse(text.strip(), parser);
+        if (value == null) {
+            addError(key, "is '" + text.strip() + "'; write " + form);
+            return harmlessValue;
         }
+        return value;
+    }
+
+    private void addErrorForMissing(String key, String form) {
+        if (!missing) {
+            addError(key, "is missing in [" + name + "]; add a line '" + key + " = " + form + "'");
+        }
+    }
+
+    /** What matters to the user is the form, not what the parser met: any exception says that it is wrong. */
+    private static <T> @Nullable T parse(String text, Function<String, ? extends @Nullable T> parser) {
         try {
-            T t = parse.apply(s.strip());
-            if (t != null) {
-                return t;
-            }
+            return parser.apply(text);
         } catch (RuntimeException e) {
-            // told below: what matters to the user is the form, not what the parser met
+            return null;
         }
-        addError(key, "is '" + s.strip() + "'; write " + form);
-        return harmless;
     }
 
-    public String stringValue(String key, String absent) {
-        return get(key, absent, "", "some text", s -> s);
+    /** Reads a text. */
+    public String stringValue(String key, @Nullable String defaultText) {
+        return read(key, defaultText, "", "some text", text -> text);
     }
 
-    public long longValue(String key, String absent, long least, long most) {
-        return get(key, absent, least, "a whole number from " + least + " to " + most, s -> {
-            long n = Long.parseLong(s);
-            return n < least || n > most ? null : n;
+    /** Reads a whole number within bounds. */
+    public long longValue(String key, @Nullable String defaultText, long min, long max) {
+        return read(key, defaultText, min, "a whole number from " + min + " to " + max, text -> {
+            long value = Long.parseLong(text);
+            return value < min || value > max ? null : value;
         });
     }
 
-    public int intValue(String key, String absent, int least, int most) {
-        return (int) longValue(key, absent, least, most);
+    /** Reads a whole number within bounds. */
+    public int intValue(String key, @Nullable String defaultText, int min, int max) {
+        return (int) longValue(key, defaultText, min, max);
     }
 
-    public double doubleValue(String key, String absent, double least, double most) {
-        return get(key, absent, least, "a number from " + least + " to " + most, s -> {
-            double d = Double.parseDouble(s);
-            return d >= least && d <= most ? d : null;
+    /** Reads a number within bounds. */
+    public double doubleValue(String key, @Nullable String defaultText, double min, double max) {
+        return read(key, defaultText, min, "a number from " + min + " to " + max, text -> {
+            double value = Double.parseDouble(text);
+            return value >= min && value <= max ? value : null;
         });
     }
 
-    public boolean booleanValue(String key, String absent) {
-        return get(key, absent, false, "yes or no", s -> switch (s) {
+    /** Reads yes or no. */
+    public boolean booleanValue(String key, @Nullable String defaultText) {
+        return read(key, defaultText, false, "yes or no", text -> switch (text) {
             case "yes", "true", "on" -> true;
             case "no", "false", "off" -> false;
             default -> null;
         });
     }
 
-    public <E extends Enum<E>> E choice(String key, String absent, Class<E> of) {
-        Map<String, E> values = new LinkedHashMap<>();
-        for (E e : of.getEnumConstants()) {
-            values.put(settingName(e), e);
+    /** Reads a constant of an enum by its {@link #settingName}. */
+    public <E extends Enum<E>> E choice(String key, @Nullable String defaultText, Class<E> type) {
+        Map<String, E> choices = new LinkedHashMap<>();
+        for (E constant : type.getEnumConstants()) {
+            choices.put(settingName(constant), constant);
         }
-        return choice(key, absent, values);
+        return choice(key, defaultText, choices);
     }
 
     /**
-     * One of several values.
+     * Reads one of several values.
      *
-     * @param values by the name that each has in the file, in the order in which an error lists them; the first stands
-     *     in where the file has a fault
+     * @param choices by the name that each has in the file, in the order in which an error lists them; the first stands
+     *     in where the file has an error
      */
-    public <T> T choice(String key, String absent, Map<String, T> values) {
-        String form = "one of " + String.join(", ", values.keySet());
-        return get(key, absent, values.values().iterator().next(), form, values::get);
+    public <T> T choice(String key, @Nullable String defaultText, Map<String, T> choices) {
+        String form = "one of " + String.join(", ", choices.keySet());
+        return read(key, defaultText, choices.values().iterator().next(), form, choices::get);
     }
 
-    /** NON_RETRIABLE reads non-retriable. */
-    public static String settingName(Enum<?> e) {
-        return e.name().toLowerCase(Locale.ROOT).replace('_', '-');
+    /** The name of an enum's constant in settings: NON_RETRIABLE is non-retriable. */
+    public static String settingName(Enum<?> constant) {
+        return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** A duration with its unit, in tenths of a millisecond. */
-    public long durationTicks(String key, String absent, String least, String most) {
-        long from = units(least, UNITS);
-        long to = units(most, UNITS);
-        return get(key, absent, from, "a time with its unit (ms, s, min, h) from " + least + " to " + most, s -> {
-            long t = units(s, UNITS);
-            return t < from || t > to ? null : t;
-        });
+    /**
+     * Reads a duration with its unit.
+     *
+     * @param min as a user would write it
+     * @param max as a user would write it
+     * @return ticks of a tenth of a millisecond
+     */
+    public long durationTicks(String key, @Nullable String defaultText, String min, String max) {
+        String form = "a time with its unit (ms, s, min, h) from " + min + " to " + max;
+        return quantity(key, defaultText, min, max, form, Quantities::parseTicks);
     }
 
-    /** A number of bytes with its unit. */
-    public long byteSize(String key, String absent, String least, String most) {
-        long from = units(least, BYTES);
-        long to = units(most, BYTES);
-        return get(key, absent, from, "a size with its unit (B, KiB, MiB, GiB) from " + least + " to " + most, s -> {
-            long t = units(s, BYTES);
-            return t < from || t > to ? null : t;
-        });
+    /**
+     * Reads a size with its unit.
+     *
+     * @param min as a user would write it
+     * @param max as a user would write it
+     * @return bytes
+     */
+    public long byteSize(String key, @Nullable String defaultText, String min, String max) {
+        String form = "a size with its unit (B, KiB, MiB, GiB) from " + min + " to " + max;
+        return quantity(key, defaultText, min, max, form, Quantities::parseBytes);
     }
 
-    private static long units(String s, Map<String, Long> units) {
-        int i = 0;
-        while (i < s.length() && (Character.isDigit(s.charAt(i)) || s.charAt(i) == '.')) {
-            i++;
-        }
-        Long unit = units.get(s.substring(i).strip());
-        if (unit == null || i == 0) {
-            throw new NumberFormatException(s);
-        }
-        return (long) Math.floor(Double.parseDouble(s.substring(0, i)) * unit + 1e-6);
+    private long quantity(
+            String key,
+            @Nullable String defaultText,
+            String min,
+            String max,
+            String form,
+            Function<String, Long> parser) {
+        long minValue = parser.apply(min);
+        long maxValue = parser.apply(max);
+        return read(key, defaultText, minValue, form, text -> {
+            long value = parser.apply(text);
+            return value < minValue || value > maxValue ? null : value;
+        });
     }
 
-    public List<Double> doubleList(String key, String absent, double least, double most) {
-        String form = "numbers from " + least + " to " + most + " with commas between";
-        return get(key, absent, List.of(), form, s -> {
-            List<Double> out = new ArrayList<>();
-            for (String part : s.split(",")) {
-                double d = Double.parseDouble(part.strip());
-                if (!(d >= least && d <= most)) {
+    /** Reads numbers within bounds, with commas between. */
+    public List<Double> doubleList(String key, @Nullable String defaultText, double min, double max) {
+        String form = "numbers from " + min + " to " + max + " with commas between";
+        return read(key, defaultText, List.of(), form, text -> {
+            List<Double> numbers = new ArrayList<>();
+            for (String part : splitAtCommas(text)) {
+                double number = Double.parseDouble(part.strip());
+                if (!(number >= min && number <= max)) {
                     return null;
                 }
-                out.add(d);
+                numbers.add(number);
             }
-            return out;
+            return numbers;
         });
     }
 
-    public List<String> stringList(String key, String absent) {
-        return get(key, absent, List.of(), "words with commas between", s -> {
-            List<String> out = new ArrayList<>();
-            for (String part : s.split(",")) {
+    /** Reads words with commas between. */
+    public List<String> stringList(String key, @Nullable String defaultText) {
+        return read(key, defaultText, List.of(), "words with commas between", text -> {
+            List<String> words = new ArrayList<>();
+            for (String part : splitAtCommas(text)) {
                 if (!part.isBlank()) {
-                    out.add(part.strip());
+                    words.add(part.strip());
                 }
             }
-            return out;
+            return words;
         });
     }
 
-    /** host:port; port 0 asks for a free one. */
-    public InetSocketAddress address(String key, String absent) {
-        return get(
+    private static String[] splitAtCommas(String text) {
+        int dropTrailingEmptyParts = 0;
+        return text.split(",", dropTrailingEmptyParts);
+    }
+
+    /** Reads host:port; port 0 asks for a free one. */
+    public InetSocketAddress address(String key, @Nullable String defaultText) {
+        return read(
                 key,
-                absent,
-                new InetSocketAddress("127.0.0.1", 0),
+                defaultText,
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 "host:port, as 127.0.0.1:8080",
-                IniSection::address);
+                IniSection::parseAddress);
     }
 
-    public static InetSocketAddress address(String s) {
-        int colon = s.lastIndexOf(':');
+    /**
+     * Parses host:port and resolves the host.
+     *
+     * @return null where it has no host or no such port; unresolved where the host is not known
+     * @throws NumberFormatException where the port is no number
+     */
+    @SuppressWarnings("AddressSelection") // a setting names one address; which one a host name gives is the resolver's
+    public static @Nullable InetSocketAddress parseAddress(String text) {
+        int colon = text.lastIndexOf(':');
         if (colon < 1) {
             return null;
         }
-        int port = Integer.parseInt(s.substring(colon + 1));
-        return port < 0 || port > 65535 ? null : new InetSocketAddress(s.substring(0, colon), port);
+        int port = Integer.parseInt(text.substring(colon + 1));
+        return port < 0 || port > MAX_PORT ? null : new InetSocketAddress(text.substring(0, colon), port);
     }
 
-    /** The keys that stand here, for sections whose keys are names of the user's own. */
+    /** The keys that stand in the section, for one whose keys are names of the user's own. */
     public List<String> keys() {
-        known.addAll(lines.keySet());
-        return List.copyOf(lines.keySet());
-    }
-
-    public int lineOf(String key) {
-        return lines.getOrDefault(key, line);
+        knownKeys.addAll(linesByKey.keySet());
+        return List.copyOf(linesByKey.keySet());
     }
 }
--- a/src/main/java/laurelkeel/config/package-info.java
+++ b/src/main/java/laurelkeel/config/package-info.java
@@ -1,2 +1,5 @@
-/** INI settings: read, checked, and explained. Every fault of a file is told at once, with file, line and mend. */
+/** Reads settings from INI files and names every error with its line and its remedy. */
+@NullMarked
 package laurelkeel.config;
+
+import org.jspecify.annotations.NullMarked;
--- a/src/main/java/laurelkeel/front/EndpointAddressResolver.java
+++ b/src/main/java/laurelkeel/front/EndpointAddressResolver.java
@@ -33,7 +33,7 @@
 
     private static @Nullable InetSocketAddress resolve(String endpointId) {
         try {
-            InetSocketAddress address = IniSection.address(endpointId);
+            InetSocketAddress address = IniSection.parseAddress(endpointId);
             return address == null || address.isUnresolved() ? null : address;
         } catch (IllegalArgumentException e) {
             return null;
