--- a/src/main/java/laurelkeel/partition/InFlightAttempts.java
+++ b/src/main/java/laurelkeel/partition/InFlightAttempts.java
@@ -1,41 +1,47 @@
 package laurelkeel.partition;
 
+import static laurelkeel.partition.ConcurrentRollouts.NO_BUILD;
+
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.IntPredicate;
 
-/** Attempts that are out, in whichever lane, by key and build: any of them may have been answered already. */
+/** Counts the attempts in flight in all partitions, by key and build. Not thread-safe. */
 final class InFlightAttempts {
-    /** No attempt with the key is out. */
-    static final int NONE = -1;
-
-    private final Map<String, TreeMap<Integer, Integer>> counts = new HashMap<>();
+    private final Map<String, TreeMap<Integer, Integer>> countsByKey = new HashMap<>();
 
-    void sent(String key, int build) {
-        counts.computeIfAbsent(key, k -> new TreeMap<>()).merge(build, 1, Integer::sum);
+    void onSent(String key, int build) {
+        countsByKey.computeIfAbsent(key, unused -> new TreeMap<>()).merge(build, 1, Integer::sum);
     }
 
-    /** One that was not told as sent is passed over. */
-    void ended(String key, int build) {
-        TreeMap<Integer, Integer> builds = counts.get(key);
-        if (builds == null) {
+    /** Notes the end of an attempt; one that was not noted as sent is ignored. */
+    void onEnded(String key, int build) {
+        TreeMap<Integer, Integer> counts = countsByKey.get(key);
+        if (counts == null) {
             return;
         }
-        builds.computeIfPresent(build, (b, count) -> count > 1 ? count - 1 : null);
-        if (builds.isEmpty()) {
-            counts.remove(key);
+        counts.computeIfPresent(build, (unused, count) -> count > 1 ? count - 1 : null);
+        if (counts.isEmpty()) {
+            countsByKey.remove(key);
         }
     }
 
-    /** The latest build, of those that count, at which an attempt with the key is out. */
-    int latest(String key, IntPredicate counting) {
-        TreeMap<Integer, Integer> builds = counts.get(key);
-        return builds == null
-                ? NONE
-                : builds.descendingKeySet().stream()
-                        .filter(counting::test)
-                        .findFirst()
-                        .orElse(NONE);
+    /**
+     * The latest build that has an attempt for a key in flight, of those that a predicate accepts.
+     *
+     * @return {@link ConcurrentRollouts#NO_BUILD} where there is none
+     */
+    int latestBuild(String key, IntPredicate accepts) {
+        TreeMap<Integer, Integer> counts = countsByKey.get(key);
+        if (counts == null) {
+            return NO_BUILD;
+        }
+        for (int build : counts.descendingKeySet()) {
+            if (accepts.test(build)) {
+                return build;
+            }
+        }
+        return NO_BUILD;
     }
 }
--- /dev/null
+++ b/src/main/java/laurelkeel/partition/VoteGate.java
@@ -0,0 +1,107 @@
+package laurelkeel.partition;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import laurelkeel.api.Action;
+import laurelkeel.api.Action.CastVote;
+import laurelkeel.api.Action.Verdict;
+import laurelkeel.api.Ticks;
+import laurelkeel.partition.PartitionedDecider.Attribution;
+import org.jspecify.annotations.Nullable;
+
+/**
+ * Reconciles the votes of the partitions' deciders with the attribution of regressions.
+ *
+ * <p>A decider compares its rollout's build with the baseline only, and may take for a fault of its build what another
+ * rollout causes. Reports of all nodes are attributed to one of the rollouts; this says which votes wait for that, and
+ * votes against the build that it falls on. Not thread-safe.
+ */
+final class VoteGate {
+    /** For so long a vote to roll back waits for the attribution; then the decider's comparison decides alone. */
+    private static final long ROLL_BACK_DELAY_TICKS = 15 * Ticks.PER_SECOND;
+
+    private final long renewalTicks;
+    private final Map<Integer, Attribution> attributions = new HashMap<>();
+    private final Map<Integer, Long> firstWithheldTicks = new HashMap<>();
+    private final Map<Integer, Long> lastRollBackVoteTicks = new HashMap<>();
+
+    /** @param voteLifetimeTicks how long a vote counts */
+    VoteGate(long voteLifetimeTicks) {
+        // renewed before it lapses, with time for an answer that is lost
+        renewalTicks = voteLifetimeTicks * 6 / 10;
+    }
+
+    void setAttribution(int build, Attribution attribution) {
+        attributions.put(build, attribution);
+    }
+
+    /** Forgets a build whose rollout has ended. */
+    void forget(int build) {
+        attributions.remove(build);
+        firstWithheldTicks.remove(build);
+        lastRollBackVoteTicks.remove(build);
+    }
+
+    /** Why a partition's vote must not be cast yet, in words for the log; null where it may. */
+    @Nullable
+    String reasonToWithhold(CastVote vote, long nowTicks) {
+        Attribution own = attributions.getOrDefault(vote.build(), Attribution.NONE);
+        boolean isOpen = attributions.containsValue(Attribution.OPEN);
+        boolean isOtherGuilty = isOtherGuilty(vote.build());
+        if (vote.verdict() == Verdict.PROMOTE) {
+            boolean mustWait = isOpen || isOtherGuilty || own == Attribution.GUILTY;
+            return mustWait ? "no promotion before a regression is attributed and its build rolled back" : null;
+        }
+        if (vote.verdict() == Verdict.ROLL_BACK && own != Attribution.GUILTY) {
+            boolean isDoubtful = isOpen || isOtherGuilty || own == Attribution.CLEARED;
+            return isDoubtful && isWithinDelay(vote.build(), nowTicks)
+                    ? "the regression is not attributed to it"
+                    : null;
+        }
+        return null;
+    }
+
+    private boolean isOtherGuilty(int build) {
+        return attributions.entrySet().stream()
+                .anyMatch(entry -> entry.getKey() != build && entry.getValue() == Attribution.GUILTY);
+    }
+
+    private boolean isWithinDelay(int build, long nowTicks) {
+        long firstTicks = firstWithheldTicks.computeIfAbsent(build, unused -> nowTicks);
+        return nowTicks < firstTicks + ROLL_BACK_DELAY_TICKS;
+    }
+
+    /** The votes, with their log lines, against canaries that a regression is attributed to or that are set aside. */
+    List<Action> rollBackVotes(ConcurrentRollouts rollouts, long nowTicks) {
+        List<Action> actions = new ArrayList<>();
+        attributions.forEach((build, attribution) -> {
+            RolloutState rollout = rollouts.find(build);
+            if (rollout != null && rollout.isCanary() && demandsRollBack(attribution)) {
+                voteToRollBack(rollout, attribution, nowTicks, actions);
+            }
+        });
+        return actions;
+    }
+
+    private static boolean demandsRollBack(Attribution attribution) {
+        return attribution == Attribution.GUILTY || attribution == Attribution.SET_ASIDE;
+    }
+
+    private void voteToRollBack(RolloutState rollout, Attribution attribution, long nowTicks, List<Action> actions) {
+        int build = rollout.build();
+        Long lastVoteTicks = lastRollBackVoteTicks.get(build);
+        if (lastVoteTicks != null && nowTicks < lastVoteTicks + renewalTicks) {
+            return;
+        }
+        lastRollBackVoteTicks.put(build, nowTicks);
+        actions.add(new CastVote(build, rollout.stage(), Verdict.ROLL_BACK));
+        if (lastVoteTicks == null) {
+            String reason = attribution == Attribution.GUILTY
+                    ? "a regression is attributed to it"
+                    : "set aside to show whether the regression ends with it";
+            actions.add(new Action.WriteLog("votes to roll back build " + build + ": " + reason));
+        }
+    }
+}
--- a/src/main/java/laurelkeel/partition/package-info.java
+++ b/src/main/java/laurelkeel/partition/package-info.java
@@ -1,5 +1,9 @@
 /**
- * Several releases on trial at once: one decider a release, each with a lane of the reqs of its own. Pure, as the
- * decider is: events in, actions out. docs/lanes.md says why lanes, and what they cannot do.
+ * Several concurrent rollouts behind one front node: the traffic is partitioned, and each rollout gets a partition with
+ * a {@link laurelkeel.api.Decider} of its own. {@link laurelkeel.partition.PartitionedDecider} is the only public entry;
+ * every other type has one job and knows no socket, clock or thread.
  */
+@NullMarked
 package laurelkeel.partition;
+
+import org.jspecify.annotations.NullMarked;
--- a/src/test/java/laurelkeel/partition/PartitionedDeciderTest.java
+++ b/src/test/java/laurelkeel/partition/PartitionedDeciderTest.java
@@ -492,11 +492,11 @@
 
     @Test
     void whatIsCountedForTheCapLeavesWithItsWindowAlsoInALaneAlone() {
-        AcceptedRequestWindow taken = new AcceptedRequestWindow(1, WINDOW, false, false);
+        ExposureWindow taken = new ExposureWindow(1, WINDOW, false);
         for (int i = 0; i < 100_000; i++) {
             taken.add(0, i * 10L * MS);
         }
-        assertTrue(taken.held() <= WINDOW / (10 * MS) + 1, "held " + taken.held());
+        assertTrue(taken.size() <= WINDOW / (10 * MS) + 1, "held " + taken.size());
     }
 
     @Test
@@ -515,7 +515,7 @@
             answered(lanes, now, "k" + i);
         }
         lanes.decide(now, List.of(news(2, RolloutPhase.RELEASED)));
-        assertEquals(0, lanes.rememberedKeys(), "the release is over");
+        assertEquals(0, lanes.boundKeys(), "the release is over");
         lanes.decide(
                 now,
                 List.of(
@@ -524,7 +524,7 @@
                                 List.of(new EndpointEntry("m", 3, 0, 0, 0, 1, EndpointState.ACTIVE, 0))),
                         news(3, RolloutPhase.CANARY)));
         answered(lanes, now, "new");
-        assertEquals(1, lanes.rememberedKeys(), "a build on trial answered it: it must not be cut anew");
+        assertEquals(1, lanes.boundKeys(), "a build on trial answered it: it must not be cut anew");
     }
 
     @Test
