--- /dev/null
+++ b/src/test/java/laurelkeel/partition/TrafficPartitionTest.java
@@ -0,0 +1,87 @@
+package laurelkeel.partition;
+
+import static laurelkeel.partition.ConcurrentRolloutsTest.update;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import laurelkeel.api.Decider;
+import laurelkeel.api.Event;
+import laurelkeel.api.Event.RolloutPhase;
+import laurelkeel.api.Event.RolloutUpdate;
+import org.junit.jupiter.api.Test;
+
+class TrafficPartitionTest {
+    private final List<Event> heard = new ArrayList<>();
+    private final TrafficPartition partition = partition(2, (nowTicks, events) -> {
+        heard.addAll(events);
+        return List.of();
+    });
+
+    static TrafficPartition partition(int build, Decider decider) {
+        return new TrafficPartition(0, build, decider, new ExposureWindow(1, 40_000, false));
+    }
+
+    @Test
+    void aDeciderGetsEachEventOnce() {
+        RolloutUpdate update = update(2, 0, 0.1, RolloutPhase.CANARY);
+        partition.enqueueRolloutUpdate(update);
+        assertTrue(partition.hasPendingEvents());
+        partition.decide(1);
+        assertFalse(partition.hasPendingEvents());
+        partition.decide(2);
+        assertEquals(List.of(update), heard);
+    }
+
+    @Test
+    void anEventOfItsOwnTurnWaitsForTheNext() {
+        List<Integer> turns = new ArrayList<>();
+        TrafficPartition[] self = new TrafficPartition[1];
+        self[0] = partition(2, (nowTicks, events) -> {
+            turns.add(events.size());
+            if (turns.size() == 1) {
+                self[0].enqueue(new Event.TimerFired(0));
+            }
+            return List.of();
+        });
+        self[0].decide(1);
+        self[0].decide(1);
+        assertEquals(List.of(0, 1), turns);
+    }
+
+    @Test
+    void aCapIsAnnouncedOnlyWhereTheDeciderGoesByAnother() {
+        RolloutState rollout = RolloutState.of(update(2, 0, 0.1, RolloutPhase.CANARY));
+        partition.announceCap(rollout, 0.1);
+        assertFalse(partition.hasPendingEvents(), "the update has said it");
+        partition.announceCap(rollout, 0.2);
+        partition.announceCap(rollout, 0.2);
+        partition.decide(1);
+        assertEquals(List.of(update(2, 0, 0.2, RolloutPhase.CANARY)), heard);
+        partition.enqueueRolloutUpdate(update(2, 0, 0.1, RolloutPhase.CANARY));
+        partition.announceCap(rollout, 0.2);
+        partition.decide(2);
+        assertEquals(3, heard.size(), "an update sets the cap of all requests again");
+    }
+
+    @Test
+    void updatesOfEarlierBuildsTeachTheDeciderNothing() {
+        partition.enqueueRolloutUpdate(update(1, 0, 0, RolloutPhase.ROLLED_BACK));
+        assertFalse(partition.knowsRollbackOf(1));
+        partition.enqueueRolloutUpdate(update(1, 0, 1, RolloutPhase.RELEASED));
+        assertEquals(ConcurrentRollouts.NO_BUILD, partition.announcedRelease());
+        partition.enqueueRolloutUpdate(update(3, 0, 1, RolloutPhase.RELEASED));
+        assertEquals(3, partition.announcedRelease());
+    }
+
+    @Test
+    void aClosingPartitionIsDrainedWithItsLastRequest() {
+        partition.onRequestAssigned(0, 1);
+        partition.close();
+        assertFalse(partition.isDrained());
+        partition.onRequestCompleted();
+        assertTrue(partition.isDrained());
+    }
+}
