--- /dev/null
+++ b/src/main/java/laurelkeel/decision/EndpointRegistry.java
@@ -0,0 +1,185 @@
+package laurelkeel.decision;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import laurelkeel.api.Event.EndpointEntry;
+import laurelkeel.api.Event.EndpointListKind;
+import laurelkeel.api.Event.EndpointListUpdate;
+import laurelkeel.api.Event.EndpointState;
+import laurelkeel.api.Settings;
+import laurelkeel.api.Ticks;
+import org.jspecify.annotations.Nullable;
+
+/** The endpoints that the endpoint list names, pooled by build. */
+final class EndpointRegistry {
+    /** Crossing zones at a price of one counts as so many requests that the endpoint serves besides. */
+    private static final double REQUESTS_PER_CROSS_ZONE_COST = 8;
+
+    /** Bounds the weights in the round robin away from 0. */
+    private static final double MIN_CAPACITY = 1e-3;
+
+    private static final long SUBSET_INTERVAL_TICKS = Ticks.PER_SECOND;
+
+    private final Settings settings;
+    private final SeededRandom random;
+    private final SlowStart slowStart;
+    private final EndpointSubset subset;
+    private final Map<String, Endpoint> endpointsById = new TreeMap<>();
+    private final Map<Integer, EndpointPool> poolsByBuild = new LinkedHashMap<>();
+    private int newestBuild = Integer.MIN_VALUE;
+    private double activeCapacity;
+    private long nextSubsetUpdateAtTicks;
+
+    EndpointRegistry(Settings settings, SeededRandom random, SlowStart slowStart) {
+        this.settings = settings;
+        this.random = random;
+        this.slowStart = slowStart;
+        subset = new EndpointSubset(settings.nodeIndex(), settings.nodeCount());
+    }
+
+    /** Applies an update of the endpoint list, and builds the pools anew. */
+    void apply(EndpointListUpdate update, long nowTicks) {
+        Set<String> namedIds = new HashSet<>();
+        for (EndpointEntry entry : update.entries()) {
+            namedIds.add(entry.endpointId());
+            applyEntry(entry, update.entries().size(), nowTicks);
+        }
+        if (update.kind() != EndpointListKind.DELTA) {
+            endpointsById.values().forEach(e -> e.setActive(e.isActive() && namedIds.contains(e.id())));
+        }
+        endpointsById.values().removeIf(e -> !e.isActive() && e.inFlight() == 0 && !namedIds.contains(e.id()));
+        rebuildPools();
+    }
+
+    private void applyEntry(EndpointEntry entry, int entryCount, long nowTicks) {
+        Endpoint endpoint = endpointsById.get(entry.endpointId());
+        // what was learned of an id says nothing of another process that has it now
+        if (endpoint == null || !endpoint.isSameProcess(entry)) {
+            endpoint = new Endpoint(entry, crossZoneRequests(entry));
+            endpointsById.put(endpoint.id(), endpoint);
+            endpoint.warmUpBudget().draw(random, settings.limits().overloadWindowTicks(), nowTicks);
+            // nodes that all gave their first turns to the same endpoint would meet there
+            endpoint.setCredit(
+                    (random.nextDouble() - 0.5) * entry.weight() * Math.max(endpointsById.size(), entryCount));
+        }
+        endpoint.setCapacity(Math.max(entry.weight(), MIN_CAPACITY));
+        endpoint.setActive(entry.state() == EndpointState.ACTIVE);
+    }
+
+    private double crossZoneRequests(EndpointEntry entry) {
+        return entry.zone() == settings.zone()
+                ? 0
+                : REQUESTS_PER_CROSS_ZONE_COST * settings.costs().crossZone();
+    }
+
+    private void rebuildPools() {
+        poolsByBuild.values().forEach(EndpointPool::saveCredits);
+        poolsByBuild.clear();
+        Map<Integer, List<Endpoint>> activeByBuild = new LinkedHashMap<>();
+        for (Endpoint endpoint : endpointsById.values()) {
+            if (endpoint.isActive()) {
+                activeByBuild
+                        .computeIfAbsent(endpoint.build(), build -> new ArrayList<>())
+                        .add(endpoint);
+            }
+        }
+        activeByBuild.forEach((build, endpoints) -> {
+            EndpointPool pool = new EndpointPool(endpoints);
+            pool.reselect(subset);
+            poolsByBuild.put(build, pool);
+        });
+        newestBuild =
+                poolsByBuild.keySet().stream().mapToInt(build -> build).max().orElse(Integer.MIN_VALUE);
+        activeCapacity = endpointsById.values().stream()
+                .filter(Endpoint::isActive)
+                .mapToDouble(Endpoint::capacity)
+                .sum();
+    }
+
+    /**
+     * Adapts, once a second, how many endpoints of large builds take turns, and replaces suspects among them.
+     *
+     * @param inFlight this node's attempts in flight
+     * @param areAnswersWaiting whether attempts wait at endpoints before they are served
+     */
+    void adaptSubsets(int inFlight, boolean areAnswersWaiting, long nowTicks) {
+        if (nowTicks < nextSubsetUpdateAtTicks) {
+            return;
+        }
+        nextSubsetUpdateAtTicks = nowTicks + SUBSET_INTERVAL_TICKS;
+        int largestPool = poolsByBuild.values().stream()
+                .mapToInt(EndpointPool::size)
+                .max()
+                .orElse(0);
+        boolean hasSizeChanged = subset.adapt(inFlight, areAnswersWaiting, largestPool);
+        for (EndpointPool pool : poolsByBuild.values()) {
+            if (hasSizeChanged || pool.needsReselection()) {
+                pool.reselect(subset);
+            }
+        }
+    }
+
+    /** Finds the endpoints that answer with errors far more often than others of their build. */
+    void markErrorOutliers() {
+        for (EndpointPool pool : poolsByBuild.values()) {
+            if (OutlierDetector.markErrorOutliers(pool.endpointHealth())) {
+                pool.requireCheck();
+            }
+        }
+    }
+
+    /** Draws the roundings of warm-up budgets anew where they are due, and forgets attempts before a moment. */
+    void updateWarmUpBudgets(long forgetBeforeTicks, long nowTicks) {
+        for (Endpoint endpoint : endpointsById.values()) {
+            WarmUpBudget budget = endpoint.warmUpBudget();
+            if (budget.isDrawExpired(nowTicks)) {
+                budget.draw(random, settings.limits().overloadWindowTicks(), nowTicks);
+            }
+            budget.forgetBefore(forgetBeforeTicks);
+        }
+    }
+
+    @Nullable
+    Endpoint find(String endpointId) {
+        return endpointsById.get(endpointId);
+    }
+
+    /** Returns the active endpoints of a build, or null where it has none. */
+    @Nullable
+    EndpointPool pool(int build) {
+        return poolsByBuild.get(build);
+    }
+
+    /** Returns the active endpoints of a build. */
+    List<Endpoint> activeEndpoints(int build) {
+        EndpointPool pool = poolsByBuild.get(build);
+        return pool == null ? List.of() : pool.endpoints();
+    }
+
+    /** Returns the builds that have active endpoints. */
+    Collection<Integer> activeBuilds() {
+        return poolsByBuild.keySet();
+    }
+
+    /** Returns the newest build that has active endpoints, or the least integer where none has. */
+    int newestActiveBuild() {
+        return newestBuild;
+    }
+
+    /** Returns the capacity of all active endpoints when warm. */
+    double activeCapacity() {
+        return activeCapacity;
+    }
+
+    /** Returns the capacity of a build's active endpoints, as far as they have warmed up. */
+    double currentCapacity(int build, long nowTicks) {
+        EndpointPool pool = poolsByBuild.get(build);
+        return pool == null ? 0 : pool.currentCapacity(slowStart, nowTicks);
+    }
+}
--- /dev/null
+++ b/src/test/java/laurelkeel/decision/AdmissionControllerTest.java
@@ -0,0 +1,108 @@
+package laurelkeel.decision;
+
+import static laurelkeel.decision.DecisionFixtures.SECOND;
+import static laurelkeel.decision.DecisionFixtures.endpoint;
+import static laurelkeel.decision.DecisionFixtures.send;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import laurelkeel.api.Event.RequestReceived;
+import laurelkeel.api.Settings;
+import org.junit.jupiter.api.Test;
+
+/** The routes of the settings have objectives of 800, 1,000 and 1,000 ms, and priority weights of 2, 3 and 1. */
+class AdmissionControllerTest {
+    private static final long NOW_TICKS = 100 * SECOND;
+    private static final int HIGHEST_VALUE = 1;
+    private static final int LOWEST_VALUE = 2;
+    private static final long CALM_TICKS = 600;
+    /** The objective of the route of the highest value, less one and a half calm latencies. */
+    private static final double SLACK_TICKS = 9_100;
+    /** Likewise of the first route, which has the shortest objective. */
+    private static final double LEAST_SLACK_TICKS = 7_100;
+
+    private final Settings settings = DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.FIRST_VOTE);
+    private final List<RouteLatency> latencies =
+            settings.routes().stream().map(r -> calm(r.latencyObjectiveTicks())).toList();
+    private final QueueWaitEstimator waits = new QueueWaitEstimator();
+    private final AdmissionController admission = new AdmissionController(settings, latencies, waits);
+    private final Endpoint endpoint = endpoint("e");
+
+    private static RouteLatency calm(long objectiveTicks) {
+        RouteLatency latency = new RouteLatency(objectiveTicks);
+        for (int i = 0; i < 100; i++) {
+            latency.learnCalm(CALM_TICKS);
+        }
+        latency.attemptStarted();
+        latency.attemptStarted();
+        return latency;
+    }
+
+    private ActiveRequest request(int route) {
+        RequestReceived received = new RequestReceived("r", route, 0, null, NOW_TICKS + SECOND, 0, false);
+        return new ActiveRequest(received, settings.routes().get(route), 0.5, false, NOW_TICKS);
+    }
+
+    private void answersWait(double waitTicks) {
+        for (int i = 0; i < 2_000; i++) {
+            waits.recordWait(waitTicks, 100);
+        }
+    }
+
+    private boolean admits(int route) {
+        return admission.admits(request(route), endpoint, NOW_TICKS);
+    }
+
+    @Test
+    void aRouteIsShedOnceTheWaitExceedsItsSlack() {
+        answersWait(SLACK_TICKS - 100);
+        assertTrue(admits(HIGHEST_VALUE));
+        answersWait(SLACK_TICKS + 100);
+        assertFalse(admits(HIGHEST_VALUE));
+    }
+
+    @Test
+    void aRouteGivesWayEarlierToRoutesThatEarnMore() {
+        answersWait(0.7 * LEAST_SLACK_TICKS - 100);
+        assertTrue(admits(LOWEST_VALUE));
+        answersWait(0.7 * LEAST_SLACK_TICKS + 100);
+        assertFalse(admits(LOWEST_VALUE));
+        assertTrue(admits(HIGHEST_VALUE));
+    }
+
+    @Test
+    void aRouteWhoseAnswersAllComeLateIsShed() {
+        for (int i = 0; i < 100; i++) {
+            latencies.get(HIGHEST_VALUE).recordRecent(2 * SECOND);
+        }
+        assertFalse(admits(HIGHEST_VALUE));
+        assertTrue(admits(LOWEST_VALUE));
+    }
+
+    @Test
+    void twoAttemptsOfARouteGoOutAtAnyWait() {
+        answersWait(10 * SECOND);
+        assertFalse(admits(HIGHEST_VALUE));
+        latencies.get(HIGHEST_VALUE).attemptEnded();
+        assertTrue(admits(HIGHEST_VALUE));
+    }
+
+    @Test
+    void anAttemptIsGivenUpWhereTheWaitIsOverHalfTheSlack() {
+        ActiveRequest request = request(HIGHEST_VALUE);
+        Attempt attempt = send(request, endpoint, NOW_TICKS);
+        answersWait(SLACK_TICKS / 2 - 100);
+        assertFalse(admission.isToBeAbandoned(request, attempt, NOW_TICKS));
+        answersWait(SLACK_TICKS / 2 + 100);
+        assertTrue(admission.isToBeAbandoned(request, attempt, NOW_TICKS));
+    }
+
+    @Test
+    void answersCountAsWaitingFromATenthOfTheLeastSlack() {
+        answersWait(0.1 * LEAST_SLACK_TICKS - 50);
+        assertFalse(admission.areAnswersWaiting());
+        answersWait(0.1 * LEAST_SLACK_TICKS + 50);
+        assertTrue(admission.areAnswersWaiting());
+    }
+}
--- /dev/null
+++ b/src/test/java/laurelkeel/decision/AttemptTimeoutPolicyTest.java
@@ -0,0 +1,68 @@
+package laurelkeel.decision;
+
+import static laurelkeel.decision.DecisionFixtures.OBJECTIVE_TICKS;
+import static laurelkeel.decision.DecisionFixtures.attempt;
+import static laurelkeel.decision.DecisionFixtures.endpoint;
+import static laurelkeel.decision.DecisionFixtures.request;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.List;
+import laurelkeel.api.Event.AttemptOutcome;
+import laurelkeel.api.Settings.Idempotency;
+import org.junit.jupiter.api.Test;
+
+class AttemptTimeoutPolicyTest {
+    private final RouteLatency latency = new RouteLatency(OBJECTIVE_TICKS);
+    private final RetryBudget budget = new RetryBudget();
+    private final AttemptTimeoutPolicy policy = new AttemptTimeoutPolicy(List.of(latency), new RetryPolicy(2), budget);
+
+    private void answers(long durationTicks, double deviation) {
+        for (int i = 0; i < 500; i++) {
+            latency.learnUsual(durationTicks, 0);
+            latency.recordDeviation(1 + deviation);
+        }
+    }
+
+    private long timeoutTicks(ActiveRequest request) {
+        return policy.timeoutTicks(request, 1, 0);
+    }
+
+    @Test
+    void anAttemptIsCutShortAfterSixMeanDeviations() {
+        answers(2_000, 0.2);
+        assertEquals(2_000 * (1 + 6 * 0.2), (double) timeoutTicks(request(Idempotency.IDEMPOTENT)), 10);
+    }
+
+    @Test
+    void itHasAThirdOfTheObjectiveAtLeast() {
+        answers(100, 0.1);
+        assertEquals(0.35 * OBJECTIVE_TICKS, (double) timeoutTicks(request(Idempotency.IDEMPOTENT)), 1);
+    }
+
+    @Test
+    void itMayTakeAllTheTimeWhereAnotherWouldMissTheObjective() {
+        answers(2_000, 0.6);
+        ActiveRequest request = request(Idempotency.IDEMPOTENT);
+        assertEquals(request.answerDueAtTicks(), timeoutTicks(request));
+    }
+
+    @Test
+    void itMayTakeAllTheTimeWhereNoOtherMayFollow() {
+        answers(2_000, 0.2);
+        ActiveRequest request = request(Idempotency.NOT_IDEMPOTENT);
+        assertEquals(request.answerDueAtTicks(), timeoutTicks(request));
+        ActiveRequest last = request(Idempotency.IDEMPOTENT);
+        attempt(last, endpoint("e"), AttemptOutcome.FAILED, 0);
+        assertEquals(last.answerDueAtTicks(), timeoutTicks(last));
+    }
+
+    @Test
+    void itMayTakeAllTheTimeWhereTheRetryBudgetIsSpent() {
+        answers(2_000, 0.2);
+        for (int i = 0; i < 9; i++) {
+            budget.spend();
+        }
+        ActiveRequest request = request(Idempotency.IDEMPOTENT);
+        assertEquals(request.answerDueAtTicks(), timeoutTicks(request));
+    }
+}
--- /dev/null
+++ b/src/test/java/laurelkeel/decision/BuildOutcomesTest.java
@@ -0,0 +1,27 @@
+package laurelkeel.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+class BuildOutcomesTest {
+    @Test
+    void outcomesAddUp() {
+        BuildOutcomes first = new BuildOutcomes();
+        first.addAttempts(10, 2);
+        first.addRecoveredFailure();
+        first.addLatencyRatio(1);
+        BuildOutcomes second = new BuildOutcomes();
+        second.addAttempts(5, 1);
+        second.addComplaint();
+        second.addLatencyRatio(3);
+        first.add(second);
+        assertEquals(15, first.attempts());
+        assertEquals(3, first.failures());
+        assertEquals(1, first.recoveredFailures());
+        assertEquals(1, first.complaints());
+        assertEquals(2, first.ratedAnswers());
+        assertEquals(2, first.meanLatencyRatio());
+        assertEquals(0.5, first.latencyRatioErrorSquared(2), 1e-9);
+    }
+}
--- /dev/null
+++ b/src/test/java/laurelkeel/decision/FleetThroughputTest.java
@@ -0,0 +1,58 @@
+package laurelkeel.decision;
+
+import static laurelkeel.decision.DecisionFixtures.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import laurelkeel.api.Settings;
+import org.junit.jupiter.api.Test;
+
+class FleetThroughputTest {
+    private static void answer(FleetThroughput throughput, int perSecond, int seconds) {
+        for (int tenth = 0; tenth <= 10 * seconds; tenth++) {
+            throughput.update((tenth + 1) * SECOND / 10);
+            for (int i = 0; i < perSecond / 10; i++) {
+                throughput.attemptCompleted();
+            }
+        }
+    }
+
+    @Test
+    void theRateFollowsTheAnswersOfSomeTenSeconds() {
+        FleetThroughput throughput = new FleetThroughput(1);
+        answer(throughput, 200, 60);
+        assertEquals(200, throughput.answersPerSecond(), 5);
+    }
+
+    @Test
+    void theAssumedRateCountsLikeThreeSecondsOfAnswers() {
+        FleetThroughput throughput = new FleetThroughput(100);
+        answer(throughput, 0, 1);
+        assertTrue(throughput.answersPerSecond() > 60, "" + throughput.answersPerSecond());
+    }
+
+    @Test
+    void anEndpointsUsualAnswersAreInProportionToItsCapacity() {
+        FleetThroughput throughput = new FleetThroughput(100);
+        throughput.observeCapacity(20);
+        assertEquals(20, throughput.usualAnswers(2, 2 * SECOND), 1e-9);
+    }
+
+    @Test
+    void capacityThatIsLostIsForgottenSlowly() {
+        FleetThroughput throughput = new FleetThroughput(100);
+        throughput.observeCapacity(20);
+        throughput.observeCapacity(1);
+        assertEquals(20, throughput.usualAnswers(2, 2 * SECOND), 0.01, "the others answered most of it");
+        for (int i = 0; i < 100_000; i++) {
+            throughput.observeCapacity(1);
+        }
+        assertEquals(400, throughput.usualAnswers(2, 2 * SECOND), 1e-9);
+    }
+
+    @Test
+    void aNodesShareOfTheQuotasIsAssumedAtFirst() {
+        Settings settings = DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.FIRST_VOTE);
+        assertEquals(1, FleetThroughput.assumedAnswersPerSecond(settings), "no tenant has a quota");
+    }
+}
--- /dev/null
+++ b/src/test/java/laurelkeel/decision/RouteLatencyTest.java
@@ -0,0 +1,83 @@
+package laurelkeel.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+class RouteLatencyTest {
+    private final RouteLatency latency = new RouteLatency(10_000);
+
+    private void learnUsual(long durationTicks, int level, int answers) {
+        for (int i = 0; i < answers; i++) {
+            latency.learnUsual(durationTicks, level);
+        }
+    }
+
+    @Test
+    void concurrencyHasTwoLevelsForEachDoubling() {
+        assertEquals(0, RouteLatency.concurrencyLevel(0));
+        assertEquals(0, RouteLatency.concurrencyLevel(1));
+        assertEquals(2, RouteLatency.concurrencyLevel(2));
+        assertEquals(6, RouteLatency.concurrencyLevel(8));
+        assertEquals(11, RouteLatency.concurrencyLevel(1e9));
+    }
+
+    @Test
+    void aLatencyIsComparedAtItsOwnLevel() {
+        learnUsual(100, 0, 8);
+        learnUsual(300, 2, 8);
+        assertEquals(2, latency.ratioToUsual(200, 0).orElseThrow(), 1e-9);
+        assertEquals(1, latency.ratioToUsual(300, 2).orElseThrow(), 1e-9);
+    }
+
+    @Test
+    void atALevelNotMetLatencyIsExpectedToGrowFromTheNextLowerOne() {
+        learnUsual(100, 1, 8);
+        assertEquals(1, latency.ratioToUsual(200, 4).orElseThrow(), 1e-9);
+        assertTrue(latency.ratioToUsual(200, 0).isEmpty(), "nothing lower is known");
+    }
+
+    @Test
+    void fewAnswersTellNothing() {
+        learnUsual(100, 0, 7);
+        assertFalse(latency.isKnown(0));
+        assertTrue(latency.ratioToUsual(100, 0).isEmpty());
+        assertEquals(2_000, latency.typicalTicks(0), "a fifth of the objective is assumed");
+        learnUsual(100, 0, 1);
+        assertEquals(100, latency.typicalTicks(0), 1e-9);
+    }
+
+    @Test
+    void aSingleRatioIsBounded() {
+        learnUsual(100, 0, 8);
+        assertEquals(4, latency.ratioToUsual(100_000, 0).orElseThrow());
+    }
+
+    @Test
+    void calmIsTheLeastMeanOfAHundredAnswers() {
+        for (int run = 0; run < 3; run++) {
+            for (int i = 0; i < 100; i++) {
+                latency.learnCalm(run == 1 ? 300 : 500);
+            }
+        }
+        assertEquals(300 * 1.02, latency.calmTicks(), 1e-9, "it rises by 2% a run at most");
+    }
+
+    @Test
+    void theDeviationFollowsTheDistanceFromTheUsual() {
+        for (int i = 0; i < 500; i++) {
+            latency.recordDeviation(i % 2 == 0 ? 0.8 : 1.2);
+        }
+        assertEquals(0.2, latency.relativeDeviation(), 0.01);
+    }
+
+    @Test
+    void theRecentMeanFollowsTheLastAnswers() {
+        for (int i = 0; i < 100; i++) {
+            latency.recordRecent(400);
+        }
+        assertEquals(400, latency.recentTicks(), 1);
+    }
+}
--- /dev/null
+++ b/src/test/java/laurelkeel/decision/WarmUpBudgetTest.java
@@ -0,0 +1,37 @@
+package laurelkeel.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+class WarmUpBudgetTest {
+    @Test
+    void aFractionOfAnAttemptIsAllowedToThatShareOfTheNodes() {
+        int allowed = 0;
+        for (int seed = 0; seed < 1_000; seed++) {
+            WarmUpBudget budget = new WarmUpBudget();
+            budget.draw(new SeededRandom(seed), 100, 0);
+            allowed += budget.isExhausted(0.3, 0) ? 0 : 1;
+        }
+        assertEquals(300, allowed, 50);
+    }
+
+    @Test
+    void attemptsBeforeTheWindowDoNotCount() {
+        WarmUpBudget budget = new WarmUpBudget();
+        budget.attemptSent(10);
+        assertTrue(budget.isExhausted(1, 10));
+        assertFalse(budget.isExhausted(1, 11));
+    }
+
+    @Test
+    void aDrawServesOneWindow() {
+        WarmUpBudget budget = new WarmUpBudget();
+        assertTrue(budget.isDrawExpired(0));
+        budget.draw(new SeededRandom(1), 100, 50);
+        assertFalse(budget.isDrawExpired(149));
+        assertTrue(budget.isDrawExpired(150));
+    }
+}
