--- a/src/main/java/laurelkeel/decision/EndpointRegistry.java
+++ b/src/main/java/laurelkeel/decision/EndpointRegistry.java
@@ -17,7 +17,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** The endpoints that the endpoint list names, pooled by build. */
-final class EndpointRegistry {
+final class EndpointRegistry implements BuildCapacities {
     /** Crossing zones at a price of one counts as so many requests that the endpoint serves besides. */
     private static final double REQUESTS_PER_CROSS_ZONE_COST = 8;
 
@@ -134,14 +134,15 @@
         }
     }
 
-    /** Draws the roundings of warm-up budgets anew where they are due, and forgets attempts before a moment. */
-    void updateWarmUpBudgets(long forgetBeforeTicks, long nowTicks) {
+    /** Draws the roundings of warm-up budgets anew where they are due, and forgets what is out of the window. */
+    void updateWarmUpBudgets(long nowTicks) {
+        long windowTicks = settings.limits().overloadWindowTicks();
         for (Endpoint endpoint : endpointsById.values()) {
             WarmUpBudget budget = endpoint.warmUpBudget();
             if (budget.isDrawExpired(nowTicks)) {
-                budget.draw(random, settings.limits().overloadWindowTicks(), nowTicks);
+                budget.draw(random, windowTicks, nowTicks);
             }
-            budget.forgetBefore(forgetBeforeTicks);
+            budget.forgetBefore(nowTicks - windowTicks);
         }
     }
 
@@ -162,13 +163,13 @@
         return pool == null ? List.of() : pool.endpoints();
     }
 
-    /** Returns the builds that have active endpoints. */
-    Collection<Integer> activeBuilds() {
+    @Override
+    public Collection<Integer> activeBuilds() {
         return poolsByBuild.keySet();
     }
 
-    /** Returns the newest build that has active endpoints, or the least integer where none has. */
-    int newestActiveBuild() {
+    @Override
+    public int newestActiveBuild() {
         return newestBuild;
     }
 
@@ -177,8 +178,8 @@
         return activeCapacity;
     }
 
-    /** Returns the capacity of a build's active endpoints, as far as they have warmed up. */
-    double currentCapacity(int build, long nowTicks) {
+    @Override
+    public double currentCapacity(int build, long nowTicks) {
         EndpointPool pool = poolsByBuild.get(build);
         return pool == null ? 0 : pool.currentCapacity(slowStart, nowTicks);
     }
--- a/src/main/java/laurelkeel/decision/RoutingDecider.java
+++ b/src/main/java/laurelkeel/decision/RoutingDecider.java
@@ -24,9 +24,6 @@
     private static final long SECOND = Ticks.PER_SECOND;
 
     // ---- tuned values; docs/design.md says what each was tried against
-    private static final double TARGET = 0.8;
-    private static final double RESERVE = 0.15;
-    private static final double RAMP = 1.25;
     private static final long READY = 3 * SECOND;
     private static final double MARGIN = 0.02;
     private static final double SURE = 3.0;
@@ -38,11 +35,9 @@
     private static final double SLOWER = 2;
     private static final long MEMORY = 30 * SECOND;
     private static final long TICK = SECOND / 10;
-    private static final long WINDOW_EDGE = 60;
     private static final double SHARED = 1.4;
     private static final int LASTING = 10;
     private static final double MORE = 1.3;
-    private static final long AFTER_RELEASE = 25 * SECOND;
     private static final int ERRS_HEARD = 5;
 
     /** One second of the instance: outcomes by build and route, and how slow each machine was. */
@@ -78,22 +73,13 @@
     private final RetryPolicy retryPolicy;
     private final AttemptTimeoutPolicy timeoutPolicy;
     private final AdmissionController admission;
-    private final EndpointPicker picker;
     private final double sure;
 
-    // the trial
-    private int newsBuild = -1;
-    private RolloutPhase phase = RolloutPhase.ROLLED_BACK;
-    private int stage;
-    private double cap;
-    private long stageSince;
-    private int trial = -1, base = -1, rival = -1;
-    private double baseAtStart, threshold;
-    private final StickyKeys pins = new StickyKeys();
-    private final TreeSet<Integer> released = new TreeSet<>(Set.of(-1));
-    private final Set<Integer> takenOff = new HashSet<>();
-    private final List<SlidingWindow> taken = new ArrayList<>();
-    private final Map<Integer, List<SlidingWindow>> exposed = new HashMap<>();
+    private final RolloutState rollout;
+    private final StickyKeys stickyKeys = new StickyKeys();
+    private final CanaryRamp ramp = new CanaryRamp();
+    private final ExposureLimiter exposure;
+    private final BuildRouter router;
     private final ClientRetryDetector clientRetries = new ClientRetryDetector();
     private final TreeMap<Long, Second> seconds = new TreeMap<>();
     /** What the platform counted of all fronts' tries. */
@@ -119,7 +105,6 @@
         sure = Math.sqrt(SURE * SURE + 2 * Math.log(Math.max(1, settings.nodeCount() / (double) enough)));
         for (Route route : settings.routes()) {
             latencies.add(new RouteLatency(route.latencyObjectiveTicks()));
-            taken.add(new SlidingWindow());
         }
         slowStart = new SlowStart(settings.limits());
         throughput = new FleetThroughput(FleetThroughput.assumedAnswersPerSecond(settings));
@@ -127,7 +112,10 @@
         retryPolicy = new RetryPolicy(settings.capabilities().maxAttempts());
         timeoutPolicy = new AttemptTimeoutPolicy(latencies, retryPolicy, retryBudget);
         admission = new AdmissionController(settings, latencies, waits);
-        picker = new EndpointPicker(endpoints, retryPolicy, slowStart, throughput);
+        EndpointPicker picker = new EndpointPicker(endpoints, retryPolicy, slowStart, throughput);
+        rollout = new RolloutState(settings.rollout());
+        exposure = new ExposureLimiter(settings.rollout(), settings.routes().size());
+        router = new BuildRouter(rollout, stickyKeys, ramp, exposure, picker::pick);
     }
 
     @Override
@@ -137,7 +125,9 @@
         for (Event e : events) {
             learn(e);
         }
-        findBuilds();
+        rollout.selectBuilds(endpoints, now);
+        throughput.observeCapacity(endpoints.activeCapacity());
+        ramp.observe(rollout.canaryBuild(), endpoints.currentCapacity(rollout.stableBuild(), now));
         while (deadlines.nextAtTicks() <= now) {
             for (ActiveRequest request : deadlines.removeNext()) {
                 if (!request.isDone()) {
@@ -150,7 +140,7 @@
             tidy();
             endpoints.markErrorOutliers();
             endpoints.adaptSubsets(inFlight(), admission.areAnswersWaiting(), now);
-            raiseThreshold();
+            raiseExposure();
         }
         for (ActiveRequest request : requests.pending()) {
             place(request);
@@ -209,108 +199,26 @@
             }
             asked = null;
         }
-        if (n.status() != ControlStatus.OK || n.build() < newsBuild) {
+        if (!rollout.isCurrent(n)) {
             return;
         }
-        if (n.build() != newsBuild || n.stage() != stage || n.phase() != phase) {
-            stageSince = now - n.ageTicks();
+        if (rollout.apply(n, now)) {
             out.add(new Action.WriteLog("build " + n.build() + " stage " + n.stage() + " " + n.phase()));
         }
-        newsBuild = n.build();
-        stage = n.stage();
-        phase = n.phase();
-        cap = n.exposureCap();
-        if (phase == RolloutPhase.ROLLING_BACK || phase == RolloutPhase.ROLLED_BACK) {
-            takenOff.add(newsBuild);
-            released.remove(newsBuild);
-            pins.buildRolledBack(newsBuild);
-        } else if (phase == RolloutPhase.RELEASED) {
-            released.add(newsBuild);
-            pins.buildReleased(newsBuild);
-        }
-    }
-
-    private double warmSize(int build) {
-        return endpoints.currentCapacity(build, now);
-    }
-
-    /** Which build is on trial and which is the earlier one; a build not yet in the news is on trial. */
-    private void findBuilds() {
-        int newest = Math.max(newsBuild, endpoints.newestActiveBuild());
-        int onTrial = phase == RolloutPhase.CANARY ? newsBuild : newest > newsBuild && newsBuild >= 0 ? newest : -1;
-        int earlier = -1;
-        if (phase == RolloutPhase.RELEASED) {
-            earlier = newsBuild;
-        } else {
-            double most = 0;
-            for (int build : endpoints.activeBuilds()) {
-                boolean open = (newsBuild < 0 || build < newsBuild) && build >= released.last();
-                double size = open ? warmSize(build) : 0;
-                if (size > most && !takenOff.contains(build)) {
-                    most = size;
-                    earlier = build;
-                }
-            }
-            // a build called back after its release was the base until now: it must not stay that
-            earlier = earlier < 0 && base < newsBuild && !takenOff.contains(base) ? base : earlier;
-        }
-        if (onTrial != trial) {
-            trial = onTrial;
-            threshold = 0;
-            baseAtStart = 0;
+        switch (n.phase()) {
+            case ROLLING_BACK, ROLLED_BACK -> stickyKeys.buildRolledBack(n.build());
+            case RELEASED -> stickyKeys.buildReleased(n.build());
+            case CANARY -> {}
         }
-        base = earlier;
-        rival = trial >= 0 ? base : rival;
-        throughput.observeCapacity(endpoints.activeCapacity());
-        baseAtStart = Math.max(baseAtStart, warmSize(base));
-    }
-
-    // ---- exposure
-
-    private double trialCap() {
-        return trial > newsBuild ? set.rollout().stageExposureCaps().get(0) : cap;
-    }
-
-    private int trialStage() {
-        return trial > newsBuild ? 0 : stage;
     }
 
-    private void raiseThreshold() {
-        if (trial < 0) {
-            return;
-        }
-        double on = warmSize(trial);
-        double off = warmSize(base);
-        double target = Math.min(TARGET * trialCap(), RAMP * on / Math.max(baseAtStart, 1e-9));
-        if (off < (1 - TARGET * trialCap()) * baseAtStart) {
-            target = Math.max(target, Math.min(trialCap(), on / (on + off)));
+    private void raiseExposure() {
+        if (rollout.hasCanary()) {
+            ramp.raise(
+                    rollout.exposureCap(),
+                    endpoints.currentCapacity(rollout.canaryBuild(), now),
+                    endpoints.currentCapacity(rollout.stableBuild(), now));
         }
-        threshold = Math.max(threshold, target);
-    }
-
-    private int scope(int route) {
-        return set.rollout().exposurePerRoute() ? route : 0;
-    }
-
-    /** A build that leaves the list ahead of its news, or is passed, and returns, has its tries still. */
-    private SlidingWindow exposed(int build, int route) {
-        return exposed.computeIfAbsent(
-                        build,
-                        k -> set.routes().stream().map(r -> new SlidingWindow()).toList())
-                .get(scope(route));
-    }
-
-    private boolean trialOpen(ActiveRequest request, boolean pinned) {
-        boolean guarded = trialStage() < set.rollout().guardedStages();
-        if (trialCap() <= 0 || (guarded && request.route().idempotency() != Idempotency.IDEMPOTENT)) {
-            return false;
-        }
-        int s = scope(request.routeIndex());
-        long window = set.rollout().exposureWindowTicks();
-        int tries = exposed(trial, request.routeIndex()).countSince(now - window - WINDOW_EDGE);
-        double share = trialCap() * taken.get(s).countSince(now - window + WINDOW_EDGE);
-        double reserve = pinned ? 0 : RESERVE * share;
-        return tries + 1 + reserve <= set.rollout().exposureAllowance() + share;
     }
 
     // ---- reqs
@@ -320,7 +228,7 @@
     }
 
     private void take(RequestReceived received) {
-        taken.get(scope(received.route())).record(now);
+        exposure.requestReceived(received.route(), now);
         retryBudget.requestReceived();
         double keylessFraction = received.partitionKey() == null ? random.nextDouble() : -1;
         ActiveRequest request = new ActiveRequest(
@@ -356,29 +264,21 @@
         judgeBuild(attempt, event, request);
         String key = request.partitionKey();
         if (key != null) {
-            pins.attemptEnded(key, endpoint.build());
+            stickyKeys.attemptEnded(key, endpoint.build());
         }
-        if (event.outcome().mayHaveServed() && binds(request, endpoint.build())) {
+        if (event.outcome().mayHaveServed() && key != null && rollout.bindsKeys(endpoint.build())) {
             // by the build that answered: one not announced yet can leave the list before its answer comes;
             // an answer that could not be read, or came as the front gave it up, was one all the same
-            pins.served(key, endpoint.build());
+            stickyKeys.served(key, endpoint.build());
         }
         if (event.outcome() == AttemptOutcome.COMPLETED) {
             throughput.attemptCompleted();
         } else {
-            request.attemptFailed(endpoint, endpoint.build() == trial);
+            request.attemptFailed(endpoint, endpoint.build() == rollout.canaryBuild());
         }
         requests.markPending(request);
     }
 
-    /** An answer of that build to this req keeps its key from earlier ones. */
-    private boolean binds(ActiveRequest request, int build) {
-        return request.partitionKey() != null
-                && set.rollout().stickyKeys()
-                && build > base
-                && !takenOff.contains(build);
-    }
-
     private void learnLatency(Attempt attempt, int route, long durationTicks) {
         Endpoint endpoint = attempt.endpoint();
         RouteLatency latency = latencies.get(route);
@@ -402,7 +302,8 @@
             latency.recordDeviation(ratio);
         }
         // while a build is on trial the usual stands still, or harm that both builds share would become usual
-        if (judged() < 0 || (endpoint.build() != judged() && !latency.isKnown(attempt.concurrencyLevel()))) {
+        if (rollout.judgedBuild(now) < 0
+                || (endpoint.build() != rollout.judgedBuild(now) && !latency.isKnown(attempt.concurrencyLevel()))) {
             latency.learnUsual(durationTicks, attempt.concurrencyLevel());
         }
         latency.learnCalm(durationTicks);
@@ -430,7 +331,7 @@
         // rejected attempts count too: a fleet at capacity must not be asked by every request at every endpoint
         boolean isRetry = request.attemptCount() > 0;
         boolean may = retryPolicy.mayAttempt(request, now) && (!isRetry || retryBudget.allows(1));
-        Endpoint endpoint = may ? choose(request) : null;
+        Endpoint endpoint = may ? router.choose(request, now) : null;
         if (endpoint == null || !admission.admits(request, endpoint, now)) {
             request.requireFinalAnswer();
             return;
@@ -442,31 +343,14 @@
         send(request, endpoint);
     }
 
-    private Endpoint choose(ActiveRequest request) {
-        String key = request.partitionKey();
-        int pin = key == null ? StickyKeys.NO_BUILD : pins.oldestAllowedBuild(key);
-        if (pin > base) {
-            return pin == trial && trialOpen(request, true) ? picker.pick(trial, request, now) : null;
-        }
-        double at = key == null ? request.keylessFraction() : StickyKeySlice.fractionOf(key, trial);
-        boolean room = trial >= 0 && !pins.isFull() && trialOpen(request, false);
-        Endpoint endpoint = null;
-        if (room && at < threshold && !request.avoidsCanary()) {
-            endpoint = picker.pick(trial, request, now);
-        }
-        endpoint = endpoint == null ? picker.pick(base, request, now) : endpoint;
-        // with no machine of the earlier build left, what the cap allows goes to the trial build
-        return endpoint == null && room ? picker.pick(trial, request, now) : endpoint;
-    }
-
     private void send(ActiveRequest request, Endpoint endpoint) {
         endpoint.attemptStarted();
         latencies.get(request.routeIndex()).attemptStarted();
         endpoint.warmUpBudget().attemptSent(now);
         second(now).sends++;
-        second(now).trialSends += endpoint.build() == judged() ? 1 : 0;
-        if (endpoint.build() == trial) {
-            exposed(trial, request.routeIndex()).record(now);
+        second(now).trialSends += endpoint.build() == rollout.judgedBuild(now) ? 1 : 0;
+        if (endpoint.build() == rollout.canaryBuild()) {
+            exposure.attemptSent(endpoint.build(), request.routeIndex(), now);
         }
     }
 
@@ -507,7 +391,7 @@
     /** What speaks against cand beside the earlier build, over the seconds both were seen; or null. */
     private String against(int cand, int rev) {
         // after the release nothing serves beside it: then the earlier build's last seconds stand
-        boolean beside = phase == RolloutPhase.CANARY;
+        boolean beside = rollout.phase() == RolloutPhase.CANARY;
         int routes = set.routes().size();
         BuildOutcomes[] earlier = total(seconds.values(), rev, -1);
         List<Map<Integer, BuildOutcomes[]>> over = spans(seconds, cand, rev, beside ? SPAN : MEMORY);
@@ -664,46 +548,43 @@
         return tries >= least && hits >= leastHits && lead > MARGIN * weight && lead > sure * doubt;
     }
 
-    /** The build under judgement: on trial, or released a short while ago, when it can still be sent back. */
-    private int judged() {
-        boolean late = phase == RolloutPhase.RELEASED && rival >= 0 && now < stageSince + AFTER_RELEASE;
-        return trial >= 0 ? trial : late ? newsBuild : -1;
-    }
-
     private long newest(int build) {
         EndpointPool pool = endpoints.pool(build);
         return pool == null ? 0 : pool.newestStartTicks();
     }
 
     private Verdict verdict() {
-        if (judged() != newsBuild) {
+        if (rollout.judgedBuild(now) != rollout.announcedBuild()) {
             return Verdict.NONE;
         }
-        reason = rival == newsBuild ? null : against(newsBuild, rival);
+        reason = rollout.baselineBuild() == rollout.announcedBuild()
+                ? null
+                : against(rollout.announcedBuild(), rollout.baselineBuild());
         if (reason != null) {
             return Verdict.ROLL_BACK;
         }
-        boolean waited = now >= Math.max(stageSince, newest(newsBuild)) + READY;
-        boolean on =
-                phase == RolloutPhase.CANARY && waited && set.rollout().promotionPolicy() != PromotionPolicy.AUTOMATIC;
+        boolean waited = now >= Math.max(rollout.stageStartedAtTicks(), newest(rollout.announcedBuild())) + READY;
+        boolean on = rollout.phase() == RolloutPhase.CANARY
+                && waited
+                && set.rollout().promotionPolicy() != PromotionPolicy.AUTOMATIC;
         return on ? Verdict.PROMOTE : Verdict.NONE;
     }
 
     private Action.CastVote wantedVote() {
         boolean waits = asked != null && now < askedAt + set.rollout().voteTimeoutTicks() + SECOND / 2;
-        if (newsBuild < 0 || now < nextVerdict || waits) {
+        if (rollout.announcedBuild() < 0 || now < nextVerdict || waits) {
             return null;
         }
         nextVerdict = now + SECOND / 4;
         Verdict v = verdict();
         boolean same = stands != null
-                && stands.build() == newsBuild
+                && stands.build() == rollout.announcedBuild()
                 && stands.verdict() == v
-                && (v != Verdict.PROMOTE || stands.stage() == stage);
+                && (v != Verdict.PROMOTE || stands.stage() == rollout.stage());
         if (v == Verdict.NONE || (same && now < stoodAt + set.rollout().voteLifetimeTicks() * 6 / 10)) {
             return null;
         }
-        return new Action.CastVote(newsBuild, stage, v);
+        return new Action.CastVote(rollout.announcedBuild(), rollout.stage(), v);
     }
 
     // ---- wanted against present
@@ -759,8 +640,9 @@
                     endpoint.isSettled(now),
                     endpoint.inFlight(),
                     RouteLatency.concurrencyLevel(endpoint.knownRequests())));
-            if (binds(request, endpoint.build())) {
-                pins.attemptSent(request.partitionKey(), endpoint.build());
+            String key = request.partitionKey();
+            if (key != null && rollout.bindsKeys(endpoint.build())) {
+                stickyKeys.attemptSent(key, endpoint.build());
             }
             out.add(new Action.SendAttempt(request.id(), endpoint.id(), request.plannedTimeoutTicks()));
         }
@@ -772,11 +654,8 @@
 
     private void tidy() {
         throughput.update(now);
-        long keep = Math.max(set.rollout().exposureWindowTicks(), set.limits().overloadWindowTicks()) + SECOND;
-        taken.forEach(times -> times.forgetBefore(now - keep));
-        exposed.values().forEach(routes -> routes.forEach(times -> times.forgetBefore(now - keep)));
-        exposed.values().removeIf(routes -> routes.stream().allMatch(SlidingWindow::isEmpty));
-        endpoints.updateWarmUpBudgets(now - keep, now);
+        exposure.forgetOld(now);
+        endpoints.updateWarmUpBudgets(now);
         seconds.headMap((now - MEMORY) / SECOND).clear();
         counted.headMap((now - MEMORY) / SECOND).clear();
         clientRetries.forgetOld(now);
