--- a/src/main/java/laurelkeel/bench/DecisionStreams.java
+++ b/src/main/java/laurelkeel/bench/DecisionStreams.java
@@ -31,7 +31,19 @@
 
     /** Terms of log lines, and the words that the first checksums had for them. */
     private static final String[][] RECORDED_WORDS = {
-        {" CANARY", " TRIAL"}, {" ROLLING_BACK", " GOING_BACK"}, {" ROLLED_BACK", " WITHDRAWN"}
+        {" CANARY", " TRIAL"},
+        {" ROLLING_BACK", " GOING_BACK"},
+        {" ROLLED_BACK", " WITHDRAWN"},
+        {"votes to roll back build", "votes back on build"},
+        {"higher error rate on", "errors on"},
+        {"higher complaint rate on", "complaints on"},
+        {"on all routes", "on route 3"},
+        {"all endpoints slowed down in", "slows all in"},
+        {" s, latency ratio before", " seconds, before"},
+        {"latency ratio", "slow"},
+        {" answers, baseline", ", earlier"},
+        {" answers", ""},
+        {" over ", " of "}
     };
 
     private record Out(String req, int no, String machine, AttemptOutcome outcome, long sentAt) {}
--- a/src/main/java/laurelkeel/decision/AdmissionController.java
+++ b/src/main/java/laurelkeel/decision/AdmissionController.java
@@ -27,32 +27,29 @@
 
     private final List<Route> routes;
     private final boolean isValueByWork;
-    private final List<RouteLatency> latencies;
-    private final QueueWaitEstimator waits;
+    private final LatencyModel latency;
 
-    /** @param latencies of the routes, in the order of the settings */
-    AdmissionController(Settings settings, List<RouteLatency> latencies, QueueWaitEstimator waits) {
+    AdmissionController(Settings settings, LatencyModel latency) {
         this.routes = settings.routes();
         this.isValueByWork = settings.valueByWork();
-        this.latencies = latencies;
-        this.waits = waits;
+        this.latency = latency;
     }
 
     /** Whether a request may be sent to an endpoint now; otherwise it is to be shed. */
     boolean admits(ActiveRequest request, Endpoint endpoint, long nowTicks) {
-        RouteLatency latency = latencies.get(request.routeIndex());
-        if (latency.inFlight() < ALWAYS_ADMITTED_IN_FLIGHT) {
+        RouteLatency routeLatency = latency.route(request.routeIndex());
+        if (routeLatency.inFlight() < ALWAYS_ADMITTED_IN_FLIGHT) {
             return true;
         }
         // a route whose answers all come late only takes up capacity, whatever the cause
-        boolean isTooLate = latency.recentTicks() > request.route().latencyObjectiveTicks()
-                || expectedWaitTicks(endpoint, nowTicks) > maxWaitTicks(request.routeIndex());
+        boolean isTooLate = routeLatency.recentTicks() > request.route().latencyObjectiveTicks()
+                || latency.expectedWaitTicks(endpoint, nowTicks) > maxWaitTicks(request.routeIndex());
         return !isTooLate;
     }
 
     /** Whether an attempt that is about to miss its objective is to be given up: queues of late answers never empty. */
     boolean isToBeAbandoned(ActiveRequest request, Attempt attempt, long nowTicks) {
-        return expectedWaitTicks(attempt.endpoint(), nowTicks) > slackTicks(request.routeIndex()) / 2;
+        return latency.expectedWaitTicks(attempt.endpoint(), nowTicks) > slackTicks(request.routeIndex()) / 2;
     }
 
     /** Whether the mean wait is a considerable part of the least slack of all routes. */
@@ -61,7 +58,7 @@
         for (int route = 0; route < routes.size(); route++) {
             leastSlackTicks = Math.min(leastSlackTicks, slackTicks(route));
         }
-        return waits.meanWaitTicks() > WAITING_SLACK_SHARE * leastSlackTicks;
+        return latency.waits().meanWaitTicks() > WAITING_SLACK_SHARE * leastSlackTicks;
     }
 
     /** Returns the wait at which a route gives way: its slack, or less for the sake of routes that earn as much or more. */
@@ -80,16 +77,12 @@
     /** Returns how long an attempt of a route may wait and still meet the objective. */
     private double slackTicks(int route) {
         return routes.get(route).latencyObjectiveTicks()
-                - CALM_LATENCIES_RESERVED * latencies.get(route).calmTicks();
+                - CALM_LATENCIES_RESERVED * latency.route(route).calmTicks();
     }
 
     /** Returns what an answer of a route earns for the time that it takes an endpoint. */
     private double valueDensity(int route) {
         return routes.get(route).priorityWeight()
-                / (isValueByWork ? 1 : latencies.get(route).calmTicks());
-    }
-
-    private double expectedWaitTicks(Endpoint endpoint, long nowTicks) {
-        return waits.expectedWaitTicks(endpoint.latency(), endpoint.inFlight(), nowTicks);
+                / (isValueByWork ? 1 : latency.route(route).calmTicks());
     }
 }
--- a/src/main/java/laurelkeel/decision/AttemptTimeoutPolicy.java
+++ b/src/main/java/laurelkeel/decision/AttemptTimeoutPolicy.java
@@ -1,7 +1,5 @@
 package laurelkeel.decision;
 
-import java.util.List;
-
 /**
  * How long to wait for an attempt: until the request's answer is due, or less where another attempt could still answer
  * within the latency objective.
@@ -15,13 +13,12 @@
     /** Retries that the budget must allow before an attempt is cut short for the sake of one. */
     private static final int MIN_RETRIES_IN_BUDGET = 2;
 
-    private final List<RouteLatency> latencies;
+    private final LatencyModel latency;
     private final RetryPolicy retryPolicy;
     private final RetryBudget retryBudget;
 
-    /** @param latencies of the routes, in the order of the settings */
-    AttemptTimeoutPolicy(List<RouteLatency> latencies, RetryPolicy retryPolicy, RetryBudget retryBudget) {
-        this.latencies = latencies;
+    AttemptTimeoutPolicy(LatencyModel latency, RetryPolicy retryPolicy, RetryBudget retryBudget) {
+        this.latency = latency;
         this.retryPolicy = retryPolicy;
         this.retryBudget = retryBudget;
     }
@@ -32,11 +29,11 @@
         if (!retryPolicy.mayRepeatNext(request) || !retryBudget.allows(MIN_RETRIES_IN_BUDGET)) {
             return untilAnswerDueTicks;
         }
-        RouteLatency latency = latencies.get(request.routeIndex());
-        double typicalTicks = latency.typicalTicks(RouteLatency.concurrencyLevel(inFlightAtEndpoint));
+        RouteLatency routeLatency = latency.route(request.routeIndex());
+        double typicalTicks = routeLatency.typicalTicks(RouteLatency.concurrencyLevel(inFlightAtEndpoint));
         long objectiveTicks = request.route().latencyObjectiveTicks();
         double patienceTicks = Math.max(
-                typicalTicks * (1 + PATIENCE_DEVIATIONS * latency.relativeDeviation()),
+                typicalTicks * (1 + PATIENCE_DEVIATIONS * routeLatency.relativeDeviation()),
                 MIN_PATIENCE_SHARE_OF_OBJECTIVE * objectiveTicks);
         if (patienceTicks + typicalTicks > objectiveTicks) {
             return untilAnswerDueTicks;
--- a/src/main/java/laurelkeel/decision/BuildRouter.java
+++ b/src/main/java/laurelkeel/decision/BuildRouter.java
@@ -1,5 +1,6 @@
 package laurelkeel.decision;
 
+import laurelkeel.api.Event.AttemptOutcome;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -52,6 +53,43 @@
         return endpoint;
     }
 
+    /** Counts a request, a share of which the canary may get. */
+    void requestReceived(int route, long nowTicks) {
+        exposure.requestReceived(route, nowTicks);
+    }
+
+    /** Counts an attempt against the cap of the canary, if it goes there. */
+    void attemptPlanned(ActiveRequest request, Endpoint endpoint, long nowTicks) {
+        if (isCanary(endpoint)) {
+            exposure.attemptSent(endpoint.build(), request.routeIndex(), nowTicks);
+        }
+    }
+
+    /** Binds the key of a request while its attempt is in flight. */
+    void attemptSent(ActiveRequest request, Endpoint endpoint) {
+        String key = request.partitionKey();
+        if (key != null && rollout.bindsKeys(endpoint.build())) {
+            stickyKeys.attemptSent(key, endpoint.build());
+        }
+    }
+
+    /** Binds the key of a request for good where the endpoint has served it or may have. */
+    void attemptEnded(ActiveRequest request, Endpoint endpoint, AttemptOutcome outcome) {
+        String key = request.partitionKey();
+        if (key == null) {
+            return;
+        }
+        stickyKeys.attemptEnded(key, endpoint.build());
+        if (outcome.mayHaveServed() && rollout.bindsKeys(endpoint.build())) {
+            stickyKeys.served(key, endpoint.build());
+        }
+    }
+
+    /** Whether an endpoint runs the canary build. */
+    boolean isCanary(Endpoint endpoint) {
+        return endpoint.build() == rollout.canaryBuild();
+    }
+
     private boolean mayExpose(ActiveRequest request, boolean isSticky, long nowTicks) {
         return rollout.mayExpose(request.route().idempotency())
                 && exposure.allows(
--- a/src/main/java/laurelkeel/decision/EndpointRegistry.java
+++ b/src/main/java/laurelkeel/decision/EndpointRegistry.java
@@ -163,6 +163,12 @@
         return pool == null ? List.of() : pool.endpoints();
     }
 
+    /** Returns when the newest active endpoint of a build started; 0 for long ago. */
+    long newestStartTicks(int build) {
+        EndpointPool pool = poolsByBuild.get(build);
+        return pool == null ? 0 : pool.newestStartTicks();
+    }
+
     @Override
     public Collection<Integer> activeBuilds() {
         return poolsByBuild.keySet();
--- /dev/null
+++ b/src/main/java/laurelkeel/decision/RolloutVoter.java
@@ -0,0 +1,127 @@
+package laurelkeel.decision;
+
+import java.util.function.IntToLongFunction;
+import laurelkeel.api.Action.CastVote;
+import laurelkeel.api.Action.Verdict;
+import laurelkeel.api.Event.ControlStatus;
+import laurelkeel.api.Event.RolloutPhase;
+import laurelkeel.api.Settings.PromotionPolicy;
+import laurelkeel.api.Settings.Rollout;
+import laurelkeel.api.Ticks;
+import org.jspecify.annotations.Nullable;
+
+/**
+ * Decides when the node votes on the newest build, and how.
+ *
+ * <p>It votes to roll the build back as soon as there is a regression, and otherwise to promote it once the stage and its
+ * newest endpoint have had time to show one. A vote is renewed before it lapses.
+ */
+final class RolloutVoter {
+    private static final long EVALUATION_INTERVAL_TICKS = Ticks.PER_SECOND / 4;
+    private static final long PAUSE_AFTER_VOTE_TICKS = Ticks.PER_SECOND / 2;
+    /** Past the timeout of a vote, for how long its answer is waited for. */
+    private static final long ANSWER_GRACE_TICKS = Ticks.PER_SECOND / 2;
+
+    /** Tenths of its lifetime after which a vote is renewed. */
+    private static final long RENEWAL_TENTHS = 6;
+
+    /** Looks for what speaks against a build. */
+    interface RegressionCheck {
+        /** Returns what speaks against a build beside its baseline, or null where nothing does. */
+        @Nullable
+        Regression find(int candidate, int baseline, boolean isBaselineServing, long nowTicks);
+    }
+
+    /**
+     * A vote to cast.
+     *
+     * @param regression why the build is to be rolled back; null for other verdicts
+     */
+    record Vote(CastVote action, @Nullable Regression regression) {}
+
+    private record Judgement(Verdict verdict, @Nullable Regression regression) {}
+
+    private static final Judgement NO_OPINION = new Judgement(Verdict.NONE, null);
+
+    private final Rollout settings;
+    private final RolloutState rollout;
+    private final RegressionCheck regressions;
+    private final IntToLongFunction newestStartTicks;
+
+    private @Nullable CastVote acceptedVote;
+    private long acceptedVoteCastAtTicks;
+    private @Nullable CastVote pendingVote;
+    private long pendingVoteCastAtTicks;
+    private long nextEvaluationAtTicks;
+
+    /** @param newestStartTicks when the newest active endpoint of a build started; 0 for long ago */
+    RolloutVoter(
+            Rollout settings, RolloutState rollout, RegressionCheck regressions, IntToLongFunction newestStartTicks) {
+        this.settings = settings;
+        this.rollout = rollout;
+        this.regressions = regressions;
+        this.newestStartTicks = newestStartTicks;
+    }
+
+    /** Takes note of the answer to the last vote. */
+    void voteAnswered(ControlStatus status) {
+        if (pendingVote == null) {
+            return;
+        }
+        if (status == ControlStatus.OK) {
+            acceptedVote = pendingVote;
+            acceptedVoteCastAtTicks = pendingVoteCastAtTicks;
+        }
+        pendingVote = null;
+    }
+
+    /** Returns the vote to cast now, which then counts as cast; null for none. */
+    @Nullable
+    Vote nextVote(long nowTicks) {
+        if (rollout.announcedBuild() < 0 || nowTicks < nextEvaluationAtTicks || isAnswerAwaited(nowTicks)) {
+            return null;
+        }
+        nextEvaluationAtTicks = nowTicks + EVALUATION_INTERVAL_TICKS;
+        Judgement judgement = judge(nowTicks);
+        if (judgement.verdict() == Verdict.NONE || isAlreadyCast(judgement.verdict(), nowTicks)) {
+            return null;
+        }
+        CastVote vote = new CastVote(rollout.announcedBuild(), rollout.stage(), judgement.verdict());
+        pendingVote = vote;
+        pendingVoteCastAtTicks = nowTicks;
+        nextEvaluationAtTicks = nowTicks + PAUSE_AFTER_VOTE_TICKS;
+        return new Vote(vote, judgement.regression());
+    }
+
+    private boolean isAnswerAwaited(long nowTicks) {
+        return pendingVote != null
+                && nowTicks < pendingVoteCastAtTicks + settings.voteTimeoutTicks() + ANSWER_GRACE_TICKS;
+    }
+
+    private boolean isAlreadyCast(Verdict verdict, long nowTicks) {
+        CastVote vote = acceptedVote;
+        return vote != null
+                && vote.build() == rollout.announcedBuild()
+                && vote.verdict() == verdict
+                && (verdict != Verdict.PROMOTE || vote.stage() == rollout.stage())
+                && nowTicks < acceptedVoteCastAtTicks + settings.voteLifetimeTicks() * RENEWAL_TENTHS / 10;
+    }
+
+    private Judgement judge(long nowTicks) {
+        int build = rollout.announcedBuild();
+        if (rollout.judgedBuild(nowTicks) != build) {
+            return NO_OPINION;
+        }
+        boolean isCanary = rollout.phase() == RolloutPhase.CANARY;
+        int baseline = rollout.baselineBuild();
+        Regression regression = baseline == build ? null : regressions.find(build, baseline, isCanary, nowTicks);
+        if (regression != null) {
+            return new Judgement(Verdict.ROLL_BACK, regression);
+        }
+        long shownSinceTicks = Math.max(rollout.stageStartedAtTicks(), newestStartTicks.applyAsLong(build));
+        boolean mayPromote = isCanary
+                && settings.promotionPolicy() != PromotionPolicy.AUTOMATIC
+                && nowTicks >= shownSinceTicks + Endpoint.SETTLING_TICKS;
+        return mayPromote ? new Judgement(Verdict.PROMOTE, null) : NO_OPINION;
+    }
+}
--- a/src/test/java/laurelkeel/decision/AdmissionControllerTest.java
+++ b/src/test/java/laurelkeel/decision/AdmissionControllerTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.List;
 import laurelkeel.api.Event.RequestReceived;
 import laurelkeel.api.Settings;
+import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** The routes of the settings have objectives of 800, 1,000 and 1,000 ms, and priority weights of 2, 3 and 1. */
@@ -23,20 +23,19 @@
     private static final double LEAST_SLACK_TICKS = 7_100;
 
     private final Settings settings = DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.FIRST_VOTE);
-    private final List<RouteLatency> latencies =
-            settings.routes().stream().map(r -> calm(r.latencyObjectiveTicks())).toList();
-    private final QueueWaitEstimator waits = new QueueWaitEstimator();
-    private final AdmissionController admission = new AdmissionController(settings, latencies, waits);
+    private final LatencyModel latency = new LatencyModel(settings.routes());
+    private final AdmissionController admission = new AdmissionController(settings, latency);
     private final Endpoint endpoint = endpoint("e");
 
-    private static RouteLatency calm(long objectiveTicks) {
-        RouteLatency latency = new RouteLatency(objectiveTicks);
-        for (int i = 0; i < 100; i++) {
-            latency.learnCalm(CALM_TICKS);
+    @BeforeEach
+    void serveInCalm() {
+        for (int route = 0; route < settings.routes().size(); route++) {
+            for (int i = 0; i < 100; i++) {
+                latency.route(route).learnCalm(CALM_TICKS);
+            }
+            latency.route(route).attemptStarted();
+            latency.route(route).attemptStarted();
         }
-        latency.attemptStarted();
-        latency.attemptStarted();
-        return latency;
     }
 
     private ActiveRequest request(int route) {
@@ -46,7 +45,7 @@
 
     private void answersWait(double waitTicks) {
         for (int i = 0; i < 2_000; i++) {
-            waits.recordWait(waitTicks, 100);
+            latency.waits().recordWait(waitTicks, 100);
         }
     }
 
@@ -74,7 +73,7 @@
     @Test
     void aRouteWhoseAnswersAllComeLateIsShed() {
         for (int i = 0; i < 100; i++) {
-            latencies.get(HIGHEST_VALUE).recordRecent(2 * SECOND);
+            latency.route(HIGHEST_VALUE).recordRecent(2 * SECOND);
         }
         assertFalse(admits(HIGHEST_VALUE));
         assertTrue(admits(LOWEST_VALUE));
@@ -84,7 +83,7 @@
     void twoAttemptsOfARouteGoOutAtAnyWait() {
         answersWait(10 * SECOND);
         assertFalse(admits(HIGHEST_VALUE));
-        latencies.get(HIGHEST_VALUE).attemptEnded();
+        latency.route(HIGHEST_VALUE).attemptEnded();
         assertTrue(admits(HIGHEST_VALUE));
     }
 
--- a/src/test/java/laurelkeel/decision/AttemptTimeoutPolicyTest.java
+++ b/src/test/java/laurelkeel/decision/AttemptTimeoutPolicyTest.java
@@ -4,6 +4,7 @@
 import static laurelkeel.decision.DecisionFixtures.attempt;
 import static laurelkeel.decision.DecisionFixtures.endpoint;
 import static laurelkeel.decision.DecisionFixtures.request;
+import static laurelkeel.decision.DecisionFixtures.route;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
@@ -12,14 +13,14 @@
 import org.junit.jupiter.api.Test;
 
 class AttemptTimeoutPolicyTest {
-    private final RouteLatency latency = new RouteLatency(OBJECTIVE_TICKS);
+    private final LatencyModel latency = new LatencyModel(List.of(route(Idempotency.IDEMPOTENT)));
     private final RetryBudget budget = new RetryBudget();
-    private final AttemptTimeoutPolicy policy = new AttemptTimeoutPolicy(List.of(latency), new RetryPolicy(2), budget);
+    private final AttemptTimeoutPolicy policy = new AttemptTimeoutPolicy(latency, new RetryPolicy(2), budget);
 
     private void answers(long durationTicks, double deviation) {
         for (int i = 0; i < 500; i++) {
-            latency.learnUsual(durationTicks, 0);
-            latency.recordDeviation(1 + deviation);
+            latency.route(0).learnUsual(durationTicks, 0);
+            latency.route(0).recordDeviation(1 + deviation);
         }
     }
 
--- a/src/test/java/laurelkeel/decision/BuildRouterTest.java
+++ b/src/test/java/laurelkeel/decision/BuildRouterTest.java
@@ -10,6 +10,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
+import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.api.Event.ControlStatus;
 import laurelkeel.api.Event.RolloutPhase;
 import laurelkeel.api.Event.RolloutUpdate;
@@ -137,6 +138,32 @@
         assertEquals(STABLE, chosenBuild(key(true)));
     }
 
+    @Test
+    void anAttemptAtTheCanaryBindsItsKeyAndCountsAgainstTheCap() {
+        String key = key(true);
+        ActiveRequest request = request(route(Idempotency.IDEMPOTENT), key);
+        Endpoint canary = endpoint("e", CANARY, 0, 0);
+        while (exposure.allows(CANARY, 0, 0.5, true, 0)) {
+            router.attemptPlanned(request, canary, 0);
+        }
+        router.attemptSent(request, canary);
+        assertEquals(CANARY, stickyKeys.oldestAllowedBuild(key));
+        router.attemptEnded(request, canary, AttemptOutcome.FAILED);
+        assertEquals(StickyKeys.NO_BUILD, stickyKeys.oldestAllowedBuild(key));
+        router.attemptEnded(request, canary, AttemptOutcome.TIMED_OUT);
+        assertEquals(CANARY, stickyKeys.oldestAllowedBuild(key), "its answer may be on the way");
+    }
+
+    @Test
+    void anAttemptAtTheStableBuildBindsNothing() {
+        ActiveRequest request = request(route(Idempotency.IDEMPOTENT), "key");
+        Endpoint stable = endpoint("e", STABLE, 0, 0);
+        router.attemptPlanned(request, stable, 0);
+        router.attemptSent(request, stable);
+        router.attemptEnded(request, stable, AttemptOutcome.COMPLETED);
+        assertEquals(StickyKeys.NO_BUILD, stickyKeys.oldestAllowedBuild("key"));
+    }
+
     @Test
     void aRequestWithoutAKeyGoesByItsDraw() {
         assertEquals(
