--- a/src/main/java/laurelkeel/cli/NodeLauncher.java
+++ b/src/main/java/laurelkeel/cli/NodeLauncher.java
@@ -59,7 +59,7 @@
         SignalHandlers.install("HUP", () -> reloader.reload(created.join()));
     }
 
-    /** Reads again only a file that the system fails to read: whoever starts a node waits for it. */
+    /** Retries only where the system fails to read the file; an invalid configuration is reported at once. */
     private static NodeConfiguration readInitialConfiguration(Path file, Map<String, String> environment)
             throws InvalidConfigurationException {
         for (int reads = 1; ; reads++) {
--- a/src/main/java/laurelkeel/options/OptionsParser.java
+++ b/src/main/java/laurelkeel/options/OptionsParser.java
@@ -21,7 +21,12 @@
  * Thread-safe.
  */
 public final class OptionsParser {
-    private static final String ROUTES = "services";
+    /** The path of the list of routes. */
+    public static final String ROUTES = "services";
+
+    /** The path of the list of exposure caps. */
+    public static final String STAGE_EXPOSURE_CAPS = "familyInfo.stageCap";
+
     private static final String TENANTS = "orgs";
     private static final String LIMITS = "rules.";
     private static final String CAPABILITIES = "allowed.";
@@ -151,7 +156,7 @@
                 options.ticks(ROLLOUT + "voteTtl"),
                 options.ticks(ROLLOUT + "callTimeout"),
                 options.number(ROLLOUT + "votesPerS"),
-                options.numbers(ROLLOUT + "stageCap"),
+                options.numbers(STAGE_EXPOSURE_CAPS),
                 options.ticks(ROLLOUT + "leastStage"),
                 options.wholeNumber(ROLLOUT + "guardedStages"),
                 options.flag(ROLLOUT + "keysStay"),
--- a/src/main/java/laurelkeel/platform/ControlServiceClient.java
+++ b/src/main/java/laurelkeel/platform/ControlServiceClient.java
@@ -68,7 +68,7 @@
         votes.close();
     }
 
-    /** Whether it has accepted the subscription or told where the newest build stands. */
+    /** Whether it has accepted the subscription or reported the newest build's state. */
     @Override
     public boolean hasReported() {
         return reported;
--- a/src/main/java/laurelkeel/platform/DiscoveryProtocol.java
+++ b/src/main/java/laurelkeel/platform/DiscoveryProtocol.java
@@ -41,7 +41,7 @@
     private DiscoveryProtocol() {}
 
     /**
-     * The request for a watch, which tells each change of the list.
+     * The request for a watch, whose response carries each change of the list.
      *
      * @param afterVersion the version that is known; below 0 where there is none
      */
--- a/src/main/java/laurelkeel/platform/EndpointDirectory.java
+++ b/src/main/java/laurelkeel/platform/EndpointDirectory.java
@@ -16,12 +16,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The endpoint list as discovery last told it: the state of each endpoint, and where it is reached.
+ * The endpoint list as discovery last sent it: the state of each endpoint, and where it is reached.
  *
  * <p>Not thread-safe; called on the event loop's thread, or before that thread has started.
  */
 final class EndpointDirectory {
-    /** Whatever discovery knows arrives within 6 s: a list that is still older after that comes from a new beginning. */
+    /** What discovery knows arrives within 6 s; a complete list that is still older then is from a restarted discovery. */
     private static final long MAX_LIST_DELAY_TICKS = 6 * Ticks.PER_SECOND;
 
     private static final long NO_VERSION = -1;
@@ -32,7 +32,7 @@
     /**
      * One endpoint as it was last listed.
      *
-     * @param startedAtUnixMillis its start as discovery told it
+     * @param startedAtUnixMillis its start as discovery sent it
      * @param stateSinceTicks when it was first listed at this address and in this state
      */
     private record Entry(
@@ -52,7 +52,7 @@
     private final Consumer<String> retiredAddresses;
     private final Map<String, Entry> entries = new HashMap<>();
     private long version = NO_VERSION;
-    /** Whether a watch has told something: what it tells from then on as a change has just happened. */
+    /** Whether a watch has delivered a list; changes that it delivers after that have just happened. */
     private boolean watched;
     /** Since when complete lists arrive that are older than this one. */
     private long staleSinceTicks = NEVER;
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Applies a list that the watch has told.
+     * Applies a list from the watch.
      *
      * @return the event for it; null where the list is known already
      * @throws StaleEndpointListException where it is complete and older than the list that is known
--- a/src/main/java/laurelkeel/platform/JsonObjectReader.java
+++ b/src/main/java/laurelkeel/platform/JsonObjectReader.java
@@ -43,8 +43,8 @@
      * Reads bytes and hands over each object that they complete.
      *
      * @return whether an object was completed, or the bytes begin with a blank line between objects
-     * @throws MalformedMessageException where the bytes are not JSON objects or an object is too large; the reader is of
-     *     no further use
+     * @throws MalformedMessageException where the bytes are not JSON objects or an object is too large; the reader is
+     *     of no further use
      * @throws UnusableMessageException where the consumer throws it
      */
     boolean read(byte[] bytes, ObjectConsumer consumer) throws UnusableMessageException {
--- a/src/main/java/laurelkeel/platform/NewestBuildExposure.java
+++ b/src/main/java/laurelkeel/platform/NewestBuildExposure.java
@@ -5,8 +5,8 @@
 import laurelkeel.api.Event.RolloutPhase;
 
 /**
- * Remembers when the newest build's share of the requests was last lowered, so that attempts decided before are not sent
- * after.
+ * Remembers when the newest build's share of the requests was last lowered, so that attempts decided before that are not
+ * sent after it.
  *
  * <p>Not thread-safe.
  */
@@ -18,7 +18,7 @@
     private double exposureCap;
     private long loweredAtTicks = NEVER;
 
-    /** Takes what the control service said; an update without a state, or of an earlier build, changes nothing. */
+    /** Follows an update of the control service; one without a state, or of an earlier build, changes nothing. */
     void onUpdate(Event.RolloutUpdate update, long nowTicks) {
         if (update.status() != ControlStatus.OK || update.build() < newestBuild) {
             return;
--- a/src/main/java/laurelkeel/platform/NodeConfiguration.java
+++ b/src/main/java/laurelkeel/platform/NodeConfiguration.java
@@ -9,7 +9,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the platform tells a front node when it starts, and again with each SIGHUP.
+ * The configuration that the platform gives a front node at its start, and again with each SIGHUP.
  *
  * @param name the node's name, the same after a restart
  * @param listen where clients connect
--- a/src/main/java/laurelkeel/platform/NodeConfigurationParser.java
+++ b/src/main/java/laurelkeel/platform/NodeConfigurationParser.java
@@ -105,10 +105,10 @@
     private static Settings parseSettings(Map<String, String> options) throws InvalidConfigurationException {
         Settings settings = OptionsParser.settings(options);
         if (settings.routes().isEmpty()) {
-            throw new InvalidConfigurationException(SETTINGS + ".services", "names no route");
+            throw new InvalidConfigurationException(SETTINGS + "." + OptionsParser.ROUTES, "names no route");
         }
         if (settings.rollout().stageExposureCaps().isEmpty()) {
-            throw new InvalidConfigurationException(SETTINGS + ".familyInfo.stageCap", "is missing");
+            throw new InvalidConfigurationException(SETTINGS + "." + OptionsParser.STAGE_EXPOSURE_CAPS, "is missing");
         }
         return settings;
     }
--- a/src/main/java/laurelkeel/platform/PlatformServices.java
+++ b/src/main/java/laurelkeel/platform/PlatformServices.java
@@ -47,7 +47,7 @@
     private final long createdAtTicks;
 
     /**
-     * Wires the services up and learns what the configuration tells; opens no connection.
+     * Wires the services up and takes over the lists of the configuration; opens no connection.
      *
      * @param deciderFactory makes the decider from the configuration's settings and seed
      */
--- a/src/main/java/laurelkeel/platform/ReconnectingStream.java
+++ b/src/main/java/laurelkeel/platform/ReconnectingStream.java
@@ -187,7 +187,7 @@
                         e.getMessage());
                 discard();
             } catch (RuntimeException e) {
-                // whatever a service sends, the node goes on with what it knows
+                // no message of a service may stop the node, which goes on with what it knows
                 LOG.error("{}: handling a message failed; the connection is replaced", protocol.serviceName(), e);
                 discard();
             }
--- a/src/main/java/laurelkeel/platform/RolloutState.java
+++ b/src/main/java/laurelkeel/platform/RolloutState.java
@@ -5,18 +5,18 @@
 import laurelkeel.api.Event.RolloutPhase;
 
 /**
- * Where the newest build stood when the control service said it.
+ * The state of the newest build's rollout when the control service sent it.
  *
  * @param stage the rollout's stage, from 0
  * @param exposureCap share of the requests that the build may get
- * @param ageTicks how long this had been so
+ * @param ageTicks how long it had been in this state
  */
 public record RolloutState(int build, int stage, RolloutPhase phase, double exposureCap, long ageTicks) {
 
     /**
-     * Returns the event that tells the decisions of this state.
+     * Returns the event for the decisions.
      *
-     * @param elapsedTicks since the control service said it
+     * @param elapsedTicks since the control service sent it
      * @param answersVote whether it answers a vote of this node
      */
     Event.RolloutUpdate toUpdate(long elapsedTicks, boolean answersVote) {
--- a/src/main/java/laurelkeel/platform/ServiceConnection.java
+++ b/src/main/java/laurelkeel/platform/ServiceConnection.java
@@ -32,7 +32,7 @@
         established.write(IoBuffer.wrap(bytes));
     }
 
-    /** Closes it, whatever its state; its listener is not called any more. */
+    /** Closes it in any state; its listener is not called any more. */
     void close() {
         closed = true;
         if (session != null) {
--- a/src/main/java/laurelkeel/platform/ServiceConnector.java
+++ b/src/main/java/laurelkeel/platform/ServiceConnector.java
@@ -47,7 +47,7 @@
      * Opens a connection.
      *
      * @param opening sent once it is established
-     * @param listener told of every failure, never from within this call
+     * @param listener also receives every failure to connect, but never from within this call
      */
     ServiceConnection open(InetSocketAddress address, byte[] opening, ConnectionListener listener) {
         ServiceConnection connection = new ServiceConnection(listener);
--- a/src/main/java/laurelkeel/platform/StartTimeTranslator.java
+++ b/src/main/java/laurelkeel/platform/StartTimeTranslator.java
@@ -5,10 +5,10 @@
 /**
  * Translates the Unix times at which endpoints started to this node's monotonic clock.
  *
- * <p>This host's wall clock is read once, for it may be stepped at any time, and may have been wrong already. What
- * discovery tells corrects it: no endpoint starts after it is listed, and none that a running watch lists for the first
- * time started longer ago than lists may be late. A clock that was ahead by less than that cannot be told from late lists,
- * and is believed.
+ * <p>This host's wall clock is read once, for it may be stepped at any time, and may have been wrong already.
+ * Discovery's lists correct it: no endpoint starts after it is listed, and none that a running watch lists for the first
+ * time started longer ago than lists may be late. A clock that was ahead by less than that cannot be told from late
+ * lists, and is believed.
  *
  * <p>Not thread-safe.
  */
--- a/src/main/java/laurelkeel/platform/VoteChannel.java
+++ b/src/main/java/laurelkeel/platform/VoteChannel.java
@@ -74,7 +74,7 @@
         return present;
     }
 
-    /** Follows the control service to another address; a vote that is in flight still gets its reply from the old one. */
+    /** Follows the control service to another address; a vote in flight still gets its reply from the old one. */
     void moveTo(InetSocketAddress newAddress) {
         address = newAddress;
         VoteConnection present = connection;
