--- a/src/test/java/laurelkeel/config/IniFileTest.java
+++ b/src/test/java/laurelkeel/config/IniFileTest.java
@@ -14,7 +14,7 @@
 
 class IniFileTest {
     @TempDir
-    Path folder;
+    Path directory;
 
     private static final String GOOD =
             """
@@ -31,8 +31,8 @@
             stage-caps = 0.1, 1
             """;
 
-    private List<String> faults(String text) throws Exception {
-        Path f = folder.resolve("f.ini");
+    private List<String> errorsOf(String text) throws Exception {
+        Path f = directory.resolve("f.ini");
         Files.writeString(f, text);
         return assertThrows(InvalidSettingsException.class, () -> FrontSettings.read(f)).errors().stream()
                 .map(s -> s.substring(s.indexOf("f.ini")))
@@ -41,16 +41,16 @@
 
     @Test
     void aGoodFileIsReadWithItsUnits() throws Exception {
-        Path f = folder.resolve("f.ini");
+        Path f = directory.resolve("f.ini");
         Files.writeString(f, GOOD);
         FrontSettings s = FrontSettings.read(f);
         assertEquals(3000, s.decisionSettings().routes().get(0).latencyObjectiveTicks());
         assertEquals(List.of(0.1, 1.0), s.decisionSettings().rollout().stageExposureCaps());
-        assertEquals(folder.resolve("state"), s.stateDirectory());
+        assertEquals(directory.resolve("state"), s.stateDirectory());
     }
 
     @Test
-    void eachFaultNamesLineAndMend() throws Exception {
+    void eachErrorNamesItsLineAndRemedy() throws Exception {
         for (String[] c : new String[][] {
             {"timeout = 2 s", "timeout = 2", "f.ini:9: 'timeout' is '2'; write a time with its unit"},
             {"timeout = 2 s", "timeuot = 2 s", "f.ini:9: 'timeuot' is unknown in [route look]; did you mean 'timeout'?"
@@ -68,14 +68,14 @@
             {"stage-caps = 0.1, 1", "stage-caps = 0.1, 7", "write numbers from 0.0 to 1.0"},
             {"stage-caps = 0.1, 1", "what is this", "neither a section, a key = value nor a comment"}
         }) {
-            List<String> f = faults(GOOD.replace(c[0], c[1]));
+            List<String> f = errorsOf(GOOD.replace(c[0], c[1]));
             assertTrue(f.stream().anyMatch(s -> s.contains(c[2])), c[1] + " -> " + f);
         }
     }
 
     @Test
-    void allFaultsAreToldAtOnceInTheirOrder() throws Exception {
-        List<String> f = faults(GOOD.replace("number = 0", "number = x")
+    void allErrorsAreListedAtOnceInTheirOrder() throws Exception {
+        List<String> f = errorsOf(GOOD.replace("number = 0", "number = x")
                 .replace("retriable", "safe")
                 .replace("0.1, 1", "one"));
         assertEquals(3, f.size(), f.toString());
@@ -85,13 +85,13 @@
     }
 
     @Test
-    void shippedDaysAreGoodAndBadDaysAreNamed() throws Exception {
+    void shippedScenariosAreValidAndErrorsOfOthersAreNamed() throws Exception {
         for (String day : Scenario.SHIPPED) {
             assertTrue(Scenario.find(day).troubles().size() > 2);
         }
         InvalidSettingsException e = assertThrows(
                 InvalidSettingsException.class,
-                () -> Scenario.find(folder.resolve("none.ini").toString()));
+                () -> Scenario.find(directory.resolve("none.ini").toString()));
         assertTrue(e.getMessage().contains("there is no such file"));
         e = assertThrows(
                 InvalidSettingsException.class,
--- a/src/test/java/laurelkeel/front/ControlPlaneTest.java
+++ b/src/test/java/laurelkeel/front/ControlPlaneTest.java
@@ -2,22 +2,32 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
+import java.net.DatagramPacket;
+import java.net.DatagramSocket;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.LongSupplier;
 import laurelkeel.api.Action;
 import laurelkeel.api.Action.Verdict;
@@ -29,21 +39,23 @@
 import laurelkeel.eventloop.EventLoop;
 import laurelkeel.front.controlplane.GossipChannel;
 import laurelkeel.records.TrafficRecord;
+import laurelkeel.testbed.PortAllocator;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a front is told: each line of a scripted service, and what becomes of it. */
+/** What a node makes of each line that a scripted control plane sends. */
 class ControlPlaneTest {
-    private static final String LIVE = "{\"machine\":\"127.0.0.1:9\",\"build\":4,\"zone\":\"here\",\"state\":\"live\","
-            + "\"run\":%d,\"ageMs\":%s,\"size\":1}";
+    private static final String ACTIVE_ENDPOINT =
+            "{\"machine\":\"127.0.0.1:9\",\"build\":4,\"zone\":\"here\",\"state\":\"live\","
+                    + "\"run\":%d,\"ageMs\":%s,\"size\":1}";
 
     @TempDir
-    Path folder;
+    Path directory;
 
     private HttpServer server;
-    private final Map<String, BlockingQueue<String>> says = Map.of(
+    private final Map<String, BlockingQueue<String>> linesByPath = Map.of(
             "/list/watch",
             new LinkedBlockingQueue<>(),
             "/list",
@@ -52,15 +64,15 @@
             new LinkedBlockingQueue<>(),
             "/release/votes",
             new LinkedBlockingQueue<>());
-    private final List<String> asked = new java.util.concurrent.CopyOnWriteArrayList<>();
+    private final List<String> requestedUris = new CopyOnWriteArrayList<>();
 
     @BeforeEach
-    void serve() throws IOException {
-        server = HttpServer.create(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), 10);
+    void startServer() throws IOException {
+        server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10);
         server.setExecutor(Executors.newCachedThreadPool());
-        says.forEach((path, lines) -> server.createContext(path, x -> {
+        linesByPath.forEach((path, lines) -> server.createContext(path, x -> {
             if (x.getRequestURI().getPath().equals(path)) {
-                asked.add(x.getRequestURI().toString());
+                requestedUris.add(x.getRequestURI().toString());
                 answer(x, path, lines);
             }
             x.close();
@@ -88,18 +100,18 @@
     }
 
     @AfterEach
-    void end() {
+    void stopServer() {
         server.stop(0);
-        ((java.util.concurrent.ExecutorService) server.getExecutor()).shutdownNow();
+        ((ExecutorService) server.getExecutor()).shutdownNow();
     }
 
-    private String sources(String mode) {
+    private String sourceSections(String mode) {
         return "[list]\nmode = " + mode + "\naddress = 127.0.0.1:"
                 + server.getAddress().getPort() + "\n[release]\naddress = 127.0.0.1:"
                 + server.getAddress().getPort() + "\n";
     }
 
-    private static List<Event.EndpointListUpdate> lists(FrontTestPeers p) {
+    private static List<Event.EndpointListUpdate> listUpdates(FrontTestPeers p) {
         return p.events.stream()
                 .filter(e -> e instanceof Event.EndpointListUpdate)
                 .map(e -> (Event.EndpointListUpdate) e)
@@ -107,17 +119,19 @@
     }
 
     @Test
-    void aListIsFollowedGapsAreFetchedAndARestartKeepsTheLastOne() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(folder, sources("push"), (x, e) -> List.of())) {
-            BlockingQueue<String> watch = says.get("/list/watch");
-            watch.add("{\"kind\":\"full\",\"version\":7,\"machines\":[" + LIVE.formatted(1, "500") + "]}");
+    void aListIsFollowedGapsAreFetchedAndARestartReadsTheCachedOne() throws Exception {
+        try (FrontTestPeers p = new FrontTestPeers(directory, sourceSections("push"), (x, e) -> List.of())) {
+            BlockingQueue<String> watch = linesByPath.get("/list/watch");
+            watch.add("{\"kind\":\"full\",\"version\":7,\"machines\":[" + ACTIVE_ENDPOINT.formatted(1, "500") + "]}");
             watch.add("no json");
             watch.add("{\"kind\":\"changes\",\"version\":8,\"previous\":7,\"machines\":["
-                    + LIVE.formatted(1, "900").replace("live", "draining") + "]}");
+                    + ACTIVE_ENDPOINT.formatted(1, "900").replace("live", "draining") + "]}");
             watch.add("{\"kind\":\"changes\",\"version\":12,\"previous\":11,\"machines\":[]}");
-            says.get("/list").add("{\"kind\":\"full\",\"version\":12,\"machines\":[" + LIVE.formatted(2, "0") + "]}");
-            FrontTestRig.await("four lists", () -> lists(p).size() == 4);
-            List<Event.EndpointListUpdate> l = lists(p);
+            linesByPath
+                    .get("/list")
+                    .add("{\"kind\":\"full\",\"version\":12,\"machines\":[" + ACTIVE_ENDPOINT.formatted(2, "0") + "]}");
+            FrontTestRig.await("four lists", () -> listUpdates(p).size() == 4);
+            List<Event.EndpointListUpdate> l = listUpdates(p);
             assertEquals(
                     List.of(
                             EndpointListKind.CACHED,
@@ -131,80 +145,84 @@
             assertEquals(first.startedAtTicks(), l.get(2).entries().get(0).startedAtTicks(), "one start, two moments");
             assertTrue(l.get(3).entries().get(0).startedAtTicks() > first.startedAtTicks(), "a new run is a new start");
             watch.add("cut");
-            FrontTestRig.await("it subscribes again from what it has", () -> asked.contains("/list/watch?after=12"));
-            FrontTestRig.await("the list is kept", () -> java.nio.file.Files.exists(folder.resolve("state/list.json")));
+            FrontTestRig.await(
+                    "it subscribes again from what it has", () -> requestedUris.contains("/list/watch?after=12"));
+            FrontTestRig.await("the list is kept", () -> Files.exists(directory.resolve("state/list.json")));
         }
-        try (FrontTestPeers p = new FrontTestPeers(folder, "", (x, e) -> List.of())) {
-            Event.EndpointListUpdate kept = p.event(Event.EndpointListUpdate.class);
+        try (FrontTestPeers p = new FrontTestPeers(directory, "", (x, e) -> List.of())) {
+            Event.EndpointListUpdate kept = p.firstEvent(Event.EndpointListUpdate.class);
             assertEquals(EndpointListKind.CACHED, kept.kind());
             assertEquals("127.0.0.1:9", kept.entries().get(0).endpointId());
         }
     }
 
     @Test
-    void anAskedListIsOnlyAskedForAndFailuresAreTold() throws Exception {
+    void aPolledListIsOnlyFetchedOnDemandAndFailuresAreReported() throws Exception {
         try (FrontTestPeers p = new FrontTestPeers(
-                        folder,
-                        sources("ask"),
+                        directory,
+                        sourceSections("ask"),
                         (x, e) -> e instanceof Event.RequestReceived r
                                 ? List.of(
                                         r.clientRetry() ? new Action.FetchEndpoints() : new Action.WatchEndpoints(true),
                                         new Action.FailRequest(r.requestId()))
                                 : List.of());
-                java.net.Socket c = p.client()) {
-            p.event(Event.EndpointListUpdate.class);
-            assertTrue(asked.stream().noneMatch(a -> a.startsWith("/list")));
-            says.get("/list").add("no");
-            FrontTestPeers.say(c, FrontTestPeers.look("Laurelkeel-Repeat: 1\r\n"));
-            FrontTestRig.await("a failure", () -> lists(p).size() == 2);
-            FrontTestPeers.say(c, FrontTestPeers.look(""));
-            says.get("/list/watch").add("{\"kind\":\"full\",\"version\":1,\"machines\":[]}");
-            FrontTestRig.await("an answer", () -> lists(p).size() == 3);
-            says.get("/list/watch").add("cut");
-            FrontTestRig.await("the broken watch is told", () -> lists(p).size() == 4);
+                Socket c = p.connectClient()) {
+            p.firstEvent(Event.EndpointListUpdate.class);
+            assertTrue(requestedUris.stream().noneMatch(a -> a.startsWith("/list")));
+            linesByPath.get("/list").add("no");
+            FrontTestPeers.say(c, FrontTestPeers.lookRequest("Laurelkeel-Repeat: 1\r\n"));
+            FrontTestRig.await("a failure", () -> listUpdates(p).size() == 2);
+            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
+            linesByPath.get("/list/watch").add("{\"kind\":\"full\",\"version\":1,\"machines\":[]}");
+            FrontTestRig.await("an answer", () -> listUpdates(p).size() == 3);
+            linesByPath.get("/list/watch").add("cut");
+            FrontTestRig.await("the broken watch is told", () -> listUpdates(p).size() == 4);
             assertEquals(
                     List.of(
                             EndpointListKind.CACHED,
                             EndpointListKind.FAILED,
                             EndpointListKind.SNAPSHOT,
                             EndpointListKind.FAILED),
-                    lists(p).stream().map(Event.EndpointListUpdate::kind).toList());
+                    listUpdates(p).stream().map(Event.EndpointListUpdate::kind).toList());
         }
     }
 
     @Test
-    void newsCountsAndEveryAnswerToAVote() throws Exception {
+    void rolloutUpdatesStatisticsAndEveryAnswerToAVoteBecomeEvents() throws Exception {
         try (FrontTestPeers p = new FrontTestPeers(
-                        folder,
-                        sources("push"),
+                        directory,
+                        sourceSections("push"),
                         (x, e) -> e instanceof Event.RequestReceived r
                                 ? List.of(
                                         new Action.CastVote(9, 1, Verdict.ROLL_BACK),
                                         new Action.FailRequest(r.requestId()))
                                 : List.of());
-                java.net.Socket c = p.client()) {
-            says.get("/release/watch")
+                Socket c = p.connectClient()) {
+            linesByPath
+                    .get("/release/watch")
                     .add("{\"kind\":\"news\",\"build\":9,\"stage\":1,\"cap\":0.4,\"phase\":"
                             + "\"going-back\",\"ageMs\":100}");
-            says.get("/release/watch")
+            linesByPath
+                    .get("/release/watch")
                     .add("{\"kind\":\"counts\",\"build\":9,\"route\":1,\"tries\":50,\"errors\":3,"
                             + "\"meanMs\":12.5,\"ageMs\":40}");
-            Event.RolloutUpdate n = p.event(Event.RolloutUpdate.class);
+            Event.RolloutUpdate n = p.firstEvent(Event.RolloutUpdate.class);
             assertEquals(Event.RolloutPhase.ROLLING_BACK, n.phase());
             assertTrue(n.ageTicks() >= 1000 && !n.answersVote() && n.build() == 9 && n.exposureCap() == 0.4);
-            Event.BuildStatistics b = p.event(Event.BuildStatistics.class);
+            Event.BuildStatistics b = p.firstEvent(Event.BuildStatistics.class);
             assertEquals(List.of(50L, 3L, 125L), List.of(b.attempts(), b.errors(), b.meanDurationTicks()));
             List<Event.ControlStatus> got = new ArrayList<>();
             for (String a : List.of("ok", "moot", "over-limit", "error", "no", "late")) {
                 if (!a.equals("late")) {
-                    says.get("/release/votes")
+                    linesByPath
+                            .get("/release/votes")
                             .add(
                                     a.equals("no")
                                             ? a
                                             : "{\"answer\":\"" + a + "\",\"build\":9,"
                                                     + "\"stage\":1,\"cap\":0.4,\"phase\":\"trial\",\"ageMs\":1}");
                 }
-                FrontTestPeers.say(c, FrontTestPeers.look(""));
+                FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
                 FrontTestPeers.hear(c);
                 int want = got.size() + 2;
                 FrontTestRig.await(
@@ -232,16 +250,16 @@
     }
 
     @Test
-    void linesThatCannotBeTrueArePassedOverAndEndNobody() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(folder, sources("push"), (x, e) -> List.of())) {
-            BlockingQueue<String> list = says.get("/list/watch");
+    void invalidLinesAreSkippedAndEndNothing() throws Exception {
+        try (FrontTestPeers p = new FrontTestPeers(directory, sourceSections("push"), (x, e) -> List.of())) {
+            BlockingQueue<String> list = linesByPath.get("/list/watch");
             list.add("null");
             list.add("[]");
             list.add("{\"kind\":\"full\",\"version\":3,\"machines\":[null]}");
             list.add("{\"version\":3,\"machines\":[]}");
             list.add("{\"kind\":\"full\",\"version\":3,\"machines\":[{\"build\":4}]}");
-            list.add("{\"kind\":\"full\",\"version\":7,\"machines\":[" + LIVE.formatted(1, "500") + "]}");
-            BlockingQueue<String> line = says.get("/release/watch");
+            list.add("{\"kind\":\"full\",\"version\":7,\"machines\":[" + ACTIVE_ENDPOINT.formatted(1, "500") + "]}");
+            BlockingQueue<String> line = linesByPath.get("/release/watch");
             line.add("null");
             line.add("{\"kind\":\"news\",\"build\":9,\"stage\":0,\"cap\":0.4}");
             line.add("{\"kind\":\"news\",\"build\":9,\"stage\":0,\"cap\":0.4,\"phase\":\"perhaps\"}");
@@ -249,31 +267,32 @@
             line.add("{\"kind\":\"news\",\"build\":9,\"stage\":0,\"cap\":7,\"phase\":\"trial\"}");
             line.add("{\"kind\":\"news\",\"build\":9,\"phase\":\"trial\",\"standing\":[null]}");
             line.add("{\"kind\":\"news\",\"build\":9,\"stage\":1,\"cap\":0.4,\"phase\":\"trial\"}");
-            assertEquals(1, p.event(Event.RolloutUpdate.class).stage());
-            FrontTestRig.await("the list", () -> lists(p).size() == 2);
-            assertEquals(4, lists(p).get(1).entries().get(0).build());
+            assertEquals(1, p.firstEvent(Event.RolloutUpdate.class).stage());
+            FrontTestRig.await("the list", () -> listUpdates(p).size() == 2);
+            assertEquals(4, listUpdates(p).get(1).entries().get(0).build());
             assertTrue(!p.front.termination().isDone());
         }
     }
 
     @Test
     void aListThatJumpsAtEachLineIsFetchedOnceAtATime() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(folder, sources("push"), (x, e) -> List.of())) {
-            BlockingQueue<String> watch = says.get("/list/watch");
+        try (FrontTestPeers p = new FrontTestPeers(directory, sourceSections("push"), (x, e) -> List.of())) {
+            BlockingQueue<String> watch = linesByPath.get("/list/watch");
             for (int i = 0; i < 500; i++) {
                 watch.add("{\"kind\":\"changes\",\"version\":" + (100 + 2 * i) + ",\"previous\":" + (99 + 2 * i)
                         + ",\"machines\":[]}");
             }
             FrontTestRig.await("all lines are read", watch::isEmpty);
             watch.add("{\"kind\":\"full\",\"version\":5000,\"machines\":[]}");
-            FrontTestRig.await("the list that follows", () -> lists(p).size() == 2);
-            assertEquals(1, asked.stream().filter(a -> a.equals("/list")).count(), "while none is answered");
-            says.get("/list").add("no");
+            FrontTestRig.await("the list that follows", () -> listUpdates(p).size() == 2);
+            assertEquals(
+                    1, requestedUris.stream().filter(a -> a.equals("/list")).count(), "while none is answered");
+            linesByPath.get("/list").add("no");
         }
     }
 
     @Test
-    void aVoteWhoseAnswerNeverEndsIsATimeout() throws Exception {
+    void aVoteWhoseAnswerNeverEndsTimesOut() throws Exception {
         server.removeContext("/release/votes");
         server.createContext("/release/votes", x -> {
             x.sendResponseHeaders(200, 0);
@@ -289,45 +308,46 @@
             x.close();
         });
         try (FrontTestPeers p = new FrontTestPeers(
-                        folder,
-                        sources("push"),
+                        directory,
+                        sourceSections("push"),
                         (x, e) -> e instanceof Event.RequestReceived r
                                 ? List.of(
                                         new Action.CastVote(9, 1, Verdict.ROLL_BACK),
                                         new Action.FailRequest(r.requestId()))
                                 : List.of());
-                java.net.Socket c = p.client()) {
-            FrontTestPeers.say(c, FrontTestPeers.look(""));
+                Socket c = p.connectClient()) {
+            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
             assertEquals(
                     Event.ControlStatus.TIMED_OUT,
-                    p.event(Event.RolloutUpdate.class).status());
+                    p.firstEvent(Event.RolloutUpdate.class).status());
         }
     }
 
     @Test
-    void aWatchThatGoesSilentIsOpenedAnew() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(folder, sources("push"), (x, e) -> List.of())) {
-            // each says one beat and nothing more
+    void aWatchThatGoesSilentIsReopened() throws Exception {
+        try (FrontTestPeers p = new FrontTestPeers(directory, sourceSections("push"), (x, e) -> List.of())) {
+            // each sends one heartbeat and nothing more
             FrontTestRig.await(
-                    "the list is asked again",
-                    () -> asked.stream()
+                    "the endpoint list is watched again",
+                    () -> requestedUris.stream()
                                     .filter(a -> a.startsWith("/list/watch"))
                                     .count()
                             > 1);
             FrontTestRig.await(
-                    "the release line too",
-                    () -> asked.stream()
+                    "the rollout too",
+                    () -> requestedUris.stream()
                                     .filter(a -> a.startsWith("/release/watch"))
                                     .count()
                             > 1);
+            assertFalse(p.front.termination().isDone());
         }
     }
 
     @Test
     void aLineWithoutAnEndIsCutOff() throws Exception {
         byte[] much = "x".repeat(1 << 20).getBytes(StandardCharsets.US_ASCII);
-        java.util.concurrent.atomic.AtomicLong poured = new java.util.concurrent.atomic.AtomicLong();
-        java.util.concurrent.CountDownLatch cut = new java.util.concurrent.CountDownLatch(1);
+        AtomicLong poured = new AtomicLong();
+        CountDownLatch cut = new CountDownLatch(1);
         server.removeContext("/list/watch");
         server.createContext("/list/watch", x -> {
             try {
@@ -341,17 +361,18 @@
             }
             x.close();
         });
-        try (FrontTestPeers p = new FrontTestPeers(folder, sources("push"), (x, e) -> List.of())) {
+        try (FrontTestPeers p = new FrontTestPeers(directory, sourceSections("push"), (x, e) -> List.of())) {
             assertTrue(cut.await(20, TimeUnit.SECONDS), "poured " + poured);
             assertTrue(poured.get() < 64 << 20, "poured " + poured);
+            assertFalse(p.front.termination().isDone());
         }
     }
 
     @Test
-    void notesReachTheOtherFrontAndNothingElseDoes() throws Exception {
-        InetAddress here = InetAddress.getByName("127.0.0.1");
-        InetSocketAddress a = new InetSocketAddress(here, laurelkeel.testbed.PortAllocator.free());
-        InetSocketAddress b = new InetSocketAddress(here, laurelkeel.testbed.PortAllocator.free());
+    void gossipReachesTheOtherNodeAndNothingElseDoes() throws Exception {
+        InetAddress here = InetAddress.getLoopbackAddress();
+        InetSocketAddress a = new InetSocketAddress(here, PortAllocator.free());
+        InetSocketAddress b = new InetSocketAddress(here, PortAllocator.free());
         Map<Integer, InetSocketAddress> peers = Map.of(0, a, 1, b);
         EventLoop loop = new EventLoop(() -> System.nanoTime() / 100_000);
         Thread t = new Thread(() -> loop.run(() -> false));
@@ -373,16 +394,15 @@
                 (from, bytes) -> heard.add(from + ":" + bytes.length));
         first.open();
         second.open();
-        try (java.net.DatagramSocket stranger = new java.net.DatagramSocket()) {
-            stranger.send(new java.net.DatagramPacket("LK1\0\0\0\7x".getBytes(UTF_8), 8, b));
-            stranger.send(new java.net.DatagramPacket("noise".getBytes(UTF_8), 5, b));
+        try (DatagramSocket stranger = new DatagramSocket()) {
+            stranger.send(new DatagramPacket("LK1\0\0\0\7x".getBytes(UTF_8), 8, b));
+            stranger.send(new DatagramPacket("noise".getBytes(UTF_8), 5, b));
             first.send(-1, new byte[256]);
             assertEquals("0:256", heard.poll(10, TimeUnit.SECONDS));
             second.send(0, new byte[0]);
             assertEquals("1:0", heard.poll(10, TimeUnit.SECONDS));
             assertTrue(heard.isEmpty());
-            org.junit.jupiter.api.Assertions.assertThrows(
-                    IllegalArgumentException.class, () -> first.send(1, new byte[257]));
+            assertThrows(IllegalArgumentException.class, () -> first.send(1, new byte[257]));
         } finally {
             first.close();
             second.close();
@@ -392,19 +412,19 @@
     }
 
     @Test
-    void frontsWithClocksApartKeepTheRulesThroughARollout() throws Exception {
+    void nodesWithClocksApartKeepTheRulesThroughARollout() throws Exception {
         LongSupplier mine = NodeRuntime.monotonicClock();
         try (FrontTestRig rig = new FrontTestRig(
-                folder, "", 2, 5, RoutingDecider::new, true, mine, () -> mine.getAsLong() + 99_999_999_999L)) {
-            rig.load();
-            rig.befall("what = offer\nbuild = 2\n");
+                directory, "", 2, 5, RoutingDecider::new, true, mine, () -> mine.getAsLong() + 99_999_999_999L)) {
+            rig.startLoad();
+            rig.applyFault("what = offer\nbuild = 2\n");
             FrontTestRig.await(
                     "released",
                     () -> rig.count(
                                     TrafficRecord.Stage.class,
                                     s -> s.build() == 2 && s.phase() == TrafficRecord.Phase.RELEASED)
                             > 0);
-            AuditReport j = rig.judge();
+            AuditReport j = rig.audit();
             assertEquals(List.of(), j.breaches());
             assertEquals(0, j.unanswered());
         }
--- /dev/null
+++ b/src/test/java/laurelkeel/front/FinalAnswerGuardTest.java
@@ -0,0 +1,84 @@
+package laurelkeel.front;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.front.ingress.ClientRequest;
+import laurelkeel.wire.ForwardedMessage;
+import org.junit.jupiter.api.Test;
+
+class FinalAnswerGuardTest {
+    private static final long DEADLINE_TICKS = 1_000;
+
+    private long nowTicks = 10;
+    private final EventLoop loop = new EventLoop(() -> nowTicks);
+    private final ActiveRequest request = request();
+
+    private static ActiveRequest request() {
+        ForwardedMessage message = new ForwardedMessage(new byte[0], new byte[0]);
+        ClientRequest clientRequest =
+                new ClientRequest(null, message, false, false, 0, 0, null, DEADLINE_TICKS, 0, false);
+        return new ActiveRequest("life-0", 0, null, clientRequest, 10, DEADLINE_TICKS);
+    }
+
+    /** Runs the loop at a moment until nothing is due. */
+    private void runAt(long ticks) {
+        nowTicks = ticks;
+        loop.schedule(ticks, () -> {});
+        loop.run(() -> {
+            loop.stop();
+            return false;
+        });
+    }
+
+    @Test
+    void anAnsweredRequestGetsNoSecondAnswerAndNoAttempt() {
+        FinalAnswerGuard guard = new FinalAnswerGuard(loop, true);
+        assertTrue(guard.permitsAnswer(request));
+        assertTrue(guard.permitsAttempt(request));
+        request.markAnswered();
+        assertFalse(guard.permitsAnswer(request));
+        assertFalse(guard.permitsAttempt(request));
+    }
+
+    @Test
+    void anExpiredRequestGetsNoAttempt() {
+        FinalAnswerGuard guard = new FinalAnswerGuard(loop, true);
+        runAt(DEADLINE_TICKS);
+        assertTrue(guard.permitsAnswer(request));
+        assertFalse(guard.permitsAttempt(request));
+    }
+
+    @Test
+    void anOverdueRequestIsNoticedAMillisecondBeforeItsDeadline() {
+        List<Long> noticed = new ArrayList<>();
+        new FinalAnswerGuard(loop, true).watch(request, () -> noticed.add(loop.nowTicks()));
+        runAt(DEADLINE_TICKS - 10);
+        assertEquals(List.of(DEADLINE_TICKS - 10), noticed);
+    }
+
+    @Test
+    void aCancelledWatchNoticesNothing() {
+        List<Long> noticed = new ArrayList<>();
+        new FinalAnswerGuard(loop, true).watch(request, () -> noticed.add(loop.nowTicks()));
+        request.cancelOverdueTimer();
+        runAt(DEADLINE_TICKS);
+        assertEquals(List.of(), noticed);
+    }
+
+    @Test
+    void aDisabledGuardPermitsEverything() {
+        FinalAnswerGuard guard = new FinalAnswerGuard(loop, false);
+        List<Long> noticed = new ArrayList<>();
+        guard.watch(request, () -> noticed.add(loop.nowTicks()));
+        request.markAnswered();
+        runAt(DEADLINE_TICKS);
+        assertEquals(List.of(), noticed);
+        assertTrue(guard.permitsAnswer(request));
+        assertTrue(guard.permitsAttempt(request));
+    }
+}
--- a/src/test/java/laurelkeel/front/FrontChildProcess.java
+++ b/src/test/java/laurelkeel/front/FrontChildProcess.java
@@ -15,17 +15,17 @@
 import laurelkeel.testbed.PortAllocator;
 
 /**
- * A front as a process of its own with little of something: descriptors, memory, disk, or nobody who reads its log.
- * Between one machine that answers all it is asked, known from the list kept on disk, and clients that are plain sockets.
+ * A node in a process of its own that lacks something: descriptors, memory, disk, or a reader of its log. It is between
+ * one endpoint that answers every request, known from the cached list, and clients that are plain sockets.
  */
 final class FrontChildProcess implements AutoCloseable {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
 
     final Process process;
-    final int port = PortAllocator.free(), admin = PortAllocator.free();
-    private final ServerSocket machine = new ServerSocket(0, 200, InetAddress.getByName("127.0.0.1"));
-    private final List<Socket> open = new CopyOnWriteArrayList<>();
-    volatile boolean silent;
+    final int port = PortAllocator.free(), adminPort = PortAllocator.free();
+    private final ServerSocket endpointServer = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
+    private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
+    volatile boolean isSilent;
 
     /**
      * @param limits shell commands that run ahead of it, as "ulimit -n 100"
@@ -38,11 +38,12 @@
         t.start();
         Path file = folder.resolve("child.ini");
         Files.createDirectories(folder.resolve("state"));
-        Files.writeString(folder.resolve("state/list.json"), "[" + FrontTestPeers.listed(machineId(), "live") + "]");
+        Files.writeString(
+                folder.resolve("state/list.json"), "[" + FrontTestPeers.endpointJson(endpointId(), "live") + "]");
         Files.writeString(
                 file,
                 "[front]\nnumber = 0\nfronts = 1\nlisten = 127.0.0.1:" + port + "\nadmin = 127.0.0.1:"
-                        + admin + "\nrecords = child.jsonl\n"
+                        + adminPort + "\nrecords = child.jsonl\n"
                         + """
                 [route look]
                 path = /look
@@ -74,7 +75,7 @@
         }
         process = b.start();
         FrontTestRig.await("the child takes connections", () -> {
-            try (Socket s = new Socket("127.0.0.1", port)) {
+            try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 return s.isConnected();
             } catch (IOException e) {
                 if (!process.isAlive()) {
@@ -88,8 +89,8 @@
     private void serve() {
         try {
             while (true) {
-                Socket s = machine.accept();
-                open.add(s);
+                Socket s = endpointServer.accept();
+                openSockets.add(s);
                 Thread t = new Thread(() -> answer(s));
                 t.setDaemon(true);
                 t.start();
@@ -102,59 +103,59 @@
     private void answer(Socket s) {
         try {
             while (!FrontTestPeers.hear(s).endsWith("<end>")) {
-                if (!silent) {
+                if (!isSilent) {
                     FrontTestPeers.say(s, OK);
                 }
             }
         } catch (IOException e) {
-            // the front closed it
+            // the node closed it
         }
     }
 
-    Socket client() throws IOException {
-        return call(port);
+    Socket connectClient() throws IOException {
+        return connect(port);
     }
 
-    Socket call(int at) throws IOException {
-        Socket s = new Socket("127.0.0.1", at);
+    Socket connect(int at) throws IOException {
+        Socket s = new Socket(InetAddress.getLoopbackAddress(), at);
         s.setSoTimeout(20_000);
-        open.add(s);
+        openSockets.add(s);
         return s;
     }
 
-    /** One figure of its metrics, over a connection made before. */
-    static double figure(Socket admin, String name) throws IOException {
+    /** Reads one of its metrics over a connection to its admin address. */
+    static double metric(Socket admin, String name) throws IOException {
         FrontTestPeers.say(admin, "GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n");
         String text = FrontTestPeers.hear(admin);
         Matcher m = Pattern.compile("(?m)^" + Pattern.quote(name) + " (\\S+)").matcher(text);
         return m.find() ? Double.parseDouble(m.group(1)) : 0;
     }
 
-    /** The same, within a condition. */
-    double figureNow(Socket admin, String name) {
+    /** Reads a metric within a condition. */
+    double metricUnchecked(Socket admin, String name) {
         try {
-            return figure(admin, name);
+            return metric(admin, name);
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
     }
 
-    String machineId() {
-        return "127.0.0.1:" + machine.getLocalPort();
+    String endpointId() {
+        return "127.0.0.1:" + endpointServer.getLocalPort();
     }
 
-    /** Whether a new client's req is completed. */
-    boolean completes() {
-        try (Socket s = new Socket("127.0.0.1", port)) {
+    /** Whether the request of a new client is completed. */
+    boolean completesRequest() {
+        try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
             s.setSoTimeout(5_000);
-            FrontTestPeers.say(s, FrontTestPeers.look(""));
+            FrontTestPeers.say(s, FrontTestPeers.lookRequest(""));
             return FrontTestPeers.hear(s).contains("Laurelkeel-Answer: completed");
         } catch (IOException e) {
             return false;
         }
     }
 
-    void ends() throws InterruptedException {
+    void terminate() throws InterruptedException {
         process.destroy();
         if (!process.waitFor(20, TimeUnit.SECONDS)) {
             throw new AssertionError("SIGTERM did not end it");
@@ -164,9 +165,9 @@
     @Override
     public void close() throws IOException {
         process.destroyForcibly();
-        for (Socket s : open) {
+        for (Socket s : openSockets) {
             s.close();
         }
-        machine.close();
+        endpointServer.close();
     }
 }
--- a/src/test/java/laurelkeel/front/FrontFailureTest.java
+++ b/src/test/java/laurelkeel/front/FrontFailureTest.java
@@ -19,21 +19,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The audit is proved by fronts that break the rules: it names the rule, the req and the moment, and no other. */
+/** Nodes that break the rules prove the audit: it names the rule, the request and the moment, and no other rule. */
 class FrontFailureTest {
     @TempDir
-    Path folder;
+    Path directory;
 
-    private FrontTestRig rig(String extra, Supplier<Decider> decider) throws Exception {
-        return new FrontTestRig(folder, extra, 1, 4, (set, seed) -> decider.get(), false);
+    private FrontTestRig startRig(String extra, Supplier<Decider> decider) throws Exception {
+        return new FrontTestRig(directory, extra, 1, 4, (set, seed) -> decider.get(), false);
     }
 
-    private static void answered(FrontTestRig rig, int n) {
+    private static void awaitAnswers(FrontTestRig rig, int n) {
         FrontTestRig.await(n + " answers", () -> rig.count(TrafficRecord.Answered.class, a -> true) >= n);
     }
 
-    private static List<RuleViolation> only(FrontTestRig rig, int rule, String text) throws Exception {
-        AuditReport j = rig.judge();
+    private static List<RuleViolation> assertOnlyRuleViolated(FrontTestRig rig, int rule, String text)
+            throws Exception {
+        AuditReport j = rig.audit();
         List<RuleViolation> of =
                 j.breaches().stream().filter(b -> b.rule() == rule).toList();
         assertFalse(of.isEmpty(), "rule " + rule + " was broken unseen");
@@ -57,213 +58,213 @@
     }
 
     @Test
-    void aDeciderThatKeepsTheRulesIsNotBlamed() throws Exception {
-        try (FrontTestRig rig = rig("", RuleBreakingDecider::new)) {
-            rig.load();
-            answered(rig, 300);
-            AuditReport j = rig.judge();
+    void aDeciderThatKeepsTheRulesHasNoViolation() throws Exception {
+        try (FrontTestRig rig = startRig("", RuleBreakingDecider::new)) {
+            rig.startLoad();
+            awaitAnswers(rig, 300);
+            AuditReport j = rig.audit();
             assertEquals(List.of(), j.breaches());
             assertEquals(0, j.unanswered());
         }
     }
 
     @Test
-    void twoAnswersToOneReq() throws Exception {
-        try (FrontTestRig rig = rig("", () -> new RuleBreakingDecider() {
+    void twoAnswersToOneRequestAreAViolation() throws Exception {
+        try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
-            void taken(Event.RequestReceived r) {
-                super.taken(r);
-                if (turn % 20 == 0) {
-                    out.add(new Action.FailRequest(r.requestId()));
-                    out.add(new Action.FailRequest(r.requestId()));
+            void onRequest(Event.RequestReceived r) {
+                super.onRequest(r);
+                if (sentAttempts % 20 == 0) {
+                    actions.add(new Action.FailRequest(r.requestId()));
+                    actions.add(new Action.FailRequest(r.requestId()));
                 }
             }
         })) {
-            rig.load();
-            answered(rig, 300);
-            only(rig, 1, "after its answer");
+            rig.startLoad();
+            awaitAnswers(rig, 300);
+            assertOnlyRuleViolated(rig, 1, "after its answer");
         }
     }
 
     @Test
-    void noAnswerAtAll() throws Exception {
-        try (FrontTestRig rig = rig("", () -> new RuleBreakingDecider() {
+    void noAnswerAtAllIsAViolation() throws Exception {
+        try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
-            void taken(Event.RequestReceived r) {
-                if (++seen % 50 != 0) {
+            void onRequest(Event.RequestReceived r) {
+                if (++seenRequests % 50 != 0) {
                     send(r);
                 }
             }
         })) {
-            rig.load();
-            answered(rig, 300);
-            only(rig, 1, "no answer in its");
+            rig.startLoad();
+            awaitAnswers(rig, 300);
+            assertOnlyRuleViolated(rig, 1, "no answer in its");
         }
     }
 
     @Test
-    void aNonRetriableReqSentTwice() throws Exception {
-        try (FrontTestRig rig = rig("[build 1]\nfailing-pay = 0.3\n", () -> new RuleBreakingDecider() {
+    void aNonIdempotentRequestSentTwiceIsAViolation() throws Exception {
+        try (FrontTestRig rig = startRig("[build 1]\nfailing-pay = 0.3\n", () -> new RuleBreakingDecider() {
             @Override
-            void failed(Event.RequestReceived r, Event.AttemptEnded t) {
+            void onAttemptFailed(Event.RequestReceived r, Event.AttemptEnded t) {
                 if (r.route() == 1 && t.attempt() == 0) {
                     send(r);
                 } else {
-                    super.failed(r, t);
+                    super.onAttemptFailed(r, t);
                 }
             }
         })) {
-            rig.load();
-            answered(rig, 300);
-            only(rig, 2, "a non-retriable req sent again");
+            rig.startLoad();
+            awaitAnswers(rig, 300);
+            assertOnlyRuleViolated(rig, 2, "a non-retriable req sent again");
         }
     }
 
     @Test
-    void aShedThatIsNotHarmless() throws Exception {
-        try (FrontTestRig rig = rig("[build 1]\nfailing-pay = 0.3\n", () -> new RuleBreakingDecider() {
+    void aRejectionOfARequestThatMayHaveRunIsAViolation() throws Exception {
+        try (FrontTestRig rig = startRig("[build 1]\nfailing-pay = 0.3\n", () -> new RuleBreakingDecider() {
             @Override
-            void failed(Event.RequestReceived r, Event.AttemptEnded t) {
-                held.remove(r.requestId());
-                out.add(new Action.RejectRequest(r.requestId(), 0));
+            void onAttemptFailed(Event.RequestReceived r, Event.AttemptEnded t) {
+                activeRequests.remove(r.requestId());
+                actions.add(new Action.RejectRequest(r.requestId(), 0));
             }
         })) {
-            rig.load();
-            answered(rig, 300);
-            only(rig, 2, "calls asking again harmless");
+            rig.startLoad();
+            awaitAnswers(rig, 300);
+            assertOnlyRuleViolated(rig, 2, "calls asking again harmless");
         }
     }
 
     @Test
-    void sendsToADrainingMachine() throws Exception {
-        try (FrontTestRig rig = rig("", () -> new RuleBreakingDecider() {
+    void attemptsAtADrainingEndpointAreAViolation() throws Exception {
+        try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
-            boolean uses(EndpointEntry m, Event.RequestReceived r) {
+            boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
                 return m.state() != Event.EndpointState.REMOVED && m.build() == 1;
             }
         })) {
-            rig.load();
-            answered(rig, 100);
-            rig.befall("what = drain\n");
+            rig.startLoad();
+            awaitAnswers(rig, 100);
+            rig.applyFault("what = drain\n");
             FrontTestRig.await(
                     "it is gone",
                     () -> rig.count(TrafficRecord.MachineDown.class, m -> m.why()
                                     .equals("drained"))
                             > 0);
-            only(rig, 3, "after it was told that it drains");
+            assertOnlyRuleViolated(rig, 3, "after it was told that it drains");
         }
     }
 
     @Test
-    void aColdMachineFlooded() throws Exception {
-        try (FrontTestRig rig = rig("[fleet]\ncores = 1\n", () -> new RuleBreakingDecider() {
+    void overloadingAnEndpointThatWarmsUpIsAViolation() throws Exception {
+        try (FrontTestRig rig = startRig("[fleet]\ncores = 1\n", () -> new RuleBreakingDecider() {
             @Override
-            boolean uses(EndpointEntry m, Event.RequestReceived r) {
-                boolean cold = machines.values().stream()
+            boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
+                boolean cold = endpoints.values().stream()
                         .anyMatch(o -> o.startedAtTicks() > 0 && o.state() == Event.EndpointState.ACTIVE);
-                return super.uses(m, r) && (!cold || m.startedAtTicks() > 0);
+                return super.mayUse(m, r) && (!cold || m.startedAtTicks() > 0);
             }
         })) {
-            rig.load();
-            answered(rig, 100);
-            rig.befall("what = crash\nback-after = 100 ms\n");
+            rig.startLoad();
+            awaitAnswers(rig, 100);
+            rig.applyFault("what = crash\nback-after = 100 ms\n");
             FrontTestRig.await(
                     "it tips",
                     () -> rig.count(TrafficRecord.MachineDown.class, m -> m.why()
                                     .equals("tipped"))
                             > 0);
-            only(rig, 4, "was pushed over");
+            assertOnlyRuleViolated(rig, 4, "was pushed over");
         }
     }
 
-    private static RuleBreakingDecider either(int trialOneIn) {
+    private static RuleBreakingDecider canaryForOneIn(int trialOneIn) {
         return new RuleBreakingDecider() {
             @Override
-            boolean uses(EndpointEntry m, Event.RequestReceived r) {
+            boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
                 boolean trial = r.route() == 0
-                        && turn % trialOneIn == 0
-                        && machines.values().stream().anyMatch(o -> o.build() == 2);
+                        && sentAttempts % trialOneIn == 0
+                        && endpoints.values().stream().anyMatch(o -> o.build() == 2);
                 return m.state() == Event.EndpointState.ACTIVE && m.build() == (trial ? 2 : 1);
             }
         };
     }
 
-    private void offered(FrontTestRig rig) throws Exception {
-        rig.load();
-        answered(rig, 50);
-        rig.befall("what = offer\nbuild = 2\n");
+    private void awaitCanaryTraffic(FrontTestRig rig) throws Exception {
+        rig.startLoad();
+        awaitAnswers(rig, 50);
+        rig.applyFault("what = offer\nbuild = 2\n");
         FrontTestRig.await(
                 "the trial gets traffic", () -> rig.count(TrafficRecord.Arrived.class, a -> a.build() == 2) > 120);
     }
 
     @Test
-    void exposureOverTheCap() throws Exception {
-        // all keys, always to the same build, and never an effect in the guarded stage
-        try (FrontTestRig rig = rig("", () -> new RuleBreakingDecider() {
+    void exposureOverTheCapIsAViolation() throws Exception {
+        // all keys, always to the same build, and idempotent requests only in the guarded stage
+        try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
-            boolean uses(EndpointEntry m, Event.RequestReceived r) {
+            boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
                 boolean trial =
-                        r.partitionKey() != null && machines.values().stream().anyMatch(o -> o.build() == 2);
+                        r.partitionKey() != null && endpoints.values().stream().anyMatch(o -> o.build() == 2);
                 return m.state() == Event.EndpointState.ACTIVE
                         && (trial ? m.build() == 2 && r.route() == 0 : m.build() == 1);
             }
         })) {
-            offered(rig);
-            only(rig, 5, "tries at build 2");
+            awaitCanaryTraffic(rig);
+            assertOnlyRuleViolated(rig, 5, "tries at build 2");
         }
     }
 
     @Test
-    void exposureOfTheSecondReleaseAloneOverItsCap() throws Exception {
-        // of two builds on trial the first has a sixteenth of a route's keys, the second the most; the cap is a fifth
-        try (FrontTestRig rig = rig("", () -> new RuleBreakingDecider() {
+    void exposureOfTheSecondCanaryAloneOverItsCapIsAViolation() throws Exception {
+        // of two canaries the first has a sixteenth of a route's keys, the second most of them; the cap is a fifth
+        try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
-            boolean uses(EndpointEntry m, Event.RequestReceived r) {
+            boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
                 int slice = r.partitionKey() == null || r.route() != 0
                         ? 0
                         : Math.floorMod(r.partitionKey().hashCode(), 16);
                 int wanted = slice == 1 ? 2 : slice > 1 ? 3 : 1;
-                boolean there = machines.values().stream().anyMatch(o -> o.build() == wanted);
+                boolean there = endpoints.values().stream().anyMatch(o -> o.build() == wanted);
                 return m.state() == Event.EndpointState.ACTIVE && m.build() == (there ? wanted : 1);
             }
         })) {
-            rig.load();
-            answered(rig, 50);
-            rig.befall("what = offer\nbuild = 2\n");
-            rig.befall("what = offer\nbuild = 3\n");
+            rig.startLoad();
+            awaitAnswers(rig, 50);
+            rig.applyFault("what = offer\nbuild = 2\n");
+            rig.applyFault("what = offer\nbuild = 3\n");
             FrontTestRig.await(
                     "both have traffic",
                     () -> rig.count(TrafficRecord.Arrived.class, a -> a.build() == 2) > 5
                             && rig.count(TrafficRecord.Arrived.class, a -> a.build() == 3) > 120);
-            assertTrue(only(rig, 5, "tries at build 3").stream()
+            assertTrue(assertOnlyRuleViolated(rig, 5, "tries at build 3").stream()
                     .noneMatch(b -> b.what().contains("tries at build 2")));
         }
     }
 
     @Test
-    void aKeyThatWentBack() throws Exception {
-        try (FrontTestRig rig = rig("", () -> either(8))) {
-            offered(rig);
-            only(rig, 5, "was not sent back");
+    void aStickyKeyAtAnEarlierBuildIsAViolation() throws Exception {
+        try (FrontTestRig rig = startRig("", () -> canaryForOneIn(8))) {
+            awaitCanaryTraffic(rig);
+            assertOnlyRuleViolated(rig, 5, "was not sent back");
         }
     }
 
     @Test
-    void aGuardedStage() throws Exception {
-        try (FrontTestRig rig = rig("", () -> new RuleBreakingDecider() {
+    void anEffectInAGuardedStageIsAViolation() throws Exception {
+        try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
-            boolean uses(EndpointEntry m, Event.RequestReceived r) {
+            boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
                 boolean trial = r.partitionKey() == null
-                        && turn % 12 == 0
-                        && machines.values().stream().anyMatch(o -> o.build() == 2);
+                        && sentAttempts % 12 == 0
+                        && endpoints.values().stream().anyMatch(o -> o.build() == 2);
                 return m.state() == Event.EndpointState.ACTIVE && m.build() == (trial ? 2 : 1);
             }
         })) {
-            rig.load();
-            answered(rig, 50);
-            rig.befall("what = offer\nbuild = 2\n");
+            rig.startLoad();
+            awaitAnswers(rig, 50);
+            rig.applyFault("what = offer\nbuild = 2\n");
             FrontTestRig.await("a guarded one", () -> rig.count(TrafficRecord.Arrived.class, a -> a.build() == 2) > 8);
-            only(rig, 5, "in guarded stage");
+            assertOnlyRuleViolated(rig, 5, "in guarded stage");
         }
     }
 }
--- a/src/test/java/laurelkeel/front/FrontNodeTest.java
+++ b/src/test/java/laurelkeel/front/FrontNodeTest.java
@@ -18,24 +18,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One front against peers that do what they should not. */
+/** One node between clients and an endpoint whose bytes the test writes. */
 class FrontNodeTest {
     private static final String OK =
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nLaurelkeel-Load: concurrent=3, x=y\r\n\r\nhi";
 
     @TempDir
-    Path folder;
+    Path directory;
 
-    private FrontTestPeers once() throws IOException {
-        return new FrontTestPeers(folder, "", FrontTestPeers::once);
+    private FrontTestPeers peersThatSendOnce() throws IOException {
+        return new FrontTestPeers(directory, "", FrontTestPeers::sendOnce);
     }
 
-    /** What the decider hears of a try to which the machine does that. */
+    /** The outcome that the decider gets of an attempt which the endpoint answers so. */
     private AttemptOutcome outcome(String said, boolean reset) throws Exception {
-        try (FrontTestPeers p = once();
-                Socket c = p.client()) {
-            FrontTestPeers.say(c, FrontTestPeers.look(""));
-            Socket m = p.call();
+        try (FrontTestPeers p = peersThatSendOnce();
+                Socket c = p.connectClient()) {
+            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
+            Socket m = p.nextEndpointConnection();
             FrontTestPeers.hear(m);
             FrontTestPeers.say(m, said);
             if (reset) {
@@ -44,7 +44,7 @@
             if (reset || said.isEmpty()) {
                 m.close();
             }
-            Event.AttemptEnded t = p.event(Event.AttemptEnded.class);
+            Event.AttemptEnded t = p.firstEvent(Event.AttemptEnded.class);
             assertEquals(t.outcome() == AttemptOutcome.COMPLETED, t.requestEnded());
             String answer = FrontTestPeers.hear(c);
             assertTrue(
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void outcomesAreProvedNotGuessed() throws Exception {
+    void outcomesFollowFromWhatTheEndpointSaidAndWhatWasSent() throws Exception {
         assertEquals(AttemptOutcome.COMPLETED, outcome(OK, false));
         assertEquals(AttemptOutcome.COMPLETED, outcome("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n", false));
         assertEquals(AttemptOutcome.FAILED, outcome("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", false));
@@ -75,27 +75,27 @@
 
     @Test
     void aRefusedConnectionProvesThatNothingRan() throws Exception {
-        try (FrontTestPeers p = once();
-                Socket c = p.client()) {
-            p.machine.close();
-            FrontTestPeers.say(c, FrontTestPeers.look(""));
+        try (FrontTestPeers p = peersThatSendOnce();
+                Socket c = p.connectClient()) {
+            p.endpointServer.close();
+            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
             assertEquals(
                     AttemptOutcome.CONNECT_FAILED,
-                    p.event(Event.AttemptEnded.class).outcome());
+                    p.firstEvent(Event.AttemptEnded.class).outcome());
             FrontTestPeers.hear(c);
         }
     }
 
     @Test
-    void aReusedConnectionThatDiesUnderAReqMayHaveRunIt() throws Exception {
-        try (FrontTestPeers p = once();
-                Socket c = p.client()) {
-            FrontTestPeers.say(c, FrontTestPeers.look(""));
-            Socket m = p.call();
+    void aReusedConnectionThatIsLostUnderARequestMayHaveRunIt() throws Exception {
+        try (FrontTestPeers p = peersThatSendOnce();
+                Socket c = p.connectClient()) {
+            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
+            Socket m = p.nextEndpointConnection();
             FrontTestPeers.hear(m);
             FrontTestPeers.say(m, OK);
             assertTrue(FrontTestPeers.hear(c).endsWith("hi"));
-            FrontTestPeers.say(c, FrontTestPeers.look(""));
+            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
             FrontTestPeers.hear(m);
             m.close();
             FrontTestRig.await(
@@ -111,8 +111,8 @@
             assertEquals(AttemptOutcome.CONNECTION_LOST, t.outcome());
             FrontTestPeers.hear(c);
             // the next one gets a new connection
-            FrontTestPeers.say(c, FrontTestPeers.look(""));
-            Socket again = p.call();
+            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
+            Socket again = p.nextEndpointConnection();
             FrontTestPeers.hear(again);
             FrontTestPeers.say(again, OK);
             assertTrue(FrontTestPeers.hear(c).endsWith("hi"));
@@ -120,21 +120,22 @@
     }
 
     @Test
-    void aTryPastItsLimitEndsAndItsLateAnswerReachesNobody() throws Exception {
+    void anAttemptPastItsTimeoutEndsAndItsLateAnswerReachesNobody() throws Exception {
         try (FrontTestPeers p = new FrontTestPeers(
-                        folder,
+                        directory,
                         "",
                         (peers, e) -> e instanceof Event.RequestReceived r
-                                ? List.of(new Action.SendAttempt(r.requestId(), peers.machineId(), 500))
+                                ? List.of(new Action.SendAttempt(r.requestId(), peers.endpointId(), 500))
                                 : e instanceof Event.AttemptEnded t
                                         ? List.of(new Action.RejectRequest(t.requestId(), 1230))
                                         : List.of());
-                Socket c = p.client()) {
-            FrontTestPeers.say(c, FrontTestPeers.look(""));
-            Socket m = p.call();
+                Socket c = p.connectClient()) {
+            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
+            Socket m = p.nextEndpointConnection();
             FrontTestPeers.hear(m);
             assertEquals(
-                    AttemptOutcome.TIMED_OUT, p.event(Event.AttemptEnded.class).outcome());
+                    AttemptOutcome.TIMED_OUT,
+                    p.firstEvent(Event.AttemptEnded.class).outcome());
             String shed = FrontTestPeers.hear(c);
             for (String s : List.of(
                     "HTTP/1.1 503",
@@ -147,31 +148,31 @@
             try {
                 FrontTestPeers.say(m, OK);
             } catch (SocketException e) {
-                // closed from the front's side, as it should be
+                // closed from the node's side, as it should be
             }
-            FrontTestPeers.say(c, FrontTestPeers.look(""));
-            FrontTestPeers.hear(p.call());
+            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.hear(p.nextEndpointConnection());
             assertTrue(FrontTestPeers.hear(c).contains("shed"), "a late answer was given to another req");
         }
     }
 
     @Test
-    void aClientThatLeavesIsToldOfAndItsTryIsStopped() throws Exception {
+    void aClientThatDisconnectsIsReportedAndItsAttemptIsCancelled() throws Exception {
         try (FrontTestPeers p = new FrontTestPeers(
-                folder,
+                directory,
                 "",
                 (peers, e) -> e instanceof Event.ClientDisconnected l
                         ? List.of(new Action.CancelAttempt(l.requestId(), 0))
                         : e instanceof Event.RequestReceived r
-                                ? List.of(new Action.SendAttempt(r.requestId(), peers.machineId(), 0))
+                                ? List.of(new Action.SendAttempt(r.requestId(), peers.endpointId(), 0))
                                 : List.of())) {
-            Socket c = p.client();
-            FrontTestPeers.say(c, FrontTestPeers.look(""));
-            Socket m = p.call();
+            Socket c = p.connectClient();
+            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
+            Socket m = p.nextEndpointConnection();
             FrontTestPeers.hear(m);
             c.close();
-            p.event(Event.ClientDisconnected.class);
-            Event.AttemptEnded t = p.event(Event.AttemptEnded.class);
+            p.firstEvent(Event.ClientDisconnected.class);
+            Event.AttemptEnded t = p.firstEvent(Event.AttemptEnded.class);
             assertEquals(AttemptOutcome.CANCELLED, t.outcome());
             assertTrue(t.requestEnded());
             m.setSoTimeout(10_000);
@@ -180,52 +181,53 @@
     }
 
     @Test
-    void aDeciderThatDoesNothingIsAnsweredForInTime() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(folder, "", (peers, e) -> List.of());
-                Socket c = p.client()) {
-            FrontTestPeers.say(c, FrontTestPeers.look("Laurelkeel-Remaining-Ms: 200\r\n"));
+    void overdueRequestsAreFailedBeforeTheirDeadline() throws Exception {
+        try (FrontTestPeers p = new FrontTestPeers(directory, "", (peers, e) -> List.of());
+                Socket c = p.connectClient()) {
+            FrontTestPeers.say(c, FrontTestPeers.lookRequest("Laurelkeel-Remaining-Ms: 200\r\n"));
             String answer = FrontTestPeers.hear(c);
             assertTrue(answer.startsWith("HTTP/1.1 504") && answer.contains("errored"), answer);
-            p.event(Event.ClientDisconnected.class);
+            p.firstEvent(Event.ClientDisconnected.class);
         }
     }
 
     @Test
     void twoAnswersOfTheDeciderReachTheClientAsOne() throws Exception {
         try (FrontTestPeers p = new FrontTestPeers(
-                        folder,
+                        directory,
                         "",
                         (peers, e) -> e instanceof Event.RequestReceived r
                                 ? List.of(
-                                        new Action.SendAttempt(r.requestId(), peers.machineId(), 0),
+                                        new Action.SendAttempt(r.requestId(), peers.endpointId(), 0),
                                         new Action.FailRequest(r.requestId()),
                                         new Action.RejectRequest(r.requestId(), 0),
                                         new Action.FailRequest("nobody"),
-                                        new Action.SendAttempt(r.requestId(), peers.machineId(), 0))
+                                        new Action.SendAttempt(r.requestId(), peers.endpointId(), 0))
                                 : List.of());
-                Socket c = p.client()) {
-            FrontTestPeers.say(c, FrontTestPeers.look(""));
+                Socket c = p.connectClient()) {
+            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
             assertTrue(FrontTestPeers.hear(c).startsWith("HTTP/1.1 502"));
             assertEquals(
-                    AttemptOutcome.NOT_SENT, p.event(Event.AttemptEnded.class).outcome());
+                    AttemptOutcome.NOT_SENT,
+                    p.firstEvent(Event.AttemptEnded.class).outcome());
             FrontTestPeers.say(c, "GET /nowhere HTTP/1.1\r\nHost: f\r\n\r\n");
             assertTrue(FrontTestPeers.hear(c).startsWith("HTTP/1.1 404"), "bytes of a second answer came first");
         }
     }
 
     @Test
-    void aDeciderThatFailsEndsTheFrontWithAllHeldErrored() throws Exception {
-        FrontTestPeers p = new FrontTestPeers(folder, "", (peers, e) -> {
+    void aDeciderThatThrowsEndsTheNodeAndFailsAllActiveRequests() throws Exception {
+        FrontTestPeers p = new FrontTestPeers(directory, "", (peers, e) -> {
             if (e instanceof Event.RequestReceived r && r.partitionKey() != null) {
                 throw new IllegalStateException("made to fail");
             }
-            return FrontTestPeers.once(peers, e);
+            return FrontTestPeers.sendOnce(peers, e);
         });
-        Socket first = p.client();
-        FrontTestPeers.say(first, FrontTestPeers.look(""));
-        FrontTestPeers.hear(p.call());
-        Socket second = p.client();
-        FrontTestPeers.say(second, FrontTestPeers.look("Laurelkeel-Key: k\r\n"));
+        Socket first = p.connectClient();
+        FrontTestPeers.say(first, FrontTestPeers.lookRequest(""));
+        FrontTestPeers.hear(p.nextEndpointConnection());
+        Socket second = p.connectClient();
+        FrontTestPeers.say(second, FrontTestPeers.lookRequest("Laurelkeel-Key: k\r\n"));
         assertTrue(FrontTestPeers.hear(first).startsWith("HTTP/1.1 502"));
         assertTrue(FrontTestPeers.hear(second).startsWith("HTTP/1.1 502"));
         assertEquals("made to fail", p.front.termination().get().getMessage());
@@ -233,16 +235,16 @@
     }
 
     @Test
-    void pipelinedReqsAreAnsweredInTheirOrder() throws Exception {
-        try (FrontTestPeers p = once();
-                Socket c = p.client()) {
+    void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
+        try (FrontTestPeers p = peersThatSendOnce();
+                Socket c = p.connectClient()) {
             FrontTestPeers.say(
                     c,
                     "POST /pay/1 HTTP/1.1\r\nHost: f\r\nIdempotency-Key: a\r\nTransfer-Encoding: chunked\r\n\r\n"
-                            + "3\r\nabc\r\n0\r\n\r\n" + FrontTestPeers.look("X: 2\r\n")
+                            + "3\r\nabc\r\n0\r\n\r\n" + FrontTestPeers.lookRequest("X: 2\r\n")
                             + "GET /pay HTTP/1.1\r\nHost: f\r\n\r\n"
-                            + FrontTestPeers.look("X: 4\r\n") + "rubbish\r\n");
-            Socket m = p.call();
+                            + FrontTestPeers.lookRequest("X: 4\r\n") + "rubbish\r\n");
+            Socket m = p.nextEndpointConnection();
             String first = FrontTestPeers.hear(m);
             assertTrue(first.endsWith("abc") && first.contains("Content-Length: 3"), first);
             assertFalse(first.toLowerCase(Locale.ROOT).contains("transfer-encoding"), first);
@@ -262,15 +264,16 @@
     }
 
     @Test
-    void badNamesGetClearAnswersAndTheConnectionGoesOn() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(folder, "[customer mill]\nquota = 5\n", FrontTestPeers::once);
-                Socket c = p.client()) {
+    void invalidHeadersGetClearAnswersAndTheConnectionGoesOn() throws Exception {
+        try (FrontTestPeers p =
+                        new FrontTestPeers(directory, "[customer mill]\nquota = 5\n", FrontTestPeers::sendOnce);
+                Socket c = p.connectClient()) {
             String mill = "Laurelkeel-Customer: mill\r\n";
             for (String[] x : new String[][] {
-                {FrontTestPeers.look(""), "Laurelkeel-Customer"},
-                {FrontTestPeers.look("Laurelkeel-Customer: nobody\r\n"), "Laurelkeel-Customer"},
-                {FrontTestPeers.look(mill + "Laurelkeel-Remaining-Ms: soon\r\n"), "number of milliseconds"},
-                {FrontTestPeers.look(mill + "Laurelkeel-Key: \r\n"), "1 to 256"},
+                {FrontTestPeers.lookRequest(""), "Laurelkeel-Customer"},
+                {FrontTestPeers.lookRequest("Laurelkeel-Customer: nobody\r\n"), "Laurelkeel-Customer"},
+                {FrontTestPeers.lookRequest(mill + "Laurelkeel-Remaining-Ms: soon\r\n"), "number of milliseconds"},
+                {FrontTestPeers.lookRequest(mill + "Laurelkeel-Key: \r\n"), "1 to 256"},
                 {"POST /pay HTTP/1.1\r\nHost: f\r\n" + mill + "Content-Length: 0\r\n\r\n", "Idempotency-Key"}
             }) {
                 FrontTestPeers.say(c, x[0]);
@@ -282,69 +285,67 @@
     }
 
     @Test
-    void aFullFrontShedsAtItsDoor() throws Exception {
+    void aNodeAtCapacityRejectsBeforeTheDecision() throws Exception {
         try (FrontTestPeers p =
-                new FrontTestPeers(folder, "[clients]\nopen-reqs = 2\nconnections = 4\n", (peers, e) -> List.of())) {
-            List<Socket> held = new ArrayList<>();
+                new FrontTestPeers(directory, "[clients]\nopen-reqs = 2\nconnections = 4\n", (peers, e) -> List.of())) {
             for (int i = 0; i < 2; i++) {
-                Socket c = p.client();
-                FrontTestPeers.say(c, FrontTestPeers.look(""));
-                held.add(c);
+                FrontTestPeers.say(p.connectClient(), FrontTestPeers.lookRequest(""));
             }
             FrontTestRig.await(
-                    "two held",
+                    "two active requests",
                     () -> p.events.stream()
                                     .filter(e -> e instanceof Event.RequestReceived)
                                     .count()
                             == 2);
-            Socket third = p.client();
-            FrontTestPeers.say(third, FrontTestPeers.look(""));
+            Socket third = p.connectClient();
+            FrontTestPeers.say(third, FrontTestPeers.lookRequest(""));
             String a = FrontTestPeers.hear(third);
             assertTrue(a.contains("harmless") && a.contains("Laurelkeel-Taken: no") && a.contains("full"), a);
-            // answered, so surely counted before the next one
-            Socket fourth = p.client();
-            FrontTestPeers.say(fourth, FrontTestPeers.look(""));
+            // its answer shows that its connection was counted before the next one
+            Socket fourth = p.connectClient();
+            FrontTestPeers.say(fourth, FrontTestPeers.lookRequest(""));
             FrontTestPeers.hear(fourth);
-            assertTrue(FrontTestPeers.hear(p.client()).contains("every connection is in use"));
+            assertTrue(FrontTestPeers.hear(p.connectClient()).contains("every connection is in use"));
         }
     }
 
     @Test
     void anAnswerLargerThanAnyBufferReachesASlowClientWhole() throws Exception {
-        try (FrontTestPeers p = once();
-                Socket c = p.client()) {
+        try (FrontTestPeers p = peersThatSendOnce();
+                Socket c = p.connectClient()) {
             c.setReceiveBufferSize(16 << 10);
-            FrontTestPeers.say(c, FrontTestPeers.look(""));
-            Socket m = p.call();
+            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
+            Socket m = p.nextEndpointConnection();
             FrontTestPeers.hear(m);
             String big = "x".repeat(400 << 10);
             FrontTestPeers.say(m, "HTTP/1.1 200 OK\r\nContent-Length: " + big.length() + "\r\n\r\n" + big);
-            p.event(Event.AttemptEnded.class);
+            p.firstEvent(Event.AttemptEnded.class);
             assertTrue(FrontTestPeers.hear(c).endsWith("\r\n\r\n" + big));
         }
     }
 
     @Test
-    void probesIdleClosesAndComplaintsAreCarried() throws Exception {
+    void healthChecksIdleClosesAndComplaintsAreCarriedOut() throws Exception {
         String[] ref = new String[1];
-        try (FrontTestPeers p = new FrontTestPeers(folder, "", (peers, e) -> {
-                    List<Action> out = new ArrayList<>(FrontTestPeers.once(peers, e));
+        try (FrontTestPeers p = new FrontTestPeers(directory, "", (peers, e) -> {
+                    List<Action> out = new ArrayList<>(FrontTestPeers.sendOnce(peers, e));
                     if (e instanceof Event.AttemptEnded t) {
                         out.add(new Action.CloseIdleConnections(t.endpointId()));
                         out.add(new Action.WriteLog("closing idle ones"));
                     } else if (e instanceof Event.ComplaintReceived) {
-                        out.add(new Action.SendHealthCheck(peers.machineId()));
+                        out.add(new Action.SendHealthCheck(peers.endpointId()));
                     }
                     return out;
                 });
-                Socket c = p.client()) {
-            FrontTestPeers.say(c, FrontTestPeers.look(""));
-            Socket m = p.call();
+                Socket c = p.connectClient()) {
+            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
+            Socket m = p.nextEndpointConnection();
             FrontTestPeers.hear(m);
             FrontTestPeers.say(m, OK);
             String a = FrontTestPeers.hear(c);
             ref[0] = a.replaceAll("(?s).*Laurelkeel-Ref: (\\S+).*", "$1");
-            assertEquals(3.0, p.event(Event.AttemptEnded.class).loadReport().concurrentRequests());
+            assertEquals(
+                    3.0, p.firstEvent(Event.AttemptEnded.class).loadReport().concurrentRequests());
             assertFalse(a.contains("Laurelkeel-Load"), "a machine's load is not the client's matter");
             assertEquals(-1, m.getInputStream().read(), "the idle connection stays");
             String complaint = "POST /.laurelkeel/complaints HTTP/1.1\r\nHost: f\r\nContent-Length: " + ref[0].length()
@@ -352,36 +353,37 @@
             FrontTestPeers.say(c, complaint + complaint);
             assertTrue(FrontTestPeers.hear(c).startsWith("HTTP/1.1 202"));
             assertTrue(FrontTestPeers.hear(c).startsWith("HTTP/1.1 404"), "one answer is complained of once");
-            assertEquals(p.machineId(), p.event(Event.ComplaintReceived.class).endpointId());
-            Socket probe = p.call();
+            assertEquals(
+                    p.endpointId(), p.firstEvent(Event.ComplaintReceived.class).endpointId());
+            Socket probe = p.nextEndpointConnection();
             assertTrue(FrontTestPeers.hear(probe).startsWith("GET /health"));
             FrontTestPeers.say(probe, OK);
-            Event.HealthCheckEnded probed = p.event(Event.HealthCheckEnded.class);
+            Event.HealthCheckEnded probed = p.firstEvent(Event.HealthCheckEnded.class);
             assertEquals(AttemptOutcome.COMPLETED, probed.outcome());
             assertEquals(3.0, probed.loadReport().concurrentRequests());
         }
     }
 
     @Test
-    void manyConnectionsAtOnceAreTakenAndGivenBack() throws Exception {
+    void manyConnectionsAtOnceAreAcceptedAndReleased() throws Exception {
         try (FrontTestPeers p = new FrontTestPeers(
-                folder,
+                directory,
                 "",
                 (peers, e) -> e instanceof Event.RequestReceived r
                         ? List.of(new Action.RejectRequest(r.requestId(), 0))
                         : List.of())) {
             List<Socket> all = new ArrayList<>();
             for (int i = 0; i < 5000; i++) {
-                all.add(p.client());
+                all.add(p.connectClient());
             }
             for (Socket s : all) {
-                FrontTestPeers.say(s, FrontTestPeers.look(""));
+                FrontTestPeers.say(s, FrontTestPeers.lookRequest(""));
             }
             for (Socket s : all) {
                 assertTrue(FrontTestPeers.hear(s).contains("shed"));
                 s.close();
             }
-            assertNotNull(p.event(Event.RequestReceived.class));
+            assertNotNull(p.firstEvent(Event.RequestReceived.class));
         }
     }
 }
--- a/src/test/java/laurelkeel/front/FrontRulesTest.java
+++ b/src/test/java/laurelkeel/front/FrontRulesTest.java
@@ -24,19 +24,20 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Rules 1 and 2 on sockets: the real front and module between machines that do their worst by a seed and clients that
- * pipeline, leave and wait too short. The oracle is what the sockets saw: machines note each req that they ran.
+ * Rules 1 and 2 on sockets: a node with the real decider between endpoints that misbehave by a seed and clients that
+ * pipeline, disconnect and have short deadlines. The oracle is what the sockets saw: endpoints record each request that
+ * they ran.
  */
 class FrontRulesTest {
-    /** What one client's req met, in the order it was asked. */
-    private record Asked(String id, String route) {}
+    /** A request of one client, which expects answers in the order of its requests. */
+    private record SentRequest(String id, String route) {}
 
-    private static final class World implements AutoCloseable {
+    private static final class NodeWithEndpoints implements AutoCloseable {
         final Path folder;
         final long seed;
         final List<ServerSocket> machines = new ArrayList<>();
         final List<Socket> open = new CopyOnWriteArrayList<>();
-        /** When each req ran, by its id. */
+        /** When each request ran, by its id, in nanoseconds. */
         final Map<String, List<Long>> ran = new ConcurrentHashMap<>();
 
         final Map<String, String> routes = new ConcurrentHashMap<>();
@@ -44,16 +45,17 @@
         final FrontNode front;
         final InetSocketAddress at;
 
-        World(long seed) throws Exception {
+        NodeWithEndpoints(long seed) throws Exception {
             this.seed = seed;
             folder = Files.createTempDirectory("front-rules");
             StringBuilder list = new StringBuilder();
             for (int i = 0; i < 3; i++) {
-                ServerSocket m = new ServerSocket(0, 100, InetAddress.getByName("127.0.0.1"));
+                ServerSocket m = new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
                 machines.add(m);
                 int number = i;
                 start(() -> accept(m, number));
-                list.append(i == 0 ? "[" : ",").append(FrontTestPeers.listed("127.0.0.1:" + m.getLocalPort(), "live"));
+                list.append(i == 0 ? "[" : ",")
+                        .append(FrontTestPeers.endpointJson("127.0.0.1:" + m.getLocalPort(), "live"));
             }
             Files.createDirectories(folder.resolve("state"));
             Files.writeString(folder.resolve("state/list.json"), list + "]");
@@ -87,7 +89,7 @@
                     start(() -> serve(s, new Random(mine)));
                 }
             } catch (IOException e) {
-                // over
+                // the test is over
             }
         }
 
@@ -120,30 +122,30 @@
                     } else {
                         FrontTestPeers.say(s, "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id);
                         if (what == 5) {
-                            // closes what the front holds for idle
+                            // closes what the node takes for idle
                             return;
                         }
                     }
                 }
             } catch (IOException e) {
-                // the front closed it
+                // the node closed it
             }
         }
 
-        /** One client's whole life: some reqs at once, then all their answers. */
+        /** Plays one client: some requests at once, then all their answers. */
         private void client(int number, Random chance) throws IOException {
             Socket s = new Socket(at.getAddress(), at.getPort());
             open.add(s);
             s.setSoTimeout(8_000);
-            List<Asked> asked = new ArrayList<>();
+            List<SentRequest> asked = new ArrayList<>();
             StringBuilder all = new StringBuilder();
             int n = 1 + chance.nextInt(4);
             for (int i = 0; i < n; i++) {
                 String id = "c" + number + "-" + i;
                 String route = new String[] {"look", "pay", "put"}[chance.nextInt(3)];
-                long waits = 60 + chance.nextInt(900);
+                long waits = 60L + chance.nextInt(900);
                 routes.put(id, route);
-                asked.add(new Asked(id, route));
+                asked.add(new SentRequest(id, route));
                 all.append(route.equals("look") ? "GET" : "POST")
                         .append(" /")
                         .append(route)
@@ -161,7 +163,7 @@
                 s.close();
                 return;
             }
-            for (Asked a : asked) {
+            for (SentRequest a : asked) {
                 try {
                     answered(a, FrontTestPeers.hear(s));
                 } catch (SocketTimeoutException e) {
@@ -180,7 +182,7 @@
             s.close();
         }
 
-        private void answered(Asked a, String answer) {
+        private void answered(SentRequest a, String answer) {
             List<Long> times = ran.getOrDefault(a.id, List.of());
             boolean completed = answer.contains("Laurelkeel-Answer: completed");
             boolean shed = answer.contains("Laurelkeel-Retry: harmless");
@@ -194,9 +196,9 @@
         }
 
         @Override
-        public void close() throws Exception {
+        public void close() throws IOException {
             front.drain();
-            front.termination().get();
+            front.termination().join();
             for (ServerSocket m : machines) {
                 m.close();
             }
@@ -206,9 +208,9 @@
         }
     }
 
-    /** Plays some clients at a time and returns what was broken of a rule. */
-    private static List<String> played(long seed, int rule) throws Exception {
-        try (World w = new World(seed)) {
+    /** Plays clients in parallel and returns the violations of a rule. */
+    private static List<String> violationsOf(long seed, int rule) throws Exception {
+        try (NodeWithEndpoints w = new NodeWithEndpoints(seed)) {
             List<Thread> threads = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
                 int number = i;
@@ -241,12 +243,12 @@
     }
 
     @Property(tries = 4, seed = "1", shrinking = ShrinkingMode.OFF)
-    void rule1OnSocketsEachReqHasItsOneAnswer(@ForAll long seed) throws Exception {
-        assertEquals(List.of(), played(seed, 1));
+    void rule1EachRequestOnSocketsHasItsOneAnswer(@ForAll long seed) throws Exception {
+        assertEquals(List.of(), violationsOf(seed, 1));
     }
 
     @Property(tries = 4, seed = "2", shrinking = ShrinkingMode.OFF)
-    void rule2OnSocketsNothingRunsTwiceAndShedsAreHarmless(@ForAll long seed) throws Exception {
-        assertEquals(List.of(), played(seed, 2));
+    void rule2NothingOnSocketsRunsTwiceAndRejectionsAreHarmless(@ForAll long seed) throws Exception {
+        assertEquals(List.of(), violationsOf(seed, 2));
     }
 }
--- a/src/test/java/laurelkeel/front/FrontShutdownTest.java
+++ b/src/test/java/laurelkeel/front/FrontShutdownTest.java
@@ -17,7 +17,7 @@
 /** A front that ends, for whatever reason, answers what it has read. */
 class FrontShutdownTest {
     @TempDir
-    Path folder;
+    Path directory;
 
     private final CountDownLatch entered = new CountDownLatch(1);
     private final CountDownLatch go = new CountDownLatch(1);
@@ -38,14 +38,14 @@
     }
 
     @Test
-    void requestsThatAreReadWhileTheDeciderFailsAreRefused() throws Exception {
-        try (FrontTestPeers peers = new FrontTestPeers(folder, "", (p, event) -> fail(event))) {
-            Socket first = peers.client();
-            FrontTestPeers.say(first, FrontTestPeers.look(""));
+    void requestsThatAreReadWhileTheDeciderFailsAreRejected() throws Exception {
+        try (FrontTestPeers peers = new FrontTestPeers(directory, "", (p, event) -> fail(event))) {
+            Socket first = peers.connectClient();
+            FrontTestPeers.say(first, FrontTestPeers.lookRequest(""));
             assertTrue(entered.await(10, TimeUnit.SECONDS));
-            Socket other = peers.client();
-            FrontTestPeers.say(other, FrontTestPeers.look(""));
-            FrontTestPeers.say(first, FrontTestPeers.look(""));
+            Socket other = peers.connectClient();
+            FrontTestPeers.say(other, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.say(first, FrontTestPeers.lookRequest(""));
             FrontTestRig.await("both are read", () -> peers.front.loop().queuedTasks() >= 2);
             go.countDown();
             String errored = FrontTestPeers.hear(first);
--- a/src/test/java/laurelkeel/front/FrontTestPeers.java
+++ b/src/test/java/laurelkeel/front/FrontTestPeers.java
@@ -21,9 +21,9 @@
 import laurelkeel.api.Decider;
 import laurelkeel.api.Event;
 
-/** A front between a machine whose every byte a test writes and clients that are plain sockets. */
+/** A node between an endpoint whose every byte a test writes and clients that are plain sockets. */
 public final class FrontTestPeers implements AutoCloseable {
-    /** Of one front; with lines of its own in its first section. */
+    /** The settings of a node, with a place for further lines of its first section. */
     static final String SETTINGS =
             """
             [front]
@@ -48,14 +48,14 @@
             vote-timeout = 500 ms
             """;
 
-    final ServerSocket machine = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-    final BlockingQueue<Socket> calls = new LinkedBlockingQueue<>();
+    final ServerSocket endpointServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    final BlockingQueue<Socket> endpointConnections = new LinkedBlockingQueue<>();
     final List<Event> events = new CopyOnWriteArrayList<>();
     final FrontNode front;
-    final InetSocketAddress at;
-    private final List<Socket> open = new CopyOnWriteArrayList<>();
+    final InetSocketAddress address;
+    private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
 
-    /** @param decide what to do at one event; all of a batch's actions are joined */
+    /** @param decide what to do at one event; the actions of all events of a turn are joined */
     FrontTestPeers(Path folder, String extra, BiFunction<FrontTestPeers, Event, List<Action>> decide)
             throws IOException {
         this(folder, extra, List.of(), decide);
@@ -67,9 +67,9 @@
         Thread t = new Thread(() -> {
             try {
                 while (true) {
-                    Socket s = machine.accept();
-                    open.add(s);
-                    calls.add(s);
+                    Socket s = endpointServer.accept();
+                    openSockets.add(s);
+                    endpointConnections.add(s);
                 }
             } catch (IOException e) {
                 // the test is over
@@ -85,10 +85,10 @@
         } catch (laurelkeel.config.InvalidSettingsException e) {
             throw new IOException(e);
         }
-        at = front.start();
+        address = front.start();
     }
 
-    /** Keeps all events, and does at each what it is told to; all of a batch's actions are joined. */
+    /** A decider that keeps all events and joins the actions for each. */
     public static Decider decider(List<Event> events, Function<Event, List<Action>> decide) {
         return (now, batch) -> {
             List<Action> out = new ArrayList<>();
@@ -100,24 +100,24 @@
         };
     }
 
-    String machineId() {
-        return "127.0.0.1:" + machine.getLocalPort();
+    String endpointId() {
+        return "127.0.0.1:" + endpointServer.getLocalPort();
     }
 
-    /** Sends each req once to the machine and errors it if that fails. */
-    static List<Action> once(FrontTestPeers p, Event e) {
+    /** Sends one attempt of each request and fails the request if that fails. */
+    static List<Action> sendOnce(FrontTestPeers p, Event e) {
         if (e instanceof Event.RequestReceived r) {
-            return List.of(new Action.SendAttempt(r.requestId(), p.machineId(), 0));
+            return List.of(new Action.SendAttempt(r.requestId(), p.endpointId(), 0));
         }
         return e instanceof Event.AttemptEnded t && !t.requestEnded()
                 ? List.of(new Action.FailRequest(t.requestId()))
                 : List.of();
     }
 
-    Socket client() throws IOException {
-        Socket s = new Socket(at.getAddress(), at.getPort());
+    Socket connectClient() throws IOException {
+        Socket s = new Socket(address.getAddress(), address.getPort());
         s.setSoTimeout(10_000);
-        open.add(s);
+        openSockets.add(s);
         return s;
     }
 
@@ -126,18 +126,18 @@
         s.getOutputStream().flush();
     }
 
-    /** A machine of build 1 as a list has it. */
-    static String listed(String machine, String state) {
+    /** An endpoint of build 1 as the endpoint list has it. */
+    static String endpointJson(String machine, String state) {
         return "{\"machine\":\"" + machine
                 + "\",\"build\":1,\"zone\":\"here\",\"cell\":0,\"kind\":0,\"size\":1,\"state\":\"" + state
                 + "\",\"run\":1,\"ageMs\":-1}";
     }
 
-    static String look(String more) {
+    static String lookRequest(String more) {
         return "GET /look HTTP/1.1\r\nHost: f\r\n" + more + "\r\n";
     }
 
-    /** One message: its head, and as much body as its length says. */
+    /** Reads one message: its head, and as much body as its length says. */
     public static String hear(Socket s) throws IOException {
         return hear(s.getInputStream());
     }
@@ -157,16 +157,16 @@
         return head + new String(body, StandardCharsets.ISO_8859_1);
     }
 
-    /** The machine's next connection. */
-    Socket call() throws InterruptedException {
-        Socket s = calls.poll(10, TimeUnit.SECONDS);
+    /** The next connection that the node opens to the endpoint. */
+    Socket nextEndpointConnection() throws InterruptedException {
+        Socket s = endpointConnections.poll(10, TimeUnit.SECONDS);
         if (s == null) {
-            throw new AssertionError("the front did not connect");
+            throw new AssertionError("the node did not connect");
         }
         return s;
     }
 
-    <E extends Event> E event(Class<E> kind) {
+    <E extends Event> E firstEvent(Class<E> kind) {
         FrontTestRig.await(kind.getSimpleName(), () -> events.stream().anyMatch(kind::isInstance));
         return events.stream()
                 .filter(kind::isInstance)
@@ -177,10 +177,10 @@
 
     @Override
     public void close() throws IOException {
-        for (Socket s : open) {
+        for (Socket s : openSockets) {
             s.close();
         }
-        machine.close();
+        endpointServer.close();
         front.drain();
         front.termination().join();
     }
--- a/src/test/java/laurelkeel/front/FrontTestRig.java
+++ b/src/test/java/laurelkeel/front/FrontTestRig.java
@@ -5,11 +5,14 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
+import java.util.function.Predicate;
 import laurelkeel.api.Decider;
 import laurelkeel.audit.AuditReport;
 import laurelkeel.audit.Auditor;
@@ -21,7 +24,7 @@
 import laurelkeel.scenario.ScenarioEnvironment;
 import laurelkeel.scenario.ScenarioFault;
 
-/** The end-to-end tests' one helper: fronts of this process between stand-ins, played until a condition holds. */
+/** Nodes of this process between simulated clients, endpoints and control plane, for end-to-end tests. */
 public final class FrontTestRig implements AutoCloseable {
     static final String COMMON =
             """
@@ -80,9 +83,9 @@
             """;
 
     final ConcurrentLinkedQueue<TrafficRecord> records = new ConcurrentLinkedQueue<>();
-    final ScenarioEnvironment world;
+    final ScenarioEnvironment environment;
     final List<FrontNode> fronts = new ArrayList<>();
-    final List<InetSocketAddress> at = new ArrayList<>();
+    final List<InetSocketAddress> addresses = new ArrayList<>();
     private final Path folder;
 
     FrontTestRig(
@@ -96,44 +99,45 @@
             throws Exception {
         this.folder = folder;
         Scenario plan = Scenario.read(IniFile.parse("rig.ini", COMMON.formatted(count, machines) + extra), "rig");
-        world = new ScenarioEnvironment(plan, 7, records::add);
-        world.start();
+        environment = new ScenarioEnvironment(plan, 7, records::add);
+        environment.start();
         for (int i = 0; i < count; i++) {
             Path file = folder.resolve("front-" + i + ".ini");
             Files.writeString(
                     file,
                     "[front]\nnumber = " + i + "\nfronts = " + count + "\nlisten = 127.0.0.1:0\n"
                             + "state = state-" + i + "\nrecords = front-" + i + ".jsonl\n" + plan.frontSections()
-                            + "[list]\naddress = 127.0.0.1:" + world.listAt().getPort()
+                            + "[list]\naddress = 127.0.0.1:"
+                            + environment.listAt().getPort()
                             + "\n[release]\naddress = 127.0.0.1:"
-                            + world.lineAt().getPort() + "\n");
+                            + environment.lineAt().getPort() + "\n");
             FrontNode f = new FrontNode(
                     FrontSettings.read(file),
                     maker,
                     i < clocks.length ? clocks[i] : NodeRuntime.monotonicClock(),
                     guarded);
             fronts.add(f);
-            at.add(f.start());
+            addresses.add(f.start());
         }
     }
 
-    void load() {
-        world.load(at, 7);
+    void startLoad() {
+        environment.load(addresses, 7);
     }
 
-    void befall(String event) throws Exception {
+    void applyFault(String event) throws Exception {
         Scenario p = Scenario.read(
                 IniFile.parse("event.ini", COMMON.formatted(fronts.size(), 1) + "[event e]\nat = 0 ms\n" + event),
                 "event");
         ScenarioFault t = p.troubles().get(0);
-        world.befall(t);
+        environment.befall(t);
     }
 
-    <T extends TrafficRecord> long count(Class<T> kind, java.util.function.Predicate<T> which) {
+    <T extends TrafficRecord> long count(Class<T> kind, Predicate<T> matches) {
         return records.stream()
                 .filter(kind::isInstance)
                 .map(kind::cast)
-                .filter(which)
+                .filter(matches)
                 .count();
     }
 
@@ -151,28 +155,30 @@
             if (System.nanoTime() > end) {
                 throw new AssertionError("not within 30 s: " + what);
             }
-            java.util.concurrent.locks.LockSupport.parkNanos(5_000_000);
+            LockSupport.parkNanos(5_000_000);
         }
     }
 
-    /** Ends the load, waits for what is out, and judges all records. */
-    AuditReport judge() throws IOException {
-        world.on(() -> {
-            world.clients().stop();
+    /** Ends the load, waits for the answers that are owed, and audits all records. */
+    AuditReport audit() throws IOException {
+        environment.on(() -> {
+            environment.clients().stop();
             return null;
         });
-        await("clients are done", () -> world.on(() -> world.clients().open()) == 0);
+        await(
+                "clients are done",
+                () -> environment.on(() -> environment.clients().open()) == 0);
         List<TrafficRecord> all = new ArrayList<>(records);
         fronts.forEach(FrontNode::drain);
         fronts.forEach(f -> f.termination().join());
         all.addAll(Recorder.readAll(folder));
-        all.sort(java.util.Comparator.comparingLong(TrafficRecord::t));
+        all.sort(Comparator.comparingLong(TrafficRecord::t));
         return Auditor.judge(all);
     }
 
     @Override
     public void close() {
         fronts.forEach(FrontNode::drain);
-        world.close();
+        environment.close();
     }
 }
--- a/src/test/java/laurelkeel/front/MisbehavingPeersTest.java
+++ b/src/test/java/laurelkeel/front/MisbehavingPeersTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.file.Path;
@@ -24,14 +25,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Peers that stay half open, trickle, pour, or go without a word: nobody else waits and no place is kept for ever. */
+/** Peers that stop midway, trickle, flood or vanish: no other peer waits for them, and no connection is kept for ever. */
 class MisbehavingPeersTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
 
     @TempDir
-    Path folder;
+    Path directory;
 
-    /** Says a byte at a time and never ends; true once the other side has closed. */
+    /** Sends a byte at a time without end; true once the other side has closed. */
     private static boolean closedOnTrickle(Socket s, String text) throws Exception {
         s.setSoTimeout(200);
         for (int i = 0; i < 100; i++) {
@@ -50,17 +51,17 @@
     }
 
     @Test
-    void aHalfSentReqAtTheAdminAddressKeepsNobodyFromHealth() throws Exception {
+    void aPartialRequestAtTheAdminAddressKeepsNobodyFromHealth() throws Exception {
         int admin = PortAllocator.free();
         try (FrontTestPeers p =
-                new FrontTestPeers(folder, "", List.of("admin = 127.0.0.1:" + admin), FrontTestPeers::once)) {
+                new FrontTestPeers(directory, "", List.of("admin = 127.0.0.1:" + admin), FrontTestPeers::sendOnce)) {
             List<Socket> halves = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                Socket s = new Socket("127.0.0.1", admin);
+                Socket s = new Socket(InetAddress.getLoopbackAddress(), admin);
                 FrontTestPeers.say(s, "GET /met");
                 halves.add(s);
             }
-            try (Socket s = new Socket("127.0.0.1", admin)) {
+            try (Socket s = new Socket(InetAddress.getLoopbackAddress(), admin)) {
                 s.setSoTimeout(5_000);
                 FrontTestPeers.say(
                         s, "GET /health HTTP/1.1\r\nHost: a\r\n\r\nGET /metrics HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -69,51 +70,54 @@
             }
             FrontTestPeers.say(halves.get(0), "rics HTTP/1.1\r\nHost: a\r\n");
             assertTrue(closedOnTrickle(halves.get(0), "X-Y: z\r\n"), "a place is kept for ever");
+            assertFalse(p.front.termination().isDone());
         }
     }
 
     @Test
-    void aClientThatTricklesItsReqLosesItsPlace() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(folder, "[clients]\nidle-close = 1 s\n", FrontTestPeers::once)) {
-            Socket c = p.client();
+    void aClientThatTricklesItsRequestIsDisconnected() throws Exception {
+        try (FrontTestPeers p =
+                new FrontTestPeers(directory, "[clients]\nidle-close = 1 s\n", FrontTestPeers::sendOnce)) {
+            Socket c = p.connectClient();
             FrontTestPeers.say(c, "GET /look HTTP/1.1\r\nHost: f\r\n");
             assertTrue(closedOnTrickle(c, "X-Y: z\r\n"));
         }
     }
 
     @Test
-    void aClientThatWaitsForALateAnswerKeepsItsPlace() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(folder, "[clients]\nidle-close = 1 s\n", FrontTestPeers::once);
-                Socket c = p.client()) {
-            FrontTestPeers.say(c, FrontTestPeers.look(""));
-            Socket m = p.call();
+    void aClientThatWaitsForALateAnswerStaysConnected() throws Exception {
+        try (FrontTestPeers p =
+                        new FrontTestPeers(directory, "[clients]\nidle-close = 1 s\n", FrontTestPeers::sendOnce);
+                Socket c = p.connectClient()) {
+            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
+            Socket m = p.nextEndpointConnection();
             FrontTestPeers.hear(m);
-            // longer than it may be idle, and less than its route's time
+            // longer than a connection may be idle, and less than the route's timeout
             assertFalse(closedOnTrickle(c, "\r\n".repeat(1))
                     && p.events.stream().noneMatch(e -> e instanceof Event.AttemptEnded));
         }
     }
 
     @Test
-    void nothingOfAClientTurnedAwayIsTaken() throws Exception {
+    void noRequestOfARejectedConnectionIsAccepted() throws Exception {
         try (FrontTestPeers p = new FrontTestPeers(
-                folder,
+                directory,
                 "[clients]\nconnections = 1\n",
                 (peers, e) -> e instanceof Event.RequestReceived r
                         ? List.of(new Action.FailRequest(r.requestId()))
                         : List.of())) {
-            Socket in = p.client();
-            FrontTestPeers.say(in, FrontTestPeers.look(""));
+            Socket in = p.connectClient();
+            FrontTestPeers.say(in, FrontTestPeers.lookRequest(""));
             FrontTestPeers.hear(in);
             for (int i = 0; i < 300; i++) {
-                try (Socket c = p.client()) {
-                    FrontTestPeers.say(c, FrontTestPeers.look("X: " + i + "\r\n"));
+                try (Socket c = p.connectClient()) {
+                    FrontTestPeers.say(c, FrontTestPeers.lookRequest("X: " + i + "\r\n"));
                     assertTrue(FrontTestPeers.hear(c).contains("Laurelkeel-Taken: no"));
                 } catch (IOException e) {
-                    // closed with what it sent unread: it has no answer, and may not have been taken either
+                    // closed with what it sent unread: it has no answer, and may not have been accepted either
                 }
             }
-            FrontTestPeers.say(in, FrontTestPeers.look(""));
+            FrontTestPeers.say(in, FrontTestPeers.lookRequest(""));
             FrontTestPeers.hear(in);
             assertEquals(
                     2,
@@ -125,12 +129,12 @@
     }
 
     @Test
-    void aClientThatPoursWhileTheLoopIsHeldUpWaitsToo() throws Exception {
+    void aClientThatFloodsAStalledLoopIsNotReadOn() throws Exception {
         int admin = PortAllocator.free();
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch stalled = new CountDownLatch(1);
         try (FrontTestPeers p = new FrontTestPeers(
-                        folder, "[clients]\npipelined = 16\n", List.of("admin = 127.0.0.1:" + admin), (peers, e) -> {
+                        directory, "[clients]\npipelined = 16\n", List.of("admin = 127.0.0.1:" + admin), (peers, e) -> {
                             if (e instanceof Event.RequestReceived r && r.partitionKey() != null) {
                                 stalled.countDown();
                                 try {
@@ -143,11 +147,11 @@
                                     ? List.of(new Action.RejectRequest(r.requestId(), 0))
                                     : List.of();
                         });
-                Socket watch = new Socket("127.0.0.1", admin)) {
-            FrontTestPeers.say(p.client(), FrontTestPeers.look("Laurelkeel-Key: stall\r\n"));
+                Socket watch = new Socket(InetAddress.getLoopbackAddress(), admin)) {
+            FrontTestPeers.say(p.connectClient(), FrontTestPeers.lookRequest("Laurelkeel-Key: stall\r\n"));
             assertTrue(stalled.await(10, TimeUnit.SECONDS));
-            Socket c = p.client();
-            String many = FrontTestPeers.look("").repeat(1000);
+            Socket c = p.connectClient();
+            String many = FrontTestPeers.lookRequest("").repeat(1000);
             CompletableFuture<Integer> poured = CompletableFuture.supplyAsync(() -> {
                 int n = 0;
                 try {
@@ -161,14 +165,18 @@
             });
             double backlog = 0;
             for (int i = 0; i < 20 && !poured.isDone(); i++) {
-                backlog = Math.max(backlog, FrontChildProcess.figure(watch, "laurelkeel_loop_backlog"));
+                backlog = Math.max(backlog, FrontChildProcess.metric(watch, "laurelkeel_loop_backlog"));
                 Thread.sleep(50);
             }
-            backlog = Math.max(backlog, FrontChildProcess.figure(watch, "laurelkeel_loop_backlog"));
+            backlog = Math.max(backlog, FrontChildProcess.metric(watch, "laurelkeel_loop_backlog"));
             held.countDown();
             // what one read of its socket holds may come on top
             assertTrue(
-                    backlog <= 16 + 2 * (16 << 10) / FrontTestPeers.look("").length(),
+                    backlog
+                            <= 16
+                                    + 2
+                                            * (16 << 10)
+                                            / FrontTestPeers.lookRequest("").length(),
                     "waiting for the loop: " + backlog);
             for (int i = 0; i < 1000; i++) {
                 assertTrue(FrontTestPeers.hear(c).contains("shed"), "answer " + i);
@@ -177,32 +185,32 @@
     }
 
     @Test
-    void aMachineGoneWithoutAWordCostsOneTimeOutAndNotOneAConnection() throws Exception {
+    void anEndpointThatVanishesCostsOneTimeoutAndNotOneAConnection() throws Exception {
         try (FrontTestPeers p = new FrontTestPeers(
-                folder,
+                directory,
                 "",
                 (peers, e) -> e instanceof Event.RequestReceived r
-                        ? List.of(new Action.SendAttempt(r.requestId(), peers.machineId(), 3_000))
+                        ? List.of(new Action.SendAttempt(r.requestId(), peers.endpointId(), 3_000))
                         : e instanceof Event.AttemptEnded t && !t.requestEnded()
                                 ? List.of(new Action.FailRequest(t.requestId()))
                                 : List.of())) {
             List<Socket> clients = new ArrayList<>();
             List<Socket> machine = new ArrayList<>();
             for (int i = 0; i < 5; i++) {
-                clients.add(p.client());
-                FrontTestPeers.say(clients.get(i), FrontTestPeers.look(""));
-                machine.add(p.call());
+                clients.add(p.connectClient());
+                FrontTestPeers.say(clients.get(i), FrontTestPeers.lookRequest(""));
+                machine.add(p.nextEndpointConnection());
                 FrontTestPeers.hear(machine.get(i));
             }
             for (int i = 0; i < 5; i++) {
                 FrontTestPeers.say(machine.get(i), OK);
                 FrontTestPeers.hear(clients.get(i));
             }
-            // five are idle; from here on the machine says nothing on any of them
-            FrontTestPeers.say(clients.get(0), FrontTestPeers.look(""));
+            // five are idle; from here on the endpoint sends nothing on any of them
+            FrontTestPeers.say(clients.get(0), FrontTestPeers.lookRequest(""));
             assertTrue(FrontTestPeers.hear(clients.get(0)).startsWith("HTTP/1.1 502"));
-            FrontTestPeers.say(clients.get(1), FrontTestPeers.look(""));
-            Socket fresh = p.call();
+            FrontTestPeers.say(clients.get(1), FrontTestPeers.lookRequest(""));
+            Socket fresh = p.nextEndpointConnection();
             FrontTestPeers.hear(fresh);
             FrontTestPeers.say(fresh, OK);
             assertTrue(FrontTestPeers.hear(clients.get(1)).endsWith("hi"), "an old connection was used");
@@ -215,7 +223,7 @@
     }
 
     @Test
-    void anErrorThatKillsASocketThreadEndsTheFrontsLoop() throws Exception {
+    void anErrorThatEndsASocketThreadEndsTheLoop() throws Exception {
         Error made = new StackOverflowError("made");
         NodeRuntime base = NodeRuntime.create(NodeRuntime.monotonicClock());
         EventLoop loop = base.loop();
@@ -229,8 +237,8 @@
         });
         t.setDaemon(true);
         t.start();
-        java.nio.file.Files.writeString(folder.resolve("f.ini"), FrontTestPeers.SETTINGS.formatted(""));
-        FrontSettings set = FrontSettings.read(folder.resolve("f.ini"));
+        java.nio.file.Files.writeString(directory.resolve("f.ini"), FrontTestPeers.SETTINGS.formatted(""));
+        FrontSettings set = FrontSettings.read(directory.resolve("f.ini"));
         StandaloneProtocol words = new StandaloneProtocol(
                 new RouteTable(set.routes().entries(), List.of()),
                 r -> {
@@ -241,7 +249,7 @@
         Ingress in = new Ingress(set.ingress(), words, loop, base.socketThreads(), base.processors(1), null);
         InetSocketAddress at = in.bind();
         try (Socket c = new Socket(at.getAddress(), at.getPort())) {
-            FrontTestPeers.say(c, FrontTestPeers.look(""));
+            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
             assertSame(made, ended.get(10, TimeUnit.SECONDS));
         } finally {
             in.close();
--- a/src/test/java/laurelkeel/front/ResourceExhaustionTest.java
+++ b/src/test/java/laurelkeel/front/ResourceExhaustionTest.java
@@ -6,6 +6,7 @@
 
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.file.Files;
@@ -21,26 +22,26 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A front that runs out of something goes on with what it has, says so, and is well again when there is room. */
+/** A node that runs out of a resource goes on with what it has, says so, and recovers once there is more. */
 class ResourceExhaustionTest {
     @TempDir
-    Path folder;
+    Path directory;
 
     @Test
-    void noDescriptorForADialIsNotHeldAgainstTheMachine() throws Exception {
+    void aConnectThatFailsForWantOfDescriptorsDoesNotCountAgainstTheEndpoint() throws Exception {
         try (FrontChildProcess child =
-                new FrontChildProcess(folder, "ulimit -n 160", List.of(), "", folder.resolve("log"))) {
-            Socket admin = child.call(child.admin);
-            assertTrue(child.completes(), Files.readString(folder.resolve("log")));
-            FrontChildProcess.figure(admin, "");
-            Socket first = child.client();
+                new FrontChildProcess(directory, "ulimit -n 160", List.of(), "", directory.resolve("log"))) {
+            Socket admin = child.connect(child.adminPort);
+            assertTrue(child.completesRequest(), Files.readString(directory.resolve("log")));
+            FrontChildProcess.metric(admin, "");
+            Socket first = child.connectClient();
             List<Socket> crowd = crowd(child);
             awaitNoDescriptorLeft();
-            child.silent = true;
+            child.isSilent = true;
             List<Socket> asking = new ArrayList<>(crowd.subList(0, 20));
             asking.add(first);
             for (Socket s : asking) {
-                FrontTestPeers.say(s, FrontTestPeers.look("Laurelkeel-Remaining-Ms: 1500\r\n"));
+                FrontTestPeers.say(s, FrontTestPeers.lookRequest("Laurelkeel-Remaining-Ms: 1500\r\n"));
             }
             int harmless = 0;
             for (Socket s : asking) {
@@ -49,24 +50,24 @@
             assertTrue(harmless >= 10, "where nothing left the front, asking again is harmless: " + harmless);
             assertEquals(
                     0,
-                    FrontChildProcess.figure(admin, "laurelkeel_outcomes_total{outcome=\"no_connection\"}"),
+                    FrontChildProcess.metric(admin, "laurelkeel_outcomes_total{outcome=\"no_connection\"}"),
                     "held against the machine");
             assertTrue(
-                    FrontChildProcess.figure(admin, "laurelkeel_outcomes_total{outcome=\"not_sent\"}") > 0,
+                    FrontChildProcess.metric(admin, "laurelkeel_outcomes_total{outcome=\"not_sent\"}") > 0,
                     "as never sent");
-            child.silent = false;
+            child.isSilent = false;
             for (Socket s : crowd) {
                 s.close();
             }
-            FrontTestRig.await("with room it is well again", child::completes);
+            FrontTestRig.await("with room it is well again", child::completesRequest);
         }
     }
 
-    /** The crowd has taken all descriptors once the front says that it lacks some. */
+    /** The clients have taken all descriptors once the node logs that it lacks some. */
     private void awaitNoDescriptorLeft() {
         FrontTestRig.await("no descriptor is left", () -> {
             try {
-                return Files.readString(folder.resolve("log")).contains("Too many open files");
+                return Files.readString(directory.resolve("log")).contains("Too many open files");
             } catch (IOException e) {
                 return false;
             }
@@ -76,82 +77,83 @@
     private static List<Socket> crowd(FrontChildProcess child) throws IOException {
         List<Socket> crowd = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            crowd.add(child.client());
+            crowd.add(child.connectClient());
         }
         return crowd;
     }
 
-    /** A class that is first needed then cannot be read from its file: the first requests ever come with none left. */
+    /** A class that is first needed with no descriptor left cannot be read from its file: these are the first requests. */
     @Test
     void theFirstRequestsAreAnsweredWithNoDescriptorLeft() throws Exception {
         try (FrontChildProcess child =
-                new FrontChildProcess(folder, "ulimit -n 160", List.of(), "", folder.resolve("log"))) {
+                new FrontChildProcess(directory, "ulimit -n 160", List.of(), "", directory.resolve("log"))) {
             List<Socket> crowd = crowd(child);
             awaitNoDescriptorLeft();
             for (Socket s : crowd.subList(0, 20)) {
-                FrontTestPeers.say(s, FrontTestPeers.look("Laurelkeel-Remaining-Ms: 1500\r\n"));
+                FrontTestPeers.say(s, FrontTestPeers.lookRequest("Laurelkeel-Remaining-Ms: 1500\r\n"));
             }
             for (Socket s : crowd.subList(0, 20)) {
                 assertTrue(
                         FrontTestPeers.hear(s).contains("Laurelkeel-Answer: "),
-                        Files.readString(folder.resolve("log")));
+                        Files.readString(directory.resolve("log")));
             }
             for (Socket s : crowd) {
                 s.close();
             }
-            FrontTestRig.await("with room it is well", child::completes);
-            child.ends();
+            FrontTestRig.await("with room it is well", child::completesRequest);
+            child.terminate();
         }
     }
 
     /** Connections that wait in the backlog and cannot be accepted are no reason to stay. */
     @Test
-    void aSignalEndsItWithNoDescriptorLeft() throws Exception {
+    void aSignalEndsTheProcessWithNoDescriptorLeft() throws Exception {
         try (FrontChildProcess child =
-                new FrontChildProcess(folder, "ulimit -n 160", List.of(), "", folder.resolve("log"))) {
+                new FrontChildProcess(directory, "ulimit -n 160", List.of(), "", directory.resolve("log"))) {
             crowd(child);
             awaitNoDescriptorLeft();
-            child.ends();
+            child.terminate();
         }
     }
 
     @Test
-    void manyLargeBodiesUnderASmallHeapAreShedAndItIsWellAfter() throws Exception {
+    void manyLargeBodiesUnderASmallHeapAreRejectedAndTheNodeRecovers() throws Exception {
         try (FrontChildProcess child =
-                new FrontChildProcess(folder, ":", List.of("-Xmx64m"), "", folder.resolve("log"))) {
-            Socket admin = child.call(child.admin);
-            assertTrue(child.completes());
+                new FrontChildProcess(directory, ":", List.of("-Xmx64m"), "", directory.resolve("log"))) {
+            Socket admin = child.connect(child.adminPort);
+            assertTrue(child.completesRequest());
             String head = "POST /put HTTP/1.1\r\nHost: f\r\nContent-Length: 1000000\r\n\r\n";
             List<Socket> pouring = new ArrayList<>();
             for (int i = 0; i < 120; i++) {
-                Socket s = child.client();
+                Socket s = child.connectClient();
                 pouring.add(s);
                 try {
-                    // all but the last byte: a body that stays
+                    // all but the last byte: a body that is held
                     FrontTestPeers.say(s, head + "x".repeat(999_999));
                 } catch (IOException e) {
-                    // shed and closed while it still spoke
+                    // rejected and closed while it was still sending
                 }
             }
-            assertTrue(child.completes(), "a req without a body has its answer beside them");
-            assertTrue(FrontChildProcess.figure(admin, "laurelkeel_turned_away") > 60);
-            double held = FrontChildProcess.figure(admin, "laurelkeel_body_bytes_held");
+            assertTrue(child.completesRequest(), "a req without a body has its answer beside them");
+            assertTrue(FrontChildProcess.metric(admin, "laurelkeel_turned_away") > 60);
+            double held = FrontChildProcess.metric(admin, "laurelkeel_body_bytes_held");
             assertTrue(held > 1_000_000 && held <= 8 << 20, "held " + held);
             for (Socket s : pouring) {
                 s.close();
             }
-            FrontTestRig.await("all is given back", () -> child.figureNow(admin, "laurelkeel_body_bytes_held") == 0);
-            Socket s = child.client();
+            FrontTestRig.await(
+                    "all is given back", () -> child.metricUnchecked(admin, "laurelkeel_body_bytes_held") == 0);
+            Socket s = child.connectClient();
             FrontTestPeers.say(s, head + "x".repeat(1_000_000));
             assertTrue(FrontTestPeers.hear(s).contains("Laurelkeel-Answer: completed"));
-            FrontTestRig.await("this one too", () -> child.figureNow(admin, "laurelkeel_body_bytes_held") == 0);
-            child.ends();
+            FrontTestRig.await("this one too", () -> child.metricUnchecked(admin, "laurelkeel_body_bytes_held") == 0);
+            child.terminate();
         }
     }
 
-    /** A list service whose watch says what it is given, and keeps the last line for who asks anew. */
+    /** An endpoint list service whose watch sends the lines it is given, and repeats the last one on a reconnect. */
     private HttpServer list(BlockingQueue<String> lines) throws IOException {
-        HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 10);
+        HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10);
         server.setExecutor(Executors.newCachedThreadPool(r -> {
             Thread t = new Thread(r);
             t.setDaemon(true);
@@ -173,63 +175,63 @@
     }
 
     private static String listed(int version, String first, int others, String state) {
-        StringBuilder s = new StringBuilder(
-                "{\"kind\":\"full\",\"version\":" + version + ",\"machines\":[" + FrontTestPeers.listed(first, "live"));
+        StringBuilder s = new StringBuilder("{\"kind\":\"full\",\"version\":" + version + ",\"machines\":["
+                + FrontTestPeers.endpointJson(first, "live"));
         for (int i = 0; i < others; i++) {
-            s.append(',').append(FrontTestPeers.listed("127.0.0.1:" + (i + 1), state));
+            s.append(',').append(FrontTestPeers.endpointJson("127.0.0.1:" + (i + 1), state));
         }
         return s.append("]}").toString();
     }
 
     @Test
-    void aStandardErrorThatNobodyReadsStopsNothing() throws Exception {
+    void aStandardErrorThatNobodyReadsBlocksNothing() throws Exception {
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
         HttpServer list = list(lines);
         try (FrontChildProcess child = new FrontChildProcess(
-                folder,
+                directory,
                 ":",
                 List.of(),
                 "[list]\naddress = 127.0.0.1:" + list.getAddress().getPort() + "\n",
                 null)) {
-            Socket admin = child.call(child.admin);
-            assertTrue(child.completes());
-            // each of these is worth a warning a machine: far more than a pipe holds
+            Socket admin = child.connect(child.adminPort);
+            assertTrue(child.completesRequest());
+            // each of these logs a warning for each endpoint: far more than a pipe holds
             for (int i = 0; i < 60; i++) {
-                lines.add(listed(i + 1, child.machineId(), 50, "resting"));
+                lines.add(listed(i + 1, child.endpointId(), 50, "resting"));
             }
             FrontTestRig.await("the lines are read", lines::isEmpty);
             for (int i = 0; i < 20; i++) {
-                assertTrue(child.completes(), "req " + i);
+                assertTrue(child.completesRequest(), "req " + i);
             }
             assertTrue(
-                    FrontChildProcess.figure(admin, "laurelkeel_log_lines_left_out") > 1000,
+                    FrontChildProcess.metric(admin, "laurelkeel_log_lines_left_out") > 1000,
                     "what is left out is counted");
-            child.ends();
+            child.terminate();
         } finally {
             list.stop(0);
         }
     }
 
     @Test
-    void aFullDiskEndsNothingAndWithRoomAllIsKeptAgain() throws Exception {
+    void aFullDiskEndsNothingAndOnceThereIsRoomAllIsWrittenAgain() throws Exception {
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
         HttpServer list = list(lines);
-        // 64 KiB a file: one list of so many machines is more
+        // 64 KiB a file: one list of so many endpoints is more
         try (FrontChildProcess child = new FrontChildProcess(
-                folder,
+                directory,
                 "ulimit -S -f 64",
                 List.of("-XX:-UsePerfData"),
                 "[list]\naddress = 127.0.0.1:" + list.getAddress().getPort() + "\n",
-                folder.resolve("log"))) {
-            Socket admin = child.call(child.admin);
+                directory.resolve("log"))) {
+            Socket admin = child.connect(child.adminPort);
             for (int i = 0; i < 5; i++) {
-                lines.add(listed(i + 1, child.machineId(), 900, "draining"));
+                lines.add(listed(i + 1, child.endpointId(), 900, "draining"));
             }
-            FrontTestRig.await("the disk is full", () -> child.figureNow(admin, "laurelkeel_records_lost") > 0);
+            FrontTestRig.await("the disk is full", () -> child.metricUnchecked(admin, "laurelkeel_records_lost") > 0);
             for (int i = 0; i < 20; i++) {
-                assertTrue(child.completes(), "req " + i);
+                assertTrue(child.completesRequest(), "req " + i);
             }
-            Path kept = folder.resolve("state/list.json");
+            Path kept = directory.resolve("state/list.json");
             assertTrue(Files.size(kept) < 64 << 10, "what was kept before stands");
             assertEquals(
                     0,
@@ -243,19 +245,19 @@
                     return false;
                 }
             });
-            lines.add(listed(9, child.machineId(), 1, "draining"));
+            lines.add(listed(9, child.endpointId(), 1, "draining"));
             FrontTestRig.await("and records are", () -> {
                 try {
-                    return Recorder.readAll(folder).stream()
+                    return Recorder.readAll(directory).stream()
                             .anyMatch(r -> r instanceof TrafficRecord.ToldList l
                                     && l.machines().size() == 2);
                 } catch (IOException e) {
                     return false;
                 }
             });
-            assertTrue(Recorder.readAll(folder).stream()
+            assertTrue(Recorder.readAll(directory).stream()
                     .anyMatch(r -> r instanceof TrafficRecord.Lost l && l.records() > 0));
-            child.ends();
+            child.terminate();
         } finally {
             list.stop(0);
         }
--- a/src/test/java/laurelkeel/front/RuleBreakingDecider.java
+++ b/src/test/java/laurelkeel/front/RuleBreakingDecider.java
@@ -10,59 +10,59 @@
 import laurelkeel.api.Event;
 import laurelkeel.api.Event.EndpointEntry;
 
-/** A decider without sense, in whose ways each rule can be broken; what is not overridden keeps them. */
+/** A simple decider that keeps the rules; each can be broken by overriding a method. */
 class RuleBreakingDecider implements Decider {
-    final Map<String, EndpointEntry> machines = new TreeMap<>();
-    final Map<String, Event.RequestReceived> held = new HashMap<>();
-    final List<Action> out = new ArrayList<>();
-    int turn, seen;
+    final Map<String, EndpointEntry> endpoints = new TreeMap<>();
+    final Map<String, Event.RequestReceived> activeRequests = new HashMap<>();
+    final List<Action> actions = new ArrayList<>();
+    int sentAttempts, seenRequests;
 
     @Override
     public List<Action> decide(long now, List<Event> events) {
-        out.clear();
+        actions.clear();
         for (Event e : events) {
             if (e instanceof Event.EndpointListUpdate l) {
-                l.entries().forEach(m -> machines.put(m.endpointId(), m));
+                l.entries().forEach(m -> endpoints.put(m.endpointId(), m));
             } else if (e instanceof Event.RequestReceived r) {
-                held.put(r.requestId(), r);
-                taken(r);
+                activeRequests.put(r.requestId(), r);
+                onRequest(r);
             } else if (e instanceof Event.AttemptEnded t) {
-                Event.RequestReceived r = held.get(t.requestId());
+                Event.RequestReceived r = activeRequests.get(t.requestId());
                 if (t.requestEnded()) {
-                    held.remove(t.requestId());
+                    activeRequests.remove(t.requestId());
                 } else if (r != null) {
-                    failed(r, t);
+                    onAttemptFailed(r, t);
                 }
             } else if (e instanceof Event.ClientDisconnected c) {
-                held.remove(c.requestId());
+                activeRequests.remove(c.requestId());
             }
         }
-        return List.copyOf(out);
+        return List.copyOf(actions);
     }
 
-    void taken(Event.RequestReceived r) {
+    void onRequest(Event.RequestReceived r) {
         send(r);
     }
 
-    void failed(Event.RequestReceived r, Event.AttemptEnded t) {
-        held.remove(r.requestId());
-        out.add(new Action.FailRequest(r.requestId()));
+    void onAttemptFailed(Event.RequestReceived r, Event.AttemptEnded t) {
+        activeRequests.remove(r.requestId());
+        actions.add(new Action.FailRequest(r.requestId()));
     }
 
-    /** Which machines it would use for a req. */
-    boolean uses(EndpointEntry m, Event.RequestReceived r) {
+    /** Whether it may send a request to an endpoint. */
+    boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
         return m.state() == Event.EndpointState.ACTIVE && m.build() == 1;
     }
 
     void send(Event.RequestReceived r) {
         List<EndpointEntry> from =
-                machines.values().stream().filter(m -> uses(m, r)).toList();
+                endpoints.values().stream().filter(m -> mayUse(m, r)).toList();
         if (from.isEmpty()) {
-            held.remove(r.requestId());
-            out.add(new Action.RejectRequest(r.requestId(), 1000));
+            activeRequests.remove(r.requestId());
+            actions.add(new Action.RejectRequest(r.requestId(), 1000));
         } else {
-            out.add(new Action.SendAttempt(
-                    r.requestId(), from.get(turn++ % from.size()).endpointId(), 0));
+            actions.add(new Action.SendAttempt(
+                    r.requestId(), from.get(sentAttempts++ % from.size()).endpointId(), 0));
         }
     }
 }
--- a/src/test/java/laurelkeel/front/controlplane/ReconnectBackoffTest.java
+++ b/src/test/java/laurelkeel/front/controlplane/ReconnectBackoffTest.java
@@ -8,7 +8,7 @@
 
 class ReconnectBackoffTest {
     @Test
-    void frontsThatLoseASourceTogetherComeBackApartAndEverMoreSeldom() {
+    void nodesThatLoseASourceTogetherReconnectApartAndEverLessOften() {
         Set<Long> first = new HashSet<>();
         for (int front = 0; front < 100; front++) {
             ReconnectBackoff p = new ReconnectBackoff(front);
