--- a/src/main/java/laurelkeel/front/ingress/ClientAcceptor.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientAcceptor.java
@@ -10,121 +10,128 @@
 import org.apache.mina.core.service.SimpleIoProcessorPool;
 import org.apache.mina.transport.socket.nio.NioSession;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
+import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Accepts clients' connections, in three points unlike MINA's acceptor: an accept that fails for a moment (accept(2)
- * names ECONNABORTED, ENFILE, ENOBUFS and more) costs a moment and not a second; no more connections than
- * a bound have a descriptor at a time, however fast they come; and those that the kernel has accepted are taken before the
- * listener closes, for the close would reset them with the requests that their clients have sent.
+ * Accepts connections, and differs from MINA's acceptor in three points: an accept that fails for a moment (accept(2) names
+ * ECONNABORTED, ENFILE, ENOBUFS and others) delays the next one by milliseconds instead of a second; a limit holds on the
+ * connections that have a descriptor, however fast they arrive; and the listener closes only after it has accepted the
+ * connections in the backlog, since the close would reset them with the requests that their clients have sent.
+ *
+ * <p>Threading: {@link #sessionOpened} and {@link #failedAccepts} are thread-safe; the rest runs on the acceptor's thread.
  */
 final class ClientAcceptor extends NioSocketAcceptor {
     private static final Logger LOG = LoggerFactory.getLogger(ClientAcceptor.class);
-    /** After the first failure in a row none, then a millisecond more each time. */
-    private static final int LONGEST_PAUSE_MS = 10;
+    /** The pause after consecutive failures grows by a millisecond from none to this. */
+    private static final int MAX_FAILURE_PAUSE_MILLIS = 10;
 
-    private static final long LOOK_AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
-    /** Looked for room that often before the listener is looked at again, which may be asked to close. */
-    private static final int LOOKS = 200;
-    /** A closing listener accepts what waits in the backlog for so long, and gives the rest up. */
-    private static final long CLOSE_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long CAPACITY_POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+    /** After so many polls the listener is served again, since it may have been asked to close. */
+    private static final int MAX_CAPACITY_POLLS = 200;
+    /** How long a closing listener accepts connections from its backlog. */
+    private static final long MAX_CLOSE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final SimpleIoProcessorPool<NioSession> processors;
-    private final int most;
-    private final AtomicInteger unopened = new AtomicInteger();
-    private final AtomicInteger failures = new AtomicInteger();
-    private int failuresInARow;
+    private final int maxDescriptors;
+    private final AtomicInteger unopenedSessions = new AtomicInteger();
+    private final AtomicInteger failedAccepts = new AtomicInteger();
+    private int consecutiveFailures;
 
-    /** @param most connections that may have a descriptor at a time, whatever becomes of them */
-    ClientAcceptor(Executor threads, SimpleIoProcessorPool<NioSession> processors, int most) {
+    /**
+     * Creates an acceptor that does not listen yet.
+     *
+     * @param maxDescriptors connections that may have a descriptor at a time, in whatever state
+     */
+    ClientAcceptor(Executor threads, SimpleIoProcessorPool<NioSession> processors, int maxDescriptors) {
         super(threads, processors);
         this.processors = processors;
-        this.most = most;
+        this.maxDescriptors = maxDescriptors;
     }
 
-    /** A connection that was accepted is looked at now. */
-    void opened() {
-        unopened.decrementAndGet();
+    /** Records that the session of an accepted connection has opened. */
+    void sessionOpened() {
+        unopenedSessions.decrementAndGet();
     }
 
-    /** Accepts that failed since the start. */
-    int failures() {
-        return failures.get();
+    /** Returns how many accepts have failed since the start. */
+    int failedAccepts() {
+        return failedAccepts.get();
     }
 
-    /** Null where there is none, or it failed; by the acceptor's own thread. */
+    /** Returns null where no connection was accepted. */
     @Override
-    protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle) {
-        if (!awaitRoom()) {
+    protected @Nullable NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle) {
+        if (!awaitCapacity()) {
             return null;
         }
         try {
             NioSession session = super.accept(processor, handle);
             if (session == null) {
-                // no descriptor is left: MINA has told so, and waited
-                failures.incrementAndGet();
+                // no descriptor is left: MINA has logged that, and waited
+                failedAccepts.incrementAndGet();
                 return null;
             }
-            failuresInARow = 0;
-            unopened.incrementAndGet();
+            consecutiveFailures = 0;
+            unopenedSessions.incrementAndGet();
             return session;
         } catch (Exception e) {
-            failed(e);
+            acceptFailed(e);
             return null;
         }
     }
 
     /**
-     * A crowd that connects faster than a slow core closes would take every descriptor: what cannot be held waits in the
-     * kernel's backlog, and the thread that closes gets its turn meanwhile. False where it has waited for long.
+     * Waits until a further connection may have a descriptor; false where that took too long. Clients that connect faster
+     * than a slow core closes would else take all descriptors; now they wait in the kernel's backlog, and the threads that
+     * close connections get their turn.
      */
-    private boolean awaitRoom() {
-        for (int i = 0; i < LOOKS; i++) {
-            if (getManagedSessionCount() + unopened.get() < most) {
+    private boolean awaitCapacity() {
+        for (int poll = 0; poll < MAX_CAPACITY_POLLS; poll++) {
+            if (getManagedSessionCount() + unopenedSessions.get() < maxDescriptors) {
                 return true;
             }
-            LockSupport.parkNanos(LOOK_AGAIN_NANOS);
+            LockSupport.parkNanos(CAPACITY_POLL_NANOS);
         }
-        if (getManagedSessionCount() < most) {
-            // those that ended before they were opened are not told
-            unopened.set(0);
+        if (getManagedSessionCount() < maxDescriptors) {
+            // sessions that ended before they were opened are never reported
+            unopenedSessions.set(0);
         }
         return false;
     }
 
-    private void failed(Exception e) {
-        failures.incrementAndGet();
-        LOG.warn("a connection could not be accepted: {}", e.toString());
-        int pause = Math.min(LONGEST_PAUSE_MS, failuresInARow++);
-        if (pause > 0) {
-            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(pause));
+    private void acceptFailed(Exception cause) {
+        failedAccepts.incrementAndGet();
+        LOG.warn("cannot accept a connection: {}", cause.toString());
+        int pauseMillis = Math.min(MAX_FAILURE_PAUSE_MILLIS, consecutiveFailures++);
+        if (pauseMillis > 0) {
+            LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(pauseMillis));
         }
     }
 
-    /** By the acceptor's thread, which selects too. */
     @Override
     protected void close(ServerSocketChannel handle) throws Exception {
         try {
-            acceptRest();
+            acceptBacklog();
         } catch (Exception e) {
-            LOG.warn("not all connections in the backlog could be taken: {}", e.toString());
+            LOG.warn("cannot accept all connections in the backlog: {}", e.toString());
         } finally {
             super.close(handle);
         }
     }
 
-    private void acceptRest() throws Exception {
+    private void acceptBacklog() throws Exception {
         boolean more = true;
-        long end = System.nanoTime() + CLOSE_NANOS;
-        while (more && System.nanoTime() < end) {
-            // woken ahead, so that it looks without waiting
+        long deadlineNanos = System.nanoTime() + MAX_CLOSE_NANOS;
+        while (more && System.nanoTime() < deadlineNanos) {
+            // woken ahead, so that the select does not wait
             wakeup();
             more = select() > 0;
             for (Iterator<ServerSocketChannel> ready = selectedHandles(); ready.hasNext(); ) {
-                ServerSocketChannel each = ready.next();
+                ServerSocketChannel listener = ready.next();
                 ready.remove();
-                NioSession session = accept(processors, each);
+                NioSession session = accept(processors, listener);
                 if (session != null) {
                     initSession(session, null, null);
                     processors.add(session);
--- /dev/null
+++ b/src/main/java/laurelkeel/front/ingress/ClientIoHandler.java
@@ -0,0 +1,132 @@
+package laurelkeel.front.ingress;
+
+import java.io.IOException;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.wire.HttpProtocolException;
+import laurelkeel.wire.HttpRequest;
+import org.apache.mina.core.service.IoHandlerAdapter;
+import org.apache.mina.core.session.IoSession;
+import org.jspecify.annotations.Nullable;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Handles what happens on the connections of clients, and posts it to the event loop.
+ *
+ * <p>Thread-safe; called on the I/O threads of the connections.
+ */
+final class ClientIoHandler extends IoHandlerAdapter {
+    private static final Logger LOG = LoggerFactory.getLogger(ClientIoHandler.class);
+
+    private final EventLoop loop;
+    private final ClientAcceptor acceptor;
+    private final ClientConnectionTable connections;
+    private final ConnectionAdmission admission;
+    private final RequestReader reader;
+    private final RequestPipeline pipeline;
+    private final ResponseSender responses;
+
+    ClientIoHandler(
+            EventLoop loop,
+            ClientAcceptor acceptor,
+            ClientConnectionTable connections,
+            ConnectionAdmission admission,
+            RequestReader reader,
+            RequestPipeline pipeline,
+            ResponseSender responses) {
+        this.loop = loop;
+        this.acceptor = acceptor;
+        this.connections = connections;
+        this.admission = admission;
+        this.reader = reader;
+        this.pipeline = pipeline;
+        this.responses = responses;
+    }
+
+    @Override
+    public void sessionOpened(IoSession session) {
+        acceptor.sessionOpened();
+        admission.admit(session);
+    }
+
+    @Override
+    public void messageReceived(IoSession session, Object message) {
+        ClientConnection connection = connection(session);
+        long arrivedTicks = loop.clockTicks();
+        if (message instanceof HttpRequest request) {
+            if (connection.isRejected()) {
+                reader.discard(request);
+                return;
+            }
+            connection.requestRead();
+            post(connection, reader.read(connection, request, arrivedTicks));
+        } else if (message instanceof HttpProtocolException failure) {
+            connection.requestRead();
+            post(connection, reader.unreadable(failure));
+        }
+    }
+
+    private void post(ClientConnection connection, PipelinedMessage message) {
+        loop.post(() -> pipeline.received(connection, message));
+    }
+
+    @Override
+    public void exceptionCaught(IoSession session, Throwable cause) {
+        boolean network = cause instanceof IOException;
+        if (!network) {
+            LOG.error("client connection {}: cannot handle its input", session.getId(), cause);
+        }
+        recordCloseReason(ClientConnection.of(session), network ? CloseReason.BROKEN : CloseReason.INTERNAL_ERROR);
+        session.closeNow();
+    }
+
+    @Override
+    public void inputClosed(IoSession session) {
+        ClientConnection connection = ClientConnection.of(session);
+        recordCloseReason(connection, CloseReason.CLIENT_CLOSED);
+        // otherwise the end of input would be read again and again
+        session.suspendRead();
+        if (connection != null && connection.unansweredRequests() > 0) {
+            loop.post(() -> clientLeft(connection));
+        } else {
+            session.closeOnFlush();
+        }
+    }
+
+    private void clientLeft(ClientConnection connection) {
+        if (!connection.gone()) {
+            // a response of this turn may not be written yet, and counts as the one in progress
+            responses.flush();
+            pipeline.clientLeft(connection);
+        }
+    }
+
+    @Override
+    public void sessionClosed(IoSession session) {
+        ClientConnection connection = connection(session);
+        connections.recordClosed(connection);
+        int unanswered = connection.unansweredRequests();
+        if (unanswered > 0) {
+            LOG.info(
+                    "client connection {} ended: {}, {} requests on it unanswered",
+                    connection.id(),
+                    connection.closeReason(),
+                    unanswered);
+        }
+        loop.post(() -> pipeline.connectionClosed(connection));
+    }
+
+    private static ClientConnection connection(IoSession session) {
+        ClientConnection connection = ClientConnection.of(session);
+        if (connection == null) {
+            throw new IllegalStateException("session " + session.getId() + " was never opened");
+        }
+        return connection;
+    }
+
+    private static void recordCloseReason(@Nullable ClientConnection connection, CloseReason reason) {
+        if (connection != null) {
+            connection.recordCloseReason(reason);
+        }
+    }
+}
--- a/src/main/java/laurelkeel/front/ingress/ClientProtocol.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientProtocol.java
@@ -3,24 +3,41 @@
 import laurelkeel.wire.HttpProtocolException;
 import laurelkeel.wire.HttpRequest;
 import laurelkeel.wire.HttpResponse;
+import org.jspecify.annotations.Nullable;
 
-/** How one protocol's clients say what they want, and the words of the answers they get. Called on any thread. */
+/** Interprets the requests of one protocol's clients and builds the responses they get. Thread-safe; called on any thread. */
 public interface ClientProtocol {
-    /** True where a message is for the front itself and names no route. */
-    boolean isNodeRequest(HttpRequest http);
+    /** Whether a request is for the node itself and names no route. */
+    boolean isNodeRequest(HttpRequest request);
 
-    /** Reads a req off its message; a 4xx says what is wrong with it. */
-    ClientRequest parseRequest(HttpRequest http) throws HttpProtocolException;
+    /**
+     * Interprets a request.
+     *
+     * @throws HttpProtocolException with the status and text of the response where the request is invalid
+     */
+    ClientRequest parseRequest(HttpRequest request) throws HttpProtocolException;
 
-    /** The answer to what cannot be taken; http is null where it could not be read. */
-    HttpResponse badRequest(HttpProtocolException bad, HttpRequest http);
+    /**
+     * Returns the response to an invalid request.
+     *
+     * @param request null where it could not be read
+     */
+    HttpResponse badRequest(HttpProtocolException failure, @Nullable HttpRequest request);
 
-    /** Turned away before any decision: nothing was taken. */
-    HttpResponse notAccepted(String why);
+    /** Returns the response to a request that was rejected before any decision about it. */
+    HttpResponse notAccepted(String reason);
 
-    /** Shed: asking again is harmless. after is in tenths of a millisecond, 0 for no advice. */
-    HttpResponse rejected(long after, String why);
+    /**
+     * Returns the response to a request that was shed; a retry is harmless.
+     *
+     * @param retryAfterTicks the advised wait; 0 for no advice
+     */
+    HttpResponse rejected(long retryAfterTicks, String reason);
 
-    /** Errored, which promises nothing of what ran; late where its time was up. */
-    HttpResponse failed(boolean late, String why);
+    /**
+     * Returns the response to a request that failed; it may have been executed.
+     *
+     * @param timedOut whether it failed because its time was up
+     */
+    HttpResponse failed(boolean timedOut, String reason);
 }
--- a/src/main/java/laurelkeel/front/ingress/ClientRequest.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientRequest.java
@@ -3,95 +3,136 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Collection;
 import java.util.Set;
+import java.util.function.IntToLongFunction;
+import laurelkeel.wire.ByteBudget;
 import laurelkeel.wire.ForwardedMessage;
 import laurelkeel.wire.HeaderNames;
 import laurelkeel.wire.HopByHop;
 import laurelkeel.wire.HttpProtocolException;
 import laurelkeel.wire.HttpRequest;
+import org.jspecify.annotations.Nullable;
 
 /**
- * One req as its headers name it, read by the thread that has its connection.
+ * A client's request as its headers describe it, interpreted on the I/O thread that read it.
  *
- * @param id the client's own name of the req, of which no two may be open at once; null where it may name none
- * @param crossing what of it goes on to a machine
- * @param toHead its answer has no body on the wire
- * @param last its client wants the connection to end with the answer
- * @param key null where there is none
- * @param remaining tenths of a millisecond, at most the route's timeout
- * @param cost 0 where the client did not say
+ * @param clientRequestId the client's own id, unique among the requests in flight; null where the protocol has none
+ * @param forwarded the part that goes to endpoints
+ * @param headRequest whether the response has no body on the wire
+ * @param closesConnection whether the client wants the connection closed after the response
+ * @param route number of the route
+ * @param tenant number of the tenant
+ * @param partitionKey null for none
+ * @param remainingTicks how long the client still waits, at most the route's timeout
+ * @param expectedWorkMillis the client's estimate of the work; 0 for none
+ * @param clientRetry whether the client says that it retries an earlier request
  */
 public record ClientRequest(
-        String clientRequestId,
+        @Nullable String clientRequestId,
         ForwardedMessage forwarded,
         boolean headRequest,
         boolean closesConnection,
         int route,
         int tenant,
-        String partitionKey,
+        @Nullable String partitionKey,
         long remainingTicks,
         double expectedWorkMillis,
         boolean clientRetry) {
-    /** What only a front says: a peer that says it is not believed, and what it says ends here. */
-    private static final Collection<String> OWN =
+    /** Headers that only a front node sets. */
+    private static final Collection<String> NOT_FORWARDED =
             HopByHop.names(HeaderNames.REMAINING, HeaderNames.ATTEMPT, HeaderNames.FRONT);
 
-    private static final int LONGEST_KEY = 256;
-    private static final Set<String> YES = Set.of("1", "true");
+    private static final int MAX_PARTITION_KEY_BYTES = 256;
+    private static final double MAX_MILLIS = 1e9;
+    private static final int TICKS_PER_MILLI = 10;
+    private static final Set<String> TRUE_VALUES = Set.of("1", "true");
 
-    /** Reads the names; a 4xx says which header is wrong and what it should hold. */
-    public static ClientRequest read(HttpRequest http, RouteTable table, java.util.function.IntToLongFunction timeouts)
+    /**
+     * Interprets a request.
+     *
+     * @param timeoutTicks timeouts by number of the route
+     * @throws HttpProtocolException with a 4xx status and a text that says which header is wrong and what it should hold
+     */
+    public static ClientRequest read(HttpRequest http, RouteTable table, IntToLongFunction timeoutTicks)
             throws HttpProtocolException {
+        int route = readRoute(http, table);
+        int tenant = readTenant(http, table);
+        requireIdempotencyKey(http, table.entries().get(route));
+        String partitionKey = readPartitionKey(http);
+        long remainingTicks = readRemainingTicks(http, timeoutTicks.applyAsLong(route));
+        String clientRetry = http.headers().get(HeaderNames.CLIENT_RETRY);
+        return new ClientRequest(
+                null,
+                ForwardedMessage.of(http, NOT_FORWARDED),
+                http.method().equals("HEAD"),
+                http.closesConnection(),
+                route,
+                tenant,
+                partitionKey,
+                remainingTicks,
+                readMillis(http, HeaderNames.EXPECTED_WORK_MS, 0),
+                clientRetry != null && TRUE_VALUES.contains(clientRetry));
+    }
+
+    private static int readRoute(HttpRequest http, RouteTable table) throws HttpProtocolException {
         int route = table.route(http.method(), http.path());
-        if (route == -1) {
+        if (route == RouteTable.UNKNOWN_PATH) {
             throw new HttpProtocolException(404, "no route has this path");
         }
-        if (route == -2) {
+        if (route == RouteTable.METHOD_NOT_ALLOWED) {
             throw new HttpProtocolException(405, "this path takes " + table.allowedMethods(http.path()));
         }
-        int customer = table.tenant(http.headers().get(HeaderNames.TENANT));
-        if (customer < 0) {
+        return route;
+    }
+
+    private static int readTenant(HttpRequest http, RouteTable table) throws HttpProtocolException {
+        int tenant = table.tenant(http.headers().get(HeaderNames.TENANT));
+        if (tenant == RouteTable.UNKNOWN_TENANT) {
             throw new HttpProtocolException(400, HeaderNames.TENANT + " must name one of the customers set");
         }
-        if (table.entries().get(route).requiresIdempotencyKey()
-                && http.headers().get(HeaderNames.IDEMPOTENCY_KEY) == null) {
+        return tenant;
+    }
+
+    private static void requireIdempotencyKey(HttpRequest http, RouteTable.Entry route) throws HttpProtocolException {
+        if (route.requiresIdempotencyKey() && http.headers().get(HeaderNames.IDEMPOTENCY_KEY) == null) {
             throw new HttpProtocolException(
                     400, "this route needs " + HeaderNames.IDEMPOTENCY_KEY + ", a mark of its own for each req");
         }
+    }
+
+    private static @Nullable String readPartitionKey(HttpRequest http) throws HttpProtocolException {
         String key = http.headers().get(HeaderNames.PARTITION_KEY);
-        if (key != null && (key.isEmpty() || key.getBytes(StandardCharsets.ISO_8859_1).length > LONGEST_KEY)) {
+        if (key != null
+                && (key.isEmpty() || key.getBytes(StandardCharsets.ISO_8859_1).length > MAX_PARTITION_KEY_BYTES)) {
             throw new HttpProtocolException(
-                    400, HeaderNames.PARTITION_KEY + " must have 1 to " + LONGEST_KEY + " characters");
+                    400, HeaderNames.PARTITION_KEY + " must have 1 to " + MAX_PARTITION_KEY_BYTES + " characters");
         }
-        double left = number(http, HeaderNames.REMAINING, timeouts.applyAsLong(route) / 10.0);
-        // deadlines round down: the client must never be answered later than it waits
-        long remaining = Math.min(timeouts.applyAsLong(route), (long) Math.floor(left * 10));
-        String again = http.headers().get(HeaderNames.CLIENT_RETRY);
-        return new ClientRequest(
-                null,
-                ForwardedMessage.of(http, OWN),
-                http.method().equals("HEAD"),
-                http.closesConnection(),
-                route,
-                customer,
-                key,
-                remaining,
-                number(http, HeaderNames.EXPECTED_WORK_MS, 0),
-                again != null && YES.contains(again));
+        return key;
+    }
+
+    private static long readRemainingTicks(HttpRequest http, long timeoutTicks) throws HttpProtocolException {
+        double remainingMillis = readMillis(http, HeaderNames.REMAINING, timeoutTicks / (double) TICKS_PER_MILLI);
+        // rounded down: a response must never come later than the client waits
+        return Math.min(timeoutTicks, (long) Math.floor(remainingMillis * TICKS_PER_MILLI));
     }
 
-    private static double number(HttpRequest http, String name, double absent) throws HttpProtocolException {
-        String s = http.headers().get(name);
-        if (s == null) {
+    private static double readMillis(HttpRequest http, String header, double absent) throws HttpProtocolException {
+        String value = http.headers().get(header);
+        if (value == null) {
             return absent;
         }
         try {
-            double d = Double.parseDouble(s);
-            if (d >= 0 && d < 1e9) {
-                return d;
+            double millis = Double.parseDouble(value);
+            if (millis >= 0 && millis < MAX_MILLIS) {
+                return millis;
             }
-        } catch (NumberFormatException e) {
-            // told below
+        } catch (NumberFormatException ignored) {
+            // reported below with the other invalid values
         }
-        throw new HttpProtocolException(400, name + " must be a number of milliseconds, as 2500 or 80.5");
+        throw new HttpProtocolException(400, header + " must be a number of milliseconds, as 2500 or 80.5");
+    }
+
+    /** Returns the bytes of the body to the budget that they were reserved from. */
+    void releaseBody(ByteBudget budget) {
+        budget.release(forwarded.body().length);
     }
 }
--- a/src/main/java/laurelkeel/front/ingress/CloseReason.java
+++ b/src/main/java/laurelkeel/front/ingress/CloseReason.java
@@ -1,29 +1,32 @@
 package laurelkeel.front.ingress;
 
-/** Why a client's connection ended; counted in the metrics, and logged where a request may have been left unanswered. */
+/**
+ * Why a client's connection ended. The lower-case names are the values of the {@code reason} label of the metric
+ * {@code laurelkeel_client_connections_closed}; the names also stand in the log.
+ */
 public enum CloseReason {
     /** The client ended its side in order. */
     CLIENT_CLOSED,
-    /** The connection broke: reset, timed out, or unreachable. */
+    /** The connection broke: reset, timed out or unreachable. */
     BROKEN,
-    /** Nothing was asked on it for the idle limit. */
+    /** It was idle past the idle timeout. */
     IDLE,
-    /** No whole request came within the limit for the first one. */
+    /** No complete request came within the timeout for the first one. */
     FIRST_REQUEST_LATE,
-    /** A request stayed unfinished past its limit. */
+    /** A request stayed incomplete past its timeout. */
     REQUEST_UNFINISHED,
-    /** Nothing of what was written for it left in time. */
+    /** No byte of the pending responses could be written within the write timeout. */
     WRITE_STALLED,
-    /** It gave its place to a newer connection. */
+    /** It was idle and gave its slot to a newer connection. */
     ROOM_NEEDED,
-    /** No place was free for it. */
+    /** No slot was free for it. */
     NO_PLACE,
-    /** It was idle while the front drained. */
+    /** It was idle while the node drained. */
     DRAIN,
-    /** The last answer on it was written. */
+    /** Its last response was written. */
     LAST_ANSWER,
-    /** An error of this program while handling what came on it. */
+    /** An error of this program while it handled the input. */
     INTERNAL_ERROR,
-    /** The front ended. */
+    /** The node ended. */
     FRONT_ENDED
 }
--- a/src/main/java/laurelkeel/front/ingress/IngressListener.java
+++ b/src/main/java/laurelkeel/front/ingress/IngressListener.java
@@ -1,23 +1,33 @@
 package laurelkeel.front.ingress;
 
 import laurelkeel.wire.HttpRequest;
+import org.jspecify.annotations.Nullable;
 
-/** What the ingress tells the front, on the front's own thread. */
+/** Receives requests from the {@link Ingress}, and tells it whether more are welcome; called on the event loop's thread. */
 public interface IngressListener {
-    /** A req whose turn on its connection has come; arrived is the moment its last byte was read. */
-    void onRequest(ClientConnection from, ClientRequest asked, long arrived);
+    /**
+     * Called when a request's turn on its connection has come.
+     *
+     * @param arrivedTicks when its last byte was read
+     */
+    void onRequest(ClientConnection connection, ClientRequest request, long arrivedTicks);
 
-    /** A message for the front itself. */
-    void onNodeRequest(ClientConnection from, HttpRequest http);
+    /** Called when the turn of a request to the node itself has come. */
+    void onNodeRequest(ClientConnection connection, HttpRequest request);
 
-    /** The connection is gone; current is the token of the req in progress on it, or null. */
-    void onDisconnect(Object current);
+    /**
+     * Called when a connection with a request in progress is gone.
+     *
+     * @param current the token of that request, see {@link ClientConnection#current}; null for none
+     */
+    void onDisconnect(@Nullable Object current);
 
-    /** How many reqs are held. */
+    /** Returns the number of requests in flight. */
     int activeRequests();
 
+    /** Whether the node has been told to stop. */
     boolean isDraining();
 
-    /** Nothing is decided any more: what still comes is refused. */
+    /** Whether the node makes no decisions any more, so that all further requests are rejected. */
     boolean hasEnded();
 }
--- a/src/main/java/laurelkeel/front/ingress/IngressSettings.java
+++ b/src/main/java/laurelkeel/front/ingress/IngressSettings.java
@@ -4,18 +4,25 @@
 import laurelkeel.wire.HttpLimits;
 
 /**
- * The door's bounds; times in tenths of a millisecond.
+ * Limits and timeouts of the connections from clients.
  *
- * @param spare connections that may come on top while others make room for them
- * @param openReqs reqs held at once; past them new ones are shed at the door
- * @param backlog happenings waiting for the loop; past them new reqs are shed at the door
- * @param pipelined reqs of one connection that may wait behind the one in progress; past them it is not read
- * @param drainMost the longest that a front told to stop waits for what it holds
- * @param lameDuck how long a front told to stop goes on taking reqs
- * @param firstReq a connection whose first req is not whole by then is closed; 0: as idle ones
- * @param halfReq a req begun and not whole by then is refused and its connection closed; 0: as idle ones
- * @param keep an idle connection is kept so long after an answer even where another needs its place; 0: connections
- *     that come when all places are taken are turned away
+ * @param listenAddress port 0 for any free one
+ * @param httpLimits limits on each request
+ * @param maxConnections slots for connections
+ * @param spareConnections connections that may be open beyond those while others are closed to make room
+ * @param maxOpenRequests requests in flight; further ones are rejected
+ * @param maxQueuedTasks tasks waiting for the event loop; while there are more, new requests are rejected
+ * @param maxPipelinedRequests requests of one connection that may wait behind the one in progress; with more, the
+ *     connection is not read
+ * @param idleTimeoutTicks how long a connection may be idle before it is closed
+ * @param writeTimeoutTicks how long a pending response may make no progress before its connection is closed
+ * @param threads I/O threads
+ * @param maxDrainTicks how long a node that was told to stop waits for its requests in flight
+ * @param lameDuckTicks how long a node that was told to stop goes on accepting requests
+ * @param firstRequestTimeoutTicks how long a new connection may take to its first complete request; 0 for the idle timeout
+ * @param partialRequestTimeoutTicks how long a request may take from its first byte to its last; 0 for the idle timeout
+ * @param minIdleTicks how long a connection is kept after a response even where a newer one needs its slot; 0 to reject
+ *     new connections instead of closing idle ones
  */
 public record IngressSettings(
         InetSocketAddress listenAddress,
--- /dev/null
+++ b/src/main/java/laurelkeel/front/ingress/ResponseSender.java
@@ -0,0 +1,106 @@
+package laurelkeel.front.ingress;
+
+import java.util.ArrayList;
+import java.util.List;
+import laurelkeel.eventloop.EventLoop;
+import laurelkeel.wire.ForwardedMessage;
+import laurelkeel.wire.HttpResponse;
+import laurelkeel.wire.MessageBuilder;
+import org.apache.mina.core.buffer.IoBuffer;
+import org.apache.mina.core.future.WriteFuture;
+import org.jspecify.annotations.Nullable;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Collects the responses of a turn of the event loop, and writes them together at its end: each first write wakes the I/O
+ * thread of its connection, which is a system call, and those that follow closely find that thread awake.
+ *
+ * <p>Not thread-safe; called on the event loop's thread.
+ */
+final class ResponseSender {
+    private static final Logger LOG = LoggerFactory.getLogger(ResponseSender.class);
+
+    private final EventLoop loop;
+    private final IngressListener listener;
+    private final RequestPipeline pipeline;
+    private final List<Runnable> pendingWrites = new ArrayList<>();
+
+    ResponseSender(EventLoop loop, IngressListener listener, RequestPipeline pipeline) {
+        this.loop = loop;
+        this.listener = listener;
+        this.pipeline = pipeline;
+    }
+
+    /** See {@link Ingress#answer}. */
+    void answer(ClientConnection connection, boolean last, HttpResponse response) {
+        boolean closes = last || listener.isDraining();
+        if (closes) {
+            response.headers().add("Connection", "close");
+        }
+        enqueue(connection, () -> connection.gone() ? null : connection.write(response, closes));
+    }
+
+    /** See {@link Ingress#forward}. */
+    void forward(
+            ClientConnection connection,
+            boolean last,
+            ForwardedMessage response,
+            MessageBuilder ownHeaders,
+            Runnable onDone) {
+        boolean closes = last || listener.isDraining();
+        if (closes) {
+            ownHeaders.appendHeader("Connection", "close");
+        }
+        byte[] bytes = response.assemble(ownHeaders, !connection.isHeadRequest());
+        enqueue(connection, () -> {
+            if (connection.gone()) {
+                onDone.run();
+                return null;
+            }
+            WriteFuture written = connection.write(IoBuffer.wrap(bytes), closes);
+            written.addListener(done -> onDone.run());
+            return written;
+        });
+    }
+
+    /** Writes the final response of the request in progress. */
+    private interface ResponseWrite {
+        /** Returns null where the connection is gone. */
+        @Nullable
+        WriteFuture write();
+    }
+
+    private void enqueue(ClientConnection connection, ResponseWrite response) {
+        connection.current(null);
+        pendingWrites.add(() -> write(connection, response));
+    }
+
+    /** Writes the collected responses. */
+    void flush() {
+        // by index: a write may lead to a further response
+        for (int i = 0; i < pendingWrites.size(); i++) {
+            try {
+                pendingWrites.get(i).run();
+            } catch (RuntimeException e) {
+                LOG.error("cannot write a response", e);
+            }
+        }
+        pendingWrites.clear();
+    }
+
+    private void write(ClientConnection connection, ResponseWrite response) {
+        WriteFuture written = response.write();
+        connection.idleSince(loop.nowTicks());
+        connection.requestAnswered();
+        if (written == null || !connection.hasWaiting()) {
+            connection.setRequestInProgress(false);
+        } else {
+            // the next request begins once this is written: a client that reads slowly is served slowly
+            written.addListener(done -> loop.post(() -> {
+                connection.setRequestInProgress(false);
+                pipeline.startNext(connection);
+            }));
+        }
+    }
+}
--- a/src/main/java/laurelkeel/front/ingress/package-info.java
+++ b/src/main/java/laurelkeel/front/ingress/package-info.java
@@ -1,2 +1,5 @@
-/** Sockets to clients: HTTP/1.1 in, reqs named by route, customer and key out, final answers back. */
+/** Connections from clients: HTTP/1.1 requests in, named by route, tenant and partition key, and final responses out. */
+@NullMarked
 package laurelkeel.front.ingress;
+
+import org.jspecify.annotations.NullMarked;
--- /dev/null
+++ b/src/test/java/laurelkeel/front/ingress/ClientConnectionTest.java
@@ -0,0 +1,60 @@
+package laurelkeel.front.ingress;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.apache.mina.core.session.DummySession;
+import org.junit.jupiter.api.Test;
+
+class ClientConnectionTest {
+    private static final int MAX_PIPELINED_REQUESTS = 4;
+
+    private final DummySession session = new DummySession();
+    private final ClientConnection connection = new ClientConnection(session, MAX_PIPELINED_REQUESTS, 0);
+
+    @Test
+    void readingStopsWhileTooManyRequestsWaitAndGoesOnOnceFewDo() {
+        for (int i = 0; i < MAX_PIPELINED_REQUESTS; i++) {
+            connection.requestRead();
+        }
+        assertFalse(session.isReadSuspended());
+        connection.requestRead();
+        assertTrue(session.isReadSuspended());
+        connection.requestAnswered();
+        assertTrue(session.isReadSuspended());
+        connection.requestAnswered();
+        assertFalse(session.isReadSuspended());
+        assertEquals(MAX_PIPELINED_REQUESTS + 1, connection.requestsRead());
+        assertEquals(3, connection.unansweredRequests());
+    }
+
+    @Test
+    void theFirstCloseReasonCounts() {
+        assertEquals(CloseReason.FRONT_ENDED, connection.closeReason());
+        connection.recordCloseReason(CloseReason.IDLE);
+        connection.recordCloseReason(CloseReason.BROKEN);
+        assertEquals(CloseReason.IDLE, connection.closeReason());
+    }
+
+    @Test
+    void aSlotIsLeftAndRetakenOnce() {
+        assertTrue(connection.leaveSlot());
+        assertFalse(connection.leaveSlot());
+        assertTrue(connection.retakeSlot());
+        assertFalse(connection.retakeSlot());
+    }
+
+    @Test
+    void oneRequestIsInProgressAtATime() {
+        assertFalse(connection.isReadyForNext());
+        connection.enqueue(new PipelinedMessage.Rejected(null, false, false));
+        assertTrue(connection.isReadyForNext());
+        connection.setRequestInProgress(true);
+        assertFalse(connection.isReadyForNext());
+        connection.setRequestInProgress(false);
+        connection.markClosed();
+        assertFalse(connection.isReadyForNext());
+        assertTrue(connection.discardsInput());
+    }
+}
