--- a/src/main/java/laurelkeel/wire/ForwardedMessage.java
+++ b/src/main/java/laurelkeel/wire/ForwardedMessage.java
@@ -3,47 +3,64 @@
 import java.util.Collection;
 
 /**
- * A message on its way from one connection to another. What may cross is encoded by the thread that read it; the
- * one thread that decides only adds this hop's own lines.
+ * The part of a message that is forwarded from one connection to another. The I/O thread that read the message encodes it; the
+ * event loop's thread only adds this hop's own header lines.
  *
- * @param head the first line, the headers that cross and the body's length, without the empty line
+ * @param head the start line, the forwarded headers and the length of the body, without the empty line
+ * @param body not copied, and not to be changed
  */
+// copies would cost the request path; forwarded messages are not compared
+@SuppressWarnings("ArrayRecordComponent")
 public record ForwardedMessage(byte[] head, byte[] body) {
+    private static final int NO_CONTENT = 204;
 
-    /** @param leftOut names that end here beside those that end at every hop */
-    public static ForwardedMessage of(HttpRequest r, Collection<String> leftOut) {
-        MessageBuilder to = new MessageBuilder()
-                .appendText(r.method())
+    /**
+     * Encodes a request.
+     *
+     * @param excluded header names that are not forwarded, beside those that never are
+     */
+    public static ForwardedMessage of(HttpRequest request, Collection<String> excluded) {
+        MessageBuilder head = new MessageBuilder()
+                .appendText(request.method())
                 .appendText(" ")
-                .appendText(r.target())
+                .appendText(request.target())
                 .appendText(" HTTP/1.1\r\n");
-        HopByHop.appendForwardable(r.headers(), to, leftOut);
-        return ended(to, r.body(), HttpWriter.hasContentLength(r));
+        HopByHop.appendForwardable(request.headers(), head, excluded);
+        return complete(head, request.body(), HttpWriter.hasContentLength(request));
     }
 
-    /** @param leftOut as above */
-    public static ForwardedMessage of(HttpResponse a, Collection<String> leftOut) {
-        MessageBuilder to = new MessageBuilder().appendText(HttpWriter.statusLine(a.status()));
-        HopByHop.appendForwardable(a.headers(), to, leftOut);
-        return ended(to, a.body(), a.status() != 204);
+    /**
+     * Encodes a response.
+     *
+     * @param excluded header names that are not forwarded, beside those that never are
+     */
+    public static ForwardedMessage of(HttpResponse response, Collection<String> excluded) {
+        MessageBuilder head = new MessageBuilder().appendText(HttpWriter.statusLine(response.status()));
+        HopByHop.appendForwardable(response.headers(), head, excluded);
+        return complete(head, response.body(), response.status() != NO_CONTENT);
     }
 
-    private static ForwardedMessage ended(MessageBuilder to, byte[] body, boolean length) {
-        if (length) {
-            to.appendHeader("Content-Length", Integer.toString(body.length));
+    private static ForwardedMessage complete(MessageBuilder head, byte[] body, boolean hasContentLength) {
+        if (hasContentLength) {
+            head.appendHeader("Content-Length", Integer.toString(body.length));
         }
-        return new ForwardedMessage(to.takeBytes(), body);
+        return new ForwardedMessage(head.takeBytes(), body);
     }
 
-    /** The whole message: own lines, each with its end, stand after those that crossed. */
-    public byte[] assemble(MessageBuilder own, boolean withBody) {
-        byte[] mine = own.appendText("\r\n").takeBytes();
-        byte[] out = new byte[head.length + mine.length + (withBody ? body.length : 0)];
-        System.arraycopy(head, 0, out, 0, head.length);
-        System.arraycopy(mine, 0, out, head.length, mine.length);
+    /**
+     * Returns the bytes of the whole message.
+     *
+     * @param ownHeaders header lines of this hop, each with its end, which follow the forwarded ones
+     * @param withBody false for the response to a HEAD request
+     */
+    public byte[] assemble(MessageBuilder ownHeaders, boolean withBody) {
+        byte[] own = ownHeaders.appendText("\r\n").takeBytes();
+        byte[] message = new byte[head.length + own.length + (withBody ? body.length : 0)];
+        System.arraycopy(head, 0, message, 0, head.length);
+        System.arraycopy(own, 0, message, head.length, own.length);
         if (withBody) {
-            System.arraycopy(body, 0, out, head.length + mine.length, body.length);
+            System.arraycopy(body, 0, message, head.length + own.length, body.length);
         }
-        return out;
+        return message;
     }
 }
--- a/src/main/java/laurelkeel/wire/Headers.java
+++ b/src/main/java/laurelkeel/wire/Headers.java
@@ -3,40 +3,48 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import org.jspecify.annotations.Nullable;
 
-/** Header lines in the order they came; names compare without case. Not shared between threads while changing. */
+/** Header lines in the order they came; names compare without case. Not thread-safe while it changes. */
 public final class Headers {
-    private final List<String> names = new ArrayList<>(8);
-    private final List<String> values = new ArrayList<>(8);
+    private static final int EXPECTED_LINES = 8;
 
+    private final List<String> names = new ArrayList<>(EXPECTED_LINES);
+    private final List<String> values = new ArrayList<>(EXPECTED_LINES);
+
+    /** Returns headers from names and values in turn. */
     public static Headers of(String... namesAndValues) {
-        Headers h = new Headers();
+        Headers headers = new Headers();
         for (int i = 0; i < namesAndValues.length; i += 2) {
-            h.add(namesAndValues[i], namesAndValues[i + 1]);
+            headers.add(namesAndValues[i], namesAndValues[i + 1]);
         }
-        return h;
+        return headers;
     }
 
+    /** Adds a line; one of the same name stays. */
     public Headers add(String name, String value) {
         names.add(name);
         values.add(value);
         return this;
     }
 
+    /** Returns the number of lines. */
     public int size() {
         return names.size();
     }
 
-    public String name(int i) {
-        return names.get(i);
+    /** Returns the name in the line at an index. */
+    public String name(int index) {
+        return names.get(index);
     }
 
-    public String value(int i) {
-        return values.get(i);
+    /** Returns the value in the line at an index. */
+    public String value(int index) {
+        return values.get(index);
     }
 
-    /** The first value of that name, or null. */
-    public String get(String name) {
+    /** Returns the first value of a name; null for none. */
+    public @Nullable String get(String name) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
                 return values.get(i);
@@ -45,20 +53,24 @@
         return null;
     }
 
-    /** How often the name stands; more than once is an error for names that decide where a message ends. */
+    /** Returns the number of lines with a name; more than one is an error for names that frame a message. */
     public int count(String name) {
-        int n = 0;
-        for (String s : names) {
-            n += s.equalsIgnoreCase(name) ? 1 : 0;
+        int count = 0;
+        for (String each : names) {
+            count += each.equalsIgnoreCase(name) ? 1 : 0;
         }
-        return n;
+        return count;
     }
 
-    /** True where a comma list of that name, over all its lines, holds the token. */
+    /**
+     * Whether the comma-separated list of a name, over all its lines, contains a token.
+     *
+     * @param token in lower case
+     */
     public boolean has(String name, String token) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
-                for (String part : values.get(i).split(",")) {
+                for (String part : values.get(i).split(",", -1)) {
                     if (part.trim().toLowerCase(Locale.ROOT).equals(token)) {
                         return true;
                     }
@@ -70,10 +82,10 @@
 
     @Override
     public String toString() {
-        StringBuilder s = new StringBuilder();
+        StringBuilder lines = new StringBuilder();
         for (int i = 0; i < names.size(); i++) {
-            s.append(names.get(i)).append(": ").append(values.get(i)).append('\n');
+            lines.append(names.get(i)).append(": ").append(values.get(i)).append('\n');
         }
-        return s.toString();
+        return lines.toString();
     }
 }
--- a/src/main/java/laurelkeel/wire/HttpCodec.java
+++ b/src/main/java/laurelkeel/wire/HttpCodec.java
@@ -1,222 +1,158 @@
 package laurelkeel.wire;
 
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.session.AttributeKey;
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.filter.codec.ProtocolCodecFactory;
 import org.apache.mina.filter.codec.ProtocolCodecFilter;
 import org.apache.mina.filter.codec.ProtocolDecoder;
-import org.apache.mina.filter.codec.ProtocolDecoderOutput;
 import org.apache.mina.filter.codec.ProtocolEncoder;
-import org.apache.mina.filter.codec.ProtocolEncoderOutput;
+import org.jspecify.annotations.Nullable;
 
 /**
- * The parser and the writer as a filter of MINA's chain. Handlers receive HttpReq or HttpAnswer, or BadHttp once where
- * the input cannot be read on, after which the rest of the connection is passed over.
+ * The parser and the writer as a filter of MINA's chain. Handlers receive each {@link HttpMessage}, or once an
+ * {@link HttpProtocolException} where the input is invalid, after which the rest of the input is skipped.
+ *
+ * <p>Thread-safe.
  */
 public final class HttpCodec implements ProtocolCodecFactory {
 
-    /** Bytes as they are, for peers that misbehave on purpose. */
+    /** Bytes that are written as they are, for test peers that misbehave. */
+    // a record only by form: never compared
+    @SuppressWarnings("ArrayRecordComponent")
     public record Raw(byte[] bytes) {}
 
-    /** No bytes: what is written for it is told by the thread that has the connection, once all before it has left. */
+    /** A message without bytes: its write completes on the I/O thread once all writes before it have. */
     public enum FlushMarker {
+        /** The marker. */
         INSTANCE
     }
 
-    private static final AttributeKey READER = new AttributeKey(HttpCodec.class, "reader");
-    private static final AttributeKey TO_ASK = new AttributeKey(HttpCodec.class, "toAsk");
-    private static final AttributeKey ASKED = new AttributeKey(HttpCodec.class, "asked");
-    private static final AttributeKey TO_HEAD = new AttributeKey(HttpCodec.class, "toHead");
-    private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+    private static final AttributeKey DECODER = new AttributeKey(HttpCodec.class, "decoder");
+    private static final AttributeKey REQUEST_ANNOUNCED = new AttributeKey(HttpCodec.class, "requestAnnounced");
+    private static final AttributeKey RESPONSE_EXPECTED = new AttributeKey(HttpCodec.class, "responseExpected");
+    private static final AttributeKey HEAD_RESPONSE_EXPECTED =
+            new AttributeKey(HttpCodec.class, "headResponseExpected");
+    private static final ProtocolEncoder ENCODER = new HttpMessageEncoder();
 
-    private static final ProtocolEncoder WRITER = new Writer();
-
-    private final HttpParser.MessageKind side;
+    private final HttpParser.MessageKind kind;
     private final HttpLimits limits;
-    private final ByteBudget room;
-    private final boolean oneByOne;
+    private final ByteBudget bodyBudget;
+    private final boolean oneRequestAtATime;
 
-    private HttpCodec(HttpParser.MessageKind side, HttpLimits limits, ByteBudget room, boolean oneByOne) {
-        this.oneByOne = oneByOne;
-        this.side = side;
+    private HttpCodec(
+            HttpParser.MessageKind kind, HttpLimits limits, ByteBudget bodyBudget, boolean oneRequestAtATime) {
+        this.kind = kind;
         this.limits = limits;
-        this.room = room;
+        this.bodyBudget = bodyBudget;
+        this.oneRequestAtATime = oneRequestAtATime;
     }
 
-    /** The filter for the side that takes requests. */
+    /** Returns the filter for connections that receive requests. */
     public static ProtocolCodecFilter server(HttpLimits limits) {
         return server(limits, new ByteBudget(Long.MAX_VALUE));
     }
 
-    /** The same, with a bound for all bodies together; who takes a message gives its body's bytes back. */
-    public static ProtocolCodecFilter server(HttpLimits limits, ByteBudget room) {
-        return new ProtocolCodecFilter(new HttpCodec(HttpParser.MessageKind.REQUEST, limits, room, false));
+    /**
+     * Returns the filter for connections that receive requests.
+     *
+     * @param bodyBudget for the bodies of all requests; whoever handles a request releases its body
+     */
+    public static ProtocolCodecFilter server(HttpLimits limits, ByteBudget bodyBudget) {
+        return new ProtocolCodecFilter(new HttpCodec(HttpParser.MessageKind.REQUEST, limits, bodyBudget, false));
     }
 
-    /** The filter for the side that takes answers. */
+    /** Returns the filter for connections that receive responses. */
     public static ProtocolCodecFilter client(HttpLimits limits) {
-        return new AnswerFilter(
-                new HttpCodec(HttpParser.MessageKind.RESPONSE, limits, new ByteBudget(Long.MAX_VALUE), false));
+        return client(limits, new ByteBudget(Long.MAX_VALUE), false);
+    }
+
+    /**
+     * Returns the filter for connections that carry one request at a time, each announced with {@link #announceRequest};
+     * input that belongs to none closes the connection. It needs an {@link UnexpectedInputProcessor}.
+     *
+     * @param bodyBudget for the bodies of all responses; whoever handles a response releases its body
+     */
+    public static ProtocolCodecFilter client(HttpLimits limits, ByteBudget bodyBudget) {
+        return client(limits, bodyBudget, true);
     }
 
-    /** For connections with one request at a time, each told by toAsk: bytes that nothing asked for end them. Needs LookingProcessor. */
-    public static ProtocolCodecFilter client(HttpLimits limits, ByteBudget room) {
-        return new AnswerFilter(new HttpCodec(HttpParser.MessageKind.RESPONSE, limits, room, true));
+    private static ProtocolCodecFilter client(HttpLimits limits, ByteBudget bodyBudget, boolean oneRequestAtATime) {
+        return new ResponseFilter(
+                new HttpCodec(HttpParser.MessageKind.RESPONSE, limits, bodyBudget, oneRequestAtATime));
     }
 
-    /** Said before a request is handed over to be written, where requests go one by one. */
+    /** Tells, before a request is written, that it is the next one on a connection with one request at a time. */
     public static void announceRequest(IoSession session) {
-        session.setAttribute(TO_ASK, true);
+        session.setAttribute(REQUEST_ANNOUNCED, true);
     }
 
-    /** True once for each request that is to be written now. */
+    /** Returns true once for each announced request, which is then about to be written. */
     static boolean takeAnnouncedRequest(IoSession session) {
-        return session.removeAttribute(TO_ASK) != null;
+        return session.removeAttribute(REQUEST_ANNOUNCED) != null;
     }
 
-    /** What comes from here on is an answer; by the thread that reads and writes. */
+    /** Tells that input from now on belongs to a response; on the I/O thread. */
     static void expectResponse(IoSession session) {
-        session.setAttribute(ASKED, true);
+        session.setAttribute(RESPONSE_EXPECTED, true);
+    }
+
+    /** Returns true once for each response that is expected. */
+    static boolean takeExpectedResponse(IoSession session) {
+        return session.removeAttribute(RESPONSE_EXPECTED) != null;
+    }
+
+    /** Tells, before a HEAD request is written, that the next response has no body; with one request at a time. */
+    public static void expectHeadResponse(IoSession session) {
+        session.setAttribute(HEAD_RESPONSE_EXPECTED, true);
+    }
+
+    /** Returns true once for each response to a HEAD request that is expected. */
+    static boolean takeExpectedHeadResponse(IoSession session) {
+        return session.containsAttribute(HEAD_RESPONSE_EXPECTED)
+                && session.removeAttribute(HEAD_RESPONSE_EXPECTED) != null;
     }
 
-    /** Since when a message is half read, on System.nanoTime's clock; 0 where none is. On any thread. */
+    /** Returns since when a message has been read in part, by {@link System#nanoTime}; 0 where none is. */
     public static long partialMessageSinceNanos(IoSession session) {
-        return session.getAttribute(READER) instanceof Reader r ? r.halfSince : 0;
+        HttpMessageDecoder decoder = decoder(session);
+        return decoder == null ? 0 : decoder.partialSinceNanos();
+    }
+
+    /** Returns the decoder of a session; null where nothing was read on it. */
+    static @Nullable HttpMessageDecoder decoder(IoSession session) {
+        return session.getAttribute(DECODER) instanceof HttpMessageDecoder decoder ? decoder : null;
     }
 
     @Override
     public ProtocolDecoder getDecoder(IoSession session) {
-        // MINA asks for it at every read; what is half read lives in it
-        Reader reader = (Reader) session.getAttribute(READER);
-        if (reader == null) {
-            reader = new Reader(new HttpParser(side, limits, room), oneByOne);
-            session.setAttribute(READER, reader);
+        // MINA calls this at every read; a message that was read in part is kept in the decoder
+        HttpMessageDecoder decoder = decoder(session);
+        if (decoder == null) {
+            decoder = new HttpMessageDecoder(new HttpParser(kind, limits, bodyBudget), oneRequestAtATime);
+            session.setAttribute(DECODER, decoder);
         }
-        return reader;
+        return decoder;
     }
 
     @Override
     public ProtocolEncoder getEncoder(IoSession session) {
-        return WRITER;
-    }
-
-    /** Said by a client before it writes a HEAD request, on a connection with one request at a time. */
-    public static void expectHeadResponse(IoSession session) {
-        session.setAttribute(TO_HEAD, true);
+        return ENCODER;
     }
 
-    /** An answer without a length is whole where the server ends its side in order (RFC 9112, 6.3), and only there. */
-    private static final class AnswerFilter extends ProtocolCodecFilter {
-        AnswerFilter(HttpCodec codec) {
+    /** Completes a response without a length where the server ends its output in order, and only there. */
+    private static final class ResponseFilter extends ProtocolCodecFilter {
+        ResponseFilter(HttpCodec codec) {
             super(codec);
         }
 
         @Override
         public void inputClosed(NextFilter next, IoSession session) throws Exception {
-            Object whole = session.getAttribute(READER) instanceof Reader reader ? reader.ended() : null;
-            if (whole != null) {
-                next.messageReceived(session, whole);
+            HttpMessageDecoder decoder = decoder(session);
+            HttpMessage completed = decoder == null ? null : decoder.inputClosed();
+            if (completed != null) {
+                next.messageReceived(session, completed);
             }
             next.inputClosed(session);
         }
     }
-
-    private static final class Reader implements ProtocolDecoder {
-        private final HttpParser parser;
-        private final boolean oneByOne;
-        private boolean broken, awaits;
-        volatile long halfSince;
-
-        Reader(HttpParser parser, boolean oneByOne) {
-            this.oneByOne = oneByOne;
-            this.parser = parser;
-        }
-
-        /** The other side has ended its output in order: what that makes whole, or null. */
-        Object ended() {
-            return broken ? null : parser.finish();
-        }
-
-        @Override
-        public void decode(IoSession session, IoBuffer in, ProtocolDecoderOutput out) {
-            ByteBuffer bytes = in.buf();
-            if (broken) {
-                bytes.position(bytes.limit());
-                return;
-            }
-            if (session.containsAttribute(TO_HEAD)) {
-                session.removeAttribute(TO_HEAD);
-                parser.expectHeadResponse();
-            }
-            try {
-                boolean inBody = parser.inBody();
-                while (bytes.hasRemaining()) {
-                    if (oneByOne && !awaits) {
-                        awaits = session.removeAttribute(ASKED) != null;
-                        if (!awaits) {
-                            throw new HttpProtocolException(502, "bytes that nothing asked for");
-                        }
-                    }
-                    Object whole = parser.read(bytes);
-                    if (whole != null) {
-                        halfSince = 0;
-                        awaits = false;
-                        if (oneByOne && bytes.hasRemaining() && whole instanceof HttpResponse a) {
-                            // what stands behind an answer would be taken for the next one: this is the last here
-                            a.headers().add("Connection", "close");
-                            broken = true;
-                            bytes.position(bytes.limit());
-                        }
-                        out.write(whole);
-                        inBody = false;
-                    }
-                }
-                if (halfSince == 0 && !parser.idle()) {
-                    halfSince = System.nanoTime() | 1;
-                }
-                if (parser.wantsContinue() && !inBody) {
-                    session.write(new Raw(CONTINUE));
-                }
-            } catch (HttpProtocolException e) {
-                broken = true;
-                parser.close();
-                bytes.position(bytes.limit());
-                out.write(e);
-            }
-        }
-
-        /**
-         * MINA calls this whatever has ended the session: a reset, a time-out and a close of ours among them. None of
-         * those makes an answer whole; see AnswerFilter.
-         */
-        @Override
-        public void finishDecode(IoSession session, ProtocolDecoderOutput out) {
-            // here, for MINA disposes only of decoders that it keeps itself
-            parser.close();
-        }
-
-        @Override
-        public void dispose(IoSession session) {}
-    }
-
-    private static final class Writer implements ProtocolEncoder {
-        @Override
-        public void encode(IoSession session, Object message, ProtocolEncoderOutput out) {
-            if (message instanceof HttpRequest r) {
-                out.write(HttpWriter.write(r));
-            } else if (message instanceof HttpResponse a) {
-                out.write(HttpWriter.write(a));
-            } else if (message instanceof Raw r) {
-                out.write(IoBuffer.wrap(r.bytes()));
-            } else if (message != FlushMarker.INSTANCE) {
-                throw new IllegalArgumentException("not an HTTP message: " + message.getClass());
-            }
-        }
-
-        @Override
-        public void dispose(IoSession session) {}
-    }
 }
--- a/src/main/java/laurelkeel/wire/HttpRequest.java
+++ b/src/main/java/laurelkeel/wire/HttpRequest.java
@@ -1,16 +1,20 @@
 package laurelkeel.wire;
 
-/** One whole HTTP request; minor is 0 or 1, of HTTP/1.x. */
-public record HttpRequest(String method, String target, int minorVersion, Headers headers, byte[] body) {
+/**
+ * A complete HTTP/1.x request.
+ *
+ * @param target the path with its query
+ * @param minorVersion 0 or 1
+ * @param body not copied, and not to be changed
+ */
+// a copy of each body would cost the request path; requests are not compared
+@SuppressWarnings("ArrayRecordComponent")
+public record HttpRequest(String method, String target, int minorVersion, Headers headers, byte[] body)
+        implements HttpMessage {
 
-    /** The path without its query. */
+    /** Returns the path without its query. */
     public String path() {
-        int q = target.indexOf('?');
-        return q < 0 ? target : target.substring(0, q);
-    }
-
-    /** Whether the sender wants the connection to end after the answer. */
-    public boolean closesConnection() {
-        return minorVersion == 0 ? !headers.has("Connection", "keep-alive") : headers.has("Connection", "close");
+        int query = target.indexOf('?');
+        return query < 0 ? target : target.substring(0, query);
     }
 }
--- /dev/null
+++ b/src/main/java/laurelkeel/wire/HttpSyntax.java
@@ -0,0 +1,58 @@
+package laurelkeel.wire;
+
+/** Syntax that the parts of the parser share (RFC 9110, section 5.6, and RFC 9112). */
+final class HttpSyntax {
+    private static final String TOKEN_PUNCTUATION = "!#$%&'*+-.^_`|~";
+    private static final int MAX_QUOTED_CHARS = 60;
+    private static final int MAX_CHUNK_SIZE_DIGITS = 8;
+    private static final int HEXADECIMAL = 16;
+
+    private HttpSyntax() {}
+
+    static boolean isToken(String text) {
+        for (int i = 0; i < text.length(); i++) {
+            char c = text.charAt(i);
+            boolean valid = (c >= 'a' && c <= 'z')
+                    || (c >= 'A' && c <= 'Z')
+                    || (c >= '0' && c <= '9')
+                    || TOKEN_PUNCTUATION.indexOf(c) >= 0;
+            if (!valid) {
+                return false;
+            }
+        }
+        return !text.isEmpty();
+    }
+
+    /** Returns input for an error message: cut, and with a question mark for each character that is not printable. */
+    static String quote(String text) {
+        String cut = text.length() > MAX_QUOTED_CHARS ? text.substring(0, MAX_QUOTED_CHARS) + "..." : text;
+        return cut.replaceAll("[^ -~]", "?");
+    }
+
+    /** Returns the minor version of {@code HTTP/1.0} or {@code HTTP/1.1}. */
+    static int parseMinorVersion(String text) throws HttpProtocolException {
+        if (text.equals("HTTP/1.1") || text.equals("HTTP/1.0")) {
+            return text.charAt(7) - '0';
+        }
+        throw new HttpProtocolException(
+                text.startsWith("HTTP/") ? 505 : 400, "'" + quote(text) + "' is not HTTP/1.0 or 1.1");
+    }
+
+    /** Returns the size in a chunk's first line, whose extensions are ignored. */
+    static long parseChunkSize(String line) throws HttpProtocolException {
+        int extensions = line.indexOf(';');
+        String digits = (extensions < 0 ? line : line.substring(0, extensions)).strip();
+        boolean valid = !digits.isEmpty() && digits.length() <= MAX_CHUNK_SIZE_DIGITS;
+        long size = 0;
+        for (int i = 0; valid && i < digits.length(); i++) {
+            // Character.digit takes digits of other scripts too
+            int digit = digits.charAt(i) < 128 ? Character.digit(digits.charAt(i), HEXADECIMAL) : -1;
+            valid = digit >= 0;
+            size = size * HEXADECIMAL + digit;
+        }
+        if (!valid) {
+            throw new HttpProtocolException(400, "no chunk size: '" + quote(line) + "'");
+        }
+        return size;
+    }
+}
--- a/src/main/java/laurelkeel/wire/HttpWriter.java
+++ b/src/main/java/laurelkeel/wire/HttpWriter.java
@@ -4,8 +4,11 @@
 import java.util.Map;
 import org.apache.mina.core.buffer.IoBuffer;
 
-/** Writes whole messages as HTTP/1.1; the length is always told, so that the connection can go on. */
+/** Encodes complete messages as HTTP/1.1; the length is always stated, so that the connection can be used again. */
 public final class HttpWriter {
+    private static final int INITIAL_HEAD_CHARS = 256;
+    private static final int NO_CONTENT = 204;
+
     private static final Map<Integer, String> REASONS = Map.ofEntries(
             Map.entry(200, "OK"),
             Map.entry(202, "Accepted"),
@@ -28,33 +31,49 @@
 
     private HttpWriter() {}
 
-    static boolean isFramingHeader(String name) {
-        return name.equalsIgnoreCase("Content-Length") || name.equalsIgnoreCase("Transfer-Encoding");
+    /** Encodes a request. */
+    public static IoBuffer write(HttpRequest request) {
+        StringBuilder head = new StringBuilder(INITIAL_HEAD_CHARS);
+        head.append(request.method()).append(' ').append(request.target()).append(" HTTP/1.1\r\n");
+        return encode(head, request, hasContentLength(request), true);
     }
 
-    public static IoBuffer write(HttpRequest r) {
-        StringBuilder head = new StringBuilder(256);
-        head.append(r.method()).append(' ').append(r.target()).append(" HTTP/1.1\r\n");
-        return put(head, r.headers(), r.body(), hasContentLength(r), true);
+    /** Encodes a response; one to a HEAD request states the length of its body and leaves it out. */
+    public static IoBuffer write(HttpResponse response) {
+        StringBuilder head = new StringBuilder(INITIAL_HEAD_CHARS);
+        head.append(statusLine(response.status()));
+        return encode(head, response, response.status() != NO_CONTENT, !response.answersHead());
     }
 
-    static boolean hasContentLength(HttpRequest r) {
-        return r.body().length > 0 || (!r.method().equals("GET") && !r.method().equals("HEAD"));
+    static boolean hasContentLength(HttpRequest request) {
+        return request.body().length > 0
+                || (!request.method().equals("GET") && !request.method().equals("HEAD"));
     }
 
     static String statusLine(int status) {
         return "HTTP/1.1 " + status + ' ' + REASONS.getOrDefault(status, "Status") + "\r\n";
     }
 
-    public static IoBuffer write(HttpResponse a) {
-        StringBuilder head = new StringBuilder(256);
-        head.append(statusLine(a.status()));
-        return put(head, a.headers(), a.body(), a.status() != 204, !a.answersHead());
+    private static IoBuffer encode(
+            StringBuilder head, HttpMessage message, boolean hasContentLength, boolean withBody) {
+        appendHeaders(head, message.headers());
+        byte[] body = message.body();
+        if (hasContentLength) {
+            head.append("Content-Length: ").append(body.length).append("\r\n");
+        }
+        head.append("\r\n");
+        byte[] headBytes = head.toString().getBytes(StandardCharsets.ISO_8859_1);
+        IoBuffer buffer = IoBuffer.allocate(headBytes.length + (withBody ? body.length : 0));
+        buffer.put(headBytes);
+        if (withBody) {
+            buffer.put(body);
+        }
+        return buffer.flip();
     }
 
-    private static IoBuffer put(StringBuilder head, Headers headers, byte[] body, boolean length, boolean withBody) {
+    private static void appendHeaders(StringBuilder head, Headers headers) {
         for (int i = 0; i < headers.size(); i++) {
-            // the reader's framing ended with the reader: this message has its own
+            // the framing of the message that was read does not hold for the one that is written
             if (!isFramingHeader(headers.name(i))) {
                 head.append(headers.name(i))
                         .append(": ")
@@ -62,16 +81,9 @@
                         .append("\r\n");
             }
         }
-        if (length) {
-            head.append("Content-Length: ").append(body.length).append("\r\n");
-        }
-        head.append("\r\n");
-        byte[] top = head.toString().getBytes(StandardCharsets.ISO_8859_1);
-        IoBuffer out = IoBuffer.allocate(top.length + (withBody ? body.length : 0));
-        out.put(top);
-        if (withBody) {
-            out.put(body);
-        }
-        return out.flip();
+    }
+
+    private static boolean isFramingHeader(String name) {
+        return name.equalsIgnoreCase("Content-Length") || name.equalsIgnoreCase("Transfer-Encoding");
     }
 }
--- a/src/main/java/laurelkeel/wire/MessageBuilder.java
+++ b/src/main/java/laurelkeel/wire/MessageBuilder.java
@@ -2,42 +2,46 @@
 
 import java.util.Arrays;
 
-/** Bytes of a message put together piece by piece; not shared between threads. */
+/** Builds the bytes of a message piece by piece. Not thread-safe. */
 public final class MessageBuilder {
-    private byte[] appendBytes = new byte[256];
-    private int n;
+    private static final int INITIAL_BYTES = 256;
 
-    private void room(int more) {
-        if (n + more > appendBytes.length) {
-            appendBytes = Arrays.copyOf(appendBytes, Math.max(n + more, 2 * appendBytes.length));
-        }
-    }
+    private byte[] bytes = new byte[INITIAL_BYTES];
+    private int length;
 
-    /** Adds text as ISO-8859-1, which is what the parser read it as. */
+    /** Appends text as ISO-8859-1, which is how the parser reads it. */
+    // the one copy of low bytes that makes no array in between
     @SuppressWarnings("deprecation")
-    public MessageBuilder appendText(String s) {
-        room(s.length());
-        // the one copy of low bytes that makes no array in between
-        s.getBytes(0, s.length(), appendBytes, n);
-        n += s.length();
+    public MessageBuilder appendText(String text) {
+        ensureCapacity(text.length());
+        text.getBytes(0, text.length(), bytes, length);
+        length += text.length();
         return this;
     }
 
-    public MessageBuilder appendBytes(byte[] b) {
-        room(b.length);
-        System.arraycopy(b, 0, appendBytes, n, b.length);
-        n += b.length;
+    /** Appends bytes as they are. */
+    public MessageBuilder appendBytes(byte[] appended) {
+        ensureCapacity(appended.length);
+        System.arraycopy(appended, 0, bytes, length, appended.length);
+        length += appended.length;
         return this;
     }
 
+    /** Appends a header line with its end. */
     public MessageBuilder appendHeader(String name, String value) {
         return appendText(name).appendText(": ").appendText(value).appendText("\r\n");
     }
 
-    /** All so far; what is added later begins anew. */
+    /** Returns all that was appended, and begins anew. */
     public byte[] takeBytes() {
-        byte[] out = Arrays.copyOf(appendBytes, n);
-        n = 0;
-        return out;
+        byte[] taken = Arrays.copyOf(bytes, length);
+        length = 0;
+        return taken;
+    }
+
+    private void ensureCapacity(int more) {
+        if (length + more > bytes.length) {
+            bytes = Arrays.copyOf(bytes, Math.max(length + more, 2 * bytes.length));
+        }
     }
 }
--- a/src/main/java/laurelkeel/wire/UnexpectedInputProcessor.java
+++ b/src/main/java/laurelkeel/wire/UnexpectedInputProcessor.java
@@ -7,13 +7,14 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * A socket thread that looks, right before it writes a request where requests go one by one, whether anything has come
- * that nothing asked for. On a slow core it may not have read yet what came long ago, and a late second answer would be
- * taken for this request's; a connection that the other side has ended would swallow it.
+ * An I/O thread that checks for unexpected input right before it writes a request that was announced with
+ * {@link HttpCodec#announceRequest}. On a slow core it may not have read input that arrived long ago: a late second response
+ * would be taken for the one to this request, and a connection that the other side has closed would swallow the request.
  */
 public final class UnexpectedInputProcessor extends NioProcessor {
-    private final IoBuffer look = IoBuffer.allocate(1);
+    private final IoBuffer probe = IoBuffer.allocate(1);
 
+    /** Creates a processor; called by MINA, by reflection. */
     public UnexpectedInputProcessor(Executor threads) {
         super(threads);
     }
@@ -21,19 +22,20 @@
     @Override
     protected int write(NioSession session, IoBuffer bytes, int length) throws IOException {
         if (HttpCodec.takeAnnouncedRequest(session)) {
-            if (look(session) != 0) {
-                // MINA ends the session, and not a byte of the request has left
-                throw new IOException("something stands before the request: its connection has lost step or ended");
+            if (readByte(session) != 0) {
+                // MINA closes the session, and no byte of the request was written
+                throw new IOException("unexpected input before a request, or the connection is closed");
             }
             HttpCodec.expectResponse(session);
         }
         return super.write(session, bytes, length);
     }
 
-    private int look(NioSession session) throws IOException {
-        look.clear();
+    /** Returns 0 where there is no input, 1 where there is, and -1 where the other side has ended its output. */
+    private int readByte(NioSession session) throws IOException {
+        probe.clear();
         try {
-            return read(session, look);
+            return read(session, probe);
         } catch (IOException e) {
             throw e;
         } catch (Exception e) {
--- a/src/test/java/laurelkeel/wire/HttpParserTest.java
+++ b/src/test/java/laurelkeel/wire/HttpParserTest.java
@@ -26,16 +26,16 @@
         return s.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static List<Object> read(HttpParser p, byte[] all, int... cuts) throws HttpProtocolException {
+    private static List<Object> readAll(HttpParser parser, byte[] all, int... cuts) throws HttpProtocolException {
         List<Object> out = new ArrayList<>();
         int from = 0;
         for (int i = 0; i <= cuts.length; i++) {
             int to = i < cuts.length ? Math.max(from, Math.min(cuts[i], all.length)) : all.length;
             ByteBuffer piece = ByteBuffer.wrap(Arrays.copyOfRange(all, from, to));
             while (piece.hasRemaining()) {
-                Object o = p.read(piece);
-                if (o != null) {
-                    out.add(o);
+                Object message = parser.read(piece);
+                if (message != null) {
+                    out.add(message);
                 }
             }
             from = to;
@@ -43,28 +43,28 @@
         return out;
     }
 
-    private static HttpParser reqs() {
+    private static HttpParser requestParser() {
         return new HttpParser(HttpParser.MessageKind.REQUEST, SMALL);
     }
 
     @Test
-    void everyCutOfAnswersReadsTheSame() throws Exception {
+    void responsesReadTheSameInAnyPieces() throws Exception {
         byte[] body = new byte[200];
         body[0] = 'r';
-        HttpResponse a = new HttpResponse(200, Headers.of("X", "1"), body);
-        byte[] one = new byte[HttpWriter.write(a).remaining()];
-        HttpWriter.write(a).get(one);
+        HttpResponse response = new HttpResponse(200, Headers.of("X", "1"), body);
+        byte[] one = new byte[HttpWriter.write(response).remaining()];
+        HttpWriter.write(response).get(one);
         byte[] both = Arrays.copyOf(one, one.length * 2);
         System.arraycopy(one, 0, both, one.length, one.length);
         for (int cut = 0; cut < both.length; cut++) {
             List<Object> got =
-                    read(new HttpParser(HttpParser.MessageKind.RESPONSE, HttpLimits.DEFAULT), both, cut, cut + 64);
+                    readAll(new HttpParser(HttpParser.MessageKind.RESPONSE, HttpLimits.DEFAULT), both, cut, cut + 64);
             assertEquals(2, got.size(), "cut at " + cut);
             assertArrayEquals(body, ((HttpResponse) got.get(1)).body());
         }
     }
 
-    record Message(String text, HttpRequest is) {}
+    record Message(String text, HttpRequest expected) {}
 
     @Provide
     Arbitrary<Message> messages() {
@@ -92,15 +92,15 @@
     }
 
     @Property(tries = 300)
-    void pipelinedReqsReadTheSameInAnyPieces(
+    void pipelinedRequestsReadTheSameInAnyPieces(
             @ForAll("messages") Message a, @ForAll("messages") Message b, @ForAll int cut, @ForAll int second)
             throws HttpProtocolException {
         byte[] all = bytes(a.text + "\r\n" + b.text);
         int c = Math.floorMod(cut, all.length);
-        List<Object> got = read(reqs(), all, c, c + Math.floorMod(second, 40));
+        List<Object> got = readAll(requestParser(), all, c, c + Math.floorMod(second, 40));
         assertEquals(2, got.size());
         for (int i = 0; i < 2; i++) {
-            HttpRequest want = (i == 0 ? a : b).is;
+            HttpRequest want = (i == 0 ? a : b).expected;
             HttpRequest is = (HttpRequest) got.get(i);
             assertArrayEquals(want.body(), is.body());
             assertEquals(want.headers().get("V"), is.headers().get("V"));
@@ -109,21 +109,21 @@
     }
 
     @Property(tries = 2000)
-    void noInputCrashesOrIsReadOnAfterAFault(
-            @ForAll byte[] noise, @ForAll("messages") Message m, @ForAll int at, @ForAll boolean answers) {
-        byte[] all = bytes(m.text);
+    void noInputCrashesTheParserOrIsReadAfterAnError(
+            @ForAll byte[] noise, @ForAll("messages") Message message, @ForAll int at, @ForAll boolean responses) {
+        byte[] all = bytes(message.text);
         for (int i = 0; i < noise.length && i < 6; i++) {
             all[Math.floorMod(at + i * 3, all.length)] = noise[i];
         }
-        HttpParser p =
-                new HttpParser(answers ? HttpParser.MessageKind.RESPONSE : HttpParser.MessageKind.REQUEST, SMALL);
+        HttpParser parser =
+                new HttpParser(responses ? HttpParser.MessageKind.RESPONSE : HttpParser.MessageKind.REQUEST, SMALL);
         try {
-            read(p, all, all.length / 2);
+            readAll(parser, all, all.length / 2);
         } catch (HttpProtocolException e) {
             assertTrue(e.status() >= 400 && e.status() < 600, e.getMessage());
-            ByteBuffer more = ByteBuffer.wrap(bytes(m.text));
+            ByteBuffer more = ByteBuffer.wrap(bytes(message.text));
             try {
-                assertEquals(null, p.read(more));
+                assertEquals(null, parser.read(more));
             } catch (HttpProtocolException again) {
                 throw new AssertionError("a broken connection was read on", again);
             }
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void whatTwoReadersCouldReadDifferentlyIsRefused() {
+    void messagesThatTwoReadersCouldReadDifferentlyAreRejected() {
         String head = "POST / HTTP/1.1\r\nHost: h\r\n";
         String[][] bad = {
             {head + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", "400"},
@@ -160,27 +160,28 @@
             {head + "Transfer-Encoding: chunked\r\n\r\n1" + "0".repeat(20) + "\r\n", "400"}
         };
         for (String[] b : bad) {
-            HttpProtocolException e = assertThrows(HttpProtocolException.class, () -> read(reqs(), bytes(b[0])), b[0]);
+            HttpProtocolException e =
+                    assertThrows(HttpProtocolException.class, () -> readAll(requestParser(), bytes(b[0])), b[0]);
             assertEquals(b[1], Integer.toString(e.status()), b[0] + " -> " + e.getMessage());
         }
     }
 
     @Test
-    void answersEndByLengthByStatusOrByTheEndOfInput() throws Exception {
-        HttpParser p = new HttpParser(HttpParser.MessageKind.RESPONSE, SMALL);
-        List<Object> got = read(
-                p,
+    void responsesEndByLengthByStatusOrByTheEndOfInput() throws Exception {
+        HttpParser parser = new HttpParser(HttpParser.MessageKind.RESPONSE, SMALL);
+        List<Object> got = readAll(
+                parser,
                 bytes("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"
                         + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.0 200 OK\r\n\r\nto the end"));
         assertEquals(
                 List.of(204, 200),
                 got.stream().map(a -> ((HttpResponse) a).status()).toList());
-        assertEquals("to the end", new String(((HttpResponse) p.finish()).body(), UTF_8));
+        assertEquals("to the end", new String(((HttpResponse) parser.finish()).body(), UTF_8));
         HttpParser head = new HttpParser(HttpParser.MessageKind.RESPONSE, SMALL);
         head.expectHeadResponse();
         assertEquals(
                 1,
-                read(head, bytes("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n"))
+                readAll(head, bytes("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n"))
                         .size());
         assertTrue(head.idle());
     }
--- a/src/test/java/laurelkeel/wire/RecordingHandler.java
+++ b/src/test/java/laurelkeel/wire/RecordingHandler.java
@@ -5,11 +5,11 @@
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
 
-/** Keeps what a connection's reader is told, up to CLOSED, and closes where the other side has ended or an error came. */
+/** Records the messages of a connection and then CLOSED; closes it where the other side has ended its output or on an error. */
 class RecordingHandler extends IoHandlerAdapter {
     static final Object CLOSED = "closed";
 
-    final BlockingQueue<Object> told = new LinkedBlockingQueue<>();
+    final BlockingQueue<Object> events = new LinkedBlockingQueue<>();
     final BlockingQueue<IoSession> opened = new LinkedBlockingQueue<>();
 
     @Override
@@ -19,7 +19,7 @@
 
     @Override
     public void messageReceived(IoSession session, Object message) {
-        told.add(message);
+        events.add(message);
     }
 
     @Override
@@ -34,6 +34,6 @@
 
     @Override
     public void sessionClosed(IoSession session) {
-        told.add(CLOSED);
+        events.add(CLOSED);
     }
 }
--- a/src/test/java/laurelkeel/wire/RequestEndTest.java
+++ b/src/test/java/laurelkeel/wire/RequestEndTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A request counts only once its last byte has come, however its client ends the connection before (RFC 9112, 6.3 and 8). */
+/** A request is complete only once its last byte has arrived, however its client ends the connection before (RFC 9112, 6.3 and 8). */
 class RequestEndTest {
     private static final List<String> REQUESTS = List.of(
             "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -45,8 +45,8 @@
         acceptor.dispose();
     }
 
-    /** How many requests were read of one that is cut after so many bytes. */
-    private int readOf(String request, int at, Ending ending) throws Exception {
+    /** Returns how many requests were read of one that is cut after a number of bytes. */
+    private int completeRequests(String request, int at, Ending ending) throws Exception {
         try (Socket client = new Socket("127.0.0.1", acceptor.getLocalAddress().getPort())) {
             IoSession session = handler.opened.poll(10, TimeUnit.SECONDS);
             client.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII), 0, at);
@@ -58,31 +58,31 @@
                 client.setSoLinger(true, 0);
             } else if (ending == Ending.OUTPUT_ONLY) {
                 client.shutdownOutput();
-                return untilClosed();
+                return countUntilClosed();
             }
         }
-        return untilClosed();
+        return countUntilClosed();
     }
 
-    private int untilClosed() throws InterruptedException {
+    private int countUntilClosed() throws InterruptedException {
         int requests = 0;
-        for (Object next = handler.told.poll(10, TimeUnit.SECONDS);
+        for (Object next = handler.events.poll(10, TimeUnit.SECONDS);
                 next != RecordingHandler.CLOSED;
-                next = handler.told.poll(10, TimeUnit.SECONDS)) {
-            assertTrue(next instanceof HttpRequest, "told " + next);
+                next = handler.events.poll(10, TimeUnit.SECONDS)) {
+            assertTrue(next instanceof HttpRequest, "read " + next);
             requests++;
         }
         return requests;
     }
 
     @Test
-    void aRequestIsReadAtItsLastByteAndNotBefore() throws Exception {
+    void aRequestIsCompleteAtItsLastByteAndNotBefore() throws Exception {
         for (String request : REQUESTS) {
             for (int at = 1; at <= request.length(); at++) {
                 for (Ending ending : Ending.values()) {
                     assertEquals(
                             at == request.length() ? 1 : 0,
-                            readOf(request, at, ending),
+                            completeRequests(request, at, ending),
                             request + " " + at + " " + ending);
                 }
             }
--- a/src/test/java/laurelkeel/wire/ResponseEndTest.java
+++ b/src/test/java/laurelkeel/wire/ResponseEndTest.java
@@ -10,6 +10,7 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.apache.mina.core.buffer.IoBuffer;
@@ -19,19 +20,19 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** An answer counts as whole only where the server itself ended it, whatever way its body ends (RFC 9112, 6.3 and 8). */
+/** A response is complete only where the server itself ended it, whichever way its body ends (RFC 9112, 6.3 and 8). */
 class ResponseEndTest {
     private static final String UNTIL_CLOSE = "HTTP/1.1 200 OK\r\nX-A: b\r\n\r\nall of it";
     private static final String LENGTH = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nall of it";
     private static final String CHUNKED =
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nall of it\r\n0\r\n\r\n";
     private static final String INTERIM = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
-    /** What a machine says to HEAD: the head of an answer whose body does not follow. */
-    private static final List<String> TO_HEAD = List.of(
+    /** Responses to HEAD: the head of a response whose body does not follow. */
+    private static final List<String> HEAD_RESPONSES = List.of(
             "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
             "HTTP/1.1 200 OK\r\nX-A: b\r\n\r\n");
-    /** Statuses whose answers have no body, whatever their head says. */
+    /** Statuses whose responses have no body, whatever their head says. */
     private static final List<String> WITHOUT_BODY =
             List.of("HTTP/1.1 204 No Content\r\n\r\n", "HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n");
 
@@ -59,23 +60,23 @@
         server.close();
     }
 
-    /** What the reader was told of an answer that is cut after so many bytes, up to the end of its connection. */
-    private List<Object> cut(String answer, int at, Ending ending) throws Exception {
-        return cut(answer, at, ending, false);
+    /** Returns what was read of a response that is cut after a number of bytes, up to the end of its connection. */
+    private List<Object> readCut(String response, int at, Ending ending) throws Exception {
+        return readCut(response, at, ending, false);
     }
 
-    private List<Object> cut(String answer, int at, Ending ending, boolean toHead) throws Exception {
+    private List<Object> readCut(String response, int at, Ending ending, boolean headRequest) throws Exception {
         IoSession session = connector
                 .connect(new InetSocketAddress("127.0.0.1", server.getLocalPort()))
                 .awaitUninterruptibly()
                 .getSession();
         try (Socket peer = server.accept()) {
-            if (toHead) {
+            if (headRequest) {
                 HttpCodec.expectHeadResponse(session);
             }
             session.write(IoBuffer.wrap("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
-            Peer.hear(peer);
-            peer.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII), 0, at);
+            Peer.readRequest(peer);
+            peer.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII), 0, at);
             // what was sent before a reset may be thrown away with it: it has to be read first
             while (session.getReadBytes() < at) {
                 Thread.onSpinWait();
@@ -87,70 +88,70 @@
                 peer.setSoLinger(true, 0);
             }
         }
-        List<Object> all = new java.util.ArrayList<>();
-        for (Object next = handler.told.poll(10, TimeUnit.SECONDS);
+        List<Object> all = new ArrayList<>();
+        for (Object next = handler.events.poll(10, TimeUnit.SECONDS);
                 next != RecordingHandler.CLOSED;
-                next = handler.told.poll(10, TimeUnit.SECONDS)) {
+                next = handler.events.poll(10, TimeUnit.SECONDS)) {
             assertTrue(next != null, "the connection did not end");
             all.add(next);
         }
         return all;
     }
 
-    private static boolean whole(List<Object> told) {
-        return told.stream().anyMatch(HttpResponse.class::isInstance);
+    private static boolean isComplete(List<Object> events) {
+        return events.stream().anyMatch(HttpResponse.class::isInstance);
     }
 
     @Test
-    void anAnswerWithoutALengthIsWholeOnlyWhereTheServerEndsItInOrder() throws Exception {
+    void aResponseWithoutALengthIsCompleteOnlyWhereTheServerEndsItInOrder() throws Exception {
         int head = UNTIL_CLOSE.indexOf("\r\n\r\n") + 4;
         for (int at = 1; at <= UNTIL_CLOSE.length(); at++) {
-            assertFalse(whole(cut(UNTIL_CLOSE, at, Ending.RESET)), "reset after " + at);
-            assertFalse(whole(cut(UNTIL_CLOSE, at, Ending.OURS)), "closed here after " + at);
-            assertEquals(at >= head, whole(cut(UNTIL_CLOSE, at, Ending.IN_ORDER)), "ended after " + at);
+            assertFalse(isComplete(readCut(UNTIL_CLOSE, at, Ending.RESET)), "reset after " + at);
+            assertFalse(isComplete(readCut(UNTIL_CLOSE, at, Ending.OURS)), "closed here after " + at);
+            assertEquals(at >= head, isComplete(readCut(UNTIL_CLOSE, at, Ending.IN_ORDER)), "ended after " + at);
         }
     }
 
     /** However its connection ends, and after whatever byte. */
-    private void wholeAtItsLastByte(String answer, boolean toHead) throws Exception {
-        for (int at = 1; at <= answer.length(); at++) {
+    private void assertCompleteAtItsLastByte(String response, boolean headRequest) throws Exception {
+        for (int at = 1; at <= response.length(); at++) {
             for (Ending ending : Ending.values()) {
                 assertEquals(
-                        at == answer.length(),
-                        whole(cut(answer, at, ending, toHead)),
-                        answer + " " + at + " " + ending);
+                        at == response.length(),
+                        isComplete(readCut(response, at, ending, headRequest)),
+                        response + " " + at + " " + ending);
             }
         }
     }
 
     @Test
-    void anAnswerWithALengthOrChunksIsWholeAtItsLastByteHoweverItsConnectionEnds() throws Exception {
-        wholeAtItsLastByte(LENGTH, false);
-        wholeAtItsLastByte(CHUNKED, false);
+    void aResponseWithALengthOrChunksIsCompleteAtItsLastByteHoweverItsConnectionEnds() throws Exception {
+        assertCompleteAtItsLastByte(LENGTH, false);
+        assertCompleteAtItsLastByte(CHUNKED, false);
     }
 
     @Test
-    void anAnswerToHeadIsWholeAtTheEndOfItsHead() throws Exception {
-        for (String answer : TO_HEAD) {
-            wholeAtItsLastByte(answer, true);
+    void aResponseToHeadIsCompleteAtTheEndOfItsHead() throws Exception {
+        for (String response : HEAD_RESPONSES) {
+            assertCompleteAtItsLastByte(response, true);
         }
     }
 
     @Test
-    void anAnswerThatHasNoBodyIsWholeAtTheEndOfItsHead() throws Exception {
-        for (String answer : WITHOUT_BODY) {
-            wholeAtItsLastByte(answer, false);
+    void aResponseWhoseStatusHasNoBodyIsCompleteAtTheEndOfItsHead() throws Exception {
+        for (String response : WITHOUT_BODY) {
+            assertCompleteAtItsLastByte(response, false);
         }
     }
 
     @Test
-    void interimAnswersAreNoAnswer() throws Exception {
-        wholeAtItsLastByte(INTERIM + LENGTH, false);
+    void interimResponsesAreSkipped() throws Exception {
+        assertCompleteAtItsLastByte(INTERIM + LENGTH, false);
     }
 
     /** Reads one request without a body. */
     private static final class Peer {
-        static void hear(Socket s) throws IOException {
+        static void readRequest(Socket s) throws IOException {
             int matched = 0;
             while (matched < 4) {
                 int b = s.getInputStream().read();
