--- a/src/main/java/laurelkeel/admin/AdminServer.java
+++ b/src/main/java/laurelkeel/admin/AdminServer.java
@@ -18,50 +18,108 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
-/** The small address for operators: /health and /metrics. One slow or silent caller keeps no other waiting. */
+/**
+ * Serves {@code /health} and {@code /metrics} to operators. A slow or silent caller delays no other.
+ *
+ * <p>Thread-safe; the suppliers are called on the I/O thread.
+ */
 public final class AdminServer {
-    /** More callers at once are no operators: a scraper or two, a load balancer's checks, a person. */
-    private static final int MOST = 64;
-    /** Seconds in which a caller must have had an answer: longer than any check waits, and no slot is kept for ever. */
-    private static final int WAITS = 5;
-    /** A request line and some headers; there are no bodies to read. */
+    /** Enough for scrapers, health checks of load balancers and operators. */
+    private static final int MAX_CONNECTIONS = 64;
+    /** Longer than any check waits for its response; then the caller's slot is freed. */
+    private static final int CALLER_TIMEOUT_SECONDS = 5;
+    /** A request line and some headers; no bodies. */
     private static final HttpLimits LIMITS = new HttpLimits(1 << 10, 8 << 10, 50, 0);
 
-    private final InetSocketAddress at;
-    private final Supplier<String> health, metrics;
+    private static final String HEALTHY = "ok";
+
+    private final InetSocketAddress address;
+    private final Supplier<String> health;
+    private final Supplier<String> metrics;
     private final Executor threads;
     private final SimpleIoProcessorPool<NioSession> processor;
     private final NioSocketAcceptor acceptor;
 
-    /** @param threads run its sockets */
-    public AdminServer(Executor threads, InetSocketAddress at, Supplier<String> health, Supplier<String> metrics) {
+    /**
+     * Creates a server that does not listen yet.
+     *
+     * @param threads run its sockets
+     * @param address to listen on; port 0 for any free one
+     * @param health returns {@code ok}, or what is wrong
+     * @param metrics returns the metrics in the text format of Prometheus
+     */
+    public AdminServer(Executor threads, InetSocketAddress address, Supplier<String> health, Supplier<String> metrics) {
         this.threads = threads;
-        this.at = at;
+        this.address = address;
         this.health = health;
         this.metrics = metrics;
         processor = new SimpleIoProcessorPool<>(NioProcessor.class, threads, 1, null);
         acceptor = new NioSocketAcceptor(threads, processor);
         acceptor.setReuseAddress(true);
-        // not by what is read: a caller that sends a byte now and then would stay for ever
-        acceptor.getSessionConfig().setWriterIdleTime(WAITS);
-        acceptor.getSessionConfig().setWriteTimeout(WAITS);
+        // by what is written: a caller that sends a byte now and then would stay for ever
+        acceptor.getSessionConfig().setWriterIdleTime(CALLER_TIMEOUT_SECONDS);
+        acceptor.getSessionConfig().setWriteTimeout(CALLER_TIMEOUT_SECONDS);
         acceptor.getFilterChain().addLast("http", HttpCodec.server(LIMITS));
         acceptor.setHandler(new Handler());
     }
 
+    /** Returns the address, with its actual port once the server is started. */
+    public InetSocketAddress address() {
+        return acceptor.isActive() ? acceptor.getLocalAddress() : address;
+    }
+
+    /**
+     * Starts to listen.
+     *
+     * @throws IOException where the address cannot be bound
+     */
+    public void start() throws IOException {
+        acceptor.bind(address);
+    }
+
+    /** Closes the listener and all connections. */
+    public void close() {
+        acceptor.dispose(false);
+        // waits for its thread, without end where that died
+        threads.execute(processor::dispose);
+    }
+
+    private HttpResponse respond(HttpRequest request) {
+        if (!request.method().equals("GET") && !request.method().equals("HEAD")) {
+            return response(request, 405, "this address takes GET\n");
+        }
+        return switch (request.path()) {
+            case "/health" -> {
+                String status = health.get();
+                yield response(request, status.equals(HEALTHY) ? 200 : 503, status + "\n");
+            }
+            case "/metrics" -> response(request, 200, metrics.get());
+            default -> response(request, 404, "here are /health and /metrics\n");
+        };
+    }
+
+    private static HttpResponse response(HttpRequest request, int status, String text) {
+        Headers headers = Headers.of("Content-Type", "text/plain; version=0.0.4; charset=utf-8");
+        if (request.closesConnection()) {
+            headers.add("Connection", "close");
+        }
+        boolean head = request.method().equals("HEAD");
+        return new HttpResponse(status, 1, headers, text.getBytes(StandardCharsets.UTF_8), head);
+    }
+
     private final class Handler extends IoHandlerAdapter {
         @Override
         public void sessionOpened(IoSession session) {
-            if (acceptor.getManagedSessionCount() > MOST) {
+            if (acceptor.getManagedSessionCount() > MAX_CONNECTIONS) {
                 session.closeNow();
             }
         }
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            if (message instanceof HttpRequest r) {
-                session.write(answer(r));
-                if (r.closesConnection()) {
+            if (message instanceof HttpRequest request) {
+                session.write(respond(request));
+                if (request.closesConnection()) {
                     session.closeOnFlush();
                 }
             } else {
@@ -79,41 +137,4 @@
             session.closeNow();
         }
     }
-
-    private HttpResponse answer(HttpRequest r) {
-        boolean get = r.method().equals("GET") || r.method().equals("HEAD");
-        String h = r.path().equals("/health") ? health.get() : null;
-        String text = !get
-                ? "this address takes GET\n"
-                : h != null
-                        ? h + "\n"
-                        : r.path().equals("/metrics") ? metrics.get() : "here are /health and /metrics\n";
-        int status =
-                !get ? 405 : h != null ? h.equals("ok") ? 200 : 503 : r.path().equals("/metrics") ? 200 : 404;
-        Headers headers = Headers.of("Content-Type", "text/plain; version=0.0.4; charset=utf-8");
-        if (r.closesConnection()) {
-            headers.add("Connection", "close");
-        }
-        return new HttpResponse(
-                status,
-                1,
-                headers,
-                text.getBytes(StandardCharsets.UTF_8),
-                r.method().equals("HEAD"));
-    }
-
-    /** Its address, with the real port once it is started. */
-    public InetSocketAddress address() {
-        return acceptor.isActive() ? acceptor.getLocalAddress() : at;
-    }
-
-    public void start() throws IOException {
-        acceptor.bind(at);
-    }
-
-    public void close() {
-        acceptor.dispose(false);
-        // it waits for its thread, for ever where that died
-        threads.execute(processor::dispose);
-    }
 }
--- a/src/main/java/laurelkeel/admin/package-info.java
+++ b/src/main/java/laurelkeel/admin/package-info.java
@@ -1,2 +1,5 @@
-/** The small address for operators that processes offer: health, metrics, and what the virtual machine used. */
+/** A small HTTP server for operators: health, metrics, and what the process has used. */
+@NullMarked
 package laurelkeel.admin;
+
+import org.jspecify.annotations.NullMarked;
--- a/src/main/java/laurelkeel/logging/RateLimitedAsyncAppender.java
+++ b/src/main/java/laurelkeel/logging/RateLimitedAsyncAppender.java
@@ -10,159 +10,162 @@
 import ch.qos.logback.core.spi.AppenderAttachable;
 import ch.qos.logback.core.spi.AppenderAttachableImpl;
 import java.util.Iterator;
-import java.util.Map;
 import java.util.concurrent.ArrayBlockingQueue;
-import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.locks.LockSupport;
+import org.jspecify.annotations.Nullable;
 
 /**
- * Hands lines to the appender within it on a thread of its own, and never makes a caller wait: a standard error that
- * nobody reads would stop the front's only thread. Of alike lines a few a second go out and the rest are counted;
- * what the queue cannot hold is counted; both counts are logged, and stand in the metrics.
+ * Passes log lines to another appender on a thread of its own, and never blocks a caller: a standard error that nobody reads
+ * would otherwise stop the event loop. Of similar lines a few a second are written; the others, and those that the queue cannot
+ * hold, are counted, and the counts are logged and stand in the metrics.
+ *
+ * <p>Thread-safe.
  */
 public final class RateLimitedAsyncAppender extends UnsynchronizedAppenderBase<ILoggingEvent>
         implements AppenderAttachable<ILoggingEvent> {
-    /** Alike lines a second: enough to see that it happens again and again, and to whom. */
-    private static final int ALIKE = 5;
-    /** A second of many different lines, at a few hundred bytes each. */
-    private static final int QUEUE = 2048;
-    /** Kinds of lines told apart a second; past them all count as one. */
-    private static final int KINDS = 256;
-
-    private static final AtomicLong LEFT_OUT = new AtomicLong();
-    private static volatile RateLimitedAsyncAppender started;
-
-    private final AppenderAttachableImpl<ILoggingEvent> within = new AppenderAttachableImpl<>();
-    private final ArrayBlockingQueue<ILoggingEvent> queue = new ArrayBlockingQueue<>(QUEUE);
-    private final Map<String, AtomicInteger> kinds = new ConcurrentHashMap<>();
-    private final AtomicLong unread = new AtomicLong();
+    /** A second of many different lines, at some hundred bytes each. */
+    private static final int QUEUE_CAPACITY = 2048;
+
+    private static final long PERIOD_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long POLL_MILLIS = 200;
+    private static final long FLUSH_POLL_NANOS = 1_000_000;
+
+    private static final AtomicLong TOTAL_SUPPRESSED = new AtomicLong();
+    /** The appender that was started last, which {@link #flush} waits for. */
+    private static volatile @Nullable RateLimitedAsyncAppender started;
+
+    private final AppenderAttachableImpl<ILoggingEvent> target = new AppenderAttachableImpl<>();
+    private final ArrayBlockingQueue<ILoggingEvent> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+    private final SimilarLineLimiter limiter = new SimilarLineLimiter();
+    /** Lines since the last report that the queue could not hold. */
+    private final AtomicLong overflowed = new AtomicLong();
+
     private volatile boolean writing;
 
-    /** Lines left out since the start. */
+    /** Returns how many lines were not written since the start of the process. */
     public static long leftOut() {
-        return LEFT_OUT.get();
+        return TOTAL_SUPPRESSED.get();
     }
 
-    /** Waits until what was logged is written, so long at the most: at a process's end. */
-    public static void flush(long ms) {
-        RateLimitedAsyncAppender s = started;
-        long end = System.nanoTime() + ms * 1_000_000;
-        while (s != null && (!s.queue.isEmpty() || s.writing) && System.nanoTime() < end) {
-            LockSupport.parkNanos(1_000_000);
+    /**
+     * Waits until what was logged is written; called at the end of a process.
+     *
+     * @param maxMillis how long to wait at most
+     */
+    public static void flush(long maxMillis) {
+        RateLimitedAsyncAppender appender = started;
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxMillis);
+        while (appender != null && appender.hasPendingLines() && System.nanoTime() < deadlineNanos) {
+            LockSupport.parkNanos(FLUSH_POLL_NANOS);
         }
     }
 
+    private boolean hasPendingLines() {
+        return !queue.isEmpty() || writing;
+    }
+
     @Override
     public void start() {
         super.start();
-        Thread t = new Thread(this::write, "logs");
-        t.setDaemon(true);
-        t.start();
+        Thread writer = new Thread(this::writeLines, "logs");
+        writer.setDaemon(true);
+        writer.start();
         started = this;
     }
 
-    /** Alike are those of one place in the code; for texts that a decider made, those that differ in numbers only. */
-    private static String kind(ILoggingEvent e) {
-        String text = e.getMessage();
-        return e.getLoggerName() + ": "
-                + ("{}".equals(text) ? e.getFormattedMessage().replaceAll("[0-9.]+", "#") : text);
-    }
-
     @Override
-    protected void append(ILoggingEvent e) {
-        String kind = kind(e);
-        AtomicInteger n = kinds.size() < KINDS
-                ? kinds.computeIfAbsent(kind, k -> new AtomicInteger())
-                : kinds.getOrDefault(kind, kinds.computeIfAbsent("of further kinds", k -> new AtomicInteger()));
-        if (n.incrementAndGet() > ALIKE) {
-            LEFT_OUT.incrementAndGet();
+    protected void append(ILoggingEvent event) {
+        if (!limiter.tryAcquire(kind(event))) {
+            TOTAL_SUPPRESSED.incrementAndGet();
             return;
         }
-        e.prepareForDeferredProcessing();
-        if (!queue.offer(e)) {
-            unread.incrementAndGet();
-            LEFT_OUT.incrementAndGet();
+        event.prepareForDeferredProcessing();
+        if (!queue.offer(event)) {
+            overflowed.incrementAndGet();
+            TOTAL_SUPPRESSED.incrementAndGet();
         }
     }
 
-    private void write() {
-        long second = System.nanoTime();
+    /** Lines of one statement are similar; those whose whole text is an argument are if they differ in numbers only. */
+    private static String kind(ILoggingEvent event) {
+        String format = event.getMessage();
+        String text = "{}".equals(format) ? event.getFormattedMessage().replaceAll("[0-9.]+", "#") : format;
+        return event.getLoggerName() + ": " + text;
+    }
+
+    private void writeLines() {
+        long periodStartNanos = System.nanoTime();
         while (true) {
             try {
-                ILoggingEvent e = queue.poll(200, TimeUnit.MILLISECONDS);
+                ILoggingEvent event = queue.poll(POLL_MILLIS, TimeUnit.MILLISECONDS);
                 writing = true;
-                if (e != null) {
-                    within.appendLoopOnAppenders(e);
+                if (event != null) {
+                    target.appendLoopOnAppenders(event);
                 }
-                if (System.nanoTime() - second >= 1_000_000_000L) {
-                    second = System.nanoTime();
-                    sums();
+                if (System.nanoTime() - periodStartNanos >= PERIOD_NANOS) {
+                    periodStartNanos = System.nanoTime();
+                    reportSuppressed();
                 }
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException e) {
-                addError("a line could not be written", e);
+                addError("cannot write a log line", e);
             } finally {
                 writing = false;
             }
         }
     }
 
-    /** What the last second left out. */
-    private void sums() {
-        for (String kind : kinds.keySet()) {
-            int more = kinds.remove(kind).get() - ALIKE;
-            if (more > 0) {
-                say(more + " more lines like '" + kind + "'");
-            }
+    private void reportSuppressed() {
+        for (SimilarLineLimiter.Suppressed suppressed : limiter.endPeriod()) {
+            report(suppressed.lines() + " more lines like '" + suppressed.kind() + "'");
         }
-        long lost = unread.getAndSet(0);
-        if (lost > 0) {
-            say(lost + " lines were left out: they came faster than they were read");
+        long lines = overflowed.getAndSet(0);
+        if (lines > 0) {
+            report(lines + " lines were left out: they came faster than they were read");
         }
     }
 
-    private void say(String text) {
-        Logger of = ((LoggerContext) getContext()).getLogger(RateLimitedAsyncAppender.class);
-        within.appendLoopOnAppenders(
-                new LoggingEvent(RateLimitedAsyncAppender.class.getName(), of, Level.WARN, text, null, null));
+    private void report(String text) {
+        Logger logger = ((LoggerContext) getContext()).getLogger(RateLimitedAsyncAppender.class);
+        target.appendLoopOnAppenders(
+                new LoggingEvent(RateLimitedAsyncAppender.class.getName(), logger, Level.WARN, text, null, null));
     }
 
     @Override
-    public void addAppender(Appender<ILoggingEvent> a) {
-        within.addAppender(a);
+    public void addAppender(Appender<ILoggingEvent> appender) {
+        target.addAppender(appender);
     }
 
     @Override
     public Iterator<Appender<ILoggingEvent>> iteratorForAppenders() {
-        return within.iteratorForAppenders();
+        return target.iteratorForAppenders();
     }
 
     @Override
     public Appender<ILoggingEvent> getAppender(String name) {
-        return within.getAppender(name);
+        return target.getAppender(name);
     }
 
     @Override
-    public boolean isAttached(Appender<ILoggingEvent> a) {
-        return within.isAttached(a);
+    public boolean isAttached(Appender<ILoggingEvent> appender) {
+        return target.isAttached(appender);
     }
 
     @Override
     public void detachAndStopAllAppenders() {
-        within.detachAndStopAllAppenders();
+        target.detachAndStopAllAppenders();
     }
 
     @Override
-    public boolean detachAppender(Appender<ILoggingEvent> a) {
-        return within.detachAppender(a);
+    public boolean detachAppender(Appender<ILoggingEvent> appender) {
+        return target.detachAppender(appender);
     }
 
     @Override
     public boolean detachAppender(String name) {
-        return within.detachAppender(name);
+        return target.detachAppender(name);
     }
 }
--- a/src/main/java/laurelkeel/logging/package-info.java
+++ b/src/main/java/laurelkeel/logging/package-info.java
@@ -1,2 +1,5 @@
-/** What is logged reaches standard error without ever holding up who logs it. */
+/** Log output that never delays the threads that log. */
+@NullMarked
 package laurelkeel.logging;
+
+import org.jspecify.annotations.NullMarked;
--- a/src/test/java/laurelkeel/logging/RateLimitedAsyncAppenderTest.java
+++ b/src/test/java/laurelkeel/logging/RateLimitedAsyncAppenderTest.java
@@ -16,32 +16,32 @@
 
 class RateLimitedAsyncAppenderTest {
     private final List<String> written = new CopyOnWriteArrayList<>();
-    private final CountDownLatch read = new CountDownLatch(1);
+    private final CountDownLatch released = new CountDownLatch(1);
     private final LoggerContext context = new LoggerContext();
     private final Logger log = context.getLogger("front");
 
-    private void begin(boolean held) {
-        AppenderBase<ILoggingEvent> err = new AppenderBase<>() {
+    private void start(boolean blocked) {
+        AppenderBase<ILoggingEvent> target = new AppenderBase<>() {
             @Override
-            protected void append(ILoggingEvent e) {
+            protected void append(ILoggingEvent event) {
                 try {
-                    if (held) {
-                        read.await();
+                    if (blocked) {
+                        released.await();
                     }
-                } catch (InterruptedException x) {
+                } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
-                written.add(e.getFormattedMessage());
+                written.add(event.getFormattedMessage());
             }
         };
         context.setMDCAdapter(new LogbackMDCAdapter());
-        err.setContext(context);
-        err.start();
-        RateLimitedAsyncAppender s = new RateLimitedAsyncAppender();
-        s.setContext(context);
-        s.addAppender(err);
-        s.start();
-        log.addAppender(s);
+        target.setContext(context);
+        target.start();
+        RateLimitedAsyncAppender appender = new RateLimitedAsyncAppender();
+        appender.setContext(context);
+        appender.addAppender(target);
+        appender.start();
+        log.addAppender(appender);
     }
 
     private void await(String what) throws InterruptedException {
@@ -53,8 +53,8 @@
     }
 
     @Test
-    void ofAlikeLinesAFewAreWrittenAndTheRestAreCounted() throws Exception {
-        begin(false);
+    void aFewOfSimilarLinesAreWrittenAndTheOthersAreCounted() throws Exception {
+        start(false);
         long before = RateLimitedAsyncAppender.leftOut();
         for (int i = 0; i < 1000; i++) {
             log.error("req {} had no decision in its time", i);
@@ -66,21 +66,21 @@
         await("\\d+ more lines like 'front: build # stage # TRIAL, pace #'");
         long shown = written.stream().filter(w -> w.endsWith("in its time")).count();
         assertTrue(shown >= 5 && shown < 100, "shown " + shown);
-        long told = written.stream()
+        long reported = written.stream()
                 .filter(w -> w.contains(" more lines like "))
                 .mapToLong(w -> Long.parseLong(w.substring(0, w.indexOf(' '))))
                 .sum();
-        assertEquals(RateLimitedAsyncAppender.leftOut() - before, told, "what was left out is told");
+        assertEquals(RateLimitedAsyncAppender.leftOut() - before, reported, "all suppressed lines are reported");
     }
 
     @Test
-    void whoLogsNeverWaitsForAReaderAndAllThatIsLostIsTold() throws Exception {
-        begin(true);
+    void loggingNeverWaitsForAReaderAndLostLinesAreReported() throws Exception {
+        start(true);
         for (int i = 0; i < 100_000; i++) {
-            // of many kinds, so that no two are alike
+            // no two of one kind
             log.info("line " + (char) ('a' + i % 26) + (char) ('a' + i / 26 % 26) + i);
         }
-        read.countDown();
+        released.countDown();
         await("\\d+ lines were left out: .*|\\d+ more lines like 'of further kinds'");
     }
 }
