--- a/src/main/java/laurelkeel/attribution/AttemptCounts.java
+++ b/src/main/java/laurelkeel/attribution/AttemptCounts.java
@@ -1,38 +1,75 @@
 package laurelkeel.attribution;
 
-/** Tries and what befell them. */
+/** Sums over attempts: how many there were, how many went wrong, and their latencies. Not thread-safe. */
 final class AttemptCounts {
-    int tries, rated;
-    final int[] hits = new int[3];
-    double logTime, logSquare;
-    static final int FAILS = 0, SILENT = 1, WRONG = 2;
-
-    void add(NodeReport.Cell c) {
-        tries += c.tries();
-        hits[FAILS] += c.fails();
-        hits[SILENT] += c.silent();
-        hits[WRONG] += c.wrongs();
-        rated += c.rated();
-        logTime += c.logTime();
-        logSquare += c.logSquare();
-    }
-
-    void add(AttemptCounts o, int sign) {
-        tries += sign * o.tries;
-        for (int i = 0; i < hits.length; i++) {
-            hits[i] += sign * o.hits[i];
-        }
-        rated += sign * o.rated;
-        logTime += sign * o.logTime;
-        logSquare += sign * o.logSquare;
-    }
-
-    /** Bad answers, silence apart. */
-    int answered() {
-        return hits[FAILS] + hits[WRONG];
-    }
-
-    double rate() {
-        return tries == 0 ? 0 : answered() / (double) tries;
+    private int attempts;
+    private int failed;
+    private int unanswered;
+    private int wrong;
+    private int timedAttempts;
+    private double logLatencySum;
+
+    void add(NodeReport.Cell cell) {
+        attempts += cell.tries();
+        failed += cell.fails();
+        unanswered += cell.silent();
+        wrong += cell.wrongs();
+        timedAttempts += cell.rated();
+        logLatencySum += cell.logTime();
+    }
+
+    void add(AttemptCounts other) {
+        attempts += other.attempts;
+        failed += other.failed;
+        unanswered += other.unanswered;
+        wrong += other.wrong;
+        timedAttempts += other.timedAttempts;
+        logLatencySum += other.logLatencySum;
+    }
+
+    void subtract(AttemptCounts other) {
+        attempts -= other.attempts;
+        failed -= other.failed;
+        unanswered -= other.unanswered;
+        wrong -= other.wrong;
+        timedAttempts -= other.timedAttempts;
+        logLatencySum -= other.logLatencySum;
+    }
+
+    int attempts() {
+        return attempts;
+    }
+
+    int hits(HitKind kind) {
+        return switch (kind) {
+            case FAILED -> failed;
+            case UNANSWERED -> unanswered;
+            case WRONG -> wrong;
+        };
+    }
+
+    /** Share of the attempts that went wrong in one way. */
+    double share(HitKind kind) {
+        return hits(kind) / (double) attempts;
+    }
+
+    /** How many answers were errors or complained of. */
+    int badAnswers() {
+        return failed + wrong;
+    }
+
+    /** Share of the attempts whose answers were errors or complained of; 0 where there are no attempts. */
+    double badAnswerShare() {
+        return attempts == 0 ? 0 : badAnswers() / (double) attempts;
+    }
+
+    /** How many attempts have a latency that counts. */
+    int timedAttempts() {
+        return timedAttempts;
+    }
+
+    /** Sum of the natural logarithms of those latencies in milliseconds. */
+    double logLatencySum() {
+        return logLatencySum;
     }
 }
--- /dev/null
+++ b/src/main/java/laurelkeel/attribution/ClearanceRule.java
@@ -0,0 +1,31 @@
+package laurelkeel.attribution;
+
+/** Decides when enough has been seen of a canary to say that it causes no regression which matters. */
+final class ClearanceRule {
+    private static final int MIN_ATTEMPTS = 150;
+    private static final int MIN_SECONDS = 8;
+    /** Limits of a 99% confidence interval, in standard errors. */
+    private static final double CONFIDENCE_ERRORS = 2.6;
+
+    private static final double MAX_SHARE_DIFFERENCE = 0.02;
+    private static final double MAX_LATENCY_RATIO = 1.5;
+
+    private ClearanceRule() {}
+
+    /**
+     * Whether the canary is surely no worse than a little.
+     *
+     * @return false for a canary with one endpoint, whose latency ratio is unknown
+     */
+    static boolean isCleared(CanaryComparison canary) {
+        if (canary.recentAttempts() < MIN_ATTEMPTS || canary.recentSecondsWithAttempts() < MIN_SECONDS) {
+            return false;
+        }
+        for (HitKind kind : HitKind.values()) {
+            if (canary.shareDifference(kind, CONFIDENCE_ERRORS).high() > MAX_SHARE_DIFFERENCE) {
+                return false;
+            }
+        }
+        return canary.latencyRatio(CONFIDENCE_ERRORS).high() < MAX_LATENCY_RATIO;
+    }
+}
--- a/src/main/java/laurelkeel/attribution/CountEvidence.java
+++ b/src/main/java/laurelkeel/attribution/CountEvidence.java
@@ -4,79 +4,109 @@
 import java.util.Map;
 
 /**
- * Evidence that one build has more of one kind of hit (fails, silences, wrong answers) than the build beside it, as an
- * e-value: 1 where nothing speaks, and above 1/a with chance at most a, ever, where the build is no worse.
+ * Evidence that more of one build's attempts go wrong in one way than those of the builds beside it, as an e-value: a
+ * number whose mean is at most 1 while the build is no worse, so that it ever exceeds 1/a with probability at most a
+ * (Ville's inequality), however often it is looked at.
+ *
+ * <p>The e-value is a mixture of likelihood ratios over odds ratios, routes and change points, multiplied over nodes and
+ * seconds. Not thread-safe.
  */
 final class CountEvidence {
-    /** Odds ratios that might be true, and the one that is let pass. */
-    private static final double[] OVER = {2, 4, 10, 40};
+    /** Odds ratios of the alternative hypotheses. */
+    private static final double[] ALTERNATIVES = {2, 4, 10, 40};
 
-    static final double LET_PASS = 1.25;
-    private static final int FRONTS_TO_SPARE = 4;
+    /** Odds ratio of the null hypothesis: a build that is worse by less passes. */
+    private static final double REFERENCE = 1.25;
 
-    private final int routes;
-    /** One a front: places by route and odds ratio; the last route's place is for all routes. */
-    private final Map<Integer, ChangePointMixture> byFront = new HashMap<>();
+    /** From so many nodes on, the evidence does without the node that says most: its figures may be wrong. */
+    private static final int NODES_TO_SPARE_ONE = 4;
 
-    private int seconds, fronts;
+    /** Weight of the evidence of all routes together; the single routes share the rest. */
+    private static final double ALL_ROUTES_WEIGHT = 0.5;
 
-    CountEvidence(int routes) {
-        this.routes = routes;
+    private final int routeCount;
+    /** For each node a sum for each scope and alternative; the scopes are the routes, and after them all together. */
+    private final Map<Integer, ChangePointMixture> mixtureByNode = new HashMap<>();
+
+    private int seconds;
+    private int mostNodes;
+
+    CountEvidence(int routeCount) {
+        this.routeCount = routeCount;
     }
 
-    /** @param reporting fronts that reported in the second */
-    void next(int reporting) {
+    /**
+     * Begins a second; called before what nodes saw in it.
+     *
+     * @param reportingNodes how many nodes reported the second
+     */
+    void beginSecond(int reportingNodes) {
         seconds++;
-        fronts = Math.max(fronts, reporting);
-        byFront.values().forEach(ChangePointMixture::next);
+        mostNodes = Math.max(mostNodes, reportingNodes);
+        mixtureByNode.values().forEach(ChangePointMixture::beginSecond);
     }
 
-    /** One front's second of one route: the build's own and both builds' together. */
-    void add(int front, int route, int hits, int tries, int hitsAll, int triesAll) {
-        if (hitsAll == 0 || tries == 0 || tries == triesAll) {
+    /** Adds what one node saw on one route. */
+    void add(int node, int route, ContingencyTable table) {
+        if (table.totalHits() == 0 || table.attempts() == 0 || table.attempts() == table.totalAttempts()) {
             return;
         }
-        ChangePointMixture s = byFront.computeIfAbsent(front, f -> {
-            ChangePointMixture fresh = new ChangePointMixture((routes + 1) * OVER.length);
-            for (int i = 0; i < seconds; i++) {
-                fresh.next();
-            }
-            return fresh;
-        });
-        for (int o = 0; o < OVER.length; o++) {
-            double by = OddsRatioEvidence.logRatio(hits, tries, hitsAll, triesAll, OVER[o], LET_PASS);
-            s.add(route * OVER.length + o, by);
-            s.add(routes * OVER.length + o, by);
+        ChangePointMixture mixture = mixtureByNode.computeIfAbsent(node, unused -> createMixture());
+        for (int alternative = 0; alternative < ALTERNATIVES.length; alternative++) {
+            double logRatio = OddsRatioEvidence.logLikelihoodRatio(table, ALTERNATIVES[alternative], REFERENCE);
+            mixture.add(sumIndex(route, alternative), logRatio);
+            mixture.add(sumIndex(routeCount, alternative), logRatio);
         }
     }
 
-    /** The logarithm of the e-value. The front that speaks loudest is left out where there are several. */
-    double logE() {
-        if (byFront.isEmpty()) {
+    private ChangePointMixture createMixture() {
+        ChangePointMixture mixture = new ChangePointMixture((routeCount + 1) * ALTERNATIVES.length);
+        for (int i = 0; i < seconds; i++) {
+            mixture.beginSecond();
+        }
+        return mixture;
+    }
+
+    private static int sumIndex(int scope, int alternative) {
+        return scope * ALTERNATIVES.length + alternative;
+    }
+
+    /** The natural logarithm of the e-value. */
+    double logEValue() {
+        if (mixtureByNode.isEmpty()) {
             return 0;
         }
-        boolean spare = fronts >= FRONTS_TO_SPARE;
-        int starts = byFront.values().iterator().next().count();
-        double best = Double.NEGATIVE_INFINITY;
-        double[] terms = new double[starts * (routes + 1) * OVER.length];
-        int n = 0;
-        for (int k = 0; k < starts; k++) {
-            double part = byFront.values().iterator().next().logPart(k);
-            for (int r = 0; r <= routes; r++) {
-                for (int o = 0; o < OVER.length; o++) {
-                    double sum = 0, most = 0;
-                    for (ChangePointMixture s : byFront.values()) {
-                        double v = s.since(k, r * OVER.length + o);
-                        sum += v;
-                        most = Math.max(most, v);
-                    }
-                    // half for all routes together, half among the single ones
-                    double scope = r == routes ? Math.log(0.5) : Math.log(0.5 / routes);
-                    terms[n] = part + scope - Math.log(OVER.length) + (spare ? sum - most : sum);
-                    best = Math.max(best, terms[n++]);
+        // all nodes have the same change points
+        ChangePointMixture anyMixture = mixtureByNode.values().iterator().next();
+        double[] terms = new double[anyMixture.startCount() * (routeCount + 1) * ALTERNATIVES.length];
+        int termCount = 0;
+        for (int start = 0; start < anyMixture.startCount(); start++) {
+            double startWeight = anyMixture.logWeight(start);
+            for (int scope = 0; scope <= routeCount; scope++) {
+                for (int alternative = 0; alternative < ALTERNATIVES.length; alternative++) {
+                    terms[termCount] = startWeight
+                            + logScopeWeight(scope)
+                            - Math.log(ALTERNATIVES.length)
+                            + logRatioOfNodes(start, sumIndex(scope, alternative));
+                    termCount++;
                 }
             }
         }
-        return LogArithmetic.sum(terms, n, best);
+        return LogProbability.logSumExp(terms);
+    }
+
+    private double logScopeWeight(int scope) {
+        return scope == routeCount ? Math.log(ALL_ROUTES_WEIGHT) : Math.log((1 - ALL_ROUTES_WEIGHT) / routeCount);
+    }
+
+    private double logRatioOfNodes(int start, int sumIndex) {
+        double sum = 0;
+        double largest = 0;
+        for (ChangePointMixture mixture : mixtureByNode.values()) {
+            double logRatio = mixture.sumSince(start, sumIndex);
+            sum += logRatio;
+            largest = Math.max(largest, logRatio);
+        }
+        return mostNodes >= NODES_TO_SPARE_ONE ? sum - largest : sum;
     }
 }
--- a/src/main/java/laurelkeel/attribution/LatencyEvidence.java
+++ b/src/main/java/laurelkeel/attribution/LatencyEvidence.java
@@ -3,55 +3,81 @@
 import org.apache.commons.math3.distribution.NormalDistribution;
 
 /**
- * Evidence that one build's answers take longer than those of the build beside it in the same second, route by route.
- * A normal mixture over the size of the drift (Robbins), so it too may be looked at any time; the spread is estimated,
- * so that its promise is good only as far as the estimate is, which the table of runs shows.
+ * Evidence that one build's answers take longer than those of the builds beside it, as an e-value.
+ *
+ * <p>A one-sided normal mixture over the size of the drift (Robbins' method of mixtures) of the log ratios of the
+ * seconds. The spread of the ratios is estimated, so that the guarantee is as good as the estimate. Not thread-safe.
  */
 final class LatencyEvidence {
-    /** Slower by less is let pass: logarithm of a ratio of times. */
-    static final double LET_PASS = Math.log(1.3);
+    /** Log ratio of latencies that passes. */
+    private static final double PASSING_LOG_RATIO = Math.log(1.3);
 
-    private static final double LEAST_SPREAD = 0.12;
-    /** Seconds that follow each other are alike: queues last. */
-    private static final double ALIKE = 3;
+    /** A single second counts for no more. */
+    private static final double MAX_LOG_RATIO = 2;
 
-    private static final double RHO = 0.5;
-    private static final NormalDistribution NORMAL = new NormalDistribution(null, 0, 1);
+    private static final double MIN_SPREAD = 0.12;
+    /** So many seconds in a row count as one: queues make them alike. */
+    private static final double CORRELATED_SECONDS = 3;
+
+    /** Seconds from which the spread is known well enough. */
+    private static final int WARM_UP_SECONDS = 3;
+
+    private static final double MIN_LEARNING_RATE = 0.05;
+    /** Precision of the mixture's prior: the variance at which the mixture is sharpest. */
+    private static final double MIXTURE_VARIANCE = 0.5;
+
+    private static final double MIN_PROBABILITY = 1e-300;
+    private static final NormalDistribution STANDARD_NORMAL = new NormalDistribution(null, 0, 1);
+
+    private static final int EXCESS = 0;
+    private static final int VARIANCE = 1;
 
     private final ChangePointMixture sums = new ChangePointMixture(2);
-    private double last, steps;
-    private int seen;
+    private double previousLogRatio;
+    private double meanSquaredStep;
+    private int comparedSeconds;
 
-    /** One second more; NaN where it cannot be compared. */
-    void next(double logRatio) {
-        sums.next();
+    /**
+     * Adds a second.
+     *
+     * @param logRatio natural logarithm of the ratio of latencies; NaN where the second cannot be compared
+     */
+    void addSecond(double logRatio) {
+        sums.beginSecond();
         if (Double.isNaN(logRatio)) {
             return;
         }
-        // one wild second is no build
-        double d = Math.max(-2, Math.min(2, logRatio));
-        if (seen > 2) {
-            double spread = Math.max(LEAST_SPREAD, Math.sqrt(steps / 2));
-            sums.add(0, d - LET_PASS);
-            sums.add(1, ALIKE * spread * spread);
+        double bounded = Math.max(-MAX_LOG_RATIO, Math.min(MAX_LOG_RATIO, logRatio));
+        if (comparedSeconds >= WARM_UP_SECONDS) {
+            double spread = Math.max(MIN_SPREAD, Math.sqrt(meanSquaredStep / 2));
+            sums.add(EXCESS, bounded - PASSING_LOG_RATIO);
+            sums.add(VARIANCE, CORRELATED_SECONDS * spread * spread);
+        }
+        // after its use: no second vouches for itself; by steps: a build that has turned slow does not count as spread
+        if (comparedSeconds > 0) {
+            double step = bounded - previousLogRatio;
+            meanSquaredStep += (step * step - meanSquaredStep) * Math.max(MIN_LEARNING_RATE, 1.0 / comparedSeconds);
         }
-        // the spread by the steps before this one, so that none vouches for itself, and a build that turns slow is one
-        steps += seen == 0 ? 0 : ((d - last) * (d - last) - steps) * Math.max(0.05, 1.0 / seen);
-        last = d;
-        seen++;
+        previousLogRatio = bounded;
+        comparedSeconds++;
     }
 
-    double logE() {
-        double[] terms = new double[sums.count()];
-        for (int k = 0; k < terms.length; k++) {
-            double s = sums.since(k, 0), v = sums.since(k, 1);
-            double part = sums.logPart(k);
-            terms[k] = part
+    /** The natural logarithm of the e-value. */
+    double logEValue() {
+        if (sums.startCount() == 0) {
+            return 0;
+        }
+        double[] terms = new double[sums.startCount()];
+        for (int start = 0; start < terms.length; start++) {
+            double excess = sums.sumSince(start, EXCESS);
+            double variance = sums.sumSince(start, VARIANCE) + MIXTURE_VARIANCE;
+            double tail = STANDARD_NORMAL.cumulativeProbability(excess / Math.sqrt(variance));
+            terms[start] = sums.logWeight(start)
                     + Math.log(2)
-                    + 0.5 * Math.log(RHO / (v + RHO))
-                    + s * s / (2 * (v + RHO))
-                    + Math.log(Math.max(1e-300, NORMAL.cumulativeProbability(s / Math.sqrt(v + RHO))));
+                    + 0.5 * Math.log(MIXTURE_VARIANCE / variance)
+                    + excess * excess / (2 * variance)
+                    + Math.log(Math.max(MIN_PROBABILITY, tail));
         }
-        return terms.length == 0 ? 0 : LogArithmetic.sum(terms);
+        return LogProbability.logSumExp(terms);
     }
 }
--- a/src/main/java/laurelkeel/attribution/LoadClassifier.java
+++ b/src/main/java/laurelkeel/attribution/LoadClassifier.java
@@ -1,32 +1,50 @@
 package laurelkeel.attribution;
 
 import java.util.ArrayDeque;
+import java.util.Deque;
 
-/** Whether a second was busy, calm or, where the load hardly changes, either: by the loads of the last minute. */
+/** Classifies seconds by their load beside that of the last minute. Not thread-safe. */
 final class LoadClassifier {
-    private static final int KEPT = 60, SMOOTH = 5;
-    private static final double CHANGES = 1.15;
+    private static final int WINDOW_SECONDS = 60;
+    private static final int SMOOTHING_SECONDS = 5;
+    /** Ratio of the highest load to the lowest below which the load counts as even. */
+    private static final double MIN_LOAD_RATIO = 1.15;
 
-    enum Is {
+    /** How a second's load compares with that of the last minute. */
+    enum Level {
+        /** In the lower half of the range. */
         CALM,
+        /** In the upper half of the range. */
         BUSY,
+        /** The load has hardly changed: the second is as calm as it is busy. */
         EVEN
     }
 
-    private final ArrayDeque<Double> loads = new ArrayDeque<>(), smooth = new ArrayDeque<>();
+    private final Deque<Double> recentLoads = new ArrayDeque<>();
+    private final Deque<Double> smoothedLoads = new ArrayDeque<>();
 
-    Is next(int tries) {
-        loads.addLast((double) tries);
-        if (loads.size() > SMOOTH) {
-            loads.pollFirst();
+    /** Adds a second with so many attempts and classifies it. */
+    Level addSecond(int attempts) {
+        double load = smooth(attempts);
+        double lowest = smoothedLoads.stream().mapToDouble(v -> v).min().orElse(0);
+        double highest = smoothedLoads.stream().mapToDouble(v -> v).max().orElse(0);
+        if (highest < MIN_LOAD_RATIO * lowest) {
+            return Level.EVEN;
         }
-        double now = loads.stream().mapToDouble(v -> v).average().orElse(0);
-        smooth.addLast(now);
-        if (smooth.size() > KEPT) {
-            smooth.pollFirst();
+        return load > (lowest + highest) / 2 ? Level.BUSY : Level.CALM;
+    }
+
+    private double smooth(int attempts) {
+        addBounded(recentLoads, attempts, SMOOTHING_SECONDS);
+        double load = recentLoads.stream().mapToDouble(v -> v).average().orElse(0);
+        addBounded(smoothedLoads, load, WINDOW_SECONDS);
+        return load;
+    }
+
+    private static void addBounded(Deque<Double> values, double value, int maxSize) {
+        values.addLast(value);
+        if (values.size() > maxSize) {
+            values.removeFirst();
         }
-        double least = smooth.stream().mapToDouble(v -> v).min().orElse(0);
-        double most = smooth.stream().mapToDouble(v -> v).max().orElse(0);
-        return most < CHANGES * least ? Is.EVEN : now > (least + most) / 2 ? Is.BUSY : Is.CALM;
     }
 }
--- a/src/main/java/laurelkeel/attribution/OddsRatioEvidence.java
+++ b/src/main/java/laurelkeel/attribution/OddsRatioEvidence.java
@@ -1,51 +1,70 @@
 package laurelkeel.attribution;
 
 /**
- * How much better one ratio of odds than another explains a two-by-two table, given its margins (Fisher's noncentral
- * hypergeometric distribution). Given the margins nothing else is unknown, so that products over tables are
- * martingales under the ratio held against, and may be looked at any time (Ville's inequality).
+ * Compares how well two odds ratios explain a two-by-two table whose margins are given, by Fisher's noncentral
+ * hypergeometric distribution.
+ *
+ * <p>Given the margins nothing else is unknown, so that the products of these likelihood ratios over independent tables
+ * are martingales under the null hypothesis: by Ville's inequality they may be looked at after every table.
  */
 final class OddsRatioEvidence {
+    /** A sum beyond it is scaled down before it could overflow. */
+    private static final double RESCALING_LIMIT = 1e200;
+
     private OddsRatioEvidence() {}
 
     /**
-     * The logarithm of the likelihood ratio of odds ratio over against odds ratio under.
+     * The logarithm of the likelihood ratio of two hypotheses.
      *
-     * @param hits of the tries of one side, and hitsAll of both sides together
+     * @param alternative odds ratio of the alternative hypothesis
+     * @param reference odds ratio of the null hypothesis
+     * @return 0 where the table tells nothing
      */
-    static double logRatio(int hits, int tries, int hitsAll, int triesAll, double over, double under) {
-        if (hitsAll == 0 || hitsAll == triesAll || tries == 0 || tries == triesAll) {
+    static double logLikelihoodRatio(ContingencyTable table, double alternative, double reference) {
+        if (table.isDegenerate()) {
             return 0;
         }
-        return hits * Math.log(over / under)
-                - logMean(tries, hitsAll, triesAll, over)
-                + logMean(tries, hitsAll, triesAll, under);
+        return table.hits() * Math.log(alternative / reference)
+                - logNormalizer(table, alternative)
+                + logNormalizer(table, reference);
+    }
+
+    /** The logarithm of the mean of the odds ratio to the power of the hits, under the central distribution. */
+    private static double logNormalizer(ContingencyTable table, double oddsRatio) {
+        int otherAttempts = table.totalAttempts() - table.attempts();
+        int leastHits = Math.max(0, table.totalHits() - otherAttempts);
+        int mostHits = Math.min(table.totalHits(), table.attempts());
+        // both relative to the term of the least hits; each term is a ratio to the one before
+        ScaledSum weighted = new ScaledSum();
+        ScaledSum central = new ScaledSum();
+        for (int hits = leastHits; hits < mostHits; hits++) {
+            double ratio = (double) (table.totalHits() - hits)
+                    * (table.attempts() - hits)
+                    / ((double) (hits + 1) * (otherAttempts - table.totalHits() + hits + 1));
+            weighted.addNext(ratio * oddsRatio);
+            central.addNext(ratio);
+        }
+        return leastHits * Math.log(oddsRatio)
+                + Math.log(weighted.sum)
+                + weighted.logScale
+                - Math.log(central.sum)
+                - central.logScale;
     }
 
-    /** The logarithm of the mean of odds to the power of the hits, were they dealt by chance. */
-    private static double logMean(int tries, int hitsAll, int triesAll, double odds) {
-        int low = Math.max(0, hitsAll - (triesAll - tries));
-        int high = Math.min(hitsAll, tries);
-        // terms relative to the one at low; only their ratios are needed, and each is a ratio to its neighbour
-        double term = 1, plain = 1, sum = 1, plainSum = 1, scale = 0, plainScale = 0;
-        for (int x = low; x < high; x++) {
-            double next =
-                    (double) (hitsAll - x) * (tries - x) / ((double) (x + 1) * (triesAll - tries - hitsAll + x + 1));
-            term *= next * odds;
-            plain *= next;
+    /** A sum of terms that starts with 1, each term given by its ratio to the one before. */
+    private static final class ScaledSum {
+        private double term = 1;
+        private double sum = 1;
+        private double logScale;
+
+        void addNext(double ratio) {
+            term *= ratio;
             sum += term;
-            plainSum += plain;
-            if (sum > 1e200) {
-                scale += Math.log(sum);
+            if (sum > RESCALING_LIMIT) {
+                logScale += Math.log(sum);
                 term /= sum;
                 sum = 1;
             }
-            if (plainSum > 1e200) {
-                plainScale += Math.log(plainSum);
-                plain /= plainSum;
-                plainSum = 1;
-            }
         }
-        return low * Math.log(odds) + Math.log(sum) + scale - Math.log(plainSum) - plainScale;
     }
 }
--- a/src/main/java/laurelkeel/attribution/ReportAggregator.java
+++ b/src/main/java/laurelkeel/attribution/ReportAggregator.java
@@ -8,99 +8,129 @@
 import java.util.TreeMap;
 
 /**
- * Reports of many fronts, late, lost, doubled and out of order, put together by second. A second is closed once its
- * reports had their time to come; what comes after is counted and left out. No front weighs more than a few times
- * the middle one, whatever it says.
+ * Collects the reports of many nodes by second, in whatever order they come, and closes a second once its reports have
+ * had their time to come.
+ *
+ * <p>A report counts once. No node weighs more than a few times the median node, whatever it reports. Not thread-safe.
  */
 final class ReportAggregator {
-    private static final int MOST_AHEAD = 8;
-    private static final double MOST_WEIGHT = 3;
-    private static final int MOST_FRONTS = 4096;
+    /** Nodes' clocks may be ahead by so much. */
+    private static final int MAX_SECONDS_AHEAD = 8;
 
-    /** One closed second: the cells of each front that reported. */
-    record Second(long at, Map<Integer, List<NodeReport.Cell>> byFront) {}
+    private static final int MAX_NODES = 4096;
+    /** The most attempts of a node, beside those of the median node. */
+    private static final double MAX_NODE_WEIGHT = 3;
 
-    private final long patience;
-    private final TreeMap<Long, Map<Integer, List<NodeReport.Cell>>> open = new TreeMap<>();
-    private final Set<String> seen = new HashSet<>();
-    private final TreeMap<Long, List<String>> seenAt = new TreeMap<>();
-    private long closedTo = Long.MIN_VALUE;
-    long doubled, late, unsound, left;
+    /** Fewer nodes have no median to hold one of them against. */
+    private static final int MIN_NODES_TO_WEIGH = 3;
 
-    /** @param patience seconds that a report may be late */
-    ReportAggregator(long patience) {
-        this.patience = patience;
+    private final long maxDelaySeconds;
+    private final TreeMap<Long, Map<Integer, List<NodeReport.Cell>>> openSeconds = new TreeMap<>();
+    private final Set<String> knownReports = new HashSet<>();
+    private final TreeMap<Long, List<String>> knownReportsBySecond = new TreeMap<>();
+    private long lastClosedSecond = Long.MIN_VALUE;
+
+    private long duplicateReports;
+    private long lateReports;
+    private long invalidCells;
+    private long overLimitCells;
+
+    /** @param maxDelaySeconds how late a report may come */
+    ReportAggregator(long maxDelaySeconds) {
+        this.maxDelaySeconds = maxDelaySeconds;
     }
 
-    /** Takes a report; false where it is left out. */
-    boolean take(NodeReport r, long now) {
-        if (r.second() <= closedTo) {
-            late++;
+    /**
+     * Takes a report.
+     *
+     * @return whether it counts: false for one that is late, from the future, a duplicate or beyond the limits
+     */
+    boolean add(NodeReport report, long nowSecond) {
+        if (report.second() <= lastClosedSecond) {
+            lateReports++;
             return false;
         }
-        if (r.second() > now + MOST_AHEAD) {
-            unsound++;
+        if (report.second() > nowSecond + MAX_SECONDS_AHEAD) {
+            invalidCells++;
             return false;
         }
-        String name = r.nodeIndex() + "/" + r.incarnation() + "/" + r.second();
-        if (!seen.add(name)) {
-            doubled++;
+        String id = report.nodeIndex() + "/" + report.incarnation() + "/" + report.second();
+        if (!knownReports.add(id)) {
+            duplicateReports++;
             return false;
         }
-        seenAt.computeIfAbsent(r.second(), k -> new ArrayList<>()).add(name);
-        Map<Integer, List<NodeReport.Cell>> at = open.computeIfAbsent(r.second(), k -> new TreeMap<>());
-        if (at.size() >= MOST_FRONTS && !at.containsKey(r.nodeIndex())) {
-            left++;
+        knownReportsBySecond
+                .computeIfAbsent(report.second(), unused -> new ArrayList<>())
+                .add(id);
+        Map<Integer, List<NodeReport.Cell>> cellsByNode =
+                openSeconds.computeIfAbsent(report.second(), unused -> new TreeMap<>());
+        if (cellsByNode.size() >= MAX_NODES && !cellsByNode.containsKey(report.nodeIndex())) {
+            overLimitCells++;
             return false;
         }
-        List<NodeReport.Cell> cells = at.computeIfAbsent(r.nodeIndex(), k -> new ArrayList<>());
-        for (NodeReport.Cell c : r.cells()) {
-            if (cells.size() >= NodeReport.MAX_CELLS) {
-                left++;
-            } else if (c.isValid()) {
-                cells.add(c);
+        addCells(report.cells(), cellsByNode.computeIfAbsent(report.nodeIndex(), unused -> new ArrayList<>()));
+        return true;
+    }
+
+    private void addCells(List<NodeReport.Cell> reported, List<NodeReport.Cell> counted) {
+        for (NodeReport.Cell cell : reported) {
+            if (counted.size() >= NodeReport.MAX_CELLS) {
+                overLimitCells++;
+            } else if (cell.isValid()) {
+                counted.add(cell);
             } else {
-                unsound++;
+                invalidCells++;
             }
         }
-        return true;
     }
 
-    /** All seconds that are closed by now, in order. */
-    List<Second> closed(long now) {
-        List<Second> out = new ArrayList<>();
-        while (!open.isEmpty() && open.firstKey() + patience < now) {
-            var first = open.pollFirstEntry();
-            closedTo = first.getKey();
-            out.add(new Second(first.getKey(), evened(first.getValue())));
+    /** What was not counted so far. */
+    DiscardCounts discarded() {
+        return new DiscardCounts(duplicateReports, lateReports, invalidCells, overLimitCells);
+    }
+
+    /** Closes the seconds whose reports have had their time, and returns them in order. */
+    List<ReportedSecond> closeSeconds(long nowSecond) {
+        List<ReportedSecond> closed = new ArrayList<>();
+        while (!openSeconds.isEmpty() && openSeconds.firstKey() + maxDelaySeconds < nowSecond) {
+            Map.Entry<Long, Map<Integer, List<NodeReport.Cell>>> earliest = openSeconds.pollFirstEntry();
+            lastClosedSecond = earliest.getKey();
+            closed.add(new ReportedSecond(earliest.getKey(), limitWeights(earliest.getValue())));
         }
-        closedTo = Math.max(closedTo, now - patience - 1);
-        while (!seenAt.isEmpty() && seenAt.firstKey() <= closedTo) {
-            seenAt.pollFirstEntry().getValue().forEach(seen::remove);
+        lastClosedSecond = Math.max(lastClosedSecond, nowSecond - maxDelaySeconds - 1);
+        forgetReportsUpTo(lastClosedSecond);
+        return closed;
+    }
+
+    private void forgetReportsUpTo(long second) {
+        Map<Long, List<String>> forgotten = knownReportsBySecond.headMap(second, true);
+        forgotten.values().forEach(ids -> ids.forEach(knownReports::remove));
+        forgotten.clear();
+    }
+
+    private static Map<Integer, List<NodeReport.Cell>> limitWeights(Map<Integer, List<NodeReport.Cell>> cellsByNode) {
+        if (cellsByNode.size() < MIN_NODES_TO_WEIGH) {
+            return cellsByNode;
         }
-        return out;
+        int[] attempts = cellsByNode.values().stream()
+                .mapToInt(ReportAggregator::attempts)
+                .sorted()
+                .toArray();
+        double maxAttempts = MAX_NODE_WEIGHT * Math.max(1, attempts[attempts.length / 2]);
+        Map<Integer, List<NodeReport.Cell>> limited = new TreeMap<>();
+        cellsByNode.forEach((node, cells) -> limited.put(node, limitAttempts(cells, maxAttempts)));
+        return limited;
     }
 
-    private static Map<Integer, List<NodeReport.Cell>> evened(Map<Integer, List<NodeReport.Cell>> by) {
-        if (by.size() < 3) {
-            return by;
+    private static List<NodeReport.Cell> limitAttempts(List<NodeReport.Cell> cells, double maxAttempts) {
+        double excess = attempts(cells) / maxAttempts;
+        if (excess <= 1) {
+            return cells;
         }
-        int[] tries =
-                by.values().stream().mapToInt(ReportAggregator::tries).sorted().toArray();
-        double most = MOST_WEIGHT * Math.max(1, tries[tries.length / 2]);
-        Map<Integer, List<NodeReport.Cell>> out = new TreeMap<>();
-        by.forEach((front, cells) -> {
-            double over = tries(cells) / most;
-            out.put(
-                    front,
-                    over <= 1
-                            ? cells
-                            : cells.stream().map(c -> c.scaled(1 / over)).toList());
-        });
-        return out;
+        return cells.stream().map(cell -> cell.scaled(1 / excess)).toList();
     }
 
-    private static int tries(List<NodeReport.Cell> cells) {
+    private static int attempts(List<NodeReport.Cell> cells) {
         return cells.stream().mapToInt(NodeReport.Cell::tries).sum();
     }
 }
--- a/src/test/java/laurelkeel/attribution/RegressionAttributorTest.java
+++ b/src/test/java/laurelkeel/attribution/RegressionAttributorTest.java
@@ -245,7 +245,8 @@
         HypergeometricDistribution dealt = new HypergeometricDistribution(null, all, own, hit);
         double mean = 0;
         for (int x = dealt.getSupportLowerBound(); x <= dealt.getSupportUpperBound(); x++) {
-            mean += dealt.probability(x) * Math.exp(OddsRatioEvidence.logRatio(x, own, hit, all, odds, 1));
+            mean += dealt.probability(x)
+                    * Math.exp(OddsRatioEvidence.logLikelihoodRatio(new ContingencyTable(x, own, hit, all), odds, 1));
         }
         assertEquals(1, mean, 1e-6);
     }
@@ -257,15 +258,15 @@
             CountEvidence c = new CountEvidence(1);
             double most = 0;
             for (int s = 0; s < 100; s++) {
-                c.next(1);
+                c.beginSecond(1);
                 int hits = 0, own = 0;
                 for (int i = 0; i < 100; i++) {
                     boolean hit = random.nextInt(20) == 0;
                     hits += hit ? 1 : 0;
                     own += hit && i < 10 ? 1 : 0;
                 }
-                c.add(0, 0, own, 10, hits, 100);
-                most = Math.max(most, c.logE());
+                c.add(0, 0, new ContingencyTable(own, 10, hits, 100));
+                most = Math.max(most, c.logEValue());
             }
             blamed += most > Math.log(20) ? 1 : 0;
         }
--- a/src/test/java/laurelkeel/attribution/ReportAggregatorTest.java
+++ b/src/test/java/laurelkeel/attribution/ReportAggregatorTest.java
@@ -15,10 +15,10 @@
     void noFrontWeighsMoreThanThreeTimesTheMiddleOne() {
         ReportAggregator pool = new ReportAggregator(4);
         for (int front = 0; front < 4; front++) {
-            pool.take(report(front, 100, 1), 1);
+            pool.add(report(front, 100, 1), 1);
         }
-        pool.take(report(4, 30_000, 30_000), 1);
-        List<NodeReport.Cell> loud = pool.closed(10).get(0).byFront().get(4);
+        pool.add(report(4, 30_000, 30_000), 1);
+        List<NodeReport.Cell> loud = pool.closeSeconds(10).get(0).cellsByNode().get(4);
         assertEquals(300, loud.stream().mapToInt(NodeReport.Cell::tries).sum());
         assertEquals(300, loud.stream().mapToInt(NodeReport.Cell::fails).sum());
     }
