--- a/src/main/java/laurelkeel/platform/DiscoveredEndpointList.java
+++ b/src/main/java/laurelkeel/platform/DiscoveredEndpointList.java
@@ -2,10 +2,15 @@
 
 import java.util.List;
 
-/**
- * One message of discovery: the complete endpoint list, or the entries that have changed.
- *
- * @param version of the list after it
- * @param complete whether it names every endpoint
- */
-public record DiscoveredEndpointList(long version, boolean complete, List<DiscoveredEndpoint> endpoints) {}
+/** One message of discovery: the complete endpoint list, or the entries that have changed. */
+public record DiscoveredEndpointList(DiscoveredListHeader header, List<DiscoveredEndpoint> endpoints) {
+    /** The version of the list after it. */
+    public long version() {
+        return header.version();
+    }
+
+    /** Whether it names every endpoint. */
+    public boolean complete() {
+        return header.complete();
+    }
+}
--- a/src/main/java/laurelkeel/platform/DiscoveryClient.java
+++ b/src/main/java/laurelkeel/platform/DiscoveryClient.java
@@ -71,8 +71,11 @@
     }
 
     private void onList(JsonNode json) throws UnusableMessageException {
-        DiscoveredEndpointList list = DiscoveryProtocol.parseList(json);
-        Event.EndpointListUpdate update = directory.apply(list, loop.nowTicks());
+        DiscoveredListHeader header = DiscoveryProtocol.parseHeader(json);
+        Event.EndpointListUpdate update = null;
+        if (directory.isNews(header, loop.nowTicks())) {
+            update = directory.applyNews(DiscoveryProtocol.parseEndpoints(json, header), loop.nowTicks());
+        }
         reported = true;
         if (FrontNode.TRACE) {
             String text = json.toString();
--- a/src/main/java/laurelkeel/platform/DiscoveryProtocol.java
+++ b/src/main/java/laurelkeel/platform/DiscoveryProtocol.java
@@ -58,20 +58,30 @@
 
     /** Parses one list; where any entry is malformed, the whole list is. */
     static DiscoveredEndpointList parseList(JsonNode list) throws MalformedMessageException {
+        return parseEndpoints(list, parseHeader(list));
+    }
+
+    /** Parses which list it is, and checks that it has entries. */
+    static DiscoveredListHeader parseHeader(JsonNode list) throws MalformedMessageException {
         JsonNode version = list.path(VERSION);
         if (!version.isIntegralNumber()) {
             throw new MalformedMessageException(VERSION, "is not a whole number in " + excerpt(list));
         }
-        JsonNode entries = list.path(ENDPOINTS);
-        if (!entries.isArray()) {
+        if (!list.path(ENDPOINTS).isArray()) {
             throw new MalformedMessageException(ENDPOINTS, "is not an array in " + excerpt(list));
         }
+        return new DiscoveredListHeader(version.longValue(), list.path(COMPLETE).asBoolean(false));
+    }
+
+    /** Parses the entries of a list whose header is parsed. */
+    static DiscoveredEndpointList parseEndpoints(JsonNode list, DiscoveredListHeader header)
+            throws MalformedMessageException {
+        JsonNode entries = list.path(ENDPOINTS);
         List<DiscoveredEndpoint> endpoints = new ArrayList<>(entries.size());
         for (JsonNode entry : entries) {
             endpoints.add(parseEndpoint(entry));
         }
-        return new DiscoveredEndpointList(
-                version.longValue(), list.path(COMPLETE).asBoolean(false), endpoints);
+        return new DiscoveredEndpointList(header, endpoints);
     }
 
     private static DiscoveredEndpoint parseEndpoint(JsonNode entry) throws MalformedMessageException {
--- a/src/main/java/laurelkeel/platform/EndpointDirectory.java
+++ b/src/main/java/laurelkeel/platform/EndpointDirectory.java
@@ -101,10 +101,28 @@
 
     private Event.@Nullable EndpointListUpdate apply(DiscoveredEndpointList list, boolean cached, long nowTicks)
             throws StaleEndpointListException {
+        return isNews(list.header(), nowTicks) ? applyNews(list, cached, nowTicks) : null;
+    }
+
+    /**
+     * Whether a list holds anything that is not known; to be asked once for each list, before its entries are parsed.
+     *
+     * @throws StaleEndpointListException where it is complete and older than the list that is known
+     */
+    boolean isNews(DiscoveredListHeader list, long nowTicks) throws StaleEndpointListException {
         if (!list.complete() && list.version() <= version) {
-            return null;
+            return false;
         }
         checkNotStale(list, nowTicks);
+        return true;
+    }
+
+    /** Applies a list from the watch that is news, and returns the event for it. */
+    Event.EndpointListUpdate applyNews(DiscoveredEndpointList list, long nowTicks) {
+        return applyNews(list, false, nowTicks);
+    }
+
+    private Event.EndpointListUpdate applyNews(DiscoveredEndpointList list, boolean cached, long nowTicks) {
         boolean justChanged = watched && !list.complete();
         List<Entry> listed = new ArrayList<>();
         for (DiscoveredEndpoint endpoint : list.endpoints()) {
@@ -128,7 +146,7 @@
     }
 
     /** A source that lags behind may list endpoints as active that are draining. */
-    private void checkNotStale(DiscoveredEndpointList list, long nowTicks) throws StaleEndpointListException {
+    private void checkNotStale(DiscoveredListHeader list, long nowTicks) throws StaleEndpointListException {
         if (list.complete() && list.version() < version) {
             if (staleSinceTicks == NEVER) {
                 staleSinceTicks = nowTicks;
--- a/src/test/java/laurelkeel/platform/DiscoveryProtocolTest.java
+++ b/src/test/java/laurelkeel/platform/DiscoveryProtocolTest.java
@@ -44,7 +44,16 @@
                 1.5,
                 1_700_000_000_000L,
                 41);
-        assertEquals(new DiscoveredEndpointList(43, false, List.of(endpoint)), parse(list(ENTRY)));
+        assertEquals(
+                new DiscoveredEndpointList(new DiscoveredListHeader(43, false), List.of(endpoint)), parse(list(ENTRY)));
+    }
+
+    /** Lists that are known already are passed over before their entries are looked at. */
+    @Test
+    void theHeaderIsParsedWhateverTheEntriesHold() throws Exception {
+        assertEquals(
+                new DiscoveredListHeader(43, false),
+                DiscoveryProtocol.parseHeader(Json.MAPPER.readTree(list("{\"id\":\"\"}"))));
     }
 
     @Test
--- a/src/test/java/laurelkeel/platform/EndpointDirectoryTest.java
+++ b/src/test/java/laurelkeel/platform/EndpointDirectoryTest.java
@@ -30,7 +30,7 @@
     }
 
     private static DiscoveredEndpointList list(long version, boolean complete, DiscoveredEndpoint... endpoints) {
-        return new DiscoveredEndpointList(version, complete, List.of(endpoints));
+        return new DiscoveredEndpointList(new DiscoveredListHeader(version, complete), List.of(endpoints));
     }
 
     @BeforeEach
