--- a/src/test/java/laurelkeel/decision/DecisionSimulation.java
+++ b/src/test/java/laurelkeel/decision/DecisionSimulation.java
@@ -20,63 +20,90 @@
 import laurelkeel.api.Settings.DeduplicationScope;
 import laurelkeel.api.Settings.Idempotency;
 import laurelkeel.api.Settings.Route;
+import laurelkeel.api.Ticks;
 import laurelkeel.partition.PartitionedDecider;
+import org.jspecify.annotations.Nullable;
 
-/** The tests' one helper: plays events to a module, answers what it does, and watches the rules with a plain model. */
+/** Plays events to a decider, carries out its actions, and checks the five rules by a plain model of its own. */
 final class DecisionSimulation {
-    static final long MS = 10;
-    static final long SECOND = 10_000;
-
-    /** One try as the plain model sees it. */
-    record Sent(String req, int no, String machine, int build, int zone, long at, long dueBy) {}
-
-    final Settings set;
-    final Decider module;
-    final List<String> broken = new ArrayList<>();
-    final List<Action> lastDone = new ArrayList<>();
-    final Map<String, EndpointEntry> list = new HashMap<>();
-    final Map<String, Long> toldGone = new HashMap<>();
-    final Map<String, Event.RequestReceived> owed = new HashMap<>();
-    final Map<String, List<Sent>> tries = new HashMap<>();
-    final Map<String, List<AttemptOutcome>> outcomes = new HashMap<>();
-    final List<Sent> out = new ArrayList<>();
-    final List<Sent> all = new ArrayList<>();
-    final List<long[]> taken = new ArrayList<>();
-    final Map<String, Integer> answeredBy = new HashMap<>();
-    private final Map<String, String> keys = new HashMap<>();
-    final Set<Integer> off = new HashSet<>();
-    /** What the front was last told of each build. */
-    final TreeMap<Integer, Event.RolloutUpdate> told = new TreeMap<>();
-    /** What the module asked to be woken for. */
+    static final long MILLISECOND = Ticks.PER_MILLISECOND;
+    static final long SECOND = Ticks.PER_SECOND;
+
+    private static final int RULE_ONE_ANSWER = 1;
+    private static final int RULE_ONE_EFFECT = 2;
+    private static final int RULE_DRAINING = 3;
+    private static final int RULE_EXPOSURE = 5;
+
+    /** One attempt as the model sees it. */
+    record SentAttempt(
+            String requestId,
+            int attempt,
+            String endpointId,
+            int build,
+            int zone,
+            long sentAtTicks,
+            long timesOutAtTicks) {}
+
+    private record Received(long atTicks, int route) {}
+
+    final Settings settings;
+    final Decider decider;
+    final List<String> violations = new ArrayList<>();
+    final List<Action> lastActions = new ArrayList<>();
+    final Map<String, EndpointEntry> endpoints = new HashMap<>();
+    final Map<String, Event.RequestReceived> unanswered = new HashMap<>();
+    final List<SentAttempt> inFlight = new ArrayList<>();
+    final List<SentAttempt> sent = new ArrayList<>();
+    final List<Action.CastVote> votes = new ArrayList<>();
+    /** Rejections and failures. */
+    final List<Action> finalAnswers = new ArrayList<>();
+    /** What the decider was last told of each build. */
+    final TreeMap<Integer, Event.RolloutUpdate> announced = new TreeMap<>();
+
+    private final Map<String, Long> goneSinceTicks = new HashMap<>();
+    private final Map<String, List<SentAttempt>> attemptsByRequest = new HashMap<>();
+    private final Map<String, List<AttemptOutcome>> outcomesByRequest = new HashMap<>();
+    private final Map<String, @Nullable String> keyByRequest = new HashMap<>();
+    private final Map<String, Integer> routeByRequest = new HashMap<>();
+    private final List<Received> received = new ArrayList<>();
+    /** The newest build that has served each key. */
+    private final Map<String, Integer> servedBy = new HashMap<>();
+
+    private final Set<Integer> rolledBackBuilds = new HashSet<>();
+    /** Ids of the timers that the decider has started, by moment. */
     private final TreeMap<Long, Set<Long>> timers = new TreeMap<>();
 
-    final List<Action.CastVote> votes = new ArrayList<>();
-    final List<Action> answers = new ArrayList<>();
-    Event.RolloutUpdate news =
-            new Event.RolloutUpdate(Event.ControlStatus.OK, 0, 1, 0, RolloutPhase.RELEASED, 1, false);
-    /** Draws the tries whose time-out is never told; null for none. */
-    Random silent;
+    /** Draws the attempts whose timeout is never reported; null for none. */
+    @Nullable
+    Random lostTimeouts;
 
-    long now = SECOND;
-    int ids;
+    long nowTicks = SECOND;
+    private int requestCount;
 
-    DecisionSimulation(Settings set, long seed) {
-        this(set, new RoutingDecider(set, seed));
+    DecisionSimulation(Settings settings, long seed) {
+        this(settings, new RoutingDecider(settings, seed));
     }
 
-    DecisionSimulation(Settings set, Decider module) {
-        this.set = set;
-        this.module = module;
+    DecisionSimulation(Settings settings, Decider decider) {
+        this.settings = settings;
+        this.decider = decider;
     }
 
-    /** Three routes, one of each kind; stages of a tenth, a half and all. */
-    static Settings settings(boolean perRoute, int guarded, Settings.PromotionPolicy control) {
+    /** Three routes, one of each idempotency; stages with caps of a tenth, a half and all. */
+    static Settings settings(boolean isExposurePerRoute, int guardedStages, Settings.PromotionPolicy promotionPolicy) {
         return new Settings(
                 0,
                 2,
                 0,
                 List.of(
-                        new Route(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 800 * MS, 2500 * MS, 2, 0, 0),
+                        new Route(
+                                Idempotency.IDEMPOTENT,
+                                DeduplicationScope.ALL,
+                                800 * MILLISECOND,
+                                2500 * MILLISECOND,
+                                2,
+                                0,
+                                0),
                         new Route(
                                 Idempotency.DEDUPLICATED,
                                 DeduplicationScope.ZONE,
@@ -91,7 +118,7 @@
                 new Settings.Capabilities(4, true, false, true, true, SECOND, false),
                 new Settings.Costs(0.05, 0.01, 0.01, 0.5, 3),
                 new Settings.Rollout(
-                        control,
+                        promotionPolicy,
                         1,
                         1,
                         0,
@@ -100,331 +127,436 @@
                         40,
                         List.of(0.1, 0.5, 1.0),
                         2 * SECOND,
-                        guarded,
+                        guardedStages,
                         true,
                         4 * SECOND,
                         2,
-                        perRoute,
+                        isExposurePerRoute,
                         0,
                         0.3),
                 false);
     }
 
-    static EndpointEntry machine(String id, int build, int zone, EndpointState state, long started) {
-        return new EndpointEntry(id, build, zone, zone, 0, 1, state, started);
+    static EndpointEntry endpoint(String id, int build, int zone, EndpointState state, long startedAtTicks) {
+        return new EndpointEntry(id, build, zone, zone, 0, 1, state, startedAtTicks);
     }
 
-    /** Machines of build 1, in two zones, that have run for long, and news that build 1 is released. */
-    void begin(int machines) {
-        List<Event> events = new ArrayList<>();
-        List<EndpointEntry> named = new ArrayList<>();
-        for (int i = 0; i < machines; i++) {
-            named.add(machine("m" + i, 1, i % 2, EndpointState.ACTIVE, 0));
+    // ---- what happens to the decider
+
+    /** Begins with endpoints of build 1, in two zones, that have run for long, and with build 1 released. */
+    void start(int endpointCount) {
+        List<EndpointEntry> entries = new ArrayList<>();
+        for (int i = 0; i < endpointCount; i++) {
+            entries.add(endpoint("m" + i, 1, i % 2, EndpointState.ACTIVE, 0));
         }
-        events.add(new Event.EndpointListUpdate(Event.EndpointListKind.CACHED, named));
-        events.add(news);
-        step(events);
+        decide(List.of(
+                new Event.EndpointListUpdate(Event.EndpointListKind.CACHED, entries),
+                rollout(1, 0, 1, RolloutPhase.RELEASED)));
+    }
+
+    void updateEndpoints(EndpointEntry... changed) {
+        decide(List.of(new Event.EndpointListUpdate(Event.EndpointListKind.DELTA, List.of(changed))));
     }
 
-    void lists(EndpointEntry... changed) {
-        step(List.of(new Event.EndpointListUpdate(Event.EndpointListKind.DELTA, List.of(changed))));
+    void announce(int build, int stage, double cap, RolloutPhase phase) {
+        decide(List.of(rollout(build, stage, cap, phase)));
     }
 
-    void tells(int build, int stage, double cap, RolloutPhase phase) {
-        step(List.of(new Event.RolloutUpdate(Event.ControlStatus.OK, stage, cap, 0, phase, build, false)));
+    private static Event.RolloutUpdate rollout(int build, int stage, double cap, RolloutPhase phase) {
+        return new Event.RolloutUpdate(Event.ControlStatus.OK, stage, cap, 0, phase, build, false);
     }
 
-    String req(int route, String key) {
-        String id = "r" + ids++;
-        step(List.of(new Event.RequestReceived(id, route, 0, key, now + 2 * SECOND, 0, false)));
+    /** Sends a request whose client waits for two seconds, and returns its id. */
+    String request(int route, @Nullable String partitionKey) {
+        String id = "r" + requestCount++;
+        decide(List.of(new Event.RequestReceived(id, route, 0, partitionKey, nowTicks + 2 * SECOND, 0, false)));
         return id;
     }
 
-    Sent outOf(String id) {
-        return out.stream().filter(s -> s.req.equals(id)).findFirst().orElse(null);
+    /** Returns the attempt of a request that is in flight, or null. */
+    @Nullable
+    SentAttempt inFlightOf(String requestId) {
+        return inFlight.stream()
+                .filter(attempt -> attempt.requestId.equals(requestId))
+                .findFirst()
+                .orElse(null);
     }
 
-    void ends(Sent s, AttemptOutcome outcome) {
-        out.remove(s);
-        boolean over = outcome == AttemptOutcome.COMPLETED || !owed.containsKey(s.req);
-        step(List.of(new Event.AttemptEnded(s.req, s.no, s.machine, outcome, now - s.at, over, LoadReport.NONE)));
+    void end(SentAttempt attempt, AttemptOutcome outcome) {
+        inFlight.remove(attempt);
+        boolean isRequestEnded = outcome == AttemptOutcome.COMPLETED || !unanswered.containsKey(attempt.requestId);
+        decide(List.of(ended(attempt, outcome, isRequestEnded)));
     }
 
-    void leaves(String id) {
-        owed.remove(id);
-        step(List.of(new Event.ClientDisconnected(id)));
+    private Event.AttemptEnded ended(SentAttempt attempt, AttemptOutcome outcome, boolean isRequestEnded) {
+        return new Event.AttemptEnded(
+                attempt.requestId,
+                attempt.attempt,
+                attempt.endpointId,
+                outcome,
+                nowTicks - attempt.sentAtTicks,
+                isRequestEnded,
+                LoadReport.NONE);
+    }
+
+    void disconnect(String requestId) {
+        unanswered.remove(requestId);
+        decide(List.of(new Event.ClientDisconnected(requestId)));
+    }
+
+    /** Lets time pass: attempts past their limit time out, and the decider is woken every five milliseconds. */
+    void advance(long spanTicks) {
+        for (long endTicks = nowTicks + spanTicks; nowTicks < endTicks; ) {
+            nowTicks += 5 * MILLISECOND;
+            timeOutAttempts();
+            decide(List.of(new Event.TimerFired(0)));
+        }
     }
 
-    /** Lets time pass: tries past their limit time out, and the module is woken. */
-    void pass(long span) {
-        for (long end = now + span; now < end; ) {
-            now += 5 * MS;
-            for (Sent s : List.copyOf(out)) {
-                if (s.dueBy <= now) {
-                    ends(s, AttemptOutcome.TIMED_OUT);
+    /** Lets time pass as a front node does: the decider is woken when it asked to be, and for nothing else. */
+    void advanceByTimers(long spanTicks) {
+        long endTicks = nowTicks + spanTicks;
+        while (true) {
+            long timeoutTicks = inFlight.stream()
+                    .mapToLong(SentAttempt::timesOutAtTicks)
+                    .min()
+                    .orElse(Long.MAX_VALUE);
+            long nextTicks = Math.min(timeoutTicks, timers.isEmpty() ? Long.MAX_VALUE : timers.firstKey());
+            if (nextTicks > endTicks) {
+                nowTicks = endTicks;
+                return;
+            }
+            nowTicks = Math.max(nowTicks, nextTicks);
+            timeOutAttempts();
+            while (!timers.isEmpty() && timers.firstKey() <= nowTicks) {
+                for (long timerId : timers.pollFirstEntry().getValue()) {
+                    decide(List.of(new Event.TimerFired(timerId)));
                 }
             }
-            step(List.of(new Event.TimerFired(0)));
         }
     }
 
-    /** A busy while: reqs come, and tries end well after took, or by chance as the builds' error shares say. */
-    void traffic(long span, int everyMs, long took, double oldErrors, double newErrors, Random chance) {
-        for (long end = now + span; now < end; ) {
-            now += everyMs * MS;
-            for (Sent s : List.copyOf(out)) {
-                if (now >= s.at + took) {
-                    double errors = s.build > 1 ? newErrors : oldErrors;
-                    ends(s, chance.nextDouble() < errors ? AttemptOutcome.FAILED : AttemptOutcome.COMPLETED);
-                }
+    private void timeOutAttempts() {
+        for (SentAttempt attempt : List.copyOf(inFlight)) {
+            // the end of an earlier one can have cancelled it
+            if (attempt.timesOutAtTicks <= nowTicks && inFlight.contains(attempt)) {
+                end(attempt, AttemptOutcome.TIMED_OUT);
             }
-            req(chance.nextInt(2) * 2, "k" + chance.nextInt(400));
         }
     }
 
-    void step(List<Event> events) {
-        for (Event e : events) {
-            if (e instanceof Event.EndpointListUpdate l) {
-                for (EndpointEntry m : l.entries()) {
-                    list.put(m.endpointId(), m);
-                    boolean gone = m.state() != EndpointState.ACTIVE;
-                    toldGone.compute(m.endpointId(), (k, was) -> gone ? was == null ? now : was : null);
-                }
-                if (l.kind() == Event.EndpointListKind.SNAPSHOT) {
-                    // what a whole list does not name is gone
-                    Set<String> named = new HashSet<>();
-                    l.entries().forEach(m -> named.add(m.endpointId()));
-                    list.keySet().stream().filter(m -> !named.contains(m)).forEach(m -> toldGone.putIfAbsent(m, now));
-                }
-            } else if (e instanceof Event.RolloutUpdate n && n.status() == Event.ControlStatus.OK) {
-                news = n;
-                told.put(n.build(), n);
-                answeredBy.values().removeIf(b -> b < n.build() && !told.containsKey(b));
-            } else if (e instanceof Event.RequestReceived r) {
-                owed.put(r.requestId(), r);
-                keys.put(r.requestId(), r.partitionKey());
-                tries.put(r.requestId(), new ArrayList<>());
-                outcomes.put(r.requestId(), new ArrayList<>());
-                taken.add(new long[] {now, r.route()});
-            } else if (e instanceof Event.AttemptEnded t) {
-                outcomes.get(t.requestId()).add(t.outcome());
-                if (t.outcome() == AttemptOutcome.COMPLETED && owed.containsKey(t.requestId())) {
-                    String key = owed.remove(t.requestId()).partitionKey();
-                    int build = tries.get(t.requestId()).get(t.attempt()).build;
-                    // of a build passed over by the news a front cannot know that it is new
-                    boolean known = told.containsKey(build) || build > told.lastKey();
-                    answeredBy.merge(
-                            key == null ? "" : key,
-                            key == null || off.contains(build) || !known ? 0 : build,
-                            Math::max);
+    /** Sends requests at intervals, whose attempts end after a latency, or fail by the error shares of their builds. */
+    void runTraffic(
+            long spanTicks,
+            int intervalMillis,
+            long latencyTicks,
+            double stableErrorShare,
+            double canaryErrorShare,
+            Random random) {
+        for (long endTicks = nowTicks + spanTicks; nowTicks < endTicks; ) {
+            nowTicks += intervalMillis * MILLISECOND;
+            for (SentAttempt attempt : List.copyOf(inFlight)) {
+                if (nowTicks >= attempt.sentAtTicks + latencyTicks) {
+                    double errorShare = attempt.build > 1 ? canaryErrorShare : stableErrorShare;
+                    boolean isError = random.nextDouble() < errorShare;
+                    end(attempt, isError ? AttemptOutcome.FAILED : AttemptOutcome.COMPLETED);
                 }
             }
+            request(random.nextInt(2) * 2, "k" + random.nextInt(400));
         }
-        told.values().stream()
-                .filter(n -> n.phase() == RolloutPhase.ROLLING_BACK || n.phase() == RolloutPhase.ROLLED_BACK)
-                .forEach(n -> off.add(n.build()));
-        answeredBy.values().removeIf(off::contains);
-        lastDone.clear();
-        lastDone.addAll(module.decide(now, events));
-        for (Action a : lastDone) {
-            if (a instanceof Action.SendAttempt s) {
-                sent(s);
-            } else if (a instanceof Action.RejectRequest s) {
-                check(1, owed.containsKey(s.requestId()), "a second answer to " + s.requestId());
-                check(2, shedAllowed(s.requestId()), "shed though it may have run: " + s.requestId());
-                owed.remove(s.requestId());
-                answers.add(a);
-            } else if (a instanceof Action.FailRequest s) {
-                check(1, owed.remove(s.requestId()) != null, "a second answer to " + s.requestId());
-                answers.add(a);
-            } else if (a instanceof Action.CastVote v) {
-                votes.add(v);
-            } else if (a instanceof Action.StartTimer w) {
-                timers.computeIfAbsent(Math.max(w.dueAtTicks(), now + 1), k -> new HashSet<>())
-                        .add(w.timerId());
-            } else if (a instanceof Action.CancelAttempt s) {
-                out.stream()
-                        .filter(o -> o.req.equals(s.requestId()) && o.no == s.attempt())
-                        .toList()
-                        .forEach(o -> {
-                            out.remove(o);
-                            outcomes.get(o.req).add(AttemptOutcome.CANCELLED);
-                            module.decide(
-                                    now,
-                                    List.of(new Event.AttemptEnded(
-                                            o.req,
-                                            o.no,
-                                            o.machine,
-                                            AttemptOutcome.CANCELLED,
-                                            now - o.at,
-                                            !owed.containsKey(o.req),
-                                            LoadReport.NONE)));
-                        });
+    }
+
+    /** Hands events to the decider, and carries out and checks what it does. */
+    void decide(List<Event> events) {
+        events.forEach(this::note);
+        for (Event.RolloutUpdate update : announced.values()) {
+            if (update.phase() == RolloutPhase.ROLLING_BACK || update.phase() == RolloutPhase.ROLLED_BACK) {
+                rolledBackBuilds.add(update.build());
             }
         }
-        Set<String> tried = new HashSet<>();
-        out.forEach(s -> tried.add(s.req));
-        owed.values().forEach(r -> {
-            check(1, now < r.deadlineTicks(), "no answer in time to " + r.requestId());
-            check(1, tried.contains(r.requestId()), "neither tried nor answered at once: " + r.requestId());
-        });
+        servedBy.values().removeIf(rolledBackBuilds::contains);
+        lastActions.clear();
+        lastActions.addAll(decider.decide(nowTicks, events));
+        lastActions.forEach(this::carryOut);
+        checkEachRequestIsServed();
     }
 
-    private void check(int rule, boolean kept, String what) {
-        if (!kept) {
-            broken.add("rule " + rule + " at " + now + ": " + what);
+    // ---- the model
+
+    private void note(Event event) {
+        if (event instanceof Event.EndpointListUpdate update) {
+            note(update);
+        } else if (event instanceof Event.RolloutUpdate update && update.status() == Event.ControlStatus.OK) {
+            announced.put(update.build(), update);
+            servedBy.values().removeIf(build -> build < update.build() && !announced.containsKey(build));
+        } else if (event instanceof Event.RequestReceived request) {
+            note(request);
+        } else if (event instanceof Event.AttemptEnded ended) {
+            note(ended);
         }
     }
 
-    /** What was broken of one rule. */
-    List<String> brokenOf(int rule) {
-        return broken.stream().filter(b -> b.startsWith("rule " + rule + " ")).toList();
+    private void note(Event.EndpointListUpdate update) {
+        for (EndpointEntry entry : update.entries()) {
+            endpoints.put(entry.endpointId(), entry);
+            if (entry.state() == EndpointState.ACTIVE) {
+                goneSinceTicks.remove(entry.endpointId());
+            } else {
+                goneSinceTicks.putIfAbsent(entry.endpointId(), nowTicks);
+            }
+        }
+        if (update.kind() == Event.EndpointListKind.SNAPSHOT) {
+            Set<String> namedIds = new HashSet<>();
+            update.entries().forEach(entry -> namedIds.add(entry.endpointId()));
+            endpoints.keySet().stream()
+                    .filter(id -> !namedIds.contains(id))
+                    .forEach(id -> goneSinceTicks.putIfAbsent(id, nowTicks));
+        }
     }
 
-    /** Lets time pass as a front does: the module is woken when it asked to be, and for nothing else. */
-    void sleep(long span) {
-        long end = now + span;
-        while (true) {
-            long due = out.stream().mapToLong(Sent::dueBy).min().orElse(Long.MAX_VALUE);
-            long at = Math.min(due, timers.isEmpty() ? Long.MAX_VALUE : timers.firstKey());
-            if (at > end) {
-                now = end;
-                return;
-            }
-            now = Math.max(now, at);
-            for (Sent s : List.copyOf(out)) {
-                if (s.dueBy <= now && out.contains(s)) {
-                    ends(s, AttemptOutcome.TIMED_OUT);
-                }
-            }
-            while (!timers.isEmpty() && timers.firstKey() <= now) {
-                for (long handle : timers.pollFirstEntry().getValue()) {
-                    step(List.of(new Event.TimerFired(handle)));
-                }
-            }
+    private void note(Event.RequestReceived request) {
+        unanswered.put(request.requestId(), request);
+        keyByRequest.put(request.requestId(), request.partitionKey());
+        routeByRequest.put(request.requestId(), request.route());
+        attemptsByRequest.put(request.requestId(), new ArrayList<>());
+        outcomesByRequest.put(request.requestId(), new ArrayList<>());
+        received.add(new Received(nowTicks, request.route()));
+    }
+
+    private void note(Event.AttemptEnded ended) {
+        outcomesByRequest.get(ended.requestId()).add(ended.outcome());
+        if (ended.outcome() != AttemptOutcome.COMPLETED || !unanswered.containsKey(ended.requestId())) {
+            return;
+        }
+        String key = unanswered.remove(ended.requestId()).partitionKey();
+        int build = attemptsByRequest.get(ended.requestId()).get(ended.attempt()).build;
+        if (key != null && bindsKeys(build)) {
+            servedBy.merge(key, build, Math::max);
         }
     }
 
-    private Sent mayHaveRun(String req) {
-        List<Sent> sent = tries.get(req);
-        for (int i = 0; i < sent.size(); i++) {
-            AttemptOutcome o = i < outcomes.get(req).size() ? outcomes.get(req).get(i) : null;
-            if (o != AttemptOutcome.OVERLOADED && o != AttemptOutcome.CONNECT_FAILED && o != AttemptOutcome.NOT_SENT) {
-                return sent.get(i);
+    private void carryOut(Action action) {
+        if (action instanceof Action.SendAttempt send) {
+            send(send);
+        } else if (action instanceof Action.RejectRequest reject) {
+            String id = reject.requestId();
+            check(RULE_ONE_ANSWER, unanswered.containsKey(id), "a second answer to " + id);
+            check(RULE_ONE_EFFECT, mayReject(id), "rejected though it may have run: " + id);
+            unanswered.remove(id);
+            finalAnswers.add(action);
+        } else if (action instanceof Action.FailRequest fail) {
+            String id = fail.requestId();
+            check(RULE_ONE_ANSWER, unanswered.remove(id) != null, "a second answer to " + id);
+            finalAnswers.add(action);
+        } else if (action instanceof Action.CastVote vote) {
+            votes.add(vote);
+        } else if (action instanceof Action.StartTimer timer) {
+            timers.computeIfAbsent(Math.max(timer.dueAtTicks(), nowTicks + 1), key -> new HashSet<>())
+                    .add(timer.timerId());
+        } else if (action instanceof Action.CancelAttempt cancel) {
+            cancel(cancel);
+        }
+    }
+
+    private void cancel(Action.CancelAttempt cancel) {
+        List<SentAttempt> cancelled = inFlight.stream()
+                .filter(a -> a.requestId.equals(cancel.requestId()) && a.attempt == cancel.attempt())
+                .toList();
+        for (SentAttempt attempt : cancelled) {
+            inFlight.remove(attempt);
+            outcomesByRequest.get(attempt.requestId).add(AttemptOutcome.CANCELLED);
+            boolean isRequestEnded = !unanswered.containsKey(attempt.requestId);
+            decider.decide(nowTicks, List.of(ended(attempt, AttemptOutcome.CANCELLED, isRequestEnded)));
+        }
+    }
+
+    private void send(Action.SendAttempt send) {
+        Event.RequestReceived request = unanswered.get(send.requestId());
+        check(RULE_ONE_ANSWER, request != null, "sent though answered: " + send.requestId());
+        if (request == null) {
+            return;
+        }
+        EndpointEntry endpoint = endpoints.get(send.endpointId());
+        Long goneAtTicks = goneSinceTicks.get(send.endpointId());
+        check(
+                RULE_DRAINING,
+                goneAtTicks == null
+                        || nowTicks <= goneAtTicks + settings.limits().drainGraceTicks(),
+                "sent to an endpoint that drains or is removed");
+        checkEffects(request, endpoint);
+        checkExposure(request, endpoint);
+        checkStickyKey(request, endpoint);
+        boolean isTimeoutLost = lostTimeouts != null && lostTimeouts.nextInt(10) == 0;
+        long timeoutTicks = Math.min(send.timeoutTicks(), request.deadlineTicks() - nowTicks);
+        List<SentAttempt> attempts = attemptsByRequest.get(send.requestId());
+        SentAttempt attempt = new SentAttempt(
+                send.requestId(),
+                attempts.size(),
+                send.endpointId(),
+                endpoint.build(),
+                endpoint.zone(),
+                nowTicks,
+                isTimeoutLost ? Long.MAX_VALUE : nowTicks + timeoutTicks);
+        attempts.add(attempt);
+        inFlight.add(attempt);
+        sent.add(attempt);
+    }
+
+    private void checkEffects(Event.RequestReceived request, EndpointEntry endpoint) {
+        String id = request.requestId();
+        check(RULE_ONE_EFFECT, inFlightOf(id) == null, "two attempts at once");
+        Route route = settings.routes().get(request.route());
+        SentAttempt first = firstPossibleRun(id);
+        if (first == null) {
+            return;
+        }
+        check(
+                RULE_ONE_EFFECT,
+                route.idempotency() != Idempotency.NOT_IDEMPOTENT,
+                "a request that is not idempotent may have run twice");
+        boolean isKnown = route.deduplicationScope() == DeduplicationScope.ALL || first.zone == endpoint.zone();
+        check(
+                RULE_ONE_EFFECT,
+                route.idempotency() != Idempotency.DEDUPLICATED || (isInWindow(first, route) && isKnown),
+                "a deduplicated request out of its scope or window");
+    }
+
+    private void checkExposure(Event.RequestReceived request, EndpointEntry endpoint) {
+        int build = endpoint.build();
+        if (!isCanary(build)) {
+            return;
+        }
+        check(
+                RULE_EXPOSURE,
+                exposureCap(build) > 0 && allowsExposure(build, request.route()),
+                "exposure over the cap of build " + build);
+        int stage = announced.containsKey(build) ? announced.get(build).stage() : 0;
+        Idempotency idempotency = settings.routes().get(request.route()).idempotency();
+        check(
+                RULE_EXPOSURE,
+                stage >= settings.rollout().guardedStages() || idempotency == Idempotency.IDEMPOTENT,
+                "a guarded stage takes idempotent requests only");
+    }
+
+    private void checkStickyKey(Event.RequestReceived request, EndpointEntry endpoint) {
+        String key = request.partitionKey();
+        if (key == null) {
+            return;
+        }
+        check(RULE_EXPOSURE, endpoint.build() >= servedBy.getOrDefault(key, 0), "a sticky key went to an older build");
+        boolean mayBeServedByNewer = inFlight.stream()
+                .anyMatch(a -> a.sentAtTicks < nowTicks
+                        && key.equals(keyByRequest.get(a.requestId))
+                        && bindsKeys(a.build)
+                        && endpoint.build() < a.build);
+        check(
+                RULE_EXPOSURE,
+                !mayBeServedByNewer,
+                "a sticky key went to an older build while a newer one may have served it");
+    }
+
+    private void checkEachRequestIsServed() {
+        Set<String> inFlightIds = new HashSet<>();
+        inFlight.forEach(attempt -> inFlightIds.add(attempt.requestId));
+        for (Event.RequestReceived request : unanswered.values()) {
+            String id = request.requestId();
+            check(RULE_ONE_ANSWER, nowTicks < request.deadlineTicks(), "no answer in time to " + id);
+            check(RULE_ONE_ANSWER, inFlightIds.contains(id), "neither in flight nor answered at once: " + id);
+        }
+    }
+
+    private void check(int rule, boolean isKept, String violation) {
+        if (!isKept) {
+            violations.add("rule " + rule + " at " + nowTicks + ": " + violation);
+        }
+    }
+
+    /** Returns how one rule was broken. */
+    List<String> violationsOf(int rule) {
+        return violations.stream()
+                .filter(v -> v.startsWith("rule " + rule + " "))
+                .toList();
+    }
+
+    private @Nullable SentAttempt firstPossibleRun(String requestId) {
+        List<SentAttempt> attempts = attemptsByRequest.get(requestId);
+        List<AttemptOutcome> outcomes = outcomesByRequest.get(requestId);
+        for (int i = 0; i < attempts.size(); i++) {
+            AttemptOutcome outcome = i < outcomes.size() ? outcomes.get(i) : null;
+            if (outcome != AttemptOutcome.OVERLOADED
+                    && outcome != AttemptOutcome.CONNECT_FAILED
+                    && outcome != AttemptOutcome.NOT_SENT) {
+                return attempts.get(i);
             }
         }
         return null;
     }
 
-    private boolean shedAllowed(String id) {
-        Event.RequestReceived r = owed.get(id);
-        if (r == null) {
+    private boolean isInWindow(SentAttempt first, Route route) {
+        return nowTicks <= first.sentAtTicks + route.deduplicationWindowTicks();
+    }
+
+    private boolean mayReject(String requestId) {
+        Event.RequestReceived request = unanswered.get(requestId);
+        SentAttempt first = request == null ? null : firstPossibleRun(requestId);
+        if (request == null || first == null) {
             return true;
         }
-        Route route = set.routes().get(r.route());
-        return mayHaveRun(id) == null
-                || route.idempotency() == Idempotency.IDEMPOTENT
+        Route route = settings.routes().get(request.route());
+        return route.idempotency() == Idempotency.IDEMPOTENT
                 || (route.idempotency() == Idempotency.DEDUPLICATED
                         && route.deduplicationScope() == DeduplicationScope.ALL
-                        && now <= mayHaveRun(id).at + route.deduplicationWindowTicks());
+                        && isInWindow(first, route));
     }
 
-    /** A build is on trial until news says otherwise, also one that no news names yet; with one release the latest only. */
-    boolean onTrial(int build) {
-        Event.RolloutUpdate n = told.get(build);
-        int latest = told.isEmpty() ? 1 : told.lastKey();
-        boolean passed = (!(module instanceof PartitionedDecider) && build < latest)
-                || told.tailMap(build, false).values().stream().anyMatch(r -> r.phase() == RolloutPhase.RELEASED);
-        return off.contains(build) || (!passed && (n == null ? build > latest : n.phase() != RolloutPhase.RELEASED));
+    /**
+     * Whether a build is a canary: until the control service says otherwise, and also one that it has not named yet. A
+     * decider of one rollout knows of the newest only.
+     */
+    boolean isCanary(int build) {
+        if (rolledBackBuilds.contains(build)) {
+            return true;
+        }
+        int newest = announced.isEmpty() ? 1 : announced.lastKey();
+        boolean isPassed = (!(decider instanceof PartitionedDecider) && build < newest)
+                || announced.tailMap(build, false).values().stream()
+                        .anyMatch(update -> update.phase() == RolloutPhase.RELEASED);
+        if (isPassed) {
+            return false;
+        }
+        Event.RolloutUpdate update = announced.get(build);
+        return update == null ? build > newest : update.phase() != RolloutPhase.RELEASED;
     }
 
-    double cap(int build) {
-        Event.RolloutUpdate n = told.get(build);
-        return n == null
-                ? set.rollout().stageExposureCaps().get(0)
-                : n.phase() == RolloutPhase.CANARY ? n.exposureCap() : 0;
+    /** Returns the share of the requests that a canary may get. */
+    double exposureCap(int build) {
+        Event.RolloutUpdate update = announced.get(build);
+        if (update == null) {
+            return settings.rollout().stageExposureCaps().get(0);
+        }
+        return update.phase() == RolloutPhase.CANARY ? update.exposureCap() : 0;
     }
 
-    /** Exposure within the window, counted afresh and slowly, were one more try sent now. */
-    boolean exposureAllows(int build, int route) {
-        long from = now - set.rollout().exposureWindowTicks();
-        long tried = all.stream()
-                .filter(s -> s.build == build && s.at >= from && counts(s.req, route))
+    /** Whether one more attempt may be sent now: counted anew over the window, and slowly. */
+    boolean allowsExposure(int build, int route) {
+        long fromTicks = nowTicks - settings.rollout().exposureWindowTicks();
+        long attempts = sent.stream()
+                .filter(a -> a.build == build
+                        && a.sentAtTicks >= fromTicks
+                        && isCounted(routeByRequest.get(a.requestId), route))
                 .count();
-        long reqs = taken.stream()
-                .filter(t -> t[0] >= from && (!set.rollout().exposurePerRoute() || t[1] == route))
+        long requests = received.stream()
+                .filter(r -> r.atTicks >= fromTicks && isCounted(r.route, route))
                 .count();
-        return tried + 1 <= set.rollout().exposureAllowance() + cap(build) * reqs;
+        return attempts + 1 <= settings.rollout().exposureAllowance() + exposureCap(build) * requests;
     }
 
-    private final Map<String, Integer> routeOf = new HashMap<>();
-
-    private boolean counts(String req, int route) {
-        return !set.rollout().exposurePerRoute() || routeOf.get(req) == route;
-    }
-
-    /** A build whose answers bind their keys; of one passed over by the news a front cannot know that it is new. */
-    private boolean ahead(int build) {
-        return !off.contains(build) && (told.containsKey(build) || build > told.lastKey());
+    private boolean isCounted(int route, int countedRoute) {
+        return !settings.rollout().exposurePerRoute() || route == countedRoute;
     }
 
-    private void sent(Action.SendAttempt s) {
-        Event.RequestReceived r = owed.get(s.requestId());
-        check(1, r != null, "sent though answered: " + s.requestId());
-        if (r == null) {
-            return;
-        }
-        routeOf.put(s.requestId(), r.route());
-        EndpointEntry m = list.get(s.endpointId());
-        Long gone = toldGone.get(s.endpointId());
-        check(3, gone == null || now <= gone + set.limits().drainGraceTicks(), "sent to a draining machine");
-        check(2, out.stream().noneMatch(o -> o.req.equals(s.requestId())), "two tries at once");
-        Route route = set.routes().get(r.route());
-        Sent first = mayHaveRun(s.requestId());
-        check(2, first == null || route.idempotency() != Idempotency.NOT_IDEMPOTENT, "a non-retriable req ran twice");
-        check(
-                2,
-                first == null
-                        || route.idempotency() != Idempotency.DEDUPLICATED
-                        || (now <= first.at + route.deduplicationWindowTicks()
-                                && (route.deduplicationScope() == DeduplicationScope.ALL || first.zone == m.zone())),
-                "a deduped req outside its group or window");
-        if (onTrial(m.build())) {
-            check(
-                    5,
-                    cap(m.build()) > 0 && exposureAllows(m.build(), r.route()),
-                    "exposure over the cap of build " + m.build());
-            int stage = told.containsKey(m.build()) ? told.get(m.build()).stage() : 0;
-            check(
-                    5,
-                    stage >= set.rollout().guardedStages() || route.idempotency() == Idempotency.IDEMPOTENT,
-                    "guarded stage");
-        }
-        check(
-                5,
-                r.partitionKey() == null || m.build() >= answeredBy.getOrDefault(r.partitionKey(), 0),
-                "a one-way key went back");
-        check(
-                5,
-                r.partitionKey() == null
-                        || out.stream()
-                                .noneMatch(o -> o.at < now
-                                        && r.partitionKey().equals(keys.get(o.req))
-                                        && ahead(o.build)
-                                        && m.build() < o.build),
-                "a one-way key went back while a later build may have answered it");
-        Sent sent = new Sent(
-                s.requestId(),
-                tries.get(s.requestId()).size(),
-                s.endpointId(),
-                m.build(),
-                m.zone(),
-                now,
-                silent != null && silent.nextInt(10) == 0
-                        ? Long.MAX_VALUE
-                        : now + Math.min(s.timeoutTicks(), r.deadlineTicks() - now));
-        tries.get(s.requestId()).add(sent);
-        out.add(sent);
-        all.add(sent);
+    /** Whether a build's answers bind their keys; of a build that was passed over, a node cannot know that it is new. */
+    private boolean bindsKeys(int build) {
+        return !rolledBackBuilds.contains(build) && (announced.containsKey(build) || build > announced.lastKey());
     }
 }
--- a/src/test/java/laurelkeel/decision/ManyEndpointsTest.java
+++ b/src/test/java/laurelkeel/decision/ManyEndpointsTest.java
@@ -5,66 +5,68 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.HashSet;
+import java.util.List;
 import java.util.Set;
 import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.api.Settings;
+import laurelkeel.decision.DecisionSimulation.SentAttempt;
 import org.junit.jupiter.api.Test;
 
-/** A front in front of far more machines than its traffic needs. */
+/** A node that has far more endpoints than its traffic needs. */
 class ManyEndpointsTest {
-    private static final int MACHINES = 1_000;
-    private static final long ANSWER = 20 * 10;
+    private static final int ENDPOINTS = 1_000;
+    private static final long LATENCY_TICKS = 20 * DecisionSimulation.MILLISECOND;
 
-    private final DecisionSimulation play =
+    private final DecisionSimulation simulation =
             new DecisionSimulation(DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT), 1);
 
-    /** Requests one after the other, each served; the machines that were asked. */
-    private Set<String> asked(int requests, long answer) {
-        Set<String> machines = new HashSet<>();
+    /** Serves requests one after the other, and returns the ids of the endpoints used. */
+    private Set<String> usedEndpoints(int requests, long latencyTicks) {
+        Set<String> endpointIds = new HashSet<>();
         for (int i = 0; i < requests; i++) {
-            DecisionSimulation.Sent sent = play.outOf(play.req(0, null));
+            SentAttempt sent = simulation.inFlightOf(simulation.request(0, null));
             assertNotNull(sent);
-            machines.add(sent.machine());
-            play.pass(answer);
-            play.ends(sent, AttemptOutcome.COMPLETED);
+            endpointIds.add(sent.endpointId());
+            simulation.advance(latencyTicks);
+            simulation.end(sent, AttemptOutcome.COMPLETED);
         }
-        return machines;
+        return endpointIds;
     }
 
     @Test
-    void itAsksNoMoreMachinesThanItsTrafficNeeds() {
-        play.begin(MACHINES);
-        int machines = asked(600, ANSWER).size();
-        assertTrue(machines <= 64, "asked " + machines);
-        assertEquals(java.util.List.of(), play.broken);
+    void itUsesNoMoreEndpointsThanItsTrafficNeeds() {
+        simulation.start(ENDPOINTS);
+        int used = usedEndpoints(600, LATENCY_TICKS).size();
+        assertTrue(used <= 64, "used " + used);
+        assertEquals(List.of(), simulation.violations);
     }
 
     @Test
-    void itAsksMoreWhileAnswersWait() {
-        play.begin(MACHINES);
-        asked(300, ANSWER);
-        int machines = asked(100, 12 * ANSWER).size();
-        assertTrue(machines > 90, "asked " + machines);
+    void itUsesMoreWhileAnswersWait() {
+        simulation.start(ENDPOINTS);
+        usedEndpoints(300, LATENCY_TICKS);
+        int used = usedEndpoints(100, 12 * LATENCY_TICKS).size();
+        assertTrue(used > 90, "used " + used);
     }
 
     @Test
-    void whereMostOfItsMachinesFailItAsksTheOthers() {
-        play.begin(MACHINES);
-        Set<String> failing = asked(600, ANSWER);
+    void whereMostOfItsEndpointsFailItUsesTheOthers() {
+        simulation.start(ENDPOINTS);
+        Set<String> failing = usedEndpoints(600, LATENCY_TICKS);
         int served = 0;
-        int tries = 0;
+        int attempts = 0;
         for (int i = 0; i < 1_000; i++) {
-            DecisionSimulation.Sent sent = play.outOf(play.req(0, null));
+            SentAttempt sent = simulation.inFlightOf(simulation.request(0, null));
             while (sent != null) {
-                tries++;
-                play.pass(ANSWER);
-                boolean fails = failing.contains(sent.machine());
-                served += fails ? 0 : 1;
-                play.ends(sent, fails ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.COMPLETED);
-                sent = play.outOf(sent.req());
+                attempts++;
+                simulation.advance(LATENCY_TICKS);
+                boolean isFailing = failing.contains(sent.endpointId());
+                served += isFailing ? 0 : 1;
+                simulation.end(sent, isFailing ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.COMPLETED);
+                sent = simulation.inFlightOf(sent.requestId());
             }
         }
-        assertTrue(served > 850, "served " + served + " of 1,000 in " + tries + " tries");
-        assertEquals(java.util.List.of(), play.broken);
+        assertTrue(served > 850, "served " + served + " of 1,000 in " + attempts + " attempts");
+        assertEquals(List.of(), simulation.violations);
     }
 }
--- a/src/test/java/laurelkeel/decision/RecordedActionsTest.java
+++ b/src/test/java/laurelkeel/decision/RecordedActionsTest.java
@@ -7,13 +7,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Generated days, every action of which is the same as at the last change that meant to act otherwise: of more than 64
- * machines a front asks some in turn (streams 103 and 115 have as many).
- * A change of the module that means to act otherwise prints new sums with "bench streams" and says so in its commit.
+ * Generated event streams, every action of which is the same as at the last change that meant to act otherwise. Streams
+ * 103 and 115 have so many endpoints that a node uses a subset of them.
+ *
+ * <p>A change that means to act otherwise takes the new sums from the command "bench streams" and says so in its commit.
  */
 class RecordedActionsTest {
     @Test
-    void actionsAreThoseOfTheSlowerModule() {
+    void actionsAreAsRecorded() {
         Map.of(
                         100,
                         "2782 actions 2d371cdb",
--- a/src/test/java/laurelkeel/decision/RequestRulesTest.java
+++ b/src/test/java/laurelkeel/decision/RequestRulesTest.java
@@ -1,30 +1,35 @@
 package laurelkeel.decision;
 
+import static laurelkeel.decision.DecisionSimulation.MILLISECOND;
+import static laurelkeel.decision.DecisionSimulation.SECOND;
+import static laurelkeel.decision.DecisionSimulation.endpoint;
+import static laurelkeel.decision.DecisionSimulation.settings;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import laurelkeel.api.Action;
+import laurelkeel.api.Decider;
 import laurelkeel.api.Event;
 import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.api.Event.EndpointState;
 import laurelkeel.api.Event.RolloutPhase;
 import laurelkeel.api.Settings;
+import laurelkeel.decision.DecisionSimulation.SentAttempt;
 import laurelkeel.partition.PartitionedDecider;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/**
- * The module, alone and behind lanes, beside a plain model of the rules: one property a rule, on generated days. The model is Play's.
- */
+/** The five rules on generated event streams, by one decider alone and by one for each of several rollouts. */
 class RequestRulesTest {
-    private static final AttemptOutcome[] ENDS = {
+    private static final AttemptOutcome[] OUTCOMES = {
         AttemptOutcome.COMPLETED,
         AttemptOutcome.COMPLETED,
         AttemptOutcome.COMPLETED,
@@ -36,330 +41,392 @@
         AttemptOutcome.NOT_SENT
     };
 
-    /** What a generated day is made of; the same seed is the same day. */
-    private static DecisionSimulation day(long seed, boolean lanes) {
-        Random chance = new Random(seed);
-        Settings set = DecisionSimulation.settings(
-                chance.nextBoolean(), chance.nextInt(3), Settings.PromotionPolicy.FIRST_VOTE);
-        DecisionSimulation play = new DecisionSimulation(
-                set, lanes ? new PartitionedDecider(set, seed, RoutingDecider::new) : new RoutingDecider(set, seed));
-        play.silent = new Random(seed);
-        play.begin(6);
-        Line line = new Line(play, lanes ? 3 : 1, chance);
+    private static final List<EndpointState> ENDPOINT_STATES =
+            List.of(EndpointState.ACTIVE, EndpointState.DRAINING, EndpointState.REMOVED);
+
+    /** Plays a stream of events that the seed determines. */
+    private static DecisionSimulation simulate(long seed, boolean isPartitioned) {
+        Random random = new Random(seed);
+        Settings settings = settings(random.nextBoolean(), random.nextInt(3), Settings.PromotionPolicy.FIRST_VOTE);
+        DecisionSimulation simulation = new DecisionSimulation(
+                settings,
+                isPartitioned
+                        ? new PartitionedDecider(settings, seed, RoutingDecider::new)
+                        : new RoutingDecider(settings, seed));
+        simulation.lostTimeouts = new Random(seed);
+        simulation.start(6);
+        RolloutScript rollouts = new RolloutScript(simulation, isPartitioned ? 3 : 1, random);
         for (int i = 0; i < 1200; i++) {
-            int what = chance.nextInt(100);
-            if (what < 50) {
-                play.req(chance.nextInt(3), chance.nextInt(5) == 0 ? null : "k" + chance.nextInt(60));
-            } else if (what < 84 && !play.out.isEmpty()) {
-                play.ends(play.out.get(chance.nextInt(play.out.size())), ENDS[chance.nextInt(ENDS.length)]);
-            } else if (what < 86 && !play.owed.isEmpty()) {
-                play.leaves(new TreeSet<>(play.owed.keySet()).first());
-            } else if (what < 90) {
-                play.sleep(edge(play, chance));
-            } else if (what < 96) {
-                play.sleep(chance.nextInt(chance.nextInt(10) == 0 ? 3000 : 150) * DecisionSimulation.MS);
-            } else if (what < 98) {
-                lie(play, line.newest, chance);
+            int roll = random.nextInt(100);
+            if (roll < 50) {
+                simulation.request(random.nextInt(3), random.nextInt(5) == 0 ? null : "k" + random.nextInt(60));
+            } else if (roll < 84 && !simulation.inFlight.isEmpty()) {
+                simulation.end(
+                        simulation.inFlight.get(random.nextInt(simulation.inFlight.size())),
+                        OUTCOMES[random.nextInt(OUTCOMES.length)]);
+            } else if (roll < 86 && !simulation.unanswered.isEmpty()) {
+                simulation.disconnect(new TreeSet<>(simulation.unanswered.keySet()).first());
+            } else if (roll < 90) {
+                simulation.advanceByTimers(ticksToSomeEdge(simulation, random));
+            } else if (roll < 96) {
+                simulation.advanceByTimers(random.nextInt(random.nextInt(10) == 0 ? 3000 : 150) * MILLISECOND);
+            } else if (roll < 98) {
+                updateEndpointsAtRandom(simulation, rollouts.newestBuild, random);
             } else {
-                line.goesOn();
+                rollouts.advance();
             }
         }
-        play.sleep(3 * DecisionSimulation.SECOND);
-        return play;
+        simulation.advanceByTimers(3 * SECOND);
+        return simulation;
     }
 
-    /** Up to the tick at which a window, a grace or a req's time ends, one before or one after. */
-    private static long edge(DecisionSimulation play, Random chance) {
-        long[] spans = {
-            play.set.rollout().exposureWindowTicks(),
-            play.set.limits().drainGraceTicks(),
-            play.set.routes().get(1).deduplicationWindowTicks(),
-            2 * DecisionSimulation.SECOND,
-            800 * DecisionSimulation.MS
+    /** Returns the time until about the tick at which some window, grace or timeout ends. */
+    private static long ticksToSomeEdge(DecisionSimulation simulation, Random random) {
+        long[] spansTicks = {
+            simulation.settings.rollout().exposureWindowTicks(),
+            simulation.settings.limits().drainGraceTicks(),
+            simulation.settings.routes().get(1).deduplicationWindowTicks(),
+            2 * SECOND,
+            800 * MILLISECOND
         };
-        long since = play.all.isEmpty()
-                ? play.now
-                : play.all
-                        .get(play.all.size() - 1 - chance.nextInt(Math.min(5, play.all.size())))
-                        .at();
-        return Math.max(0, since + spans[chance.nextInt(spans.length)] + chance.nextInt(3) - 1 - play.now);
+        long sinceTicks = simulation.sent.isEmpty()
+                ? simulation.nowTicks
+                : simulation
+                        .sent
+                        .get(simulation.sent.size() - 1 - random.nextInt(Math.min(5, simulation.sent.size())))
+                        .sentAtTicks();
+        return Math.max(
+                0,
+                sinceTicks
+                        + spansTicks[random.nextInt(spansTicks.length)]
+                        + random.nextInt(3)
+                        - 1
+                        - simulation.nowTicks);
     }
 
-    /** Lists lie: of machines, states, builds, starts ahead of the clock; whole ones leave machines out. */
-    private static void lie(DecisionSimulation play, int newest, Random chance) {
-        EndpointState state = EndpointState.values()[chance.nextInt(3)];
-        int build = Math.max(1, newest + chance.nextInt(3) - 1);
-        Event.EndpointEntry m = DecisionSimulation.machine(
-                "m" + chance.nextInt(9), build, chance.nextInt(2), state, play.now + chance.nextInt(70_000) - 60_000);
-        if (chance.nextInt(4) == 0) {
-            List<Event.EndpointEntry> some = new ArrayList<>(play.list.values().stream()
-                    .filter(x -> chance.nextInt(4) > 0)
-                    .sorted(java.util.Comparator.comparing(Event.EndpointEntry::endpointId))
+    /** Sends an update of the endpoint list that may be wrong in any way, or may leave endpoints out. */
+    private static void updateEndpointsAtRandom(DecisionSimulation simulation, int newestBuild, Random random) {
+        EndpointState state = ENDPOINT_STATES.get(random.nextInt(3));
+        int build = Math.max(1, newestBuild + random.nextInt(3) - 1);
+        Event.EndpointEntry changed = endpoint(
+                "m" + random.nextInt(9),
+                build,
+                random.nextInt(2),
+                state,
+                simulation.nowTicks + random.nextInt(70_000) - 60_000);
+        if (random.nextInt(4) == 0) {
+            List<Event.EndpointEntry> named = new ArrayList<>(simulation.endpoints.values().stream()
+                    .filter(entry -> random.nextInt(4) > 0)
+                    .sorted(Comparator.comparing(Event.EndpointEntry::endpointId))
                     .toList());
-            some.removeIf(x -> x.endpointId().equals(m.endpointId()));
-            some.add(m);
-            play.step(List.of(new Event.EndpointListUpdate(
-                    chance.nextBoolean() ? Event.EndpointListKind.SNAPSHOT : Event.EndpointListKind.CACHED, some)));
+            named.removeIf(entry -> entry.endpointId().equals(changed.endpointId()));
+            named.add(changed);
+            simulation.decide(List.of(new Event.EndpointListUpdate(
+                    random.nextBoolean() ? Event.EndpointListKind.SNAPSHOT : Event.EndpointListKind.CACHED, named)));
         } else {
-            play.lists(m);
+            simulation.updateEndpoints(changed);
         }
     }
 
     /**
-     * The release line: goes on with one of its releases, sends one back, or offers a further one. Now and then its news
-     * are lost for a while; then it tells the end of what no longer stands, and all that stands, the older first.
+     * The control service: advances one of its rollouts, rolls one back, or starts another. Now and then its updates are
+     * lost for a while; afterwards it announces the ends of past rollouts and then those that run, the older first.
      */
-    private static final class Line {
-        final DecisionSimulation play;
-        final int most;
-        final Random chance;
-        final TreeMap<Integer, Integer> stages = new TreeMap<>();
-        int newest = 1, released = 1;
-        boolean lost;
+    private static final class RolloutScript {
+        final DecisionSimulation simulation;
+        final int maxRollouts;
+        final Random random;
+        final TreeMap<Integer, Integer> stageByBuild = new TreeMap<>();
+        int newestBuild = 1;
+        int releasedBuild = 1;
+        boolean areUpdatesLost;
 
-        Line(DecisionSimulation play, int most, Random chance) {
-            this.play = play;
-            this.most = most;
-            this.chance = chance;
+        RolloutScript(DecisionSimulation simulation, int maxRollouts, Random random) {
+            this.simulation = simulation;
+            this.maxRollouts = maxRollouts;
+            this.random = random;
         }
 
-        void goesOn() {
-            if (chance.nextInt(4) == 0) {
-                lost = !lost;
-                if (!lost) {
+        void advance() {
+            if (random.nextInt(4) == 0) {
+                areUpdatesLost = !areUpdatesLost;
+                if (!areUpdatesLost) {
                     catchUp();
                 }
             }
-            if (stages.size() < most && (stages.isEmpty() || chance.nextBoolean())) {
-                int build = ++newest;
-                stages.put(build, 0);
+            if (stageByBuild.size() < maxRollouts && (stageByBuild.isEmpty() || random.nextBoolean())) {
+                int build = ++newestBuild;
+                stageByBuild.put(build, 0);
                 for (int i = 0; i < 2; i++) {
-                    play.lists(DecisionSimulation.machine(
+                    simulation.updateEndpoints(endpoint(
                             "b" + build + "." + i,
                             build,
                             i,
                             EndpointState.ACTIVE,
-                            chance.nextBoolean() ? 0 : play.now));
+                            random.nextBoolean() ? 0 : simulation.nowTicks));
                 }
-                trial(build);
+                announceCanary(build);
                 return;
             }
-            int build = new ArrayList<>(stages.keySet()).get(chance.nextInt(stages.size()));
-            int stage = stages.get(build);
-            if (chance.nextInt(4) == 0) {
-                stages.remove(build);
-                over(build, stage, RolloutPhase.ROLLING_BACK);
-                over(build, stage, RolloutPhase.ROLLED_BACK);
-            } else if (stage + 1 < play.set.rollout().stageExposureCaps().size()) {
-                stages.put(build, stage + 1);
-                trial(build);
+            int build = new ArrayList<>(stageByBuild.keySet()).get(random.nextInt(stageByBuild.size()));
+            int stage = stageByBuild.get(build);
+            if (random.nextInt(4) == 0) {
+                stageByBuild.remove(build);
+                announceEnd(build, stage, RolloutPhase.ROLLING_BACK);
+                announceEnd(build, stage, RolloutPhase.ROLLED_BACK);
+            } else if (stage + 1
+                    < simulation.settings.rollout().stageExposureCaps().size()) {
+                stageByBuild.put(build, stage + 1);
+                announceCanary(build);
             } else {
-                // all that is older ends with it, and the line says so first
-                for (int older : List.copyOf(stages.headMap(build).keySet())) {
-                    over(older, stages.remove(older), RolloutPhase.ROLLED_BACK);
+                // older rollouts end with it, which is announced first
+                for (int older : List.copyOf(stageByBuild.headMap(build).keySet())) {
+                    announceEnd(older, stageByBuild.remove(older), RolloutPhase.ROLLED_BACK);
                 }
-                stages.remove(build);
-                released = build;
-                if (!lost) {
-                    play.tells(build, stage, 1, RolloutPhase.RELEASED);
+                stageByBuild.remove(build);
+                releasedBuild = build;
+                if (!areUpdatesLost) {
+                    simulation.announce(build, stage, 1, RolloutPhase.RELEASED);
                 }
             }
         }
 
-        private void trial(int build) {
-            if (!lost) {
-                int stage = stages.get(build);
-                play.tells(build, stage, play.set.rollout().stageExposureCaps().get(stage), RolloutPhase.CANARY);
+        private void announceCanary(int build) {
+            if (!areUpdatesLost) {
+                int stage = stageByBuild.get(build);
+                simulation.announce(
+                        build,
+                        stage,
+                        simulation.settings.rollout().stageExposureCaps().get(stage),
+                        RolloutPhase.CANARY);
             }
         }
 
-        private void over(int build, int stage, RolloutPhase phase) {
-            if (!lost) {
-                play.tells(build, stage, 0, phase);
+        private void announceEnd(int build, int stage, RolloutPhase phase) {
+            if (!areUpdatesLost) {
+                simulation.announce(build, stage, 0, phase);
             }
         }
 
         private void catchUp() {
-            for (Event.RolloutUpdate n : List.copyOf(play.told.values())) {
-                if (n.phase() == RolloutPhase.CANARY && !stages.containsKey(n.build()) && n.build() != released) {
-                    play.tells(n.build(), n.stage(), 0, RolloutPhase.ROLLED_BACK);
+            for (Event.RolloutUpdate update : List.copyOf(simulation.announced.values())) {
+                if (update.phase() == RolloutPhase.CANARY
+                        && !stageByBuild.containsKey(update.build())
+                        && update.build() != releasedBuild) {
+                    simulation.announce(update.build(), update.stage(), 0, RolloutPhase.ROLLED_BACK);
                 }
             }
-            play.tells(released, 0, 1, RolloutPhase.RELEASED);
-            List.copyOf(stages.keySet()).forEach(this::trial);
+            simulation.announce(releasedBuild, 0, 1, RolloutPhase.RELEASED);
+            List.copyOf(stageByBuild.keySet()).forEach(this::announceCanary);
         }
     }
 
-    private static void holds(int rule, long seed) {
-        for (boolean lanes : new boolean[] {false, true}) {
-            DecisionSimulation play = day(seed, lanes);
-            assertEquals(List.of(), play.brokenOf(rule), lanes ? "lanes" : "alone");
-            assertTrue(play.owed.isEmpty(), "every req has its answer");
-            assertTrue(play.all.size() > 100, "a day on which something happens");
+    private static void assertRuleHolds(int rule, long seed) {
+        for (boolean isPartitioned : new boolean[] {false, true}) {
+            DecisionSimulation simulation = simulate(seed, isPartitioned);
+            assertEquals(List.of(), simulation.violationsOf(rule), isPartitioned ? "partitioned" : "alone");
+            assertTrue(simulation.unanswered.isEmpty(), "every request has its answer");
+            assertTrue(simulation.sent.size() > 100, "a stream in which something happens");
         }
     }
 
     @Property(tries = 60, seed = "1", shrinking = ShrinkingMode.OFF)
-    void rule1EachReqHasOneAnswerInItsTimeAndWhatIsGivenUpHasItAtOnce(@ForAll long seed) {
-        holds(1, seed);
+    void rule1EachRequestHasOneAnswerInTimeAndAtOnceWhereNothingIsInFlight(@ForAll long seed) {
+        assertRuleHolds(1, seed);
     }
 
     @Property(tries = 60, seed = "2", shrinking = ShrinkingMode.OFF)
-    void rule2NoEffectTwiceAndShedsAreHarmless(@ForAll long seed) {
-        holds(2, seed);
+    void rule2NoEffectHappensTwiceAndRejectedRequestsHaveNone(@ForAll long seed) {
+        assertRuleHolds(2, seed);
     }
 
     @Property(tries = 60, seed = "3", shrinking = ShrinkingMode.OFF)
-    void rule3NothingNewToADrainingOrGoneMachineAfterTheGrace(@ForAll long seed) {
-        holds(3, seed);
+    void rule3NothingIsSentToADrainingOrRemovedEndpointAfterTheGrace(@ForAll long seed) {
+        assertRuleHolds(3, seed);
     }
 
     @Property(tries = 200, seed = "5", shrinking = ShrinkingMode.OFF)
-    void rule5ExposureStagesAndKeysAreKept(@ForAll long seed) {
-        holds(5, seed);
+    void rule5ExposureGuardedStagesAndStickyKeysAreKept(@ForAll long seed) {
+        assertRuleHolds(5, seed);
     }
 
-    /** Many fronts together, whose warm machines die while some come cold: the oracle is told what a machine usually did. */
+    /** Many nodes together, whose warm endpoints die while others start. */
     @Property(tries = 25, seed = "4", shrinking = ShrinkingMode.OFF)
-    void rule4AllFrontsTogetherPushNoColdMachineOver(@ForAll long seed) {
-        Random chance = new Random(seed);
-        int fronts = 1 + chance.nextInt(24);
-        int machines = 4 + chance.nextInt(12);
-        int everyMs = 1 + chance.nextInt(12);
-        boolean lanes = chance.nextBoolean();
-        Settings set = DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT);
-        List<DecisionSimulation> all = new ArrayList<>();
-        for (int f = 0; f < fronts; f++) {
-            all.add(new DecisionSimulation(
-                    set, lanes ? new PartitionedDecider(set, f, RoutingDecider::new) : new RoutingDecider(set, f)));
-            all.get(f).begin(machines);
+    void rule4AllNodesTogetherOverloadNoEndpointThatWarmsUp(@ForAll long seed) {
+        new WarmUpScenario(seed).run();
+    }
+
+    /** After fifteen seconds of even traffic, most endpoints are replaced at once by a few that have just started. */
+    private static final class WarmUpScenario {
+        private static final long LATENCY_TICKS = 40 * MILLISECOND;
+        private static final long TRAFFIC_BEFORE_TICKS = 15 * SECOND;
+        private static final long TRAFFIC_AFTER_TICKS = 5 * SECOND;
+
+        private final Settings settings = settings(false, 0, Settings.PromotionPolicy.VOTE_COUNT);
+        private final Settings.Limits limits = settings.limits();
+        private final List<DecisionSimulation> nodes = new ArrayList<>();
+        private final Random random;
+        private final int nodeCount;
+        private final int endpointCount;
+        private final long intervalTicks;
+        private final int keptCount;
+        private final int startedCount;
+
+        WarmUpScenario(long seed) {
+            random = new Random(seed);
+            nodeCount = 1 + random.nextInt(24);
+            endpointCount = 4 + random.nextInt(12);
+            intervalTicks = (1 + random.nextInt(12)) * MILLISECOND;
+            boolean isPartitioned = random.nextBoolean();
+            for (int i = 0; i < nodeCount; i++) {
+                Decider decider = isPartitioned
+                        ? new PartitionedDecider(settings, i, RoutingDecider::new)
+                        : new RoutingDecider(settings, i);
+                nodes.add(new DecisionSimulation(settings, decider));
+                nodes.get(i).start(endpointCount);
+            }
+            keptCount = random.nextInt(endpointCount / 2);
+            startedCount = 1 + random.nextInt(3);
+        }
+
+        void run() {
+            long nowTicks = nodes.get(0).nowTicks;
+            long replacedAtTicks = nowTicks + TRAFFIC_BEFORE_TICKS;
+            long endTicks = replacedAtTicks + TRAFFIC_AFTER_TICKS;
+            boolean isReplaced = false;
+            int requestCount = 0;
+            while (nowTicks < endTicks) {
+                nowTicks += intervalTicks;
+                if (!isReplaced && nowTicks >= replacedAtTicks) {
+                    isReplaced = true;
+                    replaceEndpoints(nowTicks);
+                }
+                serve(nodes.get(random.nextInt(nodeCount)), nowTicks, "k" + requestCount++);
+            }
+            for (int i = 0; i < startedCount; i++) {
+                checkAttempts("c" + i, replacedAtTicks);
+            }
         }
-        long now = all.get(0).now;
-        long coldAt = now + 15 * DecisionSimulation.SECOND;
-        long end = coldAt + 5 * DecisionSimulation.SECOND;
-        int stay = chance.nextInt(machines / 2);
-        int cold = 1 + chance.nextInt(3);
-        boolean told = false;
-        int n = 0;
-        while (now < end) {
-            now += everyMs * DecisionSimulation.MS;
-            if (!told && now >= coldAt) {
-                told = true;
-                for (DecisionSimulation p : all) {
-                    p.now = now;
-                    for (int i = stay; i < machines; i++) {
-                        p.lists(DecisionSimulation.machine("m" + i, 1, i % 2, EndpointState.REMOVED, 0));
-                    }
-                    for (int i = 0; i < cold; i++) {
-                        p.lists(DecisionSimulation.machine("c" + i, 1, i % 2, EndpointState.ACTIVE, now));
-                    }
+
+        private void replaceEndpoints(long nowTicks) {
+            for (DecisionSimulation node : nodes) {
+                node.nowTicks = nowTicks;
+                for (int i = keptCount; i < endpointCount; i++) {
+                    node.updateEndpoints(endpoint("m" + i, 1, i % 2, EndpointState.REMOVED, 0));
+                }
+                for (int i = 0; i < startedCount; i++) {
+                    node.updateEndpoints(endpoint("c" + i, 1, i % 2, EndpointState.ACTIVE, nowTicks));
                 }
             }
-            DecisionSimulation p = all.get(chance.nextInt(fronts));
-            p.now = now;
-            for (DecisionSimulation.Sent s : List.copyOf(p.out)) {
-                if (now >= s.at() + 40 * DecisionSimulation.MS) {
-                    p.ends(s, AttemptOutcome.COMPLETED);
+        }
+
+        private void serve(DecisionSimulation node, long nowTicks, String key) {
+            node.nowTicks = nowTicks;
+            for (SentAttempt attempt : List.copyOf(node.inFlight)) {
+                if (nowTicks >= attempt.sentAtTicks() + LATENCY_TICKS) {
+                    node.end(attempt, AttemptOutcome.COMPLETED);
                 }
             }
-            p.req(chance.nextInt(2) * 2, "k" + n++);
+            node.request(random.nextInt(2) * 2, key);
         }
-        double usual = set.limits().overloadWindowTicks() / (double) (everyMs * DecisionSimulation.MS) / machines;
-        for (int i = 0; i < cold; i++) {
-            String id = "c" + i;
-            List<Long> at = all.stream()
-                    .flatMap(p -> p.all.stream())
-                    .filter(s -> s.machine().equals(id))
-                    .map(DecisionSimulation.Sent::at)
+
+        private void checkAttempts(String endpointId, long startedAtTicks) {
+            double usualAttempts = limits.overloadWindowTicks() / (double) intervalTicks / endpointCount;
+            List<Long> sentAtTicks = nodes.stream()
+                    .flatMap(node -> node.sent.stream())
+                    .filter(attempt -> attempt.endpointId().equals(endpointId))
+                    .map(SentAttempt::sentAtTicks)
                     .sorted()
                     .toList();
-            for (int from = 0, to = 0; to < at.size(); to++) {
-                while (at.get(from) <= at.get(to) - set.limits().overloadWindowTicks()) {
+            int from = 0;
+            for (int to = 0; to < sentAtTicks.size(); to++) {
+                while (sentAtTicks.get(from) <= sentAtTicks.get(to) - limits.overloadWindowTicks()) {
                     from++;
                 }
-                double warm = set.limits().warmUpInitialShare()
-                        + (1 - set.limits().warmUpInitialShare())
-                                * Math.min(
-                                        1,
-                                        (at.get(to) - coldAt)
-                                                / (double) set.limits().warmUpTicks());
-                // each front rounds what is under one try by chance: three standard deviations of their sum
-                double most = set.limits().overloadMultiple() * warm * usual + 1.5 * Math.sqrt(fronts);
+                double progress = Math.min(1, (sentAtTicks.get(to) - startedAtTicks) / (double) limits.warmUpTicks());
+                double share = limits.warmUpInitialShare() + (1 - limits.warmUpInitialShare()) * progress;
+                // each node rounds a fraction of an attempt at random: three standard deviations of their sum
+                double maxAttempts = limits.overloadMultiple() * share * usualAttempts + 1.5 * Math.sqrt(nodeCount);
+                int attempts = to - from + 1;
                 assertTrue(
-                        to - from + 1 <= most,
-                        id + " got " + (to - from + 1) + " of " + most + ", " + fronts + " fronts");
+                        attempts <= maxAttempts,
+                        endpointId + " got " + attempts + " of " + maxAttempts + ", " + nodeCount + " nodes");
             }
         }
     }
 
-    /** Withholding must have its reason: with room under the cap, a key of the slice does go to the trial build. */
+    /** What the cap allows is not withheld. */
     @Property(tries = 20, seed = "7", shrinking = ShrinkingMode.OFF)
-    void whatIsWithheldForTheCapIsForbidden(@ForAll long seed) {
-        DecisionSimulation play = trial(seed, 0.5, 0);
-        int went = 0;
+    void withRoomUnderTheCapTheSliceOfTheCanaryGoesThere(@ForAll long seed) {
+        DecisionSimulation simulation = canary(seed, 0.5, 0);
+        int sentToCanary = 0;
         for (int i = 0; i < 300; i++) {
-            play.now += 20 * DecisionSimulation.MS;
-            String id = play.req(0, "k" + i);
-            assertTrue(play.outOf(id) != null, play.now + " not sent: " + play.lastDone);
-            went += play.outOf(id) != null && play.outOf(id).build() == 2 ? 1 : 0;
-            play.ends(play.outOf(id), AttemptOutcome.COMPLETED);
+            simulation.nowTicks += 20 * MILLISECOND;
+            String id = simulation.request(0, "k" + i);
+            assertTrue(simulation.inFlightOf(id) != null, simulation.nowTicks + " not sent: " + simulation.lastActions);
+            sentToCanary += simulation.inFlightOf(id) != null
+                            && simulation.inFlightOf(id).build() == 2
+                    ? 1
+                    : 0;
+            simulation.end(simulation.inFlightOf(id), AttemptOutcome.COMPLETED);
         }
-        assertTrue(went > 0.3 * 300 && went < 0.5 * 300, "share of the trial build " + went / 300.0);
-        assertEquals(List.of(), play.broken);
+        assertTrue(sentToCanary > 0.3 * 300 && sentToCanary < 0.5 * 300, "share of the canary " + sentToCanary / 300.0);
+        assertEquals(List.of(), simulation.violations);
     }
 
-    static DecisionSimulation trial(long seed, double cap, int guarded) {
-        DecisionSimulation play = new DecisionSimulation(
-                DecisionSimulation.settings(false, guarded, Settings.PromotionPolicy.FIRST_VOTE), seed);
-        play.begin(4);
+    static DecisionSimulation canary(long seed, double cap, int guardedStages) {
+        DecisionSimulation simulation =
+                new DecisionSimulation(settings(false, guardedStages, Settings.PromotionPolicy.FIRST_VOTE), seed);
+        simulation.start(4);
         for (int i = 0; i < 4; i++) {
-            play.lists(DecisionSimulation.machine("t" + i, 2, i % 2, EndpointState.ACTIVE, 1));
+            simulation.updateEndpoints(endpoint("t" + i, 2, i % 2, EndpointState.ACTIVE, 1));
         }
-        play.now += 20 * DecisionSimulation.SECOND;
-        play.tells(2, guarded > 0 ? 0 : 1, cap, RolloutPhase.CANARY);
-        play.pass(DecisionSimulation.SECOND);
-        return play;
+        simulation.nowTicks += 20 * SECOND;
+        simulation.announce(2, guardedStages > 0 ? 0 : 1, cap, RolloutPhase.CANARY);
+        simulation.advance(SECOND);
+        return simulation;
     }
 
     @Property(tries = 10, seed = "3", shrinking = ShrinkingMode.OFF)
     void theSameEventsGiveTheSameActions(@ForAll long seed) {
-        List<List<Action>> said = new ArrayList<>();
+        List<List<Action>> actionsByRun = new ArrayList<>();
         for (int run = 0; run < 2; run++) {
-            DecisionSimulation play = trial(seed, 0.5, 0);
-            play.traffic(3 * DecisionSimulation.SECOND, 10, 1000, 0, 0, new Random(seed));
-            said.add(new ArrayList<>(play.lastDone));
-            said.get(run).addAll(play.answers);
+            DecisionSimulation simulation = canary(seed, 0.5, 0);
+            simulation.runTraffic(3 * SECOND, 10, 1000, 0, 0, new Random(seed));
+            actionsByRun.add(new ArrayList<>(simulation.lastActions));
+            actionsByRun.get(run).addAll(simulation.finalAnswers);
         }
-        assertEquals(said.get(0), said.get(1));
+        assertEquals(actionsByRun.get(0), actionsByRun.get(1));
     }
 
     @Property(tries = 1, seed = "1")
-    void slicesOfTwoBuildsAreUnrelated() {
-        int both = 0;
-        int first = 0;
-        List<DecisionSimulation> plays = List.of(trial(1, 0.5, 0), trial(2, 0.5, 0));
-        plays.get(1)
-                .lists(
-                        DecisionSimulation.machine("u0", 3, 0, EndpointState.ACTIVE, 1),
-                        DecisionSimulation.machine("u1", 3, 1, EndpointState.ACTIVE, 1),
-                        DecisionSimulation.machine("u2", 3, 0, EndpointState.ACTIVE, 1),
-                        DecisionSimulation.machine("u3", 3, 1, EndpointState.ACTIVE, 1));
-        plays.get(1).tells(3, 1, 0.5, RolloutPhase.CANARY);
-        plays.get(1).pass(DecisionSimulation.SECOND);
+    void slicesOfTwoBuildsAreIndependent() {
+        int inBoth = 0;
+        int inFirst = 0;
+        List<DecisionSimulation> simulations = List.of(canary(1, 0.5, 0), canary(2, 0.5, 0));
+        simulations
+                .get(1)
+                .updateEndpoints(
+                        endpoint("u0", 3, 0, EndpointState.ACTIVE, 1),
+                        endpoint("u1", 3, 1, EndpointState.ACTIVE, 1),
+                        endpoint("u2", 3, 0, EndpointState.ACTIVE, 1),
+                        endpoint("u3", 3, 1, EndpointState.ACTIVE, 1));
+        simulations.get(1).announce(3, 1, 0.5, RolloutPhase.CANARY);
+        simulations.get(1).advance(SECOND);
         for (int i = 0; i < 600; i++) {
-            boolean[] in = new boolean[2];
-            for (int p = 0; p < 2; p++) {
-                DecisionSimulation play = plays.get(p);
-                play.now += 20 * DecisionSimulation.MS;
-                DecisionSimulation.Sent s = play.outOf(play.req(0, "key" + i));
-                in[p] = s.build() == 2 + p;
-                play.ends(s, AttemptOutcome.COMPLETED);
+            boolean[] isInSlice = new boolean[2];
+            for (int index = 0; index < 2; index++) {
+                DecisionSimulation simulation = simulations.get(index);
+                simulation.nowTicks += 20 * MILLISECOND;
+                SentAttempt attempt = simulation.inFlightOf(simulation.request(0, "key" + i));
+                isInSlice[index] = attempt.build() == 2 + index;
+                simulation.end(attempt, AttemptOutcome.COMPLETED);
             }
-            first += in[0] ? 1 : 0;
-            both += in[0] && in[1] ? 1 : 0;
+            inFirst += isInSlice[0] ? 1 : 0;
+            inBoth += isInSlice[0] && isInSlice[1] ? 1 : 0;
         }
-        double overlap = both / (double) first;
+        double overlap = inBoth / (double) inFirst;
         assertTrue(overlap > 0.25 && overlap < 0.55, "overlap " + overlap);
-        assertFalse(first == 0);
+        assertFalse(inFirst == 0);
     }
 }
