--- a/src/main/java/laurelkeel/attribution/CanaryComparison.java
+++ b/src/main/java/laurelkeel/attribution/CanaryComparison.java
@@ -123,7 +123,7 @@
         countEvidence.forEach(evidence -> evidence.beginSecond(second.nodeCount()));
         ComparisonFilter filter = new ComparisonFilter(build, isReference, traffic);
         noteExclusions(filter);
-        // one endpoint's silence or slowness cannot be told from its build's
+        // one endpoint's silence or slowness cannot be distinguished from its build's
         boolean hasSeveralEndpoints = traffic.endpointCount(build) > 1;
         SecondSummary summary = new SecondSummary();
         LatencyComparison latencies = new LatencyComparison();
--- a/src/main/java/laurelkeel/attribution/ComparisonFilter.java
+++ b/src/main/java/laurelkeel/attribution/ComparisonFilter.java
@@ -9,7 +9,7 @@
 
 /**
  * Chooses which of one second's cells a canary is compared by: its own and those of the reference builds, without single
- * endpoints and tenants whose trouble is not their build's. Not thread-safe.
+ * endpoints and tenants whose failures are not their build's. Not thread-safe.
  */
 final class ComparisonFilter {
     private final int build;
--- a/src/main/java/laurelkeel/attribution/ContingencyTable.java
+++ b/src/main/java/laurelkeel/attribution/ContingencyTable.java
@@ -10,7 +10,7 @@
  */
 record ContingencyTable(int hits, int attempts, int totalHits, int totalAttempts) {
 
-    /** Whether the margins leave only one possible table, which tells nothing. */
+    /** Whether the margins leave only one possible table, which is no evidence. */
     boolean isDegenerate() {
         return totalHits == 0 || totalHits == totalAttempts || attempts == 0 || attempts == totalAttempts;
     }
--- a/src/main/java/laurelkeel/attribution/LatencyEvidence.java
+++ b/src/main/java/laurelkeel/attribution/LatencyEvidence.java
@@ -23,8 +23,8 @@
     private static final int WARM_UP_SECONDS = 3;
 
     private static final double MIN_LEARNING_RATE = 0.05;
-    /** Precision of the mixture's prior: the variance at which the mixture is sharpest. */
-    private static final double MIXTURE_VARIANCE = 0.5;
+    /** Inverse of the variance of the drift's prior, a half-normal distribution. */
+    private static final double PRIOR_PRECISION = 0.5;
 
     private static final double MIN_PROBABILITY = 1e-300;
     private static final NormalDistribution STANDARD_NORMAL = new NormalDistribution(null, 0, 1);
@@ -70,12 +70,12 @@
         double[] terms = new double[sums.startCount()];
         for (int start = 0; start < terms.length; start++) {
             double excess = sums.sumSince(start, EXCESS);
-            double variance = sums.sumSince(start, VARIANCE) + MIXTURE_VARIANCE;
-            double tail = STANDARD_NORMAL.cumulativeProbability(excess / Math.sqrt(variance));
+            double precision = sums.sumSince(start, VARIANCE) + PRIOR_PRECISION;
+            double tail = STANDARD_NORMAL.cumulativeProbability(excess / Math.sqrt(precision));
             terms[start] = sums.logWeight(start)
                     + Math.log(2)
-                    + 0.5 * Math.log(MIXTURE_VARIANCE / variance)
-                    + excess * excess / (2 * variance)
+                    + 0.5 * Math.log(PRIOR_PRECISION / precision)
+                    + excess * excess / (2 * precision)
                     + Math.log(Math.max(MIN_PROBABILITY, tail));
         }
         return LogProbability.logSumExp(terms);
--- a/src/main/java/laurelkeel/attribution/OddsRatioEvidence.java
+++ b/src/main/java/laurelkeel/attribution/OddsRatioEvidence.java
@@ -18,7 +18,7 @@
      *
      * @param alternative odds ratio of the alternative hypothesis
      * @param reference odds ratio of the null hypothesis
-     * @return 0 where the table tells nothing
+     * @return 0 where the table is no evidence
      */
     static double logLikelihoodRatio(ContingencyTable table, double alternative, double reference) {
         if (table.isDegenerate()) {
--- a/src/main/java/laurelkeel/attribution/RecentTraffic.java
+++ b/src/main/java/laurelkeel/attribution/RecentTraffic.java
@@ -9,7 +9,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Finds single endpoints and tenants whose trouble is not their build's, in the traffic of the last seconds. Not
+ * Finds single endpoints and tenants whose failures are not their build's, in the traffic of the last seconds. Not
  * thread-safe.
  */
 final class RecentTraffic {
@@ -129,7 +129,7 @@
 
     /**
      * The one tenant that has most of a build's bad answers and has as many at other builds, or {@link #NO_TENANT}: its
-     * trouble is not the build's.
+     * failures are not the build's.
      */
     int outlierTenantOfAllBuilds(int build) {
         Group outlier = findOutlier(build, false);
--- a/src/main/java/laurelkeel/attribution/RegressionAttributor.java
+++ b/src/main/java/laurelkeel/attribution/RegressionAttributor.java
@@ -14,7 +14,7 @@
 /**
  * Attributes a regression to one of several concurrent rollouts, by the reports of all nodes.
  *
- * <p>It is told when rollouts start and end, takes reports and is evaluated once a second. A build that is no worse than
+ * <p>It is notified of rollouts that start and end, takes reports and is evaluated once a second. A build that is no worse than
  * the others is found guilty with a probability of at most {@link #FALSE_ALARM_PROBABILITY} over its whole rollout,
  * however often this is evaluated: exactly so for failed, unanswered and wrong attempts, and as far as the model holds
  * for latencies and for regressions of the whole fleet.
@@ -191,7 +191,7 @@
         }
     }
 
-    /** Of two builds that are bad only together, the one that came later is guilty: without it all was well. */
+    /** Of two builds that are bad only together, the one that started later is guilty: before it there was no regression. */
     private static void markGuiltyByFleet(Map<Integer, CanaryComparison> suspects, ExplanationRanking ranking) {
         List<CanaryComparison> guilty = suspects.values().stream()
                 .filter(suspect -> ranking.guiltyBuilds().contains(suspect.build()))
--- a/src/main/java/laurelkeel/partition/BuildVisibility.java
+++ b/src/main/java/laurelkeel/partition/BuildVisibility.java
@@ -22,7 +22,7 @@
         if (build == partition.rolloutBuild() || build == partition.baselineBuild()) {
             return true;
         }
-        // a decider that chooses its baseline must not choose a build whose rollback it has not heard of
+        // a decider that chooses its baseline must not choose a build whose rollback it does not know of
         return partition.choosesBaseline() && !isUnknownRollback(partition, build);
     }
 
--- a/src/main/java/laurelkeel/partition/PartitionPlan.java
+++ b/src/main/java/laurelkeel/partition/PartitionPlan.java
@@ -8,7 +8,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Opens and closes partitions as rollouts begin and end, and tells each partition's decider the rollout updates,
+ * Opens and closes partitions as rollouts begin and end, and passes each partition's decider the rollout updates,
  * endpoints and baseline that concern it. Not thread-safe.
  */
 final class PartitionPlan {
--- a/src/main/java/laurelkeel/partition/PartitionedDecider.java
+++ b/src/main/java/laurelkeel/partition/PartitionedDecider.java
@@ -293,7 +293,7 @@
         }
     }
 
-    /** Passes an attempt on, or tells its decider that it was not sent. */
+    /** Passes an attempt on, or reports to its decider that it was not sent. */
     private void sendOrSuppress(TrafficPartition partition, Action.SendAttempt send) {
         OwnedRequest request = requests.find(send.requestId());
         if (request == null) {
--- a/src/main/java/laurelkeel/partition/TrafficPartition.java
+++ b/src/main/java/laurelkeel/partition/TrafficPartition.java
@@ -16,7 +16,7 @@
 import laurelkeel.api.Event.RolloutUpdate;
 
 /**
- * One share of the requests with the decider that takes all decisions for it, and what that decider has been told. Not
+ * One share of the requests, with the decider that takes all decisions for it and what that decider knows. Not
  * thread-safe.
  */
 final class TrafficPartition {
@@ -138,7 +138,7 @@
         }
     }
 
-    /** Tells a decider that has just been created which build is its baseline. */
+    /** Announces the baseline to a decider that has just been created. */
     void announceBaseline() {
         if (!choosesBaseline()) {
             enqueue(new RolloutUpdate(ControlStatus.OK, 0, 1, 0, RolloutPhase.RELEASED, baselineBuild, false));
@@ -146,7 +146,7 @@
         }
     }
 
-    /** Tells the decider the exposure cap that it is to keep to, where it goes by another. */
+    /** Announces the exposure cap to keep to, where the decider goes by another. */
     void announceCap(RolloutState rollout, double cap) {
         double knownCap = Double.isNaN(announcedCap) ? rollout.exposureCap() : announcedCap;
         if (cap != knownCap) {
