--- a/src/main/java/laurelkeel/front/controlplane/ControlPlaneClient.java
+++ b/src/main/java/laurelkeel/front/controlplane/ControlPlaneClient.java
@@ -103,7 +103,7 @@
     }
 
     /** Runs an action once a call has ended, with its response or its failure. */
-    @SuppressWarnings("FutureReturnValueIgnored") // the action tells whom it concerns how the call ended
+    @SuppressWarnings("FutureReturnValueIgnored") // the action reports how the call ended
     static <T> void whenDone(CompletableFuture<T> call, BiConsumer<? super T, ? super @Nullable Throwable> action) {
         call.whenComplete(action);
     }
