--- a/src/main/java/laurelkeel/api/Action.java
+++ b/src/main/java/laurelkeel/api/Action.java
@@ -49,6 +49,8 @@
      *
      * @param toNode index of the receiver; below 0 for all other nodes
      */
+    // handed over to one sender and never compared: a copy or a list of bytes would only cost
+    @SuppressWarnings("ArrayRecordComponent")
     record SendGossip(int toNode, byte[] payload) implements Action {}
 
     /** Subscribes to changes of the endpoint list, or ends the subscription. */
--- a/src/main/java/laurelkeel/api/Event.java
+++ b/src/main/java/laurelkeel/api/Event.java
@@ -157,6 +157,8 @@
             implements Event {}
 
     /** A short message from another front node has come in. */
+    // handed over to one reader and never compared: a copy or a list of bytes would only cost
+    @SuppressWarnings("ArrayRecordComponent")
     record GossipReceived(int fromNode, byte[] payload) implements Event {}
 
     /**
--- a/src/main/java/laurelkeel/front/ResponseWriter.java
+++ b/src/main/java/laurelkeel/front/ResponseWriter.java
@@ -1,5 +1,6 @@
 package laurelkeel.front;
 
+import java.util.Objects;
 import laurelkeel.api.Event;
 import laurelkeel.api.Ticks;
 import laurelkeel.front.ingress.ClientRequest;
@@ -64,7 +65,7 @@
         ingress.forward(
                 request.connection(),
                 request.clientRequest().closesConnection(),
-                response.forwarded(),
+                Objects.requireNonNull(response.forwarded(), "only a completed response is forwarded"),
                 components.messageBuilder(),
                 () -> components.pools().releaseBody(response));
     }
--- a/src/main/java/laurelkeel/platform/PlatformServices.java
+++ b/src/main/java/laurelkeel/platform/PlatformServices.java
@@ -63,7 +63,7 @@
                 configuration.socketOptions().kinds(),
                 new StartTimeTranslator(unixEpochTicks),
                 inbox::retireAddress);
-        connector = new ServiceConnector(loop, runtime.socketThreads(), runtime.sharedProcessors());
+        connector = new ServiceConnector(loop, runtime.socketThreads(), runtime.processors(1));
         discovery = new DiscoveryClient(
                 connector, loop, configuration.seed() * 2, directory, configuration.discovery(), inbox::add);
         controlService = new ControlServiceClient(
--- a/src/main/java/laurelkeel/wire/BoundedLineReader.java
+++ b/src/main/java/laurelkeel/wire/BoundedLineReader.java
@@ -21,7 +21,11 @@
      */
     @FunctionalInterface
     public interface LineConsumer<E extends Exception> {
-        /** @param line without its line end; may be empty */
+        /**
+         * Receives one line.
+         *
+         * @param line without its line end; may be empty
+         */
         void accept(String line) throws E;
     }
 
