--- a/src/main/java/laurelkeel/front/AttributionReporter.java
+++ b/src/main/java/laurelkeel/front/AttributionReporter.java
@@ -1,6 +1,5 @@
 package laurelkeel.front;
 
-import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -28,30 +27,17 @@
     /** More than any list has; endpoints that were removed stay known while their last attempts end. */
     private static final int MAX_ENDPOINTS = 20_000;
 
-    /**
-     * A report in its JSON form.
-     *
-     * @param second on the node's own clock
-     * @param ageMillis since the second's end
-     */
-    record Report(
-            @JsonProperty("front") int nodeIndex,
-            @JsonProperty("life") String incarnation,
-            long second,
-            @JsonProperty("agoMs") double ageMillis,
-            List<NodeReport.Cell> cells) {}
-
     private record CellKey(int build, int route, String endpointId, int tenant) {}
 
     private final Settings settings;
     private final String incarnation;
-    private final Consumer<Report> onReport;
+    private final Consumer<AttributionReport> onReport;
     private final Map<String, EndpointEntry> endpoints = new HashMap<>();
     private final TreeMap<Long, Map<CellKey, AttemptSummary>> seconds = new TreeMap<>();
     private final AtomicLong leftOut = new AtomicLong();
     private long lastReportedSecond = -1;
 
-    AttributionReporter(Settings settings, String incarnation, Consumer<Report> onReport) {
+    AttributionReporter(Settings settings, String incarnation, Consumer<AttributionReport> onReport) {
         this.settings = settings;
         this.incarnation = incarnation;
         this.onReport = onReport;
@@ -140,12 +126,13 @@
             long second = oldest.getKey();
             lastReportedSecond = second;
             double ageMillis = (nowTicks - (second + 1) * Ticks.PER_SECOND) / (double) Ticks.PER_MILLISECOND;
-            onReport.accept(new Report(settings.nodeIndex(), incarnation, second, ageMillis, cells(oldest.getValue())));
+            onReport.accept(new AttributionReport(
+                    settings.nodeIndex(), incarnation, second, ageMillis, cells(oldest.getValue())));
         }
     }
 
-    private static List<NodeReport.Cell> cells(Map<CellKey, AttemptSummary> summaries) {
-        List<NodeReport.Cell> cells = new ArrayList<>();
+    private static List<AttributionReport.Cell> cells(Map<CellKey, AttemptSummary> summaries) {
+        List<AttributionReport.Cell> cells = new ArrayList<>();
         summaries.forEach((key, summary) -> {
             if (summary.attempts > 0) {
                 cells.add(summary.toCell(key));
@@ -174,8 +161,8 @@
             sumOfSquaredLogs += log * log;
         }
 
-        NodeReport.Cell toCell(CellKey key) {
-            return new NodeReport.Cell(
+        AttributionReport.Cell toCell(CellKey key) {
+            return new AttributionReport.Cell(
                     key.build,
                     key.route,
                     key.endpointId,
--- a/src/main/java/laurelkeel/front/ResponseWriter.java
+++ b/src/main/java/laurelkeel/front/ResponseWriter.java
@@ -1,10 +1,12 @@
 package laurelkeel.front;
 
+import java.util.Objects;
 import laurelkeel.api.Event;
 import laurelkeel.api.Ticks;
 import laurelkeel.front.ingress.ClientRequest;
 import laurelkeel.front.ingress.Ingress;
 import laurelkeel.front.upstream.EndpointResponse;
+import laurelkeel.wire.ForwardedMessage;
 import laurelkeel.wire.HttpResponse;
 import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
@@ -57,14 +59,15 @@
         return (components.loop().nowTicks() - request.acceptedAtTicks()) / (double) Ticks.PER_MILLISECOND;
     }
 
-    /** Forwards an endpoint's response as the final answer. */
+    /** Forwards the response of an attempt that completed as the final answer. */
     void forward(ActiveRequest request, EndpointResponse response) {
+        ForwardedMessage message = Objects.requireNonNull(response.forwarded(), "a completed response is forwarded");
         close(request, RequestOutcome.COMPLETED);
         components.protocol().writeResponseHeaders(components.messageBuilder(), request.id());
         ingress.forward(
                 request.connection(),
                 request.clientRequest().closesConnection(),
-                response.forwarded(),
+                message,
                 components.messageBuilder(),
                 () -> components.pools().releaseBody(response));
     }
--- a/src/main/java/laurelkeel/front/StandaloneControlPlane.java
+++ b/src/main/java/laurelkeel/front/StandaloneControlPlane.java
@@ -147,7 +147,7 @@
         inbox.add(update);
     }
 
-    private void sendReport(AttributionReporter.Report report) {
+    private void sendReport(AttributionReport report) {
         if (rolloutSource != null) {
             rolloutSource.report(report);
         }
--- a/src/test/java/laurelkeel/front/AttributionReporterTest.java
+++ b/src/test/java/laurelkeel/front/AttributionReporterTest.java
@@ -24,7 +24,7 @@
     @TempDir
     Path directory;
 
-    private final List<AttributionReporter.Report> reports = new ArrayList<>();
+    private final List<AttributionReport> reports = new ArrayList<>();
     private AttributionReporter reporter;
 
     @BeforeEach
@@ -47,7 +47,7 @@
     }
 
     /** The report in the form in which it goes over the wire. */
-    private JsonNode json(AttributionReporter.Report report) throws Exception {
+    private JsonNode json(AttributionReport report) throws Exception {
         ObjectMapper mapper = new ObjectMapper();
         return mapper.readTree(mapper.writeValueAsString(report));
     }
@@ -132,6 +132,6 @@
         reporter.onComplaint(attempt(ENDPOINT, 5 * SECOND_TICKS));
         reporter.onComplaint(attempt(ENDPOINT, 5 * SECOND_TICKS));
         reporter.report(8 * SECOND_TICKS);
-        assertEquals(1, reports.get(0).cells().get(0).wrongs());
+        assertEquals(1, reports.get(0).cells().get(0).complaints());
     }
 }
