--- a/src/main/java/laurelkeel/front/ingress/ClientConnection.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientConnection.java
@@ -46,8 +46,7 @@
     private boolean closed;
     private boolean headRequest;
     private @Nullable Object currentToken;
-    private long lastWrittenBytes = -1;
-    private long writeProgressTicks;
+    private final WriteStallDetector writeStall = new WriteStallDetector();
 
     /**
      * Creates the connection of a session and attaches it to that.
@@ -266,17 +265,9 @@
         closed = true;
     }
 
-    /**
-     * Returns how long pending responses have made no progress, as seen by the calls of this method; 0 where none is
-     * pending.
-     */
+    /** Returns how long pending responses have made no progress; 0 where none is pending. */
     long writeStalledTicks(long nowTicks) {
-        long writtenBytes = session.getWrittenBytes();
-        if (session.getScheduledWriteMessages() == 0 || writtenBytes != lastWrittenBytes) {
-            lastWrittenBytes = writtenBytes;
-            writeProgressTicks = nowTicks;
-        }
-        return nowTicks - writeProgressTicks;
+        return writeStall.stalledTicks(session.getWrittenBytes(), session.getScheduledWriteMessages() > 0, nowTicks);
     }
 
     /**
