--- a/src/main/java/laurelkeel/decision/ActiveRequest.java
+++ b/src/main/java/laurelkeel/decision/ActiveRequest.java
@@ -105,7 +105,7 @@
         return failedEndpoints.contains(endpoint);
     }
 
-    /** Whether nothing that befell it restricts the endpoints it may go to. */
+    /** Whether its attempts so far do not restrict the endpoints it may go to. */
     boolean mayUseAnyEndpoint() {
         return firstPossibleRun == null && failedEndpoints.isEmpty();
     }
--- a/src/main/java/laurelkeel/decision/BuildComparison.java
+++ b/src/main/java/laurelkeel/decision/BuildComparison.java
@@ -68,7 +68,7 @@
     }
 
     /**
-     * Returns what speaks against a build, or null where nothing does.
+     * Returns the evidence against a build, or null where there is none.
      *
      * @param isBaselineServing whether the baseline serves beside it; after the release its last seconds stand
      * @param endpoints the active endpoints of the candidate
--- a/src/main/java/laurelkeel/decision/CanaryRamp.java
+++ b/src/main/java/laurelkeel/decision/CanaryRamp.java
@@ -6,7 +6,7 @@
  * <p>The share only rises during one rollout, so that no key goes back and forth between builds.
  */
 final class CanaryRamp {
-    /** The rest of the cap is left to keys that are sticky already and to uneven traffic. */
+    /** The rest of the cap is room for uneven traffic: keys beyond the cap have to go to the stable build. */
     private static final double TARGET_SHARE_OF_CAP = 0.8;
 
     /** How much busier the canary's endpoints may be than those of the stable build were before the rollout. */
--- a/src/main/java/laurelkeel/decision/Endpoint.java
+++ b/src/main/java/laurelkeel/decision/Endpoint.java
@@ -6,7 +6,7 @@
 
 /** One process of the service, for as long as the endpoint list names it with the same build and start. */
 final class Endpoint {
-    /** After its start, what an endpoint does says little of its build. */
+    /** So long after its start, the outcomes of an endpoint do not count for its build. */
     static final long SETTLING_TICKS = 3 * Ticks.PER_SECOND;
 
     // a latency ratio beyond these limits is more likely noise than a lasting difference
@@ -111,7 +111,7 @@
         this.isActive = isActive;
     }
 
-    /** Whether it has run for long enough to speak for its build. */
+    /** Whether it has run for long enough for its outcomes to count for its build. */
     boolean isSettled(long nowTicks) {
         return startedAtTicks == 0 || nowTicks >= startedAtTicks + SETTLING_TICKS;
     }
--- a/src/main/java/laurelkeel/decision/EndpointHealth.java
+++ b/src/main/java/laurelkeel/decision/EndpointHealth.java
@@ -4,7 +4,7 @@
 import laurelkeel.api.Ticks;
 
 /**
- * Ejects one endpoint from the rotation after outcomes that speak of the endpoint itself.
+ * Ejects one endpoint from the rotation after outcomes that point to a fault of its own.
  *
  * <p>Two connection failures or timeouts in a row eject it, for a time that doubles with each further one; afterwards it
  * gets one attempt at a time until one completes. An endpoint that {@link OutlierDetector} has found is ejected for a
@@ -80,7 +80,7 @@
         return consecutiveFailures >= FAILURES_TO_EJECT;
     }
 
-    /** Whether it has shown a fault of its own since it last served. Its outcomes then speak for no build. */
+    /** Whether it has shown a fault of its own since it last served. Its outcomes then count for no build. */
     boolean isSuspect() {
         return hasFailed() || isErrorOutlier;
     }
--- a/src/main/java/laurelkeel/decision/EndpointPool.java
+++ b/src/main/java/laurelkeel/decision/EndpointPool.java
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Whether every endpoint of the subset was found warm, healthy and not overloaded, and nothing has befallen one since:
+     * Whether every endpoint of the subset was found warm, healthy and not overloaded, with no outcome against one since:
      * then all of them are candidates for a request that may go anywhere.
      */
     boolean isUnrestricted() {
--- a/src/main/java/laurelkeel/decision/OutcomeRecorder.java
+++ b/src/main/java/laurelkeel/decision/OutcomeRecorder.java
@@ -99,9 +99,9 @@
             earlierFailure.addRecoveredFailure();
         }
         Endpoint endpoint = attempt.endpoint();
-        boolean speaksForBuild =
+        boolean countsForBuild =
                 attempt.isEndpointSettled() && !endpoint.health().isSuspect() && !request.isClientRetry();
-        if (!speaksForBuild || !isCounted(outcome)) {
+        if (!countsForBuild || !isCounted(outcome)) {
             return;
         }
         // by when it was sent: errors come quickly, so a build whose share has just risen has them first
--- a/src/main/java/laurelkeel/decision/RateComparison.java
+++ b/src/main/java/laurelkeel/decision/RateComparison.java
@@ -68,20 +68,20 @@
         private double candidateEvents;
 
         void add(BuildOutcomes candidate, BuildOutcomes baseline, ToIntFunction<BuildOutcomes> counter) {
-            double n = candidate.attempts();
-            double m = baseline.attempts();
-            if (n <= 0 || m <= 0) {
+            double candidateTotal = candidate.attempts();
+            double baselineTotal = baseline.attempts();
+            if (candidateTotal <= 0 || baselineTotal <= 0) {
                 return;
             }
-            double candidateCount = counter.applyAsInt(candidate);
-            double baselineCount = counter.applyAsInt(baseline);
-            double stratumWeight = n * m / (n + m);
-            difference += stratumWeight * (candidateCount / n - baselineCount / m);
+            double candidateHits = counter.applyAsInt(candidate);
+            double baselineHits = counter.applyAsInt(baseline);
+            double stratumWeight = candidateTotal * baselineTotal / (candidateTotal + baselineTotal);
+            difference += stratumWeight * (candidateHits / candidateTotal - baselineHits / baselineTotal);
             weight += stratumWeight;
-            attempts += n + m;
-            events += candidateCount + baselineCount;
-            candidateAttempts += n;
-            candidateEvents += candidateCount;
+            attempts += candidateTotal + baselineTotal;
+            events += candidateHits + baselineHits;
+            candidateAttempts += candidateTotal;
+            candidateEvents += candidateHits;
         }
 
         /** Returns the standard error by the rate over all: a stratum of few attempts shows too little of its own. */
--- a/src/main/java/laurelkeel/decision/Regression.java
+++ b/src/main/java/laurelkeel/decision/Regression.java
@@ -1,6 +1,6 @@
 package laurelkeel.decision;
 
-/** What speaks against a build beside its baseline. */
+/** Evidence against a build beside its baseline. */
 sealed interface Regression {
     /** Returns the finding in words for the log. */
     String describe();
--- a/src/main/java/laurelkeel/decision/RolloutState.java
+++ b/src/main/java/laurelkeel/decision/RolloutState.java
@@ -19,7 +19,7 @@
     /** Stands for no build at all. */
     static final int NO_BUILD = StickyKeys.NO_BUILD;
 
-    /** For so long after its release a build is still judged: until then it can be rolled back quickly. */
+    /** A build can still be rolled back after its release; for so long it is judged. */
     private static final long JUDGED_AFTER_RELEASE_TICKS = 25 * Ticks.PER_SECOND;
 
     private final Rollout settings;
--- a/src/main/java/laurelkeel/decision/RolloutVoter.java
+++ b/src/main/java/laurelkeel/decision/RolloutVoter.java
@@ -25,9 +25,9 @@
     /** Tenths of its lifetime after which a vote is renewed. */
     private static final long RENEWAL_TENTHS = 6;
 
-    /** Looks for what speaks against a build. */
+    /** Compares a build with its baseline. */
     interface RegressionCheck {
-        /** Returns what speaks against a build beside its baseline, or null where nothing does. */
+        /** Returns the evidence against a build, or null where there is none. */
         @Nullable
         Regression find(int candidate, int baseline, boolean isBaselineServing, long nowTicks);
     }
--- a/src/main/java/laurelkeel/decision/RouteLatency.java
+++ b/src/main/java/laurelkeel/decision/RouteLatency.java
@@ -16,7 +16,7 @@
     private static final double MIN_LEVEL_SMOOTHING = 0.05;
 
     /**
-     * At levels not met so far, latency is taken to double with each so many levels: nearly as if endpoints served one
+     * At levels without answers so far, latency is taken to double with each so many levels: nearly as if endpoints served one
      * request after the other. Overload would else pass for a slow build.
      */
     private static final double LEVELS_PER_LATENCY_DOUBLING = 3.0;
--- a/src/main/java/laurelkeel/decision/RoutingDecider.java
+++ b/src/main/java/laurelkeel/decision/RoutingDecider.java
@@ -94,7 +94,7 @@
         requests.wakeDue(nowTicks);
         if (nowTicks >= nextHousekeepingAtTicks) {
             nextHousekeepingAtTicks = nowTicks + HOUSEKEEPING_INTERVAL_TICKS;
-            keepHouse(nowTicks);
+            runHousekeeping(nowTicks);
         }
         requests.plan(nowTicks);
         RolloutVoter.Vote vote = voter.nextVote(nowTicks);
@@ -177,8 +177,8 @@
         canaryRamp.observe(rollout.canaryBuild(), endpoints.currentCapacity(rollout.stableBuild(), nowTicks));
     }
 
-    /** Does what is not worth doing at every decision. */
-    private void keepHouse(long nowTicks) {
+    /** Updates what need not be exact at every decision. */
+    private void runHousekeeping(long nowTicks) {
         throughput.update(nowTicks);
         exposure.forgetOld(nowTicks);
         endpoints.updateWarmUpBudgets(nowTicks);
--- a/src/main/java/laurelkeel/decision/SlowStart.java
+++ b/src/main/java/laurelkeel/decision/SlowStart.java
@@ -8,10 +8,10 @@
  * attempts than a share of what would overload them.
  */
 final class SlowStart {
-    /** The rest is left to other nodes, whose traffic this node does not see. */
+    /** A margin, for what is usual for an endpoint is only estimated. */
     private static final double USED_SHARE_OF_OVERLOAD = 0.7;
 
-    /** The budget applies a little longer than the warm-up, for the start is known to other clocks only. */
+    /** The budget applies a little longer than the warm-up: the moment of the start is not exact. */
     private static final long BUDGET_EXTENSION_TICKS = Ticks.PER_SECOND;
 
     private final Limits limits;
--- a/src/main/java/laurelkeel/decision/WeightedRoundRobin.java
+++ b/src/main/java/laurelkeel/decision/WeightedRoundRobin.java
@@ -49,13 +49,13 @@
     int next(int[] candidates, int count) {
         double minLoad = Double.MAX_VALUE;
         double totalWeight = 0;
-        for (int k = 0; k < count; k++) {
-            minLoad = Math.min(minLoad, loads[candidates[k]]);
-            totalWeight += weights[candidates[k]];
+        for (int i = 0; i < count; i++) {
+            minLoad = Math.min(minLoad, loads[candidates[i]]);
+            totalWeight += weights[candidates[i]];
         }
         int best = NONE;
-        for (int k = 0; k < count; k++) {
-            int index = candidates[k];
+        for (int i = 0; i < count; i++) {
+            int index = candidates[i];
             credits[index] += weights[index];
             if (loads[index] <= minLoad * MAX_LOAD_RATIO && (best == NONE || credits[index] > credits[best])) {
                 best = index;
