--- a/src/main/java/laurelkeel/attribution/NodeReport.java
+++ b/src/main/java/laurelkeel/attribution/NodeReport.java
@@ -44,7 +44,7 @@
             double logSquare) {
 
         /** Whether any attempts can have these figures; a cell of the wire may also lack its endpoint. */
-        public boolean isValid() {
+        public boolean hasConsistentCounts() {
             return machine != null && hasValidIndexes() && hasValidCounts() && hasValidLatencies();
         }
 
--- a/src/main/java/laurelkeel/attribution/ReportAggregator.java
+++ b/src/main/java/laurelkeel/attribution/ReportAggregator.java
@@ -76,7 +76,7 @@
         for (NodeReport.Cell cell : reported) {
             if (counted.size() >= NodeReport.MAX_CELLS) {
                 overLimitCells++;
-            } else if (cell.isValid()) {
+            } else if (cell.hasConsistentCounts()) {
                 counted.add(cell);
             } else {
                 invalidCells++;
--- a/src/test/java/laurelkeel/attribution/NodeReportTest.java
+++ b/src/test/java/laurelkeel/attribution/NodeReportTest.java
@@ -11,7 +11,7 @@
 class NodeReportTest {
     @Test
     void cellsThatNoAttemptsCanHaveAreInvalid() {
-        assertTrue(new Cell(1, 0, "m", -1, 10, 4, 6, 10, 10, 30, 90).isValid());
+        assertTrue(new Cell(1, 0, "m", -1, 10, 4, 6, 10, 10, 30, 90).hasConsistentCounts());
         for (Cell invalid : List.of(
                 new Cell(-1, 0, "m", -1, 10, 0, 0, 0, 0, 0, 0),
                 new Cell(1, -1, "m", -1, 10, 0, 0, 0, 0, 0, 0),
@@ -25,7 +25,7 @@
                 new Cell(1, 0, "m", -1, 10, 0, 0, 0, 1, Double.NaN, 0),
                 new Cell(1, 0, "m", -1, 10, 0, 0, 0, 1, 1, Double.POSITIVE_INFINITY),
                 new Cell(1, 0, "m", -1, 10, 0, 0, 0, 1, 1, -1))) {
-            assertFalse(invalid.isValid(), invalid.toString());
+            assertFalse(invalid.hasConsistentCounts(), invalid.toString());
         }
     }
 
@@ -39,6 +39,6 @@
     void aScaledCellKeepsOneAttempt() {
         Cell scaled = new Cell(1, 0, "m", -1, 100, 100, 0, 0, 0, 0, 0).scaled(0.001);
         assertEquals(1, scaled.tries());
-        assertTrue(scaled.isValid());
+        assertTrue(scaled.hasConsistentCounts());
     }
 }
