--- a/src/test/java/laurelkeel/config/IniFileTest.java
+++ b/src/test/java/laurelkeel/config/IniFileTest.java
@@ -32,26 +32,26 @@
             """;
 
     private List<String> errorsOf(String text) throws Exception {
-        Path f = directory.resolve("f.ini");
-        Files.writeString(f, text);
-        return assertThrows(InvalidSettingsException.class, () -> FrontSettings.read(f)).errors().stream()
+        Path file = directory.resolve("f.ini");
+        Files.writeString(file, text);
+        return assertThrows(InvalidSettingsException.class, () -> FrontSettings.read(file)).errors().stream()
                 .map(s -> s.substring(s.indexOf("f.ini")))
                 .toList();
     }
 
     @Test
     void aGoodFileIsReadWithItsUnits() throws Exception {
-        Path f = directory.resolve("f.ini");
-        Files.writeString(f, GOOD);
-        FrontSettings s = FrontSettings.read(f);
-        assertEquals(3000, s.decisionSettings().routes().get(0).latencyObjectiveTicks());
-        assertEquals(List.of(0.1, 1.0), s.decisionSettings().rollout().stageExposureCaps());
-        assertEquals(directory.resolve("state"), s.stateDirectory());
+        Path file = directory.resolve("f.ini");
+        Files.writeString(file, GOOD);
+        FrontSettings settings = FrontSettings.read(file);
+        assertEquals(3000, settings.decisionSettings().routes().get(0).latencyObjectiveTicks());
+        assertEquals(List.of(0.1, 1.0), settings.decisionSettings().rollout().stageExposureCaps());
+        assertEquals(directory.resolve("state"), settings.stateDirectory());
     }
 
     @Test
     void eachErrorNamesItsLineAndRemedy() throws Exception {
-        for (String[] c : new String[][] {
+        for (String[] replacement : new String[][] {
             {"timeout = 2 s", "timeout = 2", "f.ini:9: 'timeout' is '2'; write a time with its unit"},
             {"timeout = 2 s", "timeuot = 2 s", "f.ini:9: 'timeuot' is unknown in [route look]; did you mean 'timeout'?"
             },
@@ -68,20 +68,20 @@
             {"stage-caps = 0.1, 1", "stage-caps = 0.1, 7", "write numbers from 0.0 to 1.0"},
             {"stage-caps = 0.1, 1", "what is this", "neither a section, a key = value nor a comment"}
         }) {
-            List<String> f = errorsOf(GOOD.replace(c[0], c[1]));
-            assertTrue(f.stream().anyMatch(s -> s.contains(c[2])), c[1] + " -> " + f);
+            List<String> errors = errorsOf(GOOD.replace(replacement[0], replacement[1]));
+            assertTrue(errors.stream().anyMatch(s -> s.contains(replacement[2])), replacement[1] + " -> " + errors);
         }
     }
 
     @Test
     void allErrorsAreListedAtOnceInTheirOrder() throws Exception {
-        List<String> f = errorsOf(GOOD.replace("number = 0", "number = x")
+        List<String> errors = errorsOf(GOOD.replace("number = 0", "number = x")
                 .replace("retriable", "safe")
                 .replace("0.1, 1", "one"));
-        assertEquals(3, f.size(), f.toString());
-        assertTrue(f.get(0).startsWith("f.ini:2")
-                && f.get(1).startsWith("f.ini:7")
-                && f.get(2).startsWith("f.ini:11"));
+        assertEquals(3, errors.size(), errors.toString());
+        assertTrue(errors.get(0).startsWith("f.ini:2")
+                && errors.get(1).startsWith("f.ini:7")
+                && errors.get(2).startsWith("f.ini:11"));
     }
 
     @Test
--- a/src/test/java/laurelkeel/front/ControlPlaneTest.java
+++ b/src/test/java/laurelkeel/front/ControlPlaneTest.java
@@ -70,29 +70,29 @@
     void startServer() throws IOException {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10);
         server.setExecutor(Executors.newCachedThreadPool());
-        linesByPath.forEach((path, lines) -> server.createContext(path, x -> {
-            if (x.getRequestURI().getPath().equals(path)) {
-                requestedUris.add(x.getRequestURI().toString());
-                answer(x, path, lines);
+        linesByPath.forEach((path, lines) -> server.createContext(path, exchange -> {
+            if (exchange.getRequestURI().getPath().equals(path)) {
+                requestedUris.add(exchange.getRequestURI().toString());
+                answer(exchange, path, lines);
             }
-            x.close();
+            exchange.close();
         }));
         server.start();
     }
 
-    private static void answer(HttpExchange x, String path, BlockingQueue<String> lines) throws IOException {
+    private static void answer(HttpExchange exchange, String path, BlockingQueue<String> lines) throws IOException {
         try {
             if (path.endsWith("watch")) {
-                x.sendResponseHeaders(200, 0);
+                exchange.sendResponseHeaders(200, 0);
                 for (String s = "{\"kind\":\"beat\"}"; !"cut".equals(s); s = lines.poll(20, TimeUnit.SECONDS)) {
-                    x.getResponseBody().write((s + "\n").getBytes(StandardCharsets.UTF_8));
-                    x.getResponseBody().flush();
+                    exchange.getResponseBody().write((s + "\n").getBytes(StandardCharsets.UTF_8));
+                    exchange.getResponseBody().flush();
                 }
             } else {
                 String s = lines.poll(20, TimeUnit.SECONDS);
                 byte[] body = s.getBytes(StandardCharsets.UTF_8);
-                x.sendResponseHeaders(s.equals("no") ? 500 : 200, body.length);
-                x.getResponseBody().write(body);
+                exchange.sendResponseHeaders(s.equals("no") ? 500 : 200, body.length);
+                exchange.getResponseBody().write(body);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -111,8 +111,8 @@
                 + server.getAddress().getPort() + "\n";
     }
 
-    private static List<Event.EndpointListUpdate> listUpdates(FrontTestPeers p) {
-        return p.events.stream()
+    private static List<Event.EndpointListUpdate> listUpdates(FrontTestPeers peers) {
+        return peers.events.stream()
                 .filter(e -> e instanceof Event.EndpointListUpdate)
                 .map(e -> (Event.EndpointListUpdate) e)
                 .toList();
@@ -120,7 +120,7 @@
 
     @Test
     void aListIsFollowedGapsAreFetchedAndARestartReadsTheCachedOne() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(directory, sourceSections("push"), (x, e) -> List.of())) {
+        try (FrontTestPeers peers = new FrontTestPeers(directory, sourceSections("push"), (exchange, e) -> List.of())) {
             BlockingQueue<String> watch = linesByPath.get("/list/watch");
             watch.add("{\"kind\":\"full\",\"version\":7,\"machines\":[" + ACTIVE_ENDPOINT.formatted(1, "500") + "]}");
             watch.add("no json");
@@ -130,74 +130,82 @@
             linesByPath
                     .get("/list")
                     .add("{\"kind\":\"full\",\"version\":12,\"machines\":[" + ACTIVE_ENDPOINT.formatted(2, "0") + "]}");
-            FrontTestRig.await("four lists", () -> listUpdates(p).size() == 4);
-            List<Event.EndpointListUpdate> l = listUpdates(p);
+            FrontTestRig.await("four lists", () -> listUpdates(peers).size() == 4);
+            List<Event.EndpointListUpdate> updates = listUpdates(peers);
             assertEquals(
                     List.of(
                             EndpointListKind.CACHED,
                             EndpointListKind.SNAPSHOT,
                             EndpointListKind.DELTA,
                             EndpointListKind.SNAPSHOT),
-                    l.stream().map(Event.EndpointListUpdate::kind).toList());
-            assertEquals(List.of(), l.get(0).entries());
-            Event.EndpointEntry first = l.get(1).entries().get(0);
-            assertEquals(EndpointState.DRAINING, l.get(2).entries().get(0).state());
-            assertEquals(first.startedAtTicks(), l.get(2).entries().get(0).startedAtTicks(), "one start, two moments");
-            assertTrue(l.get(3).entries().get(0).startedAtTicks() > first.startedAtTicks(), "a new run is a new start");
+                    updates.stream().map(Event.EndpointListUpdate::kind).toList());
+            assertEquals(List.of(), updates.get(0).entries());
+            Event.EndpointEntry first = updates.get(1).entries().get(0);
+            assertEquals(EndpointState.DRAINING, updates.get(2).entries().get(0).state());
+            assertEquals(
+                    first.startedAtTicks(), updates.get(2).entries().get(0).startedAtTicks(), "one start, two moments");
+            assertTrue(
+                    updates.get(3).entries().get(0).startedAtTicks() > first.startedAtTicks(),
+                    "a new run is a new start");
             watch.add("cut");
             FrontTestRig.await(
                     "it subscribes again from what it has", () -> requestedUris.contains("/list/watch?after=12"));
             FrontTestRig.await("the list is kept", () -> Files.exists(directory.resolve("state/list.json")));
         }
-        try (FrontTestPeers p = new FrontTestPeers(directory, "", (x, e) -> List.of())) {
-            Event.EndpointListUpdate kept = p.firstEvent(Event.EndpointListUpdate.class);
-            assertEquals(EndpointListKind.CACHED, kept.kind());
-            assertEquals("127.0.0.1:9", kept.entries().get(0).endpointId());
+        try (FrontTestPeers peers = new FrontTestPeers(directory, "", (exchange, e) -> List.of())) {
+            Event.EndpointListUpdate cached = peers.firstEvent(Event.EndpointListUpdate.class);
+            assertEquals(EndpointListKind.CACHED, cached.kind());
+            assertEquals("127.0.0.1:9", cached.entries().get(0).endpointId());
         }
     }
 
     @Test
     void aPolledListIsOnlyFetchedOnDemandAndFailuresAreReported() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(
+        try (FrontTestPeers peers = new FrontTestPeers(
                         directory,
                         sourceSections("ask"),
-                        (x, e) -> e instanceof Event.RequestReceived r
+                        (exchange, e) -> e instanceof Event.RequestReceived request
                                 ? List.of(
-                                        r.clientRetry() ? new Action.FetchEndpoints() : new Action.WatchEndpoints(true),
-                                        new Action.FailRequest(r.requestId()))
+                                        request.clientRetry()
+                                                ? new Action.FetchEndpoints()
+                                                : new Action.WatchEndpoints(true),
+                                        new Action.FailRequest(request.requestId()))
                                 : List.of());
-                Socket c = p.connectClient()) {
-            p.firstEvent(Event.EndpointListUpdate.class);
+                Socket client = peers.connectClient()) {
+            peers.firstEvent(Event.EndpointListUpdate.class);
             assertTrue(requestedUris.stream().noneMatch(a -> a.startsWith("/list")));
             linesByPath.get("/list").add("no");
-            FrontTestPeers.say(c, FrontTestPeers.lookRequest("Laurelkeel-Repeat: 1\r\n"));
-            FrontTestRig.await("a failure", () -> listUpdates(p).size() == 2);
-            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.say(client, FrontTestPeers.lookRequest("Laurelkeel-Repeat: 1\r\n"));
+            FrontTestRig.await("a failure", () -> listUpdates(peers).size() == 2);
+            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
             linesByPath.get("/list/watch").add("{\"kind\":\"full\",\"version\":1,\"machines\":[]}");
-            FrontTestRig.await("an answer", () -> listUpdates(p).size() == 3);
+            FrontTestRig.await("an answer", () -> listUpdates(peers).size() == 3);
             linesByPath.get("/list/watch").add("cut");
-            FrontTestRig.await("the broken watch is told", () -> listUpdates(p).size() == 4);
+            FrontTestRig.await(
+                    "the broken watch is told", () -> listUpdates(peers).size() == 4);
             assertEquals(
                     List.of(
                             EndpointListKind.CACHED,
                             EndpointListKind.FAILED,
                             EndpointListKind.SNAPSHOT,
                             EndpointListKind.FAILED),
-                    listUpdates(p).stream().map(Event.EndpointListUpdate::kind).toList());
+                    listUpdates(peers).stream()
+                            .map(Event.EndpointListUpdate::kind)
+                            .toList());
         }
     }
 
     @Test
     void rolloutUpdatesStatisticsAndEveryAnswerToAVoteBecomeEvents() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(
+        try (FrontTestPeers peers = new FrontTestPeers(
                         directory,
                         sourceSections("push"),
-                        (x, e) -> e instanceof Event.RequestReceived r
+                        (exchange, e) -> e instanceof Event.RequestReceived request
                                 ? List.of(
                                         new Action.CastVote(9, 1, Verdict.ROLL_BACK),
-                                        new Action.FailRequest(r.requestId()))
+                                        new Action.FailRequest(request.requestId()))
                                 : List.of());
-                Socket c = p.connectClient()) {
+                Socket client = peers.connectClient()) {
             linesByPath
                     .get("/release/watch")
                     .add("{\"kind\":\"news\",\"build\":9,\"stage\":1,\"cap\":0.4,\"phase\":"
@@ -206,35 +214,40 @@
                     .get("/release/watch")
                     .add("{\"kind\":\"counts\",\"build\":9,\"route\":1,\"tries\":50,\"errors\":3,"
                             + "\"meanMs\":12.5,\"ageMs\":40}");
-            Event.RolloutUpdate n = p.firstEvent(Event.RolloutUpdate.class);
-            assertEquals(Event.RolloutPhase.ROLLING_BACK, n.phase());
-            assertTrue(n.ageTicks() >= 1000 && !n.answersVote() && n.build() == 9 && n.exposureCap() == 0.4);
-            Event.BuildStatistics b = p.firstEvent(Event.BuildStatistics.class);
-            assertEquals(List.of(50L, 3L, 125L), List.of(b.attempts(), b.errors(), b.meanDurationTicks()));
-            List<Event.ControlStatus> got = new ArrayList<>();
-            for (String a : List.of("ok", "moot", "over-limit", "error", "no", "late")) {
-                if (!a.equals("late")) {
+            Event.RolloutUpdate update = peers.firstEvent(Event.RolloutUpdate.class);
+            assertEquals(Event.RolloutPhase.ROLLING_BACK, update.phase());
+            assertTrue(update.ageTicks() >= 1000
+                    && !update.answersVote()
+                    && update.build() == 9
+                    && update.exposureCap() == 0.4);
+            Event.BuildStatistics statistics = peers.firstEvent(Event.BuildStatistics.class);
+            assertEquals(
+                    List.of(50L, 3L, 125L),
+                    List.of(statistics.attempts(), statistics.errors(), statistics.meanDurationTicks()));
+            List<Event.ControlStatus> statuses = new ArrayList<>();
+            for (String answer : List.of("ok", "moot", "over-limit", "error", "no", "late")) {
+                if (!answer.equals("late")) {
                     linesByPath
                             .get("/release/votes")
                             .add(
-                                    a.equals("no")
-                                            ? a
-                                            : "{\"answer\":\"" + a + "\",\"build\":9,"
+                                    answer.equals("no")
+                                            ? answer
+                                            : "{\"answer\":\"" + answer + "\",\"build\":9,"
                                                     + "\"stage\":1,\"cap\":0.4,\"phase\":\"trial\",\"ageMs\":1}");
                 }
-                FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
-                FrontTestPeers.hear(c);
-                int want = got.size() + 2;
+                FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+                FrontTestPeers.hear(client);
+                int expectedUpdates = statuses.size() + 2;
                 FrontTestRig.await(
-                        "answer " + a,
-                        () -> p.events.stream()
+                        "answer " + answer,
+                        () -> peers.events.stream()
                                         .filter(e -> e instanceof Event.RolloutUpdate)
                                         .count()
-                                == want);
-                got.add(p.events.stream()
-                        .filter(e -> e instanceof Event.RolloutUpdate r && r.answersVote())
+                                == expectedUpdates);
+                statuses.add(peers.events.stream()
+                        .filter(e -> e instanceof Event.RolloutUpdate request && request.answersVote())
                         .map(e -> ((Event.RolloutUpdate) e).status())
-                        .reduce((x, y) -> y)
+                        .reduce((exchange, y) -> y)
                         .orElseThrow());
             }
             assertEquals(
@@ -245,13 +258,13 @@
                             Event.ControlStatus.FAILED,
                             Event.ControlStatus.FAILED,
                             Event.ControlStatus.TIMED_OUT),
-                    got);
+                    statuses);
         }
     }
 
     @Test
     void invalidLinesAreSkippedAndEndNothing() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(directory, sourceSections("push"), (x, e) -> List.of())) {
+        try (FrontTestPeers peers = new FrontTestPeers(directory, sourceSections("push"), (exchange, e) -> List.of())) {
             BlockingQueue<String> list = linesByPath.get("/list/watch");
             list.add("null");
             list.add("[]");
@@ -267,16 +280,16 @@
             line.add("{\"kind\":\"news\",\"build\":9,\"stage\":0,\"cap\":7,\"phase\":\"trial\"}");
             line.add("{\"kind\":\"news\",\"build\":9,\"phase\":\"trial\",\"standing\":[null]}");
             line.add("{\"kind\":\"news\",\"build\":9,\"stage\":1,\"cap\":0.4,\"phase\":\"trial\"}");
-            assertEquals(1, p.firstEvent(Event.RolloutUpdate.class).stage());
-            FrontTestRig.await("the list", () -> listUpdates(p).size() == 2);
-            assertEquals(4, listUpdates(p).get(1).entries().get(0).build());
-            assertTrue(!p.front.termination().isDone());
+            assertEquals(1, peers.firstEvent(Event.RolloutUpdate.class).stage());
+            FrontTestRig.await("the list", () -> listUpdates(peers).size() == 2);
+            assertEquals(4, listUpdates(peers).get(1).entries().get(0).build());
+            assertTrue(!peers.front.termination().isDone());
         }
     }
 
     @Test
     void aListThatJumpsAtEachLineIsFetchedOnceAtATime() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(directory, sourceSections("push"), (x, e) -> List.of())) {
+        try (FrontTestPeers peers = new FrontTestPeers(directory, sourceSections("push"), (exchange, e) -> List.of())) {
             BlockingQueue<String> watch = linesByPath.get("/list/watch");
             for (int i = 0; i < 500; i++) {
                 watch.add("{\"kind\":\"changes\",\"version\":" + (100 + 2 * i) + ",\"previous\":" + (99 + 2 * i)
@@ -284,7 +297,7 @@
             }
             FrontTestRig.await("all lines are read", watch::isEmpty);
             watch.add("{\"kind\":\"full\",\"version\":5000,\"machines\":[]}");
-            FrontTestRig.await("the list that follows", () -> listUpdates(p).size() == 2);
+            FrontTestRig.await("the list that follows", () -> listUpdates(peers).size() == 2);
             assertEquals(
                     1, requestedUris.stream().filter(a -> a.equals("/list")).count(), "while none is answered");
             linesByPath.get("/list").add("no");
@@ -294,38 +307,38 @@
     @Test
     void aVoteWhoseAnswerNeverEndsTimesOut() throws Exception {
         server.removeContext("/release/votes");
-        server.createContext("/release/votes", x -> {
-            x.sendResponseHeaders(200, 0);
+        server.createContext("/release/votes", exchange -> {
+            exchange.sendResponseHeaders(200, 0);
             try {
                 for (int i = 0; i < 2000; i++) {
-                    x.getResponseBody().write(' ');
-                    x.getResponseBody().flush();
+                    exchange.getResponseBody().write(' ');
+                    exchange.getResponseBody().flush();
                     Thread.sleep(10);
                 }
             } catch (IOException | InterruptedException e) {
                 // cut off, as it should be
             }
-            x.close();
+            exchange.close();
         });
-        try (FrontTestPeers p = new FrontTestPeers(
+        try (FrontTestPeers peers = new FrontTestPeers(
                         directory,
                         sourceSections("push"),
-                        (x, e) -> e instanceof Event.RequestReceived r
+                        (exchange, e) -> e instanceof Event.RequestReceived request
                                 ? List.of(
                                         new Action.CastVote(9, 1, Verdict.ROLL_BACK),
-                                        new Action.FailRequest(r.requestId()))
+                                        new Action.FailRequest(request.requestId()))
                                 : List.of());
-                Socket c = p.connectClient()) {
-            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
+                Socket client = peers.connectClient()) {
+            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
             assertEquals(
                     Event.ControlStatus.TIMED_OUT,
-                    p.firstEvent(Event.RolloutUpdate.class).status());
+                    peers.firstEvent(Event.RolloutUpdate.class).status());
         }
     }
 
     @Test
     void aWatchThatGoesSilentIsReopened() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(directory, sourceSections("push"), (x, e) -> List.of())) {
+        try (FrontTestPeers peers = new FrontTestPeers(directory, sourceSections("push"), (exchange, e) -> List.of())) {
             // each sends one heartbeat and nothing more
             FrontTestRig.await(
                     "the endpoint list is watched again",
@@ -339,83 +352,83 @@
                                     .filter(a -> a.startsWith("/release/watch"))
                                     .count()
                             > 1);
-            assertFalse(p.front.termination().isDone());
+            assertFalse(peers.front.termination().isDone());
         }
     }
 
     @Test
     void aLineWithoutAnEndIsCutOff() throws Exception {
-        byte[] much = "x".repeat(1 << 20).getBytes(StandardCharsets.US_ASCII);
-        AtomicLong poured = new AtomicLong();
-        CountDownLatch cut = new CountDownLatch(1);
+        byte[] chunk = "x".repeat(1 << 20).getBytes(StandardCharsets.US_ASCII);
+        AtomicLong sentBytes = new AtomicLong();
+        CountDownLatch cutOff = new CountDownLatch(1);
         server.removeContext("/list/watch");
-        server.createContext("/list/watch", x -> {
+        server.createContext("/list/watch", exchange -> {
             try {
-                x.sendResponseHeaders(200, 0);
+                exchange.sendResponseHeaders(200, 0);
                 for (int i = 0; i < 2_000; i++) {
-                    x.getResponseBody().write(much);
-                    poured.addAndGet(much.length);
+                    exchange.getResponseBody().write(chunk);
+                    sentBytes.addAndGet(chunk.length);
                 }
             } catch (IOException e) {
-                cut.countDown();
+                cutOff.countDown();
             }
-            x.close();
+            exchange.close();
         });
-        try (FrontTestPeers p = new FrontTestPeers(directory, sourceSections("push"), (x, e) -> List.of())) {
-            assertTrue(cut.await(20, TimeUnit.SECONDS), "poured " + poured);
-            assertTrue(poured.get() < 64 << 20, "poured " + poured);
-            assertFalse(p.front.termination().isDone());
+        try (FrontTestPeers peers = new FrontTestPeers(directory, sourceSections("push"), (exchange, e) -> List.of())) {
+            assertTrue(cutOff.await(20, TimeUnit.SECONDS), "poured " + sentBytes);
+            assertTrue(sentBytes.get() < 64 << 20, "poured " + sentBytes);
+            assertFalse(peers.front.termination().isDone());
         }
     }
 
     @Test
     void gossipReachesTheOtherNodeAndNothingElseDoes() throws Exception {
-        InetAddress here = InetAddress.getLoopbackAddress();
-        InetSocketAddress a = new InetSocketAddress(here, PortAllocator.free());
-        InetSocketAddress b = new InetSocketAddress(here, PortAllocator.free());
-        Map<Integer, InetSocketAddress> peers = Map.of(0, a, 1, b);
+        InetAddress loopback = InetAddress.getLoopbackAddress();
+        InetSocketAddress firstAddress = new InetSocketAddress(loopback, PortAllocator.free());
+        InetSocketAddress secondAddress = new InetSocketAddress(loopback, PortAllocator.free());
+        Map<Integer, InetSocketAddress> addresses = Map.of(0, firstAddress, 1, secondAddress);
         EventLoop loop = new EventLoop(() -> System.nanoTime() / 100_000);
-        Thread t = new Thread(() -> loop.run(() -> false));
-        t.start();
-        BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+        Thread loopThread = new Thread(() -> loop.run(() -> false));
+        loopThread.start();
+        BlockingQueue<String> received = new LinkedBlockingQueue<>();
         GossipChannel first = new GossipChannel(
                 0,
-                a,
-                peers,
+                firstAddress,
+                addresses,
                 loop,
                 Executors.newCachedThreadPool(),
-                (from, bytes) -> heard.add(from + ":" + bytes.length));
+                (from, bytes) -> received.add(from + ":" + bytes.length));
         GossipChannel second = new GossipChannel(
                 1,
-                b,
-                peers,
+                secondAddress,
+                addresses,
                 loop,
                 Executors.newCachedThreadPool(),
-                (from, bytes) -> heard.add(from + ":" + bytes.length));
+                (from, bytes) -> received.add(from + ":" + bytes.length));
         first.open();
         second.open();
         try (DatagramSocket stranger = new DatagramSocket()) {
-            stranger.send(new DatagramPacket("LK1\0\0\0\7x".getBytes(UTF_8), 8, b));
-            stranger.send(new DatagramPacket("noise".getBytes(UTF_8), 5, b));
+            stranger.send(new DatagramPacket("LK1\0\0\0\7x".getBytes(UTF_8), 8, secondAddress));
+            stranger.send(new DatagramPacket("noise".getBytes(UTF_8), 5, secondAddress));
             first.send(-1, new byte[256]);
-            assertEquals("0:256", heard.poll(10, TimeUnit.SECONDS));
+            assertEquals("0:256", received.poll(10, TimeUnit.SECONDS));
             second.send(0, new byte[0]);
-            assertEquals("1:0", heard.poll(10, TimeUnit.SECONDS));
-            assertTrue(heard.isEmpty());
+            assertEquals("1:0", received.poll(10, TimeUnit.SECONDS));
+            assertTrue(received.isEmpty());
             assertThrows(IllegalArgumentException.class, () -> first.send(1, new byte[257]));
         } finally {
             first.close();
             second.close();
             loop.stop();
-            t.join();
+            loopThread.join();
         }
     }
 
     @Test
     void nodesWithClocksApartKeepTheRulesThroughARollout() throws Exception {
-        LongSupplier mine = NodeRuntime.monotonicClock();
+        LongSupplier clock = NodeRuntime.monotonicClock();
         try (FrontTestRig rig = new FrontTestRig(
-                directory, "", 2, 5, RoutingDecider::new, true, mine, () -> mine.getAsLong() + 99_999_999_999L)) {
+                directory, "", 2, 5, RoutingDecider::new, true, clock, () -> clock.getAsLong() + 99_999_999_999L)) {
             rig.startLoad();
             rig.applyFault("what = offer\nbuild = 2\n");
             FrontTestRig.await(
@@ -424,9 +437,9 @@
                                     TrafficRecord.Stage.class,
                                     s -> s.build() == 2 && s.phase() == TrafficRecord.Phase.RELEASED)
                             > 0);
-            AuditReport j = rig.audit();
-            assertEquals(List.of(), j.breaches());
-            assertEquals(0, j.unanswered());
+            AuditReport report = rig.audit();
+            assertEquals(List.of(), report.breaches());
+            assertEquals(0, report.unanswered());
         }
     }
 }
--- a/src/test/java/laurelkeel/front/FrontChildProcess.java
+++ b/src/test/java/laurelkeel/front/FrontChildProcess.java
@@ -33,9 +33,9 @@
      * @param log where standard error goes; null for a pipe that nobody reads
      */
     FrontChildProcess(Path folder, String limits, List<String> java, String extra, Path log) throws IOException {
-        Thread t = new Thread(this::serve);
-        t.setDaemon(true);
-        t.start();
+        Thread thread = new Thread(this::serve);
+        thread.setDaemon(true);
+        thread.start();
         Path file = folder.resolve("child.ini");
         Files.createDirectories(folder.resolve("state"));
         Files.writeString(
@@ -67,16 +67,16 @@
         command.addAll(java);
         command.addAll(
                 List.of("-cp", System.getProperty("java.class.path"), "laurelkeel.cli.Main", "front", file.toString()));
-        ProcessBuilder b = new ProcessBuilder("bash", "-c", limits + "; exec \"$@\"", "bash");
-        b.command().addAll(command);
-        b.redirectOutput(ProcessBuilder.Redirect.DISCARD);
+        ProcessBuilder builder = new ProcessBuilder("bash", "-c", limits + "; exec \"$@\"", "bash");
+        builder.command().addAll(command);
+        builder.redirectOutput(ProcessBuilder.Redirect.DISCARD);
         if (log != null) {
-            b.redirectError(log.toFile());
+            builder.redirectError(log.toFile());
         }
-        process = b.start();
+        process = builder.start();
         FrontTestRig.await("the child takes connections", () -> {
-            try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-                return s.isConnected();
+            try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
+                return socket.isConnected();
             } catch (IOException e) {
                 if (!process.isAlive()) {
                     throw new IllegalStateException("the child ended with " + process.exitValue());
@@ -89,22 +89,22 @@
     private void serve() {
         try {
             while (true) {
-                Socket s = endpointServer.accept();
-                openSockets.add(s);
-                Thread t = new Thread(() -> answer(s));
-                t.setDaemon(true);
-                t.start();
+                Socket socket = endpointServer.accept();
+                openSockets.add(socket);
+                Thread thread = new Thread(() -> answer(socket));
+                thread.setDaemon(true);
+                thread.start();
             }
         } catch (IOException e) {
             // the test is over
         }
     }
 
-    private void answer(Socket s) {
+    private void answer(Socket socket) {
         try {
-            while (!FrontTestPeers.hear(s).endsWith("<end>")) {
+            while (!FrontTestPeers.hear(socket).endsWith("<end>")) {
                 if (!isSilent) {
-                    FrontTestPeers.say(s, OK);
+                    FrontTestPeers.say(socket, OK);
                 }
             }
         } catch (IOException e) {
@@ -117,10 +117,10 @@
     }
 
     Socket connect(int at) throws IOException {
-        Socket s = new Socket(InetAddress.getLoopbackAddress(), at);
-        s.setSoTimeout(20_000);
-        openSockets.add(s);
-        return s;
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), at);
+        socket.setSoTimeout(20_000);
+        openSockets.add(socket);
+        return socket;
     }
 
     /** Reads one of its metrics over a connection to its admin address. */
@@ -146,10 +146,10 @@
 
     /** Whether the request of a new client is completed. */
     boolean completesRequest() {
-        try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            s.setSoTimeout(5_000);
-            FrontTestPeers.say(s, FrontTestPeers.lookRequest(""));
-            return FrontTestPeers.hear(s).contains("Laurelkeel-Answer: completed");
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
+            socket.setSoTimeout(5_000);
+            FrontTestPeers.say(socket, FrontTestPeers.lookRequest(""));
+            return FrontTestPeers.hear(socket).contains("Laurelkeel-Answer: completed");
         } catch (IOException e) {
             return false;
         }
@@ -165,8 +165,8 @@
     @Override
     public void close() throws IOException {
         process.destroyForcibly();
-        for (Socket s : openSockets) {
-            s.close();
+        for (Socket socket : openSockets) {
+            socket.close();
         }
         endpointServer.close();
     }
--- a/src/test/java/laurelkeel/front/FrontFailureTest.java
+++ b/src/test/java/laurelkeel/front/FrontFailureTest.java
@@ -34,22 +34,22 @@
 
     private static List<RuleViolation> assertOnlyRuleViolated(FrontTestRig rig, int rule, String text)
             throws Exception {
-        AuditReport j = rig.audit();
+        AuditReport report = rig.audit();
         List<RuleViolation> of =
-                j.breaches().stream().filter(b -> b.rule() == rule).toList();
+                report.breaches().stream().filter(b -> b.rule() == rule).toList();
         assertFalse(of.isEmpty(), "rule " + rule + " was broken unseen");
         assertTrue(of.stream().anyMatch(b -> b.what().contains(text)), of.get(0).what());
         assertEquals(
                 List.of(),
-                j.breaches().stream()
+                report.breaches().stream()
                         .filter(b -> b.rule() != rule)
                         .map(RuleViolation::what)
                         .distinct()
                         .limit(3)
                         .toList());
         Set<String> reqs = new HashSet<>();
-        rig.records.forEach(r -> {
-            if (r instanceof TrafficRecord.Asked a) {
+        rig.records.forEach(request -> {
+            if (request instanceof TrafficRecord.Asked a) {
                 reqs.add(a.req());
             }
         });
@@ -62,9 +62,9 @@
         try (FrontTestRig rig = startRig("", RuleBreakingDecider::new)) {
             rig.startLoad();
             awaitAnswers(rig, 300);
-            AuditReport j = rig.audit();
-            assertEquals(List.of(), j.breaches());
-            assertEquals(0, j.unanswered());
+            AuditReport report = rig.audit();
+            assertEquals(List.of(), report.breaches());
+            assertEquals(0, report.unanswered());
         }
     }
 
@@ -148,7 +148,7 @@
             rig.applyFault("what = drain\n");
             FrontTestRig.await(
                     "it is gone",
-                    () -> rig.count(TrafficRecord.MachineDown.class, m -> m.why()
+                    () -> rig.count(TrafficRecord.MachineDown.class, endpoint -> endpoint.why()
                                     .equals("drained"))
                             > 0);
             assertOnlyRuleViolated(rig, 3, "after it was told that it drains");
@@ -170,7 +170,7 @@
             rig.applyFault("what = crash\nback-after = 100 ms\n");
             FrontTestRig.await(
                     "it tips",
-                    () -> rig.count(TrafficRecord.MachineDown.class, m -> m.why()
+                    () -> rig.count(TrafficRecord.MachineDown.class, endpoint -> endpoint.why()
                                     .equals("tipped"))
                             > 0);
             assertOnlyRuleViolated(rig, 4, "was pushed over");
--- a/src/test/java/laurelkeel/front/FrontNodeTest.java
+++ b/src/test/java/laurelkeel/front/FrontNodeTest.java
@@ -32,26 +32,27 @@
 
     /** The outcome that the decider gets of an attempt which the endpoint answers so. */
     private AttemptOutcome outcome(String said, boolean reset) throws Exception {
-        try (FrontTestPeers p = peersThatSendOnce();
-                Socket c = p.connectClient()) {
-            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
-            Socket m = p.nextEndpointConnection();
-            FrontTestPeers.hear(m);
-            FrontTestPeers.say(m, said);
+        try (FrontTestPeers peers = peersThatSendOnce();
+                Socket client = peers.connectClient()) {
+            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            Socket endpoint = peers.nextEndpointConnection();
+            FrontTestPeers.hear(endpoint);
+            FrontTestPeers.say(endpoint, said);
             if (reset) {
-                m.setSoLinger(true, 0);
+                endpoint.setSoLinger(true, 0);
             }
             if (reset || said.isEmpty()) {
-                m.close();
+                endpoint.close();
             }
-            Event.AttemptEnded t = p.firstEvent(Event.AttemptEnded.class);
-            assertEquals(t.outcome() == AttemptOutcome.COMPLETED, t.requestEnded());
-            String answer = FrontTestPeers.hear(c);
+            Event.AttemptEnded attempt = peers.firstEvent(Event.AttemptEnded.class);
+            assertEquals(attempt.outcome() == AttemptOutcome.COMPLETED, attempt.requestEnded());
+            String answer = FrontTestPeers.hear(client);
             assertTrue(
-                    answer.contains(t.requestEnded() ? "Laurelkeel-Answer: completed" : "Laurelkeel-Answer: errored"),
+                    answer.contains(
+                            attempt.requestEnded() ? "Laurelkeel-Answer: completed" : "Laurelkeel-Answer: errored"),
                     answer);
             assertFalse(answer.contains("harmless"), answer);
-            return t.outcome();
+            return attempt.outcome();
         }
     }
 
@@ -75,68 +76,68 @@
 
     @Test
     void aRefusedConnectionProvesThatNothingRan() throws Exception {
-        try (FrontTestPeers p = peersThatSendOnce();
-                Socket c = p.connectClient()) {
-            p.endpointServer.close();
-            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
+        try (FrontTestPeers peers = peersThatSendOnce();
+                Socket client = peers.connectClient()) {
+            peers.endpointServer.close();
+            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
             assertEquals(
                     AttemptOutcome.CONNECT_FAILED,
-                    p.firstEvent(Event.AttemptEnded.class).outcome());
-            FrontTestPeers.hear(c);
+                    peers.firstEvent(Event.AttemptEnded.class).outcome());
+            FrontTestPeers.hear(client);
         }
     }
 
     @Test
     void aReusedConnectionThatIsLostUnderARequestMayHaveRunIt() throws Exception {
-        try (FrontTestPeers p = peersThatSendOnce();
-                Socket c = p.connectClient()) {
-            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
-            Socket m = p.nextEndpointConnection();
-            FrontTestPeers.hear(m);
-            FrontTestPeers.say(m, OK);
-            assertTrue(FrontTestPeers.hear(c).endsWith("hi"));
-            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
-            FrontTestPeers.hear(m);
-            m.close();
+        try (FrontTestPeers peers = peersThatSendOnce();
+                Socket client = peers.connectClient()) {
+            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            Socket endpoint = peers.nextEndpointConnection();
+            FrontTestPeers.hear(endpoint);
+            FrontTestPeers.say(endpoint, OK);
+            assertTrue(FrontTestPeers.hear(client).endsWith("hi"));
+            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.hear(endpoint);
+            endpoint.close();
             FrontTestRig.await(
                     "two ends",
-                    () -> p.events.stream()
+                    () -> peers.events.stream()
                                     .filter(e -> e instanceof Event.AttemptEnded)
                                     .count()
                             == 2);
-            Event.AttemptEnded t = (Event.AttemptEnded) p.events.stream()
+            Event.AttemptEnded attempt = (Event.AttemptEnded) peers.events.stream()
                     .filter(e -> e instanceof Event.AttemptEnded)
                     .toList()
                     .get(1);
-            assertEquals(AttemptOutcome.CONNECTION_LOST, t.outcome());
-            FrontTestPeers.hear(c);
+            assertEquals(AttemptOutcome.CONNECTION_LOST, attempt.outcome());
+            FrontTestPeers.hear(client);
             // the next one gets a new connection
-            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
-            Socket again = p.nextEndpointConnection();
+            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            Socket again = peers.nextEndpointConnection();
             FrontTestPeers.hear(again);
             FrontTestPeers.say(again, OK);
-            assertTrue(FrontTestPeers.hear(c).endsWith("hi"));
+            assertTrue(FrontTestPeers.hear(client).endsWith("hi"));
         }
     }
 
     @Test
     void anAttemptPastItsTimeoutEndsAndItsLateAnswerReachesNobody() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(
+        try (FrontTestPeers peers = new FrontTestPeers(
                         directory,
                         "",
-                        (peers, e) -> e instanceof Event.RequestReceived r
-                                ? List.of(new Action.SendAttempt(r.requestId(), peers.endpointId(), 500))
-                                : e instanceof Event.AttemptEnded t
-                                        ? List.of(new Action.RejectRequest(t.requestId(), 1230))
+                        (self, e) -> e instanceof Event.RequestReceived request
+                                ? List.of(new Action.SendAttempt(request.requestId(), self.endpointId(), 500))
+                                : e instanceof Event.AttemptEnded attempt
+                                        ? List.of(new Action.RejectRequest(attempt.requestId(), 1230))
                                         : List.of());
-                Socket c = p.connectClient()) {
-            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
-            Socket m = p.nextEndpointConnection();
-            FrontTestPeers.hear(m);
+                Socket client = peers.connectClient()) {
+            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            Socket endpoint = peers.nextEndpointConnection();
+            FrontTestPeers.hear(endpoint);
             assertEquals(
                     AttemptOutcome.TIMED_OUT,
-                    p.firstEvent(Event.AttemptEnded.class).outcome());
-            String shed = FrontTestPeers.hear(c);
+                    peers.firstEvent(Event.AttemptEnded.class).outcome());
+            String shed = FrontTestPeers.hear(client);
             for (String s : List.of(
                     "HTTP/1.1 503",
                     "Laurelkeel-Answer: shed",
@@ -146,128 +147,128 @@
                 assertTrue(shed.contains(s), s + " in " + shed);
             }
             try {
-                FrontTestPeers.say(m, OK);
+                FrontTestPeers.say(endpoint, OK);
             } catch (SocketException e) {
                 // closed from the node's side, as it should be
             }
-            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
-            FrontTestPeers.hear(p.nextEndpointConnection());
-            assertTrue(FrontTestPeers.hear(c).contains("shed"), "a late answer was given to another req");
+            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.hear(peers.nextEndpointConnection());
+            assertTrue(FrontTestPeers.hear(client).contains("shed"), "a late answer was given to another req");
         }
     }
 
     @Test
     void aClientThatDisconnectsIsReportedAndItsAttemptIsCancelled() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(
+        try (FrontTestPeers peers = new FrontTestPeers(
                 directory,
                 "",
-                (peers, e) -> e instanceof Event.ClientDisconnected l
+                (self, e) -> e instanceof Event.ClientDisconnected l
                         ? List.of(new Action.CancelAttempt(l.requestId(), 0))
-                        : e instanceof Event.RequestReceived r
-                                ? List.of(new Action.SendAttempt(r.requestId(), peers.endpointId(), 0))
+                        : e instanceof Event.RequestReceived request
+                                ? List.of(new Action.SendAttempt(request.requestId(), self.endpointId(), 0))
                                 : List.of())) {
-            Socket c = p.connectClient();
-            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
-            Socket m = p.nextEndpointConnection();
-            FrontTestPeers.hear(m);
-            c.close();
-            p.firstEvent(Event.ClientDisconnected.class);
-            Event.AttemptEnded t = p.firstEvent(Event.AttemptEnded.class);
-            assertEquals(AttemptOutcome.CANCELLED, t.outcome());
-            assertTrue(t.requestEnded());
-            m.setSoTimeout(10_000);
-            assertEquals(-1, m.getInputStream().read(), "the machine is not told");
+            Socket client = peers.connectClient();
+            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            Socket endpoint = peers.nextEndpointConnection();
+            FrontTestPeers.hear(endpoint);
+            client.close();
+            peers.firstEvent(Event.ClientDisconnected.class);
+            Event.AttemptEnded attempt = peers.firstEvent(Event.AttemptEnded.class);
+            assertEquals(AttemptOutcome.CANCELLED, attempt.outcome());
+            assertTrue(attempt.requestEnded());
+            endpoint.setSoTimeout(10_000);
+            assertEquals(-1, endpoint.getInputStream().read(), "the machine is not told");
         }
     }
 
     @Test
     void overdueRequestsAreFailedBeforeTheirDeadline() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(directory, "", (peers, e) -> List.of());
-                Socket c = p.connectClient()) {
-            FrontTestPeers.say(c, FrontTestPeers.lookRequest("Laurelkeel-Remaining-Ms: 200\r\n"));
-            String answer = FrontTestPeers.hear(c);
+        try (FrontTestPeers peers = new FrontTestPeers(directory, "", (self, e) -> List.of());
+                Socket client = peers.connectClient()) {
+            FrontTestPeers.say(client, FrontTestPeers.lookRequest("Laurelkeel-Remaining-Ms: 200\r\n"));
+            String answer = FrontTestPeers.hear(client);
             assertTrue(answer.startsWith("HTTP/1.1 504") && answer.contains("errored"), answer);
-            p.firstEvent(Event.ClientDisconnected.class);
+            peers.firstEvent(Event.ClientDisconnected.class);
         }
     }
 
     @Test
     void twoAnswersOfTheDeciderReachTheClientAsOne() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(
+        try (FrontTestPeers peers = new FrontTestPeers(
                         directory,
                         "",
-                        (peers, e) -> e instanceof Event.RequestReceived r
+                        (self, e) -> e instanceof Event.RequestReceived request
                                 ? List.of(
-                                        new Action.SendAttempt(r.requestId(), peers.endpointId(), 0),
-                                        new Action.FailRequest(r.requestId()),
-                                        new Action.RejectRequest(r.requestId(), 0),
+                                        new Action.SendAttempt(request.requestId(), self.endpointId(), 0),
+                                        new Action.FailRequest(request.requestId()),
+                                        new Action.RejectRequest(request.requestId(), 0),
                                         new Action.FailRequest("nobody"),
-                                        new Action.SendAttempt(r.requestId(), peers.endpointId(), 0))
+                                        new Action.SendAttempt(request.requestId(), self.endpointId(), 0))
                                 : List.of());
-                Socket c = p.connectClient()) {
-            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
-            assertTrue(FrontTestPeers.hear(c).startsWith("HTTP/1.1 502"));
+                Socket client = peers.connectClient()) {
+            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            assertTrue(FrontTestPeers.hear(client).startsWith("HTTP/1.1 502"));
             assertEquals(
                     AttemptOutcome.NOT_SENT,
-                    p.firstEvent(Event.AttemptEnded.class).outcome());
-            FrontTestPeers.say(c, "GET /nowhere HTTP/1.1\r\nHost: f\r\n\r\n");
-            assertTrue(FrontTestPeers.hear(c).startsWith("HTTP/1.1 404"), "bytes of a second answer came first");
+                    peers.firstEvent(Event.AttemptEnded.class).outcome());
+            FrontTestPeers.say(client, "GET /nowhere HTTP/1.1\r\nHost: f\r\n\r\n");
+            assertTrue(FrontTestPeers.hear(client).startsWith("HTTP/1.1 404"), "bytes of a second answer came first");
         }
     }
 
     @Test
     void aDeciderThatThrowsEndsTheNodeAndFailsAllActiveRequests() throws Exception {
-        FrontTestPeers p = new FrontTestPeers(directory, "", (peers, e) -> {
-            if (e instanceof Event.RequestReceived r && r.partitionKey() != null) {
+        FrontTestPeers peers = new FrontTestPeers(directory, "", (self, e) -> {
+            if (e instanceof Event.RequestReceived request && request.partitionKey() != null) {
                 throw new IllegalStateException("made to fail");
             }
-            return FrontTestPeers.sendOnce(peers, e);
+            return FrontTestPeers.sendOnce(self, e);
         });
-        Socket first = p.connectClient();
+        Socket first = peers.connectClient();
         FrontTestPeers.say(first, FrontTestPeers.lookRequest(""));
-        FrontTestPeers.hear(p.nextEndpointConnection());
-        Socket second = p.connectClient();
+        FrontTestPeers.hear(peers.nextEndpointConnection());
+        Socket second = peers.connectClient();
         FrontTestPeers.say(second, FrontTestPeers.lookRequest("Laurelkeel-Key: k\r\n"));
         assertTrue(FrontTestPeers.hear(first).startsWith("HTTP/1.1 502"));
         assertTrue(FrontTestPeers.hear(second).startsWith("HTTP/1.1 502"));
-        assertEquals("made to fail", p.front.termination().get().getMessage());
-        p.close();
+        assertEquals("made to fail", peers.front.termination().get().getMessage());
+        peers.close();
     }
 
     @Test
     void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
-        try (FrontTestPeers p = peersThatSendOnce();
-                Socket c = p.connectClient()) {
+        try (FrontTestPeers peers = peersThatSendOnce();
+                Socket client = peers.connectClient()) {
             FrontTestPeers.say(
-                    c,
+                    client,
                     "POST /pay/1 HTTP/1.1\r\nHost: f\r\nIdempotency-Key: a\r\nTransfer-Encoding: chunked\r\n\r\n"
                             + "3\r\nabc\r\n0\r\n\r\n" + FrontTestPeers.lookRequest("X: 2\r\n")
                             + "GET /pay HTTP/1.1\r\nHost: f\r\n\r\n"
                             + FrontTestPeers.lookRequest("X: 4\r\n") + "rubbish\r\n");
-            Socket m = p.nextEndpointConnection();
-            String first = FrontTestPeers.hear(m);
+            Socket endpoint = peers.nextEndpointConnection();
+            String first = FrontTestPeers.hear(endpoint);
             assertTrue(first.endsWith("abc") && first.contains("Content-Length: 3"), first);
             assertFalse(first.toLowerCase(Locale.ROOT).contains("transfer-encoding"), first);
-            FrontTestPeers.say(m, OK);
-            assertTrue(FrontTestPeers.hear(c).endsWith("hi"));
-            assertTrue(FrontTestPeers.hear(m).contains("X: 2"));
-            FrontTestPeers.say(m, "HTTP/1.1 201 Made\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nyo\r\n0\r\n\r\n");
-            assertTrue(FrontTestPeers.hear(c).endsWith("yo"));
-            String no = FrontTestPeers.hear(c);
+            FrontTestPeers.say(endpoint, OK);
+            assertTrue(FrontTestPeers.hear(client).endsWith("hi"));
+            assertTrue(FrontTestPeers.hear(endpoint).contains("X: 2"));
+            FrontTestPeers.say(endpoint, "HTTP/1.1 201 Made\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nyo\r\n0\r\n\r\n");
+            assertTrue(FrontTestPeers.hear(client).endsWith("yo"));
+            String no = FrontTestPeers.hear(client);
             assertTrue(no.startsWith("HTTP/1.1 405") && no.contains("Allow: POST"), no);
-            assertTrue(FrontTestPeers.hear(m).contains("X: 4"));
-            FrontTestPeers.say(m, OK);
-            assertTrue(FrontTestPeers.hear(c).endsWith("hi"));
-            assertTrue(FrontTestPeers.hear(c).startsWith("HTTP/1.1 400"));
-            assertEquals(-1, c.getInputStream().read(), "a broken connection goes on");
+            assertTrue(FrontTestPeers.hear(endpoint).contains("X: 4"));
+            FrontTestPeers.say(endpoint, OK);
+            assertTrue(FrontTestPeers.hear(client).endsWith("hi"));
+            assertTrue(FrontTestPeers.hear(client).startsWith("HTTP/1.1 400"));
+            assertEquals(-1, client.getInputStream().read(), "a broken connection goes on");
         }
     }
 
     @Test
     void invalidHeadersGetClearAnswersAndTheConnectionGoesOn() throws Exception {
-        try (FrontTestPeers p =
+        try (FrontTestPeers peers =
                         new FrontTestPeers(directory, "[customer mill]\nquota = 5\n", FrontTestPeers::sendOnce);
-                Socket c = p.connectClient()) {
+                Socket client = peers.connectClient()) {
             String mill = "Laurelkeel-Customer: mill\r\n";
             for (String[] x : new String[][] {
                 {FrontTestPeers.lookRequest(""), "Laurelkeel-Customer"},
@@ -276,89 +277,90 @@
                 {FrontTestPeers.lookRequest(mill + "Laurelkeel-Key: \r\n"), "1 to 256"},
                 {"POST /pay HTTP/1.1\r\nHost: f\r\n" + mill + "Content-Length: 0\r\n\r\n", "Idempotency-Key"}
             }) {
-                FrontTestPeers.say(c, x[0]);
-                String a = FrontTestPeers.hear(c);
+                FrontTestPeers.say(client, x[0]);
+                String a = FrontTestPeers.hear(client);
                 assertTrue(a.startsWith("HTTP/1.1 400") && a.contains(x[1]), a);
             }
-            assertTrue(p.events.stream().noneMatch(e -> e instanceof Event.RequestReceived));
+            assertTrue(peers.events.stream().noneMatch(e -> e instanceof Event.RequestReceived));
         }
     }
 
     @Test
     void aNodeAtCapacityRejectsBeforeTheDecision() throws Exception {
-        try (FrontTestPeers p =
-                new FrontTestPeers(directory, "[clients]\nopen-reqs = 2\nconnections = 4\n", (peers, e) -> List.of())) {
+        try (FrontTestPeers peers =
+                new FrontTestPeers(directory, "[clients]\nopen-reqs = 2\nconnections = 4\n", (self, e) -> List.of())) {
             for (int i = 0; i < 2; i++) {
-                FrontTestPeers.say(p.connectClient(), FrontTestPeers.lookRequest(""));
+                FrontTestPeers.say(peers.connectClient(), FrontTestPeers.lookRequest(""));
             }
             FrontTestRig.await(
                     "two active requests",
-                    () -> p.events.stream()
+                    () -> peers.events.stream()
                                     .filter(e -> e instanceof Event.RequestReceived)
                                     .count()
                             == 2);
-            Socket third = p.connectClient();
+            Socket third = peers.connectClient();
             FrontTestPeers.say(third, FrontTestPeers.lookRequest(""));
             String a = FrontTestPeers.hear(third);
             assertTrue(a.contains("harmless") && a.contains("Laurelkeel-Taken: no") && a.contains("full"), a);
             // its answer shows that its connection was counted before the next one
-            Socket fourth = p.connectClient();
+            Socket fourth = peers.connectClient();
             FrontTestPeers.say(fourth, FrontTestPeers.lookRequest(""));
             FrontTestPeers.hear(fourth);
-            assertTrue(FrontTestPeers.hear(p.connectClient()).contains("every connection is in use"));
+            assertTrue(FrontTestPeers.hear(peers.connectClient()).contains("every connection is in use"));
         }
     }
 
     @Test
     void anAnswerLargerThanAnyBufferReachesASlowClientWhole() throws Exception {
-        try (FrontTestPeers p = peersThatSendOnce();
-                Socket c = p.connectClient()) {
-            c.setReceiveBufferSize(16 << 10);
-            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
-            Socket m = p.nextEndpointConnection();
-            FrontTestPeers.hear(m);
+        try (FrontTestPeers peers = peersThatSendOnce();
+                Socket client = peers.connectClient()) {
+            client.setReceiveBufferSize(16 << 10);
+            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            Socket endpoint = peers.nextEndpointConnection();
+            FrontTestPeers.hear(endpoint);
             String big = "x".repeat(400 << 10);
-            FrontTestPeers.say(m, "HTTP/1.1 200 OK\r\nContent-Length: " + big.length() + "\r\n\r\n" + big);
-            p.firstEvent(Event.AttemptEnded.class);
-            assertTrue(FrontTestPeers.hear(c).endsWith("\r\n\r\n" + big));
+            FrontTestPeers.say(endpoint, "HTTP/1.1 200 OK\r\nContent-Length: " + big.length() + "\r\n\r\n" + big);
+            peers.firstEvent(Event.AttemptEnded.class);
+            assertTrue(FrontTestPeers.hear(client).endsWith("\r\n\r\n" + big));
         }
     }
 
     @Test
     void healthChecksIdleClosesAndComplaintsAreCarriedOut() throws Exception {
         String[] ref = new String[1];
-        try (FrontTestPeers p = new FrontTestPeers(directory, "", (peers, e) -> {
-                    List<Action> out = new ArrayList<>(FrontTestPeers.sendOnce(peers, e));
-                    if (e instanceof Event.AttemptEnded t) {
-                        out.add(new Action.CloseIdleConnections(t.endpointId()));
+        try (FrontTestPeers peers = new FrontTestPeers(directory, "", (self, e) -> {
+                    List<Action> out = new ArrayList<>(FrontTestPeers.sendOnce(self, e));
+                    if (e instanceof Event.AttemptEnded attempt) {
+                        out.add(new Action.CloseIdleConnections(attempt.endpointId()));
                         out.add(new Action.WriteLog("closing idle ones"));
                     } else if (e instanceof Event.ComplaintReceived) {
-                        out.add(new Action.SendHealthCheck(peers.endpointId()));
+                        out.add(new Action.SendHealthCheck(self.endpointId()));
                     }
                     return out;
                 });
-                Socket c = p.connectClient()) {
-            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
-            Socket m = p.nextEndpointConnection();
-            FrontTestPeers.hear(m);
-            FrontTestPeers.say(m, OK);
-            String a = FrontTestPeers.hear(c);
+                Socket client = peers.connectClient()) {
+            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            Socket endpoint = peers.nextEndpointConnection();
+            FrontTestPeers.hear(endpoint);
+            FrontTestPeers.say(endpoint, OK);
+            String a = FrontTestPeers.hear(client);
             ref[0] = a.replaceAll("(?s).*Laurelkeel-Ref: (\\S+).*", "$1");
             assertEquals(
-                    3.0, p.firstEvent(Event.AttemptEnded.class).loadReport().concurrentRequests());
+                    3.0, peers.firstEvent(Event.AttemptEnded.class).loadReport().concurrentRequests());
             assertFalse(a.contains("Laurelkeel-Load"), "a machine's load is not the client's matter");
-            assertEquals(-1, m.getInputStream().read(), "the idle connection stays");
+            assertEquals(-1, endpoint.getInputStream().read(), "the idle connection stays");
             String complaint = "POST /.laurelkeel/complaints HTTP/1.1\r\nHost: f\r\nContent-Length: " + ref[0].length()
                     + "\r\n\r\n" + ref[0];
-            FrontTestPeers.say(c, complaint + complaint);
-            assertTrue(FrontTestPeers.hear(c).startsWith("HTTP/1.1 202"));
-            assertTrue(FrontTestPeers.hear(c).startsWith("HTTP/1.1 404"), "one answer is complained of once");
+            FrontTestPeers.say(client, complaint + complaint);
+            assertTrue(FrontTestPeers.hear(client).startsWith("HTTP/1.1 202"));
+            assertTrue(FrontTestPeers.hear(client).startsWith("HTTP/1.1 404"), "one answer is complained of once");
             assertEquals(
-                    p.endpointId(), p.firstEvent(Event.ComplaintReceived.class).endpointId());
-            Socket probe = p.nextEndpointConnection();
+                    peers.endpointId(),
+                    peers.firstEvent(Event.ComplaintReceived.class).endpointId());
+            Socket probe = peers.nextEndpointConnection();
             assertTrue(FrontTestPeers.hear(probe).startsWith("GET /health"));
             FrontTestPeers.say(probe, OK);
-            Event.HealthCheckEnded probed = p.firstEvent(Event.HealthCheckEnded.class);
+            Event.HealthCheckEnded probed = peers.firstEvent(Event.HealthCheckEnded.class);
             assertEquals(AttemptOutcome.COMPLETED, probed.outcome());
             assertEquals(3.0, probed.loadReport().concurrentRequests());
         }
@@ -366,15 +368,15 @@
 
     @Test
     void manyConnectionsAtOnceAreAcceptedAndReleased() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(
+        try (FrontTestPeers peers = new FrontTestPeers(
                 directory,
                 "",
-                (peers, e) -> e instanceof Event.RequestReceived r
-                        ? List.of(new Action.RejectRequest(r.requestId(), 0))
+                (self, e) -> e instanceof Event.RequestReceived request
+                        ? List.of(new Action.RejectRequest(request.requestId(), 0))
                         : List.of())) {
             List<Socket> all = new ArrayList<>();
             for (int i = 0; i < 5000; i++) {
-                all.add(p.connectClient());
+                all.add(peers.connectClient());
             }
             for (Socket s : all) {
                 FrontTestPeers.say(s, FrontTestPeers.lookRequest(""));
@@ -383,7 +385,7 @@
                 assertTrue(FrontTestPeers.hear(s).contains("shed"));
                 s.close();
             }
-            assertNotNull(p.firstEvent(Event.RequestReceived.class));
+            assertNotNull(peers.firstEvent(Event.RequestReceived.class));
         }
     }
 }
--- a/src/test/java/laurelkeel/front/FrontRulesTest.java
+++ b/src/test/java/laurelkeel/front/FrontRulesTest.java
@@ -210,35 +210,37 @@
 
     /** Plays clients in parallel and returns the violations of a rule. */
     private static List<String> violationsOf(long seed, int rule) throws Exception {
-        try (NodeWithEndpoints w = new NodeWithEndpoints(seed)) {
+        try (NodeWithEndpoints node = new NodeWithEndpoints(seed)) {
             List<Thread> threads = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
                 int number = i;
-                Thread t = new Thread(() -> {
+                Thread thread = new Thread(() -> {
                     try {
-                        w.client(number, new Random(seed + number));
+                        node.client(number, new Random(seed + number));
                     } catch (IOException e) {
-                        w.broken.add("rule 1: a connection broke before its answers: " + e);
+                        node.broken.add("rule 1: a connection broke before its answers: " + e);
                     }
                 });
-                threads.add(t);
-                t.start();
+                threads.add(thread);
+                thread.start();
             }
-            for (Thread t : threads) {
-                t.join();
+            for (Thread thread : threads) {
+                thread.join();
             }
-            assertTrue(w.ran.size() > 30, "ran " + w.ran.size());
-            w.ran.forEach((id, times) -> {
-                if (times.size() > 1 && w.routes.get(id).equals("put")) {
-                    w.broken.add("rule 2: a non-retriable req ran " + times.size() + " times: " + id);
+            assertTrue(node.ran.size() > 30, "ran " + node.ran.size());
+            node.ran.forEach((id, times) -> {
+                if (times.size() > 1 && node.routes.get(id).equals("put")) {
+                    node.broken.add("rule 2: a non-retriable req ran " + times.size() + " times: " + id);
                 }
                 if (times.size() > 1
-                        && w.routes.get(id).equals("pay")
+                        && node.routes.get(id).equals("pay")
                         && times.get(times.size() - 1) - times.get(0) > 1_000_000_000L) {
-                    w.broken.add("rule 2: a deduped req ran again after its window: " + id);
+                    node.broken.add("rule 2: a deduped req ran again after its window: " + id);
                 }
             });
-            return w.broken.stream().filter(b -> b.startsWith("rule " + rule)).toList();
+            return node.broken.stream()
+                    .filter(b -> b.startsWith("rule " + rule))
+                    .toList();
         }
     }
 
--- a/src/test/java/laurelkeel/front/FrontTestPeers.java
+++ b/src/test/java/laurelkeel/front/FrontTestPeers.java
@@ -64,19 +64,19 @@
     FrontTestPeers(
             Path folder, String extra, List<String> frontLines, BiFunction<FrontTestPeers, Event, List<Action>> decide)
             throws IOException {
-        Thread t = new Thread(() -> {
+        Thread thread = new Thread(() -> {
             try {
                 while (true) {
-                    Socket s = endpointServer.accept();
-                    openSockets.add(s);
-                    endpointConnections.add(s);
+                    Socket socket = endpointServer.accept();
+                    openSockets.add(socket);
+                    endpointConnections.add(socket);
                 }
             } catch (IOException e) {
                 // the test is over
             }
         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
         Path file = folder.resolve("front.ini");
         Files.writeString(file, SETTINGS.formatted(String.join("\n", frontLines)) + extra);
         Decider d = decider(events, e -> decide.apply(this, e));
@@ -106,24 +106,24 @@
 
     /** Sends one attempt of each request and fails the request if that fails. */
     static List<Action> sendOnce(FrontTestPeers p, Event e) {
-        if (e instanceof Event.RequestReceived r) {
-            return List.of(new Action.SendAttempt(r.requestId(), p.endpointId(), 0));
+        if (e instanceof Event.RequestReceived request) {
+            return List.of(new Action.SendAttempt(request.requestId(), p.endpointId(), 0));
         }
-        return e instanceof Event.AttemptEnded t && !t.requestEnded()
-                ? List.of(new Action.FailRequest(t.requestId()))
+        return e instanceof Event.AttemptEnded thread && !thread.requestEnded()
+                ? List.of(new Action.FailRequest(thread.requestId()))
                 : List.of();
     }
 
     Socket connectClient() throws IOException {
-        Socket s = new Socket(address.getAddress(), address.getPort());
-        s.setSoTimeout(10_000);
-        openSockets.add(s);
-        return s;
+        Socket socket = new Socket(address.getAddress(), address.getPort());
+        socket.setSoTimeout(10_000);
+        openSockets.add(socket);
+        return socket;
     }
 
-    public static void say(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-        s.getOutputStream().flush();
+    public static void say(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+        socket.getOutputStream().flush();
     }
 
     /** An endpoint of build 1 as the endpoint list has it. */
@@ -138,8 +138,8 @@
     }
 
     /** Reads one message: its head, and as much body as its length says. */
-    public static String hear(Socket s) throws IOException {
-        return hear(s.getInputStream());
+    public static String hear(Socket socket) throws IOException {
+        return hear(socket.getInputStream());
     }
 
     public static String hear(InputStream in) throws IOException {
@@ -159,11 +159,11 @@
 
     /** The next connection that the node opens to the endpoint. */
     Socket nextEndpointConnection() throws InterruptedException {
-        Socket s = endpointConnections.poll(10, TimeUnit.SECONDS);
-        if (s == null) {
+        Socket socket = endpointConnections.poll(10, TimeUnit.SECONDS);
+        if (socket == null) {
             throw new AssertionError("the node did not connect");
         }
-        return s;
+        return socket;
     }
 
     <E extends Event> E firstEvent(Class<E> kind) {
@@ -177,8 +177,8 @@
 
     @Override
     public void close() throws IOException {
-        for (Socket s : openSockets) {
-            s.close();
+        for (Socket socket : openSockets) {
+            socket.close();
         }
         endpointServer.close();
         front.drain();
--- a/src/test/java/laurelkeel/front/MisbehavingPeersTest.java
+++ b/src/test/java/laurelkeel/front/MisbehavingPeersTest.java
@@ -33,12 +33,12 @@
     Path directory;
 
     /** Sends a byte at a time without end; true once the other side has closed. */
-    private static boolean closedOnTrickle(Socket s, String text) throws Exception {
-        s.setSoTimeout(200);
+    private static boolean closedOnTrickle(Socket socket, String text) throws Exception {
+        socket.setSoTimeout(200);
         for (int i = 0; i < 100; i++) {
             try {
-                FrontTestPeers.say(s, text.substring(i % text.length(), i % text.length() + 1));
-                if (s.getInputStream().read() < 0) {
+                FrontTestPeers.say(socket, text.substring(i % text.length(), i % text.length() + 1));
+                if (socket.getInputStream().read() < 0) {
                     return true;
                 }
             } catch (java.net.SocketTimeoutException e) {
@@ -53,66 +53,66 @@
     @Test
     void aPartialRequestAtTheAdminAddressKeepsNobodyFromHealth() throws Exception {
         int admin = PortAllocator.free();
-        try (FrontTestPeers p =
+        try (FrontTestPeers peers =
                 new FrontTestPeers(directory, "", List.of("admin = 127.0.0.1:" + admin), FrontTestPeers::sendOnce)) {
             List<Socket> halves = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                Socket s = new Socket(InetAddress.getLoopbackAddress(), admin);
-                FrontTestPeers.say(s, "GET /met");
-                halves.add(s);
+                Socket socket = new Socket(InetAddress.getLoopbackAddress(), admin);
+                FrontTestPeers.say(socket, "GET /met");
+                halves.add(socket);
             }
-            try (Socket s = new Socket(InetAddress.getLoopbackAddress(), admin)) {
-                s.setSoTimeout(5_000);
+            try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), admin)) {
+                socket.setSoTimeout(5_000);
                 FrontTestPeers.say(
-                        s, "GET /health HTTP/1.1\r\nHost: a\r\n\r\nGET /metrics HTTP/1.1\r\nHost: a\r\n\r\n");
-                assertTrue(FrontTestPeers.hear(s).endsWith("ok\n"));
-                assertTrue(FrontTestPeers.hear(s).contains("laurelkeel_reqs_held"));
+                        socket, "GET /health HTTP/1.1\r\nHost: a\r\n\r\nGET /metrics HTTP/1.1\r\nHost: a\r\n\r\n");
+                assertTrue(FrontTestPeers.hear(socket).endsWith("ok\n"));
+                assertTrue(FrontTestPeers.hear(socket).contains("laurelkeel_reqs_held"));
             }
             FrontTestPeers.say(halves.get(0), "rics HTTP/1.1\r\nHost: a\r\n");
             assertTrue(closedOnTrickle(halves.get(0), "X-Y: z\r\n"), "a place is kept for ever");
-            assertFalse(p.front.termination().isDone());
+            assertFalse(peers.front.termination().isDone());
         }
     }
 
     @Test
     void aClientThatTricklesItsRequestIsDisconnected() throws Exception {
-        try (FrontTestPeers p =
+        try (FrontTestPeers peers =
                 new FrontTestPeers(directory, "[clients]\nidle-close = 1 s\n", FrontTestPeers::sendOnce)) {
-            Socket c = p.connectClient();
-            FrontTestPeers.say(c, "GET /look HTTP/1.1\r\nHost: f\r\n");
-            assertTrue(closedOnTrickle(c, "X-Y: z\r\n"));
+            Socket client = peers.connectClient();
+            FrontTestPeers.say(client, "GET /look HTTP/1.1\r\nHost: f\r\n");
+            assertTrue(closedOnTrickle(client, "X-Y: z\r\n"));
         }
     }
 
     @Test
     void aClientThatWaitsForALateAnswerStaysConnected() throws Exception {
-        try (FrontTestPeers p =
+        try (FrontTestPeers peers =
                         new FrontTestPeers(directory, "[clients]\nidle-close = 1 s\n", FrontTestPeers::sendOnce);
-                Socket c = p.connectClient()) {
-            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
-            Socket m = p.nextEndpointConnection();
-            FrontTestPeers.hear(m);
+                Socket client = peers.connectClient()) {
+            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            Socket endpoint = peers.nextEndpointConnection();
+            FrontTestPeers.hear(endpoint);
             // longer than a connection may be idle, and less than the route's timeout
-            assertFalse(closedOnTrickle(c, "\r\n".repeat(1))
-                    && p.events.stream().noneMatch(e -> e instanceof Event.AttemptEnded));
+            assertFalse(closedOnTrickle(client, "\r\n".repeat(1))
+                    && peers.events.stream().noneMatch(e -> e instanceof Event.AttemptEnded));
         }
     }
 
     @Test
     void noRequestOfARejectedConnectionIsAccepted() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(
+        try (FrontTestPeers peers = new FrontTestPeers(
                 directory,
                 "[clients]\nconnections = 1\n",
-                (peers, e) -> e instanceof Event.RequestReceived r
-                        ? List.of(new Action.FailRequest(r.requestId()))
+                (self, e) -> e instanceof Event.RequestReceived request
+                        ? List.of(new Action.FailRequest(request.requestId()))
                         : List.of())) {
-            Socket in = p.connectClient();
+            Socket in = peers.connectClient();
             FrontTestPeers.say(in, FrontTestPeers.lookRequest(""));
             FrontTestPeers.hear(in);
             for (int i = 0; i < 300; i++) {
-                try (Socket c = p.connectClient()) {
-                    FrontTestPeers.say(c, FrontTestPeers.lookRequest("X: " + i + "\r\n"));
-                    assertTrue(FrontTestPeers.hear(c).contains("Laurelkeel-Taken: no"));
+                try (Socket client = peers.connectClient()) {
+                    FrontTestPeers.say(client, FrontTestPeers.lookRequest("X: " + i + "\r\n"));
+                    assertTrue(FrontTestPeers.hear(client).contains("Laurelkeel-Taken: no"));
                 } catch (IOException e) {
                     // closed with what it sent unread: it has no answer, and may not have been accepted either
                 }
@@ -121,7 +121,7 @@
             FrontTestPeers.hear(in);
             assertEquals(
                     2,
-                    p.events.stream()
+                    peers.events.stream()
                             .filter(e -> e instanceof Event.RequestReceived)
                             .count(),
                     "told: not taken");
@@ -133,9 +133,9 @@
         int admin = PortAllocator.free();
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch stalled = new CountDownLatch(1);
-        try (FrontTestPeers p = new FrontTestPeers(
-                        directory, "[clients]\npipelined = 16\n", List.of("admin = 127.0.0.1:" + admin), (peers, e) -> {
-                            if (e instanceof Event.RequestReceived r && r.partitionKey() != null) {
+        try (FrontTestPeers peers = new FrontTestPeers(
+                        directory, "[clients]\npipelined = 16\n", List.of("admin = 127.0.0.1:" + admin), (self, e) -> {
+                            if (e instanceof Event.RequestReceived request && request.partitionKey() != null) {
                                 stalled.countDown();
                                 try {
                                     held.await(30, TimeUnit.SECONDS);
@@ -143,20 +143,20 @@
                                     Thread.currentThread().interrupt();
                                 }
                             }
-                            return e instanceof Event.RequestReceived r
-                                    ? List.of(new Action.RejectRequest(r.requestId(), 0))
+                            return e instanceof Event.RequestReceived request
+                                    ? List.of(new Action.RejectRequest(request.requestId(), 0))
                                     : List.of();
                         });
                 Socket watch = new Socket(InetAddress.getLoopbackAddress(), admin)) {
-            FrontTestPeers.say(p.connectClient(), FrontTestPeers.lookRequest("Laurelkeel-Key: stall\r\n"));
+            FrontTestPeers.say(peers.connectClient(), FrontTestPeers.lookRequest("Laurelkeel-Key: stall\r\n"));
             assertTrue(stalled.await(10, TimeUnit.SECONDS));
-            Socket c = p.connectClient();
+            Socket client = peers.connectClient();
             String many = FrontTestPeers.lookRequest("").repeat(1000);
             CompletableFuture<Integer> poured = CompletableFuture.supplyAsync(() -> {
                 int n = 0;
                 try {
                     for (; n < 300; n++) {
-                        FrontTestPeers.say(c, many);
+                        FrontTestPeers.say(client, many);
                     }
                 } catch (IOException e) {
                     // the test is over
@@ -179,27 +179,27 @@
                                             / FrontTestPeers.lookRequest("").length(),
                     "waiting for the loop: " + backlog);
             for (int i = 0; i < 1000; i++) {
-                assertTrue(FrontTestPeers.hear(c).contains("shed"), "answer " + i);
+                assertTrue(FrontTestPeers.hear(client).contains("shed"), "answer " + i);
             }
         }
     }
 
     @Test
     void anEndpointThatVanishesCostsOneTimeoutAndNotOneAConnection() throws Exception {
-        try (FrontTestPeers p = new FrontTestPeers(
+        try (FrontTestPeers peers = new FrontTestPeers(
                 directory,
                 "",
-                (peers, e) -> e instanceof Event.RequestReceived r
-                        ? List.of(new Action.SendAttempt(r.requestId(), peers.endpointId(), 3_000))
-                        : e instanceof Event.AttemptEnded t && !t.requestEnded()
-                                ? List.of(new Action.FailRequest(t.requestId()))
+                (self, e) -> e instanceof Event.RequestReceived request
+                        ? List.of(new Action.SendAttempt(request.requestId(), self.endpointId(), 3_000))
+                        : e instanceof Event.AttemptEnded attempt && !attempt.requestEnded()
+                                ? List.of(new Action.FailRequest(attempt.requestId()))
                                 : List.of())) {
             List<Socket> clients = new ArrayList<>();
             List<Socket> machine = new ArrayList<>();
             for (int i = 0; i < 5; i++) {
-                clients.add(p.connectClient());
+                clients.add(peers.connectClient());
                 FrontTestPeers.say(clients.get(i), FrontTestPeers.lookRequest(""));
-                machine.add(p.nextEndpointConnection());
+                machine.add(peers.nextEndpointConnection());
                 FrontTestPeers.hear(machine.get(i));
             }
             for (int i = 0; i < 5; i++) {
@@ -210,14 +210,15 @@
             FrontTestPeers.say(clients.get(0), FrontTestPeers.lookRequest(""));
             assertTrue(FrontTestPeers.hear(clients.get(0)).startsWith("HTTP/1.1 502"));
             FrontTestPeers.say(clients.get(1), FrontTestPeers.lookRequest(""));
-            Socket fresh = p.nextEndpointConnection();
+            Socket fresh = peers.nextEndpointConnection();
             FrontTestPeers.hear(fresh);
             FrontTestPeers.say(fresh, OK);
             assertTrue(FrontTestPeers.hear(clients.get(1)).endsWith("hi"), "an old connection was used");
             assertEquals(
                     1,
-                    p.events.stream()
-                            .filter(e -> e instanceof Event.AttemptEnded t && t.outcome() == AttemptOutcome.TIMED_OUT)
+                    peers.events.stream()
+                            .filter(e -> e instanceof Event.AttemptEnded attempt
+                                    && attempt.outcome() == AttemptOutcome.TIMED_OUT)
                             .count());
         }
     }
@@ -228,28 +229,28 @@
         NodeRuntime base = NodeRuntime.create(NodeRuntime.monotonicClock());
         EventLoop loop = base.loop();
         CompletableFuture<Throwable> ended = new CompletableFuture<>();
-        Thread t = new Thread(() -> {
+        Thread loopThread = new Thread(() -> {
             try {
                 loop.run(() -> false);
             } catch (RuntimeException | Error e) {
                 ended.complete(e);
             }
         });
-        t.setDaemon(true);
-        t.start();
+        loopThread.setDaemon(true);
+        loopThread.start();
         java.nio.file.Files.writeString(directory.resolve("f.ini"), FrontTestPeers.SETTINGS.formatted(""));
         FrontSettings set = FrontSettings.read(directory.resolve("f.ini"));
         StandaloneProtocol words = new StandaloneProtocol(
                 new RouteTable(set.routes().entries(), List.of()),
-                r -> {
+                request -> {
                     throw made;
                 },
                 "0/a",
                 "/health");
         Ingress in = new Ingress(set.ingress(), words, loop, base.socketThreads(), base.processors(1), null);
         InetSocketAddress at = in.bind();
-        try (Socket c = new Socket(at.getAddress(), at.getPort())) {
-            FrontTestPeers.say(c, FrontTestPeers.lookRequest(""));
+        try (Socket client = new Socket(at.getAddress(), at.getPort())) {
+            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
             assertSame(made, ended.get(10, TimeUnit.SECONDS));
         } finally {
             in.close();
--- a/src/test/java/laurelkeel/front/ResourceExhaustionTest.java
+++ b/src/test/java/laurelkeel/front/ResourceExhaustionTest.java
@@ -40,12 +40,12 @@
             child.isSilent = true;
             List<Socket> asking = new ArrayList<>(crowd.subList(0, 20));
             asking.add(first);
-            for (Socket s : asking) {
-                FrontTestPeers.say(s, FrontTestPeers.lookRequest("Laurelkeel-Remaining-Ms: 1500\r\n"));
+            for (Socket socket : asking) {
+                FrontTestPeers.say(socket, FrontTestPeers.lookRequest("Laurelkeel-Remaining-Ms: 1500\r\n"));
             }
             int harmless = 0;
-            for (Socket s : asking) {
-                harmless += FrontTestPeers.hear(s).contains("harmless") ? 1 : 0;
+            for (Socket socket : asking) {
+                harmless += FrontTestPeers.hear(socket).contains("harmless") ? 1 : 0;
             }
             assertTrue(harmless >= 10, "where nothing left the front, asking again is harmless: " + harmless);
             assertEquals(
@@ -56,8 +56,8 @@
                     FrontChildProcess.metric(admin, "laurelkeel_outcomes_total{outcome=\"not_sent\"}") > 0,
                     "as never sent");
             child.isSilent = false;
-            for (Socket s : crowd) {
-                s.close();
+            for (Socket socket : crowd) {
+                socket.close();
             }
             FrontTestRig.await("with room it is well again", child::completesRequest);
         }
@@ -89,16 +89,16 @@
                 new FrontChildProcess(directory, "ulimit -n 160", List.of(), "", directory.resolve("log"))) {
             List<Socket> crowd = crowd(child);
             awaitNoDescriptorLeft();
-            for (Socket s : crowd.subList(0, 20)) {
-                FrontTestPeers.say(s, FrontTestPeers.lookRequest("Laurelkeel-Remaining-Ms: 1500\r\n"));
+            for (Socket socket : crowd.subList(0, 20)) {
+                FrontTestPeers.say(socket, FrontTestPeers.lookRequest("Laurelkeel-Remaining-Ms: 1500\r\n"));
             }
-            for (Socket s : crowd.subList(0, 20)) {
+            for (Socket socket : crowd.subList(0, 20)) {
                 assertTrue(
-                        FrontTestPeers.hear(s).contains("Laurelkeel-Answer: "),
+                        FrontTestPeers.hear(socket).contains("Laurelkeel-Answer: "),
                         Files.readString(directory.resolve("log")));
             }
-            for (Socket s : crowd) {
-                s.close();
+            for (Socket socket : crowd) {
+                socket.close();
             }
             FrontTestRig.await("with room it is well", child::completesRequest);
             child.terminate();
@@ -125,11 +125,11 @@
             String head = "POST /put HTTP/1.1\r\nHost: f\r\nContent-Length: 1000000\r\n\r\n";
             List<Socket> pouring = new ArrayList<>();
             for (int i = 0; i < 120; i++) {
-                Socket s = child.connectClient();
-                pouring.add(s);
+                Socket socket = child.connectClient();
+                pouring.add(socket);
                 try {
                     // all but the last byte: a body that is held
-                    FrontTestPeers.say(s, head + "x".repeat(999_999));
+                    FrontTestPeers.say(socket, head + "x".repeat(999_999));
                 } catch (IOException e) {
                     // rejected and closed while it was still sending
                 }
@@ -138,14 +138,14 @@
             assertTrue(FrontChildProcess.metric(admin, "laurelkeel_turned_away") > 60);
             double held = FrontChildProcess.metric(admin, "laurelkeel_body_bytes_held");
             assertTrue(held > 1_000_000 && held <= 8 << 20, "held " + held);
-            for (Socket s : pouring) {
-                s.close();
+            for (Socket socket : pouring) {
+                socket.close();
             }
             FrontTestRig.await(
                     "all is given back", () -> child.metricUnchecked(admin, "laurelkeel_body_bytes_held") == 0);
-            Socket s = child.connectClient();
-            FrontTestPeers.say(s, head + "x".repeat(1_000_000));
-            assertTrue(FrontTestPeers.hear(s).contains("Laurelkeel-Answer: completed"));
+            Socket socket = child.connectClient();
+            FrontTestPeers.say(socket, head + "x".repeat(1_000_000));
+            assertTrue(FrontTestPeers.hear(socket).contains("Laurelkeel-Answer: completed"));
             FrontTestRig.await("this one too", () -> child.metricUnchecked(admin, "laurelkeel_body_bytes_held") == 0);
             child.terminate();
         }
@@ -162,8 +162,9 @@
         server.createContext("/list/watch", x -> {
             x.sendResponseHeaders(200, 0);
             try {
-                for (String s = "{\"kind\":\"beat\"}"; ; s = lines.poll(500, TimeUnit.MILLISECONDS)) {
-                    x.getResponseBody().write(((s == null ? "{\"kind\":\"beat\"}" : s) + "\n").getBytes(UTF_8));
+                for (String socket = "{\"kind\":\"beat\"}"; ; socket = lines.poll(500, TimeUnit.MILLISECONDS)) {
+                    x.getResponseBody()
+                            .write(((socket == null ? "{\"kind\":\"beat\"}" : socket) + "\n").getBytes(UTF_8));
                     x.getResponseBody().flush();
                 }
             } catch (IOException | InterruptedException e) {
@@ -175,12 +176,12 @@
     }
 
     private static String listed(int version, String first, int others, String state) {
-        StringBuilder s = new StringBuilder("{\"kind\":\"full\",\"version\":" + version + ",\"machines\":["
+        StringBuilder socket = new StringBuilder("{\"kind\":\"full\",\"version\":" + version + ",\"machines\":["
                 + FrontTestPeers.endpointJson(first, "live"));
         for (int i = 0; i < others; i++) {
-            s.append(',').append(FrontTestPeers.endpointJson("127.0.0.1:" + (i + 1), state));
+            socket.append(',').append(FrontTestPeers.endpointJson("127.0.0.1:" + (i + 1), state));
         }
-        return s.append("]}").toString();
+        return socket.append("]}").toString();
     }
 
     @Test
--- a/src/test/java/laurelkeel/front/RuleBreakingDecider.java
+++ b/src/test/java/laurelkeel/front/RuleBreakingDecider.java
@@ -20,49 +20,52 @@
     @Override
     public List<Action> decide(long now, List<Event> events) {
         actions.clear();
-        for (Event e : events) {
-            if (e instanceof Event.EndpointListUpdate l) {
-                l.entries().forEach(m -> endpoints.put(m.endpointId(), m));
-            } else if (e instanceof Event.RequestReceived r) {
-                activeRequests.put(r.requestId(), r);
-                onRequest(r);
-            } else if (e instanceof Event.AttemptEnded t) {
-                Event.RequestReceived r = activeRequests.get(t.requestId());
-                if (t.requestEnded()) {
-                    activeRequests.remove(t.requestId());
-                } else if (r != null) {
-                    onAttemptFailed(r, t);
+        for (Event event : events) {
+            if (event instanceof Event.EndpointListUpdate update) {
+                update.entries().forEach(endpoint -> endpoints.put(endpoint.endpointId(), endpoint));
+            } else if (event instanceof Event.RequestReceived request) {
+                activeRequests.put(request.requestId(), request);
+                onRequest(request);
+            } else if (event instanceof Event.AttemptEnded attempt) {
+                Event.RequestReceived request = activeRequests.get(attempt.requestId());
+                if (attempt.requestEnded()) {
+                    activeRequests.remove(attempt.requestId());
+                } else if (request != null) {
+                    onAttemptFailed(request, attempt);
                 }
-            } else if (e instanceof Event.ClientDisconnected c) {
-                activeRequests.remove(c.requestId());
+            } else if (event instanceof Event.ClientDisconnected disconnect) {
+                activeRequests.remove(disconnect.requestId());
             }
         }
         return List.copyOf(actions);
     }
 
-    void onRequest(Event.RequestReceived r) {
-        send(r);
+    void onRequest(Event.RequestReceived request) {
+        send(request);
     }
 
-    void onAttemptFailed(Event.RequestReceived r, Event.AttemptEnded t) {
-        activeRequests.remove(r.requestId());
-        actions.add(new Action.FailRequest(r.requestId()));
+    void onAttemptFailed(Event.RequestReceived request, Event.AttemptEnded attempt) {
+        activeRequests.remove(request.requestId());
+        actions.add(new Action.FailRequest(request.requestId()));
     }
 
     /** Whether it may send a request to an endpoint. */
-    boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
-        return m.state() == Event.EndpointState.ACTIVE && m.build() == 1;
+    boolean mayUse(EndpointEntry endpoint, Event.RequestReceived request) {
+        return endpoint.state() == Event.EndpointState.ACTIVE && endpoint.build() == 1;
     }
 
-    void send(Event.RequestReceived r) {
-        List<EndpointEntry> from =
-                endpoints.values().stream().filter(m -> mayUse(m, r)).toList();
-        if (from.isEmpty()) {
-            activeRequests.remove(r.requestId());
-            actions.add(new Action.RejectRequest(r.requestId(), 1000));
+    void send(Event.RequestReceived request) {
+        List<EndpointEntry> candidates = endpoints.values().stream()
+                .filter(endpoint -> mayUse(endpoint, request))
+                .toList();
+        if (candidates.isEmpty()) {
+            activeRequests.remove(request.requestId());
+            actions.add(new Action.RejectRequest(request.requestId(), 1000));
         } else {
             actions.add(new Action.SendAttempt(
-                    r.requestId(), from.get(sentAttempts++ % from.size()).endpointId(), 0));
+                    request.requestId(),
+                    candidates.get(sentAttempts++ % candidates.size()).endpointId(),
+                    0));
         }
     }
 }
--- a/src/test/java/laurelkeel/front/controlplane/ReconnectBackoffTest.java
+++ b/src/test/java/laurelkeel/front/controlplane/ReconnectBackoffTest.java
@@ -10,18 +10,18 @@
     @Test
     void nodesThatLoseASourceTogetherReconnectApartAndEverLessOften() {
         Set<Long> first = new HashSet<>();
-        for (int front = 0; front < 100; front++) {
-            ReconnectBackoff p = new ReconnectBackoff(front);
-            long once = p.nextDelayMillis();
-            first.add(once);
-            assertTrue(once >= 250 && once <= 500, "first " + once);
+        for (int node = 0; node < 100; node++) {
+            ReconnectBackoff backoff = new ReconnectBackoff(node);
+            long delayMillis = backoff.nextDelayMillis();
+            first.add(delayMillis);
+            assertTrue(delayMillis >= 250 && delayMillis <= 500, "first " + delayMillis);
             for (int i = 0; i < 10; i++) {
-                once = p.nextDelayMillis();
+                delayMillis = backoff.nextDelayMillis();
             }
-            assertTrue(once >= 4_000 && once <= 8_000, "later " + once);
-            p.reset();
-            assertTrue(p.nextDelayMillis() <= 500, "it was well meanwhile");
+            assertTrue(delayMillis >= 4_000 && delayMillis <= 8_000, "later " + delayMillis);
+            backoff.reset();
+            assertTrue(backoff.nextDelayMillis() <= 500, "it worked meanwhile");
         }
-        assertTrue(first.size() > 60, "100 fronts came back at " + first.size() + " moments");
+        assertTrue(first.size() > 60, "100 nodes came back at " + first.size() + " moments");
     }
 }
