--- a/src/main/java/laurelkeel/front/upstream/ConnectionOpener.java
+++ b/src/main/java/laurelkeel/front/upstream/ConnectionOpener.java
@@ -118,6 +118,7 @@
     private void connected(EndpointPool pool, IoSession session) {
         pool.connectEnded();
         if (EndpointConnection.wasClosedUnattached(session)) {
+            pool.unusedConnectionClosed();
             openFor(pool);
             return;
         }
--- a/src/main/java/laurelkeel/front/upstream/EndpointPool.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointPool.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.Iterator;
+import laurelkeel.api.Event.AttemptOutcome;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -137,6 +138,18 @@
         return waiting.pollFirst();
     }
 
+    /**
+     * Counts a connection that closed before it carried anything against the exchange that has waited longest: an endpoint
+     * that accepts connections and closes them at once would be connected to again and again without pause.
+     */
+    void unusedConnectionClosed() {
+        Exchange first = waiting.peekFirst();
+        if (first != null && !first.mayRetryUnsent()) {
+            waiting.pollFirst();
+            first.end(AttemptOutcome.CONNECT_FAILED, null);
+        }
+    }
+
     // ---- the pool
 
     boolean isUnused() {
--- a/src/main/java/laurelkeel/front/upstream/ExchangeDispatcher.java
+++ b/src/main/java/laurelkeel/front/upstream/ExchangeDispatcher.java
@@ -146,7 +146,7 @@
         pool.connectionClosed(connection);
         exchangeInterrupted(connection, connection.takeExchange());
         if (!connection.wasUsed()) {
-            unusedConnectionClosed(pool);
+            pool.unusedConnectionClosed();
         }
         opener.openFor(pool);
         opener.openForStarvedPool();
@@ -165,13 +165,4 @@
             exchange.end(AttemptOutcome.CONNECT_FAILED, null);
         }
     }
-
-    /** An endpoint that accepts connections and closes them at once would be connected to again and again without pause. */
-    private static void unusedConnectionClosed(EndpointPool pool) {
-        Exchange first = pool.peekWaiting();
-        if (first != null && !first.mayRetryUnsent()) {
-            pool.pollWaiting();
-            first.end(AttemptOutcome.CONNECT_FAILED, null);
-        }
-    }
 }
