--- a/src/main/java/laurelkeel/audit/Auditor.java
+++ b/src/main/java/laurelkeel/audit/Auditor.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import laurelkeel.records.Recorder;
+import laurelkeel.records.RecordReader;
 import laurelkeel.records.TrafficRecord;
 
 /** Judges the five rules. */
@@ -25,6 +25,6 @@
 
     /** All record files of a folder. */
     public static AuditReport judge(Path folder) throws IOException {
-        return judge(Recorder.readAll(folder));
+        return judge(RecordReader.readAll(folder));
     }
 }
--- a/src/main/java/laurelkeel/audit/DrainRule.java
+++ b/src/main/java/laurelkeel/audit/DrainRule.java
@@ -4,6 +4,7 @@
 import java.util.Iterator;
 import java.util.Map;
 import laurelkeel.audit.RecordedTraffic.Life;
+import laurelkeel.records.RecordTerms;
 import laurelkeel.records.TrafficRecord;
 
 /** Rule 3: nothing new to a machine later than the grace after the front was told that it drains or is gone. */
@@ -18,26 +19,26 @@
         for (Life life : traffic.lives.values()) {
             Map<String, Long> toldOut = new HashMap<>();
             Map<String, Long> listed = new HashMap<>();
-            Iterator<TrafficRecord.ToldList> lists = life.lists.iterator();
-            TrafficRecord.ToldList next = lists.hasNext() ? lists.next() : null;
-            for (TrafficRecord.Arrived s : life.sent) {
-                while (next != null && next.t() <= s.t()) {
+            Iterator<TrafficRecord.EndpointListReceived> lists = life.lists.iterator();
+            TrafficRecord.EndpointListReceived next = lists.hasNext() ? lists.next() : null;
+            for (TrafficRecord.AttemptArrived s : life.sent) {
+                while (next != null && next.timeTicks() <= s.timeTicks()) {
                     told(next, toldOut, listed);
                     next = lists.hasNext() ? lists.next() : null;
                 }
-                Long out = toldOut.get(s.machine());
+                Long out = toldOut.get(s.endpointId());
                 if (out != null) {
-                    long later = s.t() - out;
-                    long grace = traffic.rules.drainGrace();
+                    long later = s.timeTicks() - out;
+                    long grace = traffic.rules.drainGraceTicks();
                     near(
                             later / (double) Math.max(1, grace),
-                            s.req() + " reached " + s.machine() + " " + ms(later) + " after front " + life.front
-                                    + " was told that it drains or is gone");
+                            s.requestId() + " reached " + s.endpointId() + " " + ms(later) + " after front "
+                                    + life.front + " was told that it drains or is gone");
                     if (later > grace + EDGE) {
                         breach(
-                                s.t(),
-                                s.req(),
-                                "front " + life.front + " sent to " + s.machine() + " " + ms(later)
+                                s.timeTicks(),
+                                s.requestId(),
+                                "front " + life.front + " sent to " + s.endpointId() + " " + ms(later)
                                         + " after it was told that it drains or is gone");
                     }
                 } else {
@@ -47,20 +48,20 @@
         }
     }
 
-    private static void told(TrafficRecord.ToldList l, Map<String, Long> out, Map<String, Long> listed) {
+    private static void told(TrafficRecord.EndpointListReceived l, Map<String, Long> out, Map<String, Long> listed) {
         Map<String, Long> named = new HashMap<>();
-        for (TrafficRecord.Entry e : l.machines()) {
-            named.put(e.machine(), e.run());
-            if (e.state() == TrafficRecord.State.LIVE) {
-                out.remove(e.machine());
+        for (TrafficRecord.EndpointEntry e : l.endpoints()) {
+            named.put(e.endpointId(), e.incarnation());
+            if (e.state() == RecordTerms.EndpointState.ACTIVE) {
+                out.remove(e.endpointId());
             } else {
-                out.putIfAbsent(e.machine(), l.t());
+                out.putIfAbsent(e.endpointId(), l.timeTicks());
             }
         }
-        if (l.kind() != TrafficRecord.ListKind.CHANGES) {
+        if (l.kind() != RecordTerms.EndpointListKind.DELTA) {
             for (String known : listed.keySet()) {
                 if (!named.containsKey(known)) {
-                    out.putIfAbsent(known, l.t());
+                    out.putIfAbsent(known, l.timeTicks());
                 }
             }
         }
--- a/src/main/java/laurelkeel/audit/ExposureRule.java
+++ b/src/main/java/laurelkeel/audit/ExposureRule.java
@@ -8,6 +8,7 @@
 import java.util.PriorityQueue;
 import laurelkeel.audit.RecordedTraffic.Life;
 import laurelkeel.audit.RecordedTraffic.Req;
+import laurelkeel.records.RecordTerms;
 import laurelkeel.records.TrafficRecord;
 
 /** Rule 5: tries at a build on trial stay within the cap told; guarded stages; keys that go one way only. */
@@ -21,22 +22,23 @@
     void judge(RecordedTraffic traffic) {
         Map<Integer, List<Req>> takenBy = new HashMap<>();
         for (Req r : traffic.reqs.values()) {
-            boolean notTaken = !r.answers.isEmpty() && r.answers.get(0).notTaken();
+            boolean notTaken = !r.answers.isEmpty() && r.answers.get(0).notAccepted();
             if (!notTaken) {
-                takenBy.computeIfAbsent(r.asked.front(), k -> new ArrayList<>()).add(r);
+                takenBy.computeIfAbsent(r.asked.nodeIndex(), k -> new ArrayList<>())
+                        .add(r);
             }
         }
         for (Life life : traffic.lives.values()) {
-            RolloutTimeline told =
-                    new RolloutTimeline(life.news, traffic.rules.stageCaps().get(0));
+            RolloutTimeline told = new RolloutTimeline(
+                    life.news, traffic.rules.stageExposureCaps().get(0));
             caps(
                     traffic,
                     life,
                     told,
                     takenBy.getOrDefault(life.front, List.of()).stream()
-                            .filter(r -> r.asked.t() >= life.from - EDGE)
+                            .filter(r -> r.asked.timeTicks() >= life.from - EDGE)
                             .toList());
-            if (traffic.rules.keysStay()) {
+            if (traffic.rules.stickyKeys()) {
                 keys(traffic, life, told);
             }
         }
@@ -49,14 +51,17 @@
     private record Takes(long[] asked, long[] seen) {
         static Takes of(List<Req> reqs) {
             return new Takes(
-                    reqs.stream().mapToLong(q -> q.asked.t()).sorted().toArray(),
+                    reqs.stream().mapToLong(q -> q.asked.timeTicks()).sorted().toArray(),
                     reqs.stream().mapToLong(Takes::seen).sorted().toArray());
         }
 
         private static long seen(Req q) {
-            long answered =
-                    q.answers.isEmpty() ? q.asked.leaves() : q.answers.get(0).t();
-            return q.arrived.stream().mapToLong(TrafficRecord.Arrived::t).reduce(answered, Math::min);
+            long answered = q.answers.isEmpty()
+                    ? q.asked.deadlineTicks()
+                    : q.answers.get(0).timeTicks();
+            return q.arrived.stream()
+                    .mapToLong(TrafficRecord.AttemptArrived::timeTicks)
+                    .reduce(answered, Math::min);
         }
 
         /** How many may have been taken between two moments. */
@@ -84,25 +89,27 @@
      * wherever in between they were: tries surely sent within a window, against reqs that may have been taken in it.
      */
     private void caps(RecordedTraffic traffic, Life life, RolloutTimeline told, List<Req> taken) {
-        TrafficRecord.Rules rules = traffic.rules;
+        TrafficRecord.AuditParameters rules = traffic.rules;
         Map<String, Takes> takes = new HashMap<>();
         Map<String, PriorityQueue<Long>> windows = new HashMap<>();
-        List<TrafficRecord.Arrived> sent = new ArrayList<>(life.sent);
-        sent.sort(Comparator.comparingLong(TrafficRecord.Arrived::t));
-        for (TrafficRecord.Arrived s : sent) {
-            Req r = traffic.reqs.get(s.req());
-            RolloutTimeline.Known now = told.at(s.build(), s.t());
+        List<TrafficRecord.AttemptArrived> sent = new ArrayList<>(life.sent);
+        sent.sort(Comparator.comparingLong(TrafficRecord.AttemptArrived::timeTicks));
+        for (TrafficRecord.AttemptArrived s : sent) {
+            Req r = traffic.reqs.get(s.requestId());
+            RolloutTimeline.Known now = told.at(s.build(), s.timeTicks());
             if (r == null || !now.onTrial()) {
                 continue;
             }
-            String route = rules.perRoute() ? r.asked.route() : "";
+            String route = rules.exposurePerRoute() ? r.asked.route() : "";
             PriorityQueue<Long> window = windows.computeIfAbsent(s.build() + "/" + route, k -> new PriorityQueue<>());
             // a lower cap binds after the grace, and tries are counted afresh from then
-            long graced = s.t() - rules.drainGrace() - EDGE;
-            double cap = told.mostCap(s.build(), graced, s.t());
+            long graced = s.timeTicks() - rules.drainGraceTicks() - EDGE;
+            double cap = told.mostCap(s.build(), graced, s.timeTicks());
             long fell = told.lastFall(s.build(), graced);
-            long from = Math.max(fell == Long.MIN_VALUE ? fell : fell + rules.drainGrace(), s.t() - rules.window());
-            window.add(r.asked.t());
+            long from = Math.max(
+                    fell == Long.MIN_VALUE ? fell : fell + rules.drainGraceTicks(),
+                    s.timeTicks() - rules.exposureWindowTicks());
+            window.add(r.asked.timeTicks());
             while (!window.isEmpty() && window.peek() < from) {
                 window.poll();
             }
@@ -111,29 +118,31 @@
                             k -> Takes.of(taken.stream()
                                     .filter(q -> k.isEmpty() || q.asked.route().equals(k))
                                     .toList()))
-                    .between(r.asked.t() - rules.window(), s.t());
-            double allowed = rules.free() + cap * most;
+                    .between(r.asked.timeTicks() - rules.exposureWindowTicks(), s.timeTicks());
+            double allowed = rules.exposureAllowance() + cap * most;
             near(
                     window.size() / Math.max(1, allowed),
                     window.size() + " tries of front " + life.front + " at build " + s.build() + " within "
-                            + ms(rules.window()) + ", of " + String.format("%.1f", allowed));
+                            + ms(rules.exposureWindowTicks()) + ", of " + String.format("%.1f", allowed));
             if (cap <= 0 || window.size() > allowed) {
                 breach(
-                        s.t(),
-                        s.req(),
+                        s.timeTicks(),
+                        s.requestId(),
                         "front " + life.front + " had " + window.size() + " tries at build " + s.build()
-                                + " within " + ms(rules.window()) + "; "
+                                + " within " + ms(rules.exposureWindowTicks()) + "; "
                                 + (cap <= 0
                                         ? "the cap is 0"
                                         : String.format("%.1f", allowed) + " are allowed: cap " + cap + " of " + most
                                                 + " reqs"));
             }
-            int stage = Math.max(now.stage(), told.at(s.build(), s.t() + EDGE).stage());
-            if (stage < rules.guardedStages() && r.route.effect() != TrafficRecord.Effect.RETRIABLE) {
+            int stage = Math.max(
+                    now.stage(), told.at(s.build(), s.timeTicks() + EDGE).stage());
+            if (stage < rules.guardedStages() && r.route.idempotency() != RecordTerms.Idempotency.IDEMPOTENT) {
                 breach(
-                        s.t(),
-                        s.req(),
-                        "a " + r.route.effect() + " req went to build " + s.build() + " in guarded stage " + stage);
+                        s.timeTicks(),
+                        s.requestId(),
+                        "a " + r.route.idempotency().storedName() + " req went to build " + s.build()
+                                + " in guarded stage " + stage);
             }
         }
     }
@@ -142,47 +151,48 @@
         // by key: the build that answered it, and when its client had the answer
         Map<String, long[]> answered = new HashMap<>();
         List<Object[]> moments = new ArrayList<>();
-        for (TrafficRecord.Arrived s : life.sent) {
-            moments.add(new Object[] {s.t(), s, null});
+        for (TrafficRecord.AttemptArrived s : life.sent) {
+            moments.add(new Object[] {s.timeTicks(), s, null});
         }
         for (Req r : traffic.reqs.values()) {
-            boolean completed = !r.answers.isEmpty() && r.answers.get(0).is() == TrafficRecord.Final.COMPLETED;
-            if (completed && r.asked.key() != null) {
-                long had = r.answers.get(0).t();
+            boolean completed = !r.answers.isEmpty() && r.answers.get(0).outcome() == RecordTerms.Outcome.COMPLETED;
+            if (completed && r.asked.partitionKey() != null) {
+                long had = r.answers.get(0).timeTicks();
                 // which of two tries' answers went on is not on the wire: the earlier build's promises less
                 r.arrived.stream()
                         .filter(a -> {
-                            TrafficRecord.Replied p = r.replied.get(a.no());
+                            TrafficRecord.AttemptAnswered p = r.replied.get(a.attemptNumber());
                             return p != null
                                     && p.status() < 500
-                                    && p.t() <= had
-                                    && life.name.equals(a.life())
-                                    && life.front == a.front();
+                                    && p.timeTicks() <= had
+                                    && life.name.equals(a.nodeIncarnation())
+                                    && life.front == a.nodeIndex();
                         })
-                        .min(Comparator.comparingInt(TrafficRecord.Arrived::build))
+                        .min(Comparator.comparingInt(TrafficRecord.AttemptArrived::build))
                         .ifPresent(a -> moments.add(new Object[] {had + EDGE, a, r}));
             }
         }
         moments.sort(java.util.Comparator.comparingLong(m -> (long) m[0]));
         for (Object[] m : moments) {
-            TrafficRecord.Arrived a = (TrafficRecord.Arrived) m[1];
+            TrafficRecord.AttemptArrived a = (TrafficRecord.AttemptArrived) m[1];
             long t = (long) m[0];
             if (m[2] != null) {
-                answered.merge(((Req) m[2]).asked.key(), new long[] {a.build(), t}, (x, y) -> y[0] > x[0] ? y : x);
+                answered.merge(
+                        ((Req) m[2]).asked.partitionKey(), new long[] {a.build(), t}, (x, y) -> y[0] > x[0] ? y : x);
                 continue;
             }
-            Req r = traffic.reqs.get(a.req());
-            long[] by = r == null || r.asked.key() == null ? null : answered.get(r.asked.key());
+            Req r = traffic.reqs.get(a.requestId());
+            long[] by = r == null || r.asked.partitionKey() == null ? null : answered.get(r.asked.partitionKey());
             if (by == null) {
                 continue;
             }
             near(0, "-");
-            if (a.build() < by[0] && told.standing((int) by[0], a.t(), EDGE)) {
+            if (a.build() < by[0] && told.standing((int) by[0], a.timeTicks(), EDGE)) {
                 breach(
-                        a.t(),
-                        a.req(),
-                        "key " + r.asked.key() + ", answered by build " + by[0] + ", went to build " + a.build()
-                                + " though " + by[0] + " was not sent back");
+                        a.timeTicks(),
+                        a.requestId(),
+                        "key " + r.asked.partitionKey() + ", answered by build " + by[0] + ", went to build "
+                                + a.build() + " though " + by[0] + " was not sent back");
             }
         }
     }
--- a/src/main/java/laurelkeel/audit/RolloutTimeline.java
+++ b/src/main/java/laurelkeel/audit/RolloutTimeline.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import laurelkeel.records.RecordTerms;
 import laurelkeel.records.TrafficRecord;
 
 /** What one life of a front knew of all releases, by when the news reached it. */
@@ -17,22 +18,22 @@
     private static final Known NO_TRIAL = new Known(false, 0, 1);
 
     private final double firstCap;
-    private final Map<Integer, TreeMap<Long, TrafficRecord.ToldNews>> byBuild = new HashMap<>();
+    private final Map<Integer, TreeMap<Long, TrafficRecord.RolloutUpdateReceived>> byBuild = new HashMap<>();
     /** By when it was known: the latest build released, and the latest heard of. */
     private final TreeMap<Long, Integer> released = new TreeMap<>(), heardOf = new TreeMap<>();
 
-    RolloutTimeline(List<TrafficRecord.ToldNews> news, double firstCap) {
+    RolloutTimeline(List<TrafficRecord.RolloutUpdateReceived> news, double firstCap) {
         this.firstCap = firstCap;
-        List<TrafficRecord.ToldNews> sorted = new ArrayList<>(news);
-        sorted.sort(Comparator.comparingLong(TrafficRecord.ToldNews::t));
+        List<TrafficRecord.RolloutUpdateReceived> sorted = new ArrayList<>(news);
+        sorted.sort(Comparator.comparingLong(TrafficRecord.RolloutUpdateReceived::timeTicks));
         int last = -1, latest = -1;
-        for (TrafficRecord.ToldNews n : sorted) {
-            byBuild.computeIfAbsent(n.build(), k -> new TreeMap<>()).put(n.t(), n);
+        for (TrafficRecord.RolloutUpdateReceived n : sorted) {
+            byBuild.computeIfAbsent(n.build(), k -> new TreeMap<>()).put(n.timeTicks(), n);
             latest = Math.max(latest, n.build());
-            heardOf.put(n.t(), latest);
-            if (n.phase() == TrafficRecord.Phase.RELEASED) {
+            heardOf.put(n.timeTicks(), latest);
+            if (n.phase() == RecordTerms.RolloutPhase.RELEASED) {
                 last = Math.max(last, n.build());
-                released.put(n.t(), last);
+                released.put(n.timeTicks(), last);
             }
         }
     }
@@ -43,7 +44,7 @@
     }
 
     Known at(int build, long t) {
-        TreeMap<Long, TrafficRecord.ToldNews> own = byBuild.get(build);
+        TreeMap<Long, TrafficRecord.RolloutUpdateReceived> own = byBuild.get(build);
         var last = own == null ? null : own.floorEntry(t);
         if (build < by(released, t)) {
             return NO_TRIAL;
@@ -53,14 +54,14 @@
             int latest = by(heardOf, t);
             return latest >= 0 && build > latest ? new Known(true, 0, firstCap) : NO_TRIAL;
         }
-        TrafficRecord.ToldNews n = last.getValue();
-        return n.phase() == TrafficRecord.Phase.RELEASED ? NO_TRIAL : new Known(true, n.stage(), n.cap());
+        TrafficRecord.RolloutUpdateReceived n = last.getValue();
+        return n.phase() == RecordTerms.RolloutPhase.RELEASED ? NO_TRIAL : new Known(true, n.stage(), n.exposureCap());
     }
 
     /** The highest cap known at any moment from one to another. */
     double mostCap(int build, long from, long to) {
         double most = at(build, from).cap;
-        TreeMap<Long, TrafficRecord.ToldNews> own = byBuild.getOrDefault(build, new TreeMap<>());
+        TreeMap<Long, TrafficRecord.RolloutUpdateReceived> own = byBuild.getOrDefault(build, new TreeMap<>());
         for (long t : own.subMap(from, false, to, true).keySet()) {
             most = Math.max(most, at(build, t).cap);
         }
@@ -87,11 +88,11 @@
             return false;
         }
         boolean stands = true;
-        for (TrafficRecord.ToldNews n : byBuild.getOrDefault(build, new TreeMap<>())
+        for (TrafficRecord.RolloutUpdateReceived n : byBuild.getOrDefault(build, new TreeMap<>())
                 .headMap(at + edge, true)
                 .values()) {
-            stands = n.phase() == TrafficRecord.Phase.TRIAL || n.phase() == TrafficRecord.Phase.RELEASED;
-            if (!stands && n.t() > at) {
+            stands = n.phase() == RecordTerms.RolloutPhase.CANARY || n.phase() == RecordTerms.RolloutPhase.RELEASED;
+            if (!stands && n.timeTicks() > at) {
                 return false;
             }
         }
--- a/src/main/java/laurelkeel/audit/SingleAnswerRule.java
+++ b/src/main/java/laurelkeel/audit/SingleAnswerRule.java
@@ -29,54 +29,61 @@
     }
 
     private void answers(RecordedTraffic traffic, Req r) {
-        TrafficRecord.Asked a = r.asked;
-        for (TrafficRecord.Stray s : r.strays) {
-            breach(s.t(), a.req(), "after its answer front " + a.front() + " wrote " + s.what());
+        TrafficRecord.RequestSent a = r.asked;
+        for (TrafficRecord.UnexpectedBytes s : r.strays) {
+            breach(
+                    s.timeTicks(),
+                    a.requestId(),
+                    "after its answer front " + a.nodeIndex() + " wrote " + s.description());
         }
         if (!r.answers.isEmpty()) {
-            TrafficRecord.Answered first = r.answers.get(0);
-            for (TrafficRecord.Answered second : r.answers.subList(1, r.answers.size())) {
+            TrafficRecord.ResponseReceived first = r.answers.get(0);
+            for (TrafficRecord.ResponseReceived second : r.answers.subList(1, r.answers.size())) {
                 breach(
-                        second.t(),
-                        a.req(),
-                        "a second answer, " + second.is() + ", " + ms(second.t() - first.t()) + " after the first, "
-                                + first.is());
+                        second.timeTicks(),
+                        a.requestId(),
+                        "a second answer, " + second.outcome().storedName() + ", "
+                                + ms(second.timeTicks() - first.timeTicks()) + " after the first, "
+                                + first.outcome().storedName());
             }
-            long late = first.t() - a.leaves();
+            long late = first.timeTicks() - a.deadlineTicks();
             near(
-                    (first.t() - a.t()) / (double) Math.max(1, a.leaves() - a.t()),
-                    a.req() + " answered " + ms(-late) + " before its client leaves");
+                    (first.timeTicks() - a.timeTicks()) / (double) Math.max(1, a.deadlineTicks() - a.timeTicks()),
+                    a.requestId() + " answered " + ms(-late) + " before its client leaves");
             if (late > SLACK) {
-                breach(first.t(), a.req(), "answered " + ms(late) + " after its client's time was up");
+                breach(first.timeTicks(), a.requestId(), "answered " + ms(late) + " after its client's time was up");
             }
-        } else if (r.left != null && r.left.early()) {
+        } else if (r.left != null && r.left.beforeDeadline()) {
             near(0, "-");
         } else if (r.broke != null) {
-            boolean killed = traffic.endedNear(a.front(), r.broke.t(), true);
-            boolean neverTaken = r.arrived.isEmpty() && traffic.endedNear(a.front(), r.broke.t(), false);
+            boolean killed = traffic.endedNear(a.nodeIndex(), r.broke.timeTicks(), true);
+            boolean neverTaken = r.arrived.isEmpty() && traffic.endedNear(a.nodeIndex(), r.broke.timeTicks(), false);
             if (!killed && !neverTaken) {
                 unanswered++;
-                breach(r.broke.t(), a.req(), "front " + a.front() + " closed the connection without an answer");
+                breach(
+                        r.broke.timeTicks(),
+                        a.requestId(),
+                        "front " + a.nodeIndex() + " closed the connection without an answer");
             }
         } else {
             unanswered++;
-            breach(a.leaves(), a.req(), "no answer in its " + ms(a.leaves() - a.t()));
+            breach(a.deadlineTicks(), a.requestId(), "no answer in its " + ms(a.deadlineTicks() - a.timeTicks()));
         }
     }
 
     private void after(Req r) {
         long over = Long.MAX_VALUE;
         if (!r.answers.isEmpty()) {
-            over = r.answers.get(0).t() + EDGE;
+            over = r.answers.get(0).timeTicks() + EDGE;
         } else if (r.left != null) {
-            over = r.left.t() + LEAVING;
+            over = r.left.timeTicks() + LEAVING;
         }
-        for (TrafficRecord.Arrived s : r.arrived) {
-            if (s.t() > over) {
+        for (TrafficRecord.AttemptArrived s : r.arrived) {
+            if (s.timeTicks() > over) {
                 breach(
-                        s.t(),
-                        r.asked.req(),
-                        "try " + s.no() + " reached " + s.machine() + " " + ms(s.t() - over)
+                        s.timeTicks(),
+                        r.asked.requestId(),
+                        "try " + s.attemptNumber() + " reached " + s.endpointId() + " " + ms(s.timeTicks() - over)
                                 + " after the req was over");
             }
         }
--- a/src/main/java/laurelkeel/audit/WarmUpRule.java
+++ b/src/main/java/laurelkeel/audit/WarmUpRule.java
@@ -25,33 +25,36 @@
     }
 
     private void judge(RecordedTraffic traffic, Run run) {
-        TrafficRecord.MachineUp m = run.up;
-        ArrayDeque<TrafficRecord.Arrived> window = new ArrayDeque<>();
+        TrafficRecord.ServerStarted m = run.up;
+        ArrayDeque<TrafficRecord.AttemptArrived> window = new ArrayDeque<>();
         boolean broken = false;
-        for (TrafficRecord.Arrived a : run.arrived) {
-            long age = a.t() - m.t();
-            if (age > m.coldFor()) {
+        for (TrafficRecord.AttemptArrived a : run.arrived) {
+            long age = a.timeTicks() - m.timeTicks();
+            if (age > m.warmUpTicks()) {
                 return;
             }
             window.addLast(a);
-            while (window.peekFirst().t() < a.t() - m.tipAfter()) {
+            while (window.peekFirst().timeTicks() < a.timeTicks() - m.overloadWindowTicks()) {
                 window.pollFirst();
             }
-            double warmth = m.coldFrom() + (1 - m.coldFrom()) * Math.max(0, age) / (double) m.coldFor();
-            double most = m.tipMultiple() * warmth * m.capacity() * m.tipAfter() / 10_000 + SLACK;
+            double warmth =
+                    m.warmUpInitialShare() + (1 - m.warmUpInitialShare()) * Math.max(0, age) / (double) m.warmUpTicks();
+            double most =
+                    m.overloadMultiple() * warmth * m.capacityPerSecond() * m.overloadWindowTicks() / 10_000 + SLACK;
             near(
                     window.size() / most,
-                    window.size() + " reqs in " + ms(m.tipAfter()) + " at " + m.machine() + ", " + ms(age)
+                    window.size() + " reqs in " + ms(m.overloadWindowTicks()) + " at " + m.endpointId() + ", " + ms(age)
                             + " after its start, of " + Math.round(most));
             if (window.size() > most && !broken) {
                 broken = true;
                 long knew = window.stream().filter(x -> toldOf(traffic, x, m)).count();
                 if (knew * 3 >= window.size() * 2) {
                     breach(
-                            a.t(),
-                            a.req(),
-                            m.machine() + " was pushed over " + ms(age) + " after its start: "
-                                    + window.size() + " reqs in " + ms(m.tipAfter()) + " of " + Math.round(most) + ", "
+                            a.timeTicks(),
+                            a.requestId(),
+                            m.endpointId() + " was pushed over " + ms(age) + " after its start: "
+                                    + window.size() + " reqs in " + ms(m.overloadWindowTicks()) + " of "
+                                    + Math.round(most) + ", "
                                     + knew
                                     + " of them from fronts that knew");
                 }
@@ -59,18 +62,19 @@
         }
     }
 
-    private static boolean toldOf(RecordedTraffic traffic, TrafficRecord.Arrived a, TrafficRecord.MachineUp m) {
-        Life life = traffic.lives.get(a.front() + "/" + a.life());
+    private static boolean toldOf(
+            RecordedTraffic traffic, TrafficRecord.AttemptArrived a, TrafficRecord.ServerStarted m) {
+        Life life = traffic.lives.get(a.nodeIndex() + "/" + a.nodeIncarnation());
         Set<Long> known = new HashSet<>();
         if (life != null) {
-            for (TrafficRecord.ToldList l : life.lists) {
-                if (l.t() <= a.t()) {
-                    l.machines().stream()
-                            .filter(e -> e.machine().equals(m.machine()))
-                            .forEach(e -> known.add(e.run()));
+            for (TrafficRecord.EndpointListReceived l : life.lists) {
+                if (l.timeTicks() <= a.timeTicks()) {
+                    l.endpoints().stream()
+                            .filter(e -> e.endpointId().equals(m.endpointId()))
+                            .forEach(e -> known.add(e.incarnation()));
                 }
             }
         }
-        return known.contains(m.run());
+        return known.contains(m.incarnation());
     }
 }
--- a/src/main/java/laurelkeel/cli/AuditCommand.java
+++ b/src/main/java/laurelkeel/cli/AuditCommand.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.Callable;
 import laurelkeel.audit.AuditReport;
 import laurelkeel.audit.Auditor;
-import laurelkeel.records.Recorder;
+import laurelkeel.records.RecordReader;
 import laurelkeel.records.TrafficRecord;
 import laurelkeel.scenario.ScenarioReport;
 import picocli.CommandLine.Command;
@@ -28,9 +28,9 @@
         }
         AuditReport j;
         try {
-            List<TrafficRecord> records = Recorder.readAll(folder);
+            List<TrafficRecord> records = RecordReader.readAll(folder);
             long lost = records.stream()
-                    .mapToLong(r -> r instanceof TrafficRecord.Lost l ? l.records() : 0)
+                    .mapToLong(r -> r instanceof TrafficRecord.RecordsLost l ? l.count() : 0)
                     .sum();
             if (lost > 0) {
                 System.err.println(
--- a/src/main/java/laurelkeel/front/ControlPlaneRecorder.java
+++ b/src/main/java/laurelkeel/front/ControlPlaneRecorder.java
@@ -8,7 +8,8 @@
 import laurelkeel.eventloop.EventLoop;
 import laurelkeel.front.controlplane.EndpointDescription;
 import laurelkeel.front.controlplane.RolloutMessage;
-import laurelkeel.records.Recorder;
+import laurelkeel.records.RecordClock;
+import laurelkeel.records.RecordWriter;
 import laurelkeel.records.TrafficRecord;
 import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
@@ -20,7 +21,7 @@
 final class ControlPlaneRecorder {
     private static final Logger LOG = LoggerFactory.getLogger(ControlPlaneRecorder.class);
 
-    private final @Nullable Recorder recorder;
+    private final @Nullable RecordWriter recorder;
     private final int nodeIndex;
     private final String incarnation;
     private final EventLoop loop;
@@ -35,8 +36,8 @@
         this.nodeIndex = nodeIndex;
         this.incarnation = incarnation;
         this.loop = loop;
-        recorder = file == null ? null : new Recorder(file, true);
-        record(new TrafficRecord.FrontUp(Recorder.now(), nodeIndex, incarnation));
+        recorder = file == null ? null : new RecordWriter(file, true);
+        record(new TrafficRecord.NodeStarted(RecordClock.nowTicks(), nodeIndex, incarnation));
     }
 
     private void record(TrafficRecord trafficRecord) {
@@ -50,21 +51,21 @@
         if (recorder == null) {
             return;
         }
-        List<TrafficRecord.Entry> entries = new ArrayList<>(endpoints.size());
+        List<TrafficRecord.EndpointEntry> entries = new ArrayList<>(endpoints.size());
         for (EndpointDescription endpoint : endpoints) {
-            entries.add(new TrafficRecord.Entry(
+            entries.add(new TrafficRecord.EndpointEntry(
                     endpoint.endpointId(),
                     endpoint.incarnation(),
                     endpoint.build(),
                     WireTerms.recorded(endpoint.state())));
         }
-        record(new TrafficRecord.ToldList(
+        record(new TrafficRecord.EndpointListReceived(
                 hostTime(arrivedAtTicks), nodeIndex, incarnation, WireTerms.recorded(kind), entries));
     }
 
     /** Records where the rollout of a build stands. */
     void recordRollout(RolloutMessage.Status rollout, long arrivedAtTicks) {
-        record(new TrafficRecord.ToldNews(
+        record(new TrafficRecord.RolloutUpdateReceived(
                 hostTime(arrivedAtTicks),
                 nodeIndex,
                 incarnation,
@@ -76,17 +77,17 @@
 
     /** The clock of all records at a moment of the node's clock. */
     private long hostTime(long ticks) {
-        return Recorder.now() - (loop.clockTicks() - ticks);
+        return RecordClock.nowTicks() - (loop.clockTicks() - ticks);
     }
 
     /** How many records the disk did not take; on any thread. */
     long lostRecords() {
-        return recorder == null ? 0 : recorder.lost();
+        return recorder == null ? 0 : recorder.lostRecords();
     }
 
     /** Records that the node is down and closes the file. */
     void close() {
-        record(new TrafficRecord.FrontDown(Recorder.now(), nodeIndex, false));
+        record(new TrafficRecord.NodeStopped(RecordClock.nowTicks(), nodeIndex, false));
         if (recorder == null) {
             return;
         }
--- a/src/main/java/laurelkeel/front/WireTerms.java
+++ b/src/main/java/laurelkeel/front/WireTerms.java
@@ -12,7 +12,7 @@
 import laurelkeel.front.FrontSettingsReader.EndpointListMode;
 import laurelkeel.front.FrontSettingsReader.ValueBasis;
 import laurelkeel.partition.PartitionedDecider.Attribution;
-import laurelkeel.records.TrafficRecord;
+import laurelkeel.records.RecordTerms;
 
 /**
  * Maps the names that stand in settings files, in records and in metric labels to the terms of the API. Those names are
@@ -93,11 +93,11 @@
     }
 
     /** An endpoint's state as records keep it. */
-    static TrafficRecord.State recorded(EndpointState state) {
+    static RecordTerms.EndpointState recorded(EndpointState state) {
         return switch (state) {
-            case ACTIVE -> TrafficRecord.State.LIVE;
-            case DRAINING -> TrafficRecord.State.DRAINING;
-            case REMOVED -> TrafficRecord.State.GONE;
+            case ACTIVE -> RecordTerms.EndpointState.ACTIVE;
+            case DRAINING -> RecordTerms.EndpointState.DRAINING;
+            case REMOVED -> RecordTerms.EndpointState.REMOVED;
         };
     }
 
@@ -106,40 +106,40 @@
      *
      * @throws IllegalArgumentException for a failed call, which brings no list to record
      */
-    static TrafficRecord.ListKind recorded(EndpointListKind kind) {
+    static RecordTerms.EndpointListKind recorded(EndpointListKind kind) {
         return switch (kind) {
-            case DELTA -> TrafficRecord.ListKind.CHANGES;
-            case SNAPSHOT -> TrafficRecord.ListKind.FULL;
-            case CACHED -> TrafficRecord.ListKind.REMEMBERED;
+            case DELTA -> RecordTerms.EndpointListKind.DELTA;
+            case SNAPSHOT -> RecordTerms.EndpointListKind.SNAPSHOT;
+            case CACHED -> RecordTerms.EndpointListKind.CACHED;
             case FAILED -> throw new IllegalArgumentException("a failed call brings no list to record");
         };
     }
 
     /** A rollout's phase as records keep it. */
-    static TrafficRecord.Phase recorded(RolloutPhase phase) {
+    static RecordTerms.RolloutPhase recorded(RolloutPhase phase) {
         return switch (phase) {
-            case CANARY -> TrafficRecord.Phase.TRIAL;
-            case ROLLING_BACK -> TrafficRecord.Phase.GOING_BACK;
-            case RELEASED -> TrafficRecord.Phase.RELEASED;
-            case ROLLED_BACK -> TrafficRecord.Phase.WITHDRAWN;
+            case CANARY -> RecordTerms.RolloutPhase.CANARY;
+            case ROLLING_BACK -> RecordTerms.RolloutPhase.ROLLING_BACK;
+            case RELEASED -> RecordTerms.RolloutPhase.RELEASED;
+            case ROLLED_BACK -> RecordTerms.RolloutPhase.ROLLED_BACK;
         };
     }
 
     /** A route's idempotency as records keep it. */
-    public static TrafficRecord.Effect recorded(Idempotency idempotency) {
+    public static RecordTerms.Idempotency recorded(Idempotency idempotency) {
         return switch (idempotency) {
-            case IDEMPOTENT -> TrafficRecord.Effect.RETRIABLE;
-            case DEDUPLICATED -> TrafficRecord.Effect.DEDUPED;
-            case NOT_IDEMPOTENT -> TrafficRecord.Effect.NON_RETRIABLE;
+            case IDEMPOTENT -> RecordTerms.Idempotency.IDEMPOTENT;
+            case DEDUPLICATED -> RecordTerms.Idempotency.DEDUPLICATED;
+            case NOT_IDEMPOTENT -> RecordTerms.Idempotency.NOT_IDEMPOTENT;
         };
     }
 
     /** The scope of a route's deduplication as records keep it. */
-    public static TrafficRecord.Group recorded(DeduplicationScope scope) {
+    public static RecordTerms.DeduplicationScope recorded(DeduplicationScope scope) {
         return switch (scope) {
-            case ALL -> TrafficRecord.Group.ALL;
-            case ZONE -> TrafficRecord.Group.ZONE;
-            case CELL -> TrafficRecord.Group.CELL;
+            case ALL -> RecordTerms.DeduplicationScope.ALL;
+            case ZONE -> RecordTerms.DeduplicationScope.ZONE;
+            case CELL -> RecordTerms.DeduplicationScope.CELL;
         };
     }
 }
--- a/src/main/java/laurelkeel/records/TrafficRecord.java
+++ b/src/main/java/laurelkeel/records/TrafficRecord.java
@@ -1,170 +1,325 @@
 package laurelkeel.records;
 
 import com.fasterxml.jackson.annotation.JsonInclude;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import java.util.List;
+import laurelkeel.records.RecordTerms.DeduplicationScope;
+import laurelkeel.records.RecordTerms.EndpointListKind;
+import laurelkeel.records.RecordTerms.EndpointState;
+import laurelkeel.records.RecordTerms.Idempotency;
+import laurelkeel.records.RecordTerms.Outcome;
+import laurelkeel.records.RecordTerms.RolloutPhase;
+import laurelkeel.records.RecordTerms.StopReason;
+import org.jspecify.annotations.Nullable;
 
 /**
- * One line of a record file. t is the host's monotonic clock in tenths of a millisecond, the same for all processes
- * of one host. req is the id of one try of a client; asks with the same of belong to one req of a caller. run is a
- * machine's start under an address, life a front's start under a number.
+ * One line of a record file.
+ *
+ * <p>Times are ticks (tenths of a millisecond) of {@link RecordClock}. A request id names one request of a client as a
+ * node sees it; a client that retries sends further requests with ids of their own and the same call id. An endpoint's
+ * incarnation is one start of a server under its address, a node's incarnation one start of a node under its index.
+ * Property and enumeration names are part of the stored form and stay as they are.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "k")
 @JsonInclude(JsonInclude.Include.NON_NULL)
 @JsonSubTypes({
-    @JsonSubTypes.Type(value = TrafficRecord.Rules.class, name = "rules"),
-    @JsonSubTypes.Type(value = TrafficRecord.Asked.class, name = "asked"),
-    @JsonSubTypes.Type(value = TrafficRecord.Answered.class, name = "answered"),
-    @JsonSubTypes.Type(value = TrafficRecord.Stray.class, name = "stray"),
-    @JsonSubTypes.Type(value = TrafficRecord.Broke.class, name = "broke"),
-    @JsonSubTypes.Type(value = TrafficRecord.LeftEarly.class, name = "left"),
-    @JsonSubTypes.Type(value = TrafficRecord.FrontUp.class, name = "frontUp"),
-    @JsonSubTypes.Type(value = TrafficRecord.FrontDown.class, name = "frontDown"),
-    @JsonSubTypes.Type(value = TrafficRecord.ToldList.class, name = "toldList"),
-    @JsonSubTypes.Type(value = TrafficRecord.ToldNews.class, name = "toldNews"),
-    @JsonSubTypes.Type(value = TrafficRecord.MachineUp.class, name = "machineUp"),
-    @JsonSubTypes.Type(value = TrafficRecord.MachineDown.class, name = "machineDown"),
-    @JsonSubTypes.Type(value = TrafficRecord.Arrived.class, name = "arrived"),
-    @JsonSubTypes.Type(value = TrafficRecord.TurnedAway.class, name = "turnedAway"),
-    @JsonSubTypes.Type(value = TrafficRecord.Ran.class, name = "ran"),
-    @JsonSubTypes.Type(value = TrafficRecord.Replied.class, name = "replied"),
-    @JsonSubTypes.Type(value = TrafficRecord.Voted.class, name = "voted"),
-    @JsonSubTypes.Type(value = TrafficRecord.Stage.class, name = "stage"),
-    @JsonSubTypes.Type(value = TrafficRecord.Blamed.class, name = "blamed"),
-    @JsonSubTypes.Type(value = TrafficRecord.Lost.class, name = "lost")
+    @JsonSubTypes.Type(value = TrafficRecord.AuditParameters.class, name = "rules"),
+    @JsonSubTypes.Type(value = TrafficRecord.RequestSent.class, name = "asked"),
+    @JsonSubTypes.Type(value = TrafficRecord.ResponseReceived.class, name = "answered"),
+    @JsonSubTypes.Type(value = TrafficRecord.UnexpectedBytes.class, name = "stray"),
+    @JsonSubTypes.Type(value = TrafficRecord.ConnectionBroken.class, name = "broke"),
+    @JsonSubTypes.Type(value = TrafficRecord.ClientClosed.class, name = "left"),
+    @JsonSubTypes.Type(value = TrafficRecord.NodeStarted.class, name = "frontUp"),
+    @JsonSubTypes.Type(value = TrafficRecord.NodeStopped.class, name = "frontDown"),
+    @JsonSubTypes.Type(value = TrafficRecord.EndpointListReceived.class, name = "toldList"),
+    @JsonSubTypes.Type(value = TrafficRecord.RolloutUpdateReceived.class, name = "toldNews"),
+    @JsonSubTypes.Type(value = TrafficRecord.ServerStarted.class, name = "machineUp"),
+    @JsonSubTypes.Type(value = TrafficRecord.ServerStopped.class, name = "machineDown"),
+    @JsonSubTypes.Type(value = TrafficRecord.AttemptArrived.class, name = "arrived"),
+    @JsonSubTypes.Type(value = TrafficRecord.AttemptRejected.class, name = "turnedAway"),
+    @JsonSubTypes.Type(value = TrafficRecord.AttemptExecuted.class, name = "ran"),
+    @JsonSubTypes.Type(value = TrafficRecord.AttemptAnswered.class, name = "replied"),
+    @JsonSubTypes.Type(value = TrafficRecord.VoteReceived.class, name = "voted"),
+    @JsonSubTypes.Type(value = TrafficRecord.RolloutStageChanged.class, name = "stage"),
+    @JsonSubTypes.Type(value = TrafficRecord.AttributionPublished.class, name = "blamed"),
+    @JsonSubTypes.Type(value = TrafficRecord.RecordsLost.class, name = "lost")
 })
 public sealed interface TrafficRecord {
-    long t();
-
-    enum Effect {
-        RETRIABLE,
-        DEDUPED,
-        NON_RETRIABLE
-    }
-
-    enum Group {
-        ALL,
-        ZONE,
-        CELL
-    }
-
-    enum Final {
-        COMPLETED,
-        SHED,
-        ERRORED
-    }
-
-    enum State {
-        LIVE,
-        DRAINING,
-        GONE
-    }
-
-    enum ListKind {
-        CHANGES,
-        FULL,
-        REMEMBERED
-    }
-
-    enum Phase {
-        TRIAL,
-        GOING_BACK,
-        RELEASED,
-        WITHDRAWN
-    }
-
-    /** One route's figures for the rules; window in tenths of a millisecond. */
-    record RouteRule(String name, Effect effect, Group group, long window) {}
-
-    /** The figures of the rules that hold for a run; one stands in each set of records. */
-    record Rules(
-            long t,
-            List<RouteRule> routes,
-            long drainGrace,
-            long window,
-            double free,
-            boolean perRoute,
+    /** When it happened or was seen, in ticks of {@link RecordClock}. */
+    long timeTicks();
+
+    /**
+     * What the rules need to know of one route.
+     */
+    record RoutePolicy(
+            String name,
+            @JsonProperty("effect") Idempotency idempotency,
+            @JsonProperty("group") DeduplicationScope deduplicationScope,
+            @JsonProperty("window") long deduplicationWindowTicks) {}
+
+    /**
+     * The parameters of the rules in force; each set of records has one.
+     *
+     * @param exposureAllowance attempts at a canary that are allowed beside the cap
+     * @param exposurePerRoute whether the cap holds for each route on its own
+     * @param guardedStages first stages in which a canary gets idempotent requests only
+     * @param stickyKeys whether a partition key must not go back to an earlier build
+     * @param stageExposureCaps the share of requests that may go to a canary, by stage
+     */
+    record AuditParameters(
+            @JsonProperty("t") long timeTicks,
+            List<RoutePolicy> routes,
+            @JsonProperty("drainGrace") long drainGraceTicks,
+            @JsonProperty("window") long exposureWindowTicks,
+            @JsonProperty("free") double exposureAllowance,
+            @JsonProperty("perRoute") boolean exposurePerRoute,
             int guardedStages,
-            boolean keysStay,
-            List<Double> stageCaps)
+            @JsonProperty("keysStay") boolean stickyKeys,
+            @JsonProperty("stageCaps") List<Double> stageExposureCaps)
             implements TrafficRecord {}
 
-    /** So many records before this one did not reach the file. */
-    record Lost(long t, long records) implements TrafficRecord {}
+    /**
+     * Records before this one did not reach the file.
+     */
+    record RecordsLost(@JsonProperty("t") long timeTicks, @JsonProperty("records") long count)
+            implements TrafficRecord {}
 
-    /** A client wrote a req to a front, to be answered before leaves. */
-    record Asked(
-            long t,
-            String req,
-            String of,
-            int front,
+    /**
+     * A client sent a request to a node.
+     *
+     * @param deadlineTicks when the client stops waiting
+     * @param clientRetry whether an earlier request of the same call was sent
+     */
+    record RequestSent(
+            @JsonProperty("t") long timeTicks,
+            @JsonProperty("req") String requestId,
+            @JsonProperty("of") String callId,
+            @JsonProperty("front") int nodeIndex,
             String route,
-            String customer,
-            String key,
-            String mark,
-            long leaves,
-            boolean again)
+            @JsonProperty("customer") @Nullable String tenant,
+            @JsonProperty("key") @Nullable String partitionKey,
+            @JsonProperty("mark") @Nullable String idempotencyKey,
+            @JsonProperty("leaves") long deadlineTicks,
+            @JsonProperty("again") boolean clientRetry)
             implements TrafficRecord {}
 
-    /** A client read an answer whole. notTaken: the front said that it turned the req away at its door. */
-    record Answered(long t, String req, int status, Final is, boolean notTaken) implements TrafficRecord {}
+    /**
+     * A client received a complete response.
+     *
+     * @param notAccepted whether the node states that it never accepted the request
+     */
+    record ResponseReceived(
+            @JsonProperty("t") long timeTicks,
+            @JsonProperty("req") String requestId,
+            int status,
+            @JsonProperty("is") Outcome outcome,
+            @JsonProperty("notTaken") boolean notAccepted)
+            implements TrafficRecord {}
 
-    /** Bytes came that answer nothing asked. */
-    record Stray(long t, String req, String what) implements TrafficRecord {}
+    /**
+     * Bytes arrived that belong to no outstanding request.
+     *
+     * @param requestId the last request on the connection
+     */
+    record UnexpectedBytes(
+            @JsonProperty("t") long timeTicks,
+            @JsonProperty("req") String requestId,
+            @JsonProperty("what") String description)
+            implements TrafficRecord {}
 
-    /** The connection ended before the answer was whole. */
-    record Broke(long t, String req, String how) implements TrafficRecord {}
+    /**
+     * A connection ended before the response was complete.
+     */
+    record ConnectionBroken(
+            @JsonProperty("t") long timeTicks,
+            @JsonProperty("req") String requestId,
+            @JsonProperty("how") String reason)
+            implements TrafficRecord {}
 
-    /** The client closed of its own will, before its time was up where early. */
-    record LeftEarly(long t, String req, boolean early) implements TrafficRecord {}
+    /**
+     * A client closed its connection.
+     *
+     * @param beforeDeadline false where the client closed because its deadline had passed
+     */
+    record ClientClosed(
+            @JsonProperty("t") long timeTicks,
+            @JsonProperty("req") String requestId,
+            @JsonProperty("early") boolean beforeDeadline)
+            implements TrafficRecord {}
 
-    record FrontUp(long t, int front, String life) implements TrafficRecord {}
+    /**
+     * A node started.
+     */
+    record NodeStarted(
+            @JsonProperty("t") long timeTicks,
+            @JsonProperty("front") int nodeIndex,
+            @JsonProperty("life") String nodeIncarnation)
+            implements TrafficRecord {}
 
-    /** killed: by force, so that nothing held is owed any more. */
-    record FrontDown(long t, int front, boolean killed) implements TrafficRecord {}
+    /**
+     * A node stopped.
+     *
+     * @param killed whether by force, so that responses to accepted requests are not owed
+     */
+    record NodeStopped(@JsonProperty("t") long timeTicks, @JsonProperty("front") int nodeIndex, boolean killed)
+            implements TrafficRecord {}
 
-    record Entry(String machine, long run, int build, State state) {}
+    /**
+     * One endpoint of an endpoint list.
+     */
+    record EndpointEntry(
+            @JsonProperty("machine") String endpointId,
+            @JsonProperty("run") long incarnation,
+            int build,
+            EndpointState state) {}
 
-    record ToldList(long t, int front, String life, ListKind kind, List<Entry> machines) implements TrafficRecord {}
+    /**
+     * A node received an update of the endpoint list.
+     */
+    record EndpointListReceived(
+            @JsonProperty("t") long timeTicks,
+            @JsonProperty("front") int nodeIndex,
+            @JsonProperty("life") String nodeIncarnation,
+            EndpointListKind kind,
+            @JsonProperty("machines") List<EndpointEntry> endpoints)
+            implements TrafficRecord {}
 
-    record ToldNews(long t, int front, String life, int build, int stage, double cap, Phase phase)
+    /**
+     * A node received where a build's rollout stands.
+     */
+    record RolloutUpdateReceived(
+            @JsonProperty("t") long timeTicks,
+            @JsonProperty("front") int nodeIndex,
+            @JsonProperty("life") String nodeIncarnation,
+            int build,
+            int stage,
+            @JsonProperty("cap") double exposureCap,
+            RolloutPhase phase)
             implements TrafficRecord {}
 
-    /** capacity is in reqs a second when warm; it begins at coldFrom of that and grows evenly over coldFor. */
-    record MachineUp(
-            long t,
-            String machine,
-            long run,
+    /**
+     * A server started.
+     *
+     * @param capacityPerSecond requests a second once warm
+     * @param warmUpInitialShare the share of its capacity that a cold server starts with
+     * @param warmUpTicks until a cold server has its full capacity; the share grows linearly
+     * @param overloadMultiple the multiple of its capacity at which a cold server fails
+     * @param overloadWindowTicks the window over which that load is counted
+     */
+    record ServerStarted(
+            @JsonProperty("t") long timeTicks,
+            @JsonProperty("machine") String endpointId,
+            @JsonProperty("run") long incarnation,
             int build,
             int zone,
             int cell,
-            double capacity,
-            double coldFrom,
-            long coldFor,
-            double tipMultiple,
-            long tipAfter,
+            @JsonProperty("capacity") double capacityPerSecond,
+            @JsonProperty("coldFrom") double warmUpInitialShare,
+            @JsonProperty("coldFor") long warmUpTicks,
+            @JsonProperty("tipMultiple") double overloadMultiple,
+            @JsonProperty("tipAfter") long overloadWindowTicks,
             boolean cold)
             implements TrafficRecord {}
 
-    /** why: died, drained, tipped. */
-    record MachineDown(long t, String machine, long run, String why) implements TrafficRecord {}
+    /**
+     * A server stopped.
+     */
+    record ServerStopped(
+            @JsonProperty("t") long timeTicks,
+            @JsonProperty("machine") String endpointId,
+            @JsonProperty("run") long incarnation,
+            @JsonProperty("why") StopReason reason)
+            implements TrafficRecord {}
 
-    record Arrived(long t, String machine, long run, int build, String req, int no, int front, String life)
+    /**
+     * An attempt reached a server.
+     */
+    record AttemptArrived(
+            @JsonProperty("t") long timeTicks,
+            @JsonProperty("machine") String endpointId,
+            @JsonProperty("run") long incarnation,
+            int build,
+            @JsonProperty("req") String requestId,
+            @JsonProperty("no") int attemptNumber,
+            @JsonProperty("front") int nodeIndex,
+            @JsonProperty("life") String nodeIncarnation)
             implements TrafficRecord {}
 
-    /** Before any work: this try provably never ran. */
-    record TurnedAway(long t, String machine, long run, String req, int no) implements TrafficRecord {}
+    /**
+     * A server rejected an attempt before any work: it provably never ran.
+     */
+    record AttemptRejected(
+            @JsonProperty("t") long timeTicks,
+            @JsonProperty("machine") String endpointId,
+            @JsonProperty("run") long incarnation,
+            @JsonProperty("req") String requestId,
+            @JsonProperty("no") int attemptNumber)
+            implements TrafficRecord {}
 
-    /** Work began that may have an effect; dropped: known by its mark as a repeat, so without a further effect. */
-    record Ran(long t, String machine, long run, String req, int no, boolean dropped) implements TrafficRecord {}
+    /**
+     * A server began work that may have an effect.
+     *
+     * @param deduplicated whether the server knew it as a repeat, so that it had no further effect
+     */
+    record AttemptExecuted(
+            @JsonProperty("t") long timeTicks,
+            @JsonProperty("machine") String endpointId,
+            @JsonProperty("run") long incarnation,
+            @JsonProperty("req") String requestId,
+            @JsonProperty("no") int attemptNumber,
+            @JsonProperty("dropped") boolean deduplicated)
+            implements TrafficRecord {}
 
-    record Replied(long t, String machine, long run, String req, int no, int status) implements TrafficRecord {}
+    /**
+     * A server sent a response.
+     */
+    record AttemptAnswered(
+            @JsonProperty("t") long timeTicks,
+            @JsonProperty("machine") String endpointId,
+            @JsonProperty("run") long incarnation,
+            @JsonProperty("req") String requestId,
+            @JsonProperty("no") int attemptNumber,
+            int status)
+            implements TrafficRecord {}
 
-    record Voted(long t, int front, int build, int stage, String verdict, String answer) implements TrafficRecord {}
+    /**
+     * The rollout service received a vote.
+     *
+     * @param verdict as the node sent it
+     * @param answer as the node got it; "none" where the service did not answer
+     */
+    record VoteReceived(
+            @JsonProperty("t") long timeTicks,
+            @JsonProperty("front") int nodeIndex,
+            int build,
+            int stage,
+            String verdict,
+            String answer)
+            implements TrafficRecord {}
 
-    /** What the release line says of a build from then on: none, open, cleared, guilty or set-aside, and why. */
-    record Blamed(long t, int build, String word, double probability, String evidence) implements TrafficRecord {}
+    /**
+     * The rollout service changed what it states on a build's part in a regression.
+     *
+     * @param attribution none, open, cleared, guilty or set-aside, as in messages
+     */
+    record AttributionPublished(
+            @JsonProperty("t") long timeTicks,
+            int build,
+            @JsonProperty("word") String attribution,
+            double probability,
+            String evidence)
+            implements TrafficRecord {}
 
-    record Stage(long t, int build, int stage, double cap, Phase phase) implements TrafficRecord {}
+    /**
+     * A build's rollout entered a stage or phase.
+     */
+    record RolloutStageChanged(
+            @JsonProperty("t") long timeTicks,
+            int build,
+            int stage,
+            @JsonProperty("cap") double exposureCap,
+            RolloutPhase phase)
+            implements TrafficRecord {}
 }
--- a/src/main/java/laurelkeel/records/package-info.java
+++ b/src/main/java/laurelkeel/records/package-info.java
@@ -1,2 +1,8 @@
-/** What was seen on the sockets and told to fronts, as JSON lines: the ground on which rules are judged. */
+/**
+ * Records of what was seen on sockets and of what nodes learned from their control plane, stored as JSON lines: the
+ * input of {@code laurelkeel.audit}.
+ */
+@NullMarked
 package laurelkeel.records;
+
+import org.jspecify.annotations.NullMarked;
--- a/src/main/java/laurelkeel/scenario/Scenario.java
+++ b/src/main/java/laurelkeel/scenario/Scenario.java
@@ -80,12 +80,12 @@
         IniSection work = ini.section("work", false);
         IniSection share = ini.section("share", true);
         Map<String, Long> works = new LinkedHashMap<>();
-        Map<String, TrafficRecord.RouteRule> rules = new HashMap<>();
+        Map<String, TrafficRecord.RoutePolicy> rules = new HashMap<>();
         List<LoadGenerator.Route> routes = new ArrayList<>();
         for (int i = 0; i < common.routes().size(); i++) {
             RouteTable.Entry e = common.routeTable().entries().get(i);
             Settings.Route r = common.routes().get(i);
-            TrafficRecord.RouteRule rule = new TrafficRecord.RouteRule(
+            TrafficRecord.RoutePolicy rule = new TrafficRecord.RoutePolicy(
                     e.name(),
                     WireTerms.recorded(r.idempotency()),
                     WireTerms.recorded(r.deduplicationScope()),
@@ -175,7 +175,7 @@
     }
 
     private static ServerProfile shape(
-            IniSection s, Settings.Limits l, Map<String, Long> works, Map<String, TrafficRecord.RouteRule> rules) {
+            IniSection s, Settings.Limits l, Map<String, Long> works, Map<String, TrafficRecord.RoutePolicy> rules) {
         return new ServerProfile(
                 s.intValue("cores", "2", 1, 1024),
                 s.intValue("room", "40", 0, 1_000_000),
@@ -228,9 +228,9 @@
     }
 
     /** The figures that the audit needs. */
-    public TrafficRecord.Rules rules() {
+    public TrafficRecord.AuditParameters rules() {
         Settings.Rollout r = common.rollout();
-        return new TrafficRecord.Rules(
+        return new TrafficRecord.AuditParameters(
                 0,
                 load.routes().stream().map(LoadGenerator.Route::rule).toList(),
                 common.limits().drainGraceTicks(),
--- a/src/main/java/laurelkeel/scenario/ScenarioEnvironment.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioEnvironment.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import laurelkeel.eventloop.EventLoop;
-import laurelkeel.records.Recorder;
+import laurelkeel.records.RecordClock;
 import laurelkeel.records.TrafficRecord;
 import laurelkeel.testbed.BuildProfile;
 import laurelkeel.testbed.EndpointListService;
@@ -24,7 +24,7 @@
 /** The stand-ins of one day on one thread, and the troubles that befall them. */
 public final class ScenarioEnvironment implements AutoCloseable {
     private final Scenario plan;
-    private final EventLoop loop = new EventLoop(Recorder::now);
+    private final EventLoop loop = new EventLoop(RecordClock::nowTicks);
     private final Thread thread = new Thread(() -> loop.run(() -> false), "stand-ins");
     private final SplittableRandom random;
     private final SimulatedFleet fleet;
@@ -44,17 +44,17 @@
         fleet = new SimulatedFleet(loop, plan.shape(), plan.zones(), routes, seed + 1, records);
         list = new EndpointListService(loop, fleet, plan.listLag(), plan.listCalls());
         line = new RolloutService(loop, fleet, plan.line(), plan.load().routes().size(), records);
-        TrafficRecord.Rules r = plan.rules();
-        records.accept(new TrafficRecord.Rules(
-                Recorder.now(),
+        TrafficRecord.AuditParameters r = plan.rules();
+        records.accept(new TrafficRecord.AuditParameters(
+                RecordClock.nowTicks(),
                 r.routes(),
-                r.drainGrace(),
-                r.window(),
-                r.free(),
-                r.perRoute(),
+                r.drainGraceTicks(),
+                r.exposureWindowTicks(),
+                r.exposureAllowance(),
+                r.exposurePerRoute(),
                 r.guardedStages(),
-                r.keysStay(),
-                r.stageCaps()));
+                r.stickyKeys(),
+                r.stageExposureCaps()));
     }
 
     /** Starts list, release line and the first machines on build 1. */
@@ -132,7 +132,8 @@
 
     /** Stages reached so far, as "build 2 stage 1 trial". */
     public String stage() {
-        return on(() -> "build " + line.newest().number() + " stage " + line.stage() + " " + line.phase());
+        return on(() -> "build " + line.newest().number() + " stage " + line.stage() + " "
+                + line.phase().storedName());
     }
 
     private List<SimulatedServer> some(int n) {
--- a/src/main/java/laurelkeel/scenario/ScenarioReport.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioReport.java
@@ -59,40 +59,43 @@
                     percent(within),
                     percent(t.reqs == 0 ? 0 : t.reqsCompleted / (double) t.reqs));
         });
-        long arrived =
-                records.stream().filter(r -> r instanceof TrafficRecord.Arrived).count();
+        long arrived = records.stream()
+                .filter(r -> r instanceof TrafficRecord.AttemptArrived)
+                .count();
         long turned = records.stream()
-                .filter(r -> r instanceof TrafficRecord.TurnedAway)
+                .filter(r -> r instanceof TrafficRecord.AttemptRejected)
+                .count();
+        long votes = records.stream()
+                .filter(r -> r instanceof TrafficRecord.VoteReceived)
                 .count();
-        long votes =
-                records.stream().filter(r -> r instanceof TrafficRecord.Voted).count();
         s.append(String.format("%nupstream tries %d, turned away %d; votes %d%n", arrived, turned, votes));
         long start = records.stream()
-                .filter(r -> r instanceof TrafficRecord.Asked)
-                .mapToLong(TrafficRecord::t)
+                .filter(r -> r instanceof TrafficRecord.RequestSent)
+                .mapToLong(TrafficRecord::timeTicks)
                 .min()
                 .orElse(0);
         s.append("stages:");
         for (TrafficRecord r : records) {
-            if (r instanceof TrafficRecord.Stage g) {
+            if (r instanceof TrafficRecord.RolloutStageChanged g) {
                 s.append(String.format(
                         Locale.ROOT,
                         " %d/%d %s at %.1f s;",
                         g.build(),
                         g.stage(),
-                        g.phase().name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                        (g.t() - start) / 10_000.0));
+                        g.phase().storedName().toLowerCase(Locale.ROOT).replace('_', ' '),
+                        (g.timeTicks() - start) / 10_000.0));
             }
         }
         s.append('\n');
         for (TrafficRecord r : records) {
-            if (r instanceof TrafficRecord.Blamed b && !b.word().equals("none")) {
+            if (r instanceof TrafficRecord.AttributionPublished b
+                    && !b.attribution().equals("none")) {
                 s.append(String.format(
                         Locale.ROOT,
                         "blame: %s, probability %.3f, at %.1f s: %s%n",
-                        b.word(),
+                        b.attribution(),
                         b.probability(),
-                        (b.t() - start) / 10_000.0,
+                        (b.timeTicks() - start) / 10_000.0,
                         b.evidence()));
             }
         }
--- a/src/main/java/laurelkeel/scenario/ScenarioRun.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioRun.java
@@ -11,7 +11,9 @@
 import java.util.stream.Stream;
 import laurelkeel.audit.AuditReport;
 import laurelkeel.audit.Auditor;
-import laurelkeel.records.Recorder;
+import laurelkeel.records.RecordClock;
+import laurelkeel.records.RecordReader;
+import laurelkeel.records.RecordWriter;
 import laurelkeel.records.TrafficRecord;
 
 /** Plays one day from start to judgement. */
@@ -25,7 +27,7 @@
     private final PrintStream out;
     private final PriorityQueue<Due> due = new PriorityQueue<>(java.util.Comparator.comparingLong(Due::at));
     private List<FrontProcess> fronts = List.of();
-    private Recorder clientSide, machineSide;
+    private RecordWriter clientSide, machineSide;
     private volatile boolean over;
 
     /** @param folder gets all records, settings and logs; what an earlier day left in it is removed */
@@ -39,8 +41,8 @@
     public AuditReport play() throws IOException, InterruptedException {
         Files.createDirectories(folder);
         clear();
-        clientSide = new Recorder(folder.resolve("clients.jsonl"), false);
-        machineSide = new Recorder(folder.resolve("machines.jsonl"), false);
+        clientSide = new RecordWriter(folder.resolve("clients.jsonl"), false);
+        machineSide = new RecordWriter(folder.resolve("machines.jsonl"), false);
         try (ScenarioEnvironment world = new ScenarioEnvironment(plan, seed, this::record)) {
             try {
                 world.start();
@@ -56,7 +58,7 @@
                 end();
             }
             AuditReport j = judge(world);
-            String table = ScenarioReport.text(plan, seed, world.clients().tallies(), Recorder.readAll(folder), j);
+            String table = ScenarioReport.text(plan, seed, world.clients().tallies(), RecordReader.readAll(folder), j);
             Files.writeString(folder.resolve("report.txt"), table);
             out.print(table);
             out.flush();
@@ -89,30 +91,30 @@
         if (over) {
             return;
         }
-        boolean client = r instanceof TrafficRecord.Asked
-                || r instanceof TrafficRecord.Answered
-                || r instanceof TrafficRecord.Stray
-                || r instanceof TrafficRecord.Broke
-                || r instanceof TrafficRecord.LeftEarly;
+        boolean client = r instanceof TrafficRecord.RequestSent
+                || r instanceof TrafficRecord.ResponseReceived
+                || r instanceof TrafficRecord.UnexpectedBytes
+                || r instanceof TrafficRecord.ConnectionBroken
+                || r instanceof TrafficRecord.ClientClosed;
         (client ? clientSide : machineSide).record(r);
     }
 
     private void play(ScenarioEnvironment world) {
-        long start = Recorder.now();
+        long start = RecordClock.nowTicks();
         out.printf(
                 "day %s, seed %d: %d fronts, %d machines, %.0f reqs a second for %.0f s%n",
                 plan.name(), seed, fronts.size(), plan.machines(), plan.load().rate(), plan.length() / 10_000.0);
         world.load(fronts.stream().map(f -> f.at).toList(), seed);
         for (ScenarioFault t : plan.troubles()) {
             due.add(new Due(start + t.at(), () -> {
-                out.printf("  %5.1f s  %s%n", (Recorder.now() - start) / 10_000.0, t);
+                out.printf("  %5.1f s  %s%n", (RecordClock.nowTicks() - start) / 10_000.0, t);
                 befall(world, t);
             }));
         }
         for (long s = 5; s * 10_000 < plan.length(); s += 5) {
             due.add(new Due(
                     start + s * 10_000,
-                    () -> out.printf("  %5.1f s  %s%n", (Recorder.now() - start) / 10_000.0, world.state())));
+                    () -> out.printf("  %5.1f s  %s%n", (RecordClock.nowTicks() - start) / 10_000.0, world.state())));
         }
         until(world, start + plan.length());
         world.on(() -> {
@@ -120,25 +122,25 @@
             return null;
         });
         // what is out ends in its clients' time; what fronts are still to be back is awaited too
-        long latest = Recorder.now()
+        long latest = RecordClock.nowTicks()
                 + 10_000
                 + plan.load().routes().stream()
                         .mapToLong(r -> r.timeout())
                         .max()
                         .orElse(0);
-        while (Recorder.now() < latest && world.on(() -> world.clients().open()) > 0) {
-            until(world, Recorder.now() + 500);
+        while (RecordClock.nowTicks() < latest && world.on(() -> world.clients().open()) > 0) {
+            until(world, RecordClock.nowTicks() + 500);
         }
     }
 
     private void until(ScenarioEnvironment world, long end) {
-        while (Recorder.now() < end) {
+        while (RecordClock.nowTicks() < end) {
             world.check();
-            while (!due.isEmpty() && due.peek().at <= Recorder.now()) {
+            while (!due.isEmpty() && due.peek().at <= RecordClock.nowTicks()) {
                 due.poll().what.run();
             }
             long next = due.isEmpty() ? end : Math.min(end, due.peek().at);
-            LockSupport.parkNanos(Math.max(1, Math.min(1000, next - Recorder.now())) * 100_000);
+            LockSupport.parkNanos(Math.max(1, Math.min(1000, next - RecordClock.nowTicks())) * 100_000);
         }
     }
 
@@ -150,19 +152,19 @@
         }
         FrontProcess f = fronts.get(t.front());
         if (kill) {
-            record(new TrafficRecord.FrontDown(Recorder.now(), f.number, true));
+            record(new TrafficRecord.NodeStopped(RecordClock.nowTicks(), f.number, true));
             f.kill();
         } else {
             f.terminate();
         }
-        due.add(new Due(Recorder.now() + t.lasts(), () -> again(f, 0)));
+        due.add(new Due(RecordClock.nowTicks() + t.lasts(), () -> again(f, 0)));
     }
 
     private void again(FrontProcess f, int waited) {
         try {
             // a front that drains still holds its port
             if (f.running() && waited < 60) {
-                due.add(new Due(Recorder.now() + 5_000, () -> again(f, waited + 1)));
+                due.add(new Due(RecordClock.nowTicks() + 5_000, () -> again(f, waited + 1)));
             } else {
                 f.start();
             }
--- a/src/main/java/laurelkeel/testbed/EndpointListService.java
+++ b/src/main/java/laurelkeel/testbed/EndpointListService.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.Map;
 import laurelkeel.eventloop.EventLoop;
-import laurelkeel.records.TrafficRecord;
+import laurelkeel.records.RecordTerms;
 
 /**
  * The machine list as a service: whole on a call, changes on a watch, both as late as it is set to be. It can run
@@ -70,7 +70,7 @@
         loop.schedule(until, () -> down = false);
     }
 
-    private static Map<String, Object> entry(SimulatedServer m, TrafficRecord.State state) {
+    private static Map<String, Object> entry(SimulatedServer m, RecordTerms.EndpointState state) {
         Map<String, Object> e = new LinkedHashMap<>();
         e.put("machine", m.id);
         e.put("build", m.build.number());
@@ -78,7 +78,7 @@
         e.put("cell", m.cell);
         e.put("kind", 0);
         e.put("size", 1.0);
-        e.put("state", state.name().toLowerCase(Locale.ROOT));
+        e.put("state", state.storedName().toLowerCase(Locale.ROOT));
         e.put("run", m.run);
         e.put("cold", m.cold);
         return e;
--- a/src/main/java/laurelkeel/testbed/LoadGenerator.java
+++ b/src/main/java/laurelkeel/testbed/LoadGenerator.java
@@ -12,7 +12,8 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import laurelkeel.eventloop.EventLoop;
-import laurelkeel.records.Recorder;
+import laurelkeel.records.RecordClock;
+import laurelkeel.records.RecordTerms;
 import laurelkeel.records.TrafficRecord;
 import laurelkeel.wire.HeaderNames;
 import laurelkeel.wire.Headers;
@@ -40,7 +41,7 @@
 
     /** timeout in tenths of a millisecond; share of all reqs. */
     public record Route(
-            String name, String method, String path, TrafficRecord.RouteRule rule, long timeout, double share) {}
+            String name, String method, String path, TrafficRecord.RoutePolicy rule, long timeout, double share) {}
 
     public record Rule(
             List<Route> routes,
@@ -73,7 +74,7 @@
             this.route = route;
             this.customer = customer;
             this.key = key;
-            this.mark = route.rule().effect() == TrafficRecord.Effect.DEDUPED ? "m-" + of : null;
+            this.mark = route.rule().idempotency() == RecordTerms.Idempotency.DEDUPLICATED ? "m-" + of : null;
             this.tally = tallies.get(route.name());
         }
     }
@@ -267,8 +268,8 @@
         open++;
         c.tally.tries++;
         connected(front, t, conn -> {
-            records.accept(new TrafficRecord.Asked(
-                    Recorder.now(),
+            records.accept(new TrafficRecord.RequestSent(
+                    RecordClock.nowTicks(),
                     t.id,
                     c.of,
                     front,
@@ -276,7 +277,7 @@
                     c.customer,
                     c.key,
                     c.mark,
-                    Recorder.now() + (t.leaves - loop.clockTicks()),
+                    RecordClock.nowTicks() + (t.leaves - loop.clockTicks()),
                     again));
             conn.session.write(http(c, t, again));
             t.end = loop.schedule(t.leaves + SLACK, () -> giveUp(conn, t, false));
@@ -360,7 +361,7 @@
 
     private void giveUp(Conn conn, Try t, boolean early) {
         if (!t.over) {
-            records.accept(new TrafficRecord.LeftEarly(Recorder.now(), t.id, early));
+            records.accept(new TrafficRecord.ClientClosed(RecordClock.nowTicks(), t.id, early));
             t.call.tally.left += early ? 1 : 0;
             t.call.tally.overdue += early ? 0 : 1;
             over(t);
@@ -378,7 +379,7 @@
             return;
         }
         if (t == null || t.over) {
-            records.accept(new TrafficRecord.Stray(at, conn.lastReq, "an answer of status " + a.status()));
+            records.accept(new TrafficRecord.UnexpectedBytes(at, conn.lastReq, "an answer of status " + a.status()));
             conn.session.closeNow();
             return;
         }
@@ -394,10 +395,10 @@
         }
         Tally tally = t.call.tally;
         String how = a.headers().get(HeaderNames.RESULT);
-        TrafficRecord.Final is = "completed".equals(how)
-                ? TrafficRecord.Final.COMPLETED
-                : "shed".equals(how) ? TrafficRecord.Final.SHED : TrafficRecord.Final.ERRORED;
-        records.accept(new TrafficRecord.Answered(
+        RecordTerms.Outcome is = "completed".equals(how)
+                ? RecordTerms.Outcome.COMPLETED
+                : "shed".equals(how) ? RecordTerms.Outcome.REJECTED : RecordTerms.Outcome.FAILED;
+        records.accept(new TrafficRecord.ResponseReceived(
                 at, t.id, a.status(), is, "no".equals(a.headers().get(HeaderNames.ACCEPTED))));
         switch (is) {
             case COMPLETED -> {
@@ -409,12 +410,12 @@
                     complain(t.front, t.call, a.headers().get(HeaderNames.RESPONSE_REFERENCE));
                 }
             }
-            case SHED -> {
+            case REJECTED -> {
                 tally.shed++;
                 String after = a.headers().get(HeaderNames.RETRY_AFTER_MS);
                 retry(t.call, after == null ? 100 : Long.parseLong(after) * 10);
             }
-            case ERRORED -> {
+            case FAILED -> {
                 tally.errored++;
                 tally.bad += a.status() < 500 ? 1 : 0;
                 retryIfHarmless(t);
@@ -437,12 +438,12 @@
     private void retryIfHarmless(Try t) {
         Call c = t.call;
         c.mayHaveRunAt = c.mayHaveRunAt == Long.MIN_VALUE ? loop.nowTicks() : c.mayHaveRunAt;
-        TrafficRecord.RouteRule r = c.route.rule();
+        TrafficRecord.RoutePolicy r = c.route.rule();
         // the machines' memory began with a try that ran later than the first ask
-        boolean marked = r.effect() == TrafficRecord.Effect.DEDUPED
-                && r.group() == TrafficRecord.Group.ALL
-                && loop.nowTicks() < c.firstAt + r.window() / 2;
-        if (r.effect() == TrafficRecord.Effect.RETRIABLE || marked) {
+        boolean marked = r.idempotency() == RecordTerms.Idempotency.DEDUPLICATED
+                && r.deduplicationScope() == RecordTerms.DeduplicationScope.ALL
+                && loop.nowTicks() < c.firstAt + r.deduplicationWindowTicks() / 2;
+        if (r.idempotency() == RecordTerms.Idempotency.IDEMPOTENT || marked) {
             retry(c, 200);
         }
     }
@@ -457,13 +458,14 @@
     private final class Handler extends IoHandlerAdapter {
         @Override
         public void messageReceived(IoSession session, Object message) {
-            long at = Recorder.now();
+            long at = RecordClock.nowTicks();
             loop.post(() -> {
                 if (session.getAttribute(CONN) instanceof Conn c) {
                     if (message instanceof HttpResponse a) {
                         answered(c, a, at);
                     } else if (message instanceof Exception e) {
-                        records.accept(new TrafficRecord.Stray(at, c.lastReq, String.valueOf(e.getMessage())));
+                        records.accept(
+                                new TrafficRecord.UnexpectedBytes(at, c.lastReq, String.valueOf(e.getMessage())));
                         session.closeNow();
                     }
                 }
@@ -472,7 +474,7 @@
 
         @Override
         public void sessionClosed(IoSession session) {
-            long at = Recorder.now();
+            long at = RecordClock.nowTicks();
             loop.post(() -> {
                 if (!(session.getAttribute(CONN) instanceof Conn c)) {
                     return;
@@ -483,7 +485,7 @@
                 if (t != null && !t.over) {
                     over(t);
                     if (!t.complaint) {
-                        records.accept(new TrafficRecord.Broke(at, t.id, "the connection closed"));
+                        records.accept(new TrafficRecord.ConnectionBroken(at, t.id, "the connection closed"));
                         t.call.tally.broke++;
                         retryIfHarmless(t);
                     }
--- a/src/main/java/laurelkeel/testbed/OfferedRelease.java
+++ b/src/main/java/laurelkeel/testbed/OfferedRelease.java
@@ -4,7 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
-import laurelkeel.records.Recorder;
+import laurelkeel.records.RecordClock;
+import laurelkeel.records.RecordTerms;
 import laurelkeel.records.TrafficRecord;
 
 /** One release object of the line: a build, the stage it is in, and the votes on it. */
@@ -14,7 +15,7 @@
 
     final BuildProfile build;
     int stage;
-    TrafficRecord.Phase phase;
+    RecordTerms.RolloutPhase phase;
     double cap;
     long since, readyAt, heldFor;
     private long heldSince = -1;
@@ -26,22 +27,22 @@
     }
 
     boolean onTrial() {
-        return phase == TrafficRecord.Phase.TRIAL;
+        return phase == RecordTerms.RolloutPhase.CANARY;
     }
 
     /** Off the fleet, or on all of it. */
     boolean over() {
-        return phase == TrafficRecord.Phase.WITHDRAWN || phase == TrafficRecord.Phase.RELEASED;
+        return phase == RecordTerms.RolloutPhase.ROLLED_BACK || phase == RecordTerms.RolloutPhase.RELEASED;
     }
 
-    void move(int to, TrafficRecord.Phase as, double cap, long now) {
+    void move(int to, RecordTerms.RolloutPhase as, double cap, long now) {
         stage = to;
         phase = as;
         since = now;
         heldFor = 0;
         heldSince = -1;
         this.cap = cap;
-        if (as != TrafficRecord.Phase.TRIAL) {
+        if (as != RecordTerms.RolloutPhase.CANARY) {
             votes.clear();
         }
     }
@@ -66,8 +67,8 @@
                 .count();
     }
 
-    TrafficRecord.Stage record() {
-        return new TrafficRecord.Stage(Recorder.now(), build.number(), stage, cap, phase);
+    TrafficRecord.RolloutStageChanged record() {
+        return new TrafficRecord.RolloutStageChanged(RecordClock.nowTicks(), build.number(), stage, cap, phase);
     }
 
     Map<String, Object> news(String kind, String answer, long now) {
@@ -79,7 +80,7 @@
         n.put("build", build.number());
         n.put("stage", stage);
         n.put("cap", cap);
-        n.put("phase", phase.name().toLowerCase(Locale.ROOT).replace('_', '-'));
+        n.put("phase", phase.storedName().toLowerCase(Locale.ROOT).replace('_', '-'));
         n.put("ageMs", (now - since) / 10.0);
         return n;
     }
--- a/src/main/java/laurelkeel/testbed/RolloutService.java
+++ b/src/main/java/laurelkeel/testbed/RolloutService.java
@@ -15,7 +15,8 @@
 import java.util.function.Consumer;
 import laurelkeel.attribution.AttributionFinding;
 import laurelkeel.eventloop.EventLoop;
-import laurelkeel.records.Recorder;
+import laurelkeel.records.RecordClock;
+import laurelkeel.records.RecordTerms;
 import laurelkeel.records.TrafficRecord;
 
 /**
@@ -92,7 +93,7 @@
         base = first;
         places = machines;
         newest = new OfferedRelease(first);
-        newest.move(0, TrafficRecord.Phase.RELEASED, 1, loop.nowTicks());
+        newest.move(0, RecordTerms.RolloutPhase.RELEASED, 1, loop.nowTicks());
         offers.put(first.number(), newest);
         for (int i = 0; i < machines; i++) {
             fleet.start(null, first, i, false);
@@ -125,7 +126,7 @@
         return newest.stage;
     }
 
-    public TrafficRecord.Phase phase() {
+    public RecordTerms.RolloutPhase phase() {
         return newest.phase;
     }
 
@@ -143,7 +144,10 @@
                     .append(" stage ")
                     .append(o.stage)
                     .append(' ')
-                    .append(o.phase.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' '));
+                    .append(o.phase
+                            .storedName()
+                            .toLowerCase(java.util.Locale.ROOT)
+                            .replace('_', ' '));
         }
         return s.toString();
     }
@@ -169,28 +173,30 @@
         newest = o;
         offers.put(b.number(), o);
         blaming.offered(b.number(), loop.nowTicks());
-        move(o, 0, TrafficRecord.Phase.TRIAL);
+        move(o, 0, RecordTerms.RolloutPhase.CANARY);
     }
 
-    private void move(OfferedRelease o, int to, TrafficRecord.Phase as) {
+    private void move(OfferedRelease o, int to, RecordTerms.RolloutPhase as) {
         o.move(
                 to,
                 as,
-                as == TrafficRecord.Phase.TRIAL ? rule.caps().get(to) : as == TrafficRecord.Phase.RELEASED ? 1 : 0,
+                as == RecordTerms.RolloutPhase.CANARY
+                        ? rule.caps().get(to)
+                        : as == RecordTerms.RolloutPhase.RELEASED ? 1 : 0,
                 loop.nowTicks());
         records.accept(o.record());
         tell();
-        if (as == TrafficRecord.Phase.TRIAL) {
+        if (as == RecordTerms.RolloutPhase.CANARY) {
             fill(o);
         }
-        if (as == TrafficRecord.Phase.RELEASED) {
+        if (as == RecordTerms.RolloutPhase.RELEASED) {
             released(o);
         }
         if (o.over()) {
             // votes can be quicker than reports: what is on its way still says whether they were right
             loop.schedule(
-                    loop.nowTicks() + (as == TrafficRecord.Phase.RELEASED ? 0 : LAST_REPORTS),
-                    () -> blaming.ended(o.build.number(), as == TrafficRecord.Phase.RELEASED));
+                    loop.nowTicks() + (as == RecordTerms.RolloutPhase.RELEASED ? 0 : LAST_REPORTS),
+                    () -> blaming.ended(o.build.number(), as == RecordTerms.RolloutPhase.RELEASED));
             // the news of what has ended is still told for a while
             loop.schedule(loop.nowTicks() + 20 * 10_000, () -> {
                 if (o != newest && o.build != base) {
@@ -235,7 +241,7 @@
             o.readyAt = Math.max(o.readyAt, at);
             loop.schedule(at, () -> {
                 o.replacing--;
-                if (!o.onTrial() && o.phase != TrafficRecord.Phase.RELEASED) {
+                if (!o.onTrial() && o.phase != RecordTerms.RolloutPhase.RELEASED) {
                     return;
                 }
                 SimulatedServer earlier = earlier(o);
@@ -262,7 +268,7 @@
     }
 
     private void back(OfferedRelease o) {
-        move(o, o.stage, TrafficRecord.Phase.GOING_BACK);
+        move(o, o.stage, RecordTerms.RolloutPhase.ROLLING_BACK);
         int missing = places
                 - fleet.live().stream()
                         .mapToInt(m -> m.build.number() != o.build.number() ? 1 : 0)
@@ -277,7 +283,7 @@
         fleet.live(o.build.number()).forEach(m -> fleet.drain(m, rule.drainMost()));
         loop.schedule(
                 loop.nowTicks() + rule.startTime() + rule.drainMost(),
-                () -> move(o, o.stage, TrafficRecord.Phase.WITHDRAWN));
+                () -> move(o, o.stage, RecordTerms.RolloutPhase.ROLLED_BACK));
     }
 
     private void judge() {
@@ -285,8 +291,8 @@
         for (AttributionFinding f : blaming.judge(loop.nowTicks())) {
             String word = blaming.word(f.build());
             if (!word.equals(words.put(f.build(), word))) {
-                records.accept(
-                        new TrafficRecord.Blamed(Recorder.now(), f.build(), word, f.probability(), f.evidence()));
+                records.accept(new TrafficRecord.AttributionPublished(
+                        RecordClock.nowTicks(), f.build(), word, f.probability(), f.evidence()));
             }
             OfferedRelease o = offers.get(f.build());
             if (f.setAside() && o != null && o.onTrial()) {
@@ -307,7 +313,8 @@
     }
 
     private void tick(OfferedRelease o) {
-        boolean late = o.phase == TrafficRecord.Phase.RELEASED && o == newest && o.build == base && offers.size() > 1;
+        boolean late =
+                o.phase == RecordTerms.RolloutPhase.RELEASED && o == newest && o.build == base && offers.size() > 1;
         if ((o.onTrial() || late) && o.count("back", loop.nowTicks()) >= Math.max(1, rule.backVotes())) {
             if (late) {
                 int before = o.build.number();
@@ -334,9 +341,9 @@
                 };
         if (longEnough && voted) {
             if (o.stage + 1 < rule.shares().size()) {
-                move(o, o.stage + 1, TrafficRecord.Phase.TRIAL);
+                move(o, o.stage + 1, RecordTerms.RolloutPhase.CANARY);
             } else {
-                move(o, o.stage, TrafficRecord.Phase.RELEASED);
+                move(o, o.stage, RecordTerms.RolloutPhase.RELEASED);
             }
         }
     }
@@ -346,7 +353,7 @@
         n.put(
                 "standing",
                 offers.values().stream()
-                        .filter(x -> x.phase != TrafficRecord.Phase.WITHDRAWN)
+                        .filter(x -> x.phase != RecordTerms.RolloutPhase.ROLLED_BACK)
                         .map(x -> x.build.number())
                         .toList());
         n.put(
@@ -445,7 +452,7 @@
         boolean counts = !stalled || fleet.chance() < 0.5;
         OfferedRelease o = offers.get(build);
         boolean judged =
-                o != null && (o.onTrial() || (o.phase == TrafficRecord.Phase.RELEASED && verdict.equals("back")));
+                o != null && (o.onTrial() || (o.phase == RecordTerms.RolloutPhase.RELEASED && verdict.equals("back")));
         if (tokens < 1) {
             answer = "over-limit";
         } else if (!judged || (verdict.equals("on") && (at != o.stage || rule.control() == Control.CLOCK))) {
@@ -457,7 +464,8 @@
                 o.vote(front, at, verdict, loop.nowTicks() + rule.voteLife());
             }
         }
-        records.accept(new TrafficRecord.Voted(Recorder.now(), front, build, at, verdict, stalled ? "none" : answer));
+        records.accept(new TrafficRecord.VoteReceived(
+                RecordClock.nowTicks(), front, build, at, verdict, stalled ? "none" : answer));
         return stalled ? null : news(o == null ? newest : o, "vote", answer);
     }
 }
--- a/src/main/java/laurelkeel/testbed/ServerProfile.java
+++ b/src/main/java/laurelkeel/testbed/ServerProfile.java
@@ -16,7 +16,7 @@
         int room,
         int connections,
         Map<String, Long> work,
-        Map<String, TrafficRecord.RouteRule> rules,
+        Map<String, TrafficRecord.RoutePolicy> rules,
         double coldFrom,
         long coldFor,
         double tipMultiple,
--- a/src/main/java/laurelkeel/testbed/SimulatedFleet.java
+++ b/src/main/java/laurelkeel/testbed/SimulatedFleet.java
@@ -14,7 +14,8 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import laurelkeel.eventloop.EventLoop;
-import laurelkeel.records.Recorder;
+import laurelkeel.records.RecordClock;
+import laurelkeel.records.RecordTerms;
 import laurelkeel.records.TrafficRecord;
 import laurelkeel.wire.HttpRequest;
 import org.apache.mina.core.service.SimpleIoProcessorPool;
@@ -41,7 +42,7 @@
     private final Map<String, String> routes;
     private final Map<String, SimulatedServer> machines = new LinkedHashMap<>();
     private final Map<String, DeduplicationCache> marks = new HashMap<>();
-    private BiConsumer<SimulatedServer, TrafficRecord.State> watcher = (m, s) -> {};
+    private BiConsumer<SimulatedServer, RecordTerms.EndpointState> watcher = (m, s) -> {};
     private long runs;
     private long slowUntil;
     private double slowBy = 1;
@@ -63,12 +64,12 @@
     }
 
     /** Told of every change of state, on the fleet's thread. */
-    public void watch(BiConsumer<SimulatedServer, TrafficRecord.State> watcher) {
+    public void watch(BiConsumer<SimulatedServer, RecordTerms.EndpointState> watcher) {
         this.watcher = watcher;
     }
 
     long time() {
-        return Recorder.now();
+        return RecordClock.nowTicks();
     }
 
     void record(TrafficRecord r) {
@@ -89,7 +90,7 @@
         return "";
     }
 
-    DeduplicationCache marks(TrafficRecord.Group group, SimulatedServer m) {
+    DeduplicationCache marks(RecordTerms.DeduplicationScope group, SimulatedServer m) {
         String of =
                 switch (group) {
                     case ALL -> "all";
@@ -118,7 +119,7 @@
 
     public List<SimulatedServer> live() {
         return machines.values().stream()
-                .filter(m -> !m.dead && m.state == TrafficRecord.State.LIVE)
+                .filter(m -> !m.dead && m.state == RecordTerms.EndpointState.ACTIVE)
                 .toList();
     }
 
@@ -138,7 +139,7 @@
                     build,
                     cold);
             machines.put(m.id, m);
-            watcher.accept(m, TrafficRecord.State.LIVE);
+            watcher.accept(m, RecordTerms.EndpointState.ACTIVE);
             return m;
         } catch (IOException e) {
             throw new UncheckedIOException("a stand-in machine could not open its port", e);
@@ -147,9 +148,9 @@
 
     /** Takes no new work, and is gone once it has nothing left or after most. */
     public void drain(SimulatedServer m, long most) {
-        if (m.state == TrafficRecord.State.LIVE && !m.dead) {
-            m.state = TrafficRecord.State.DRAINING;
-            watcher.accept(m, TrafficRecord.State.DRAINING);
+        if (m.state == RecordTerms.EndpointState.ACTIVE && !m.dead) {
+            m.state = RecordTerms.EndpointState.DRAINING;
+            watcher.accept(m, RecordTerms.EndpointState.DRAINING);
             // fronts need the news before it goes
             loop.schedule(loop.nowTicks() + 8_000, () -> drained(m, loop.nowTicks() + most));
         }
@@ -160,7 +161,7 @@
             return;
         }
         if (m.held() == 0 || loop.nowTicks() >= latest) {
-            m.die("drained");
+            m.die(RecordTerms.StopReason.DRAINED);
             died(m);
         } else {
             loop.schedule(loop.nowTicks() + 500, () -> drained(m, latest));
@@ -169,21 +170,21 @@
 
     /** Dies at once. */
     public void kill(SimulatedServer m) {
-        m.die("died");
+        m.die(RecordTerms.StopReason.CRASHED);
         died(m);
     }
 
     void died(SimulatedServer m) {
-        if (m.state != TrafficRecord.State.GONE) {
-            m.state = TrafficRecord.State.GONE;
+        if (m.state != RecordTerms.EndpointState.REMOVED) {
+            m.state = RecordTerms.EndpointState.REMOVED;
             machines.remove(m.id, m);
-            watcher.accept(m, TrafficRecord.State.GONE);
+            watcher.accept(m, RecordTerms.EndpointState.REMOVED);
         }
     }
 
     public void close() {
         for (SimulatedServer m : machines()) {
-            m.die("end");
+            m.die(RecordTerms.StopReason.CLOSED);
         }
         processors.dispose();
         executor.shutdown();
--- a/src/main/java/laurelkeel/testbed/SimulatedServer.java
+++ b/src/main/java/laurelkeel/testbed/SimulatedServer.java
@@ -11,6 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 import laurelkeel.eventloop.EventLoop;
+import laurelkeel.records.RecordTerms;
 import laurelkeel.records.TrafficRecord;
 import laurelkeel.wire.HeaderNames;
 import laurelkeel.wire.Headers;
@@ -73,7 +74,7 @@
     private final Map<Fault, Long> faults = new HashMap<>();
     final boolean cold;
     final long startedAt;
-    TrafficRecord.State state = TrafficRecord.State.LIVE;
+    RecordTerms.EndpointState state = RecordTerms.EndpointState.ACTIVE;
     private int busy;
     private double slowBy = 1, meanMs;
     private double loadTold, meanTold;
@@ -106,7 +107,7 @@
         acceptor.bind(at);
         this.at = acceptor.getLocalAddress();
         this.id = "127.0.0.1:" + this.at.getPort();
-        fleet.record(new TrafficRecord.MachineUp(
+        fleet.record(new TrafficRecord.ServerStarted(
                 fleet.time(),
                 id,
                 run,
@@ -162,7 +163,7 @@
     }
 
     /** Ends it at once, with whatever it held. */
-    void die(String why) {
+    void die(RecordTerms.StopReason reason) {
         if (!dead) {
             dead = true;
             inHand.values().forEach(j -> {
@@ -173,7 +174,7 @@
             acceptor.unbind();
             sessions.forEach(IoSession::closeNow);
             fleet.executor.execute(() -> acceptor.dispose(false));
-            fleet.record(new TrafficRecord.MachineDown(fleet.time(), id, run, why));
+            fleet.record(new TrafficRecord.ServerStopped(fleet.time(), id, run, reason));
         }
     }
 
@@ -227,7 +228,7 @@
         }
         if (http.path().equals("/health")) {
             if (!has(Fault.HANG)) {
-                from.write(answer(state == TrafficRecord.State.LIVE ? 200 : 503, "", new byte[0]));
+                from.write(answer(state == RecordTerms.EndpointState.ACTIVE ? 200 : 503, "", new byte[0]));
             }
             return;
         }
@@ -235,7 +236,7 @@
         String front = String.valueOf(http.headers().get(HeaderNames.FRONT));
         int slash = front.indexOf('/');
         int no = whole(http.headers().get(HeaderNames.ATTEMPT));
-        fleet.record(new TrafficRecord.Arrived(
+        fleet.record(new TrafficRecord.AttemptArrived(
                 t,
                 id,
                 run,
@@ -252,9 +253,9 @@
         if (has(Fault.HANG)) {
             return;
         }
-        if (state != TrafficRecord.State.LIVE || (room.size() >= shape.room() && busy >= shape.cores())) {
+        if (state != RecordTerms.EndpointState.ACTIVE || (room.size() >= shape.room() && busy >= shape.cores())) {
             inHand.remove(from);
-            fleet.record(new TrafficRecord.TurnedAway(fleet.time(), id, run, req, no));
+            fleet.record(new TrafficRecord.AttemptRejected(fleet.time(), id, run, req, no));
             HttpResponse a = answer(503, "no room\n", null);
             a.headers().add(HeaderNames.EXECUTED, "no");
             from.write(a);
@@ -284,7 +285,7 @@
         }
         double most = shape.tipMultiple() * warmth() * shape.capacity() * shape.tipAfter() / 10_000;
         if (arrivals.size() > most + SimulatedFleet.TIP_SLACK) {
-            die("tipped");
+            die(RecordTerms.StopReason.OVERLOADED);
             fleet.died(this);
             return true;
         }
@@ -299,13 +300,14 @@
             }
             busy++;
             boolean crowded = busy >= shape.cores();
-            TrafficRecord.RouteRule rule = shape.rules().get(j.route);
+            TrafficRecord.RoutePolicy rule = shape.rules().get(j.route);
             String mark = j.http.headers().get(HeaderNames.IDEMPOTENCY_KEY);
             boolean repeat = rule != null
-                    && rule.effect() == TrafficRecord.Effect.DEDUPED
+                    && rule.idempotency() == RecordTerms.Idempotency.DEDUPLICATED
                     && mark != null
-                    && fleet.marks(rule.group(), this).repeat(mark, fleet.loop.nowTicks(), rule.window());
-            fleet.record(new TrafficRecord.Ran(fleet.time(), id, run, j.req, j.no, repeat));
+                    && fleet.marks(rule.deduplicationScope(), this)
+                            .repeat(mark, fleet.loop.nowTicks(), rule.deduplicationWindowTicks());
+            fleet.record(new TrafficRecord.AttemptExecuted(fleet.time(), id, run, j.req, j.no, repeat));
             long took = repeat ? 10 : work(j);
             j.end = fleet.loop.schedule(fleet.loop.nowTicks() + took, () -> done(j, took, crowded));
         }
@@ -366,7 +368,7 @@
             }
             return;
         }
-        fleet.record(new TrafficRecord.Replied(fleet.time(), id, run, j.req, j.no, a.status()));
+        fleet.record(new TrafficRecord.AttemptAnswered(fleet.time(), id, run, j.req, j.no, a.status()));
         j.from.write(a);
     }
 
--- a/src/test/java/laurelkeel/front/ControlPlaneTest.java
+++ b/src/test/java/laurelkeel/front/ControlPlaneTest.java
@@ -38,6 +38,7 @@
 import laurelkeel.decision.RoutingDecider;
 import laurelkeel.eventloop.EventLoop;
 import laurelkeel.front.controlplane.GossipChannel;
+import laurelkeel.records.RecordTerms;
 import laurelkeel.records.TrafficRecord;
 import laurelkeel.testbed.PortAllocator;
 import org.junit.jupiter.api.AfterEach;
@@ -421,8 +422,8 @@
             FrontTestRig.await(
                     "released",
                     () -> rig.count(
-                                    TrafficRecord.Stage.class,
-                                    s -> s.build() == 2 && s.phase() == TrafficRecord.Phase.RELEASED)
+                                    TrafficRecord.RolloutStageChanged.class,
+                                    s -> s.build() == 2 && s.phase() == RecordTerms.RolloutPhase.RELEASED)
                             > 0);
             AuditReport j = rig.audit();
             assertEquals(List.of(), j.breaches());
--- a/src/test/java/laurelkeel/front/FrontFailureTest.java
+++ b/src/test/java/laurelkeel/front/FrontFailureTest.java
@@ -15,6 +15,7 @@
 import laurelkeel.api.Event.EndpointEntry;
 import laurelkeel.audit.AuditReport;
 import laurelkeel.audit.RuleViolation;
+import laurelkeel.records.RecordTerms;
 import laurelkeel.records.TrafficRecord;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -29,7 +30,7 @@
     }
 
     private static void awaitAnswers(FrontTestRig rig, int n) {
-        FrontTestRig.await(n + " answers", () -> rig.count(TrafficRecord.Answered.class, a -> true) >= n);
+        FrontTestRig.await(n + " answers", () -> rig.count(TrafficRecord.ResponseReceived.class, a -> true) >= n);
     }
 
     private static List<RuleViolation> assertOnlyRuleViolated(FrontTestRig rig, int rule, String text)
@@ -49,8 +50,8 @@
                         .toList());
         Set<String> reqs = new HashSet<>();
         rig.records.forEach(r -> {
-            if (r instanceof TrafficRecord.Asked a) {
-                reqs.add(a.req());
+            if (r instanceof TrafficRecord.RequestSent a) {
+                reqs.add(a.requestId());
             }
         });
         assertTrue(of.stream().allMatch(b -> reqs.contains(b.req()) && b.t() > 0), "no req or moment named");
@@ -148,8 +149,9 @@
             rig.applyFault("what = drain\n");
             FrontTestRig.await(
                     "it is gone",
-                    () -> rig.count(TrafficRecord.MachineDown.class, m -> m.why()
-                                    .equals("drained"))
+                    () -> rig.count(
+                                    TrafficRecord.ServerStopped.class,
+                                    m -> m.reason() == RecordTerms.StopReason.DRAINED)
                             > 0);
             assertOnlyRuleViolated(rig, 3, "after it was told that it drains");
         }
@@ -170,8 +172,9 @@
             rig.applyFault("what = crash\nback-after = 100 ms\n");
             FrontTestRig.await(
                     "it tips",
-                    () -> rig.count(TrafficRecord.MachineDown.class, m -> m.why()
-                                    .equals("tipped"))
+                    () -> rig.count(
+                                    TrafficRecord.ServerStopped.class,
+                                    m -> m.reason() == RecordTerms.StopReason.OVERLOADED)
                             > 0);
             assertOnlyRuleViolated(rig, 4, "was pushed over");
         }
@@ -194,7 +197,8 @@
         awaitAnswers(rig, 50);
         rig.applyFault("what = offer\nbuild = 2\n");
         FrontTestRig.await(
-                "the trial gets traffic", () -> rig.count(TrafficRecord.Arrived.class, a -> a.build() == 2) > 120);
+                "the trial gets traffic",
+                () -> rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 2) > 120);
     }
 
     @Test
@@ -234,8 +238,8 @@
             rig.applyFault("what = offer\nbuild = 3\n");
             FrontTestRig.await(
                     "both have traffic",
-                    () -> rig.count(TrafficRecord.Arrived.class, a -> a.build() == 2) > 5
-                            && rig.count(TrafficRecord.Arrived.class, a -> a.build() == 3) > 120);
+                    () -> rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 2) > 5
+                            && rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 3) > 120);
             assertTrue(assertOnlyRuleViolated(rig, 5, "tries at build 3").stream()
                     .noneMatch(b -> b.what().contains("tries at build 2")));
         }
@@ -263,7 +267,8 @@
             rig.startLoad();
             awaitAnswers(rig, 50);
             rig.applyFault("what = offer\nbuild = 2\n");
-            FrontTestRig.await("a guarded one", () -> rig.count(TrafficRecord.Arrived.class, a -> a.build() == 2) > 8);
+            FrontTestRig.await(
+                    "a guarded one", () -> rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 2) > 8);
             assertOnlyRuleViolated(rig, 5, "in guarded stage");
         }
     }
--- a/src/test/java/laurelkeel/front/FrontTestRig.java
+++ b/src/test/java/laurelkeel/front/FrontTestRig.java
@@ -18,7 +18,7 @@
 import laurelkeel.audit.Auditor;
 import laurelkeel.config.IniFile;
 import laurelkeel.eventloop.EventLoop;
-import laurelkeel.records.Recorder;
+import laurelkeel.records.RecordReader;
 import laurelkeel.records.TrafficRecord;
 import laurelkeel.scenario.Scenario;
 import laurelkeel.scenario.ScenarioEnvironment;
@@ -171,8 +171,8 @@
         List<TrafficRecord> all = new ArrayList<>(records);
         fronts.forEach(FrontNode::drain);
         fronts.forEach(f -> f.termination().join());
-        all.addAll(Recorder.readAll(folder));
-        all.sort(Comparator.comparingLong(TrafficRecord::t));
+        all.addAll(RecordReader.readAll(folder));
+        all.sort(Comparator.comparingLong(TrafficRecord::timeTicks));
         return Auditor.judge(all);
     }
 
--- a/src/test/java/laurelkeel/front/ResourceExhaustionTest.java
+++ b/src/test/java/laurelkeel/front/ResourceExhaustionTest.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import laurelkeel.records.Recorder;
+import laurelkeel.records.RecordReader;
 import laurelkeel.records.TrafficRecord;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -248,15 +248,15 @@
             lines.add(listed(9, child.endpointId(), 1, "draining"));
             FrontTestRig.await("and records are", () -> {
                 try {
-                    return Recorder.readAll(directory).stream()
-                            .anyMatch(r -> r instanceof TrafficRecord.ToldList l
-                                    && l.machines().size() == 2);
+                    return RecordReader.readAll(directory).stream()
+                            .anyMatch(r -> r instanceof TrafficRecord.EndpointListReceived l
+                                    && l.endpoints().size() == 2);
                 } catch (IOException e) {
                     return false;
                 }
             });
-            assertTrue(Recorder.readAll(directory).stream()
-                    .anyMatch(r -> r instanceof TrafficRecord.Lost l && l.records() > 0));
+            assertTrue(RecordReader.readAll(directory).stream()
+                    .anyMatch(r -> r instanceof TrafficRecord.RecordsLost l && l.count() > 0));
             child.terminate();
         } finally {
             list.stop(0);
--- a/src/test/java/laurelkeel/front/WireTermsTest.java
+++ b/src/test/java/laurelkeel/front/WireTermsTest.java
@@ -11,7 +11,7 @@
 import laurelkeel.api.Event.EndpointState;
 import laurelkeel.api.Event.RolloutPhase;
 import laurelkeel.partition.PartitionedDecider.Attribution;
-import laurelkeel.records.TrafficRecord;
+import laurelkeel.records.RecordTerms;
 import org.junit.jupiter.api.Test;
 
 /** Names in settings, records and metrics are those of the pages, whatever the code calls things. */
@@ -51,16 +51,19 @@
     @Test
     void recordsKeepTheNamesThatStoredFilesHave() {
         assertEquals(
-                List.of(TrafficRecord.State.LIVE, TrafficRecord.State.DRAINING, TrafficRecord.State.GONE),
+                List.of(
+                        RecordTerms.EndpointState.ACTIVE,
+                        RecordTerms.EndpointState.DRAINING,
+                        RecordTerms.EndpointState.REMOVED),
                 Arrays.stream(EndpointState.values()).map(WireTerms::recorded).toList());
         assertEquals(
                 List.of(
-                        TrafficRecord.Phase.TRIAL,
-                        TrafficRecord.Phase.GOING_BACK,
-                        TrafficRecord.Phase.RELEASED,
-                        TrafficRecord.Phase.WITHDRAWN),
+                        RecordTerms.RolloutPhase.CANARY,
+                        RecordTerms.RolloutPhase.ROLLING_BACK,
+                        RecordTerms.RolloutPhase.RELEASED,
+                        RecordTerms.RolloutPhase.ROLLED_BACK),
                 Arrays.stream(RolloutPhase.values()).map(WireTerms::recorded).toList());
-        assertEquals(TrafficRecord.ListKind.REMEMBERED, WireTerms.recorded(EndpointListKind.CACHED));
+        assertEquals(RecordTerms.EndpointListKind.CACHED, WireTerms.recorded(EndpointListKind.CACHED));
         assertThrows(IllegalArgumentException.class, () -> WireTerms.recorded(EndpointListKind.FAILED));
     }
 
--- a/src/test/java/laurelkeel/records/TrafficRecordFormatTest.java
+++ b/src/test/java/laurelkeel/records/TrafficRecordFormatTest.java
@@ -12,15 +12,21 @@
 /** The stored form of records: files that earlier versions wrote stay readable. */
 class TrafficRecordFormatTest {
     private static final List<TrafficRecord> RECORDS = List.of(
-            new TrafficRecord.Rules(
+            new TrafficRecord.AuditParameters(
                     1,
                     List.of(
-                            new TrafficRecord.RouteRule(
-                                    "look", TrafficRecord.Effect.RETRIABLE, TrafficRecord.Group.ALL, 0),
-                            new TrafficRecord.RouteRule(
-                                    "note", TrafficRecord.Effect.DEDUPED, TrafficRecord.Group.ZONE, 20_000),
-                            new TrafficRecord.RouteRule(
-                                    "pay", TrafficRecord.Effect.NON_RETRIABLE, TrafficRecord.Group.CELL, 0)),
+                            new TrafficRecord.RoutePolicy(
+                                    "look", RecordTerms.Idempotency.IDEMPOTENT, RecordTerms.DeduplicationScope.ALL, 0),
+                            new TrafficRecord.RoutePolicy(
+                                    "note",
+                                    RecordTerms.Idempotency.DEDUPLICATED,
+                                    RecordTerms.DeduplicationScope.ZONE,
+                                    20_000),
+                            new TrafficRecord.RoutePolicy(
+                                    "pay",
+                                    RecordTerms.Idempotency.NOT_IDEMPOTENT,
+                                    RecordTerms.DeduplicationScope.CELL,
+                                    0)),
                     5_000,
                     100_000,
                     3.5,
@@ -28,44 +34,44 @@
                     1,
                     true,
                     List.of(0.1, 1.0)),
-            new TrafficRecord.Lost(2, 7),
-            new TrafficRecord.Asked(3, "c1.2", "c1", 0, "note", "acme", "k5", "m-c1", 15_003, true),
-            new TrafficRecord.Asked(4, "c3.4", "c3", 1, "look", null, null, null, 15_004, false),
-            new TrafficRecord.Answered(5, "c1.2", 200, TrafficRecord.Final.COMPLETED, false),
-            new TrafficRecord.Answered(6, "c3.4", 503, TrafficRecord.Final.SHED, true),
-            new TrafficRecord.Answered(7, "c5.6", 500, TrafficRecord.Final.ERRORED, false),
-            new TrafficRecord.Stray(8, "c1.2", "an answer of status 200"),
-            new TrafficRecord.Broke(9, "c1.2", "the connection closed"),
-            new TrafficRecord.LeftEarly(10, "c1.2", true),
-            new TrafficRecord.FrontUp(11, 0, "ab12"),
-            new TrafficRecord.FrontDown(12, 0, true),
-            new TrafficRecord.ToldList(
+            new TrafficRecord.RecordsLost(2, 7),
+            new TrafficRecord.RequestSent(3, "c1.2", "c1", 0, "note", "acme", "k5", "m-c1", 15_003, true),
+            new TrafficRecord.RequestSent(4, "c3.4", "c3", 1, "look", null, null, null, 15_004, false),
+            new TrafficRecord.ResponseReceived(5, "c1.2", 200, RecordTerms.Outcome.COMPLETED, false),
+            new TrafficRecord.ResponseReceived(6, "c3.4", 503, RecordTerms.Outcome.REJECTED, true),
+            new TrafficRecord.ResponseReceived(7, "c5.6", 500, RecordTerms.Outcome.FAILED, false),
+            new TrafficRecord.UnexpectedBytes(8, "c1.2", "an answer of status 200"),
+            new TrafficRecord.ConnectionBroken(9, "c1.2", "the connection closed"),
+            new TrafficRecord.ClientClosed(10, "c1.2", true),
+            new TrafficRecord.NodeStarted(11, 0, "ab12"),
+            new TrafficRecord.NodeStopped(12, 0, true),
+            new TrafficRecord.EndpointListReceived(
                     13,
                     0,
                     "ab12",
-                    TrafficRecord.ListKind.CHANGES,
+                    RecordTerms.EndpointListKind.DELTA,
                     List.of(
-                            new TrafficRecord.Entry("127.0.0.1:1", 4, 2, TrafficRecord.State.LIVE),
-                            new TrafficRecord.Entry("127.0.0.1:2", 5, 2, TrafficRecord.State.DRAINING),
-                            new TrafficRecord.Entry("127.0.0.1:3", 6, 1, TrafficRecord.State.GONE))),
-            new TrafficRecord.ToldList(14, 0, "ab12", TrafficRecord.ListKind.FULL, List.of()),
-            new TrafficRecord.ToldList(15, 0, "ab12", TrafficRecord.ListKind.REMEMBERED, List.of()),
-            new TrafficRecord.ToldNews(16, 0, "ab12", 2, 1, 0.25, TrafficRecord.Phase.TRIAL),
-            new TrafficRecord.MachineUp(17, "127.0.0.1:1", 4, 2, 0, 1, 400, 0.2, 30_000, 2.5, 10_000, true),
-            new TrafficRecord.MachineDown(18, "127.0.0.1:1", 4, "died"),
-            new TrafficRecord.MachineDown(19, "127.0.0.1:1", 4, "drained"),
-            new TrafficRecord.MachineDown(20, "127.0.0.1:1", 4, "tipped"),
-            new TrafficRecord.MachineDown(21, "127.0.0.1:1", 4, "end"),
-            new TrafficRecord.Arrived(22, "127.0.0.1:1", 4, 2, "c1.2", 1, 0, "ab12"),
-            new TrafficRecord.TurnedAway(23, "127.0.0.1:1", 4, "c1.2", 1),
-            new TrafficRecord.Ran(24, "127.0.0.1:1", 4, "c1.2", 1, true),
-            new TrafficRecord.Replied(25, "127.0.0.1:1", 4, "c1.2", 1, 200),
-            new TrafficRecord.Voted(26, 0, 2, 1, "back", "over-limit"),
-            new TrafficRecord.Blamed(27, 2, "set-aside", 0.75, "fails on look"),
-            new TrafficRecord.Stage(28, 2, 1, 0.25, TrafficRecord.Phase.TRIAL),
-            new TrafficRecord.Stage(29, 2, 1, 0, TrafficRecord.Phase.GOING_BACK),
-            new TrafficRecord.Stage(30, 2, 1, 1, TrafficRecord.Phase.RELEASED),
-            new TrafficRecord.Stage(31, 2, 1, 0, TrafficRecord.Phase.WITHDRAWN));
+                            new TrafficRecord.EndpointEntry("127.0.0.1:1", 4, 2, RecordTerms.EndpointState.ACTIVE),
+                            new TrafficRecord.EndpointEntry("127.0.0.1:2", 5, 2, RecordTerms.EndpointState.DRAINING),
+                            new TrafficRecord.EndpointEntry("127.0.0.1:3", 6, 1, RecordTerms.EndpointState.REMOVED))),
+            new TrafficRecord.EndpointListReceived(14, 0, "ab12", RecordTerms.EndpointListKind.SNAPSHOT, List.of()),
+            new TrafficRecord.EndpointListReceived(15, 0, "ab12", RecordTerms.EndpointListKind.CACHED, List.of()),
+            new TrafficRecord.RolloutUpdateReceived(16, 0, "ab12", 2, 1, 0.25, RecordTerms.RolloutPhase.CANARY),
+            new TrafficRecord.ServerStarted(17, "127.0.0.1:1", 4, 2, 0, 1, 400, 0.2, 30_000, 2.5, 10_000, true),
+            new TrafficRecord.ServerStopped(18, "127.0.0.1:1", 4, RecordTerms.StopReason.CRASHED),
+            new TrafficRecord.ServerStopped(19, "127.0.0.1:1", 4, RecordTerms.StopReason.DRAINED),
+            new TrafficRecord.ServerStopped(20, "127.0.0.1:1", 4, RecordTerms.StopReason.OVERLOADED),
+            new TrafficRecord.ServerStopped(21, "127.0.0.1:1", 4, RecordTerms.StopReason.CLOSED),
+            new TrafficRecord.AttemptArrived(22, "127.0.0.1:1", 4, 2, "c1.2", 1, 0, "ab12"),
+            new TrafficRecord.AttemptRejected(23, "127.0.0.1:1", 4, "c1.2", 1),
+            new TrafficRecord.AttemptExecuted(24, "127.0.0.1:1", 4, "c1.2", 1, true),
+            new TrafficRecord.AttemptAnswered(25, "127.0.0.1:1", 4, "c1.2", 1, 200),
+            new TrafficRecord.VoteReceived(26, 0, 2, 1, "back", "over-limit"),
+            new TrafficRecord.AttributionPublished(27, 2, "set-aside", 0.75, "fails on look"),
+            new TrafficRecord.RolloutStageChanged(28, 2, 1, 0.25, RecordTerms.RolloutPhase.CANARY),
+            new TrafficRecord.RolloutStageChanged(29, 2, 1, 0, RecordTerms.RolloutPhase.ROLLING_BACK),
+            new TrafficRecord.RolloutStageChanged(30, 2, 1, 1, RecordTerms.RolloutPhase.RELEASED),
+            new TrafficRecord.RolloutStageChanged(31, 2, 1, 0, RecordTerms.RolloutPhase.ROLLED_BACK));
 
     private static final String STORED_LINES =
             """
@@ -108,7 +114,7 @@
     @Test
     void recordsAreWrittenInTheirStoredForm() throws IOException {
         Path file = folder.resolve("a.jsonl");
-        try (Recorder recorder = new Recorder(file, false)) {
+        try (RecordWriter recorder = new RecordWriter(file, false)) {
             RECORDS.forEach(recorder::record);
         }
         assertEquals(STORED_LINES, Files.readString(file));
@@ -117,6 +123,6 @@
     @Test
     void storedLinesAreReadBack() throws IOException {
         Files.writeString(folder.resolve("a.jsonl"), STORED_LINES);
-        assertEquals(RECORDS, Recorder.readAll(folder));
+        assertEquals(RECORDS, RecordReader.readAll(folder));
     }
 }
