--- a/src/main/java/laurelkeel/audit/Auditor.java
+++ b/src/main/java/laurelkeel/audit/Auditor.java
@@ -12,7 +12,7 @@
     private Auditor() {}
 
     /** @param records by time; see Recorder.readAll */
-    public static AuditReport judge(List<TrafficRecord> records) {
+    public static AuditReport audit(List<TrafficRecord> records) {
         RecordedTraffic traffic = new RecordedTraffic(records);
         SingleAnswerRule first = new SingleAnswerRule();
         List<RuleVerdict> verdicts = new ArrayList<>();
@@ -24,7 +24,7 @@
     }
 
     /** All record files of a folder. */
-    public static AuditReport judge(Path folder) throws IOException {
-        return judge(RecordReader.readAll(folder));
+    public static AuditReport audit(Path folder) throws IOException {
+        return audit(RecordReader.readAll(folder));
     }
 }
--- a/src/main/java/laurelkeel/audit/RuleVerdict.java
+++ b/src/main/java/laurelkeel/audit/RuleVerdict.java
@@ -10,8 +10,13 @@
  * @param where that approach in words
  */
 public record RuleVerdict(
-        int rule, String name, long checked, double nearest, String where, List<RuleViolation> breaches) {
-    public boolean kept() {
-        return breaches.isEmpty();
+        int ruleNumber,
+        String name,
+        long checkedCount,
+        double nearestShare,
+        String nearestDescription,
+        List<RuleViolation> violations) {
+    public boolean isKept() {
+        return violations.isEmpty();
     }
 }
--- a/src/main/java/laurelkeel/bench/EchoServers.java
+++ b/src/main/java/laurelkeel/bench/EchoServers.java
@@ -54,7 +54,7 @@
                     session.closeNow();
                 }
             });
-            int port = PortAllocator.free();
+            int port = PortAllocator.allocate();
             a.bind(new InetSocketAddress("127.0.0.1", port));
             acceptors.add(a);
             ports.add(port);
--- a/src/main/java/laurelkeel/bench/FrontBenchmark.java
+++ b/src/main/java/laurelkeel/bench/FrontBenchmark.java
@@ -61,8 +61,8 @@
 
         Subject(String name, List<Integer> ports) throws IOException {
             this.name = name;
-            int listen = PortAllocator.free();
-            admin = PortAllocator.free();
+            int listen = PortAllocator.allocate();
+            admin = PortAllocator.allocate();
             at = new InetSocketAddress("127.0.0.1", listen);
             Path home = folder.resolve(name);
             Files.createDirectories(home.resolve("state"));
--- a/src/main/java/laurelkeel/cli/AuditCommand.java
+++ b/src/main/java/laurelkeel/cli/AuditCommand.java
@@ -36,12 +36,12 @@
                 System.err.println(
                         "laurelkeel: " + lost + " records did not reach the files; the verdicts are on the rest");
             }
-            j = Auditor.judge(records);
+            j = Auditor.audit(records);
         } catch (IllegalArgumentException e) {
             System.err.println("laurelkeel: " + folder + ": " + e.getMessage());
             return Cli.BAD_INPUT;
         }
-        System.out.print(ScenarioReport.rules(j));
-        return j.kept() == 5 ? 0 : Cli.RULE_BROKEN;
+        System.out.print(ScenarioReport.formatVerdicts(j));
+        return j.rulesKept() == 5 ? 0 : Cli.RULE_BROKEN;
     }
 }
--- a/src/main/java/laurelkeel/cli/DayCommand.java
+++ b/src/main/java/laurelkeel/cli/DayCommand.java
@@ -44,6 +44,6 @@
     public Integer call() throws Exception {
         Scenario plan = Scenario.find(day);
         AuditReport j = new ScenarioRun(plan, seed == null ? plan.seed() : seed, out, System.out).play();
-        return j.kept() == 5 ? 0 : Cli.RULE_BROKEN;
+        return j.rulesKept() == 5 ? 0 : Cli.RULE_BROKEN;
     }
 }
--- a/src/main/java/laurelkeel/cli/StandinCommand.java
+++ b/src/main/java/laurelkeel/cli/StandinCommand.java
@@ -33,9 +33,9 @@
             world.start();
             System.out.printf(
                     "[list]%naddress = 127.0.0.1:%d%nmode = %s%n[release]%naddress = 127.0.0.1:%d%n",
-                    world.listAt().getPort(),
-                    plan.listAsked() ? "ask" : "push",
-                    world.lineAt().getPort());
+                    world.endpointListAddress().getPort(),
+                    plan.endpointListPolled() ? "ask" : "push",
+                    world.rolloutServiceAddress().getPort());
             System.out.flush();
             new CountDownLatch(1).await();
         }
--- a/src/main/java/laurelkeel/scenario/FrontProcess.java
+++ b/src/main/java/laurelkeel/scenario/FrontProcess.java
@@ -27,12 +27,12 @@
     /** Writes the files of all fronts of a plan. */
     static List<FrontProcess> prepare(Scenario plan, ScenarioEnvironment world, Path folder, long seed)
             throws IOException {
-        int n = plan.fronts();
+        int n = plan.nodeCount();
         int[] listen = new int[n];
         int[] notes = new int[n];
         for (int i = 0; i < n; i++) {
-            listen[i] = PortAllocator.free();
-            notes[i] = PortAllocator.free();
+            listen[i] = PortAllocator.allocate();
+            notes[i] = PortAllocator.allocate();
         }
         StringBuilder peers = new StringBuilder("[peers]\n");
         for (int i = 0; i < n; i++) {
@@ -43,11 +43,13 @@
             String text = "; made for a day; see docs/front.md\n[front]\nnumber = " + i + "\nfronts = " + n
                     + "\nzones = " + String.join(", ", plan.zones()) + "\nzone = "
                     + plan.zones().get(i % plan.zones().size()) + "\nseed = " + (seed * 1000 + i)
-                    + "\nlisten = 127.0.0.1:" + listen[i] + "\nadmin = 127.0.0.1:" + PortAllocator.free()
+                    + "\nlisten = 127.0.0.1:" + listen[i] + "\nadmin = 127.0.0.1:" + PortAllocator.allocate()
                     + "\nnotes = 127.0.0.1:" + notes[i] + "\nstate = front-" + i + "-state\nrecords = front-" + i
-                    + ".jsonl\n" + plan.frontSections() + "[list]\nmode = " + (plan.listAsked() ? "ask" : "push")
-                    + "\naddress = 127.0.0.1:" + world.listAt().getPort() + "\n[release]\naddress = 127.0.0.1:"
-                    + world.lineAt().getPort() + "\n" + peers;
+                    + ".jsonl\n" + plan.nodeSections() + "[list]\nmode = "
+                    + (plan.endpointListPolled() ? "ask" : "push")
+                    + "\naddress = 127.0.0.1:" + world.endpointListAddress().getPort()
+                    + "\n[release]\naddress = 127.0.0.1:"
+                    + world.rolloutServiceAddress().getPort() + "\n" + peers;
             Files.writeString(folder.resolve("front-" + i + ".ini"), text);
             out.add(new FrontProcess(i, new InetSocketAddress(InetAddress.getByName("127.0.0.1"), listen[i]), folder));
         }
--- a/src/main/java/laurelkeel/scenario/Scenario.java
+++ b/src/main/java/laurelkeel/scenario/Scenario.java
@@ -30,21 +30,21 @@
  */
 public record Scenario(
         String name,
-        long length,
-        int fronts,
-        int machines,
+        long durationTicks,
+        int nodeCount,
+        int serverCount,
         List<String> zones,
         long seed,
-        FleetSettings common,
-        String frontSections,
-        boolean listAsked,
-        long listLag,
-        int listCalls,
-        ServerProfile shape,
-        LoadGenerator.Rule load,
-        RolloutService.Rule line,
+        FleetSettings commonSettings,
+        String nodeSections,
+        boolean endpointListPolled,
+        long endpointListDelayTicks,
+        int endpointListCallsPerSecond,
+        ServerProfile serverProfile,
+        LoadGenerator.LoadProfile loadProfile,
+        RolloutService.RolloutPolicy rolloutPolicy,
         Map<Integer, BuildProfile> builds,
-        List<ScenarioFault> troubles) {
+        List<ScenarioFault> faults) {
 
     private enum ListMode {
         PUSH,
@@ -81,7 +81,7 @@
         IniSection share = ini.section("share", true);
         Map<String, Long> works = new LinkedHashMap<>();
         Map<String, TrafficRecord.RoutePolicy> rules = new HashMap<>();
-        List<LoadGenerator.Route> routes = new ArrayList<>();
+        List<LoadGenerator.LoadRoute> routes = new ArrayList<>();
         for (int i = 0; i < common.routes().size(); i++) {
             RouteTable.Entry e = common.routeTable().entries().get(i);
             Settings.Route r = common.routes().get(i);
@@ -92,7 +92,7 @@
                     r.deduplicationWindowTicks());
             rules.put(e.name(), rule);
             works.put(e.name(), work.durationTicks(e.name(), null, "1 ms", "1 min"));
-            routes.add(new LoadGenerator.Route(
+            routes.add(new LoadGenerator.LoadRoute(
                     e.name(),
                     e.method(),
                     e.prefix(),
@@ -106,7 +106,7 @@
             customers.put(c, asks.doubleValue(c, "1", 0, 1e6));
         }
         IniSection load = ini.section("load", true);
-        LoadGenerator.Rule clients = new LoadGenerator.Rule(
+        LoadGenerator.LoadProfile clients = new LoadGenerator.LoadProfile(
                 routes,
                 customers,
                 load.doubleValue("rate", "200", 0.1, 100_000),
@@ -145,14 +145,14 @@
         List<ScenarioFault> troubles = new ArrayList<>();
         ini.sectionsOfKind("event").forEach((n, s) -> {
             ScenarioFault t = ScenarioFault.read(n, s, fronts);
-            if (t.what() == ScenarioFault.What.OFFER && !builds.containsKey(t.build())) {
+            if (t.kind() == ScenarioFault.Kind.OFFER && !builds.containsKey(t.build())) {
                 s.addError(
                         "build",
                         "is " + t.build() + ", of which nothing is said; add a section [build " + t.build() + "]");
             }
             troubles.add(t);
         });
-        troubles.sort(Comparator.comparingLong(ScenarioFault::at));
+        troubles.sort(Comparator.comparingLong(ScenarioFault::startTicks));
         Scenario plan = new Scenario(
                 name,
                 day.durationTicks("length", "60 s", "1 s", "24 h"),
@@ -165,16 +165,16 @@
                 asked,
                 list.durationTicks("lag", "300 ms", "0 ms", "1 h"),
                 list.intValue("calls-per-second", "50", 1, 1_000_000),
-                shape(ini.section("fleet", true), common.limits(), works, rules),
+                serverProfile(ini.section("fleet", true), common.limits(), works, rules),
                 clients,
-                line(ini, common.rollout()),
+                rolloutPolicy(ini, common.rollout()),
                 builds,
                 troubles);
         ini.throwIfInvalid();
         return plan;
     }
 
-    private static ServerProfile shape(
+    private static ServerProfile serverProfile(
             IniSection s, Settings.Limits l, Map<String, Long> works, Map<String, TrafficRecord.RoutePolicy> rules) {
         return new ServerProfile(
                 s.intValue("cores", "2", 1, 1024),
@@ -192,15 +192,15 @@
                 (int) s.byteSize("answer", "200 B", "0 B", "1 MiB"));
     }
 
-    private static RolloutService.Control control(Settings.PromotionPolicy policy) {
+    private static RolloutService.PromotionPolicy control(Settings.PromotionPolicy policy) {
         return switch (policy) {
-            case FIRST_VOTE -> RolloutService.Control.ANY;
-            case VOTE_COUNT -> RolloutService.Control.COUNT;
-            case AUTOMATIC -> RolloutService.Control.CLOCK;
+            case FIRST_VOTE -> RolloutService.PromotionPolicy.FIRST_VOTE;
+            case VOTE_COUNT -> RolloutService.PromotionPolicy.VOTE_COUNT;
+            case AUTOMATIC -> RolloutService.PromotionPolicy.AUTOMATIC;
         };
     }
 
-    private static RolloutService.Rule line(IniFile ini, Settings.Rollout r) {
+    private static RolloutService.RolloutPolicy rolloutPolicy(IniFile ini, Settings.Rollout r) {
         IniSection s = ini.section("line", true);
         List<Double> shares = s.doubleList("shares", "0.1, 0.4, 1", 0.001, 1);
         if (shares.size() != r.stageExposureCaps().size()) {
@@ -209,11 +209,11 @@
                     "has " + shares.size() + " stages and stage-caps of [rollout] has "
                             + r.stageExposureCaps().size() + "; give both as many");
         }
-        return new RolloutService.Rule(
+        return new RolloutService.RolloutPolicy(
                 shares,
                 r.stageExposureCaps(),
                 control(r.promotionPolicy()),
-                s.choice("style", "replace", RolloutService.Style.class),
+                s.choice("style", "replace", RolloutService.ReplacementStyle.class),
                 r.promoteVotes(),
                 r.rollBackVotes(),
                 r.holdVotes(),
@@ -228,12 +228,14 @@
     }
 
     /** The figures that the audit needs. */
-    public TrafficRecord.AuditParameters rules() {
-        Settings.Rollout r = common.rollout();
+    public TrafficRecord.AuditParameters auditParameters() {
+        Settings.Rollout r = commonSettings.rollout();
         return new TrafficRecord.AuditParameters(
                 0,
-                load.routes().stream().map(LoadGenerator.Route::rule).toList(),
-                common.limits().drainGraceTicks(),
+                loadProfile.routes().stream()
+                        .map(LoadGenerator.LoadRoute::policy)
+                        .toList(),
+                commonSettings.limits().drainGraceTicks(),
                 r.exposureWindowTicks(),
                 r.exposureAllowance(),
                 r.exposurePerRoute(),
--- a/src/main/java/laurelkeel/scenario/ScenarioEnvironment.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioEnvironment.java
@@ -32,19 +32,20 @@
     private final RolloutService line;
     private final Consumer<TrafficRecord> records;
     private volatile Throwable failure;
-    private LoadGenerator clients;
-    private InetSocketAddress listAt, lineAt;
+    private LoadGenerator loadGenerator;
+    private InetSocketAddress endpointListAddress, rolloutServiceAddress;
 
     public ScenarioEnvironment(Scenario plan, long seed, Consumer<TrafficRecord> records) throws IOException {
         this.plan = plan;
         this.records = records;
         this.random = new SplittableRandom(seed);
         Map<String, String> routes = new LinkedHashMap<>();
-        plan.load().routes().forEach(r -> routes.put(r.path(), r.name()));
-        fleet = new SimulatedFleet(loop, plan.shape(), plan.zones(), routes, seed + 1, records);
-        list = new EndpointListService(loop, fleet, plan.listLag(), plan.listCalls());
-        line = new RolloutService(loop, fleet, plan.line(), plan.load().routes().size(), records);
-        TrafficRecord.AuditParameters r = plan.rules();
+        plan.loadProfile().routes().forEach(r -> routes.put(r.path(), r.name()));
+        fleet = new SimulatedFleet(loop, plan.serverProfile(), plan.zones(), routes, seed + 1, records);
+        list = new EndpointListService(loop, fleet, plan.endpointListDelayTicks(), plan.endpointListCallsPerSecond());
+        line = new RolloutService(
+                loop, fleet, plan.rolloutPolicy(), plan.loadProfile().routes().size(), records);
+        TrafficRecord.AuditParameters r = plan.auditParameters();
         records.accept(new TrafficRecord.AuditParameters(
                 RecordClock.nowTicks(),
                 r.routes(),
@@ -62,36 +63,37 @@
         thread.setDaemon(true);
         thread.setUncaughtExceptionHandler((t, e) -> failure = e);
         thread.start();
-        on(() -> {
-            listAt = list.start();
-            lineAt = line.start(plan.builds().getOrDefault(1, BuildProfile.good(1)), plan.machines());
+        callOnLoop(() -> {
+            endpointListAddress = list.start();
+            rolloutServiceAddress =
+                    line.start(plan.builds().getOrDefault(1, BuildProfile.healthy(1)), plan.serverCount());
             return null;
         });
     }
 
-    public InetSocketAddress listAt() {
-        return listAt;
+    public InetSocketAddress endpointListAddress() {
+        return endpointListAddress;
     }
 
-    public InetSocketAddress lineAt() {
-        return lineAt;
+    public InetSocketAddress rolloutServiceAddress() {
+        return rolloutServiceAddress;
     }
 
     /** Begins the load on the fronts. */
-    public void load(List<InetSocketAddress> fronts, long seed) {
-        on(() -> {
-            clients = new LoadGenerator(loop, plan.load(), fronts, seed + 2, records);
-            clients.start();
+    public void startLoad(List<InetSocketAddress> fronts, long seed) {
+        callOnLoop(() -> {
+            loadGenerator = new LoadGenerator(loop, plan.loadProfile(), fronts, seed + 2, records);
+            loadGenerator.start();
             return null;
         });
     }
 
-    public LoadGenerator clients() {
-        return clients;
+    public LoadGenerator loadGenerator() {
+        return loadGenerator;
     }
 
     /** Runs it on the stand-ins' thread and waits for it. */
-    public <T> T on(Supplier<T> what) {
+    public <T> T callOnLoop(Supplier<T> what) {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.post(() -> {
             try {
@@ -105,7 +107,7 @@
                 try {
                     return done.get(1, java.util.concurrent.TimeUnit.SECONDS);
                 } catch (java.util.concurrent.TimeoutException e) {
-                    check();
+                    throwIfFailed();
                 }
             }
         } catch (InterruptedException e) {
@@ -117,22 +119,22 @@
     }
 
     /** Throws where the stand-ins' thread has died. */
-    public void check() {
+    public void throwIfFailed() {
         if (failure != null) {
             throw new IllegalStateException("the stand-ins failed", failure);
         }
     }
 
     /** One line on where things are. */
-    public String state() {
-        return on(() -> String.format(
+    public String summary() {
+        return callOnLoop(() -> String.format(
                 "%s, %d machines, %d reqs out",
-                line.standing(), fleet.live().size(), clients == null ? 0 : clients.open()));
+                line.standing(), fleet.live().size(), loadGenerator == null ? 0 : loadGenerator.openRequests()));
     }
 
     /** Stages reached so far, as "build 2 stage 1 trial". */
     public String stage() {
-        return on(() -> "build " + line.newest().number() + " stage " + line.stage() + " "
+        return callOnLoop(() -> "build " + line.newest().number() + " stage " + line.stage() + " "
                 + line.phase().storedName());
     }
 
@@ -146,37 +148,39 @@
     }
 
     /** Lets a trouble befall; those of fronts are not its matter. */
-    public void befall(ScenarioFault t) {
-        on(() -> {
-            long until = loop.nowTicks() + t.lasts();
-            switch (t.what()) {
+    public void apply(ScenarioFault t) {
+        callOnLoop(() -> {
+            long until = loop.nowTicks() + t.durationTicks();
+            switch (t.kind()) {
                 case OFFER -> line.offer(plan.builds().get(t.build()));
-                case CRASH -> some(t.machines()).forEach(m -> crash(m, t));
-                case HANG -> some(t.machines()).forEach(m -> m.fault(SimulatedServer.Fault.HANG, until, 1));
-                case SLOW -> some(t.machines()).forEach(m -> m.fault(SimulatedServer.Fault.SLOW, until, t.by()));
+                case CRASH -> some(t.serverCount()).forEach(m -> crash(m, t));
+                case HANG -> some(t.serverCount()).forEach(m -> m.fault(SimulatedServer.Fault.HANG, until, 1));
+                case SLOW ->
+                    some(t.serverCount()).forEach(m -> m.fault(SimulatedServer.Fault.SLOW, until, t.magnitude()));
                 case LOSE_ANSWERS ->
-                    some(t.machines()).forEach(m -> m.fault(SimulatedServer.Fault.LOSE_ANSWERS, until, 1));
-                case RESET -> some(t.machines()).forEach(m -> m.fault(SimulatedServer.Fault.RESET, until, 1));
-                case HALF -> some(t.machines()).forEach(m -> m.fault(SimulatedServer.Fault.HALF, until, 1));
-                case REFUSE -> some(t.machines()).forEach(m -> m.fault(SimulatedServer.Fault.REFUSE, until, 1));
+                    some(t.serverCount()).forEach(m -> m.fault(SimulatedServer.Fault.LOSE_ANSWERS, until, 1));
+                case RESET -> some(t.serverCount()).forEach(m -> m.fault(SimulatedServer.Fault.RESET, until, 1));
+                case HALF -> some(t.serverCount()).forEach(m -> m.fault(SimulatedServer.Fault.HALF, until, 1));
+                case REFUSE -> some(t.serverCount()).forEach(m -> m.fault(SimulatedServer.Fault.REFUSE, until, 1));
                 case DRAIN ->
-                    some(t.machines()).forEach(m -> fleet.drain(m, plan.line().drainMost()));
-                case SLOW_ALL -> fleet.slowAll(t.by(), until);
+                    some(t.serverCount())
+                            .forEach(m -> fleet.drain(m, plan.rolloutPolicy().maxDrainTicks()));
+                case SLOW_ALL -> fleet.slowAll(t.magnitude(), until);
                 case LIST_STALE -> list.stale(until);
                 case LIST_DOWN -> list.down(until);
                 case LINE_STALL -> line.stall(until);
-                case LINE_LATE -> line.late(until, (long) t.by());
+                case LINE_LATE -> line.late(until, (long) t.magnitude());
                 case BURST -> {
-                    clients.burst(t.by());
-                    loop.schedule(until, () -> clients.burst(1));
+                    loadGenerator.burst(t.magnitude());
+                    loop.schedule(until, () -> loadGenerator.burst(1));
                 }
                 case SHIFT -> {
-                    clients.shift(t.front(), t.by());
-                    loop.schedule(until, () -> clients.shift(t.front(), 0));
+                    loadGenerator.shift(t.nodeIndex(), t.magnitude());
+                    loop.schedule(until, () -> loadGenerator.shift(t.nodeIndex(), 0));
                 }
                 case HOT_KEY -> {
-                    clients.hotKey(t.by());
-                    loop.schedule(until, () -> clients.hotKey(0));
+                    loadGenerator.hotKey(t.magnitude());
+                    loop.schedule(until, () -> loadGenerator.hotKey(0));
                 }
                 default -> {}
             }
@@ -186,23 +190,23 @@
 
     private void crash(SimulatedServer m, ScenarioFault t) {
         fleet.kill(m);
-        if (t.lasts() > 0) {
+        if (t.durationTicks() > 0) {
             BuildProfile again =
-                    t.build() > 0 ? plan.builds().getOrDefault(t.build(), BuildProfile.good(t.build())) : m.build();
-            loop.schedule(loop.nowTicks() + t.lasts(), () -> fleet.start(m.at(), again, m.cell(), true));
+                    t.build() > 0 ? plan.builds().getOrDefault(t.build(), BuildProfile.healthy(t.build())) : m.build();
+            loop.schedule(loop.nowTicks() + t.durationTicks(), () -> fleet.start(m.at(), again, m.cell(), true));
         }
     }
 
     @Override
     public void close() {
-        on(() -> {
+        callOnLoop(() -> {
             list.close();
             line.close();
             fleet.close();
             return null;
         });
-        if (clients != null) {
-            clients.close();
+        if (loadGenerator != null) {
+            loadGenerator.close();
         }
         loop.stop();
     }
--- a/src/main/java/laurelkeel/scenario/ScenarioFault.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioFault.java
@@ -9,9 +9,16 @@
  * @param by a factor, a share or a lateness in tenths, as the kind has it
  */
 public record ScenarioFault(
-        String name, long at, What what, int machines, int front, int build, long lasts, double by) {
+        String name,
+        long startTicks,
+        Kind kind,
+        int serverCount,
+        int nodeIndex,
+        int build,
+        long durationTicks,
+        double magnitude) {
 
-    public enum What {
+    public enum Kind {
         OFFER,
         CRASH,
         HANG,
@@ -35,7 +42,7 @@
 
     static ScenarioFault read(String name, IniSection s, int fronts) {
         long at = s.durationTicks("at", null, "0 ms", "24 h");
-        What what = s.choice("what", null, What.class);
+        Kind what = s.choice("what", null, Kind.class);
         int machines = 0, front = 0, build = 0;
         long lasts = 0;
         double by = 0;
@@ -85,6 +92,6 @@
 
     @Override
     public String toString() {
-        return name + " (" + IniSection.settingName(what) + ")";
+        return name + " (" + IniSection.settingName(kind) + ")";
     }
 }
--- a/src/main/java/laurelkeel/scenario/ScenarioReport.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioReport.java
@@ -16,10 +16,10 @@
 
     private ScenarioReport() {}
 
-    static String text(
+    static String format(
             Scenario plan,
             long seed,
-            Map<String, LoadGenerator.Tally> tallies,
+            Map<String, LoadGenerator.RouteStatistics> tallies,
             List<TrafficRecord> records,
             AuditReport j) {
         StringBuilder s = new StringBuilder();
@@ -40,24 +40,25 @@
                 "within",
                 "of reqs");
         tallies.forEach((route, t) -> {
-            Histogram h = t.completedTenths;
-            long objective = plan.common().routes().get(routeOf(plan, route)).latencyObjectiveTicks();
-            double within = t.reqs == 0 ? 0 : h.getCountBetweenValues(0, objective) / (double) t.reqs;
+            Histogram h = t.completionTicks;
+            long objective =
+                    plan.commonSettings().routes().get(routeOf(plan, route)).latencyObjectiveTicks();
+            double within = t.calls == 0 ? 0 : h.getCountBetweenValues(0, objective) / (double) t.calls;
             row(
                     s,
                     route,
-                    t.reqs,
-                    t.tries,
+                    t.calls,
+                    t.requests,
                     t.completed,
-                    t.shed,
-                    t.errored,
-                    t.broke,
-                    t.left,
-                    t.unreachable,
+                    t.rejected,
+                    t.failed,
+                    t.connectionsBroken,
+                    t.closedEarly,
+                    t.connectFailures,
                     h.getValueAtPercentile(50) / 10.0,
                     h.getValueAtPercentile(99) / 10.0,
                     percent(within),
-                    percent(t.reqs == 0 ? 0 : t.reqsCompleted / (double) t.reqs));
+                    percent(t.calls == 0 ? 0 : t.callsCompleted / (double) t.calls));
         });
         long arrived = records.stream()
                 .filter(r -> r instanceof TrafficRecord.AttemptArrived)
@@ -100,12 +101,12 @@
             }
         }
         s.append('\n');
-        return s + rules(j);
+        return s + formatVerdicts(j);
     }
 
     private static int routeOf(Scenario plan, String name) {
-        for (int i = 0; i < plan.load().routes().size(); i++) {
-            if (plan.load().routes().get(i).name().equals(name)) {
+        for (int i = 0; i < plan.loadProfile().routes().size(); i++) {
+            if (plan.loadProfile().routes().get(i).name().equals(name)) {
                 return i;
             }
         }
@@ -113,28 +114,33 @@
     }
 
     /** The five verdicts and the last line. */
-    public static String rules(AuditReport j) {
+    public static String formatVerdicts(AuditReport j) {
         StringBuilder s = new StringBuilder();
         for (RuleVerdict v : j.verdicts()) {
             s.append(String.format(
                     Locale.ROOT,
                     "rule %d  %-32s %-6s %8d looked at, nearest %4.0f%% of the limit: %s%n",
-                    v.rule(),
+                    v.ruleNumber(),
                     v.name(),
-                    v.kept() ? "kept" : "BROKEN",
-                    v.checked(),
-                    v.nearest() * 100,
-                    v.where()));
-            List<RuleViolation> b = v.breaches();
+                    v.isKept() ? "kept" : "BROKEN",
+                    v.checkedCount(),
+                    v.nearestShare() * 100,
+                    v.nearestDescription()));
+            List<RuleViolation> b = v.violations();
             for (RuleViolation x : b.subList(0, Math.min(SHOWN, b.size()))) {
                 s.append(String.format(
-                        Locale.ROOT, "        at %.1f ms, req %s: %s%n", x.t() / 10.0, x.req(), x.what()));
+                        Locale.ROOT,
+                        "        at %.1f ms, req %s: %s%n",
+                        x.timeTicks() / 10.0,
+                        x.requestId(),
+                        x.description()));
             }
             if (b.size() > SHOWN) {
                 s.append("        and ").append(b.size() - SHOWN).append(" more\n");
             }
         }
-        s.append(String.format("rules kept %d/5, reqs %d, unanswered %d%n", j.kept(), j.asked(), j.unanswered()));
+        s.append(String.format(
+                "rules kept %d/5, reqs %d, unanswered %d%n", j.rulesKept(), j.requestCount(), j.unansweredCount()));
         return s.toString();
     }
 
--- a/src/main/java/laurelkeel/scenario/ScenarioRun.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioRun.java
@@ -58,7 +58,8 @@
                 end();
             }
             AuditReport j = judge(world);
-            String table = ScenarioReport.text(plan, seed, world.clients().tallies(), RecordReader.readAll(folder), j);
+            String table = ScenarioReport.format(
+                    plan, seed, world.loadGenerator().statistics(), RecordReader.readAll(folder), j);
             Files.writeString(folder.resolve("report.txt"), table);
             out.print(table);
             out.flush();
@@ -68,10 +69,10 @@
 
     private AuditReport judge(ScenarioEnvironment world) throws IOException {
         // nothing is recorded from here on: what the stand-ins do as they close is no part of the day
-        world.on(() -> over = true);
+        world.callOnLoop(() -> over = true);
         clientSide.close();
         machineSide.close();
-        return Auditor.judge(folder);
+        return Auditor.audit(folder);
     }
 
     private void clear() throws IOException {
@@ -103,39 +104,45 @@
         long start = RecordClock.nowTicks();
         out.printf(
                 "day %s, seed %d: %d fronts, %d machines, %.0f reqs a second for %.0f s%n",
-                plan.name(), seed, fronts.size(), plan.machines(), plan.load().rate(), plan.length() / 10_000.0);
-        world.load(fronts.stream().map(f -> f.at).toList(), seed);
-        for (ScenarioFault t : plan.troubles()) {
-            due.add(new Due(start + t.at(), () -> {
+                plan.name(),
+                seed,
+                fronts.size(),
+                plan.serverCount(),
+                plan.loadProfile().requestsPerSecond(),
+                plan.durationTicks() / 10_000.0);
+        world.startLoad(fronts.stream().map(f -> f.at).toList(), seed);
+        for (ScenarioFault t : plan.faults()) {
+            due.add(new Due(start + t.startTicks(), () -> {
                 out.printf("  %5.1f s  %s%n", (RecordClock.nowTicks() - start) / 10_000.0, t);
                 befall(world, t);
             }));
         }
-        for (long s = 5; s * 10_000 < plan.length(); s += 5) {
+        for (long s = 5; s * 10_000 < plan.durationTicks(); s += 5) {
             due.add(new Due(
                     start + s * 10_000,
-                    () -> out.printf("  %5.1f s  %s%n", (RecordClock.nowTicks() - start) / 10_000.0, world.state())));
+                    () -> out.printf("  %5.1f s  %s%n", (RecordClock.nowTicks() - start) / 10_000.0, world.summary())));
         }
-        until(world, start + plan.length());
-        world.on(() -> {
-            world.clients().stop();
+        until(world, start + plan.durationTicks());
+        world.callOnLoop(() -> {
+            world.loadGenerator().stop();
             return null;
         });
         // what is out ends in its clients' time; what fronts are still to be back is awaited too
         long latest = RecordClock.nowTicks()
                 + 10_000
-                + plan.load().routes().stream()
-                        .mapToLong(r -> r.timeout())
+                + plan.loadProfile().routes().stream()
+                        .mapToLong(r -> r.timeoutTicks())
                         .max()
                         .orElse(0);
-        while (RecordClock.nowTicks() < latest && world.on(() -> world.clients().open()) > 0) {
+        while (RecordClock.nowTicks() < latest
+                && world.callOnLoop(() -> world.loadGenerator().openRequests()) > 0) {
             until(world, RecordClock.nowTicks() + 500);
         }
     }
 
     private void until(ScenarioEnvironment world, long end) {
         while (RecordClock.nowTicks() < end) {
-            world.check();
+            world.throwIfFailed();
             while (!due.isEmpty() && due.peek().at <= RecordClock.nowTicks()) {
                 due.poll().what.run();
             }
@@ -145,19 +152,19 @@
     }
 
     private void befall(ScenarioEnvironment world, ScenarioFault t) {
-        boolean kill = t.what() == ScenarioFault.What.KILL_FRONT;
-        if (!kill && t.what() != ScenarioFault.What.STOP_FRONT) {
-            world.befall(t);
+        boolean kill = t.kind() == ScenarioFault.Kind.KILL_FRONT;
+        if (!kill && t.kind() != ScenarioFault.Kind.STOP_FRONT) {
+            world.apply(t);
             return;
         }
-        FrontProcess f = fronts.get(t.front());
+        FrontProcess f = fronts.get(t.nodeIndex());
         if (kill) {
             record(new TrafficRecord.NodeStopped(RecordClock.nowTicks(), f.number, true));
             f.kill();
         } else {
             f.terminate();
         }
-        due.add(new Due(RecordClock.nowTicks() + t.lasts(), () -> again(f, 0)));
+        due.add(new Due(RecordClock.nowTicks() + t.durationTicks(), () -> again(f, 0)));
     }
 
     private void again(FrontProcess f, int waited) {
--- a/src/main/java/laurelkeel/testbed/BuildProfile.java
+++ b/src/main/java/laurelkeel/testbed/BuildProfile.java
@@ -16,15 +16,15 @@
  */
 public record BuildProfile(
         int number,
-        double work,
-        Map<String, Double> failing,
-        double failingBusy,
-        double wrong,
-        double workBusy,
-        long failsAfter,
-        int togetherWith,
-        double harmsAll) {
-    public static BuildProfile good(int number) {
+        double workFactor,
+        Map<String, Double> failureShares,
+        double busyFailureShare,
+        double wrongAnswerShare,
+        double busyWorkFactor,
+        long failureDelayTicks,
+        int interactingBuild,
+        double fleetSlowdown) {
+    public static BuildProfile healthy(int number) {
         return new BuildProfile(number, 1, Map.of(), 0, 0, 1, 0, 0, 1);
     }
 }
--- a/src/main/java/laurelkeel/testbed/LoadGenerator.java
+++ b/src/main/java/laurelkeel/testbed/LoadGenerator.java
@@ -40,42 +40,57 @@
     private static final long WAY = 1000;
 
     /** timeout in tenths of a millisecond; share of all reqs. */
-    public record Route(
-            String name, String method, String path, TrafficRecord.RoutePolicy rule, long timeout, double share) {}
-
-    public record Rule(
-            List<Route> routes,
-            Map<String, Double> customers,
-            double rate,
-            int keys,
-            double popular,
-            double keyless,
-            int retries,
-            double leaveEarly,
-            double complain) {}
+    public record LoadRoute(
+            String name,
+            String method,
+            String path,
+            TrafficRecord.RoutePolicy policy,
+            long timeoutTicks,
+            double share) {}
+
+    public record LoadProfile(
+            List<LoadRoute> routes,
+            Map<String, Double> tenantShares,
+            double requestsPerSecond,
+            int keyCount,
+            double keyPopularityExponent,
+            double keylessShare,
+            int maxRetries,
+            double earlyCloseShare,
+            double complaintShare) {}
 
     /** What callers met, by route. */
-    public static final class Tally {
-        public final Histogram completedTenths = new Histogram(600_000_000L, 3);
-        public long reqs, tries, completed, shed, errored, broke, unreachable, left, overdue, bad, reqsCompleted;
+    public static final class RouteStatistics {
+        public final Histogram completionTicks = new Histogram(600_000_000L, 3);
+        public long calls,
+                requests,
+                completed,
+                rejected,
+                failed,
+                connectionsBroken,
+                connectFailures,
+                closedEarly,
+                overdue,
+                bad,
+                callsCompleted;
     }
 
     private final class Call {
         final String of;
-        final Route route;
+        final LoadRoute route;
         final String customer, key, mark;
         final long firstAt = loop.nowTicks();
-        final Tally tally;
+        final RouteStatistics tally;
         long mayHaveRunAt = Long.MIN_VALUE;
         int again, unreached;
 
-        Call(String of, Route route, String customer, String key) {
+        Call(String of, LoadRoute route, String customer, String key) {
             this.of = of;
             this.route = route;
             this.customer = customer;
             this.key = key;
-            this.mark = route.rule().idempotency() == RecordTerms.Idempotency.DEDUPLICATED ? "m-" + of : null;
-            this.tally = tallies.get(route.name());
+            this.mark = route.policy().idempotency() == RecordTerms.Idempotency.DEDUPLICATED ? "m-" + of : null;
+            this.tally = statistics.get(route.name());
         }
     }
 
@@ -110,7 +125,7 @@
     }
 
     private final EventLoop loop;
-    private final Rule rule;
+    private final LoadProfile rule;
     private final Consumer<TrafficRecord> records;
     private final SplittableRandom random;
     private final NioSocketConnector connector = new NioSocketConnector(2);
@@ -118,16 +133,20 @@
     private final List<ArrayDeque<Conn>> idle = new ArrayList<>();
     private final double[] weights;
     private final double[] keyEnds;
-    private final Map<String, Tally> tallies = new HashMap<>();
+    private final Map<String, RouteStatistics> statistics = new HashMap<>();
     private double burst = 1, hotShare;
     private String hotKey;
     private long ids;
-    private int open;
+    private int openRequests;
     private boolean running;
     private long due;
 
     public LoadGenerator(
-            EventLoop loop, Rule rule, List<InetSocketAddress> fronts, long seed, Consumer<TrafficRecord> records) {
+            EventLoop loop,
+            LoadProfile rule,
+            List<InetSocketAddress> fronts,
+            long seed,
+            Consumer<TrafficRecord> records) {
         this.loop = loop;
         this.rule = rule;
         this.records = records;
@@ -138,13 +157,13 @@
             idle.add(new ArrayDeque<>());
             weights[idle.size() - 1] = 1;
         }
-        keyEnds = new double[rule.keys()];
+        keyEnds = new double[rule.keyCount()];
         double sum = 0;
         for (int i = 0; i < keyEnds.length; i++) {
-            sum += 1 / Math.pow(i + 1, rule.popular());
+            sum += 1 / Math.pow(i + 1, rule.keyPopularityExponent());
             keyEnds[i] = sum;
         }
-        rule.routes().forEach(r -> tallies.put(r.name(), new Tally()));
+        rule.routes().forEach(r -> statistics.put(r.name(), new RouteStatistics()));
         connector.setConnectTimeoutMillis(1000);
         connector.getSessionConfig().setTcpNoDelay(true);
         connector.getFilterChain().addLast("http", HttpCodec.client(HttpLimits.DEFAULT));
@@ -166,12 +185,12 @@
     }
 
     /** Tries not over yet. */
-    public int open() {
-        return open;
+    public int openRequests() {
+        return openRequests;
     }
 
-    public Map<String, Tally> tallies() {
-        return tallies;
+    public Map<String, RouteStatistics> statistics() {
+        return statistics;
     }
 
     /** Times the usual rate, from now. */
@@ -199,7 +218,7 @@
         if (!running) {
             return;
         }
-        double wait = -Math.log(1 - random.nextDouble()) / (rule.rate() * burst) * 10_000;
+        double wait = -Math.log(1 - random.nextDouble()) / (rule.requestsPerSecond() * burst) * 10_000;
         // from when the last one was due, not from when this thread got to it: else a busy host thins the load
         due = (due == 0 ? loop.nowTicks() : due) + Math.round(wait);
         loop.schedule(due, () -> {
@@ -223,14 +242,14 @@
         if (!running) {
             return;
         }
-        Route route = drawn(rule.routes(), Route::share);
-        String customer = rule.customers().isEmpty()
+        LoadRoute route = drawn(rule.routes(), LoadRoute::share);
+        String customer = rule.tenantShares().isEmpty()
                 ? null
-                : drawn(new ArrayList<>(rule.customers().entrySet()), Map.Entry::getValue)
+                : drawn(new ArrayList<>(rule.tenantShares().entrySet()), Map.Entry::getValue)
                         .getKey();
-        String key = random.nextDouble() < rule.keyless() ? null : key();
+        String key = random.nextDouble() < rule.keylessShare() ? null : key();
         Call c = new Call("c" + ids++, route, customer, key);
-        c.tally.reqs++;
+        c.tally.calls++;
         ask(c, false);
     }
 
@@ -259,14 +278,14 @@
     }
 
     private void ask(Call c, boolean again) {
-        long left = c.firstAt + c.route.timeout() - loop.nowTicks();
+        long left = c.firstAt + c.route.timeoutTicks() - loop.nowTicks();
         if (left < 2 * WAY) {
             return;
         }
         int front = (front() + c.unreached) % fronts.size();
         Try t = new Try(c, c.of + "." + ids++, front, loop.nowTicks() + left, false);
-        open++;
-        c.tally.tries++;
+        openRequests++;
+        c.tally.requests++;
         connected(front, t, conn -> {
             records.accept(new TrafficRecord.RequestSent(
                     RecordClock.nowTicks(),
@@ -281,7 +300,7 @@
                     again));
             conn.session.write(http(c, t, again));
             t.end = loop.schedule(t.leaves + SLACK, () -> giveUp(conn, t, false));
-            if (random.nextDouble() < rule.leaveEarly()) {
+            if (random.nextDouble() < rule.earlyCloseShare()) {
                 t.early = loop.schedule(
                         loop.nowTicks() + (long) (random.nextDouble() * Math.min(left / 4, 400)),
                         () -> giveUp(conn, t, true));
@@ -330,7 +349,7 @@
                 .addListener(f -> loop.post(() -> {
                     ConnectFuture connected = (ConnectFuture) f;
                     if (!connected.isConnected() || !connected.getSession().isConnected()) {
-                        t.call.tally.unreachable++;
+                        t.call.tally.connectFailures++;
                         over(t);
                         if (++t.call.unreached < 6) {
                             ask(t.call, t.call.again > 0);
@@ -349,7 +368,7 @@
     private void over(Try t) {
         if (!t.over) {
             t.over = true;
-            open -= t.complaint ? 0 : 1;
+            openRequests -= t.complaint ? 0 : 1;
             if (t.end != null) {
                 t.end.cancel();
             }
@@ -362,7 +381,7 @@
     private void giveUp(Conn conn, Try t, boolean early) {
         if (!t.over) {
             records.accept(new TrafficRecord.ClientClosed(RecordClock.nowTicks(), t.id, early));
-            t.call.tally.left += early ? 1 : 0;
+            t.call.tally.closedEarly += early ? 1 : 0;
             t.call.tally.overdue += early ? 0 : 1;
             over(t);
             conn.current = null;
@@ -393,7 +412,7 @@
         if (t.complaint) {
             return;
         }
-        Tally tally = t.call.tally;
+        RouteStatistics tally = t.call.tally;
         String how = a.headers().get(HeaderNames.RESULT);
         RecordTerms.Outcome is = "completed".equals(how)
                 ? RecordTerms.Outcome.COMPLETED
@@ -403,20 +422,20 @@
         switch (is) {
             case COMPLETED -> {
                 tally.completed++;
-                tally.reqsCompleted++;
-                tally.completedTenths.recordValue(Math.max(0, loop.nowTicks() - t.call.firstAt));
+                tally.callsCompleted++;
+                tally.completionTicks.recordValue(Math.max(0, loop.nowTicks() - t.call.firstAt));
                 boolean wrong = a.body().length >= 5 && new String(a.body(), 0, 5, UTF_8).equals("wrong");
-                if (wrong && random.nextDouble() < rule.complain()) {
+                if (wrong && random.nextDouble() < rule.complaintShare()) {
                     complain(t.front, t.call, a.headers().get(HeaderNames.RESPONSE_REFERENCE));
                 }
             }
             case REJECTED -> {
-                tally.shed++;
+                tally.rejected++;
                 String after = a.headers().get(HeaderNames.RETRY_AFTER_MS);
                 retry(t.call, after == null ? 100 : Long.parseLong(after) * 10);
             }
             case FAILED -> {
-                tally.errored++;
+                tally.failed++;
                 tally.bad += a.status() < 500 ? 1 : 0;
                 retryIfHarmless(t);
             }
@@ -438,7 +457,7 @@
     private void retryIfHarmless(Try t) {
         Call c = t.call;
         c.mayHaveRunAt = c.mayHaveRunAt == Long.MIN_VALUE ? loop.nowTicks() : c.mayHaveRunAt;
-        TrafficRecord.RoutePolicy r = c.route.rule();
+        TrafficRecord.RoutePolicy r = c.route.policy();
         // the machines' memory began with a try that ran later than the first ask
         boolean marked = r.idempotency() == RecordTerms.Idempotency.DEDUPLICATED
                 && r.deduplicationScope() == RecordTerms.DeduplicationScope.ALL
@@ -449,7 +468,7 @@
     }
 
     private void retry(Call c, long after) {
-        if (running && c.again < rule.retries()) {
+        if (running && c.again < rule.maxRetries()) {
             c.again++;
             loop.schedule(loop.nowTicks() + after + (long) (random.nextDouble() * after / 4), () -> ask(c, true));
         }
@@ -486,7 +505,7 @@
                     over(t);
                     if (!t.complaint) {
                         records.accept(new TrafficRecord.ConnectionBroken(at, t.id, "the connection closed"));
-                        t.call.tally.broke++;
+                        t.call.tally.connectionsBroken++;
                         retryIfHarmless(t);
                     }
                 }
--- a/src/main/java/laurelkeel/testbed/PortAllocator.java
+++ b/src/main/java/laurelkeel/testbed/PortAllocator.java
@@ -17,7 +17,7 @@
 
     private PortAllocator() {}
 
-    public static int free() throws IOException {
+    public static int allocate() throws IOException {
         for (int i = 0; i < COUNT; i++) {
             int port = FIRST + Math.floorMod(NEXT.getAndIncrement(), COUNT);
             try (ServerSocket s = new ServerSocket(port, 1, InetAddress.getByName("127.0.0.1"))) {
--- a/src/main/java/laurelkeel/testbed/RolloutService.java
+++ b/src/main/java/laurelkeel/testbed/RolloutService.java
@@ -26,40 +26,40 @@
  */
 public final class RolloutService {
 
-    public enum Control {
-        ANY,
-        COUNT,
-        CLOCK
+    public enum PromotionPolicy {
+        FIRST_VOTE,
+        VOTE_COUNT,
+        AUTOMATIC
     }
 
-    public enum Style {
+    public enum ReplacementStyle {
         REPLACE,
         BESIDE
     }
 
     /** Times in tenths of a millisecond. shares and caps by stage; together: builds on trial at once. */
-    public record Rule(
-            List<Double> shares,
-            List<Double> caps,
-            Control control,
-            Style style,
-            int onVotes,
-            int backVotes,
+    public record RolloutPolicy(
+            List<Double> stageServerShares,
+            List<Double> stageExposureCaps,
+            PromotionPolicy promotion,
+            ReplacementStyle replacement,
+            int promoteVotes,
+            int rollBackVotes,
             int holdVotes,
-            long leastStage,
-            long voteLife,
+            long minStageTicks,
+            long voteLifetimeTicks,
             double votesPerSecond,
-            long newsLag,
-            long newsEvery,
-            long startTime,
-            long drainMost,
-            int together) {}
+            long updateDelayTicks,
+            long updateIntervalTicks,
+            long serverStartTicks,
+            long maxDrainTicks,
+            int maxConcurrentRollouts) {}
 
     private static final long BLAME_EVERY = 10_000, LAST_REPORTS = 80_000;
 
     private final EventLoop loop;
     private final SimulatedFleet fleet;
-    private final Rule rule;
+    private final RolloutPolicy rule;
     private final Consumer<TrafficRecord> records;
     private final JsonLineService service = new JsonLineService();
     private final TreeMap<Integer, OfferedRelease> offers = new TreeMap<>();
@@ -74,7 +74,8 @@
     private long tokensAt;
     private int places;
 
-    public RolloutService(EventLoop loop, SimulatedFleet fleet, Rule rule, int routes, Consumer<TrafficRecord> records)
+    public RolloutService(
+            EventLoop loop, SimulatedFleet fleet, RolloutPolicy rule, int routes, Consumer<TrafficRecord> records)
             throws IOException {
         this.loop = loop;
         this.fleet = fleet;
@@ -100,7 +101,7 @@
         }
         records.accept(newest.record());
         service.start();
-        loop.schedule(loop.nowTicks() + rule.newsEvery(), this::again);
+        loop.schedule(loop.nowTicks() + rule.updateIntervalTicks(), this::again);
         loop.schedule(loop.nowTicks() + 500, this::tick);
         loop.schedule(loop.nowTicks() + BLAME_EVERY, this::judge);
         return service.address();
@@ -158,12 +159,12 @@
 
     /** Offers a build; where no more may be on trial one that is alone goes back first, and of several it waits. */
     public void offer(BuildProfile b) {
-        if (onTrial() < rule.together()) {
+        if (onTrial() < rule.maxConcurrentRollouts()) {
             begin(b);
             return;
         }
         waiting.addLast(b);
-        if (rule.together() == 1) {
+        if (rule.maxConcurrentRollouts() == 1) {
             offers.values().stream().filter(OfferedRelease::onTrial).toList().forEach(this::back);
         }
     }
@@ -181,7 +182,7 @@
                 to,
                 as,
                 as == RecordTerms.RolloutPhase.CANARY
-                        ? rule.caps().get(to)
+                        ? rule.stageExposureCaps().get(to)
                         : as == RecordTerms.RolloutPhase.RELEASED ? 1 : 0,
                 loop.nowTicks());
         records.accept(o.record());
@@ -203,7 +204,7 @@
                     offers.remove(o.build.number(), o);
                 }
             });
-            if (!waiting.isEmpty() && onTrial() < rule.together()) {
+            if (!waiting.isEmpty() && onTrial() < rule.maxConcurrentRollouts()) {
                 begin(waiting.pollFirst());
             }
         }
@@ -219,7 +220,7 @@
         // beside: the earlier machines go only now
         fleet.live().stream()
                 .filter(m -> m.build.number() < o.build.number())
-                .forEach(m -> fleet.drain(m, rule.drainMost()));
+                .forEach(m -> fleet.drain(m, rule.maxDrainTicks()));
     }
 
     private int liveOnOtherTrials(OfferedRelease o) {
@@ -231,13 +232,15 @@
 
     /** Starts as many machines as the stage asks for, one by one, each in place of an earlier one. */
     private void fill(OfferedRelease o) {
-        int wanted = (int) Math.ceil(rule.shares().get(o.stage) * (places - liveOnOtherTrials(o)) - 1e-9);
+        int wanted = (int) Math.ceil(rule.stageServerShares().get(o.stage) * (places - liveOnOtherTrials(o)) - 1e-9);
         int have = fleet.live(o.build.number()).size() + o.replacing;
         o.readyAt = loop.nowTicks();
         for (int i = have; i < wanted; i++) {
             o.replacing++;
             int place = i;
-            long at = loop.nowTicks() + rule.startTime() / 2 + (long) (fleet.chance() * rule.startTime() / 2);
+            long at = loop.nowTicks()
+                    + rule.serverStartTicks() / 2
+                    + (long) (fleet.chance() * rule.serverStartTicks() / 2);
             o.readyAt = Math.max(o.readyAt, at);
             loop.schedule(at, () -> {
                 o.replacing--;
@@ -246,8 +249,8 @@
                 }
                 SimulatedServer earlier = earlier(o);
                 fleet.start(null, o.build, place, true);
-                if (rule.style() == Style.REPLACE && earlier != null) {
-                    fleet.drain(earlier, rule.drainMost());
+                if (rule.replacement() == ReplacementStyle.REPLACE && earlier != null) {
+                    fleet.drain(earlier, rule.maxDrainTicks());
                 }
             });
         }
@@ -277,12 +280,14 @@
         for (int i = 0; i < missing; i++) {
             int place = i;
             loop.schedule(
-                    loop.nowTicks() + rule.startTime() / 2 + (long) (fleet.chance() * rule.startTime() / 2),
+                    loop.nowTicks()
+                            + rule.serverStartTicks() / 2
+                            + (long) (fleet.chance() * rule.serverStartTicks() / 2),
                     () -> fleet.start(null, b, place, true));
         }
-        fleet.live(o.build.number()).forEach(m -> fleet.drain(m, rule.drainMost()));
+        fleet.live(o.build.number()).forEach(m -> fleet.drain(m, rule.maxDrainTicks()));
         loop.schedule(
-                loop.nowTicks() + rule.startTime() + rule.drainMost(),
+                loop.nowTicks() + rule.serverStartTicks() + rule.maxDrainTicks(),
                 () -> move(o, o.stage, RecordTerms.RolloutPhase.ROLLED_BACK));
     }
 
@@ -315,11 +320,11 @@
     private void tick(OfferedRelease o) {
         boolean late =
                 o.phase == RecordTerms.RolloutPhase.RELEASED && o == newest && o.build == base && offers.size() > 1;
-        if ((o.onTrial() || late) && o.count("back", loop.nowTicks()) >= Math.max(1, rule.backVotes())) {
+        if ((o.onTrial() || late) && o.count("back", loop.nowTicks()) >= Math.max(1, rule.rollBackVotes())) {
             if (late) {
                 int before = o.build.number();
                 base = offers.headMap(before).isEmpty()
-                        ? BuildProfile.good(before - 1)
+                        ? BuildProfile.healthy(before - 1)
                         : offers.lowerEntry(before).getValue().build;
             }
             back(o);
@@ -328,19 +333,19 @@
         if (!o.onTrial() || loop.nowTicks() < stalledUntil) {
             return;
         }
-        boolean held = rule.control() == Control.CLOCK
+        boolean held = rule.promotion() == PromotionPolicy.AUTOMATIC
                 && ((rule.holdVotes() > 0 && o.count("hold", loop.nowTicks()) >= rule.holdVotes())
                         || (onTrial() > 1 && blaming.word(o.build.number()).equals("open")));
         o.held(held, loop.nowTicks());
-        boolean longEnough = loop.nowTicks() >= Math.max(o.since, o.readyAt) + rule.leastStage() + o.heldFor;
+        boolean longEnough = loop.nowTicks() >= Math.max(o.since, o.readyAt) + rule.minStageTicks() + o.heldFor;
         boolean voted =
-                switch (rule.control()) {
-                    case ANY -> o.count("on", loop.nowTicks()) >= 1;
-                    case COUNT -> o.count("on", loop.nowTicks()) >= Math.max(1, rule.onVotes());
-                    case CLOCK -> !held;
+                switch (rule.promotion()) {
+                    case FIRST_VOTE -> o.count("on", loop.nowTicks()) >= 1;
+                    case VOTE_COUNT -> o.count("on", loop.nowTicks()) >= Math.max(1, rule.promoteVotes());
+                    case AUTOMATIC -> !held;
                 };
         if (longEnough && voted) {
-            if (o.stage + 1 < rule.shares().size()) {
+            if (o.stage + 1 < rule.stageServerShares().size()) {
                 move(o, o.stage + 1, RecordTerms.RolloutPhase.CANARY);
             } else {
                 move(o, o.stage, RecordTerms.RolloutPhase.RELEASED);
@@ -365,7 +370,7 @@
     }
 
     private void again() {
-        loop.schedule(loop.nowTicks() + rule.newsEvery(), this::again);
+        loop.schedule(loop.nowTicks() + rule.updateIntervalTicks(), this::again);
         tell();
     }
 
@@ -378,8 +383,8 @@
         List<Map<String, Object>> all =
                 offers.values().stream().map(o -> news(o, "news", null)).toList();
         for (JsonLineService.Watcher w : new ArrayList<>(service.watchers)) {
-            long lag =
-                    (long) (rule.newsLag() * (0.5 + fleet.chance() / 2)) + (loop.nowTicks() < lateUntil ? lateBy : 0);
+            long lag = (long) (rule.updateDelayTicks() * (0.5 + fleet.chance() / 2))
+                    + (loop.nowTicks() < lateUntil ? lateBy : 0);
             w.lastDue = Math.max(w.lastDue, loop.nowTicks() + lag);
             loop.schedule(
                     w.lastDue,
@@ -455,13 +460,14 @@
                 o != null && (o.onTrial() || (o.phase == RecordTerms.RolloutPhase.RELEASED && verdict.equals("back")));
         if (tokens < 1) {
             answer = "over-limit";
-        } else if (!judged || (verdict.equals("on") && (at != o.stage || rule.control() == Control.CLOCK))) {
+        } else if (!judged
+                || (verdict.equals("on") && (at != o.stage || rule.promotion() == PromotionPolicy.AUTOMATIC))) {
             answer = "moot";
         } else {
             answer = "ok";
             tokens--;
             if (counts) {
-                o.vote(front, at, verdict, loop.nowTicks() + rule.voteLife());
+                o.vote(front, at, verdict, loop.nowTicks() + rule.voteLifetimeTicks());
             }
         }
         records.accept(new TrafficRecord.VoteReceived(
--- a/src/main/java/laurelkeel/testbed/ServerProfile.java
+++ b/src/main/java/laurelkeel/testbed/ServerProfile.java
@@ -13,23 +13,23 @@
  */
 public record ServerProfile(
         int cores,
-        int room,
-        int connections,
-        Map<String, Long> work,
-        Map<String, TrafficRecord.RoutePolicy> rules,
-        double coldFrom,
-        long coldFor,
-        double tipMultiple,
-        long tipAfter,
-        double warmKeys,
-        long keyMemory,
-        long loadEvery,
-        int answerBytes) {
+        int queueLimit,
+        int connectionLimit,
+        Map<String, Long> workTicks,
+        Map<String, TrafficRecord.RoutePolicy> routePolicies,
+        double warmUpInitialShare,
+        long warmUpTicks,
+        double overloadMultiple,
+        long overloadWindowTicks,
+        double cachedKeySavings,
+        long keyCacheTicks,
+        long loadReportIntervalTicks,
+        int responseBytes) {
 
     /** Reqs a second of one warm machine, were all routes asked alike. */
-    public double capacity() {
+    public double capacityPerSecond() {
         double mean =
-                work.values().stream().mapToLong(Long::longValue).average().orElse(1);
+                workTicks.values().stream().mapToLong(Long::longValue).average().orElse(1);
         return cores * 10_000 / mean;
     }
 }
--- a/src/main/java/laurelkeel/testbed/SimulatedFleet.java
+++ b/src/main/java/laurelkeel/testbed/SimulatedFleet.java
@@ -103,7 +103,8 @@
     double slowAll() {
         List<SimulatedServer> live = live();
         // a build's harm to all goes with its share of the machines
-        double harm = live.stream().mapToDouble(m -> m.build.harmsAll() - 1).sum() / Math.max(1, live.size());
+        double harm =
+                live.stream().mapToDouble(m -> m.build.fleetSlowdown() - 1).sum() / Math.max(1, live.size());
         return (loop.nowTicks() < slowUntil ? slowBy : 1) * (1 + harm);
     }
 
@@ -132,7 +133,7 @@
         try {
             SimulatedServer m = new SimulatedServer(
                     this,
-                    at == null ? new InetSocketAddress("127.0.0.1", PortAllocator.free()) : at,
+                    at == null ? new InetSocketAddress("127.0.0.1", PortAllocator.allocate()) : at,
                     ++runs,
                     zones.get(place % zones.size()),
                     place % zones.size(),
--- a/src/main/java/laurelkeel/testbed/SimulatedServer.java
+++ b/src/main/java/laurelkeel/testbed/SimulatedServer.java
@@ -114,11 +114,11 @@
                 build.number(),
                 fleet.zones.indexOf(zone),
                 cell,
-                shape.capacity(),
-                shape.coldFrom(),
-                shape.coldFor(),
-                shape.tipMultiple(),
-                shape.tipAfter(),
+                shape.capacityPerSecond(),
+                shape.warmUpInitialShare(),
+                shape.warmUpTicks(),
+                shape.overloadMultiple(),
+                shape.overloadWindowTicks(),
                 cold));
     }
 
@@ -136,8 +136,8 @@
 
     /** The part of its capacity that it has now. */
     double warmth() {
-        double share = cold ? Math.min(1, (fleet.loop.nowTicks() - startedAt) / (double) shape.coldFor()) : 1;
-        return shape.coldFrom() + (1 - shape.coldFrom()) * share;
+        double share = cold ? Math.min(1, (fleet.loop.nowTicks() - startedAt) / (double) shape.warmUpTicks()) : 1;
+        return shape.warmUpInitialShare() + (1 - shape.warmUpInitialShare()) * share;
     }
 
     public void fault(Fault what, long until, double by) {
@@ -187,7 +187,7 @@
         public void sessionOpened(IoSession session) {
             fleet.loop.post(() -> {
                 sessions.add(session);
-                if (dead || sessions.size() > shape.connections()) {
+                if (dead || sessions.size() > shape.connectionLimit()) {
                     session.closeNow();
                 }
             });
@@ -253,7 +253,7 @@
         if (has(Fault.HANG)) {
             return;
         }
-        if (state != RecordTerms.EndpointState.ACTIVE || (room.size() >= shape.room() && busy >= shape.cores())) {
+        if (state != RecordTerms.EndpointState.ACTIVE || (room.size() >= shape.queueLimit() && busy >= shape.cores())) {
             inHand.remove(from);
             fleet.record(new TrafficRecord.AttemptRejected(fleet.time(), id, run, req, no));
             HttpResponse a = answer(503, "no room\n", null);
@@ -276,14 +276,15 @@
     /** Work that a cold machine is sent past a multiple of what it can do pushes it over, and it stays down. */
     private boolean toppled() {
         long now = fleet.loop.nowTicks();
-        if (!cold || now - startedAt > shape.coldFor()) {
+        if (!cold || now - startedAt > shape.warmUpTicks()) {
             return false;
         }
         arrivals.addLast(now);
-        while (arrivals.peekFirst() < now - shape.tipAfter()) {
+        while (arrivals.peekFirst() < now - shape.overloadWindowTicks()) {
             arrivals.pollFirst();
         }
-        double most = shape.tipMultiple() * warmth() * shape.capacity() * shape.tipAfter() / 10_000;
+        double most =
+                shape.overloadMultiple() * warmth() * shape.capacityPerSecond() * shape.overloadWindowTicks() / 10_000;
         if (arrivals.size() > most + SimulatedFleet.TIP_SLACK) {
             die(RecordTerms.StopReason.OVERLOADED);
             fleet.died(this);
@@ -300,7 +301,7 @@
             }
             busy++;
             boolean crowded = busy >= shape.cores();
-            TrafficRecord.RoutePolicy rule = shape.rules().get(j.route);
+            TrafficRecord.RoutePolicy rule = shape.routePolicies().get(j.route);
             String mark = j.http.headers().get(HeaderNames.IDEMPOTENCY_KEY);
             boolean repeat = rule != null
                     && rule.idempotency() == RecordTerms.Idempotency.DEDUPLICATED
@@ -314,15 +315,15 @@
     }
 
     private long work(Job j) {
-        double work = shape.work().getOrDefault(j.route, 100L)
-                * build.work()
+        double work = shape.workTicks().getOrDefault(j.route, 100L)
+                * build.workFactor()
                 * (0.5 + fleet.chance())
-                * (busy >= shape.cores() && !room.isEmpty() ? build.workBusy() : 1);
+                * (busy >= shape.cores() && !room.isEmpty() ? build.busyWorkFactor() : 1);
         String key = j.http.headers().get(HeaderNames.PARTITION_KEY);
         if (key != null) {
             long now = fleet.loop.nowTicks();
             Long met = keys.put(key, now);
-            work *= met != null && met > now - shape.keyMemory() ? 1 - shape.warmKeys() : 1;
+            work *= met != null && met > now - shape.keyCacheTicks() ? 1 - shape.cachedKeySavings() : 1;
             if (keys.size() > 20_000) {
                 keys.clear();
             }
@@ -351,13 +352,13 @@
             j.left = true;
             return;
         }
-        boolean acts = fleet.loop.nowTicks() - startedAt >= build.failsAfter()
-                && (build.togetherWith() == 0
-                        || !fleet.live(build.togetherWith()).isEmpty());
-        boolean fails = (acts && fleet.chance() < build.failing().getOrDefault(j.route, 0.0))
-                || (crowded && fleet.chance() < build.failingBusy());
-        String text = fleet.chance() < build.wrong() ? "wrong" : "right";
-        HttpResponse a = answer(fails ? 500 : 200, fails ? "failed" : text, new byte[shape.answerBytes()]);
+        boolean acts = fleet.loop.nowTicks() - startedAt >= build.failureDelayTicks()
+                && (build.interactingBuild() == 0
+                        || !fleet.live(build.interactingBuild()).isEmpty());
+        boolean fails = (acts && fleet.chance() < build.failureShares().getOrDefault(j.route, 0.0))
+                || (crowded && fleet.chance() < build.busyFailureShare());
+        String text = fleet.chance() < build.wrongAnswerShare() ? "wrong" : "right";
+        HttpResponse a = answer(fails ? 500 : 200, fails ? "failed" : text, new byte[shape.responseBytes()]);
         if (has(Fault.RESET) || has(Fault.HALF)) {
             byte[] whole = bytes(a);
             byte[] half = java.util.Arrays.copyOf(whole, whole.length / 2);
@@ -382,7 +383,7 @@
     private HttpResponse answer(int status, String text, byte[] filler) {
         long now = fleet.loop.nowTicks();
         if (now >= loadAt) {
-            loadAt = now + shape.loadEvery();
+            loadAt = now + shape.loadReportIntervalTicks();
             loadTold = held();
             meanTold = meanMs;
         }
--- a/src/test/java/laurelkeel/cli/NodeLauncherTest.java
+++ b/src/test/java/laurelkeel/cli/NodeLauncherTest.java
@@ -90,7 +90,7 @@
     @Test
     void aNodeWhoseFirstTurnVotesStaysUp() throws Exception {
         Path file = folder.resolve("config.json");
-        Files.writeString(file, configurationJson(PortAllocator.free()));
+        Files.writeString(file, configurationJson(PortAllocator.allocate()));
         NodeImage image = NodeImage.make(folder);
         for (int i = 0; i < STARTS; i++) {
             int before = votes.get();
--- a/src/test/java/laurelkeel/config/IniFileTest.java
+++ b/src/test/java/laurelkeel/config/IniFileTest.java
@@ -87,7 +87,7 @@
     @Test
     void shippedScenariosAreValidAndErrorsOfOthersAreNamed() throws Exception {
         for (String day : Scenario.SHIPPED) {
-            assertTrue(Scenario.find(day).troubles().size() > 2);
+            assertTrue(Scenario.find(day).faults().size() > 2);
         }
         InvalidSettingsException e = assertThrows(
                 InvalidSettingsException.class,
--- a/src/test/java/laurelkeel/front/ControlPlaneTest.java
+++ b/src/test/java/laurelkeel/front/ControlPlaneTest.java
@@ -372,8 +372,8 @@
     @Test
     void gossipReachesTheOtherNodeAndNothingElseDoes() throws Exception {
         InetAddress here = InetAddress.getLoopbackAddress();
-        InetSocketAddress a = new InetSocketAddress(here, PortAllocator.free());
-        InetSocketAddress b = new InetSocketAddress(here, PortAllocator.free());
+        InetSocketAddress a = new InetSocketAddress(here, PortAllocator.allocate());
+        InetSocketAddress b = new InetSocketAddress(here, PortAllocator.allocate());
         Map<Integer, InetSocketAddress> peers = Map.of(0, a, 1, b);
         EventLoop loop = new EventLoop(() -> System.nanoTime() / 100_000);
         Thread t = new Thread(() -> loop.run(() -> false));
@@ -426,8 +426,8 @@
                                     s -> s.build() == 2 && s.phase() == RecordTerms.RolloutPhase.RELEASED)
                             > 0);
             AuditReport j = rig.audit();
-            assertEquals(List.of(), j.breaches());
-            assertEquals(0, j.unanswered());
+            assertEquals(List.of(), j.violations());
+            assertEquals(0, j.unansweredCount());
         }
     }
 }
--- a/src/test/java/laurelkeel/front/FrontChildProcess.java
+++ b/src/test/java/laurelkeel/front/FrontChildProcess.java
@@ -22,7 +22,7 @@
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
 
     final Process process;
-    final int port = PortAllocator.free(), adminPort = PortAllocator.free();
+    final int port = PortAllocator.allocate(), adminPort = PortAllocator.allocate();
     private final ServerSocket endpointServer = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
     private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
     volatile boolean isSilent;
--- a/src/test/java/laurelkeel/front/FrontFailureTest.java
+++ b/src/test/java/laurelkeel/front/FrontFailureTest.java
@@ -37,14 +37,16 @@
             throws Exception {
         AuditReport j = rig.audit();
         List<RuleViolation> of =
-                j.breaches().stream().filter(b -> b.rule() == rule).toList();
+                j.violations().stream().filter(b -> b.ruleNumber() == rule).toList();
         assertFalse(of.isEmpty(), "rule " + rule + " was broken unseen");
-        assertTrue(of.stream().anyMatch(b -> b.what().contains(text)), of.get(0).what());
+        assertTrue(
+                of.stream().anyMatch(b -> b.description().contains(text)),
+                of.get(0).description());
         assertEquals(
                 List.of(),
-                j.breaches().stream()
-                        .filter(b -> b.rule() != rule)
-                        .map(RuleViolation::what)
+                j.violations().stream()
+                        .filter(b -> b.ruleNumber() != rule)
+                        .map(RuleViolation::description)
                         .distinct()
                         .limit(3)
                         .toList());
@@ -54,7 +56,8 @@
                 reqs.add(a.requestId());
             }
         });
-        assertTrue(of.stream().allMatch(b -> reqs.contains(b.req()) && b.t() > 0), "no req or moment named");
+        assertTrue(
+                of.stream().allMatch(b -> reqs.contains(b.requestId()) && b.timeTicks() > 0), "no req or moment named");
         return of;
     }
 
@@ -64,8 +67,8 @@
             rig.startLoad();
             awaitAnswers(rig, 300);
             AuditReport j = rig.audit();
-            assertEquals(List.of(), j.breaches());
-            assertEquals(0, j.unanswered());
+            assertEquals(List.of(), j.violations());
+            assertEquals(0, j.unansweredCount());
         }
     }
 
@@ -241,7 +244,7 @@
                     () -> rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 2) > 5
                             && rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 3) > 120);
             assertTrue(assertOnlyRuleViolated(rig, 5, "tries at build 3").stream()
-                    .noneMatch(b -> b.what().contains("tries at build 2")));
+                    .noneMatch(b -> b.description().contains("tries at build 2")));
         }
     }
 
--- a/src/test/java/laurelkeel/front/FrontTestRig.java
+++ b/src/test/java/laurelkeel/front/FrontTestRig.java
@@ -106,11 +106,11 @@
             Files.writeString(
                     file,
                     "[front]\nnumber = " + i + "\nfronts = " + count + "\nlisten = 127.0.0.1:0\n"
-                            + "state = state-" + i + "\nrecords = front-" + i + ".jsonl\n" + plan.frontSections()
+                            + "state = state-" + i + "\nrecords = front-" + i + ".jsonl\n" + plan.nodeSections()
                             + "[list]\naddress = 127.0.0.1:"
-                            + environment.listAt().getPort()
+                            + environment.endpointListAddress().getPort()
                             + "\n[release]\naddress = 127.0.0.1:"
-                            + environment.lineAt().getPort() + "\n");
+                            + environment.rolloutServiceAddress().getPort() + "\n");
             FrontNode f = new FrontNode(
                     FrontSettings.read(file),
                     maker,
@@ -122,15 +122,15 @@
     }
 
     void startLoad() {
-        environment.load(addresses, 7);
+        environment.startLoad(addresses, 7);
     }
 
     void applyFault(String event) throws Exception {
         Scenario p = Scenario.read(
                 IniFile.parse("event.ini", COMMON.formatted(fronts.size(), 1) + "[event e]\nat = 0 ms\n" + event),
                 "event");
-        ScenarioFault t = p.troubles().get(0);
-        environment.befall(t);
+        ScenarioFault t = p.faults().get(0);
+        environment.apply(t);
     }
 
     <T extends TrafficRecord> long count(Class<T> kind, Predicate<T> matches) {
@@ -161,19 +161,19 @@
 
     /** Ends the load, waits for the answers that are owed, and audits all records. */
     AuditReport audit() throws IOException {
-        environment.on(() -> {
-            environment.clients().stop();
+        environment.callOnLoop(() -> {
+            environment.loadGenerator().stop();
             return null;
         });
         await(
                 "clients are done",
-                () -> environment.on(() -> environment.clients().open()) == 0);
+                () -> environment.callOnLoop(() -> environment.loadGenerator().openRequests()) == 0);
         List<TrafficRecord> all = new ArrayList<>(records);
         fronts.forEach(FrontNode::drain);
         fronts.forEach(f -> f.termination().join());
         all.addAll(RecordReader.readAll(folder));
         all.sort(Comparator.comparingLong(TrafficRecord::timeTicks));
-        return Auditor.judge(all);
+        return Auditor.audit(all);
     }
 
     @Override
--- a/src/test/java/laurelkeel/front/MisbehavingPeersTest.java
+++ b/src/test/java/laurelkeel/front/MisbehavingPeersTest.java
@@ -52,7 +52,7 @@
 
     @Test
     void aPartialRequestAtTheAdminAddressKeepsNobodyFromHealth() throws Exception {
-        int admin = PortAllocator.free();
+        int admin = PortAllocator.allocate();
         try (FrontTestPeers p =
                 new FrontTestPeers(directory, "", List.of("admin = 127.0.0.1:" + admin), FrontTestPeers::sendOnce)) {
             List<Socket> halves = new ArrayList<>();
@@ -130,7 +130,7 @@
 
     @Test
     void aClientThatFloodsAStalledLoopIsNotReadOn() throws Exception {
-        int admin = PortAllocator.free();
+        int admin = PortAllocator.allocate();
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch stalled = new CountDownLatch(1);
         try (FrontTestPeers p = new FrontTestPeers(
--- a/src/test/java/laurelkeel/scenario/ScenarioTest.java
+++ b/src/test/java/laurelkeel/scenario/ScenarioTest.java
@@ -78,9 +78,9 @@
                         folder,
                         new PrintStream(said))
                 .play();
-        assertEquals(5, j.kept(), said.toString(UTF_8));
-        assertEquals(0, j.unanswered(), said.toString(UTF_8));
-        assertTrue(j.asked() > 300, said.toString(UTF_8));
+        assertEquals(5, j.rulesKept(), said.toString(UTF_8));
+        assertEquals(0, j.unansweredCount(), said.toString(UTF_8));
+        assertTrue(j.requestCount() > 300, said.toString(UTF_8));
         assertTrue(said.toString(UTF_8).strip().endsWith(", unanswered 0"), said.toString(UTF_8));
         return j;
     }
--- a/src/test/java/laurelkeel/soak/FailingCallsTest.java
+++ b/src/test/java/laurelkeel/soak/FailingCallsTest.java
@@ -57,7 +57,7 @@
 
     @BeforeEach
     void open() throws Exception {
-        port = PortAllocator.free();
+        port = PortAllocator.allocate();
         discovery = new PlatformTestBed.FakeServer();
         control = new PlatformTestBed.FakeServer();
     }
