--- a/src/main/java/laurelkeel/scenario/ScenarioEnvironment.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioEnvironment.java
@@ -2,13 +2,13 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import laurelkeel.eventloop.EventLoop;
@@ -19,94 +19,124 @@
 import laurelkeel.testbed.LoadGenerator;
 import laurelkeel.testbed.RolloutService;
 import laurelkeel.testbed.SimulatedFleet;
-import laurelkeel.testbed.SimulatedServer;
+import org.jspecify.annotations.Nullable;
 
-/** The stand-ins of one day on one thread, and the troubles that befall them. */
+/**
+ * The test bed of one scenario, with all its parts on one thread. Methods run there and wait for it, so that they are to
+ * be called on another thread; by one thread at a time.
+ */
 public final class ScenarioEnvironment implements AutoCloseable {
-    private final Scenario plan;
+    private static final int FIRST_BUILD = 1;
+    /** How often a waiting caller looks whether the loop's thread still lives. */
+    private static final long LIVENESS_CHECK_SECONDS = 1;
+
+    private final Scenario scenario;
     private final EventLoop loop = new EventLoop(RecordClock::nowTicks);
     private final Thread thread = new Thread(() -> loop.run(() -> false), "stand-ins");
-    private final SplittableRandom random;
     private final SimulatedFleet fleet;
-    private final EndpointListService list;
-    private final RolloutService line;
+    private final EndpointListService endpointList;
+    private final RolloutService rolloutService;
+    private final FaultInjector faultInjector;
     private final Consumer<TrafficRecord> records;
-    private volatile Throwable failure;
-    private LoadGenerator loadGenerator;
-    private InetSocketAddress endpointListAddress, rolloutServiceAddress;
-
-    public ScenarioEnvironment(Scenario plan, long seed, Consumer<TrafficRecord> records) throws IOException {
-        this.plan = plan;
+    private volatile @Nullable Throwable failure;
+    private @Nullable LoadGenerator loadGenerator;
+    private @Nullable InetSocketAddress endpointListAddress;
+    private @Nullable InetSocketAddress rolloutServiceAddress;
+
+    /**
+     * Creates one that has not started.
+     *
+     * @throws IOException where no port is free
+     */
+    public ScenarioEnvironment(Scenario scenario, long seed, Consumer<TrafficRecord> records) throws IOException {
+        this.scenario = scenario;
         this.records = records;
-        this.random = new SplittableRandom(seed);
-        Map<String, String> routes = new LinkedHashMap<>();
-        plan.loadProfile().routes().forEach(r -> routes.put(r.path(), r.name()));
-        fleet = new SimulatedFleet(loop, plan.serverProfile(), plan.zones(), routes, seed + 1, records);
-        list = new EndpointListService(loop, fleet, plan.endpointListDelayTicks(), plan.endpointListCallsPerSecond());
-        line = new RolloutService(
-                loop, fleet, plan.rolloutPolicy(), plan.loadProfile().routes().size(), records);
-        TrafficRecord.AuditParameters r = plan.auditParameters();
-        records.accept(new TrafficRecord.AuditParameters(
-                RecordClock.nowTicks(),
-                r.routes(),
-                r.drainGraceTicks(),
-                r.exposureWindowTicks(),
-                r.exposureAllowance(),
-                r.exposurePerRoute(),
-                r.guardedStages(),
-                r.stickyKeys(),
-                r.stageExposureCaps()));
+        Map<String, String> routesByPath = new LinkedHashMap<>();
+        scenario.loadProfile().routes().forEach(route -> routesByPath.put(route.path(), route.name()));
+        fleet = new SimulatedFleet(loop, scenario.serverProfile(), scenario.zones(), routesByPath, seed + 1, records);
+        endpointList = new EndpointListService(
+                loop, fleet, scenario.endpointListDelayTicks(), scenario.endpointListCallsPerSecond());
+        rolloutService = new RolloutService(
+                loop,
+                fleet,
+                scenario.rolloutPolicy(),
+                scenario.loadProfile().routes().size(),
+                records);
+        faultInjector = new FaultInjector(scenario, loop, seed, fleet, endpointList, rolloutService);
+        records.accept(scenario.auditParameters(RecordClock.nowTicks()));
     }
 
-    /** Starts list, release line and the first machines on build 1. */
+    /** Starts both services and the first servers, on build 1. */
     public void start() {
         thread.setDaemon(true);
-        thread.setUncaughtExceptionHandler((t, e) -> failure = e);
+        thread.setUncaughtExceptionHandler((failed, cause) -> failure = cause);
         thread.start();
-        callOnLoop(() -> {
-            endpointListAddress = list.start();
-            rolloutServiceAddress =
-                    line.start(plan.builds().getOrDefault(1, BuildProfile.healthy(1)), plan.serverCount());
-            return null;
+        runOnLoop(() -> {
+            endpointListAddress = endpointList.start();
+            rolloutServiceAddress = rolloutService.start(
+                    scenario.builds().getOrDefault(FIRST_BUILD, BuildProfile.healthy(FIRST_BUILD)),
+                    scenario.serverCount());
         });
     }
 
+    /** Where the endpoint list service listens. */
     public InetSocketAddress endpointListAddress() {
-        return endpointListAddress;
+        return requireStarted(endpointListAddress);
     }
 
+    /** Where the rollout service listens. */
     public InetSocketAddress rolloutServiceAddress() {
-        return rolloutServiceAddress;
+        return requireStarted(rolloutServiceAddress);
     }
 
-    /** Begins the load on the fronts. */
-    public void startLoad(List<InetSocketAddress> fronts, long seed) {
-        callOnLoop(() -> {
-            loadGenerator = new LoadGenerator(loop, plan.loadProfile(), fronts, seed + 2, records);
-            loadGenerator.start();
-            return null;
+    private static <T> T requireStarted(@Nullable T part) {
+        if (part == null) {
+            throw new IllegalStateException("it has not started");
+        }
+        return part;
+    }
+
+    /** Begins the load on the nodes. */
+    public void startLoad(List<InetSocketAddress> nodeAddresses, long seed) {
+        runOnLoop(() -> {
+            LoadGenerator started = new LoadGenerator(loop, scenario.loadProfile(), nodeAddresses, seed + 2, records);
+            loadGenerator = started;
+            started.start();
         });
     }
 
+    /** The load generator; its methods are to be called through {@link #callOnLoop}. */
     public LoadGenerator loadGenerator() {
-        return loadGenerator;
+        return requireStarted(loadGenerator);
+    }
+
+    /** Runs a task on the loop's thread and waits for it. */
+    public void runOnLoop(Runnable task) {
+        callOnLoop(() -> {
+            task.run();
+            return true;
+        });
     }
 
-    /** Runs it on the stand-ins' thread and waits for it. */
-    public <T> T callOnLoop(Supplier<T> what) {
-        CompletableFuture<T> done = new CompletableFuture<>();
+    /**
+     * Calls on the loop's thread and waits for the result.
+     *
+     * @throws IllegalStateException where the call or the thread fails
+     */
+    public <T> T callOnLoop(Supplier<T> call) {
+        CompletableFuture<T> result = new CompletableFuture<>();
         loop.post(() -> {
             try {
-                done.complete(what.get());
+                result.complete(call.get());
             } catch (RuntimeException e) {
-                done.completeExceptionally(e);
+                result.completeExceptionally(e);
             }
         });
         try {
             while (true) {
                 try {
-                    return done.get(1, java.util.concurrent.TimeUnit.SECONDS);
-                } catch (java.util.concurrent.TimeoutException e) {
+                    return result.get(LIVENESS_CHECK_SECONDS, TimeUnit.SECONDS);
+                } catch (TimeoutException e) {
                     throwIfFailed();
                 }
             }
@@ -114,96 +144,42 @@
             Thread.currentThread().interrupt();
             throw new IllegalStateException(e);
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a stand-in failed", e.getCause());
+            throw new IllegalStateException("a part of the test bed failed", e.getCause());
         }
     }
 
-    /** Throws where the stand-ins' thread has died. */
+    /** Throws an IllegalStateException where the loop's thread has died. */
     public void throwIfFailed() {
         if (failure != null) {
-            throw new IllegalStateException("the stand-ins failed", failure);
+            throw new IllegalStateException("the test bed failed", failure);
         }
     }
 
-    /** One line on where things are. */
+    /** Rollouts, servers and open requests in one line. */
     public String summary() {
         return callOnLoop(() -> String.format(
                 "%s, %d machines, %d reqs out",
-                line.standing(), fleet.live().size(), loadGenerator == null ? 0 : loadGenerator.openRequests()));
-    }
-
-    /** Stages reached so far, as "build 2 stage 1 trial". */
-    public String stage() {
-        return callOnLoop(() -> "build " + line.newest().number() + " stage " + line.stage() + " "
-                + line.phase().storedName());
-    }
-
-    private List<SimulatedServer> some(int n) {
-        List<SimulatedServer> from = new ArrayList<>(fleet.live());
-        List<SimulatedServer> out = new ArrayList<>();
-        while (out.size() < n && !from.isEmpty()) {
-            out.add(from.remove(random.nextInt(from.size())));
-        }
-        return out;
+                rolloutService.summary(),
+                fleet.activeServers().size(),
+                loadGenerator == null ? 0 : loadGenerator.openRequests()));
     }
 
-    /** Lets a trouble befall; those of fronts are not its matter. */
-    public void apply(ScenarioFault t) {
-        callOnLoop(() -> {
-            long until = loop.nowTicks() + t.durationTicks();
-            switch (t.kind()) {
-                case OFFER -> line.offer(plan.builds().get(t.build()));
-                case CRASH -> some(t.serverCount()).forEach(m -> crash(m, t));
-                case HANG -> some(t.serverCount()).forEach(m -> m.fault(SimulatedServer.Fault.HANG, until, 1));
-                case SLOW ->
-                    some(t.serverCount()).forEach(m -> m.fault(SimulatedServer.Fault.SLOW, until, t.magnitude()));
-                case LOSE_ANSWERS ->
-                    some(t.serverCount()).forEach(m -> m.fault(SimulatedServer.Fault.LOSE_ANSWERS, until, 1));
-                case RESET -> some(t.serverCount()).forEach(m -> m.fault(SimulatedServer.Fault.RESET, until, 1));
-                case HALF -> some(t.serverCount()).forEach(m -> m.fault(SimulatedServer.Fault.HALF, until, 1));
-                case REFUSE -> some(t.serverCount()).forEach(m -> m.fault(SimulatedServer.Fault.REFUSE, until, 1));
-                case DRAIN ->
-                    some(t.serverCount())
-                            .forEach(m -> fleet.drain(m, plan.rolloutPolicy().maxDrainTicks()));
-                case SLOW_ALL -> fleet.slowAll(t.magnitude(), until);
-                case LIST_STALE -> list.stale(until);
-                case LIST_DOWN -> list.down(until);
-                case LINE_STALL -> line.stall(until);
-                case LINE_LATE -> line.late(until, (long) t.magnitude());
-                case BURST -> {
-                    loadGenerator.burst(t.magnitude());
-                    loop.schedule(until, () -> loadGenerator.burst(1));
-                }
-                case SHIFT -> {
-                    loadGenerator.shift(t.nodeIndex(), t.magnitude());
-                    loop.schedule(until, () -> loadGenerator.shift(t.nodeIndex(), 0));
-                }
-                case HOT_KEY -> {
-                    loadGenerator.hotKey(t.magnitude());
-                    loop.schedule(until, () -> loadGenerator.hotKey(0));
-                }
-                default -> {}
+    /** Applies a fault; those of nodes are not its matter. */
+    public void apply(ScenarioFault fault) {
+        runOnLoop(() -> {
+            faultInjector.applyToServers(fault);
+            if (loadGenerator != null) {
+                faultInjector.applyToLoad(fault, loadGenerator);
             }
-            return null;
         });
     }
 
-    private void crash(SimulatedServer m, ScenarioFault t) {
-        fleet.kill(m);
-        if (t.durationTicks() > 0) {
-            BuildProfile again =
-                    t.build() > 0 ? plan.builds().getOrDefault(t.build(), BuildProfile.healthy(t.build())) : m.build();
-            loop.schedule(loop.nowTicks() + t.durationTicks(), () -> fleet.start(m.at(), again, m.cell(), true));
-        }
-    }
-
     @Override
     public void close() {
-        callOnLoop(() -> {
-            list.close();
-            line.close();
+        runOnLoop(() -> {
+            endpointList.close();
+            rolloutService.close();
             fleet.close();
-            return null;
         });
         if (loadGenerator != null) {
             loadGenerator.close();
--- a/src/main/java/laurelkeel/scenario/ScenarioFault.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioFault.java
@@ -1,12 +1,16 @@
 package laurelkeel.scenario;
 
+import java.util.LinkedHashMap;
+import java.util.Map;
 import laurelkeel.config.IniSection;
 
 /**
- * One thing that happens on a day. Times in tenths of a millisecond; what a kind does not use is 0.
+ * One event of a scenario. What its kind does not use is 0.
  *
- * @param lasts how long, or for machines and fronts that go: how long until they are back (0: never)
- * @param by a factor, a share or a lateness in tenths, as the kind has it
+ * @param startTicks when, from the scenario's start
+ * @param serverCount how many servers, chosen at random
+ * @param durationTicks how long, or for what stops: until it starts again (0 for never)
+ * @param magnitude a factor, a share, or a delay in ticks, as the kind has it
  */
 public record ScenarioFault(
         String name,
@@ -18,80 +22,113 @@
         long durationTicks,
         double magnitude) {
 
+    /** What happens; each kind with its name in scenario files. */
     public enum Kind {
-        OFFER,
-        CRASH,
-        HANG,
-        SLOW,
-        LOSE_ANSWERS,
-        RESET,
-        HALF,
-        REFUSE,
-        DRAIN,
-        SLOW_ALL,
-        LIST_STALE,
-        LIST_DOWN,
-        LINE_STALL,
-        LINE_LATE,
-        KILL_FRONT,
-        STOP_FRONT,
-        BURST,
-        SHIFT,
-        HOT_KEY
+        OFFER_BUILD("offer"),
+        CRASH_SERVERS("crash"),
+        HANG_SERVERS("hang"),
+        SLOW_SERVERS("slow"),
+        LOSE_RESPONSES("lose-answers"),
+        RESET_CONNECTIONS("reset"),
+        TRUNCATE_RESPONSES("half"),
+        REFUSE_CONNECTIONS("refuse"),
+        DRAIN_SERVERS("drain"),
+        SLOW_FLEET("slow-all"),
+        STALE_ENDPOINT_LIST("list-stale"),
+        ENDPOINT_LIST_DOWN("list-down"),
+        ROLLOUT_SERVICE_STALLED("line-stall"),
+        ROLLOUT_UPDATES_DELAYED("line-late"),
+        KILL_NODE("kill-front"),
+        STOP_NODE("stop-front"),
+        LOAD_BURST("burst"),
+        LOAD_SHIFT("shift"),
+        HOT_KEY("hot-key");
+
+        private static final Map<String, Kind> BY_SETTING_NAME = bySettingName();
+
+        private final String settingName;
+
+        Kind(String settingName) {
+            this.settingName = settingName;
+        }
+
+        private static Map<String, Kind> bySettingName() {
+            Map<String, Kind> kinds = new LinkedHashMap<>();
+            for (Kind kind : values()) {
+                kinds.put(kind.settingName, kind);
+            }
+            return kinds;
+        }
     }
 
-    static ScenarioFault read(String name, IniSection s, int fronts) {
-        long at = s.durationTicks("at", null, "0 ms", "24 h");
-        Kind what = s.choice("what", null, Kind.class);
-        int machines = 0, front = 0, build = 0;
-        long lasts = 0;
-        double by = 0;
-        switch (what) {
-            case OFFER -> build = s.intValue("build", null, 2, 65_535);
-            case CRASH -> {
-                machines = s.intValue("machines", "1", 1, 10_000);
-                lasts = s.durationTicks("back-after", "0 ms", "0 ms", "24 h");
-                build = s.intValue("as-build", "0", 0, 65_535);
+    /** Reads an event's section; errors are added to it. */
+    static ScenarioFault read(String name, IniSection section, int nodeCount) {
+        long startTicks = section.durationTicks("at", IniSection.REQUIRED, "0 ms", "24 h");
+        Kind kind = section.choice("what", IniSection.REQUIRED, Kind.BY_SETTING_NAME);
+        int serverCount = 0;
+        int nodeIndex = 0;
+        int build = 0;
+        long durationTicks = 0;
+        double magnitude = 0;
+        switch (kind) {
+            case OFFER_BUILD -> build = section.intValue("build", IniSection.REQUIRED, 2, 65_535);
+            case CRASH_SERVERS -> {
+                serverCount = readServerCount(section);
+                durationTicks = section.durationTicks("back-after", "0 ms", "0 ms", "24 h");
+                build = section.intValue("as-build", "0", 0, 65_535);
             }
-            case HANG, LOSE_ANSWERS, RESET, HALF, REFUSE -> {
-                machines = s.intValue("machines", "1", 1, 10_000);
-                lasts = s.durationTicks("for", null, "1 ms", "24 h");
+            case HANG_SERVERS, LOSE_RESPONSES, RESET_CONNECTIONS, TRUNCATE_RESPONSES, REFUSE_CONNECTIONS -> {
+                serverCount = readServerCount(section);
+                durationTicks = readDuration(section);
             }
-            case SLOW -> {
-                machines = s.intValue("machines", "1", 1, 10_000);
-                lasts = s.durationTicks("for", null, "1 ms", "24 h");
-                by = s.doubleValue("by", "3", 1, 1000);
+            case SLOW_SERVERS -> {
+                serverCount = readServerCount(section);
+                durationTicks = readDuration(section);
+                magnitude = section.doubleValue("by", "3", 1, 1000);
             }
-            case DRAIN -> machines = s.intValue("machines", "1", 1, 10_000);
-            case SLOW_ALL, BURST -> {
-                lasts = s.durationTicks("for", null, "1 ms", "24 h");
-                by = s.doubleValue("by", "2", 0.01, 1000);
+            case DRAIN_SERVERS -> serverCount = readServerCount(section);
+            case SLOW_FLEET, LOAD_BURST -> {
+                durationTicks = readDuration(section);
+                magnitude = section.doubleValue("by", "2", 0.01, 1000);
             }
-            case LIST_STALE, LIST_DOWN, LINE_STALL -> lasts = s.durationTicks("for", null, "1 ms", "24 h");
-            case LINE_LATE -> {
-                lasts = s.durationTicks("for", null, "1 ms", "24 h");
-                by = s.durationTicks("by", "2 s", "0 ms", "1 h");
+            case STALE_ENDPOINT_LIST, ENDPOINT_LIST_DOWN, ROLLOUT_SERVICE_STALLED ->
+                durationTicks = readDuration(section);
+            case ROLLOUT_UPDATES_DELAYED -> {
+                durationTicks = readDuration(section);
+                magnitude = section.durationTicks("by", "2 s", "0 ms", "1 h");
             }
-            case KILL_FRONT, STOP_FRONT -> {
-                front = s.intValue("front", "0", 0, fronts - 1);
-                lasts = s.durationTicks("back-after", "2 s", "0 ms", "24 h");
+            case KILL_NODE, STOP_NODE -> {
+                nodeIndex = readNodeIndex(section, nodeCount);
+                durationTicks = section.durationTicks("back-after", "2 s", "0 ms", "24 h");
             }
-            case SHIFT -> {
-                front = s.intValue("front", "0", 0, fronts - 1);
-                lasts = s.durationTicks("for", null, "1 ms", "24 h");
-                by = s.doubleValue("share", "0.25", 0, 1);
+            case LOAD_SHIFT -> {
+                nodeIndex = readNodeIndex(section, nodeCount);
+                durationTicks = readDuration(section);
+                magnitude = section.doubleValue("share", "0.25", 0, 1);
             }
             case HOT_KEY -> {
-                lasts = s.durationTicks("for", null, "1 ms", "24 h");
-                by = s.doubleValue("share", "0.2", 0, 1);
+                durationTicks = readDuration(section);
+                magnitude = section.doubleValue("share", "0.2", 0, 1);
             }
-            default -> throw new IllegalStateException(what.name());
         }
-        return new ScenarioFault(name, at, what, machines, front, build, lasts, by);
+        return new ScenarioFault(name, startTicks, kind, serverCount, nodeIndex, build, durationTicks, magnitude);
+    }
+
+    private static int readServerCount(IniSection section) {
+        return section.intValue("machines", "1", 1, 10_000);
+    }
+
+    private static int readNodeIndex(IniSection section, int nodeCount) {
+        return section.intValue("front", "0", 0, nodeCount - 1);
+    }
+
+    private static long readDuration(IniSection section) {
+        return section.durationTicks("for", IniSection.REQUIRED, "1 ms", "24 h");
     }
 
+    /** Its name and kind, as they stand in the scenario's file. */
     @Override
     public String toString() {
-        return name + " (" + IniSection.settingName(kind) + ")";
+        return name + " (" + kind.settingName + ")";
     }
 }
--- a/src/main/java/laurelkeel/scenario/ScenarioReport.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioReport.java
@@ -6,26 +6,44 @@
 import laurelkeel.audit.AuditReport;
 import laurelkeel.audit.RuleVerdict;
 import laurelkeel.audit.RuleViolation;
+import laurelkeel.records.RecordClock;
 import laurelkeel.records.TrafficRecord;
-import laurelkeel.testbed.LoadGenerator;
+import laurelkeel.testbed.LoadRoute;
+import laurelkeel.testbed.RouteStatistics;
 import org.HdrHistogram.Histogram;
 
-/** A day's table for people; the last line for scripts. */
+/** Formats the results of a scenario for people; the last line is for scripts. */
 public final class ScenarioReport {
-    private static final int SHOWN = 10;
+    private static final int MAX_VIOLATIONS_SHOWN = 10;
+    private static final String NO_ATTRIBUTION = "none";
 
     private ScenarioReport() {}
 
     static String format(
-            Scenario plan,
+            Scenario scenario,
             long seed,
-            Map<String, LoadGenerator.RouteStatistics> tallies,
+            Map<String, RouteStatistics> statistics,
             List<TrafficRecord> records,
-            AuditReport j) {
-        StringBuilder s = new StringBuilder();
-        s.append(String.format(Locale.ROOT, "%nday %s, seed %d%n%n", plan.name(), seed));
-        row(
-                s,
+            AuditReport report) {
+        StringBuilder text = new StringBuilder();
+        text.append(String.format(Locale.ROOT, "%nday %s, seed %d%n%n", scenario.name(), seed));
+        appendStatistics(text, scenario, statistics);
+        appendAttempts(text, records);
+        long startTicks = records.stream()
+                .filter(TrafficRecord.RequestSent.class::isInstance)
+                .mapToLong(TrafficRecord::timeTicks)
+                .min()
+                .orElse(0);
+        appendStages(text, records, startTicks);
+        appendAttributions(text, records, startTicks);
+        text.append('\n').append(formatVerdicts(report));
+        return text.toString();
+    }
+
+    private static void appendStatistics(
+            StringBuilder text, Scenario scenario, Map<String, RouteStatistics> statistics) {
+        appendRow(
+                text,
                 "route",
                 "reqs",
                 "tries",
@@ -39,119 +57,133 @@
                 "p99 ms",
                 "within",
                 "of reqs");
-        tallies.forEach((route, t) -> {
-            Histogram h = t.completionTicks;
-            long objective =
-                    plan.commonSettings().routes().get(routeOf(plan, route)).latencyObjectiveTicks();
-            double within = t.calls == 0 ? 0 : h.getCountBetweenValues(0, objective) / (double) t.calls;
-            row(
-                    s,
+        statistics.forEach((route, ofRoute) -> {
+            Histogram completionTicks = ofRoute.completionTicks();
+            long objectiveTicks = scenario.commonSettings()
+                    .routes()
+                    .get(indexOfRoute(scenario, route))
+                    .latencyObjectiveTicks();
+            long withinObjective = completionTicks.getCountBetweenValues(0, objectiveTicks);
+            appendRow(
+                    text,
                     route,
-                    t.calls,
-                    t.requests,
-                    t.completed,
-                    t.rejected,
-                    t.failed,
-                    t.connectionsBroken,
-                    t.closedEarly,
-                    t.connectFailures,
-                    h.getValueAtPercentile(50) / 10.0,
-                    h.getValueAtPercentile(99) / 10.0,
-                    percent(within),
-                    percent(t.calls == 0 ? 0 : t.callsCompleted / (double) t.calls));
+                    ofRoute.calls(),
+                    ofRoute.requests(),
+                    ofRoute.completed(),
+                    ofRoute.rejected(),
+                    ofRoute.failed(),
+                    ofRoute.connectionsBroken(),
+                    ofRoute.closedEarly(),
+                    ofRoute.connectFailures(),
+                    completionTicks.getValueAtPercentile(50) / RecordClock.TICKS_PER_MILLISECOND,
+                    completionTicks.getValueAtPercentile(99) / RecordClock.TICKS_PER_MILLISECOND,
+                    formatShare(withinObjective, ofRoute.calls()),
+                    formatShare(ofRoute.completed(), ofRoute.calls()));
         });
-        long arrived = records.stream()
-                .filter(r -> r instanceof TrafficRecord.AttemptArrived)
-                .count();
-        long turned = records.stream()
-                .filter(r -> r instanceof TrafficRecord.AttemptRejected)
-                .count();
-        long votes = records.stream()
-                .filter(r -> r instanceof TrafficRecord.VoteReceived)
-                .count();
-        s.append(String.format("%nupstream tries %d, turned away %d; votes %d%n", arrived, turned, votes));
-        long start = records.stream()
-                .filter(r -> r instanceof TrafficRecord.RequestSent)
-                .mapToLong(TrafficRecord::timeTicks)
-                .min()
-                .orElse(0);
-        s.append("stages:");
-        for (TrafficRecord r : records) {
-            if (r instanceof TrafficRecord.RolloutStageChanged g) {
-                s.append(String.format(
+    }
+
+    private static int indexOfRoute(Scenario scenario, String name) {
+        List<LoadRoute> routes = scenario.loadProfile().routes();
+        for (int i = 0; i < routes.size(); i++) {
+            if (routes.get(i).name().equals(name)) {
+                return i;
+            }
+        }
+        throw new IllegalArgumentException(name);
+    }
+
+    private static void appendAttempts(StringBuilder text, List<TrafficRecord> records) {
+        text.append(String.format(
+                "%nupstream tries %d, turned away %d; votes %d%n",
+                count(records, TrafficRecord.AttemptArrived.class),
+                count(records, TrafficRecord.AttemptRejected.class),
+                count(records, TrafficRecord.VoteReceived.class)));
+    }
+
+    private static long count(List<TrafficRecord> records, Class<? extends TrafficRecord> type) {
+        return records.stream().filter(type::isInstance).count();
+    }
+
+    private static void appendStages(StringBuilder text, List<TrafficRecord> records, long startTicks) {
+        text.append("stages:");
+        for (TrafficRecord trafficRecord : records) {
+            if (trafficRecord instanceof TrafficRecord.RolloutStageChanged change) {
+                text.append(String.format(
                         Locale.ROOT,
                         " %d/%d %s at %.1f s;",
-                        g.build(),
-                        g.stage(),
-                        g.phase().storedName().toLowerCase(Locale.ROOT).replace('_', ' '),
-                        (g.timeTicks() - start) / 10_000.0));
+                        change.build(),
+                        change.stage(),
+                        change.phase().storedName().toLowerCase(Locale.ROOT).replace('_', ' '),
+                        secondsSince(startTicks, change)));
             }
         }
-        s.append('\n');
-        for (TrafficRecord r : records) {
-            if (r instanceof TrafficRecord.AttributionPublished b
-                    && !b.attribution().equals("none")) {
-                s.append(String.format(
+        text.append('\n');
+    }
+
+    private static void appendAttributions(StringBuilder text, List<TrafficRecord> records, long startTicks) {
+        for (TrafficRecord trafficRecord : records) {
+            if (trafficRecord instanceof TrafficRecord.AttributionPublished published
+                    && !published.attribution().equals(NO_ATTRIBUTION)) {
+                text.append(String.format(
                         Locale.ROOT,
                         "blame: %s, probability %.3f, at %.1f s: %s%n",
-                        b.attribution(),
-                        b.probability(),
-                        (b.timeTicks() - start) / 10_000.0,
-                        b.evidence()));
+                        published.attribution(),
+                        published.probability(),
+                        secondsSince(startTicks, published),
+                        published.evidence()));
             }
         }
-        s.append('\n');
-        return s + formatVerdicts(j);
     }
 
-    private static int routeOf(Scenario plan, String name) {
-        for (int i = 0; i < plan.loadProfile().routes().size(); i++) {
-            if (plan.loadProfile().routes().get(i).name().equals(name)) {
-                return i;
-            }
-        }
-        throw new IllegalArgumentException(name);
+    private static double secondsSince(long startTicks, TrafficRecord trafficRecord) {
+        return (trafficRecord.timeTicks() - startTicks) / (double) RecordClock.TICKS_PER_SECOND;
     }
 
-    /** The five verdicts and the last line. */
-    public static String formatVerdicts(AuditReport j) {
-        StringBuilder s = new StringBuilder();
-        for (RuleVerdict v : j.verdicts()) {
-            s.append(String.format(
+    /** The verdicts on all rules with their first violations, and the last line. */
+    public static String formatVerdicts(AuditReport report) {
+        StringBuilder text = new StringBuilder();
+        for (RuleVerdict verdict : report.verdicts()) {
+            text.append(String.format(
                     Locale.ROOT,
                     "rule %d  %-32s %-6s %8d looked at, nearest %4.0f%% of the limit: %s%n",
-                    v.ruleNumber(),
-                    v.name(),
-                    v.isKept() ? "kept" : "BROKEN",
-                    v.checkedCount(),
-                    v.nearestShare() * 100,
-                    v.nearestDescription()));
-            List<RuleViolation> b = v.violations();
-            for (RuleViolation x : b.subList(0, Math.min(SHOWN, b.size()))) {
-                s.append(String.format(
-                        Locale.ROOT,
-                        "        at %.1f ms, req %s: %s%n",
-                        x.timeTicks() / 10.0,
-                        x.requestId(),
-                        x.description()));
-            }
-            if (b.size() > SHOWN) {
-                s.append("        and ").append(b.size() - SHOWN).append(" more\n");
-            }
+                    verdict.ruleNumber(),
+                    verdict.name(),
+                    verdict.isKept() ? "kept" : "BROKEN",
+                    verdict.checkedCount(),
+                    verdict.nearestShare() * 100,
+                    verdict.nearestDescription()));
+            appendViolations(text, verdict.violations());
+        }
+        text.append(String.format(
+                "rules kept %d/5, reqs %d, unanswered %d%n",
+                report.rulesKept(), report.requestCount(), report.unansweredCount()));
+        return text.toString();
+    }
+
+    private static void appendViolations(StringBuilder text, List<RuleViolation> violations) {
+        int shown = Math.min(MAX_VIOLATIONS_SHOWN, violations.size());
+        for (RuleViolation violation : violations.subList(0, shown)) {
+            text.append(String.format(
+                    Locale.ROOT,
+                    "        at %.1f ms, req %s: %s%n",
+                    violation.timeTicks() / RecordClock.TICKS_PER_MILLISECOND,
+                    violation.requestId(),
+                    violation.description()));
+        }
+        if (violations.size() > shown) {
+            text.append("        and ").append(violations.size() - shown).append(" more\n");
         }
-        s.append(String.format(
-                "rules kept %d/5, reqs %d, unanswered %d%n", j.rulesKept(), j.requestCount(), j.unansweredCount()));
-        return s.toString();
     }
 
-    private static String percent(double share) {
+    private static String formatShare(long part, long all) {
+        double share = all == 0 ? 0 : part / (double) all;
         return String.format(Locale.ROOT, "%.1f%%", share * 100);
     }
 
-    private static void row(StringBuilder s, Object... cells) {
+    private static void appendRow(StringBuilder text, Object... cells) {
         for (int i = 0; i < cells.length; i++) {
-            s.append(String.format(i == 0 ? "%-14s" : "%10s", cells[i]));
+            text.append(String.format(i == 0 ? "%-14s" : "%10s", cells[i]));
         }
-        s.append('\n');
+        text.append('\n');
     }
 }
--- a/src/main/java/laurelkeel/scenario/ScenarioRun.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioRun.java
@@ -2,194 +2,224 @@
 
 import java.io.IOException;
 import java.io.PrintStream;
+import java.io.UncheckedIOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
+import java.util.OptionalInt;
 import java.util.PriorityQueue;
 import java.util.concurrent.locks.LockSupport;
+import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import laurelkeel.audit.AuditReport;
 import laurelkeel.audit.Auditor;
 import laurelkeel.records.RecordClock;
 import laurelkeel.records.RecordReader;
-import laurelkeel.records.RecordWriter;
 import laurelkeel.records.TrafficRecord;
+import laurelkeel.testbed.LoadRoute;
 
-/** Plays one day from start to judgement. */
+/** Plays one scenario from its start to its audit. Not thread-safe; for one run. */
 public final class ScenarioRun {
+    private static final long SUMMARY_INTERVAL_SECONDS = 5;
+    private static final long NODE_EXIT_TIMEOUT_SECONDS = 40;
+    private static final long SETTLE_TICKS = 10_000;
+    private static final long SETTLE_CHECK_TICKS = 500;
+    private static final long MAX_SLEEP_TICKS = 1000;
+    private static final long NANOS_PER_TICK = 100_000;
+    private static final long RESTART_CHECK_TICKS = 5_000;
+    private static final int MAX_RESTART_CHECKS = 60;
+    private static final int EXIT_OK = 0;
+    private static final int EXIT_TERMINATED = 143;
+    private static final Pattern OWN_FILES =
+            Pattern.compile("(front-\\d+.*|clients|machines|report|list)(\\.(jsonl|ini|log|txt|json|new))*");
 
-    private record Due(long at, Runnable what) {}
+    private record DueTask(long dueTicks, Runnable task) {}
 
-    private final Scenario plan;
+    private final Scenario scenario;
     private final long seed;
     private final Path folder;
     private final PrintStream out;
-    private final PriorityQueue<Due> due = new PriorityQueue<>(java.util.Comparator.comparingLong(Due::at));
-    private List<FrontProcess> fronts = List.of();
-    private RecordWriter clientSide, machineSide;
-    private volatile boolean over;
-
-    /** @param folder gets all records, settings and logs; what an earlier day left in it is removed */
-    public ScenarioRun(Scenario plan, long seed, Path folder, PrintStream out) {
-        this.plan = plan;
+    private final PriorityQueue<DueTask> tasks = new PriorityQueue<>(Comparator.comparingLong(DueTask::dueTicks));
+    private List<NodeProcess> nodes = List.of();
+
+    /**
+     * Creates one that has not started.
+     *
+     * @param folder gets all records, settings and logs; those of an earlier run are removed
+     * @param out gets progress and the report
+     */
+    public ScenarioRun(Scenario scenario, long seed, Path folder, PrintStream out) {
+        this.scenario = scenario;
         this.seed = seed;
         this.folder = folder;
         this.out = out;
     }
 
+    /**
+     * Plays the scenario and audits it.
+     *
+     * @throws IOException where a node does not start or a file cannot be written
+     */
     public AuditReport play() throws IOException, InterruptedException {
         Files.createDirectories(folder);
-        clear();
-        clientSide = new RecordWriter(folder.resolve("clients.jsonl"), false);
-        machineSide = new RecordWriter(folder.resolve("machines.jsonl"), false);
-        try (ScenarioEnvironment world = new ScenarioEnvironment(plan, seed, this::record)) {
+        removeEarlierRun();
+        ScenarioRecorder recorder = new ScenarioRecorder(folder);
+        try (ScenarioEnvironment environment = new ScenarioEnvironment(scenario, seed, recorder::record)) {
             try {
-                world.start();
-                fronts = FrontProcess.prepare(plan, world, folder, seed);
-                for (FrontProcess f : fronts) {
-                    f.start();
-                }
-                for (FrontProcess f : fronts) {
-                    f.awaitReady();
-                }
-                play(world);
+                environment.start();
+                startNodes(environment);
+                playEvents(environment, recorder);
             } finally {
-                end();
+                stopNodes();
             }
-            AuditReport j = judge(world);
-            String table = ScenarioReport.format(
-                    plan, seed, world.loadGenerator().statistics(), RecordReader.readAll(folder), j);
-            Files.writeString(folder.resolve("report.txt"), table);
-            out.print(table);
-            out.flush();
-            return j;
+            // what the test bed does as it closes is no part of the scenario
+            environment.runOnLoop(recorder::end);
+            recorder.close();
+            return report(environment);
         }
     }
 
-    private AuditReport judge(ScenarioEnvironment world) throws IOException {
-        // nothing is recorded from here on: what the stand-ins do as they close is no part of the day
-        world.callOnLoop(() -> over = true);
-        clientSide.close();
-        machineSide.close();
-        return Auditor.audit(folder);
+    private AuditReport report(ScenarioEnvironment environment) throws IOException {
+        AuditReport report = Auditor.audit(folder);
+        String text = ScenarioReport.format(
+                scenario, seed, environment.loadGenerator().statistics(), RecordReader.readAll(folder), report);
+        Files.writeString(folder.resolve("report.txt"), text);
+        out.print(text);
+        out.flush();
+        return report;
     }
 
-    private void clear() throws IOException {
-        try (Stream<Path> old = Files.walk(folder)) {
-            for (Path p : old.sorted(java.util.Comparator.reverseOrder()).toList()) {
-                String n = p.getFileName().toString();
-                boolean ours =
-                        n.matches("(front-\\d+.*|clients|machines|report|list)(\\.(jsonl|ini|log|txt|json|new))*");
-                if (!p.equals(folder) && ours) {
-                    Files.delete(p);
+    private void removeEarlierRun() throws IOException {
+        try (Stream<Path> files = Files.walk(folder)) {
+            for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+                String name = String.valueOf(file.getFileName());
+                if (!file.equals(folder) && OWN_FILES.matcher(name).matches()) {
+                    Files.delete(file);
                 }
             }
         }
     }
 
-    private void record(TrafficRecord r) {
-        if (over) {
-            return;
+    private void startNodes(ScenarioEnvironment environment) throws IOException {
+        nodes = new NodeProcessFactory(scenario, environment, folder, seed).prepareAll();
+        for (NodeProcess node : nodes) {
+            node.start();
+        }
+        for (NodeProcess node : nodes) {
+            node.awaitReady();
         }
-        boolean client = r instanceof TrafficRecord.RequestSent
-                || r instanceof TrafficRecord.ResponseReceived
-                || r instanceof TrafficRecord.UnexpectedBytes
-                || r instanceof TrafficRecord.ConnectionBroken
-                || r instanceof TrafficRecord.ClientClosed;
-        (client ? clientSide : machineSide).record(r);
     }
 
-    private void play(ScenarioEnvironment world) {
-        long start = RecordClock.nowTicks();
+    private void playEvents(ScenarioEnvironment environment, ScenarioRecorder recorder) {
+        long startTicks = RecordClock.nowTicks();
         out.printf(
                 "day %s, seed %d: %d fronts, %d machines, %.0f reqs a second for %.0f s%n",
-                plan.name(),
+                scenario.name(),
                 seed,
-                fronts.size(),
-                plan.serverCount(),
-                plan.loadProfile().requestsPerSecond(),
-                plan.durationTicks() / 10_000.0);
-        world.startLoad(fronts.stream().map(f -> f.at).toList(), seed);
-        for (ScenarioFault t : plan.faults()) {
-            due.add(new Due(start + t.startTicks(), () -> {
-                out.printf("  %5.1f s  %s%n", (RecordClock.nowTicks() - start) / 10_000.0, t);
-                befall(world, t);
+                nodes.size(),
+                scenario.serverCount(),
+                scenario.loadProfile().requestsPerSecond(),
+                scenario.durationTicks() / (double) RecordClock.TICKS_PER_SECOND);
+        environment.startLoad(nodes.stream().map(node -> node.address).toList(), seed);
+        for (ScenarioFault fault : scenario.faults()) {
+            tasks.add(new DueTask(startTicks + fault.startTicks(), () -> {
+                printProgress(startTicks, fault.toString());
+                apply(environment, recorder, fault);
             }));
         }
-        for (long s = 5; s * 10_000 < plan.durationTicks(); s += 5) {
-            due.add(new Due(
-                    start + s * 10_000,
-                    () -> out.printf("  %5.1f s  %s%n", (RecordClock.nowTicks() - start) / 10_000.0, world.summary())));
+        long summaryTicks = SUMMARY_INTERVAL_SECONDS * RecordClock.TICKS_PER_SECOND;
+        for (long atTicks = summaryTicks; atTicks < scenario.durationTicks(); atTicks += summaryTicks) {
+            tasks.add(new DueTask(startTicks + atTicks, () -> printProgress(startTicks, environment.summary())));
         }
-        until(world, start + plan.durationTicks());
-        world.callOnLoop(() -> {
-            world.loadGenerator().stop();
-            return null;
-        });
-        // what is out ends in its clients' time; what fronts are still to be back is awaited too
-        long latest = RecordClock.nowTicks()
-                + 10_000
-                + plan.loadProfile().routes().stream()
-                        .mapToLong(r -> r.timeoutTicks())
-                        .max()
-                        .orElse(0);
-        while (RecordClock.nowTicks() < latest
-                && world.callOnLoop(() -> world.loadGenerator().openRequests()) > 0) {
-            until(world, RecordClock.nowTicks() + 500);
+        runTasksUntil(environment, startTicks + scenario.durationTicks());
+        environment.runOnLoop(() -> environment.loadGenerator().stop());
+        awaitOpenRequests(environment);
+    }
+
+    private void printProgress(long startTicks, String text) {
+        double seconds = (RecordClock.nowTicks() - startTicks) / (double) RecordClock.TICKS_PER_SECOND;
+        out.printf("  %5.1f s  %s%n", seconds, text);
+    }
+
+    /** Open requests end by their deadlines; nodes that are to start again do so meanwhile. */
+    private void awaitOpenRequests(ScenarioEnvironment environment) {
+        long maxTimeoutTicks = scenario.loadProfile().routes().stream()
+                .mapToLong(LoadRoute::timeoutTicks)
+                .max()
+                .orElse(0);
+        long latestTicks = RecordClock.nowTicks() + SETTLE_TICKS + maxTimeoutTicks;
+        while (RecordClock.nowTicks() < latestTicks
+                && environment.callOnLoop(() -> environment.loadGenerator().openRequests()) > 0) {
+            runTasksUntil(environment, RecordClock.nowTicks() + SETTLE_CHECK_TICKS);
         }
     }
 
-    private void until(ScenarioEnvironment world, long end) {
-        while (RecordClock.nowTicks() < end) {
-            world.throwIfFailed();
-            while (!due.isEmpty() && due.peek().at <= RecordClock.nowTicks()) {
-                due.poll().what.run();
+    private void runTasksUntil(ScenarioEnvironment environment, long endTicks) {
+        while (RecordClock.nowTicks() < endTicks) {
+            environment.throwIfFailed();
+            DueTask next = tasks.peek();
+            while (next != null && next.dueTicks <= RecordClock.nowTicks()) {
+                tasks.remove();
+                next.task.run();
+                next = tasks.peek();
             }
-            long next = due.isEmpty() ? end : Math.min(end, due.peek().at);
-            LockSupport.parkNanos(Math.max(1, Math.min(1000, next - RecordClock.nowTicks())) * 100_000);
+            long wakeTicks = next == null ? endTicks : Math.min(endTicks, next.dueTicks);
+            long sleepTicks = Math.min(MAX_SLEEP_TICKS, wakeTicks - RecordClock.nowTicks());
+            LockSupport.parkNanos(Math.max(1, sleepTicks) * NANOS_PER_TICK);
         }
     }
 
-    private void befall(ScenarioEnvironment world, ScenarioFault t) {
-        boolean kill = t.kind() == ScenarioFault.Kind.KILL_FRONT;
-        if (!kill && t.kind() != ScenarioFault.Kind.STOP_FRONT) {
-            world.apply(t);
-            return;
-        }
-        FrontProcess f = fronts.get(t.nodeIndex());
-        if (kill) {
-            record(new TrafficRecord.NodeStopped(RecordClock.nowTicks(), f.number, true));
-            f.kill();
-        } else {
-            f.terminate();
+    private void apply(ScenarioEnvironment environment, ScenarioRecorder recorder, ScenarioFault fault) {
+        switch (fault.kind()) {
+            case KILL_NODE -> {
+                NodeProcess node = nodes.get(fault.nodeIndex());
+                recorder.record(new TrafficRecord.NodeStopped(RecordClock.nowTicks(), node.nodeIndex, true));
+                node.kill();
+                restartAfter(node, fault.durationTicks());
+            }
+            case STOP_NODE -> {
+                NodeProcess node = nodes.get(fault.nodeIndex());
+                node.terminate();
+                restartAfter(node, fault.durationTicks());
+            }
+            default -> environment.apply(fault);
         }
-        due.add(new Due(RecordClock.nowTicks() + t.durationTicks(), () -> again(f, 0)));
     }
 
-    private void again(FrontProcess f, int waited) {
+    private void restartAfter(NodeProcess node, long delayTicks) {
+        tasks.add(new DueTask(RecordClock.nowTicks() + delayTicks, () -> restart(node, 0)));
+    }
+
+    /** Starts a node again; one that still drains has its port and is waited for. */
+    private void restart(NodeProcess node, int checks) {
+        if (node.isRunning() && checks < MAX_RESTART_CHECKS) {
+            tasks.add(new DueTask(RecordClock.nowTicks() + RESTART_CHECK_TICKS, () -> restart(node, checks + 1)));
+            return;
+        }
         try {
-            // a front that drains still holds its port
-            if (f.running() && waited < 60) {
-                due.add(new Due(RecordClock.nowTicks() + 5_000, () -> again(f, waited + 1)));
-            } else {
-                f.start();
-            }
+            node.start();
         } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e);
+            throw new UncheckedIOException(e);
         }
     }
 
-    private void end() throws InterruptedException {
-        for (FrontProcess f : fronts) {
-            f.terminate();
-        }
-        List<Integer> codes = new ArrayList<>();
-        for (FrontProcess f : fronts) {
-            codes.add(f.awaitEnd(40));
+    private void stopNodes() throws InterruptedException {
+        nodes.forEach(NodeProcess::terminate);
+        List<String> exitCodes = new ArrayList<>();
+        boolean allEndedWell = true;
+        for (NodeProcess node : nodes) {
+            OptionalInt exitCode = node.awaitExit(NODE_EXIT_TIMEOUT_SECONDS);
+            exitCodes.add(exitCode.isPresent() ? Integer.toString(exitCode.getAsInt()) : "null");
+            allEndedWell &= isExpected(exitCode);
         }
-        if (codes.stream().anyMatch(c -> c == null || (c != 0 && c != 143))) {
-            out.println("  fronts ended with " + codes + "; see their logs in " + folder);
+        if (!allEndedWell) {
+            out.println("  fronts ended with " + exitCodes + "; see their logs in " + folder);
         }
     }
+
+    private static boolean isExpected(OptionalInt exitCode) {
+        return exitCode.isPresent() && (exitCode.getAsInt() == EXIT_OK || exitCode.getAsInt() == EXIT_TERMINATED);
+    }
 }
--- a/src/main/java/laurelkeel/scenario/package-info.java
+++ b/src/main/java/laurelkeel/scenario/package-info.java
@@ -1,2 +1,7 @@
-/** A scripted day: real front processes between stand-ins, trouble on a schedule, and the rules judged at the end. */
+/**
+ * Scripted scenarios: node processes within a test bed, faults on a schedule, and an audit of the records at the end.
+ */
+@NullMarked
 package laurelkeel.scenario;
+
+import org.jspecify.annotations.NullMarked;
--- a/src/main/java/laurelkeel/testbed/AttributionService.java
+++ b/src/main/java/laurelkeel/testbed/AttributionService.java
@@ -1,109 +1,118 @@
 package laurelkeel.testbed;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import java.util.ArrayList;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import laurelkeel.attribution.AttributionFinding;
 import laurelkeel.attribution.DiscardCounts;
 import laurelkeel.attribution.NodeReport;
 import laurelkeel.attribution.RegressionAttributor;
+import laurelkeel.records.RecordClock;
+import org.jspecify.annotations.Nullable;
 
-/** The line's side of the blame: fronts' reports in, findings out. On the line's thread. */
+/**
+ * The part of the rollout service that attributes regressions to builds: takes nodes' reports and returns findings. Not
+ * thread-safe; used on the service's loop.
+ */
 final class AttributionService {
-    private static final long PATIENCE = 4;
-    private static final int MOST_LIVES = 10_000;
+    /** What is stated of a build without a finding. */
+    static final String NONE = "none";
+    /** What is stated of a build that may cause a regression. */
+    static final String OPEN = "open";
+    /** What is stated of a build that causes a regression. */
+    static final String GUILTY = "guilty";
 
-    private final RegressionAttributor blame;
-    /** A front counts its own seconds; when its first report of a life came says which of the line's they are. */
-    private final Map<String, Long> offsets = new HashMap<>();
+    private static final long MAX_REPORT_DELAY_SECONDS = 4;
+    private static final int MAX_INCARNATIONS = 10_000;
+    private static final long MAX_OFFSET_DRIFT_SECONDS = 2;
+    private static final double MILLIS_PER_SECOND = 1000;
+
+    /** The service's answer on all findings. */
+    record Summary(
+            List<AttributionFinding> findings,
+            @JsonProperty("reportsDoubled") long duplicateReports,
+            @JsonProperty("reportsLate") long lateReports,
+            @JsonProperty("cellsUnsound") long invalidCells,
+            @JsonProperty("beyondBounds") long overLimitCells) {}
+
+    private record NodeKey(int nodeIndex, String incarnation) {}
+
+    private final RegressionAttributor attributor;
+    /** From a node's seconds to the service's, as its first report showed it. */
+    private final Map<NodeKey, Long> offsetSeconds = new HashMap<>();
 
     private List<AttributionFinding> findings = List.of();
 
-    AttributionService(int routes) {
-        blame = new RegressionAttributor(routes, PATIENCE);
+    AttributionService(int routeCount) {
+        attributor = new RegressionAttributor(routeCount, MAX_REPORT_DELAY_SECONDS);
     }
 
-    void offered(int build, long now) {
-        blame.rolloutStarted(build, now / 10_000);
+    void rolloutStarted(int build, long nowTicks) {
+        attributor.rolloutStarted(build, nowTicks / RecordClock.TICKS_PER_SECOND);
     }
 
-    void ended(int build, boolean released) {
-        blame.rolloutEnded(build, released);
+    void rolloutEnded(int build, boolean isReleased) {
+        attributor.rolloutEnded(build, isReleased);
     }
 
-    void setAside(int build) {
-        blame.rolloutSetAside(build);
+    void rolloutSetAside(int build) {
+        attributor.rolloutSetAside(build);
     }
 
-    /** Takes a report as it came over the wire; its errors are said. */
-    String take(JsonNode r, long now) {
-        int front = r.path("front").asInt(-1);
-        String life = r.path("life").asText("");
-        if (front < 0
-                || life.isEmpty()
-                || !r.path("second").isIntegralNumber()
-                || !r.path("cells").isArray()) {
-            return "a report has front, life, second, agoMs and cells";
-        }
-        long own = r.path("second").asLong();
-        long mine = (long) Math.floor((now / 10.0 - Math.max(0, r.path("agoMs").asDouble())) / 1000);
-        String name = front + "/" + life;
-        if (offsets.size() >= MOST_LIVES) {
-            offsets.clear();
-        }
-        long offset = offsets.merge(name, mine - own, (was, is) -> Math.abs(was - is) > 2 ? is : was);
-        List<NodeReport.Cell> cells = new ArrayList<>();
-        for (JsonNode c : r.path("cells")) {
-            cells.add(new NodeReport.Cell(
-                    c.path("build").asInt(-1),
-                    c.path("route").asInt(-1),
-                    c.path("machine").asText(null),
-                    c.path("customer").asInt(-1),
-                    c.path("tries").asInt(),
-                    c.path("fails").asInt(),
-                    c.path("silent").asInt(),
-                    c.path("wrongs").asInt(),
-                    c.path("rated").asInt(),
-                    c.path("logTime").asDouble(),
-                    c.path("logSquare").asDouble()));
+    /** Adds a report, and returns whether it counts. */
+    boolean addReport(ReceivedReport report, long nowTicks) {
+        double coveredMillis = nowTicks / RecordClock.TICKS_PER_MILLISECOND - report.ageMillis();
+        long serviceSecond = (long) Math.floor(coveredMillis / MILLIS_PER_SECOND);
+        if (offsetSeconds.size() >= MAX_INCARNATIONS) {
+            offsetSeconds.clear();
         }
-        return blame.addReport(new NodeReport(front, life, own + offset, cells), now / 10_000) ? null : "left out";
+        long offset = offsetSeconds.merge(
+                new NodeKey(report.nodeIndex(), report.incarnation()),
+                serviceSecond - report.nodeSecond(),
+                (known, measured) -> Math.abs(known - measured) > MAX_OFFSET_DRIFT_SECONDS ? measured : known);
+        NodeReport aligned =
+                new NodeReport(report.nodeIndex(), report.incarnation(), report.nodeSecond() + offset, report.cells());
+        return attributor.addReport(aligned, nowTicks / RecordClock.TICKS_PER_SECOND);
     }
 
-    List<AttributionFinding> judge(long now) {
-        findings = blame.evaluate(now / 10_000);
+    List<AttributionFinding> evaluate(long nowTicks) {
+        findings = attributor.evaluate(nowTicks / RecordClock.TICKS_PER_SECOND);
         return findings;
     }
 
-    AttributionFinding of(int build) {
-        return findings.stream().filter(f -> f.build() == build).findFirst().orElse(null);
+    private @Nullable AttributionFinding findingOn(int build) {
+        return findings.stream()
+                .filter(finding -> finding.build() == build)
+                .findFirst()
+                .orElse(null);
     }
 
-    /** The word that goes with the news of a build. */
-    String word(int build) {
-        AttributionFinding f = of(build);
-        return f == null
-                ? "none"
-                : f.verdict() == AttributionFinding.Verdict.GUILTY
-                        ? "guilty"
-                        : f.setAside()
-                                ? "set-aside"
-                                : f.hold()
-                                        ? "open"
-                                        : f.verdict() == AttributionFinding.Verdict.CLEARED ? "cleared" : "none";
+    /** What updates on a build state of it. */
+    String attributionOf(int build) {
+        AttributionFinding finding = findingOn(build);
+        if (finding == null) {
+            return NONE;
+        }
+        if (finding.verdict() == AttributionFinding.Verdict.GUILTY) {
+            return GUILTY;
+        }
+        if (finding.setAside()) {
+            return "set-aside";
+        }
+        if (finding.hold()) {
+            return OPEN;
+        }
+        return finding.verdict() == AttributionFinding.Verdict.CLEARED ? "cleared" : NONE;
     }
 
-    Map<String, Object> told() {
-        Map<String, Object> out = new LinkedHashMap<>();
-        out.put("findings", findings);
-        DiscardCounts discarded = blame.discarded();
-        out.put("reportsDoubled", discarded.duplicateReports());
-        out.put("reportsLate", discarded.lateReports());
-        out.put("cellsUnsound", discarded.invalidCells());
-        out.put("beyondBounds", discarded.overLimitCells());
-        return out;
+    Summary summary() {
+        DiscardCounts discarded = attributor.discarded();
+        return new Summary(
+                findings,
+                discarded.duplicateReports(),
+                discarded.lateReports(),
+                discarded.invalidCells(),
+                discarded.overLimitCells());
     }
 }
--- a/src/main/java/laurelkeel/testbed/BuildProfile.java
+++ b/src/main/java/laurelkeel/testbed/BuildProfile.java
@@ -5,14 +5,15 @@
 /**
  * How a build behaves.
  *
- * @param work its work beside a usual build's
- * @param failing the share of reqs that fail, by route
- * @param failingBusy the share that fails on a machine with all cores in use
- * @param wrong the share answered wrongly, which only clients notice
- * @param workBusy its work, beside a usual build's, on a machine with all cores in use
- * @param failsAfter how long after a machine's start failing acts, in tenths of a millisecond
- * @param togetherWith failing acts only while that build has machines too; 0 for always
- * @param harmsAll how many times slower all machines are where this build has all of them
+ * @param number the build's number
+ * @param workFactor its work, as a multiple of a usual build's
+ * @param failureShares the share of requests that fail, by route
+ * @param busyFailureShare the further share that fails on a server with all cores in use
+ * @param wrongAnswerShare the share answered wrongly, which only clients notice
+ * @param busyWorkFactor the multiple of its work on a server with all cores in use
+ * @param failureDelayTicks how long after a server's start failures begin
+ * @param interactingBuild failures occur only while that build has servers too; 0 for always
+ * @param fleetSlowdown by what factor all servers slow down where this build has all of them
  */
 public record BuildProfile(
         int number,
@@ -24,6 +25,7 @@
         long failureDelayTicks,
         int interactingBuild,
         double fleetSlowdown) {
+    /** A build without any fault. */
     public static BuildProfile healthy(int number) {
         return new BuildProfile(number, 1, Map.of(), 0, 0, 1, 0, 0, 1);
     }
--- a/src/main/java/laurelkeel/testbed/DeduplicationCache.java
+++ b/src/main/java/laurelkeel/testbed/DeduplicationCache.java
@@ -1,29 +1,30 @@
 package laurelkeel.testbed;
 
 import java.util.HashMap;
-import java.util.Iterator;
 import java.util.Map;
+import laurelkeel.records.RecordClock;
 
-/** What one group of machines remembers of marks: a mark met again within its route's window is a repeat. */
+/**
+ * The idempotency keys that a group of servers remembers: one that arrives again within its route's window is a
+ * repeat. Not thread-safe.
+ */
 final class DeduplicationCache {
-    private final Map<String, Long> until = new HashMap<>();
-    private long sweepAt;
+    private static final long SWEEP_INTERVAL_TICKS = RecordClock.TICKS_PER_SECOND;
 
-    /** True where the mark was met before; else it is remembered from now. */
-    boolean repeat(String mark, long now, long window) {
-        if (now >= sweepAt) {
-            sweepAt = now + 10_000;
-            for (Iterator<Long> i = until.values().iterator(); i.hasNext(); ) {
-                if (i.next() < now) {
-                    i.remove();
-                }
-            }
+    private final Map<String, Long> expiryTicksByKey = new HashMap<>();
+    private long nextSweepTicks;
+
+    /** Whether a key is a repeat; one that is not is remembered from now. */
+    boolean isRepeat(String idempotencyKey, long nowTicks, long windowTicks) {
+        if (nowTicks >= nextSweepTicks) {
+            nextSweepTicks = nowTicks + SWEEP_INTERVAL_TICKS;
+            expiryTicksByKey.values().removeIf(expiryTicks -> expiryTicks < nowTicks);
         }
-        Long known = until.get(mark);
-        if (known != null && known >= now) {
+        Long expiryTicks = expiryTicksByKey.get(idempotencyKey);
+        if (expiryTicks != null && expiryTicks >= nowTicks) {
             return true;
         }
-        until.put(mark, now + window);
+        expiryTicksByKey.put(idempotencyKey, nowTicks + windowTicks);
         return false;
     }
 }
--- a/src/main/java/laurelkeel/testbed/EndpointListService.java
+++ b/src/main/java/laurelkeel/testbed/EndpointListService.java
@@ -5,170 +5,212 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import laurelkeel.eventloop.EventLoop;
-import laurelkeel.records.RecordTerms;
+import laurelkeel.records.RecordClock;
+import laurelkeel.records.RecordTerms.EndpointState;
 
 /**
- * The machine list as a service: whole on a call, changes on a watch, both as late as it is set to be. It can run
- * stale, be down, and turn calls away past its rate.
+ * A simulated endpoint list service: snapshots on a call, deltas on a watch, both as late as it is set to be. It can be
+ * stale, be down, and rejects calls beyond a rate. Public methods are to be called on the loop's thread.
  */
 public final class EndpointListService {
-    private static final int KEPT = 500;
+    private static final String LIST_PATH = "/list";
+    private static final String WATCH_PATH = "/list/watch";
+    private static final String VERSION_PARAMETER = "after=";
+    private static final int MAX_DELTAS = 500;
+    private static final long NO_VERSION = -1;
+    private static final int OK = 200;
+    private static final int UNAVAILABLE = 503;
+
+    private record ListedEndpoint(
+            String endpointId,
+            int build,
+            String zone,
+            int cell,
+            EndpointState state,
+            long incarnation,
+            boolean startedCold) {
+        static ListedEndpoint of(SimulatedServer server, EndpointState state) {
+            return new ListedEndpoint(
+                    server.endpointId,
+                    server.build.number(),
+                    server.zone,
+                    server.cell,
+                    state,
+                    server.incarnation,
+                    server.startedCold);
+        }
+    }
 
-    private record Change(long version, Map<String, Object> machine) {}
+    private record Delta(long version, ListedEndpoint endpoint) {}
 
     private final EventLoop loop;
     private final JsonLineService service = new JsonLineService();
-    private final long lag;
+    private final long delayTicks;
     private final int callsPerSecond;
-    private final Map<String, Map<String, Object>> now = new LinkedHashMap<>();
-    private final Map<String, Long> startedAt = new LinkedHashMap<>();
-    private final ArrayDeque<Change> changes = new ArrayDeque<>();
+    private final Map<String, ListedEndpoint> endpoints = new LinkedHashMap<>();
+    private final Map<String, Long> startTicks = new LinkedHashMap<>();
+    private final ArrayDeque<Delta> deltas = new ArrayDeque<>();
     private long version = 1;
-    private long staleUntil, secondOf;
+    private long staleUntilTicks;
+    private long currentSecond;
     private int callsInSecond;
-    private volatile boolean down;
-
-    /** @param lag how late it learns, in tenths of a millisecond */
-    public EndpointListService(EventLoop loop, SimulatedFleet fleet, long lag, int callsPerSecond) throws IOException {
+    private volatile boolean isDown;
+
+    /**
+     * Creates one that listens to a fleet and has not started.
+     *
+     * @param delayTicks how late it learns of changes
+     * @param callsPerSecond beyond which it rejects calls
+     * @throws IOException where no port is free
+     */
+    public EndpointListService(EventLoop loop, SimulatedFleet fleet, long delayTicks, int callsPerSecond)
+            throws IOException {
         this.loop = loop;
-        this.lag = lag;
+        this.delayTicks = delayTicks;
         this.callsPerSecond = callsPerSecond;
-        fleet.watch((m, state) -> later(entry(m, state), m.startedAt, loop.nowTicks() + lag));
-        service.on("/list/watch", this::watch);
-        service.on("/list", x -> {
-            if (allowed()) {
-                JsonLineService.say(x, 200, whole());
-            } else {
-                JsonLineService.say(x, 503, null);
-            }
-        });
+        fleet.setStateListener((server, state) ->
+                applyLater(ListedEndpoint.of(server, state), server.startTicks, loop.nowTicks() + delayTicks));
+        service.handle(WATCH_PATH, this::watch);
+        service.handle(LIST_PATH, this::list);
     }
 
+    /** Begins to serve, and returns where. */
     public InetSocketAddress start() {
         service.start();
         return service.address();
     }
 
+    /** Ends all watches and closes the port. */
     public void close() {
         service.close();
     }
 
-    /** Learns nothing new for a while; then all at once. */
-    public void stale(long until) {
-        staleUntil = until;
-    }
-
-    /** Cuts all watchers and answers nobody for a while. */
-    public void down(long until) {
-        down = true;
-        service.watchers.forEach(JsonLineService.Watcher::cut);
-        loop.schedule(until, () -> down = false);
+    /** Learns of no change until a moment; then of all at once. */
+    public void setStaleUntil(long untilTicks) {
+        staleUntilTicks = untilTicks;
     }
 
-    private static Map<String, Object> entry(SimulatedServer m, RecordTerms.EndpointState state) {
-        Map<String, Object> e = new LinkedHashMap<>();
-        e.put("machine", m.id);
-        e.put("build", m.build.number());
-        e.put("zone", m.zone);
-        e.put("cell", m.cell);
-        e.put("kind", 0);
-        e.put("size", 1.0);
-        e.put("state", state.storedName().toLowerCase(Locale.ROOT));
-        e.put("run", m.run);
-        e.put("cold", m.cold);
-        return e;
+    /** Ends all watches and rejects calls until a moment. */
+    public void setDownUntil(long untilTicks) {
+        isDown = true;
+        service.cutWatchers();
+        loop.schedule(untilTicks, () -> isDown = false);
     }
 
-    private void later(Map<String, Object> entry, long started, long at) {
-        long when = Math.max(at, staleUntil + lag);
-        loop.schedule(when, () -> {
-            if (loop.nowTicks() < staleUntil) {
-                later(entry, started, staleUntil);
+    private void applyLater(ListedEndpoint endpoint, long serverStartTicks, long dueTicks) {
+        long notBeforeTicks = Math.max(dueTicks, staleUntilTicks + delayTicks);
+        loop.schedule(notBeforeTicks, () -> {
+            if (loop.nowTicks() < staleUntilTicks) {
+                applyLater(endpoint, serverStartTicks, staleUntilTicks);
             } else {
-                apply(entry, started);
+                apply(endpoint, serverStartTicks);
             }
         });
     }
 
-    private synchronized void apply(Map<String, Object> entry, long started) {
-        String id = (String) entry.get("machine");
-        Map<String, Object> known = now.get(id);
-        boolean older = known != null && (long) known.get("run") > (long) entry.get("run");
-        if (older) {
+    private synchronized void apply(ListedEndpoint endpoint, long serverStartTicks) {
+        String endpointId = endpoint.endpointId();
+        ListedEndpoint known = endpoints.get(endpointId);
+        if (known != null && known.incarnation() > endpoint.incarnation()) {
             return;
         }
         version++;
-        startedAt.put(id, started);
-        if (entry.get("state").equals("gone")) {
-            now.remove(id);
+        startTicks.put(endpointId, serverStartTicks);
+        if (endpoint.state() == EndpointState.REMOVED) {
+            endpoints.remove(endpointId);
         } else {
-            now.put(id, entry);
+            endpoints.put(endpointId, endpoint);
         }
-        changes.addLast(new Change(version, entry));
-        if (changes.size() > KEPT) {
-            changes.pollFirst();
+        deltas.addLast(new Delta(version, endpoint));
+        if (deltas.size() > MAX_DELTAS) {
+            deltas.removeFirst();
         }
-        Map<String, Object> line = line("changes", version - 1, List.of(entry));
-        service.watchers.forEach(w -> w.tell(line));
+        EndpointListMessage message = message(EndpointListMessage.DELTA, version - 1, List.of(endpoint));
+        service.watchers().forEach(watcher -> watcher.send(message));
+    }
+
+    private EndpointListMessage message(String kind, long previous, Collection<ListedEndpoint> listed) {
+        return new EndpointListMessage(
+                kind, version, previous, listed.stream().map(this::message).toList());
     }
 
-    private Map<String, Object> line(String kind, long previous, List<Map<String, Object>> machines) {
-        Map<String, Object> line = new LinkedHashMap<>();
-        line.put("kind", kind);
-        line.put("version", version);
-        line.put("previous", previous);
-        line.put("machines", machines.stream().map(this::aged).toList());
-        return line;
+    private EndpointListMessage.Endpoint message(ListedEndpoint endpoint) {
+        double ageMillis = EndpointListMessage.Endpoint.STARTED_WARM;
+        if (endpoint.startedCold()) {
+            long startedAtTicks = startTicks.getOrDefault(endpoint.endpointId(), loop.clockTicks());
+            ageMillis = (loop.clockTicks() - startedAtTicks) / RecordClock.TICKS_PER_MILLISECOND;
+        }
+        return new EndpointListMessage.Endpoint(
+                endpoint.endpointId(),
+                endpoint.build(),
+                endpoint.zone(),
+                endpoint.cell(),
+                0,
+                1.0,
+                ServiceTerms.wireName(endpoint.state()),
+                endpoint.incarnation(),
+                ageMillis);
     }
 
-    private Map<String, Object> aged(Map<String, Object> entry) {
-        Map<String, Object> e = new LinkedHashMap<>(entry);
-        boolean cold = (boolean) e.remove("cold");
-        e.put("ageMs", cold ? (loop.clockTicks() - startedAt.get((String) e.get("machine"))) / 10.0 : -1);
-        return e;
+    private synchronized EndpointListMessage snapshot() {
+        return message(EndpointListMessage.SNAPSHOT, 0, endpoints.values());
     }
 
-    private synchronized Map<String, Object> whole() {
-        return line("full", 0, new ArrayList<>(now.values()));
+    private synchronized boolean admitCall() {
+        long second = loop.clockTicks() / RecordClock.TICKS_PER_SECOND;
+        callsInSecond = second == currentSecond ? callsInSecond + 1 : 1;
+        currentSecond = second;
+        return !isDown && callsInSecond <= callsPerSecond;
     }
 
-    private synchronized boolean allowed() {
-        long second = loop.clockTicks() / 10_000;
-        callsInSecond = second == secondOf ? callsInSecond + 1 : 1;
-        secondOf = second;
-        return !down && callsInSecond <= callsPerSecond;
+    private void list(HttpExchange exchange) throws IOException {
+        if (admitCall()) {
+            JsonLineService.respond(exchange, OK, snapshot());
+        } else {
+            JsonLineService.respond(exchange, UNAVAILABLE, null);
+        }
     }
 
-    private void watch(HttpExchange x) throws IOException {
-        if (!allowed()) {
-            JsonLineService.say(x, 503, null);
+    private void watch(HttpExchange exchange) throws IOException {
+        if (!admitCall()) {
+            JsonLineService.respond(exchange, UNAVAILABLE, null);
             return;
         }
-        String query = x.getRequestURI().getQuery();
-        long after = query != null && query.startsWith("after=") ? Long.parseLong(query.substring(6)) : -1;
-        JsonLineService.Watcher w = new JsonLineService.Watcher();
-        synchronized (this) {
-            boolean known = after >= 0
-                    && after <= version
-                    && (after == version || (!changes.isEmpty() && changes.peekFirst().version <= after + 1));
-            if (known) {
-                w.tell(line(
-                        "changes",
-                        after,
-                        changes.stream()
-                                .filter(c -> c.version > after)
-                                .map(Change::machine)
-                                .toList()));
-            } else {
-                w.tell(whole());
+        String query = exchange.getRequestURI().getQuery();
+        long knownVersion = query != null && query.startsWith(VERSION_PARAMETER)
+                ? Long.parseLong(query.substring(VERSION_PARAMETER.length()))
+                : NO_VERSION;
+        JsonLineService.Watcher watcher = new JsonLineService.Watcher();
+        addWatcher(watcher, knownVersion);
+        service.stream(exchange, watcher);
+    }
+
+    /** Sends what a watcher lacks and adds it, with no change in between. */
+    private synchronized void addWatcher(JsonLineService.Watcher watcher, long knownVersion) {
+        if (hasDeltasSince(knownVersion)) {
+            List<ListedEndpoint> missed = new ArrayList<>();
+            for (Delta delta : deltas) {
+                if (delta.version() > knownVersion) {
+                    missed.add(delta.endpoint());
+                }
             }
-            service.watchers.add(w);
+            watcher.send(message(EndpointListMessage.DELTA, knownVersion, missed));
+        } else {
+            watcher.send(snapshot());
+        }
+        service.addWatcher(watcher);
+    }
+
+    private boolean hasDeltasSince(long knownVersion) {
+        if (knownVersion < 0 || knownVersion > version) {
+            return false;
         }
-        service.stream(x, w);
+        Delta oldest = deltas.peekFirst();
+        return knownVersion == version || (oldest != null && oldest.version() <= knownVersion + 1);
     }
 }
--- a/src/main/java/laurelkeel/testbed/LoadGenerator.java
+++ b/src/main/java/laurelkeel/testbed/LoadGenerator.java
@@ -1,525 +1,359 @@
 package laurelkeel.testbed;
 
+import static java.nio.charset.StandardCharsets.US_ASCII;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.SplittableRandom;
+import java.util.Objects;
 import java.util.function.Consumer;
 import laurelkeel.eventloop.EventLoop;
 import laurelkeel.records.RecordClock;
-import laurelkeel.records.RecordTerms;
+import laurelkeel.records.RecordTerms.Outcome;
 import laurelkeel.records.TrafficRecord;
 import laurelkeel.wire.HeaderNames;
 import laurelkeel.wire.Headers;
-import laurelkeel.wire.HttpCodec;
-import laurelkeel.wire.HttpLimits;
 import laurelkeel.wire.HttpRequest;
 import laurelkeel.wire.HttpResponse;
-import org.HdrHistogram.Histogram;
-import org.apache.mina.core.future.ConnectFuture;
-import org.apache.mina.core.service.IoHandlerAdapter;
-import org.apache.mina.core.session.AttributeKey;
-import org.apache.mina.core.session.IoSession;
-import org.apache.mina.transport.socket.nio.NioSocketConnector;
+import org.jspecify.annotations.Nullable;
 
 /**
- * Callers of the fronts: reqs at chance moments whatever the answers do (open loop), with keys of which few are
- * popular, deadlines, customers, retries where a shed or the route allows them, and some who leave early.
+ * Clients of the nodes: calls at random moments whatever the responses do (open loop), with partition keys of which few
+ * are popular, deadlines, tenants, retries where a rejection or the route allows them, and some that close early.
+ * Everything but the sockets happens on the loop's thread, which all methods are to be called on.
  */
 public final class LoadGenerator {
-    private static final AttributeKey CONN = new AttributeKey(LoadGenerator.class, "conn");
-    /** How long past its time a client still listens, for what was written in time. */
-    private static final long SLACK = 200;
-    /** What a client takes off the time it tells, for the way there and back on a host that stalls. */
-    private static final long WAY = 1000;
-
-    /** timeout in tenths of a millisecond; share of all reqs. */
-    public record LoadRoute(
-            String name,
-            String method,
-            String path,
-            TrafficRecord.RoutePolicy policy,
-            long timeoutTicks,
-            double share) {}
-
-    public record LoadProfile(
-            List<LoadRoute> routes,
-            Map<String, Double> tenantShares,
-            double requestsPerSecond,
-            int keyCount,
-            double keyPopularityExponent,
-            double keylessShare,
-            int maxRetries,
-            double earlyCloseShare,
-            double complaintShare) {}
-
-    /** What callers met, by route. */
-    public static final class RouteStatistics {
-        public final Histogram completionTicks = new Histogram(600_000_000L, 3);
-        public long calls,
-                requests,
-                completed,
-                rejected,
-                failed,
-                connectionsBroken,
-                connectFailures,
-                closedEarly,
-                overdue,
-                bad,
-                callsCompleted;
-    }
-
-    private final class Call {
-        final String of;
-        final LoadRoute route;
-        final String customer, key, mark;
-        final long firstAt = loop.nowTicks();
-        final RouteStatistics tally;
-        long mayHaveRunAt = Long.MIN_VALUE;
-        int again, unreached;
-
-        Call(String of, LoadRoute route, String customer, String key) {
-            this.of = of;
-            this.route = route;
-            this.customer = customer;
-            this.key = key;
-            this.mark = route.policy().idempotency() == RecordTerms.Idempotency.DEDUPLICATED ? "m-" + of : null;
-            this.tally = statistics.get(route.name());
-        }
-    }
-
-    private static final class Try {
-        final Call call;
-        final String id;
-        final int front;
-        final long leaves;
-        final boolean complaint;
-        EventLoop.ScheduledTask end, early;
-        boolean over;
-
-        Try(Call call, String id, int front, long leaves, boolean complaint) {
-            this.call = call;
-            this.id = id;
-            this.front = front;
-            this.leaves = leaves;
-            this.complaint = complaint;
-        }
-    }
-
-    private static final class Conn {
-        final int front;
-        IoSession session;
-        Try current;
-        String lastReq = "";
-        boolean gaveUp;
-
-        Conn(int front) {
-            this.front = front;
-        }
-    }
+    /** How long past its deadline a client still listens, for what was sent in time. */
+    private static final long READ_TOLERANCE_TICKS = 200;
+    /** What a client takes off the time that it states, for the way there and back on a host that stalls. */
+    private static final long ROUND_TRIP_ALLOWANCE_TICKS = 1_000;
+
+    private static final long MIN_STATED_TICKS = 10;
+    private static final long MAX_EARLY_CLOSE_TICKS = 400;
+    private static final long COMPLAINT_DELAY_TICKS = 3_000;
+    private static final long COMPLAINT_TIMEOUT_TICKS = 10_000;
+    private static final String COMPLAINT_PATH = "/.laurelkeel/complaints";
+    /** The delay before a retry where the response names none. */
+    private static final long REJECTION_RETRY_TICKS = 100;
+
+    private static final long FAILURE_RETRY_TICKS = 200;
+    private static final int MAX_CONNECT_FAILURES = 6;
+    private static final int HTTP_MINOR_VERSION = 1;
 
     private final EventLoop loop;
-    private final LoadProfile rule;
+    private final LoadProfile profile;
     private final Consumer<TrafficRecord> records;
-    private final SplittableRandom random;
-    private final NioSocketConnector connector = new NioSocketConnector(2);
-    private final List<InetSocketAddress> fronts = new ArrayList<>();
-    private final List<ArrayDeque<Conn>> idle = new ArrayList<>();
-    private final double[] weights;
-    private final double[] keyEnds;
+    private final LoadSampler sampler;
+    private final ClientConnectionPool connections;
     private final Map<String, RouteStatistics> statistics = new HashMap<>();
-    private double burst = 1, hotShare;
-    private String hotKey;
-    private long ids;
+    private long nextId;
     private int openRequests;
-    private boolean running;
-    private long due;
-
+    private boolean isRunning;
+    /** When the last call was due; 0 before the first. */
+    private long lastArrivalTicks;
+
+    /**
+     * Creates one that has not started.
+     *
+     * @param nodeAddresses by node index
+     */
     public LoadGenerator(
             EventLoop loop,
-            LoadProfile rule,
-            List<InetSocketAddress> fronts,
+            LoadProfile profile,
+            List<InetSocketAddress> nodeAddresses,
             long seed,
             Consumer<TrafficRecord> records) {
         this.loop = loop;
-        this.rule = rule;
+        this.profile = profile;
         this.records = records;
-        this.random = new SplittableRandom(seed);
-        weights = new double[fronts.size()];
-        for (InetSocketAddress f : fronts) {
-            this.fronts.add(f);
-            idle.add(new ArrayDeque<>());
-            weights[idle.size() - 1] = 1;
-        }
-        keyEnds = new double[rule.keyCount()];
-        double sum = 0;
-        for (int i = 0; i < keyEnds.length; i++) {
-            sum += 1 / Math.pow(i + 1, rule.keyPopularityExponent());
-            keyEnds[i] = sum;
+        this.sampler = new LoadSampler(profile, nodeAddresses.size(), seed);
+        this.connections = new ClientConnectionPool(loop, nodeAddresses, new ConnectionListener());
+        for (LoadRoute route : profile.routes()) {
+            statistics.put(route.name(), new RouteStatistics());
         }
-        rule.routes().forEach(r -> statistics.put(r.name(), new RouteStatistics()));
-        connector.setConnectTimeoutMillis(1000);
-        connector.getSessionConfig().setTcpNoDelay(true);
-        connector.getFilterChain().addLast("http", HttpCodec.client(HttpLimits.DEFAULT));
-        connector.setHandler(new Handler());
     }
 
+    /** Begins to make calls. */
     public void start() {
-        running = true;
-        next();
+        isRunning = true;
+        scheduleNextCall();
     }
 
-    /** No new reqs; those out end in their time. */
+    /** Begins no more calls; open requests end by their deadlines. */
     public void stop() {
-        running = false;
+        isRunning = false;
     }
 
+    /** Closes all connections. */
     public void close() {
-        connector.dispose(false);
+        connections.close();
     }
 
-    /** Tries not over yet. */
+    /** How many requests have not ended. */
     public int openRequests() {
         return openRequests;
     }
 
+    /** By route name. */
     public Map<String, RouteStatistics> statistics() {
         return statistics;
     }
 
-    /** Times the usual rate, from now. */
-    public void burst(double by) {
-        burst = by;
+    /** Multiplies the profile's rate from now on. */
+    public void setRateFactor(double rateFactor) {
+        sampler.setRateFactor(rateFactor);
     }
 
-    /** The share of all reqs that one front gets from now; 0 for an even part. */
-    public void shift(int front, double share) {
-        double rest = share <= 0 ? 1 : (1 - share) / Math.max(1, weights.length - 1);
-        for (int i = 0; i < weights.length; i++) {
-            weights[i] = i == front && share > 0 ? share : rest;
-        }
+    /** Sends a share of all requests to one node from now on; 0 for an even spread. */
+    public void setNodeShare(int nodeIndex, double share) {
+        sampler.setNodeShare(nodeIndex, share);
     }
 
-    /** One key that draws a share of all reqs from now; 0 ends it. */
-    public void hotKey(double share) {
-        hotShare = share;
-        hotKey = "hot-" + ids;
+    /** Gives one new key a share of all calls from now on; 0 ends it. */
+    public void setHotKeyShare(double share) {
+        sampler.setHotKey("hot-" + nextId, share);
     }
 
-    // ---- reqs
-
-    private void next() {
-        if (!running) {
+    private void scheduleNextCall() {
+        if (!isRunning) {
             return;
         }
-        double wait = -Math.log(1 - random.nextDouble()) / (rule.requestsPerSecond() * burst) * 10_000;
-        // from when the last one was due, not from when this thread got to it: else a busy host thins the load
-        due = (due == 0 ? loop.nowTicks() : due) + Math.round(wait);
-        loop.schedule(due, () -> {
-            next();
-            begin();
+        long interArrivalTicks = sampler.nextInterArrivalTicks();
+        // from when the last call was due, not from when this thread got to it: else a busy host thins the load
+        lastArrivalTicks = (lastArrivalTicks == 0 ? loop.nowTicks() : lastArrivalTicks) + interArrivalTicks;
+        loop.schedule(lastArrivalTicks, () -> {
+            scheduleNextCall();
+            beginCall();
         });
     }
 
-    private <T> T drawn(List<T> from, java.util.function.ToDoubleFunction<T> share) {
-        double at = random.nextDouble() * from.stream().mapToDouble(share).sum();
-        for (T t : from) {
-            at -= share.applyAsDouble(t);
-            if (at < 0) {
-                return t;
-            }
-        }
-        return from.get(from.size() - 1);
-    }
-
-    private void begin() {
-        if (!running) {
+    private void beginCall() {
+        if (!isRunning) {
             return;
         }
-        LoadRoute route = drawn(rule.routes(), LoadRoute::share);
-        String customer = rule.tenantShares().isEmpty()
-                ? null
-                : drawn(new ArrayList<>(rule.tenantShares().entrySet()), Map.Entry::getValue)
-                        .getKey();
-        String key = random.nextDouble() < rule.keylessShare() ? null : key();
-        Call c = new Call("c" + ids++, route, customer, key);
-        c.tally.calls++;
-        ask(c, false);
-    }
-
-    private String key() {
-        if (random.nextDouble() < hotShare) {
-            return hotKey;
-        }
-        double at = random.nextDouble() * keyEnds[keyEnds.length - 1];
-        int i = java.util.Arrays.binarySearch(keyEnds, at);
-        return "k" + (i < 0 ? -i - 1 : i);
+        LoadRoute route = sampler.nextRoute();
+        String tenant = sampler.nextTenant();
+        String partitionKey = sampler.nextPartitionKey();
+        RouteStatistics routeStatistics = Objects.requireNonNull(statistics.get(route.name()));
+        ClientCall call = new ClientCall("c" + nextId++, route, tenant, partitionKey, loop.nowTicks(), routeStatistics);
+        call.statistics.calls++;
+        sendRequest(call, false);
     }
 
-    private int front() {
-        double sum = 0;
-        for (double w : weights) {
-            sum += w;
-        }
-        double at = random.nextDouble() * sum;
-        for (int i = 0; i < weights.length; i++) {
-            at -= weights[i];
-            if (at < 0) {
-                return i;
-            }
+    private void sendRequest(ClientCall call, boolean isRetry) {
+        long remainingTicks = call.deadlineTicks() - loop.nowTicks();
+        if (remainingTicks < 2 * ROUND_TRIP_ALLOWANCE_TICKS) {
+            return;
         }
-        return weights.length - 1;
+        int nodeIndex = (sampler.nextNodeIndex() + call.connectFailures) % connections.nodeCount();
+        ClientRequest request = new ClientRequest(
+                call, call.callId + "." + nextId++, nodeIndex, loop.nowTicks() + remainingTicks, false);
+        openRequests++;
+        call.statistics.requests++;
+        connections.connect(
+                request,
+                connection -> write(connection, request, remainingTicks, isRetry),
+                () -> connectFailed(request));
     }
 
-    private void ask(Call c, boolean again) {
-        long left = c.firstAt + c.route.timeoutTicks() - loop.nowTicks();
-        if (left < 2 * WAY) {
-            return;
+    private void write(ClientConnection connection, ClientRequest request, long remainingTicks, boolean isRetry) {
+        ClientCall call = request.call;
+        records.accept(new TrafficRecord.RequestSent(
+                RecordClock.nowTicks(),
+                request.requestId,
+                call.callId,
+                request.nodeIndex,
+                call.route.name(),
+                call.tenant,
+                call.partitionKey,
+                call.idempotencyKey,
+                RecordClock.nowTicks() + (request.deadlineTicks - loop.clockTicks()),
+                isRetry));
+        connection.session.write(encode(request, isRetry));
+        request.setDeadlineTimer(
+                loop.schedule(request.deadlineTicks + READ_TOLERANCE_TICKS, () -> abandon(connection, request, false)));
+        if (sampler.chance(profile.earlyCloseShare())) {
+            long delayTicks = sampler.nextTicks((double) Math.min(remainingTicks / 4, MAX_EARLY_CLOSE_TICKS));
+            request.setEarlyCloseTimer(
+                    loop.schedule(loop.nowTicks() + delayTicks, () -> abandon(connection, request, true)));
         }
-        int front = (front() + c.unreached) % fronts.size();
-        Try t = new Try(c, c.of + "." + ids++, front, loop.nowTicks() + left, false);
-        openRequests++;
-        c.tally.requests++;
-        connected(front, t, conn -> {
-            records.accept(new TrafficRecord.RequestSent(
-                    RecordClock.nowTicks(),
-                    t.id,
-                    c.of,
-                    front,
-                    c.route.name(),
-                    c.customer,
-                    c.key,
-                    c.mark,
-                    RecordClock.nowTicks() + (t.leaves - loop.clockTicks()),
-                    again));
-            conn.session.write(http(c, t, again));
-            t.end = loop.schedule(t.leaves + SLACK, () -> giveUp(conn, t, false));
-            if (random.nextDouble() < rule.earlyCloseShare()) {
-                t.early = loop.schedule(
-                        loop.nowTicks() + (long) (random.nextDouble() * Math.min(left / 4, 400)),
-                        () -> giveUp(conn, t, true));
-            }
-        });
     }
 
-    private HttpRequest http(Call c, Try t, boolean again) {
-        Headers h = new Headers()
+    private HttpRequest encode(ClientRequest request, boolean isRetry) {
+        ClientCall call = request.call;
+        long statedTicks = request.deadlineTicks - ROUND_TRIP_ALLOWANCE_TICKS - loop.clockTicks();
+        double statedMillis = Math.max(MIN_STATED_TICKS, statedTicks) / RecordClock.TICKS_PER_MILLISECOND;
+        Headers headers = new Headers()
                 .add("Host", "front")
-                .add(HeaderNames.REQUEST_ID, t.id)
-                .add(HeaderNames.REMAINING, Double.toString(Math.max(10, t.leaves - WAY - loop.clockTicks()) / 10.0));
-        if (c.customer != null) {
-            h.add(HeaderNames.TENANT, c.customer);
-        }
-        if (c.key != null) {
-            h.add(HeaderNames.PARTITION_KEY, c.key);
-        }
-        if (c.mark != null) {
-            h.add(HeaderNames.IDEMPOTENCY_KEY, c.mark);
-        }
-        if (again) {
-            h.add(HeaderNames.CLIENT_RETRY, "1");
+                .add(HeaderNames.REQUEST_ID, request.requestId)
+                .add(HeaderNames.REMAINING, Double.toString(statedMillis));
+        addIfPresent(headers, HeaderNames.TENANT, call.tenant);
+        addIfPresent(headers, HeaderNames.PARTITION_KEY, call.partitionKey);
+        addIfPresent(headers, HeaderNames.IDEMPOTENCY_KEY, call.idempotencyKey);
+        if (isRetry) {
+            headers.add(HeaderNames.CLIENT_RETRY, "1");
         }
-        boolean body = !c.route.method().equals("GET");
+        byte[] body = call.route.method().equals("GET") ? new byte[0] : "change".getBytes(US_ASCII);
         return new HttpRequest(
-                c.route.method(),
-                c.route.path() + "/" + t.id,
-                1,
-                h,
-                body ? "change".getBytes(StandardCharsets.US_ASCII) : new byte[0]);
+                call.route.method(), call.route.path() + "/" + request.requestId, HTTP_MINOR_VERSION, headers, body);
     }
 
-    private void connected(int front, Try t, Consumer<Conn> then) {
-        ArrayDeque<Conn> pool = idle.get(front);
-        for (Conn c = pool.pollFirst(); c != null; c = pool.pollFirst()) {
-            if (!c.session.isClosing()) {
-                c.current = t;
-                c.lastReq = t.id;
-                then.accept(c);
-                return;
-            }
+    private static void addIfPresent(Headers headers, String name, @Nullable String value) {
+        if (value != null) {
+            headers.add(name, value);
         }
-        connector
-                .connect(fronts.get(front))
-                .addListener(f -> loop.post(() -> {
-                    ConnectFuture connected = (ConnectFuture) f;
-                    if (!connected.isConnected() || !connected.getSession().isConnected()) {
-                        t.call.tally.connectFailures++;
-                        over(t);
-                        if (++t.call.unreached < 6) {
-                            ask(t.call, t.call.again > 0);
-                        }
-                        return;
-                    }
-                    Conn c = new Conn(front);
-                    c.session = connected.getSession();
-                    c.session.setAttribute(CONN, c);
-                    c.current = t;
-                    c.lastReq = t.id;
-                    then.accept(c);
-                }));
     }
 
-    private void over(Try t) {
-        if (!t.over) {
-            t.over = true;
-            openRequests -= t.complaint ? 0 : 1;
-            if (t.end != null) {
-                t.end.cancel();
-            }
-            if (t.early != null) {
-                t.early.cancel();
-            }
+    private void connectFailed(ClientRequest request) {
+        ClientCall call = request.call;
+        call.statistics.connectFailures++;
+        end(request);
+        call.connectFailures++;
+        if (call.connectFailures < MAX_CONNECT_FAILURES) {
+            sendRequest(call, call.retries > 0);
         }
     }
 
-    private void giveUp(Conn conn, Try t, boolean early) {
-        if (!t.over) {
-            records.accept(new TrafficRecord.ClientClosed(RecordClock.nowTicks(), t.id, early));
-            t.call.tally.closedEarly += early ? 1 : 0;
-            t.call.tally.overdue += early ? 0 : 1;
-            over(t);
-            conn.current = null;
-            conn.gaveUp = true;
-            conn.session.closeNow();
+    private void end(ClientRequest request) {
+        if (request.end() && !request.isComplaint) {
+            openRequests--;
         }
     }
 
-    // ---- answers
-
-    private void answered(Conn conn, HttpResponse a, long at) {
-        Try t = conn.current;
-        if (conn.gaveUp) {
+    private void abandon(ClientConnection connection, ClientRequest request, boolean beforeDeadline) {
+        if (request.hasEnded()) {
             return;
         }
-        if (t == null || t.over) {
-            records.accept(new TrafficRecord.UnexpectedBytes(at, conn.lastReq, "an answer of status " + a.status()));
-            conn.session.closeNow();
-            return;
-        }
-        conn.current = null;
-        over(t);
-        if (a.closesConnection()) {
-            conn.session.closeNow();
-        } else {
-            idle.get(conn.front).addFirst(conn);
-        }
-        if (t.complaint) {
-            return;
+        records.accept(new TrafficRecord.ClientClosed(RecordClock.nowTicks(), request.requestId, beforeDeadline));
+        if (beforeDeadline) {
+            request.call.statistics.closedEarly++;
         }
-        RouteStatistics tally = t.call.tally;
-        String how = a.headers().get(HeaderNames.RESULT);
-        RecordTerms.Outcome is = "completed".equals(how)
-                ? RecordTerms.Outcome.COMPLETED
-                : "shed".equals(how) ? RecordTerms.Outcome.REJECTED : RecordTerms.Outcome.FAILED;
+        end(request);
+        connection.abandon();
+    }
+
+    private void complete(ClientRequest request, HttpResponse response, long receivedAtTicks) {
+        RouteStatistics routeStatistics = request.call.statistics;
+        Headers headers = response.headers();
+        Outcome outcome = outcome(headers.get(HeaderNames.RESULT));
         records.accept(new TrafficRecord.ResponseReceived(
-                at, t.id, a.status(), is, "no".equals(a.headers().get(HeaderNames.ACCEPTED))));
-        switch (is) {
+                receivedAtTicks,
+                request.requestId,
+                response.status(),
+                outcome,
+                "no".equals(headers.get(HeaderNames.ACCEPTED))));
+        switch (outcome) {
             case COMPLETED -> {
-                tally.completed++;
-                tally.callsCompleted++;
-                tally.completionTicks.recordValue(Math.max(0, loop.nowTicks() - t.call.firstAt));
-                boolean wrong = a.body().length >= 5 && new String(a.body(), 0, 5, UTF_8).equals("wrong");
-                if (wrong && random.nextDouble() < rule.complaintShare()) {
-                    complain(t.front, t.call, a.headers().get(HeaderNames.RESPONSE_REFERENCE));
+                routeStatistics.recordCompletion(Math.max(0, loop.nowTicks() - request.call.startTicks));
+                if (isWrong(response) && sampler.chance(profile.complaintShare())) {
+                    complain(request, headers.get(HeaderNames.RESPONSE_REFERENCE));
                 }
             }
             case REJECTED -> {
-                tally.rejected++;
-                String after = a.headers().get(HeaderNames.RETRY_AFTER_MS);
-                retry(t.call, after == null ? 100 : Long.parseLong(after) * 10);
+                routeStatistics.rejected++;
+                retry(request.call, retryAfterTicks(headers));
             }
             case FAILED -> {
-                tally.failed++;
-                tally.bad += a.status() < 500 ? 1 : 0;
-                retryIfHarmless(t);
+                routeStatistics.failed++;
+                retryIfSafe(request.call);
             }
         }
     }
 
-    private void complain(int front, Call c, String ref) {
-        Try t = new Try(c, "complaint", front, loop.nowTicks() + 10_000, true);
-        HttpRequest http = new HttpRequest(
+    private static Outcome outcome(@Nullable String result) {
+        if ("completed".equals(result)) {
+            return Outcome.COMPLETED;
+        }
+        return "shed".equals(result) ? Outcome.REJECTED : Outcome.FAILED;
+    }
+
+    private static boolean isWrong(HttpResponse response) {
+        return new String(response.body(), UTF_8).startsWith(SimulatedServer.WRONG_ANSWER);
+    }
+
+    private static long retryAfterTicks(Headers headers) {
+        String millis = headers.get(HeaderNames.RETRY_AFTER_MS);
+        return millis == null
+                ? REJECTION_RETRY_TICKS
+                : Long.parseLong(millis) * (long) RecordClock.TICKS_PER_MILLISECOND;
+    }
+
+    private void complain(ClientRequest about, @Nullable String responseReference) {
+        ClientRequest complaint = new ClientRequest(
+                about.call, "complaint", about.nodeIndex, loop.nowTicks() + COMPLAINT_TIMEOUT_TICKS, true);
+        HttpRequest message = new HttpRequest(
                 "POST",
-                "/.laurelkeel/complaints",
-                1,
+                COMPLAINT_PATH,
+                HTTP_MINOR_VERSION,
                 Headers.of("Host", "front"),
-                String.valueOf(ref).getBytes(StandardCharsets.US_ASCII));
-        loop.schedule(loop.nowTicks() + 3_000, () -> connected(front, t, conn -> conn.session.write(http)));
+                String.valueOf(responseReference).getBytes(US_ASCII));
+        loop.schedule(
+                loop.nowTicks() + COMPLAINT_DELAY_TICKS,
+                () -> connections.connect(
+                        complaint, connection -> connection.session.write(message), () -> connectFailed(complaint)));
     }
 
-    /** What failed may have run: only a route that bears it is asked again. */
-    private void retryIfHarmless(Try t) {
-        Call c = t.call;
-        c.mayHaveRunAt = c.mayHaveRunAt == Long.MIN_VALUE ? loop.nowTicks() : c.mayHaveRunAt;
-        TrafficRecord.RoutePolicy r = c.route.policy();
-        // the machines' memory began with a try that ran later than the first ask
-        boolean marked = r.idempotency() == RecordTerms.Idempotency.DEDUPLICATED
-                && r.deduplicationScope() == RecordTerms.DeduplicationScope.ALL
-                && loop.nowTicks() < c.firstAt + r.deduplicationWindowTicks() / 2;
-        if (r.idempotency() == RecordTerms.Idempotency.IDEMPOTENT || marked) {
-            retry(c, 200);
+    private void retryIfSafe(ClientCall call) {
+        if (call.isRetrySafe(loop.nowTicks())) {
+            retry(call, FAILURE_RETRY_TICKS);
         }
     }
 
-    private void retry(Call c, long after) {
-        if (running && c.again < rule.maxRetries()) {
-            c.again++;
-            loop.schedule(loop.nowTicks() + after + (long) (random.nextDouble() * after / 4), () -> ask(c, true));
+    private void retry(ClientCall call, long delayTicks) {
+        if (isRunning && call.retries < profile.maxRetries()) {
+            call.retries++;
+            long jitterTicks = sampler.nextTicks(delayTicks / 4.0);
+            loop.schedule(loop.nowTicks() + delayTicks + jitterTicks, () -> sendRequest(call, true));
         }
     }
 
-    private final class Handler extends IoHandlerAdapter {
-        @Override
-        public void messageReceived(IoSession session, Object message) {
-            long at = RecordClock.nowTicks();
-            loop.post(() -> {
-                if (session.getAttribute(CONN) instanceof Conn c) {
-                    if (message instanceof HttpResponse a) {
-                        answered(c, a, at);
-                    } else if (message instanceof Exception e) {
-                        records.accept(
-                                new TrafficRecord.UnexpectedBytes(at, c.lastReq, String.valueOf(e.getMessage())));
-                        session.closeNow();
-                    }
-                }
-            });
-        }
-
+    private final class ConnectionListener implements ClientConnectionPool.Listener {
         @Override
-        public void sessionClosed(IoSession session) {
-            long at = RecordClock.nowTicks();
-            loop.post(() -> {
-                if (!(session.getAttribute(CONN) instanceof Conn c)) {
-                    return;
-                }
-                idle.get(c.front).remove(c);
-                Try t = c.current;
-                c.current = null;
-                if (t != null && !t.over) {
-                    over(t);
-                    if (!t.complaint) {
-                        records.accept(new TrafficRecord.ConnectionBroken(at, t.id, "the connection closed"));
-                        t.call.tally.connectionsBroken++;
-                        retryIfHarmless(t);
-                    }
-                }
-            });
+        public void responseReceived(ClientConnection connection, HttpResponse response, long receivedAtTicks) {
+            if (connection.isAbandoned()) {
+                return;
+            }
+            ClientRequest request = connection.currentRequest();
+            if (request == null || request.hasEnded()) {
+                records.accept(new TrafficRecord.UnexpectedBytes(
+                        receivedAtTicks, connection.lastRequestId(), "an answer of status " + response.status()));
+                connection.session.closeNow();
+                return;
+            }
+            connection.clearRequest();
+            end(request);
+            if (response.closesConnection()) {
+                connection.session.closeNow();
+            } else {
+                connections.release(connection);
+            }
+            if (!request.isComplaint) {
+                complete(request, response, receivedAtTicks);
+            }
         }
 
         @Override
-        public void inputClosed(IoSession session) {
-            session.closeNow();
+        public void malformedResponseReceived(ClientConnection connection, Exception cause, long receivedAtTicks) {
+            records.accept(new TrafficRecord.UnexpectedBytes(
+                    receivedAtTicks, connection.lastRequestId(), String.valueOf(cause.getMessage())));
         }
 
         @Override
-        public void exceptionCaught(IoSession session, Throwable cause) {
-            session.closeNow();
+        public void connectionClosed(ClientConnection connection, long closedAtTicks) {
+            ClientRequest request = connection.currentRequest();
+            connection.clearRequest();
+            if (request == null || request.hasEnded()) {
+                return;
+            }
+            end(request);
+            if (!request.isComplaint) {
+                records.accept(
+                        new TrafficRecord.ConnectionBroken(closedAtTicks, request.requestId, "the connection closed"));
+                request.call.statistics.connectionsBroken++;
+                retryIfSafe(request.call);
+            }
         }
     }
 }
--- a/src/main/java/laurelkeel/testbed/PortAllocator.java
+++ b/src/main/java/laurelkeel/testbed/PortAllocator.java
@@ -6,26 +6,34 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Free ports that stay free while their owner is down: below the range from which the system takes ports for
- * connections that go out.
+ * Allocates loopback ports that stay free while their owner is down, as they lie below the range from which the system
+ * takes ports for outgoing connections. Thread-safe.
  */
 public final class PortAllocator {
-    private static final int FIRST = 20_000;
-    private static final int COUNT = 10_000;
-    private static final AtomicInteger NEXT =
-            new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % COUNT));
+    private static final int FIRST_PORT = 20_000;
+    private static final int PORT_COUNT = 10_000;
+    /** Spreads the processes of a host over the range. */
+    private static final long PROCESS_STRIDE = 97;
+
+    private static final AtomicInteger NEXT_OFFSET =
+            new AtomicInteger((int) (ProcessHandle.current().pid() * PROCESS_STRIDE % PORT_COUNT));
 
     private PortAllocator() {}
 
+    /**
+     * A port that nobody listens on.
+     *
+     * @throws IOException where the whole range is in use
+     */
     public static int allocate() throws IOException {
-        for (int i = 0; i < COUNT; i++) {
-            int port = FIRST + Math.floorMod(NEXT.getAndIncrement(), COUNT);
-            try (ServerSocket s = new ServerSocket(port, 1, InetAddress.getByName("127.0.0.1"))) {
-                return s.getLocalPort();
-            } catch (IOException e) {
-                // taken: the next one
+        for (int i = 0; i < PORT_COUNT; i++) {
+            int port = FIRST_PORT + Math.floorMod(NEXT_OFFSET.getAndIncrement(), PORT_COUNT);
+            try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
+                return socket.getLocalPort();
+            } catch (IOException ignored) {
+                // in use: the next one
             }
         }
-        throw new IOException("no free port from " + FIRST + " to " + (FIRST + COUNT));
+        throw new IOException("no free port from " + FIRST_PORT + " to " + (FIRST_PORT + PORT_COUNT));
     }
 }
--- a/src/main/java/laurelkeel/testbed/ServerProfile.java
+++ b/src/main/java/laurelkeel/testbed/ServerProfile.java
@@ -1,15 +1,24 @@
 package laurelkeel.testbed;
 
 import java.util.Map;
+import laurelkeel.records.RecordClock;
 import laurelkeel.records.TrafficRecord;
 
 /**
- * What all machines of a stand-in fleet share; times in tenths of a millisecond.
+ * What all servers of a simulated fleet have in common.
  *
- * @param room reqs that may wait at a machine; past them it turns away, by its own word
- * @param work mean work by route
- * @param rules by route, for the memory of marks
- * @param warmKeys the part of the work that a key met within keyMemory saves
+ * @param queueLimit requests that may wait at a server; it rejects further ones
+ * @param connectionLimit connections that a server keeps open
+ * @param workTicks mean work of a request, by route
+ * @param routePolicies by route
+ * @param warmUpInitialShare the share of its capacity that a cold server starts with
+ * @param warmUpTicks until a cold server has its full capacity
+ * @param overloadMultiple the multiple of its capacity at which a cold server fails
+ * @param overloadWindowTicks the window over which that load is counted
+ * @param cachedKeySavings the share of the work that a partition key saves where the server has seen it lately
+ * @param keyCacheTicks how long a server remembers a partition key
+ * @param loadReportIntervalTicks how often a server renews its load report
+ * @param responseBytes size of a response's body; 0 for a short text
  */
 public record ServerProfile(
         int cores,
@@ -26,10 +35,10 @@
         long loadReportIntervalTicks,
         int responseBytes) {
 
-    /** Reqs a second of one warm machine, were all routes asked alike. */
+    /** Requests a second of one warm server that gets as many of each route. */
     public double capacityPerSecond() {
-        double mean =
+        double meanTicks =
                 workTicks.values().stream().mapToLong(Long::longValue).average().orElse(1);
-        return cores * 10_000 / mean;
+        return cores * RecordClock.TICKS_PER_SECOND / meanTicks;
     }
 }
--- a/src/main/java/laurelkeel/testbed/SimulatedFleet.java
+++ b/src/main/java/laurelkeel/testbed/SimulatedFleet.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,181 +12,220 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import laurelkeel.eventloop.EventLoop;
 import laurelkeel.records.RecordClock;
-import laurelkeel.records.RecordTerms;
+import laurelkeel.records.RecordTerms.DeduplicationScope;
+import laurelkeel.records.RecordTerms.EndpointState;
+import laurelkeel.records.RecordTerms.StopReason;
 import laurelkeel.records.TrafficRecord;
 import laurelkeel.wire.HttpRequest;
 import org.apache.mina.core.service.SimpleIoProcessorPool;
 import org.apache.mina.transport.socket.nio.NioProcessor;
 import org.apache.mina.transport.socket.nio.NioSession;
+import org.jspecify.annotations.Nullable;
 
-/** All stand-in machines of a place, on one thread; it starts, drains and breaks them, and tells who watches. */
+/**
+ * All simulated servers: starts, drains and crashes them and reports their changes of state. All methods are to be
+ * called on the loop's thread.
+ */
 public final class SimulatedFleet {
-    /** Reqs over its budget that a cold machine bears, for chance. */
-    public static final int TIP_SLACK = 5;
+    private static final int IO_THREADS = 2;
+    /** Nodes need the drain's announcement before the server goes. */
+    private static final long DRAIN_NOTICE_TICKS = 8_000;
+
+    private static final long DRAIN_CHECK_TICKS = 500;
+
+    /** Learns of changes of servers' states. */
+    public interface StateListener {
+        /** A server entered a state. */
+        void stateChanged(SimulatedServer server, EndpointState state);
+    }
 
     final EventLoop loop;
-    final ServerProfile shape;
-    final List<String> zones;
-    final ExecutorService executor = Executors.newCachedThreadPool(r -> {
-        Thread t = new Thread(r, "standin-io");
-        t.setDaemon(true);
-        return t;
+    final ExecutorService executor = Executors.newCachedThreadPool(task -> {
+        Thread thread = new Thread(task, "standin-io");
+        thread.setDaemon(true);
+        return thread;
     });
     final SimpleIoProcessorPool<NioSession> processors =
-            new SimpleIoProcessorPool<>(NioProcessor.class, executor, 2, null);
+            new SimpleIoProcessorPool<>(NioProcessor.class, executor, IO_THREADS, null);
+    private final ServerProfile profile;
+    private final List<String> zones;
     private final SplittableRandom random;
     private final Consumer<TrafficRecord> records;
-    private final Map<String, String> routes;
-    private final Map<String, SimulatedServer> machines = new LinkedHashMap<>();
-    private final Map<String, DeduplicationCache> marks = new HashMap<>();
-    private BiConsumer<SimulatedServer, RecordTerms.EndpointState> watcher = (m, s) -> {};
-    private long runs;
-    private long slowUntil;
-    private double slowBy = 1;
-
-    /** @param routes route names by path prefix */
+    private final Map<String, String> routesByPathPrefix;
+    private final Map<String, SimulatedServer> servers = new LinkedHashMap<>();
+    private final Map<String, DeduplicationCache> deduplicationCaches = new HashMap<>();
+    private StateListener stateListener = (server, state) -> {};
+    private long startedServers;
+    private long slowUntilTicks;
+    private double slowFactor = 1;
+
+    /**
+     * Creates an empty fleet.
+     *
+     * @param routesByPathPrefix route names
+     */
     public SimulatedFleet(
             EventLoop loop,
-            ServerProfile shape,
+            ServerProfile profile,
             List<String> zones,
-            Map<String, String> routes,
+            Map<String, String> routesByPathPrefix,
             long seed,
             Consumer<TrafficRecord> records) {
         this.loop = loop;
-        this.shape = shape;
+        this.profile = profile;
         this.zones = List.copyOf(zones);
-        this.routes = Map.copyOf(routes);
+        this.routesByPathPrefix = Map.copyOf(routesByPathPrefix);
         this.random = new SplittableRandom(seed);
         this.records = records;
     }
 
-    /** Told of every change of state, on the fleet's thread. */
-    public void watch(BiConsumer<SimulatedServer, RecordTerms.EndpointState> watcher) {
-        this.watcher = watcher;
+    /** Sets who learns of all changes from now on. */
+    public void setStateListener(StateListener listener) {
+        this.stateListener = listener;
+    }
+
+    ServerProfile profile() {
+        return profile;
     }
 
-    long time() {
+    int zoneIndex(String zone) {
+        return zones.indexOf(zone);
+    }
+
+    /** The time for records; callable on any thread. */
+    long recordTicks() {
         return RecordClock.nowTicks();
     }
 
-    void record(TrafficRecord r) {
-        records.accept(r);
+    void record(TrafficRecord trafficRecord) {
+        records.accept(trafficRecord);
     }
 
-    double chance() {
+    /** The next random number from 0 to below 1; the fleet and its rollouts share one seeded source. */
+    double nextRandom() {
         return random.nextDouble();
     }
 
-    String route(HttpRequest http) {
-        String path = http.path();
-        for (Map.Entry<String, String> e : routes.entrySet()) {
-            if (path.startsWith(e.getKey())) {
-                return e.getValue();
+    /** The name of a request's route; empty for none. */
+    String routeOf(HttpRequest request) {
+        String path = request.path();
+        for (Map.Entry<String, String> route : routesByPathPrefix.entrySet()) {
+            if (path.startsWith(route.getKey())) {
+                return route.getValue();
             }
         }
         return "";
     }
 
-    DeduplicationCache marks(RecordTerms.DeduplicationScope group, SimulatedServer m) {
-        String of =
-                switch (group) {
+    /** The cache that a server shares with others of its scope. */
+    DeduplicationCache deduplicationCache(DeduplicationScope scope, SimulatedServer server) {
+        String group =
+                switch (scope) {
                     case ALL -> "all";
-                    case ZONE -> "zone " + m.zone;
-                    case CELL -> "cell " + m.cell;
+                    case ZONE -> "zone " + server.zone;
+                    case CELL -> "cell " + server.cell;
                 };
-        return marks.computeIfAbsent(of, k -> new DeduplicationCache());
+        return deduplicationCaches.computeIfAbsent(group, key -> new DeduplicationCache());
     }
 
-    double slowAll() {
-        List<SimulatedServer> live = live();
-        // a build's harm to all goes with its share of the machines
-        double harm =
-                live.stream().mapToDouble(m -> m.build.fleetSlowdown() - 1).sum() / Math.max(1, live.size());
-        return (loop.nowTicks() < slowUntil ? slowBy : 1) * (1 + harm);
+    /** By what factor all work takes longer now. A build's harm grows with its share of the servers. */
+    double slowdown() {
+        List<SimulatedServer> active = activeServers();
+        double harm = active.stream()
+                        .mapToDouble(server -> server.build.fleetSlowdown() - 1)
+                        .sum()
+                / Math.max(1, active.size());
+        return (loop.nowTicks() < slowUntilTicks ? slowFactor : 1) * (1 + harm);
     }
 
-    /** Something that all machines depend on slows. */
-    public void slowAll(double by, long until) {
-        slowBy = by;
-        slowUntil = until;
+    /** Slows all servers by a factor, as a dependency of theirs would. */
+    public void slowDown(double factor, long untilTicks) {
+        slowFactor = factor;
+        slowUntilTicks = untilTicks;
     }
 
-    public List<SimulatedServer> machines() {
-        return new ArrayList<>(machines.values());
+    /** Servers that take requests. */
+    public List<SimulatedServer> activeServers() {
+        return servers.values().stream().filter(SimulatedServer::isActive).toList();
     }
 
-    public List<SimulatedServer> live() {
-        return machines.values().stream()
-                .filter(m -> !m.dead && m.state == RecordTerms.EndpointState.ACTIVE)
+    /** Servers of one build that take requests. */
+    public List<SimulatedServer> activeServers(int build) {
+        return activeServers().stream()
+                .filter(server -> server.build.number() == build)
                 .toList();
     }
 
-    public List<SimulatedServer> live(int build) {
-        return live().stream().filter(m -> m.build.number() == build).toList();
-    }
-
-    /** Starts a machine; at null gives it a free port. */
-    public SimulatedServer start(InetSocketAddress at, BuildProfile build, int place, boolean cold) {
+    /**
+     * Starts a server.
+     *
+     * @param address null for a free port
+     * @param slot determines its zone and cell
+     * @throws UncheckedIOException where the port is in use
+     */
+    public SimulatedServer startServer(
+            @Nullable InetSocketAddress address, BuildProfile build, int slot, boolean cold) {
         try {
-            SimulatedServer m = new SimulatedServer(
-                    this,
-                    at == null ? new InetSocketAddress("127.0.0.1", PortAllocator.allocate()) : at,
-                    ++runs,
-                    zones.get(place % zones.size()),
-                    place % zones.size(),
-                    build,
-                    cold);
-            machines.put(m.id, m);
-            watcher.accept(m, RecordTerms.EndpointState.ACTIVE);
-            return m;
+            InetSocketAddress boundAddress = address == null
+                    ? new InetSocketAddress(InetAddress.getLoopbackAddress(), PortAllocator.allocate())
+                    : address;
+            startedServers++;
+            int cell = slot % zones.size();
+            SimulatedServer server =
+                    new SimulatedServer(this, boundAddress, startedServers, zones.get(cell), cell, build, cold);
+            servers.put(server.endpointId, server);
+            stateListener.stateChanged(server, EndpointState.ACTIVE);
+            return server;
         } catch (IOException e) {
-            throw new UncheckedIOException("a stand-in machine could not open its port", e);
+            throw new UncheckedIOException("a simulated server could not open its port", e);
         }
     }
 
-    /** Takes no new work, and is gone once it has nothing left or after most. */
-    public void drain(SimulatedServer m, long most) {
-        if (m.state == RecordTerms.EndpointState.ACTIVE && !m.dead) {
-            m.state = RecordTerms.EndpointState.DRAINING;
-            watcher.accept(m, RecordTerms.EndpointState.DRAINING);
-            // fronts need the news before it goes
-            loop.schedule(loop.nowTicks() + 8_000, () -> drained(m, loop.nowTicks() + most));
+    /** Drains a server: it rejects new requests and stops once it has none left, or after a time. */
+    public void drain(SimulatedServer server, long maxDrainTicks) {
+        if (server.isActive()) {
+            server.setState(EndpointState.DRAINING);
+            stateListener.stateChanged(server, EndpointState.DRAINING);
+            loop.schedule(
+                    loop.nowTicks() + DRAIN_NOTICE_TICKS,
+                    () -> stopWhenDrained(server, loop.nowTicks() + maxDrainTicks));
         }
     }
 
-    private void drained(SimulatedServer m, long latest) {
-        if (m.dead) {
+    private void stopWhenDrained(SimulatedServer server, long latestTicks) {
+        if (server.isStopped()) {
             return;
         }
-        if (m.held() == 0 || loop.nowTicks() >= latest) {
-            m.die(RecordTerms.StopReason.DRAINED);
-            died(m);
+        if (server.inFlight() == 0 || loop.nowTicks() >= latestTicks) {
+            server.stop(StopReason.DRAINED);
+            remove(server);
         } else {
-            loop.schedule(loop.nowTicks() + 500, () -> drained(m, latest));
+            loop.schedule(loop.nowTicks() + DRAIN_CHECK_TICKS, () -> stopWhenDrained(server, latestTicks));
         }
     }
 
-    /** Dies at once. */
-    public void kill(SimulatedServer m) {
-        m.die(RecordTerms.StopReason.CRASHED);
-        died(m);
+    /** Stops a server at once, with all its open requests. */
+    public void crash(SimulatedServer server) {
+        server.stop(StopReason.CRASHED);
+        remove(server);
     }
 
-    void died(SimulatedServer m) {
-        if (m.state != RecordTerms.EndpointState.REMOVED) {
-            m.state = RecordTerms.EndpointState.REMOVED;
-            machines.remove(m.id, m);
-            watcher.accept(m, RecordTerms.EndpointState.REMOVED);
+    /** Removes a server that has stopped. */
+    void remove(SimulatedServer server) {
+        if (server.state() != EndpointState.REMOVED) {
+            server.setState(EndpointState.REMOVED);
+            servers.remove(server.endpointId, server);
+            stateListener.stateChanged(server, EndpointState.REMOVED);
         }
     }
 
+    /** Stops all servers. */
     public void close() {
-        for (SimulatedServer m : machines()) {
-            m.die(RecordTerms.StopReason.CLOSED);
+        for (SimulatedServer server : new ArrayList<>(servers.values())) {
+            server.stop(StopReason.CLOSED);
         }
         processors.dispose();
         executor.shutdown();
--- a/src/main/java/laurelkeel/testbed/package-info.java
+++ b/src/main/java/laurelkeel/testbed/package-info.java
@@ -1,5 +1,8 @@
 /**
- * What a front meets, for trials and tests: machines, a list service, a release line and clients, all on loopback
- * sockets and all with faults on demand. Figures got with them are of stand-ins, not of real machines.
+ * A test bed on loopback sockets for nodes under trial: simulated servers, an endpoint list service, a rollout service
+ * and a load generator, all with faults on demand. Figures got with it are of simulated servers, not of real ones.
  */
+@NullMarked
 package laurelkeel.testbed;
+
+import org.jspecify.annotations.NullMarked;
