--- a/src/main/java/laurelkeel/audit/SingleEffectRule.java
+++ b/src/main/java/laurelkeel/audit/SingleEffectRule.java
@@ -1,10 +1,15 @@
 package laurelkeel.audit;
 
 import java.util.List;
-import laurelkeel.audit.RecordedTraffic.Req;
-import laurelkeel.records.TrafficRecord;
+import laurelkeel.records.RecordTerms.DeduplicationScope;
+import laurelkeel.records.RecordTerms.Idempotency;
+import laurelkeel.records.RecordTerms.Outcome;
+import laurelkeel.records.TrafficRecord.AttemptArrived;
+import laurelkeel.records.TrafficRecord.ResponseReceived;
+import laurelkeel.records.TrafficRecord.RoutePolicy;
+import laurelkeel.records.TrafficRecord.ServerStarted;
 
-/** Rule 2: what may have run is tried again, or called harmless to ask again, only as its route allows. */
+/** Rule 2: an attempt that may have run is retried, or called safe to retry, only as its route allows. */
 final class SingleEffectRule extends RuleChecker {
 
     SingleEffectRule() {
@@ -12,87 +17,92 @@
     }
 
     @Override
-    void judge(RecordedTraffic traffic) {
-        for (Req r : traffic.reqs.values()) {
-            if (r.route.effect() != TrafficRecord.Effect.RETRIABLE) {
-                resends(traffic, r);
-                shed(r);
+    void check(RecordedTraffic traffic) {
+        for (RequestTrace request : traffic.requests()) {
+            if (request.routePolicy.idempotency() != Idempotency.IDEMPOTENT) {
+                checkRetries(traffic, request);
+                checkRejection(request);
             }
         }
     }
 
-    private void resends(RecordedTraffic traffic, Req r) {
-        List<TrafficRecord.Arrived> tries = r.arrived;
-        for (int i = 1; i < tries.size(); i++) {
-            TrafficRecord.Arrived next = tries.get(i);
-            TrafficRecord.Arrived first = tries.subList(0, i).stream()
-                    .filter(a -> r.mayHaveRun(a, next.t()))
-                    .findFirst()
-                    .orElse(null);
+    private void checkRetries(RecordedTraffic traffic, RequestTrace request) {
+        List<AttemptArrived> attempts = request.attempts;
+        for (int i = 1; i < attempts.size(); i++) {
+            AttemptArrived retry = attempts.get(i);
+            AttemptArrived first = request.firstThatMayHaveRun(attempts.subList(0, i), retry.timeTicks());
             if (first == null) {
-                near(0, "-");
-            } else if (r.route.effect() == TrafficRecord.Effect.NON_RETRIABLE) {
-                breach(
-                        next.t(),
-                        r.asked.req(),
-                        "a non-retriable req sent again, to " + next.machine() + ", though try " + first.no() + " at "
-                                + first.machine() + " may have run");
+                countChecked();
+            } else if (request.routePolicy.idempotency() == Idempotency.NOT_IDEMPOTENT) {
+                addViolation(
+                        retry.timeTicks(),
+                        request.sent.requestId(),
+                        "a non-retriable req sent again, to " + retry.endpointId() + ", though try "
+                                + first.attemptNumber() + " at " + first.endpointId() + " may have run");
             } else {
-                deduped(traffic, r, first, next);
+                checkDeduplicatedRetry(traffic, request, first, retry);
             }
         }
-        if (tries.size() < 2) {
-            near(0, "-");
+        if (attempts.size() < 2) {
+            countChecked();
         }
     }
 
-    private void deduped(RecordedTraffic traffic, Req r, TrafficRecord.Arrived first, TrafficRecord.Arrived next) {
-        long later = next.t() - first.t();
-        near(
-                later / (double) Math.max(1, r.route.window()),
-                r.asked.req() + " repeated " + ms(later) + " after a try" + " that may have run, of "
-                        + ms(r.route.window()));
-        if (later > r.route.window() + EDGE) {
-            breach(
-                    next.t(),
-                    r.asked.req(),
-                    "a deduped req sent again " + ms(later) + " after its first try, past " + ms(r.route.window()));
+    private void checkDeduplicatedRetry(
+            RecordedTraffic traffic, RequestTrace request, AttemptArrived first, AttemptArrived retry) {
+        String requestId = request.sent.requestId();
+        RoutePolicy policy = request.routePolicy;
+        long delayTicks = retry.timeTicks() - first.timeTicks();
+        long windowTicks = policy.deduplicationWindowTicks();
+        countChecked(
+                delayTicks / (double) Math.max(1, windowTicks),
+                requestId + " repeated " + formatMillis(delayTicks) + " after a try that may have run, of "
+                        + formatMillis(windowTicks));
+        if (delayTicks > windowTicks + CLOCK_TOLERANCE_TICKS) {
+            addViolation(
+                    retry.timeTicks(),
+                    requestId,
+                    "a deduped req sent again " + formatMillis(delayTicks) + " after its first try, past "
+                            + formatMillis(windowTicks));
         }
-        TrafficRecord.MachineUp a = traffic.runs.get(first.machine() + "#" + first.run()).up;
-        TrafficRecord.MachineUp b = traffic.runs.get(next.machine() + "#" + next.run()).up;
-        boolean inGroup =
-                switch (r.route.group()) {
-                    case ALL -> true;
-                    case ZONE -> a.zone() == b.zone();
-                    case CELL -> a.cell() == b.cell();
-                };
-        if (!inGroup) {
-            breach(
-                    next.t(),
-                    r.asked.req(),
-                    "a deduped req sent to " + next.machine() + ", outside the group of " + first.machine()
+        ServerStarted firstServer = traffic.server(first).started;
+        ServerStarted retryServer = traffic.server(retry).started;
+        if (!shareCache(policy.deduplicationScope(), firstServer, retryServer)) {
+            addViolation(
+                    retry.timeTicks(),
+                    requestId,
+                    "a deduped req sent to " + retry.endpointId() + ", outside the group of " + first.endpointId()
                             + ", which may have run it");
         }
     }
 
-    private void shed(Req r) {
-        TrafficRecord.Answered answer = r.answers.isEmpty() ? null : r.answers.get(0);
-        if (answer == null || answer.is() != TrafficRecord.Final.SHED) {
+    private static boolean shareCache(DeduplicationScope scope, ServerStarted first, ServerStarted second) {
+        return switch (scope) {
+            case ALL -> true;
+            case ZONE -> first.zone() == second.zone();
+            case CELL -> first.cell() == second.cell();
+        };
+    }
+
+    /** A rejection tells the client that a retry is safe. */
+    private void checkRejection(RequestTrace request) {
+        ResponseReceived response = request.firstResponse();
+        if (response == null || response.outcome() != Outcome.REJECTED) {
             return;
         }
-        TrafficRecord.Arrived ran = r.arrived.stream()
-                .filter(a -> r.mayHaveRun(a, answer.t()))
-                .findFirst()
-                .orElse(null);
-        boolean harmless = ran == null
-                || (r.route.effect() == TrafficRecord.Effect.DEDUPED && r.route.group() == TrafficRecord.Group.ALL);
-        near(0, "-");
-        if (!harmless) {
-            breach(
-                    answer.t(),
-                    r.asked.req(),
-                    "shed, which calls asking again harmless, though try " + ran.no() + " at " + ran.machine()
-                            + " may have run");
+        countChecked();
+        AttemptArrived executed = request.firstThatMayHaveRun(request.attempts, response.timeTicks());
+        if (executed != null && !isAnyRetryDeduplicated(request.routePolicy)) {
+            addViolation(
+                    response.timeTicks(),
+                    request.sent.requestId(),
+                    "shed, which calls asking again harmless, though try " + executed.attemptNumber() + " at "
+                            + executed.endpointId() + " may have run");
         }
     }
+
+    private static boolean isAnyRetryDeduplicated(RoutePolicy policy) {
+        return policy.idempotency() == Idempotency.DEDUPLICATED
+                && policy.deduplicationScope() == DeduplicationScope.ALL;
+    }
 }
--- a/src/test/java/laurelkeel/front/ControlPlaneTest.java
+++ b/src/test/java/laurelkeel/front/ControlPlaneTest.java
@@ -38,6 +38,7 @@
 import laurelkeel.decision.RoutingDecider;
 import laurelkeel.eventloop.EventLoop;
 import laurelkeel.front.controlplane.GossipChannel;
+import laurelkeel.records.RecordTerms;
 import laurelkeel.records.TrafficRecord;
 import laurelkeel.testbed.PortAllocator;
 import org.junit.jupiter.api.AfterEach;
@@ -384,8 +385,8 @@
     @Test
     void gossipReachesTheOtherNodeAndNothingElseDoes() throws Exception {
         InetAddress loopback = InetAddress.getLoopbackAddress();
-        InetSocketAddress firstAddress = new InetSocketAddress(loopback, PortAllocator.free());
-        InetSocketAddress secondAddress = new InetSocketAddress(loopback, PortAllocator.free());
+        InetSocketAddress firstAddress = new InetSocketAddress(loopback, PortAllocator.allocate());
+        InetSocketAddress secondAddress = new InetSocketAddress(loopback, PortAllocator.allocate());
         Map<Integer, InetSocketAddress> addresses = Map.of(0, firstAddress, 1, secondAddress);
         EventLoop loop = new EventLoop(() -> System.nanoTime() / 100_000);
         Thread loopThread = new Thread(() -> loop.run(() -> false));
@@ -434,12 +435,12 @@
             FrontTestRig.await(
                     "released",
                     () -> rig.count(
-                                    TrafficRecord.Stage.class,
-                                    s -> s.build() == 2 && s.phase() == TrafficRecord.Phase.RELEASED)
+                                    TrafficRecord.RolloutStageChanged.class,
+                                    s -> s.build() == 2 && s.phase() == RecordTerms.RolloutPhase.RELEASED)
                             > 0);
             AuditReport report = rig.audit();
-            assertEquals(List.of(), report.breaches());
-            assertEquals(0, report.unanswered());
+            assertEquals(List.of(), report.violations());
+            assertEquals(0, report.unansweredCount());
         }
     }
 }
--- a/src/test/java/laurelkeel/front/FrontFailureTest.java
+++ b/src/test/java/laurelkeel/front/FrontFailureTest.java
@@ -15,6 +15,7 @@
 import laurelkeel.api.Event.EndpointEntry;
 import laurelkeel.audit.AuditReport;
 import laurelkeel.audit.RuleViolation;
+import laurelkeel.records.RecordTerms;
 import laurelkeel.records.TrafficRecord;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -29,31 +30,34 @@
     }
 
     private static void awaitAnswers(FrontTestRig rig, int n) {
-        FrontTestRig.await(n + " answers", () -> rig.count(TrafficRecord.Answered.class, a -> true) >= n);
+        FrontTestRig.await(n + " answers", () -> rig.count(TrafficRecord.ResponseReceived.class, a -> true) >= n);
     }
 
     private static List<RuleViolation> assertOnlyRuleViolated(FrontTestRig rig, int rule, String text)
             throws Exception {
         AuditReport report = rig.audit();
         List<RuleViolation> of =
-                report.breaches().stream().filter(b -> b.rule() == rule).toList();
+                report.violations().stream().filter(b -> b.ruleNumber() == rule).toList();
         assertFalse(of.isEmpty(), "rule " + rule + " was broken unseen");
-        assertTrue(of.stream().anyMatch(b -> b.what().contains(text)), of.get(0).what());
+        assertTrue(
+                of.stream().anyMatch(b -> b.description().contains(text)),
+                of.get(0).description());
         assertEquals(
                 List.of(),
-                report.breaches().stream()
-                        .filter(b -> b.rule() != rule)
-                        .map(RuleViolation::what)
+                report.violations().stream()
+                        .filter(b -> b.ruleNumber() != rule)
+                        .map(RuleViolation::description)
                         .distinct()
                         .limit(3)
                         .toList());
         Set<String> reqs = new HashSet<>();
         rig.records.forEach(request -> {
-            if (request instanceof TrafficRecord.Asked a) {
-                reqs.add(a.req());
+            if (request instanceof TrafficRecord.RequestSent a) {
+                reqs.add(a.requestId());
             }
         });
-        assertTrue(of.stream().allMatch(b -> reqs.contains(b.req()) && b.t() > 0), "no req or moment named");
+        assertTrue(
+                of.stream().allMatch(b -> reqs.contains(b.requestId()) && b.timeTicks() > 0), "no req or moment named");
         return of;
     }
 
@@ -63,8 +67,8 @@
             rig.startLoad();
             awaitAnswers(rig, 300);
             AuditReport report = rig.audit();
-            assertEquals(List.of(), report.breaches());
-            assertEquals(0, report.unanswered());
+            assertEquals(List.of(), report.violations());
+            assertEquals(0, report.unansweredCount());
         }
     }
 
@@ -148,8 +152,9 @@
             rig.applyFault("what = drain\n");
             FrontTestRig.await(
                     "it is gone",
-                    () -> rig.count(TrafficRecord.MachineDown.class, endpoint -> endpoint.why()
-                                    .equals("drained"))
+                    () -> rig.count(
+                                    TrafficRecord.ServerStopped.class,
+                                    server -> server.reason() == RecordTerms.StopReason.DRAINED)
                             > 0);
             assertOnlyRuleViolated(rig, 3, "after it was told that it drains");
         }
@@ -170,8 +175,9 @@
             rig.applyFault("what = crash\nback-after = 100 ms\n");
             FrontTestRig.await(
                     "it tips",
-                    () -> rig.count(TrafficRecord.MachineDown.class, endpoint -> endpoint.why()
-                                    .equals("tipped"))
+                    () -> rig.count(
+                                    TrafficRecord.ServerStopped.class,
+                                    server -> server.reason() == RecordTerms.StopReason.OVERLOADED)
                             > 0);
             assertOnlyRuleViolated(rig, 4, "was pushed over");
         }
@@ -194,7 +200,8 @@
         awaitAnswers(rig, 50);
         rig.applyFault("what = offer\nbuild = 2\n");
         FrontTestRig.await(
-                "the trial gets traffic", () -> rig.count(TrafficRecord.Arrived.class, a -> a.build() == 2) > 120);
+                "the trial gets traffic",
+                () -> rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 2) > 120);
     }
 
     @Test
@@ -234,10 +241,10 @@
             rig.applyFault("what = offer\nbuild = 3\n");
             FrontTestRig.await(
                     "both have traffic",
-                    () -> rig.count(TrafficRecord.Arrived.class, a -> a.build() == 2) > 5
-                            && rig.count(TrafficRecord.Arrived.class, a -> a.build() == 3) > 120);
+                    () -> rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 2) > 5
+                            && rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 3) > 120);
             assertTrue(assertOnlyRuleViolated(rig, 5, "tries at build 3").stream()
-                    .noneMatch(b -> b.what().contains("tries at build 2")));
+                    .noneMatch(b -> b.description().contains("tries at build 2")));
         }
     }
 
@@ -263,7 +270,8 @@
             rig.startLoad();
             awaitAnswers(rig, 50);
             rig.applyFault("what = offer\nbuild = 2\n");
-            FrontTestRig.await("a guarded one", () -> rig.count(TrafficRecord.Arrived.class, a -> a.build() == 2) > 8);
+            FrontTestRig.await(
+                    "a guarded one", () -> rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 2) > 8);
             assertOnlyRuleViolated(rig, 5, "in guarded stage");
         }
     }
