--- a/src/main/java/laurelkeel/scenario/ScenarioEnvironment.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioEnvironment.java
@@ -32,7 +32,7 @@
 
     private final Scenario scenario;
     private final EventLoop loop = new EventLoop(RecordClock::nowTicks);
-    private final Thread thread = new Thread(() -> loop.run(() -> false), "stand-ins");
+    private final Thread thread = new Thread(() -> loop.run(() -> false), "test-bed");
     private final SimulatedFleet fleet;
     private final EndpointListService endpointList;
     private final RolloutService rolloutService;
--- a/src/main/java/laurelkeel/testbed/JsonLineService.java
+++ b/src/main/java/laurelkeel/testbed/JsonLineService.java
@@ -68,7 +68,7 @@
     private final Set<Watcher> watchers = ConcurrentHashMap.newKeySet();
     private final HttpServer server;
     private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
-        Thread thread = new Thread(task, "standin-service");
+        Thread thread = new Thread(task, "test-bed-service");
         thread.setDaemon(true);
         return thread;
     });
--- a/src/main/java/laurelkeel/testbed/SimulatedFleet.java
+++ b/src/main/java/laurelkeel/testbed/SimulatedFleet.java
@@ -44,7 +44,7 @@
 
     final EventLoop loop;
     final ExecutorService executor = Executors.newCachedThreadPool(task -> {
-        Thread thread = new Thread(task, "standin-io");
+        Thread thread = new Thread(task, "test-bed-io");
         thread.setDaemon(true);
         return thread;
     });
--- a/src/test/java/laurelkeel/front/FrontTestRig.java
+++ b/src/test/java/laurelkeel/front/FrontTestRig.java
@@ -161,10 +161,7 @@
 
     /** Ends the load, waits for the answers that are owed, and audits all records. */
     AuditReport audit() throws IOException {
-        environment.callOnLoop(() -> {
-            environment.loadGenerator().stop();
-            return null;
-        });
+        environment.runOnLoop(() -> environment.loadGenerator().stop());
         await(
                 "clients are done",
                 () -> environment.callOnLoop(() -> environment.loadGenerator().openRequests()) == 0);
--- a/src/test/java/laurelkeel/scenario/ScenarioTest.java
+++ b/src/test/java/laurelkeel/scenario/ScenarioTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Small days with real front processes: the verdict is the same however often they are played. */
+/** Small scenarios with real node processes: the verdict is the same however often they are played. */
 class ScenarioTest {
     @TempDir
     Path folder;
@@ -63,30 +63,32 @@
             leave-early = 0.05
             """;
 
-    private AuditReport play(String more) throws Exception {
-        return play("", more);
+    private AuditReport play(String moreSections) throws Exception {
+        return play("", moreSections);
     }
 
-    /** line: more of the release line's settings. */
-    private AuditReport play(String line, String more) throws Exception {
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        AuditReport j = new ScenarioRun(
+    /** @param rolloutSettings more settings of the rollout service */
+    private AuditReport play(String rolloutSettings, String moreSections) throws Exception {
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        AuditReport report = new ScenarioRun(
                         Scenario.read(
-                                IniFile.parse("small.ini", SMALL.replace("[line]\n", "[line]\n" + line) + more),
+                                IniFile.parse(
+                                        "small.ini",
+                                        SMALL.replace("[line]\n", "[line]\n" + rolloutSettings) + moreSections),
                                 "small"),
                         5,
                         folder,
-                        new PrintStream(said))
+                        new PrintStream(output))
                 .play();
-        assertEquals(5, j.rulesKept(), said.toString(UTF_8));
-        assertEquals(0, j.unansweredCount(), said.toString(UTF_8));
-        assertTrue(j.requestCount() > 300, said.toString(UTF_8));
-        assertTrue(said.toString(UTF_8).strip().endsWith(", unanswered 0"), said.toString(UTF_8));
-        return j;
+        assertEquals(5, report.rulesKept(), output.toString(UTF_8));
+        assertEquals(0, report.unansweredCount(), output.toString(UTF_8));
+        assertTrue(report.requestCount() > 300, output.toString(UTF_8));
+        assertTrue(output.toString(UTF_8).strip().endsWith(", unanswered 0"), output.toString(UTF_8));
+        return report;
     }
 
     @Test
-    void aKilledFrontABadBuildAndDeadMachines() throws Exception {
+    void aKilledNodeAFailingBuildAndCrashedServers() throws Exception {
         play(
                 """
                 [build 2]
@@ -112,7 +114,7 @@
     }
 
     @Test
-    void lostAnswersAStalledLineAndAStoppedFront() throws Exception {
+    void lostResponsesAStalledRolloutServiceAndAStoppedNode() throws Exception {
         play(
                 """
                 [build 2]
@@ -155,7 +157,7 @@
     }
 
     @Test
-    void twoReleasesOneOfThemBad() throws Exception {
+    void twoRolloutsOneOfThemFailing() throws Exception {
         play(
                 "together = 2\n",
                 """
