--- a/src/test/java/laurelkeel/front/FrontFailureTest.java
+++ b/src/test/java/laurelkeel/front/FrontFailureTest.java
@@ -33,32 +33,36 @@
         FrontTestRig.await(n + " answers", () -> rig.count(TrafficRecord.ResponseReceived.class, a -> true) >= n);
     }
 
-    private static List<RuleViolation> assertOnlyRuleViolated(FrontTestRig rig, int rule, String text)
+    private static List<RuleViolation> assertOnlyRuleViolated(FrontTestRig rig, int ruleNumber, String text)
             throws Exception {
         AuditReport report = rig.audit();
-        List<RuleViolation> of =
-                report.violations().stream().filter(b -> b.ruleNumber() == rule).toList();
-        assertFalse(of.isEmpty(), "rule " + rule + " was broken unseen");
+        List<RuleViolation> violations = report.violations().stream()
+                .filter(violation -> violation.ruleNumber() == ruleNumber)
+                .toList();
+        assertFalse(violations.isEmpty(), "rule " + ruleNumber + " was broken unseen");
         assertTrue(
-                of.stream().anyMatch(b -> b.description().contains(text)),
-                of.get(0).description());
+                violations.stream()
+                        .anyMatch(violation -> violation.description().contains(text)),
+                violations.get(0).description());
         assertEquals(
                 List.of(),
                 report.violations().stream()
-                        .filter(b -> b.ruleNumber() != rule)
+                        .filter(violation -> violation.ruleNumber() != ruleNumber)
                         .map(RuleViolation::description)
                         .distinct()
                         .limit(3)
                         .toList());
-        Set<String> reqs = new HashSet<>();
-        rig.records.forEach(request -> {
-            if (request instanceof TrafficRecord.RequestSent a) {
-                reqs.add(a.requestId());
+        Set<String> requestIds = new HashSet<>();
+        rig.records.forEach(trafficRecord -> {
+            if (trafficRecord instanceof TrafficRecord.RequestSent sent) {
+                requestIds.add(sent.requestId());
             }
         });
         assertTrue(
-                of.stream().allMatch(b -> reqs.contains(b.requestId()) && b.timeTicks() > 0), "no req or moment named");
-        return of;
+                violations.stream()
+                        .allMatch(violation -> requestIds.contains(violation.requestId()) && violation.timeTicks() > 0),
+                "no req or moment named");
+        return violations;
     }
 
     @Test
@@ -154,7 +158,7 @@
                     "it is gone",
                     () -> rig.count(
                                     TrafficRecord.ServerStopped.class,
-                                    server -> server.reason() == RecordTerms.StopReason.DRAINED)
+                                    m -> m.reason() == RecordTerms.StopReason.DRAINED)
                             > 0);
             assertOnlyRuleViolated(rig, 3, "after it was told that it drains");
         }
@@ -177,7 +181,7 @@
                     "it tips",
                     () -> rig.count(
                                     TrafficRecord.ServerStopped.class,
-                                    server -> server.reason() == RecordTerms.StopReason.OVERLOADED)
+                                    m -> m.reason() == RecordTerms.StopReason.OVERLOADED)
                             > 0);
             assertOnlyRuleViolated(rig, 4, "was pushed over");
         }
