--- a/src/main/java/laurelkeel/cli/AuditCommand.java
+++ b/src/main/java/laurelkeel/cli/AuditCommand.java
@@ -1,5 +1,6 @@
 package laurelkeel.cli;
 
+import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -12,11 +13,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
+/** The command {@code audit}: judges the rules from the records of a day that was played before. */
 @Command(
         name = "audit",
         mixinStandardHelpOptions = true,
         description = "Judges the five rules from the records of a day that was played.")
+@SuppressWarnings("NullAway.Init") // picocli sets the fields
 final class AuditCommand implements Callable<Integer> {
+    static final int RULES = 5;
+
     @Parameters(paramLabel = "DIR", description = "the folder that the day wrote")
     private Path folder;
 
@@ -26,22 +31,30 @@
             System.err.println("laurelkeel: " + folder + " is no folder; give the --out of a day");
             return Cli.BAD_INPUT;
         }
-        AuditReport j;
+        AuditReport report;
         try {
-            List<TrafficRecord> records = Recorder.readAll(folder);
-            long lost = records.stream()
-                    .mapToLong(r -> r instanceof TrafficRecord.Lost l ? l.records() : 0)
-                    .sum();
-            if (lost > 0) {
-                System.err.println(
-                        "laurelkeel: " + lost + " records did not reach the files; the verdicts are on the rest");
-            }
-            j = Auditor.judge(records);
+            report = judge();
         } catch (IllegalArgumentException e) {
             System.err.println("laurelkeel: " + folder + ": " + e.getMessage());
             return Cli.BAD_INPUT;
         }
-        System.out.print(ScenarioReport.rules(j));
-        return j.kept() == 5 ? 0 : Cli.RULE_BROKEN;
+        System.out.print(ScenarioReport.rules(report));
+        return report.kept() == RULES ? 0 : Cli.RULE_BROKEN;
+    }
+
+    private AuditReport judge() throws IOException {
+        List<TrafficRecord> records = Recorder.readAll(folder);
+        long lost = lostRecords(records);
+        if (lost > 0) {
+            System.err.println(
+                    "laurelkeel: " + lost + " records did not reach the files; the verdicts are on the rest");
+        }
+        return Auditor.judge(records);
+    }
+
+    private static long lostRecords(List<TrafficRecord> records) {
+        return records.stream()
+                .mapToLong(each -> each instanceof TrafficRecord.Lost lost ? lost.records() : 0)
+                .sum();
     }
 }
--- a/src/main/java/laurelkeel/cli/BenchCommand.java
+++ b/src/main/java/laurelkeel/cli/BenchCommand.java
@@ -14,6 +14,8 @@
 import laurelkeel.decision.RoutingDecider;
 import laurelkeel.soak.NodeImage;
 import laurelkeel.soak.ScaleBench;
+import laurelkeel.soak.ScaleProfile;
+import org.jspecify.annotations.Nullable;
 import org.openjdk.jmh.profile.GCProfiler;
 import org.openjdk.jmh.runner.Runner;
 import org.openjdk.jmh.runner.options.ChainedOptionsBuilder;
@@ -24,19 +26,21 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
+/** The command {@code bench}: its subcommands measure, and {@code docs/results} keeps their tables. */
 @Command(
         name = "bench",
         mixinStandardHelpOptions = true,
         description = "Measures; docs/results/ keeps the tables.",
         subcommands = {
-            BenchCommand.Decisions.class,
-            BenchCommand.StreamSums.class,
-            BenchCommand.FrontBeside.class,
-            BenchCommand.RelayAlone.class,
-            BenchCommand.BlameDays.class,
-            BenchCommand.LanesCost.class,
-            BenchCommand.Scale.class
+            BenchCommand.DecisionsCommand.class,
+            BenchCommand.StreamsCommand.class,
+            BenchCommand.FrontBenchCommand.class,
+            BenchCommand.BareRelayCommand.class,
+            BenchCommand.AttributionBenchCommand.class,
+            BenchCommand.PartitionBenchCommand.class,
+            BenchCommand.ScaleBenchCommand.class
         })
+@SuppressWarnings("NullAway.Init") // picocli sets the fields
 final class BenchCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -47,52 +51,59 @@
         return Cli.BAD_INPUT;
     }
 
+    /** Measures the decisions alone with JMH. */
     @Command(
             name = "decisions",
             mixinStandardHelpOptions = true,
-            description = "What a req costs the decider alone (JMH), by machines and phase.")
-    static final class Decisions implements Callable<Integer> {
+            description = "What a request costs the decider alone (JMH), by endpoints and phase.")
+    static final class DecisionsCommand implements Callable<Integer> {
         @Option(names = "--allocation", description = "also what it allocates")
         private boolean allocation;
 
         @Override
         public Integer call() throws Exception {
-            ChainedOptionsBuilder o = new OptionsBuilder().include(DecisionBenchmark.class.getName() + ".*");
+            ChainedOptionsBuilder options = new OptionsBuilder().include(DecisionBenchmark.class.getName() + ".*");
             if (allocation) {
-                o.addProfiler(GCProfiler.class);
+                options.addProfiler(GCProfiler.class);
             }
-            new Runner(o.build()).run();
+            new Runner(options.build()).run();
             return 0;
         }
     }
 
+    /** Prints the checksums of all actions in the generated event streams. */
     @Command(
             name = "streams",
             mixinStandardHelpOptions = true,
             description =
-                    "Checksums of all actions in generated event streams, to hold two versions of the module apart.")
-    static final class StreamSums implements Callable<Integer> {
+                    "Checksums of all actions in generated event streams, to compare two versions of the decisions.")
+    static final class StreamsCommand implements Callable<Integer> {
+        private static final int FIRST_SEED = 100;
+        private static final int LAST_SEED = 115;
+
         @Override
         public Integer call() {
-            for (int seed = 100; seed < 116; seed++) {
+            for (int seed = FIRST_SEED; seed <= LAST_SEED; seed++) {
                 System.out.println(seed + " " + DecisionStreams.sum(RoutingDecider::new, seed));
             }
             return 0;
         }
     }
 
+    /** Measures a front node beside a bare relay. */
     @Command(
             name = "front",
             mixinStandardHelpOptions = true,
             description = "A front beside a bare relay: throughput, time added, CPU, allocation, memory.")
-    static final class FrontBeside implements Callable<Integer> {
+    @SuppressWarnings("NullAway.Init") // picocli sets the fields
+    static final class FrontBenchCommand implements Callable<Integer> {
         @Option(names = "--machines", split = ",", defaultValue = "10,300", description = "default: ${DEFAULT-VALUE}")
-        private List<Integer> machines;
+        private List<Integer> endpointCounts;
 
         @Option(
                 names = "--seconds",
                 defaultValue = "8",
-                description = "measured time of each phase, after as much to " + "warm up (default: ${DEFAULT-VALUE})")
+                description = "measured time of each phase, after as much to warm up (default: ${DEFAULT-VALUE})")
         private double seconds;
 
         @Option(names = "--java-option", description = "more for the measured processes; @NAME@ becomes front or relay")
@@ -101,11 +112,11 @@
         @Option(
                 names = "--rounds",
                 defaultValue = "3",
-                description = "relay and front in turn (default: " + "${DEFAULT-VALUE})")
+                description = "relay and front in turn (default: ${DEFAULT-VALUE})")
         private int rounds;
 
         @Option(names = "--idle", defaultValue = "10000", description = "idle connections (default: ${DEFAULT-VALUE})")
-        private int idle;
+        private int idleConnections;
 
         @Option(
                 names = "--out",
@@ -115,67 +126,72 @@
 
         @Override
         public Integer call() throws Exception {
-            new FrontBenchmark(out, seconds, javaOptions, System.out).run(machines, rounds, idle);
+            new FrontBenchmark(out, seconds, javaOptions, System.out).run(endpointCounts, rounds, idleConnections);
             return 0;
         }
     }
 
+    /** Judges generated release days by the attribution and by naive rules. */
     @Command(
             name = "blame",
             mixinStandardHelpOptions = true,
-            description = "Made-up release days judged by the blame and by naive ways: a table and charts.")
-    static final class BlameDays implements Callable<Integer> {
+            description = "Generated release days judged by the attribution and by naive rules: a table and charts.")
+    @SuppressWarnings("NullAway.Init") // picocli sets the fields
+    static final class AttributionBenchCommand implements Callable<Integer> {
         @Option(names = "--days", defaultValue = "100", description = "of each kind of bad (default: ${DEFAULT-VALUE})")
-        private int days;
+        private int badDays;
 
         @Option(names = "--honest", defaultValue = "400", description = "with no bad build (default: ${DEFAULT-VALUE})")
-        private int honest;
+        private int honestDays;
 
         @Option(names = "--seed", defaultValue = "1", description = "default: ${DEFAULT-VALUE}")
         private long seed;
 
         @Option(names = "--charts", paramLabel = "FOLDER", description = "where two charts go")
-        private Path charts;
+        private @Nullable Path charts;
 
         @Override
         public Integer call() throws Exception {
-            AttributionBenchmark.run(days, honest, seed, charts, System.out);
+            AttributionBenchmark.run(badDays, honestDays, seed, charts, System.out);
             return 0;
         }
     }
 
+    /** Measures what several rollouts at a time cost. */
     @Command(
             name = "lanes",
             mixinStandardHelpOptions = true,
-            description = "What three releases cost a req beside one, and many fronts' reports the blame.")
-    static final class LanesCost implements Callable<Integer> {
+            description = "What three releases cost a request beside one, and many fronts' reports the attribution.")
+    static final class PartitionBenchCommand implements Callable<Integer> {
         @Option(names = "--rounds", defaultValue = "7", description = "default: ${DEFAULT-VALUE}")
         private int rounds;
 
         @Option(names = "--reqs", defaultValue = "100000", description = "a round (default: ${DEFAULT-VALUE})")
-        private int reqs;
+        private int requests;
 
         @Override
         public Integer call() {
-            PartitionBenchmark.run(rounds, reqs, System.out);
+            PartitionBenchmark.run(rounds, requests, System.out);
             return 0;
         }
     }
 
+    /** Measures a real node as its endpoints become more and smaller. */
     @Command(
             name = "scale",
             mixinStandardHelpOptions = true,
             description = {
-                "What a real node needs as the machines become more and smaller: CPU, memory, descriptors, connections, lists.",
+                "What a real node needs as the endpoints become more and smaller: CPU, memory, descriptors, connections, lists.",
                 "The first scale is the usual size; what goes past the acceptance's limits is printed."
             })
-    static final class Scale implements Callable<Integer> {
+    @SuppressWarnings("NullAway.Init") // picocli sets the fields
+    static final class ScaleBenchCommand implements Callable<Integer> {
         @Option(
                 names = "--profiles",
                 split = ",",
                 defaultValue = "THIN,SMALL,BUSY",
                 description = "default: ${DEFAULT-VALUE}")
-        private List<ScaleBench.Profile> profiles;
+        private List<ScaleProfile> profiles;
 
         @Option(names = "--scales", split = ",", defaultValue = "1,4,16", description = "default: ${DEFAULT-VALUE}")
         private List<Integer> scales;
@@ -201,27 +217,29 @@
             Files.createDirectories(out);
             NodeImage image = NodeImage.make(out.toAbsolutePath());
             System.out.println(ScaleBench.HEADER);
-            for (ScaleBench.Profile profile : profiles) {
+            for (ScaleProfile profile : profiles) {
                 ScaleBench.run(profile, scales, seconds, seed, image, out.toAbsolutePath(), System.out);
             }
             return 0;
         }
     }
 
+    /** Runs the bare relay, as a process that {@link FrontBenchCommand} starts. */
     @Command(name = "relay", hidden = true, description = "The bare relay: LISTEN ADMIN PORT,PORT...")
-    static final class RelayAlone implements Callable<Integer> {
+    @SuppressWarnings("NullAway.Init") // picocli sets the fields
+    static final class BareRelayCommand implements Callable<Integer> {
         @Parameters(index = "0")
-        private int listen;
+        private int listenPort;
 
         @Parameters(index = "1")
-        private int admin;
+        private int adminPort;
 
         @Parameters(index = "2", split = ",")
-        private List<Integer> ports;
+        private List<Integer> endpointPorts;
 
         @Override
         public Integer call() throws Exception {
-            new BareRelay(listen, admin, ports);
+            new BareRelay(listenPort, adminPort, endpointPorts);
             new CountDownLatch(1).await();
             return 0;
         }
--- a/src/main/java/laurelkeel/cli/CheckCommand.java
+++ b/src/main/java/laurelkeel/cli/CheckCommand.java
@@ -10,33 +10,42 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
+/** The command {@code check}: validates settings files without starting anything. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
         description = {
             "Checks settings files of fronts and days, and starts nothing.",
-            "All faults are told at once, each with file, line and mend."
+            "Reports all errors at once, each with file, line and correction."
         })
+@SuppressWarnings("NullAway.Init") // picocli sets the fields
 final class CheckCommand implements Callable<Integer> {
+    /** Only a day file has this section. */
+    private static final String DAY_SECTION = "day";
+
     @Parameters(arity = "1..*", paramLabel = "FILE.ini")
     private List<Path> files;
 
     @Override
     public Integer call() {
-        int code = 0;
+        int exitCode = 0;
         for (Path file : files) {
             try {
-                if (IniFile.read(file).hasSection("day")) {
-                    Scenario.find(file.toString());
-                } else {
-                    FrontSettings.read(file);
-                }
+                validate(file);
                 System.out.println(file + ": good");
             } catch (InvalidSettingsException e) {
                 System.err.println(e.getMessage());
-                code = Cli.BAD_INPUT;
+                exitCode = Cli.BAD_INPUT;
             }
         }
-        return code;
+        return exitCode;
+    }
+
+    private static void validate(Path file) throws InvalidSettingsException {
+        if (IniFile.read(file).hasSection(DAY_SECTION)) {
+            Scenario.find(file.toString());
+        } else {
+            FrontSettings.read(file);
+        }
     }
 }
--- a/src/main/java/laurelkeel/cli/DayCommand.java
+++ b/src/main/java/laurelkeel/cli/DayCommand.java
@@ -5,10 +5,12 @@
 import laurelkeel.audit.AuditReport;
 import laurelkeel.scenario.Scenario;
 import laurelkeel.scenario.ScenarioRun;
+import org.jspecify.annotations.Nullable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+/** The command {@code day}: plays a scripted day with real front processes and judges it. */
 @Command(
         name = "day",
         mixinStandardHelpOptions = true,
@@ -23,6 +25,7 @@
             "2:bad arguments or day file",
             "3:a rule was broken"
         })
+@SuppressWarnings("NullAway.Init") // picocli sets the fields
 final class DayCommand implements Callable<Integer> {
     @Parameters(
             arity = "0..1",
@@ -31,19 +34,19 @@
             description = "a shipped day or a file; docs/day.md explains the format (default: ${DEFAULT-VALUE})")
     private String day;
 
-    @Option(names = "--seed", description = "chance of the day, instead of the file's")
-    private Long seed;
+    @Option(names = "--seed", description = "seed of the day's random draws, instead of the file's")
+    private @Nullable Long seed;
 
     @Option(
             names = "--out",
             defaultValue = "target/day",
-            description = "folder for records, logs and the report " + "(default: ${DEFAULT-VALUE})")
+            description = "folder for records, logs and the report (default: ${DEFAULT-VALUE})")
     private Path out;
 
     @Override
     public Integer call() throws Exception {
-        Scenario plan = Scenario.find(day);
-        AuditReport j = new ScenarioRun(plan, seed == null ? plan.seed() : seed, out, System.out).play();
-        return j.kept() == 5 ? 0 : Cli.RULE_BROKEN;
+        Scenario scenario = Scenario.find(day);
+        AuditReport report = new ScenarioRun(scenario, seed == null ? scenario.seed() : seed, out, System.out).play();
+        return report.kept() == AuditCommand.RULES ? 0 : Cli.RULE_BROKEN;
     }
 }
--- a/src/main/java/laurelkeel/cli/Main.java
+++ b/src/main/java/laurelkeel/cli/Main.java
@@ -5,23 +5,27 @@
 import laurelkeel.simulatoradapter.MalformedSimulatorMessageException;
 import laurelkeel.simulatoradapter.SimulatorAdapter;
 
-/** The program's entry. benchlink is started hundreds of times a score, so it passes by the command line library; so does
- * serve, which starts on part of a core. */
+/**
+ * The program's entry point. The commands {@code benchlink}, which is started hundreds of times a score, and {@code serve},
+ * which starts on part of a core, run without loading the command-line library.
+ */
 public final class Main {
 
     private Main() {}
 
+    /**
+     * Runs the command that the arguments name and ends the process with its exit code.
+     *
+     * @throws Exception where a command that bypasses the command-line library fails
+     */
     public static void main(String[] args) throws Exception {
         // read by logback at its first use; the option --logs may name another one before
-        System.setProperty("logback.configurationFile", "logback-text.xml");
-        if (args.length == 1 && args[0].equals("benchlink")) {
-            benchlink();
-        } else if (args.length == 1 && args[0].equals("serve")) {
-            System.exit(NodeLauncher.run(System.getenv()));
-        } else if (args.length == 1 && args[0].equals("rehearse")) {
-            System.exit(ClassArchiveTraining.run());
-        } else {
-            System.exit(Cli.run(args));
+        System.setProperty(Cli.LOG_CONFIGURATION_PROPERTY, "logback-text.xml");
+        switch (args.length == 1 ? args[0] : "") {
+            case "benchlink" -> benchlink();
+            case "serve" -> System.exit(NodeLauncher.run(System.getenv()));
+            case "rehearse" -> System.exit(ClassArchiveTraining.run());
+            default -> System.exit(Cli.run(args));
         }
     }
 
--- a/src/main/java/laurelkeel/cli/NodeLauncher.java
+++ b/src/main/java/laurelkeel/cli/NodeLauncher.java
@@ -49,7 +49,7 @@
             return Cli.BAD_INPUT;
         }
         Throwable failure = runNode(configuration, created);
-        RateLimitedAsyncAppender.flush(Cli.LOGS_MS);
+        RateLimitedAsyncAppender.flush(Cli.LOG_FLUSH_MILLIS);
         return failure == null ? 0 : Cli.FAILED;
     }
 
--- /dev/null
+++ b/src/main/java/laurelkeel/cli/ShutdownDrain.java
@@ -0,0 +1,44 @@
+package laurelkeel.cli;
+
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
+import laurelkeel.api.Settings.Route;
+import laurelkeel.api.Ticks;
+import laurelkeel.front.FrontNode;
+import laurelkeel.front.FrontSettings;
+import laurelkeel.logging.RateLimitedAsyncAppender;
+
+/** Drains a front node while the process shuts down, and waits until the node has ended. */
+final class ShutdownDrain implements Runnable {
+    /** Added to the longest time that a node should need. */
+    private static final long MARGIN_MILLIS = 5_000;
+
+    private final FrontNode node;
+    private final long maxWaitMillis;
+
+    ShutdownDrain(FrontNode node, FrontSettings settings) {
+        this.node = node;
+        this.maxWaitMillis = maxDrainTicks(settings) / Ticks.PER_MILLISECOND + MARGIN_MILLIS;
+    }
+
+    /** The longest that a request may take after a drain has begun. */
+    private static long maxDrainTicks(FrontSettings settings) {
+        long longestTimeoutTicks = settings.decisionSettings().routes().stream()
+                .mapToLong(Route::timeoutTicks)
+                .max()
+                .orElse(0);
+        return longestTimeoutTicks + settings.ingress().maxDrainTicks();
+    }
+
+    @Override
+    public void run() {
+        node.drain();
+        try {
+            node.termination().get(maxWaitMillis, TimeUnit.MILLISECONDS);
+        } catch (InterruptedException | ExecutionException | TimeoutException e) {
+            System.err.println("laurelkeel: the front did not end in its time: " + e);
+        }
+        RateLimitedAsyncAppender.flush(Cli.LOG_FLUSH_MILLIS);
+    }
+}
--- a/src/main/java/laurelkeel/cli/SoakCommand.java
+++ b/src/main/java/laurelkeel/cli/SoakCommand.java
@@ -1,31 +1,26 @@
 package laurelkeel.cli;
 
-import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.Callable;
-import java.util.concurrent.ExecutorService;
-import java.util.concurrent.Executors;
-import java.util.concurrent.Future;
 import laurelkeel.soak.FaultLibrary;
 import laurelkeel.soak.NodeImage;
-import laurelkeel.soak.Shrinker;
-import laurelkeel.soak.Soak;
 import laurelkeel.soak.SoakPlan;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+/** The command {@code soak}: runs real front nodes among misbehaving servers and judges them. */
 @Command(
         name = "soak",
         mixinStandardHelpOptions = true,
         description = {
-            "Plays real front nodes between stand-ins with faults, one seed a run, and judges them from the sockets.",
+            "Runs real front nodes between stand-ins with faults, one seed a run, and judges them from the sockets.",
             "Signals, crowds, failing system calls and steps of the clock are drawn from the seed (docs/soak.md)."
         })
+@SuppressWarnings("NullAway.Init") // picocli sets the fields
 final class SoakCommand implements Callable<Integer> {
     @Option(
             names = "--seeds",
@@ -44,7 +39,7 @@
             names = "--quiet",
             defaultValue = "0",
             description = "seconds without events at first; default: ${DEFAULT-VALUE}")
-    private int quiet;
+    private int quietSeconds;
 
     @Option(
             names = "--without",
@@ -74,65 +69,30 @@
             description = "for logs; default: ${DEFAULT-VALUE}")
     private Path out;
 
-    private NodeImage image;
-    private Optional<Path> faults;
-
     @Override
     public Integer call() throws Exception {
-        String[] ends = seeds.split("-", 2);
-        long first;
-        long last;
+        SeedRange range;
         try {
-            first = Long.parseLong(ends[0]);
-            last = ends.length == 1 ? first : Long.parseLong(ends[1]);
+            range = SeedRange.parse(seeds);
         } catch (NumberFormatException e) {
             System.err.println("laurelkeel: --seeds wants FIRST-LAST, as 1-50, and not '" + seeds + "'");
             return Cli.BAD_INPUT;
         }
-        if (seconds < 1 || parallel < 1 || quiet < 0 || last < first) {
+        if (seconds < 1 || parallel < 1 || quietSeconds < 0 || range.isEmpty()) {
             System.err.println(
                     "laurelkeel: --seconds and --parallel must be above 0, --quiet at least 0, and --seeds must not go down");
             return Cli.BAD_INPUT;
         }
         Files.createDirectories(out);
-        image = NodeImage.make(out.toAbsolutePath());
-        faults = FaultLibrary.build(out.toAbsolutePath());
+        NodeImage image = NodeImage.make(out.toAbsolutePath());
+        Optional<Path> faults = FaultLibrary.build(out.toAbsolutePath());
         if (faults.isEmpty()) {
             System.out.println("no C compiler: no failing calls, no steps of the clock");
         }
-        ExecutorService runs = Executors.newFixedThreadPool(parallel);
-        List<Future<Soak.Result>> results = new ArrayList<>();
-        for (long seed = first; seed <= last; seed++) {
-            SoakPlan plan = SoakPlan.draw(seed, quiet, seconds).without(without);
-            results.add(runs.submit(() -> play(plan)));
-        }
-        runs.shutdown();
-        int broken = 0;
-        for (Future<Soak.Result> result : results) {
-            broken += report(result.get()) ? 0 : 1;
-        }
-        System.out.println(results.size() + " seeds, " + broken + " broken");
+        List<SoakPlan> plans = range.seeds()
+                .mapToObj(seed -> SoakPlan.draw(seed, quietSeconds, seconds).without(without))
+                .toList();
+        int broken = new SoakSeries(image, faults, out.toAbsolutePath(), shrink, System.out).play(plans, parallel);
         return broken == 0 ? 0 : Cli.RULE_BROKEN;
     }
-
-    private Soak.Result play(SoakPlan plan) throws IOException, InterruptedException {
-        return Soak.run(plan, image, faults, out.toAbsolutePath().resolve("seed-" + plan.seed()));
-    }
-
-    private boolean report(Soak.Result result) throws Exception {
-        boolean kept = result.broken().isEmpty();
-        System.out.println("seed " + result.plan().seed() + (kept ? " kept: " : " BROKEN: ") + result.counts());
-        if (!kept) {
-            result.broken().forEach(each -> System.out.println("    " + each));
-            SoakPlan plan = shrink
-                    ? Shrinker.shrink(
-                            result.plan(), each -> !play(each).broken().isEmpty())
-                    : result.plan();
-            System.out.println("    drawn: " + plan);
-            System.out.println("    again: bin/laurelkeel soak --seeds " + plan.seed() + " --seconds " + seconds
-                    + (quiet > 0 ? " --quiet " + quiet : "")
-                    + (plan.leftOut().isEmpty() ? "" : " --without " + String.join(",", plan.leftOut())));
-        }
-        return kept;
-    }
 }
--- /dev/null
+++ b/src/main/java/laurelkeel/cli/SoakSeries.java
@@ -0,0 +1,93 @@
+package laurelkeel.cli;
+
+import java.io.IOException;
+import java.io.PrintStream;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.concurrent.Future;
+import laurelkeel.soak.NodeImage;
+import laurelkeel.soak.Shrinker;
+import laurelkeel.soak.SoakPlan;
+import laurelkeel.soak.SoakResult;
+import laurelkeel.soak.SoakRun;
+
+/** Plays soak runs, some at a time, and prints what each of them found. */
+final class SoakSeries {
+    private final NodeImage image;
+    private final Optional<Path> faultLibrary;
+    private final Path folder;
+    private final boolean shrinks;
+    private final PrintStream out;
+
+    /**
+     * Creates a series.
+     *
+     * @param folder each run gets a folder in it
+     * @param shrinks whether a plan that breaks a rule is reduced to the parts that this needs
+     */
+    SoakSeries(NodeImage image, Optional<Path> faultLibrary, Path folder, boolean shrinks, PrintStream out) {
+        this.image = image;
+        this.faultLibrary = faultLibrary;
+        this.folder = folder;
+        this.shrinks = shrinks;
+        this.out = out;
+    }
+
+    /**
+     * Plays all plans and returns how many of them broke a rule.
+     *
+     * @param parallel runs at a time
+     * @throws Exception where a run cannot be played
+     */
+    int play(List<SoakPlan> plans, int parallel) throws Exception {
+        ExecutorService executor = Executors.newFixedThreadPool(parallel);
+        List<Future<SoakResult>> results = new ArrayList<>();
+        for (SoakPlan plan : plans) {
+            results.add(executor.submit(() -> play(plan)));
+        }
+        executor.shutdown();
+        int broken = 0;
+        for (Future<SoakResult> result : results) {
+            broken += report(result.get()) ? 0 : 1;
+        }
+        out.println(results.size() + " seeds, " + broken + " broken");
+        return broken;
+    }
+
+    private SoakResult play(SoakPlan plan) throws IOException, InterruptedException {
+        return SoakRun.play(plan, image, faultLibrary, folder.resolve("seed-" + plan.seed()));
+    }
+
+    /** Prints one result and returns whether all rules were kept. */
+    private boolean report(SoakResult result) throws Exception {
+        boolean kept = result.violations().isEmpty();
+        out.println("seed " + result.plan().seed() + (kept ? " kept: " : " BROKEN: ") + result.counts());
+        if (!kept) {
+            result.violations().forEach(violation -> out.println("    " + violation));
+            SoakPlan plan = shrinks ? shrink(result.plan()) : result.plan();
+            out.println("    drawn: " + plan);
+            out.println("    again: bin/laurelkeel soak " + options(plan));
+        }
+        return kept;
+    }
+
+    private SoakPlan shrink(SoakPlan plan) throws Exception {
+        return Shrinker.shrink(plan, smaller -> !play(smaller).violations().isEmpty());
+    }
+
+    /** The options that play this plan again. */
+    private static String options(SoakPlan plan) {
+        StringBuilder options = new StringBuilder("--seeds " + plan.seed() + " --seconds " + plan.seconds());
+        if (plan.quietSeconds() > 0) {
+            options.append(" --quiet ").append(plan.quietSeconds());
+        }
+        if (!plan.leftOut().isEmpty()) {
+            options.append(" --without ").append(String.join(",", plan.leftOut()));
+        }
+        return options.toString();
+    }
+}
--- a/src/main/java/laurelkeel/cli/StandinCommand.java
+++ b/src/main/java/laurelkeel/cli/StandinCommand.java
@@ -4,17 +4,20 @@
 import java.util.concurrent.CountDownLatch;
 import laurelkeel.scenario.Scenario;
 import laurelkeel.scenario.ScenarioEnvironment;
+import org.jspecify.annotations.Nullable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+/** The command {@code standin}: runs everything of a day but its front nodes, until the process is ended. */
 @Command(
         name = "standin",
         mixinStandardHelpOptions = true,
         description = {
-            "Runs the machines, list and release line of a day file, for fronts started by hand.",
+            "Runs the endpoints, endpoint list and rollout service of a day file, for fronts started by hand.",
             "Prints their addresses for the fronts' settings; ends on a signal."
         })
+@SuppressWarnings("NullAway.Init") // picocli sets the fields
 final class StandinCommand implements Callable<Integer> {
     @Parameters(
             arity = "0..1",
@@ -23,19 +26,20 @@
             description = "a shipped day or a file (default: ${DEFAULT-VALUE})")
     private String day;
 
-    @Option(names = "--seed", description = "chance, instead of the file's")
-    private Long seed;
+    @Option(names = "--seed", description = "seed of the random draws, instead of the file's")
+    private @Nullable Long seed;
 
     @Override
     public Integer call() throws Exception {
-        Scenario plan = Scenario.find(day);
-        try (ScenarioEnvironment world = new ScenarioEnvironment(plan, seed == null ? plan.seed() : seed, r -> {})) {
-            world.start();
+        Scenario scenario = Scenario.find(day);
+        try (ScenarioEnvironment environment =
+                new ScenarioEnvironment(scenario, seed == null ? scenario.seed() : seed, unrecorded -> {})) {
+            environment.start();
             System.out.printf(
                     "[list]%naddress = 127.0.0.1:%d%nmode = %s%n[release]%naddress = 127.0.0.1:%d%n",
-                    world.listAt().getPort(),
-                    plan.listAsked() ? "ask" : "push",
-                    world.lineAt().getPort());
+                    environment.listAt().getPort(),
+                    scenario.listAsked() ? "ask" : "push",
+                    environment.lineAt().getPort());
             System.out.flush();
             new CountDownLatch(1).await();
         }
--- /dev/null
+++ b/src/main/java/laurelkeel/soak/ClientConnection.java
@@ -0,0 +1,83 @@
+package laurelkeel.soak;
+
+import java.io.BufferedInputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import org.jspecify.annotations.Nullable;
+
+/** A client's connection to one node; not thread-safe. */
+final class ClientConnection implements AutoCloseable {
+    private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+    private static final int MILLIS_PER_SECOND = 1_000;
+
+    private final Socket socket;
+    private final InputStream in;
+    private final NodeInstance node;
+    private int requests;
+
+    private ClientConnection(Socket socket, NodeInstance node) throws IOException {
+        this.socket = socket;
+        this.in = new BufferedInputStream(socket.getInputStream());
+        this.node = node;
+    }
+
+    /** Connects to a node. */
+    static ClientConnection open(NodeInstance node) throws IOException {
+        Socket socket = new Socket();
+        try {
+            socket.connect(
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), node.port()), CONNECT_TIMEOUT_MILLIS);
+            socket.setTcpNoDelay(true);
+            return new ClientConnection(socket, node);
+        } catch (IOException e) {
+            socket.close();
+            throw e;
+        }
+    }
+
+    NodeInstance node() {
+        return node;
+    }
+
+    /** Complete requests that were sent so far. */
+    int requests() {
+        return requests;
+    }
+
+    void sendRequest(String text) throws IOException {
+        HttpText.write(socket, text);
+        requests++;
+    }
+
+    void sendPart(String text) throws IOException {
+        HttpText.write(socket, text);
+    }
+
+    /** Sends no more; responses can still be read. */
+    void endOutput() throws IOException {
+        socket.shutdownOutput();
+    }
+
+    /**
+     * Reads a response; null where the connection ended in order before its first byte.
+     *
+     * @throws java.net.SocketTimeoutException where nothing comes for that time
+     */
+    @Nullable
+    NodeResponse readResponse(double timeoutSeconds) throws IOException {
+        socket.setSoTimeout((int) (timeoutSeconds * MILLIS_PER_SECOND));
+        return NodeResponse.read(in);
+    }
+
+    @Override
+    public void close() {
+        try {
+            socket.close();
+        } catch (IOException ignored) {
+            // it is closed either way
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/laurelkeel/soak/ClientRequest.java
@@ -0,0 +1,32 @@
+package laurelkeel.soak;
+
+import java.util.Locale;
+import java.util.Random;
+
+/**
+ * One request of a client.
+ *
+ * @param idempotent whether it is idempotent by itself, without a body; otherwise its idempotency key makes it so
+ * @param timeoutSeconds how long the client waits
+ */
+record ClientRequest(String id, boolean idempotent, String partitionKey, double timeoutSeconds, String body) {
+    private static final int MAX_BODY_LENGTH = 500;
+    private static final int PARTITION_KEYS = 100;
+
+    /** Draws what a request is about. */
+    static ClientRequest draw(Random random, String id, double timeoutSeconds) {
+        boolean idempotent = random.nextBoolean();
+        String body = idempotent ? "" : "b".repeat(random.nextInt(MAX_BODY_LENGTH));
+        String partitionKey = "k" + random.nextInt(PARTITION_KEYS);
+        return new ClientRequest(id, idempotent, partitionKey, timeoutSeconds, body);
+    }
+
+    /** The request as it is sent. */
+    String text() {
+        String requestLine = (idempotent ? "GET /look/" : "POST /pay/") + id + " HTTP/1.1\r\n";
+        String headers = "Host: app.svc\r\nX-Correlation-Id: " + id + "\r\nX-Account: acme\r\nX-Session-Key: "
+                + partitionKey + "\r\nX-Time-Left: " + String.format(Locale.ROOT, "%.3f", timeoutSeconds) + "\r\n";
+        String framing = idempotent ? "" : "Idempotency-Key: m-" + id + "\r\nContent-Length: " + body.length() + "\r\n";
+        return requestLine + headers + framing + "\r\n" + body;
+    }
+}
--- /dev/null
+++ b/src/main/java/laurelkeel/soak/ConnectionEndedException.java
@@ -0,0 +1,12 @@
+package laurelkeel.soak;
+
+import java.io.IOException;
+
+/** A connection ended in order where a response, or the rest of one, was expected. */
+final class ConnectionEndedException extends IOException {
+    private static final long serialVersionUID = 1L;
+
+    ConnectionEndedException(String message) {
+        super(message);
+    }
+}
--- a/src/main/java/laurelkeel/soak/ControlServer.java
+++ b/src/main/java/laurelkeel/soak/ControlServer.java
@@ -5,51 +5,52 @@
 import java.net.Socket;
 import java.util.Random;
 
-/** The control service: one build on trial, news of it, and answers to votes, some of them spoilt. */
+/** The control service: one canary build, its progress, and answers to votes, some of them malformed; thread-safe. */
 final class ControlServer extends TcpServer {
-    static final int TRIAL_BUILD = 24;
-    private static final int BEAT_MS = 1_000;
+    static final int CANARY_BUILD = 24;
+    static final int BASELINE_BUILD = CANARY_BUILD - 1;
+    private static final int HEARTBEAT_MILLIS = 1_000;
+    private static final String PROGRESS = CANARY_BUILD + " 1 Progressing 0.5 9000\r\n";
 
-    private final Violations violations;
+    private final ViolationLog violations;
     private final Random random;
-    private final double spoilt;
+    private final double malformedShare;
 
-    ControlServer(Violations violations, long seed, double spoilt) throws IOException {
+    /** @param malformedShare of all calls, the share that is answered with garbage, from 0 to 1 */
+    ControlServer(ViolationLog violations, long seed, double malformedShare) throws IOException {
         this.violations = violations;
         this.random = new Random(seed);
-        this.spoilt = spoilt;
+        this.malformedShare = malformedShare;
     }
 
-    private synchronized boolean spoils() {
-        return random.nextDouble() < spoilt;
-    }
-
-    private static String state() {
-        return TRIAL_BUILD + " 1 Progressing 0.5 9000\r\n";
+    private synchronized boolean drawMalformed() {
+        return random.nextDouble() < malformedShare;
     }
 
     @Override
     void serve(Socket socket, InputStream in) throws IOException {
-        for (String call = line(in); call != null; call = line(in)) {
-            if (spoils()) {
-                write(socket, random.nextBoolean() ? "OK 24 1 Progr" : "\u0001\u0002\r\n");
+        for (String call = HttpText.readLine(in); call != null; call = HttpText.readLine(in)) {
+            if (drawMalformed()) {
+                HttpText.write(socket, random.nextBoolean() ? "OK 24 1 Progr" : "\u0001\u0002\r\n");
                 socket.close();
                 return;
             }
             if (call.equals("SUB")) {
-                write(socket, "OK\r\n* progress " + state());
-                daemon("beat", () -> {
-                    while (!socket.isClosed()) {
-                        Thread.sleep(BEAT_MS);
-                        write(socket, "*\r\n");
-                    }
-                });
+                HttpText.write(socket, "OK\r\n* progress " + PROGRESS);
+                DaemonThreads.start("heartbeat", () -> sendHeartbeats(socket));
             } else if (call.startsWith("SAY ")) {
                 violations.count("votes");
-                write(socket, "OK " + state());
+                HttpText.write(socket, "OK " + PROGRESS);
             } else {
-                violations.add("control", "no call: " + call);
+                violations.add(SoakRule.CONTROL, "no call: " + call);
             }
         }
     }
+
+    private static void sendHeartbeats(Socket socket) throws IOException, InterruptedException {
+        while (!socket.isClosed()) {
+            Thread.sleep(HEARTBEAT_MILLIS);
+            HttpText.write(socket, "*\r\n");
+        }
+    }
 }
--- a/src/main/java/laurelkeel/soak/FaultLibrary.java
+++ b/src/main/java/laurelkeel/soak/FaultLibrary.java
@@ -5,21 +5,30 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Objects;
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** The library that lets a node's system calls fail and its wall clock step (soak/faults.c), built where there is a C compiler. */
+/** The library that lets a node's system calls fail and its wall clock step (soak/faults.c). */
 public final class FaultLibrary {
     private static final String SOURCE = "/soak/faults.c";
     private static final int COMPILE_SECONDS = 60;
 
     private FaultLibrary() {}
 
-    /** Empty where there is no compiler, or it fails. */
+    /**
+     * Compiles the library.
+     *
+     * @param folder where it is left
+     * @return its path; empty where there is no C compiler, or it fails
+     * @throws IOException where the source cannot be written
+     */
     public static Optional<Path> build(Path folder) throws IOException, InterruptedException {
         Path source = folder.resolve("faults.c");
         Path library = folder.resolve("faults.so");
-        try (InputStream in = FaultLibrary.class.getResourceAsStream(SOURCE)) {
+        try (InputStream in = Objects.requireNonNull(FaultLibrary.class.getResourceAsStream(SOURCE), SOURCE)) {
             Files.copy(in, source, StandardCopyOption.REPLACE_EXISTING);
         }
         try {
@@ -34,4 +43,19 @@
             return Optional.empty();
         }
     }
+
+    /** The environment that gives a process the faults of a plan; empty where the plan has none. */
+    static Map<String, String> environment(Path library, SoakPlan plan) {
+        Map<String, String> environment = new HashMap<>();
+        if (!plan.clockSteps().isEmpty()) {
+            environment.put("SOAK_STEPS", plan.clockSteps());
+        }
+        if (!plan.callFaults().isEmpty()) {
+            environment.put("SOAK_FAULTS", plan.callFaults());
+        }
+        if (!environment.isEmpty()) {
+            environment.put("LD_PRELOAD", library.toString());
+        }
+        return environment;
+    }
 }
--- a/src/main/java/laurelkeel/soak/NodeImage.java
+++ b/src/main/java/laurelkeel/soak/NodeImage.java
@@ -14,13 +14,13 @@
 import java.util.stream.Stream;
 
 /**
- * What starts a front node as the platform does: the command line of deploy/node.args with a class archive, made of the
+ * The command that starts a front node as the platform does: that of deploy/node.args with a class archive, made of the
  * classes that this process runs. A node that reads its classes from an archive starts in another order than one that
- * does not, so tests of the start need it.
+ * does not, so tests of the start need it. Immutable.
  */
 public final class NodeImage {
-    /** As deploy/node.args. */
-    static final List<String> JVM = List.of(
+    /** The options of deploy/node.args. */
+    static final List<String> JVM_OPTIONS = List.of(
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
             "-Xshare:auto",
@@ -33,9 +33,9 @@
             "-XX:-UsePerfData",
             "-Djava.net.preferIPv4Stack=true");
 
-    private static final String MAIN = "laurelkeel.cli.Main";
+    private static final String MAIN_CLASS = "laurelkeel.cli.Main";
     /** One class of each library that a node needs. */
-    private static final List<String> LIBRARIES = List.of(
+    private static final List<String> LIBRARY_CLASSES = List.of(
             "org.apache.mina.core.session.IoSession",
             "org.slf4j.Logger",
             "ch.qos.logback.classic.Logger",
@@ -45,7 +45,7 @@
             "com.fasterxml.jackson.annotation.JsonProperty",
             "org.jctools.queues.MpscUnboundedArrayQueue");
 
-    private static final int REHEARSAL_SECONDS = 60;
+    private static final int TRAINING_SECONDS = 60;
 
     private final List<String> command;
 
@@ -54,43 +54,43 @@
     }
 
     /**
-     * Makes the archive by the rehearsal that the build uses.
+     * Makes the archive by the training run that the build uses.
      *
      * @param folder where jar and archive are left; they have to last as long as nodes are started
-     * @throws IOException where the rehearsal fails; it names the rehearsal's log
+     * @throws IOException where the training run fails; it names the run's log
      */
     public static NodeImage make(Path folder) throws IOException, InterruptedException {
         List<String> classPath = new ArrayList<>();
-        classPath.add(jar(location(MAIN), folder).toString());
-        for (String library : LIBRARIES) {
+        classPath.add(jar(location(MAIN_CLASS), folder).toString());
+        for (String library : LIBRARY_CLASSES) {
             classPath.add(location(library).toString());
         }
         Path archive = folder.resolve("node.jsa");
-        List<String> common = new ArrayList<>(JVM);
-        common.addAll(List.of("-cp", String.join(File.pathSeparator, classPath), MAIN));
-        rehearse(archive, common, folder.resolve("rehearsal.log"));
+        List<String> common = new ArrayList<>(JVM_OPTIONS);
+        common.addAll(List.of("-cp", String.join(File.pathSeparator, classPath), MAIN_CLASS));
+        train(archive, common, folder.resolve("rehearsal.log"));
         List<String> command = new ArrayList<>(List.of(java(), "-XX:SharedArchiveFile=" + archive));
         command.addAll(common);
         command.add("serve");
         return new NodeImage(command);
     }
 
-    /** The command that serves. */
+    /** The command that runs a node. */
     List<String> command() {
         return command;
     }
 
-    private static void rehearse(Path archive, List<String> common, Path log) throws IOException, InterruptedException {
+    private static void train(Path archive, List<String> common, Path log) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of(java(), "-XX:ArchiveClassesAtExit=" + archive));
         command.addAll(common);
         command.add("rehearse");
-        Process rehearsal = new ProcessBuilder(command)
+        Process training = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(log.toFile())
                 .start();
-        if (!rehearsal.waitFor(REHEARSAL_SECONDS, TimeUnit.SECONDS) || rehearsal.exitValue() != 0) {
-            rehearsal.destroyForcibly();
-            throw new IOException("the rehearsal failed; see " + log);
+        if (!training.waitFor(TRAINING_SECONDS, TimeUnit.SECONDS) || training.exitValue() != 0) {
+            training.destroyForcibly();
+            throw new IOException("the training run failed; see " + log);
         }
     }
 
@@ -110,7 +110,7 @@
         }
     }
 
-    /** Classes from a folder cannot be archived: they are packed first. */
+    /** Packs classes, for those of a folder cannot be archived; a jar is left as it is. */
     private static Path jar(Path classes, Path folder) throws IOException {
         if (!Files.isDirectory(classes)) {
             return classes;
@@ -118,10 +118,10 @@
         Path jar = folder.resolve("node.jar");
         try (OutputStream file = Files.newOutputStream(jar);
                 JarOutputStream out = new JarOutputStream(file);
-                Stream<Path> all = Files.walk(classes)) {
-            for (Path each : (Iterable<Path>) all.filter(Files::isRegularFile)::iterator) {
-                out.putNextEntry(new JarEntry(classes.relativize(each).toString()));
-                Files.copy(each, out);
+                Stream<Path> entries = Files.walk(classes)) {
+            for (Path entry : (Iterable<Path>) entries.filter(Files::isRegularFile)::iterator) {
+                out.putNextEntry(new JarEntry(classes.relativize(entry).toString()));
+                Files.copy(entry, out);
                 out.closeEntry();
             }
         }
--- a/src/main/java/laurelkeel/soak/NodeResponse.java
+++ b/src/main/java/laurelkeel/soak/NodeResponse.java
@@ -4,30 +4,35 @@
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
+import org.jspecify.annotations.Nullable;
 
 /**
- * What a node answered.
+ * A node's response to a client.
  *
- * @param last its connection ends with it
+ * @param closesConnection whether the node closes the connection after it
  */
-record NodeResponse(int status, String body, boolean last) {
-    private static final int STATUS_FROM = 9, STATUS_TO = 12;
+record NodeResponse(int status, String body, boolean closesConnection) {
+    private static final int STATUS_START = 9;
+    private static final int STATUS_END = 12;
 
-    /** Null where the connection ended in order before a byte of an answer. */
-    static NodeResponse read(InputStream in) throws IOException {
-        String first = TcpServer.line(in);
-        if (first == null) {
+    /**
+     * Reads a response; null where the connection ended in order before its first byte.
+     *
+     * @throws ConnectionEndedException where the connection ended in order within the response
+     */
+    static @Nullable NodeResponse read(InputStream in) throws IOException {
+        String statusLine = HttpText.readLine(in);
+        if (statusLine == null) {
             return null;
         }
-        Map<String, String> headers = TcpServer.headers(in);
-        int length = TcpServer.contentLength(headers);
+        Map<String, String> headers = HttpText.readHeaders(in);
+        int length = HttpText.contentLength(headers);
         byte[] body = in.readNBytes(length);
-        if (body.length < length || first.length() < STATUS_TO) {
-            throw new IOException("an answer that stopped short");
+        if (body.length < length || statusLine.length() < STATUS_END) {
+            throw new ConnectionEndedException("an answer that stopped short");
         }
-        int status = Integer.parseInt(first.substring(STATUS_FROM, STATUS_TO));
         return new NodeResponse(
-                status,
+                Integer.parseInt(statusLine.substring(STATUS_START, STATUS_END)),
                 new String(body, StandardCharsets.ISO_8859_1),
                 "close".equalsIgnoreCase(headers.get("connection")));
     }
--- /dev/null
+++ b/src/main/java/laurelkeel/soak/SharedEndpointList.java
@@ -0,0 +1,54 @@
+package laurelkeel.soak;
+
+import java.io.IOException;
+import java.net.Socket;
+import java.util.List;
+import java.util.concurrent.CopyOnWriteArrayList;
+
+/** The endpoint list that all discovery servers of a run serve, with their open watches; thread-safe. */
+final class SharedEndpointList {
+    private final List<Socket> watches = new CopyOnWriteArrayList<>();
+    private EndpointListMessage current = new EndpointListMessage(1, true, List.of());
+
+    /** Replaces the list and sends it on all watches. */
+    synchronized void publish(List<DiscoveryEntry> entries) {
+        current = new EndpointListMessage(current.version() + 1, true, List.copyOf(entries));
+        for (Socket watch : watches) {
+            sendList(watch);
+        }
+    }
+
+    /** Sends the list on a new watch, and from now on each change. */
+    synchronized void addWatch(Socket watch) {
+        watches.add(watch);
+        sendList(watch);
+    }
+
+    /** The whole list in discovery's form. */
+    synchronized String json() {
+        return current.json();
+    }
+
+    void sendHeartbeat() {
+        watches.forEach(watch -> send(watch, "\n"));
+    }
+
+    /** Sends what no node can parse, on all watches. */
+    void sendMalformed() {
+        watches.forEach(watch -> send(watch, "{\"version\":\u0001\n"));
+    }
+
+    private synchronized void sendList(Socket watch) {
+        send(watch, json() + "\n");
+    }
+
+    private void send(Socket watch, String text) {
+        try {
+            synchronized (watch) {
+                HttpText.writeChunk(watch, text);
+            }
+        } catch (IOException e) {
+            watches.remove(watch);
+        }
+    }
+}
--- a/src/main/java/laurelkeel/soak/TcpServer.java
+++ b/src/main/java/laurelkeel/soak/TcpServer.java
@@ -7,81 +7,86 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
-import java.util.HashMap;
-import java.util.Locale;
-import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A listener on loopback with a thread a connection, for stand-ins that misbehave at will. */
+/** A server on loopback with one blocking thread a connection, so that it can misbehave at any byte; thread-safe. */
 abstract class TcpServer implements AutoCloseable {
-    /** The head of an answer that goes on in chunks. */
-    static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-
     private static final int BACKLOG = 500;
-    private static final int LONGEST_LINE = 16 << 10;
+    /** The second to fourth byte of an address take so many values; the fourth one starts at 1. */
+    private static final int SECOND_BYTE_VALUES = 126;
+
+    private static final int THIRD_BYTE_VALUES = 128;
+    private static final int FOURTH_BYTE_VALUES = 128;
     private static final AtomicInteger ADDRESSES = new AtomicInteger();
 
     private final ServerSocket listener;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> openConnections = ConcurrentHashMap.newKeySet();
 
+    /** Listens at a new address. */
     TcpServer() throws IOException {
         this(new InetSocketAddress(nextAddress(), 0));
     }
 
-    /** At an address where an earlier one has stopped listening. */
-    TcpServer(InetSocketAddress at) throws IOException {
-        listener = new ServerSocket(at.getPort(), BACKLOG, at.getAddress());
-    }
-
-    final InetSocketAddress at() {
-        return (InetSocketAddress) listener.getLocalSocketAddress();
+    /** Listens at an address where an earlier server has stopped listening. */
+    TcpServer(InetSocketAddress address) throws IOException {
+        listener = new ServerSocket(address.getPort(), BACKLOG, address.getAddress());
     }
 
     /**
-     * Each listener has an address of its own: a node goes on dialling an address that was given up, and must not reach
-     * somebody else who was given its port.
+     * Each server has an address of its own: a node goes on connecting to an address that was given up, and must not reach
+     * another server that was given its port.
      */
     private static InetAddress nextAddress() throws IOException {
-        int n = ADDRESSES.getAndIncrement();
-        return InetAddress.getByAddress(
-                new byte[] {127, (byte) (1 + n / 16_384 % 126), (byte) (n / 128 % 128), (byte) (1 + n % 128)});
+        int number = ADDRESSES.getAndIncrement();
+        int second = 1 + number / (THIRD_BYTE_VALUES * FOURTH_BYTE_VALUES) % SECOND_BYTE_VALUES;
+        int third = number / FOURTH_BYTE_VALUES % THIRD_BYTE_VALUES;
+        int fourth = 1 + number % FOURTH_BYTE_VALUES;
+        return InetAddress.getByAddress(new byte[] {127, (byte) second, (byte) third, (byte) fourth});
     }
 
-    /** Called once, when the stand-in is complete. */
+    /** Starts to accept connections; called once. */
     final void start() {
-        daemon("accept", () -> {
-            while (!listener.isClosed()) {
-                Socket socket = listener.accept();
-                socket.setTcpNoDelay(true);
-                open.add(socket);
-                daemon("serve", () -> {
-                    try (socket) {
-                        serve(socket, new BufferedInputStream(socket.getInputStream()));
-                    } finally {
-                        open.remove(socket);
-                    }
-                });
-            }
-        });
+        DaemonThreads.start("accept", this::accept);
+    }
+
+    private void accept() throws IOException {
+        while (!listener.isClosed()) {
+            Socket socket = listener.accept();
+            socket.setTcpNoDelay(true);
+            openConnections.add(socket);
+            DaemonThreads.start("serve", () -> serveAndClose(socket));
+        }
     }
 
-    /** One connection, until it is to be closed. */
+    private void serveAndClose(Socket socket) throws IOException, InterruptedException {
+        try (socket) {
+            serve(socket, new BufferedInputStream(socket.getInputStream()));
+        } finally {
+            openConnections.remove(socket);
+        }
+    }
+
+    /** Serves one connection, which is closed when this returns. */
     abstract void serve(Socket socket, InputStream in) throws IOException, InterruptedException;
 
+    final InetSocketAddress socketAddress() {
+        return (InetSocketAddress) listener.getLocalSocketAddress();
+    }
+
+    /** Host and port, as configurations have them. */
     final String address() {
         return listener.getInetAddress().getHostAddress() + ":" + listener.getLocalPort();
     }
 
-    /** Takes no new connections; those open stay. */
+    /** Accepts no more connections; those open stay. */
     final void stopListening() throws IOException {
         listener.close();
     }
 
     final void closeConnections() throws IOException {
-        for (Socket socket : open) {
+        for (Socket socket : openConnections) {
             socket.close();
         }
     }
@@ -91,76 +96,4 @@
         stopListening();
         closeConnections();
     }
-
-    /** Work that may end with its connection. */
-    interface Task {
-        void run() throws IOException, InterruptedException;
-    }
-
-    static Thread daemon(String name, Task task) {
-        Thread thread = new Thread(
-                () -> {
-                    try {
-                        task.run();
-                    } catch (IOException e) {
-                        // the other side or the end of the run has closed it
-                    } catch (InterruptedException e) {
-                        Thread.currentThread().interrupt();
-                    }
-                },
-                "soak-" + name);
-        thread.setDaemon(true);
-        thread.start();
-        return thread;
-    }
-
-    /** One line without its end; null at the end of the input. */
-    static String line(InputStream in) throws IOException {
-        StringBuilder line = new StringBuilder();
-        for (int b = in.read(); b >= 0; b = in.read()) {
-            if (b == '\n') {
-                int end = line.length();
-                return end > 0 && line.charAt(end - 1) == '\r' ? line.substring(0, end - 1) : line.toString();
-            }
-            if (line.length() > LONGEST_LINE) {
-                throw new IOException("a line without end");
-            }
-            line.append((char) b);
-        }
-        return null;
-    }
-
-    /** Header lines up to the empty one, by their names in lower case. */
-    static Map<String, String> headers(InputStream in) throws IOException {
-        Map<String, String> headers = new HashMap<>();
-        for (String header = line(in); header != null && !header.isEmpty(); header = line(in)) {
-            int colon = header.indexOf(':');
-            if (colon > 0) {
-                headers.put(
-                        header.substring(0, colon).toLowerCase(Locale.ROOT),
-                        header.substring(colon + 1).strip());
-            }
-        }
-        return headers;
-    }
-
-    /** The length of a body that these headers announce. */
-    static int contentLength(Map<String, String> headers) {
-        return Integer.parseInt(headers.getOrDefault("content-length", "0"));
-    }
-
-    static void write(Socket socket, String text) throws IOException {
-        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-    }
-
-    /** A part of an answer that is chunked. */
-    static void writeChunk(Socket socket, String text) throws IOException {
-        write(socket, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
-    }
-
-    /** Ends a connection with a reset in place of an orderly end. */
-    static void reset(Socket socket) throws IOException {
-        socket.setSoLinger(true, 0);
-        socket.close();
-    }
 }
--- /dev/null
+++ b/src/main/java/laurelkeel/soak/ViolationLog.java
@@ -0,0 +1,45 @@
+package laurelkeel.soak;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.atomic.AtomicLong;
+
+/** The violations of one run, and counts of what was seen; thread-safe. */
+final class ViolationLog {
+    private static final int MAX_KEPT = 20;
+
+    private final RunClock clock;
+    private final List<Violation> violations = new ArrayList<>();
+    private final Map<String, AtomicLong> counts = new ConcurrentHashMap<>();
+
+    ViolationLog(RunClock clock) {
+        this.clock = clock;
+    }
+
+    /** Records a violation of this moment; all are counted, the first ones are kept. */
+    synchronized void add(SoakRule rule, String detail) {
+        count("broken: " + rule);
+        if (violations.size() < MAX_KEPT) {
+            violations.add(new Violation(clock.seconds(), rule, detail));
+        }
+    }
+
+    /** Counts something that was seen. */
+    void count(String label) {
+        counts.computeIfAbsent(label, key -> new AtomicLong()).incrementAndGet();
+    }
+
+    synchronized List<Violation> violations() {
+        return List.copyOf(violations);
+    }
+
+    /** All counts by label, in the order of the labels. */
+    Map<String, Long> counts() {
+        Map<String, Long> sorted = new TreeMap<>();
+        counts.forEach((label, count) -> sorted.put(label, count.get()));
+        return sorted;
+    }
+}
--- a/src/main/java/laurelkeel/soak/package-info.java
+++ b/src/main/java/laurelkeel/soak/package-info.java
@@ -1,2 +1,8 @@
-/** Real front node processes between stand-ins: with faults, one seed a run, judged from the sockets; and behind many machines. */
+/**
+ * Runs of real front node processes that are judged from their sockets: with faults that a seed draws
+ * ({@link laurelkeel.soak.SoakRun}, docs/soak.md), and with ever more endpoints ({@link laurelkeel.soak.ScaleBench}).
+ */
+@NullMarked
 package laurelkeel.soak;
+
+import org.jspecify.annotations.NullMarked;
--- a/src/test/java/laurelkeel/soak/FailingCallsTest.java
+++ b/src/test/java/laurelkeel/soak/FailingCallsTest.java
@@ -2,18 +2,19 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assumptions.assumeTrue;
 
 import java.io.IOException;
 import java.io.OutputStream;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.util.Map;
 import java.util.Optional;
+import java.util.OptionalInt;
 import laurelkeel.front.FrontTestRig;
 import laurelkeel.platform.PlatformTestBed;
 import laurelkeel.testbed.PortAllocator;
@@ -91,10 +92,10 @@
 
     /** True where it answers at all; it is not ready, for nobody tells it a list. */
     private boolean answers() {
-        try (Socket client = new Socket("127.0.0.1", port)) {
+        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
             client.setSoTimeout(5_000);
-            TcpServer.write(client, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
-            return TcpServer.line(client.getInputStream()) != null;
+            HttpText.write(client, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
+            return HttpText.readLine(client.getInputStream()) != null;
         } catch (IOException e) {
             return false;
         }
@@ -121,13 +122,13 @@
     void aNodeThatCanAcceptNothingStillEndsInOrder() throws Exception {
         start("accept:" + ENFILE + ":2500:" + FOREVER_MS + ":100");
         FrontTestRig.await("it answers", this::answers);
-        FrontTestRig.await("accepts fail", () -> node.age() > 2_600);
-        try (Socket waits = new Socket("127.0.0.1", port)) {
+        FrontTestRig.await("accepts fail", () -> node.ageMillis() > 2_600);
+        try (Socket waits = new Socket(InetAddress.getLoopbackAddress(), port)) {
             assertTrue(waits.isConnected());
             node.signal("TERM");
-            Integer status = node.awaitEnd(KILL_AFTER_MS);
-            assertNotNull(status, node.log());
-            assertEquals(0, status);
+            OptionalInt status = node.awaitExit(KILL_AFTER_MS);
+            assertTrue(status.isPresent(), node.log());
+            assertEquals(0, status.getAsInt());
         }
     }
 
@@ -153,7 +154,7 @@
             assertTrue(node.isAlive(), node.log());
             pipe.write(config().getBytes(UTF_8));
         }
-        assertEquals(0, node.awaitEnd(10_000));
+        assertEquals(OptionalInt.of(0), node.awaitExit(10_000));
     }
 
     private boolean heard(String line) {
@@ -180,8 +181,7 @@
     void aNewListenerWaitsForAnAddressThatIsStillTaken() throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(file, config());
-        try (java.net.ServerSocket taken =
-                new java.net.ServerSocket(port, 5, java.net.InetAddress.getByName("127.0.0.1"))) {
+        try (java.net.ServerSocket taken = new java.net.ServerSocket(port, 5, InetAddress.getLoopbackAddress())) {
             node = NodeProcess.start(image, file, folder.resolve("node.log"), Map.of(), DESCRIPTORS);
             FrontTestRig.await("it waits, or ends", () -> heard("cannot be opened yet") || !node.isAlive());
             assertTrue(node.isAlive(), node.log());
--- a/src/test/java/laurelkeel/soak/NodeImageTest.java
+++ b/src/test/java/laurelkeel/soak/NodeImageTest.java
@@ -14,6 +14,6 @@
         List<String> deployed = Files.readAllLines(Path.of("deploy", "node.args")).stream()
                 .filter(line -> line.startsWith("-"))
                 .toList();
-        assertEquals(deployed, NodeImage.JVM);
+        assertEquals(deployed, NodeImage.JVM_OPTIONS);
     }
 }
--- a/src/test/java/laurelkeel/soak/ScaleBenchTest.java
+++ b/src/test/java/laurelkeel/soak/ScaleBenchTest.java
@@ -18,13 +18,13 @@
     /** Processor time is left to the run by hand: on a loaded host it says little of the node. */
     @Test
     void sixteenTimesTheMachinesCostANodeLittle() throws Exception {
-        List<ScaleBench.Figures> figures = ScaleBench.run(
-                ScaleBench.Profile.THIN, List.of(1, 16), SECONDS, 1, NodeImage.make(folder), folder, System.out);
+        List<ScaleFigures> figures = ScaleBench.run(
+                ScaleProfile.THIN, List.of(1, 16), SECONDS, 1, NodeImage.make(folder), folder, System.out);
         List<String> over = figures.get(1).overLimits(figures.get(0)).stream()
                 .filter(what -> !what.startsWith("CPU"))
                 .toList();
         assertEquals(List.of(), over);
-        assertTrue(figures.get(1).served() > 0.95, figures.toString());
-        assertEquals(3_200, figures.get(1).machines());
+        assertTrue(figures.get(1).servedShare() > 0.95, figures.toString());
+        assertEquals(3_200, figures.get(1).endpoints());
     }
 }
--- a/src/test/java/laurelkeel/soak/ShrinkerTest.java
+++ b/src/test/java/laurelkeel/soak/ShrinkerTest.java
@@ -26,7 +26,7 @@
     @Test
     void eventsComeAfterTheQuiet() {
         assertTrue(SoakPlan.draw(7, 30, SECONDS).events().stream()
-                .allMatch(event -> event.at() > 30 && event.at() < 30 + SECONDS));
+                .allMatch(event -> event.atSeconds() > 30 && event.atSeconds() < 30 + SECONDS));
     }
 
     @Test
--- a/src/test/java/laurelkeel/soak/SoakTest.java
+++ b/src/test/java/laurelkeel/soak/SoakTest.java
@@ -37,17 +37,17 @@
     @Test
     void realNodesKeepTheRulesUnderWhatTheseSeedsDraw() throws Exception {
         ExecutorService runs = Executors.newFixedThreadPool(AT_A_TIME);
-        List<Future<Soak.Result>> results = new ArrayList<>();
+        List<Future<SoakResult>> results = new ArrayList<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
             SoakPlan plan = SoakPlan.draw(seed, 0, SECONDS);
-            results.add(runs.submit(() -> Soak.run(plan, image, faults, folder.resolve("seed-" + plan.seed()))));
+            results.add(runs.submit(() -> SoakRun.play(plan, image, faults, folder.resolve("seed-" + plan.seed()))));
         }
         runs.shutdown();
         List<String> broken = new ArrayList<>();
-        for (Future<Soak.Result> each : results) {
-            Soak.Result result = each.get();
+        for (Future<SoakResult> each : results) {
+            SoakResult result = each.get();
             System.out.println("seed " + result.plan().seed() + ": " + result.counts());
-            result.broken()
+            result.violations()
                     .forEach(what ->
                             broken.add("seed " + result.plan().seed() + " " + what + "; drawn " + result.plan()));
         }
@@ -57,12 +57,12 @@
     /** Both sides are loaded, each node has a crowd, and accept, socket and connect fail all the while (ENFILE, EMFILE, EADDRNOTAVAIL). */
     @Test
     void noCrowdTakesTheLastDescriptorsWhileCallsFail() throws Exception {
-        List<SoakPlan.Planned> crowds = new ArrayList<>();
+        List<PlannedEvent> crowds = new ArrayList<>();
         for (int node = 0; node < SoakPlan.NODES; node++) {
-            crowds.add(new SoakPlan.Planned(node, 1.0 + node * 0.1, SoakPlan.Event.CROWD, node, node));
-            crowds.add(new SoakPlan.Planned(SoakPlan.NODES + node, 4.0 + node * 0.1, SoakPlan.Event.CROWD, node, node));
+            crowds.add(new PlannedEvent(node, 1.0 + node * 0.1, SoakEvent.CROWD, node, node));
+            crowds.add(new PlannedEvent(SoakPlan.NODES + node, 4.0 + node * 0.1, SoakEvent.CROWD, node, node));
         }
-        crowds.sort(Comparator.comparingDouble(SoakPlan.Planned::at));
+        crowds.sort(Comparator.comparingDouble(PlannedEvent::atSeconds));
         SoakPlan plan = new SoakPlan(
                 1,
                 0,
@@ -72,8 +72,8 @@
                 "accept:23:1500:9000:30,socket:24:1500:9000:20,connect:99:1500:9000:20",
                 false,
                 Set.of());
-        Soak.Result result = Soak.run(plan, image, faults, folder.resolve("crowds"));
+        SoakResult result = SoakRun.play(plan, image, faults, folder.resolve("crowds"));
         System.out.println("crowds: " + result.counts());
-        assertEquals(List.of(), result.broken());
+        assertEquals(List.of(), result.violations());
     }
 }
