--- a/src/main/java/laurelkeel/bench/BareRelay.java
+++ b/src/main/java/laurelkeel/bench/BareRelay.java
@@ -1,8 +1,8 @@
 package laurelkeel.bench;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.ConcurrentLinkedDeque;
@@ -22,68 +22,88 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * The least that could stand in a front's place: the same codecs and sockets, machines in turn, and nothing else: no
- * time-outs, no limits, no second try, no counts. The bar that the front is held against.
+ * The least that could stand in a front node's place, which the node is measured against: the same codecs and sockets,
+ * endpoints in turn, and nothing else: no timeouts, no limits, no retries, no metrics but those of the process.
+ * Thread-safe.
  */
 public final class BareRelay {
+    private static final int PROCESSORS = 2;
+    private static final int BACKLOG = 8192;
     private static final AttributeKey CLIENT = new AttributeKey(BareRelay.class, "client");
-    private static final AttributeKey POOL = new AttributeKey(BareRelay.class, "pool");
+    private static final AttributeKey ENDPOINT = new AttributeKey(BareRelay.class, "endpoint");
 
-    private record Machine(InetSocketAddress at, ConcurrentLinkedDeque<IoSession> idle) {}
+    private record Endpoint(InetSocketAddress address, ConcurrentLinkedDeque<IoSession> idleSessions) {}
 
-    private final List<Machine> machines = new ArrayList<>();
-    private final AtomicInteger turn = new AtomicInteger();
-    private final NioSocketConnector connector = new NioSocketConnector(2);
-    private final NioSocketAcceptor acceptor = new NioSocketAcceptor(2);
+    private final List<Endpoint> endpoints;
+    private final AtomicInteger nextEndpoint = new AtomicInteger();
+    private final NioSocketConnector connector = new NioSocketConnector(PROCESSORS);
+    private final NioSocketAcceptor acceptor = new NioSocketAcceptor(PROCESSORS);
 
-    public BareRelay(int listen, int admin, List<Integer> ports) throws IOException {
-        ports.forEach(
-                p -> machines.add(new Machine(new InetSocketAddress("127.0.0.1", p), new ConcurrentLinkedDeque<>())));
+    /**
+     * Creates a relay that listens already; it lasts until the process ends.
+     *
+     * @param port where clients connect on loopback
+     * @param adminPort where metrics are served on loopback
+     * @param endpointPorts the endpoints on loopback
+     * @throws IOException where a port cannot be opened
+     */
+    public BareRelay(int port, int adminPort, List<Integer> endpointPorts) throws IOException {
+        endpoints = endpointPorts.stream()
+                .map(endpointPort -> new Endpoint(loopback(endpointPort), new ConcurrentLinkedDeque<>()))
+                .toList();
         connector.getSessionConfig().setTcpNoDelay(true);
         connector.getFilterChain().addLast("http", HttpCodec.client(HttpLimits.DEFAULT));
-        connector.setHandler(new Upstream());
+        connector.setHandler(new ResponseForwarder());
         acceptor.setReuseAddress(true);
-        acceptor.setBacklog(8192);
+        acceptor.setBacklog(BACKLOG);
         acceptor.getSessionConfig().setTcpNoDelay(true);
         acceptor.getFilterChain().addLast("http", HttpCodec.server(HttpLimits.DEFAULT));
-        acceptor.setHandler(new Clients());
-        new AdminServer(
-                        Executors.newCachedThreadPool(),
-                        new InetSocketAddress("127.0.0.1", admin),
-                        () -> "ok",
-                        () -> String.format(
-                                Locale.ROOT,
-                                "laurelkeel_process_cpu_seconds %f%nlaurelkeel_allocated_bytes %f%nlaurelkeel_heap_bytes %f%n",
-                                ProcessMetrics.cpuSeconds(),
-                                ProcessMetrics.allocatedBytes(),
-                                ProcessMetrics.heapBytes()))
-                .start();
-        acceptor.bind(new InetSocketAddress("127.0.0.1", listen));
+        acceptor.setHandler(new RequestForwarder());
+        new AdminServer(Executors.newCachedThreadPool(), loopback(adminPort), () -> "ok", BareRelay::metrics).start();
+        acceptor.bind(loopback(port));
     }
 
-    private final class Clients extends IoHandlerAdapter {
+    private static InetSocketAddress loopback(int port) {
+        return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+    }
+
+    private static String metrics() {
+        return String.format(
+                Locale.ROOT,
+                "laurelkeel_process_cpu_seconds %f%nlaurelkeel_allocated_bytes %f%nlaurelkeel_heap_bytes %f%n",
+                ProcessMetrics.cpuSeconds(),
+                ProcessMetrics.allocatedBytes(),
+                ProcessMetrics.heapBytes());
+    }
+
+    /** Forwards each request of a client to the next endpoint. */
+    private final class RequestForwarder extends IoHandlerAdapter {
         @Override
         public void messageReceived(IoSession client, Object message) {
-            if (!(message instanceof HttpRequest r)) {
+            if (!(message instanceof HttpRequest request)) {
                 return;
             }
-            Machine m = machines.get(Math.floorMod(turn.getAndIncrement(), machines.size()));
-            IoSession idle = m.idle.pollFirst();
+            Endpoint endpoint = endpoints.get(Math.floorMod(nextEndpoint.getAndIncrement(), endpoints.size()));
+            IoSession idle = endpoint.idleSessions.pollFirst();
             if (idle != null && !idle.isClosing()) {
                 idle.setAttribute(CLIENT, client);
-                idle.write(r);
+                idle.write(request);
                 return;
             }
-            connector.connect(m.at).addListener(f -> {
-                ConnectFuture c = (ConnectFuture) f;
-                if (c.isConnected()) {
-                    c.getSession().setAttribute(POOL, m.idle);
-                    c.getSession().setAttribute(CLIENT, client);
-                    c.getSession().write(r);
-                } else {
-                    client.closeNow();
-                }
-            });
+            connector
+                    .connect(endpoint.address)
+                    .addListener(future -> connected((ConnectFuture) future, endpoint, client, request));
+        }
+
+        private void connected(ConnectFuture future, Endpoint endpoint, IoSession client, HttpRequest request) {
+            if (future.isConnected()) {
+                IoSession session = future.getSession();
+                session.setAttribute(ENDPOINT, endpoint);
+                session.setAttribute(CLIENT, client);
+                session.write(request);
+            } else {
+                client.closeNow();
+            }
         }
 
         @Override
@@ -92,14 +112,14 @@
         }
     }
 
-    private static final class Upstream extends IoHandlerAdapter {
+    /** Forwards each response of an endpoint to the client whose request the connection carried last. */
+    private static final class ResponseForwarder extends IoHandlerAdapter {
         @Override
-        @SuppressWarnings("unchecked")
-        public void messageReceived(IoSession machine, Object message) {
-            if (message instanceof HttpResponse a) {
-                IoSession client = (IoSession) machine.getAttribute(CLIENT);
-                ((ConcurrentLinkedDeque<IoSession>) machine.getAttribute(POOL)).addFirst(machine);
-                client.write(a);
+        public void messageReceived(IoSession session, Object message) {
+            if (message instanceof HttpResponse response) {
+                IoSession client = (IoSession) session.getAttribute(CLIENT);
+                ((Endpoint) session.getAttribute(ENDPOINT)).idleSessions.addFirst(session);
+                client.write(response);
             }
         }
 
--- a/src/main/java/laurelkeel/bench/DecisionBenchmark.java
+++ b/src/main/java/laurelkeel/bench/DecisionBenchmark.java
@@ -10,10 +10,6 @@
 import laurelkeel.api.Event.EndpointState;
 import laurelkeel.api.Event.RolloutPhase;
 import laurelkeel.api.LoadReport;
-import laurelkeel.api.Settings;
-import laurelkeel.api.Settings.DeduplicationScope;
-import laurelkeel.api.Settings.Idempotency;
-import laurelkeel.api.Settings.Route;
 import laurelkeel.decision.RoutingDecider;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
@@ -28,8 +24,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What one req costs the decider alone, from its arrival to its answer: two calls, one with the req and one with the
- * outcome of its try. 500 reqs a second, as the decider's clock has it.
+ * What one request costs the decider alone, from its arrival to its answer: two calls, one with the request and one with
+ * the outcome of its attempt. The decider's clock has 500 requests a second.
  */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
@@ -37,96 +33,76 @@
 @Fork(1)
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
+@SuppressWarnings("NullAway.Init") // JMH sets the parameters, and calls the setup before all else
 public class DecisionBenchmark {
-    private static final long MS = 10;
+    private static final int CANARY_INTERVAL = 10;
+    private static final int PARTITION_KEYS = 5_000;
+    private static final long STEP_TICKS = 10;
+    private static final long TIMEOUT_TICKS = 20_000;
 
-    /** released: all on one build; trial: a tenth of the machines on a build on trial, all warm. */
+    /** Where the rollout stands. */
     public enum When {
+        /** All endpoints have one build. */
         RELEASED,
+        /** A tenth of the endpoints, all warm, have a canary build. */
         TRIAL
     }
 
+    /** How many endpoints there are. */
     @Param({"10", "300", "1000"})
     public int machines;
 
+    /** Where the rollout stands. */
     @Param({"RELEASED", "TRIAL"})
     public When when;
 
-    private RoutingDecider shifter;
-    private long now, ids;
+    private RoutingDecider decider;
+    private long nowTicks;
+    private long nextId;
 
+    /** Gives a new decider its endpoints and its rollout. */
     @Setup
     public void begin() {
-        List<Route> routes = List.of(
-                new Route(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 800 * MS, 2500 * MS, 2, 0, 0),
-                new Route(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 1000 * MS, 3000 * MS, 1, 0, 0));
-        Settings set = new Settings(
-                0,
-                4,
-                0,
-                routes,
-                List.of(),
-                new Settings.Limits(10_000, 50_000, 0.4, 20_000, 3, 100_000),
-                new Settings.Capabilities(4, true, false, true, true, 10_000, false),
-                new Settings.Costs(0.05, 0.01, 0.01, 0.5, 3),
-                new Settings.Rollout(
-                        Settings.PromotionPolicy.VOTE_COUNT,
-                        2,
-                        2,
-                        0,
-                        60_000,
-                        10_000,
-                        40,
-                        List.of(0.1, 1.0),
-                        20_000,
-                        0,
-                        true,
-                        40_000,
-                        2,
-                        false,
-                        0,
-                        0.3),
-                false);
-        shifter = new RoutingDecider(set, 1);
-        now = 1_000_000;
-        List<EndpointEntry> list = new ArrayList<>();
+        boolean canary = when == When.TRIAL;
+        decider = new RoutingDecider(DeciderSettings.forSingleDecider(), 1);
+        nowTicks = 1_000_000;
+        List<EndpointEntry> endpoints = new ArrayList<>();
         for (int i = 0; i < machines; i++) {
-            int build = when == When.TRIAL && i % 10 == 0 ? 2 : 1;
-            list.add(new EndpointEntry(
+            int build = canary && i % CANARY_INTERVAL == 0 ? 2 : 1;
+            endpoints.add(new EndpointEntry(
                     "10.0." + i / 250 + "." + i % 250 + ":80", build, i % 3, i % 3, 0, 1, EndpointState.ACTIVE, 0));
         }
-        boolean trial = when == When.TRIAL;
-        shifter.decide(
-                now,
-                List.of(
-                        new Event.EndpointListUpdate(Event.EndpointListKind.SNAPSHOT, list),
-                        new Event.RolloutUpdate(
-                                Event.ControlStatus.OK,
-                                0,
-                                trial ? 0.1 : 1,
-                                0,
-                                trial ? RolloutPhase.CANARY : RolloutPhase.RELEASED,
-                                trial ? 2 : 1,
-                                false)));
+        Event.RolloutUpdate rollout = canary
+                ? new Event.RolloutUpdate(Event.ControlStatus.OK, 0, 0.1, 0, RolloutPhase.CANARY, 2, false)
+                : new Event.RolloutUpdate(Event.ControlStatus.OK, 0, 1, 0, RolloutPhase.RELEASED, 1, false);
+        decider.decide(
+                nowTicks, List.of(new Event.EndpointListUpdate(Event.EndpointListKind.SNAPSHOT, endpoints), rollout));
     }
 
+    /** One request with its attempts; returns how many there were. */
     @Benchmark
     public int req() {
-        now += 10;
-        String id = "r" + ids++;
+        nowTicks += STEP_TICKS;
+        String requestId = "r" + nextId++;
         int sent = 0;
-        for (Action a : shifter.decide(
-                now,
-                List.of(new Event.RequestReceived(id, (int) (ids & 1), 0, "k" + ids % 5000, now + 20_000, 0, false)))) {
-            if (a instanceof Action.SendAttempt s) {
+        for (Action action : decider.decide(nowTicks, List.of(request(requestId)))) {
+            if (action instanceof Action.SendAttempt send) {
                 sent++;
-                now += 10;
-                shifter.decide(
-                        now,
-                        List.of(new Event.AttemptEnded(
-                                id, 0, s.endpointId(), AttemptOutcome.COMPLETED, 10, true, LoadReport.NONE)));
+                nowTicks += STEP_TICKS;
+                decider.decide(nowTicks, List.of(completed(send)));
             }
         }
         return sent;
     }
+
+    private Event.RequestReceived request(String requestId) {
+        int route = (int) (nextId & 1);
+        return new Event.RequestReceived(
+                requestId, route, 0, "k" + nextId % PARTITION_KEYS, nowTicks + TIMEOUT_TICKS, 0, false);
+    }
+
+    private static Event.AttemptEnded completed(Action.SendAttempt send) {
+        return new Event.AttemptEnded(
+                send.requestId(), 0, send.endpointId(), AttemptOutcome.COMPLETED, STEP_TICKS, true, LoadReport.NONE);
+    }
 }
--- a/src/main/java/laurelkeel/bench/EchoServers.java
+++ b/src/main/java/laurelkeel/bench/EchoServers.java
@@ -1,6 +1,7 @@
 package laurelkeel.bench;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,51 +20,66 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
-/** Machines that answer at once, so that what is measured is what stands before them. */
+/** Endpoints that answer at once, so that what is measured is what stands before them. */
 final class EchoServers implements AutoCloseable {
-    private final ExecutorService threads = Executors.newCachedThreadPool(r -> {
-        Thread t = new Thread(r, "echo");
-        t.setDaemon(true);
-        return t;
-    });
+    private static final int PROCESSORS = 2;
+    private static final int BODY_BYTES = 100;
+
+    private final ExecutorService threads = Executors.newCachedThreadPool(EchoServers::newDaemon);
     private final SimpleIoProcessorPool<NioSession> processors =
-            new SimpleIoProcessorPool<>(NioProcessor.class, threads, 2, null);
+            new SimpleIoProcessorPool<>(NioProcessor.class, threads, PROCESSORS, null);
     private final List<NioSocketAcceptor> acceptors = new ArrayList<>();
-    final List<Integer> ports = new ArrayList<>();
-
-    EchoServers(int machines) throws IOException {
-        byte[] body = new byte[100];
-        for (int i = 0; i < machines; i++) {
-            NioSocketAcceptor a = new NioSocketAcceptor(threads, processors);
-            a.setReuseAddress(true);
-            a.getSessionConfig().setTcpNoDelay(true);
-            a.getFilterChain().addLast("http", HttpCodec.server(HttpLimits.DEFAULT));
-            a.setHandler(new IoHandlerAdapter() {
-                @Override
-                public void messageReceived(IoSession session, Object message) {
-                    if (message instanceof HttpRequest) {
-                        session.write(new HttpResponse(
-                                200,
-                                Headers.of("Content-Type", "text/plain", "Laurelkeel-Load", "concurrent=1"),
-                                body));
-                    }
-                }
+    private final List<Integer> ports = new ArrayList<>();
 
-                @Override
-                public void exceptionCaught(IoSession session, Throwable cause) {
-                    session.closeNow();
-                }
-            });
+    EchoServers(int endpoints) throws IOException {
+        for (int i = 0; i < endpoints; i++) {
             int port = PortAllocator.free();
-            a.bind(new InetSocketAddress("127.0.0.1", port));
-            acceptors.add(a);
+            listen(port);
             ports.add(port);
         }
     }
 
+    private static Thread newDaemon(Runnable work) {
+        Thread thread = new Thread(work, "echo");
+        thread.setDaemon(true);
+        return thread;
+    }
+
+    private void listen(int port) throws IOException {
+        NioSocketAcceptor acceptor = new NioSocketAcceptor(threads, processors);
+        acceptors.add(acceptor);
+        acceptor.setReuseAddress(true);
+        acceptor.getSessionConfig().setTcpNoDelay(true);
+        acceptor.getFilterChain().addLast("http", HttpCodec.server(HttpLimits.DEFAULT));
+        acceptor.setHandler(new Responder());
+        acceptor.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+    }
+
+    /** The ports of all endpoints on loopback. */
+    List<Integer> ports() {
+        return ports;
+    }
+
+    private static final class Responder extends IoHandlerAdapter {
+        private final byte[] body = new byte[BODY_BYTES];
+
+        @Override
+        public void messageReceived(IoSession session, Object message) {
+            if (message instanceof HttpRequest) {
+                Headers headers = Headers.of("Content-Type", "text/plain", "Laurelkeel-Load", "concurrent=1");
+                session.write(new HttpResponse(200, headers, body));
+            }
+        }
+
+        @Override
+        public void exceptionCaught(IoSession session, Throwable cause) {
+            session.closeNow();
+        }
+    }
+
     @Override
     public void close() {
-        acceptors.forEach(a -> a.dispose(false));
+        acceptors.forEach(acceptor -> acceptor.dispose(false));
         processors.dispose();
         threads.shutdown();
     }
--- a/src/main/java/laurelkeel/bench/LoadClient.java
+++ b/src/main/java/laurelkeel/bench/LoadClient.java
@@ -22,134 +22,166 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * Load on one address. Full: each connection asks again as soon as it is answered. At a rate: reqs are due at even
- * moments whatever the answers do, and a late one's time counts from when it was due.
+ * Load on one address over a number of connections. Full: each connection sends again as soon as it is answered. At a rate:
+ * requests are due at even moments whatever the answers do, and a late one's latency counts from when it was due. Phases
+ * are run by one thread.
  */
 final class LoadClient implements AutoCloseable {
-    private static final AttributeKey DUE = new AttributeKey(LoadClient.class, "due");
+    private static final AttributeKey DUE_NANOS = new AttributeKey(LoadClient.class, "due");
+    private static final int PROCESSORS = 3;
+    private static final int HTTP_OK = 200;
+    private static final int PARTITION_KEYS = 5_000;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final long MAX_LATENCY_NANOS = 60_000_000_000L;
+    private static final int LATENCY_DIGITS = 3;
+    private static final long MAX_SETTLE_NANOS = 5_000_000_000L;
+    private static final long SETTLE_POLL_NANOS = 1_000_000;
+    /** The pacing thread wakes so long before a request is due. */
+    private static final long EARLY_WAKE_NANOS = 20_000;
 
-    private final NioSocketConnector connector = new NioSocketConnector(3);
+    private final NioSocketConnector connector = new NioSocketConnector(PROCESSORS);
     private final List<IoSession> sessions = new ArrayList<>();
-    private final ConcurrentLinkedQueue<IoSession> idle = new ConcurrentLinkedQueue<>();
-    private final ConcurrentLinkedQueue<Long> waiting = new ConcurrentLinkedQueue<>();
-    private final AtomicBoolean again = new AtomicBoolean();
-    private final LongAdder completed = new LongAdder(), other = new LongAdder();
-    private volatile Histogram times = new ConcurrentHistogram(60_000_000_000L, 3);
-    private final LongAdder ids = new LongAdder();
-
-    LoadClient(InetSocketAddress at, int connections) throws IOException {
+    private final ConcurrentLinkedQueue<IoSession> idleSessions = new ConcurrentLinkedQueue<>();
+    /** The moments of requests that are due and have no connection yet. */
+    private final ConcurrentLinkedQueue<Long> waitingNanos = new ConcurrentLinkedQueue<>();
+
+    private final AtomicBoolean sendsAgain = new AtomicBoolean();
+    private final LongAdder completed = new LongAdder();
+    private final LongAdder failed = new LongAdder();
+    private volatile Histogram latencies = newHistogram();
+
+    /** Connects to an address. */
+    LoadClient(InetSocketAddress address, int connections) throws IOException {
         connector.getSessionConfig().setTcpNoDelay(true);
         connector.getFilterChain().addLast("http", HttpCodec.client(HttpLimits.DEFAULT));
-        connector.setHandler(new IoHandlerAdapter() {
-            @Override
-            public void messageReceived(IoSession session, Object message) {
-                if (message instanceof HttpResponse a) {
-                    times.recordValue(System.nanoTime() - (long) session.getAttribute(DUE));
-                    (a.status() == 200 ? completed : other).increment();
-                    if (again.get()) {
-                        ask(session, System.nanoTime());
-                    } else {
-                        Long due = waiting.poll();
-                        if (due != null) {
-                            ask(session, due);
-                        } else {
-                            idle.add(session);
-                        }
-                    }
-                }
+        connector.setHandler(new Handler());
+        for (int i = 0; i < connections; i++) {
+            ConnectFuture future = connector.connect(address).awaitUninterruptibly();
+            if (!future.isConnected()) {
+                throw new IOException("connection " + i + " failed", future.getException());
             }
+            sessions.add(future.getSession());
+        }
+        idleSessions.addAll(sessions);
+    }
+
+    private static Histogram newHistogram() {
+        return new ConcurrentHistogram(MAX_LATENCY_NANOS, LATENCY_DIGITS);
+    }
 
-            @Override
-            public void exceptionCaught(IoSession session, Throwable cause) {
-                other.increment();
-                session.closeNow();
+    private final class Handler extends IoHandlerAdapter {
+        @Override
+        public void messageReceived(IoSession session, Object message) {
+            if (!(message instanceof HttpResponse response)) {
+                return;
             }
-        });
-        for (int i = 0; i < connections; i++) {
-            ConnectFuture f = connector.connect(at).awaitUninterruptibly();
-            if (!f.isConnected()) {
-                throw new IOException("connection " + i + " failed", f.getException());
+            latencies.recordValue(System.nanoTime() - (long) session.getAttribute(DUE_NANOS));
+            (response.status() == HTTP_OK ? completed : failed).increment();
+            if (sendsAgain.get()) {
+                send(session, System.nanoTime());
+                return;
             }
-            sessions.add(f.getSession());
+            Long dueNanos = waitingNanos.poll();
+            if (dueNanos != null) {
+                send(session, dueNanos);
+            } else {
+                idleSessions.add(session);
+            }
+        }
+
+        @Override
+        public void exceptionCaught(IoSession session, Throwable cause) {
+            failed.increment();
+            session.closeNow();
         }
-        idle.addAll(sessions);
     }
 
-    private void ask(IoSession session, long due) {
-        session.setAttribute(DUE, due);
-        ids.increment();
-        session.write(new HttpRequest(
-                "GET", "/look/1", 1, Headers.of("Host", "f", "Laurelkeel-Key", "k" + due % 5000), new byte[0]));
+    private static void send(IoSession session, long dueNanos) {
+        session.setAttribute(DUE_NANOS, dueNanos);
+        Headers headers = Headers.of("Host", "f", "Laurelkeel-Key", "k" + dueNanos % PARTITION_KEYS);
+        session.write(new HttpRequest("GET", "/look/1", 1, headers, new byte[0]));
     }
 
-    /** What one phase did; times in nanoseconds. */
-    record Result(double perSecond, long completed, long other, Histogram times) {}
+    /**
+     * What one phase did.
+     *
+     * @param perSecond requests that completed
+     * @param failed answers other than 200, and connections that failed
+     * @param latencies in nanoseconds
+     */
+    record Result(double perSecond, long completed, long failed, Histogram latencies) {}
 
-    private Result measured(double seconds, long from, long otherFrom, Histogram h) {
-        return new Result((completed.sum() - from) / seconds, completed.sum() - from, other.sum() - otherFrom, h);
+    /**
+     * Keeps all connections busy, first to warm up and then measured.
+     *
+     * @param atBothEnds run at both ends of the measured time
+     */
+    Result runFull(double warmUpSeconds, double seconds, Runnable atBothEnds) {
+        sendsAgain.set(true);
+        for (IoSession session = idleSessions.poll(); session != null; session = idleSessions.poll()) {
+            send(session, System.nanoTime());
+        }
+        pause(warmUpSeconds);
+        Result result = measure(seconds, atBothEnds);
+        sendsAgain.set(false);
+        awaitIdle();
+        return result;
     }
 
-    /** All connections busy: first to warm up, then measured. measuring runs at both ends of the measured time. */
-    Result full(double warm, double seconds, Runnable measuring) {
-        again.set(true);
-        for (IoSession s; (s = idle.poll()) != null; ) {
-            ask(s, System.nanoTime());
-        }
-        rest(warm);
-        Result r = phase(seconds, measuring);
-        again.set(false);
-        settle();
-        return r;
+    /** Sends at an even rate, first to warm up and then measured. */
+    Result runAtRate(double perSecond, double warmUpSeconds, double seconds) {
+        AtomicBoolean ended = new AtomicBoolean();
+        Thread pacing = new Thread(() -> sendAtRate(perSecond, ended), "pace");
+        pacing.start();
+        pause(warmUpSeconds);
+        Result result = measure(seconds, () -> {});
+        ended.set(true);
+        awaitIdle();
+        return result;
     }
 
-    private Result phase(double seconds, Runnable measuring) {
-        measuring.run();
-        Histogram h = new ConcurrentHistogram(60_000_000_000L, 3);
-        long from = completed.sum(), otherFrom = other.sum(), start = System.nanoTime();
-        times = h;
-        rest(seconds);
-        Result r = measured((System.nanoTime() - start) / 1e9, from, otherFrom, h);
-        measuring.run();
-        return r;
+    private void sendAtRate(double perSecond, AtomicBoolean ended) {
+        long intervalNanos = (long) (NANOS_PER_SECOND / perSecond);
+        for (long dueNanos = System.nanoTime(); !ended.get(); dueNanos += intervalNanos) {
+            while (System.nanoTime() < dueNanos) {
+                LockSupport.parkNanos(Math.max(1, dueNanos - System.nanoTime() - EARLY_WAKE_NANOS));
+            }
+            IoSession session = idleSessions.poll();
+            if (session != null) {
+                send(session, dueNanos);
+            } else {
+                waitingNanos.add(dueNanos);
+            }
+        }
     }
 
-    Result atRate(double perSecond, double warm, double seconds, Runnable measuring) {
-        AtomicBoolean over = new AtomicBoolean();
-        Thread pace = new Thread(
-                () -> {
-                    long gap = (long) (1e9 / perSecond);
-                    for (long due = System.nanoTime(); !over.get(); due += gap) {
-                        while (System.nanoTime() < due) {
-                            LockSupport.parkNanos(Math.max(1, due - System.nanoTime() - 20_000));
-                        }
-                        IoSession s = idle.poll();
-                        if (s != null) {
-                            ask(s, due);
-                        } else {
-                            waiting.add(due);
-                        }
-                    }
-                },
-                "pace");
-        pace.start();
-        rest(warm);
-        Result r = phase(seconds, measuring);
-        over.set(true);
-        settle();
-        return r;
+    private Result measure(double seconds, Runnable atBothEnds) {
+        atBothEnds.run();
+        Histogram measured = newHistogram();
+        long completedBefore = completed.sum();
+        long failedBefore = failed.sum();
+        long startedNanos = System.nanoTime();
+        latencies = measured;
+        pause(seconds);
+        double elapsedSeconds = (System.nanoTime() - startedNanos) / NANOS_PER_SECOND;
+        long completedNow = completed.sum() - completedBefore;
+        Result result = new Result(completedNow / elapsedSeconds, completedNow, failed.sum() - failedBefore, measured);
+        atBothEnds.run();
+        return result;
     }
 
-    private void settle() {
-        long end = System.nanoTime() + 5_000_000_000L;
-        while (idle.size() < sessions.size() && System.nanoTime() < end) {
-            LockSupport.parkNanos(1_000_000);
+    /** Waits until all connections are idle, or for some seconds. */
+    private void awaitIdle() {
+        long limitNanos = System.nanoTime() + MAX_SETTLE_NANOS;
+        while (idleSessions.size() < sessions.size() && System.nanoTime() < limitNanos) {
+            LockSupport.parkNanos(SETTLE_POLL_NANOS);
         }
     }
 
-    private static void rest(double seconds) {
-        long end = System.nanoTime() + (long) (seconds * 1e9);
-        while (System.nanoTime() < end) {
-            LockSupport.parkNanos(Math.max(1, end - System.nanoTime()));
+    private static void pause(double seconds) {
+        long endNanos = System.nanoTime() + (long) (seconds * NANOS_PER_SECOND);
+        while (System.nanoTime() < endNanos) {
+            LockSupport.parkNanos(Math.max(1, endNanos - System.nanoTime()));
         }
     }
 
--- a/src/main/java/laurelkeel/bench/package-info.java
+++ b/src/main/java/laurelkeel/bench/package-info.java
@@ -1,2 +1,8 @@
-/** Measurements: the decisions alone by JMH, and a front beside a bare relay. Not part of a running front. */
+/**
+ * Measurements: the decisions alone (JMH, and checksums of what they do), the attribution on generated days, and a front
+ * node beside a bare relay. No part of a running node.
+ */
+@NullMarked
 package laurelkeel.bench;
+
+import org.jspecify.annotations.NullMarked;
