--- a/src/test/java/laurelkeel/front/ingress/RequestPipelineTest.java
+++ b/src/test/java/laurelkeel/front/ingress/RequestPipelineTest.java
@@ -156,7 +156,7 @@
         assertEquals(List.of("this front is full", "this front is full"), protocol.rejections);
         assertEquals(2, rejections.count());
         assertEquals(0, connection.unansweredRequests());
-        assertEquals(-2 * BODY.length, budget.reservedBytes(), "both bodies are released");
+        assertEquals(-2L * BODY.length, budget.reservedBytes(), "both bodies are released");
     }
 
     @Test
@@ -167,7 +167,7 @@
         assertEquals(List.of("this front is stopping"), protocol.rejections);
         assertTrue(connection.discardsInput());
         assertTrue(connection.isClosing());
-        assertEquals(-2 * BODY.length, budget.reservedBytes());
+        assertEquals(-2L * BODY.length, budget.reservedBytes());
     }
 
     @Test
@@ -178,7 +178,7 @@
         assertEquals(List.of("a arrived at 5", "disconnected under a"), listener.events);
         assertEquals(-BODY.length, budget.reservedBytes(), "the body of b; that of a is the listener's");
         receive("c");
-        assertEquals(-2 * BODY.length, budget.reservedBytes());
+        assertEquals(-2L * BODY.length, budget.reservedBytes());
     }
 
     @Test
