--- a/src/main/java/laurelkeel/api/Action.java
+++ b/src/main/java/laurelkeel/api/Action.java
@@ -9,7 +9,7 @@
         NONE,
         /** The build may go on to its next stage. */
         PROMOTE,
-        /** The build is to stay in its stage. */
+        /** The build is to stay in its stage. The decisions of this project do not use it yet. */
         HOLD,
         /** The build is to be taken back. */
         ROLL_BACK
@@ -38,14 +38,14 @@
     /** Asks for an {@link Event.TimerFired} with the same id at or after a moment. Timers are never cancelled. */
     record StartTimer(long dueAtTicks, long timerId) implements Action {}
 
-    /** Asks an endpoint for its health and load. */
+    /** Asks an endpoint for its health and load. The decisions of this project do not use it yet. */
     record SendHealthCheck(String endpointId) implements Action {}
 
-    /** Closes this front node's idle connections to an endpoint. */
+    /** Closes this front node's idle connections to an endpoint. The decisions of this project do not use it yet. */
     record CloseIdleConnections(String endpointId) implements Action {}
 
     /**
-     * Sends a short message to other front nodes.
+     * Sends a short message to other front nodes. The decisions of this project do not use it yet.
      *
      * @param toNode index of the receiver; below 0 for all other nodes
      */
@@ -53,10 +53,13 @@
     @SuppressWarnings("ArrayRecordComponent")
     record SendGossip(int toNode, byte[] payload) implements Action {}
 
-    /** Subscribes to changes of the endpoint list, or ends the subscription. */
+    /**
+     * Asks for what has changed in the endpoint list and subscribes to further changes, or ends the subscription. Where the
+     * list has to be polled, each call is one poll.
+     */
     record WatchEndpoints(boolean enabled) implements Action {}
 
-    /** Asks once for the whole endpoint list. */
+    /** Asks once for the whole endpoint list. The decisions of this project do not use it yet. */
     record FetchEndpoints() implements Action {}
 
     /** Votes on a build. A vote that is accepted takes the place of this node's earlier one. */
--- a/src/main/java/laurelkeel/api/LoadReport.java
+++ b/src/main/java/laurelkeel/api/LoadReport.java
@@ -6,7 +6,7 @@
 /**
  * What an endpoint said of its own load beside an answer. Reports are delayed and noisy.
  *
- * @param values by the names that the settings give them; empty where the endpoint sent none
+ * @param values by the names of the simulator's load reports, to which each protocol maps its own; empty if the endpoint sent none
  */
 public record LoadReport(Map<String, Double> values) {
     /** The report of an endpoint that sent none. */
--- a/src/main/java/laurelkeel/attribution/CanaryComparison.java
+++ b/src/main/java/laurelkeel/attribution/CanaryComparison.java
@@ -126,7 +126,7 @@
         // one endpoint's silence or slowness cannot be distinguished from its build's
         boolean hasSeveralEndpoints = traffic.endpointCount(build) > 1;
         SecondSummary summary = new SecondSummary();
-        LatencyComparison latencies = new LatencyComparison();
+        SecondLatencyComparison latencies = new SecondLatencyComparison();
         AttemptCounts canaryCounts = othersHaveTraffic ? countsTogether : countsAlone;
         second.cellsByNode().forEach((node, cells) -> {
             List<NodeReport.Cell> accepted =
--- a/src/main/java/laurelkeel/attribution/LatencyComparison.java
+++ b/src/main/java/laurelkeel/attribution/SecondLatencyComparison.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 
 /** Compares the latencies of a canary's endpoints with those of the reference builds in one second. Not thread-safe. */
-final class LatencyComparison {
+final class SecondLatencyComparison {
     /** A route with fewer attempts at reference builds is not compared. */
     private static final int MIN_REFERENCE_ATTEMPTS = 4;
 
--- a/src/main/java/laurelkeel/audit/ExposureCapCheck.java
+++ b/src/main/java/laurelkeel/audit/ExposureCapCheck.java
@@ -54,7 +54,7 @@
         for (AttemptArrived attempt : attempts) {
             RequestTrace request = traffic.request(attempt);
             KnownRollout rollout = timeline.at(attempt.build(), attempt.timeTicks());
-            if (request != null && rollout.isCanary()) {
+            if (request != null && rollout.isBoundByCap()) {
                 checkCap(attempt, request);
                 checkGuardedStage(attempt, request, rollout);
             }
--- a/src/main/java/laurelkeel/audit/RolloutTimeline.java
+++ b/src/main/java/laurelkeel/audit/RolloutTimeline.java
@@ -17,7 +17,7 @@
     private static final int NO_BUILD = -1;
 
     /** What was known of one build; stage and cap mean nothing where it was no canary. */
-    record KnownRollout(boolean isCanary, int stage, double exposureCap) {}
+    record KnownRollout(boolean isBoundByCap, int stage, double exposureCap) {}
 
     private static final KnownRollout NOT_A_CANARY = new KnownRollout(false, 0, 1);
 
--- a/src/main/java/laurelkeel/cli/AttributionPrinter.java
+++ b/src/main/java/laurelkeel/cli/AttributionPrinter.java
@@ -2,7 +2,7 @@
 
 import java.io.PrintStream;
 import java.util.Locale;
-import laurelkeel.cli.AttributionReport.Finding;
+import laurelkeel.cli.AttributionSummary.Finding;
 
 /** Prints an attribution report for people: a table of all builds, the evidence of each, and what was left out. */
 final class AttributionPrinter {
@@ -12,7 +12,7 @@
         this.out = out;
     }
 
-    void print(AttributionReport report) {
+    void print(AttributionSummary report) {
         out.printf(
                 "%-7s %-14s %-12s %-10s %-24s %s%n",
                 "build", "verdict", "probability", "by", "effect (95%)", "on trial for");
--- a/src/main/java/laurelkeel/cli/AttributionReport.java
+++ b/src/main/java/laurelkeel/cli/AttributionSummary.java
@@ -15,7 +15,7 @@
  * @param invalidCells cells of reports with impossible figures
  * @param overLimitCells cells beyond the bounds of a report
  */
-record AttributionReport(
+record AttributionSummary(
         List<Finding> findings, long duplicateReports, long lateReports, long invalidCells, long overLimitCells) {
 
     /**
@@ -50,11 +50,11 @@
      *
      * @throws JsonProcessingException where it is no JSON
      */
-    static AttributionReport parse(String page) throws JsonProcessingException {
+    static AttributionSummary parse(String page) throws JsonProcessingException {
         JsonNode report = new ObjectMapper().readTree(page);
-        return new AttributionReport(
+        return new AttributionSummary(
                 elements(report.path("findings"))
-                        .map(AttributionReport::finding)
+                        .map(AttributionSummary::finding)
                         .toList(),
                 report.path("reportsDoubled").asLong(),
                 report.path("reportsLate").asLong(),
--- a/src/main/java/laurelkeel/cli/BlameCommand.java
+++ b/src/main/java/laurelkeel/cli/BlameCommand.java
@@ -47,7 +47,7 @@
         if (json) {
             System.out.println(response.body());
         } else {
-            new AttributionPrinter(System.out).print(AttributionReport.parse(response.body()));
+            new AttributionPrinter(System.out).print(AttributionSummary.parse(response.body()));
         }
         return 0;
     }
--- a/src/main/java/laurelkeel/decision/AdmissionController.java
+++ b/src/main/java/laurelkeel/decision/AdmissionController.java
@@ -42,7 +42,7 @@
             return true;
         }
         // a route whose answers all come late only takes up capacity, whatever the cause
-        boolean isTooLate = routeLatency.recentTicks() > request.route().latencyObjectiveTicks()
+        boolean isTooLate = routeLatency.recentMeanTicks() > request.route().latencyObjectiveTicks()
                 || latency.expectedWaitTicks(endpoint, nowTicks) > maxWaitTicks(request.routeIndex());
         return !isTooLate;
     }
@@ -77,12 +77,12 @@
     /** Returns how long an attempt of a route may wait and still meet the objective. */
     private double slackTicks(int route) {
         return routes.get(route).latencyObjectiveTicks()
-                - CALM_LATENCIES_RESERVED * latency.route(route).calmTicks();
+                - CALM_LATENCIES_RESERVED * latency.route(route).unloadedTicks();
     }
 
     /** Returns what an answer of a route earns for the time that it takes an endpoint. */
     private double valueDensity(int route) {
         return routes.get(route).priorityWeight()
-                / (isValueByWork ? 1 : latency.route(route).calmTicks());
+                / (isValueByWork ? 1 : latency.route(route).unloadedTicks());
     }
 }
--- a/src/main/java/laurelkeel/decision/FleetSlowdownDetector.java
+++ b/src/main/java/laurelkeel/decision/AllEndpointsSlowdownDetector.java
@@ -6,7 +6,7 @@
  * Detects harm that a build does to all endpoints alike, which no comparison of builds would show: most endpoints have
  * been slow for as long as it has had traffic, and were not before.
  */
-final class FleetSlowdownDetector {
+final class AllEndpointsSlowdownDetector {
     /** Longer than most spells of slowness that come from elsewhere. */
     private static final int OBSERVED_SECONDS = 10;
 
@@ -25,7 +25,7 @@
     private final double minRatedSeconds;
 
     /** @param strictness factor on the evidence needed, 1 or more: few votes of many nodes must be surer each */
-    FleetSlowdownDetector(double strictness) {
+    AllEndpointsSlowdownDetector(double strictness) {
         minRatedSeconds = MIN_RATED_SECONDS * strictness;
     }
 
--- a/src/main/java/laurelkeel/decision/AttemptTimeoutPolicy.java
+++ b/src/main/java/laurelkeel/decision/AttemptTimeoutPolicy.java
@@ -30,7 +30,7 @@
             return untilAnswerDueTicks;
         }
         RouteLatency routeLatency = latency.route(request.routeIndex());
-        double typicalTicks = routeLatency.typicalTicks(RouteLatency.concurrencyLevel(inFlightAtEndpoint));
+        double typicalTicks = routeLatency.expectedOrUnloadedTicks(RouteLatency.concurrencyLevel(inFlightAtEndpoint));
         long objectiveTicks = request.route().latencyObjectiveTicks();
         double patienceTicks = Math.max(
                 typicalTicks * (1 + PATIENCE_DEVIATIONS * routeLatency.relativeDeviation()),
--- a/src/main/java/laurelkeel/decision/BuildComparison.java
+++ b/src/main/java/laurelkeel/decision/BuildComparison.java
@@ -35,12 +35,12 @@
     private static final double NO_LIMIT = Double.POSITIVE_INFINITY;
 
     private final OutcomeHistory ownOutcomes;
-    private final OutcomeHistory fleetOutcomes;
+    private final OutcomeHistory allNodesOutcomes;
     private final int routeCount;
     private final int minErrors;
     private final RateComparison rates;
     private final LatencyComparison latencies;
-    private final FleetSlowdownDetector fleetSlowdown;
+    private final AllEndpointsSlowdownDetector fleetSlowdown;
 
     /**
      * Creates the comparison of a node.
@@ -50,14 +50,14 @@
      */
     BuildComparison(Settings settings, OutcomeHistory ownOutcomes, OutcomeHistory fleetOutcomes) {
         this.ownOutcomes = ownOutcomes;
-        this.fleetOutcomes = fleetOutcomes;
+        this.allNodesOutcomes = fleetOutcomes;
         routeCount = settings.routes().size();
         minErrors = settings.rollout().rollBackVotes() > 1 ? MIN_SHARED_ERRORS : MIN_ERRORS;
         double standardErrors =
                 requiredStandardErrors(settings.nodeCount(), settings.rollout().rollBackVotes());
         rates = new RateComparison(standardErrors);
         latencies = new LatencyComparison(standardErrors);
-        fleetSlowdown = new FleetSlowdownDetector(standardErrors / STANDARD_ERRORS_OF_ONE_NODE);
+        fleetSlowdown = new AllEndpointsSlowdownDetector(standardErrors / STANDARD_ERRORS_OF_ONE_NODE);
     }
 
     /** Returns how sure each node has to be: the surer, the fewer of the nodes' votes roll a build back. */
@@ -93,7 +93,7 @@
         // of many nodes, each sees few attempts
         boolean isFleetNeeded = ownTotal.overall().attempts() < MIN_ATTEMPTS;
         List<ComparedOutcomes> fleet =
-                isFleetNeeded ? spans(fleetOutcomes, candidate, baseline, isBaselineServing, nowTicks) : List.of();
+                isFleetNeeded ? spans(allNodesOutcomes, candidate, baseline, isBaselineServing, nowTicks) : List.of();
         boolean isFaultOfOneEndpoint = isFaultOfOneEndpoint(endpoints);
         ToIntFunction<BuildOutcomes> errors = countedErrors(baseline, isBaselineServing);
         for (int i = 0; i <= routeCount; i++) {
--- a/src/main/java/laurelkeel/decision/EndpointPool.java
+++ b/src/main/java/laurelkeel/decision/BuildEndpoints.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** The active endpoints of one build, until the next update of the endpoint list. */
-final class EndpointPool {
+final class BuildEndpoints {
     /** Suspects above this share of the subset are replaced by other endpoints. */
     private static final double MAX_SUSPECT_SHARE = 0.125;
 
@@ -15,12 +15,12 @@
     private final WeightedRoundRobin rotation;
     private final int[] all;
     private int[] subset;
-    private boolean isUnrestricted;
-    private boolean isCapacityFinal;
+    private boolean areAllEligible;
+    private boolean isCapacityStable;
     private double capacity;
 
     /** @param endpoints at least one, by id */
-    EndpointPool(List<Endpoint> endpoints) {
+    BuildEndpoints(List<Endpoint> endpoints) {
         this.endpoints = endpoints;
         endpointHealth = endpoints.stream().map(Endpoint::health).toList();
         rotation = new WeightedRoundRobin(
@@ -74,17 +74,17 @@
      * Whether every endpoint of the subset was found warm, healthy and not overloaded, with no outcome against one since:
      * then all of them are candidates for a request that may go anywhere.
      */
-    boolean isUnrestricted() {
-        return isUnrestricted;
+    boolean areAllEligible() {
+        return areAllEligible;
     }
 
-    void setUnrestricted(boolean isUnrestricted) {
-        this.isUnrestricted = isUnrestricted;
+    void setAllEligible(boolean isUnrestricted) {
+        this.areAllEligible = isUnrestricted;
     }
 
     /** Makes the next pick look at the endpoints one by one. */
-    void requireCheck() {
-        isUnrestricted = false;
+    void invalidateEligibility() {
+        areAllEligible = false;
     }
 
     /** Selects anew the endpoints that take turns. */
@@ -106,7 +106,7 @@
         for (int i : subset) {
             endpoints.get(i).setInSubset(true);
         }
-        requireCheck();
+        invalidateEligibility();
     }
 
     /** Whether suspects are to give their places in the subset to other endpoints. */
@@ -122,11 +122,11 @@
 
     /** Returns the capacity of its endpoints at the moment, as far as they have warmed up. */
     double currentCapacity(SlowStart slowStart, long nowTicks) {
-        if (!isCapacityFinal) {
+        if (!isCapacityStable) {
             capacity = endpoints.stream()
                     .mapToDouble(e -> e.capacity() * slowStart.capacityShare(e.startedAtTicks(), nowTicks))
                     .sum();
-            isCapacityFinal = endpoints.stream().allMatch(e -> slowStart.isWarm(e.startedAtTicks(), nowTicks));
+            isCapacityStable = endpoints.stream().allMatch(e -> slowStart.isWarm(e.startedAtTicks(), nowTicks));
         }
         return capacity;
     }
--- a/src/main/java/laurelkeel/decision/BuildOutcomes.java
+++ b/src/main/java/laurelkeel/decision/BuildOutcomes.java
@@ -6,7 +6,7 @@
     private int failures;
     private int recoveredFailures;
     private int complaints;
-    private int ratedAnswers;
+    private int latencySampleCount;
     private double latencyRatioSum;
     private double latencyRatioSquareSum;
 
@@ -27,7 +27,7 @@
 
     /** Adds an answer by its latency as a multiple of the usual one. */
     void addLatencyRatio(double ratio) {
-        ratedAnswers++;
+        latencySampleCount++;
         latencyRatioSum += ratio;
         latencyRatioSquareSum += ratio * ratio;
     }
@@ -37,7 +37,7 @@
         failures += other.failures;
         recoveredFailures += other.recoveredFailures;
         complaints += other.complaints;
-        ratedAnswers += other.ratedAnswers;
+        latencySampleCount += other.latencySampleCount;
         latencyRatioSum += other.latencyRatioSum;
         latencyRatioSquareSum += other.latencyRatioSquareSum;
     }
@@ -59,17 +59,21 @@
     }
 
     /** Returns the number of answers whose latency is known as a multiple of the usual one. */
-    int ratedAnswers() {
-        return ratedAnswers;
+    int latencySampleCount() {
+        return latencySampleCount;
     }
 
     /** Returns the mean latency as a multiple of the usual one. There must be rated answers. */
     double meanLatencyRatio() {
-        return latencyRatioSum / ratedAnswers;
+        return latencyRatioSum / latencySampleCount;
     }
 
-    /** Returns the squared standard error of the mean latency ratio, where that is taken to be so high. */
+    /**
+     * Returns the squared standard error of the mean latency ratio.
+     *
+     * @param mean the value that the squares are taken about; the caller may have raised it above the true mean
+     */
     double latencyRatioErrorSquared(double mean) {
-        return (latencyRatioSquareSum / ratedAnswers - mean * mean) / ratedAnswers;
+        return (latencyRatioSquareSum / latencySampleCount - mean * mean) / latencySampleCount;
     }
 }
--- a/src/main/java/laurelkeel/decision/Endpoint.java
+++ b/src/main/java/laurelkeel/decision/Endpoint.java
@@ -29,10 +29,10 @@
     private int inFlight;
     private double otherRequests;
 
-    private @Nullable EndpointPool pool;
+    private @Nullable BuildEndpoints pool;
     private int poolIndex;
     private double credit;
-    private boolean isWeightFinal;
+    private boolean isWeightStable;
     private boolean isInSubset;
 
     /** @param crossZoneRequests the price of the way to it, as a number of requests that it is taken to serve besides */
@@ -143,19 +143,19 @@
     }
 
     /** Makes the pool look at it before its next turn, for it may have to be left out. */
-    void restrictionChanged() {
+    void eligibilityChanged() {
         if (pool != null) {
-            pool.requireCheck();
+            pool.invalidateEligibility();
         }
     }
 
     // ---- its place in a pool
 
     /** Moves it to a pool. */
-    void joinPool(EndpointPool newPool, int index) {
+    void joinPool(BuildEndpoints newPool, int index) {
         pool = newPool;
         poolIndex = index;
-        isWeightFinal = false;
+        isWeightStable = false;
     }
 
     /** Returns what it is owed of the turns when it joins a pool, in units of weight. */
@@ -176,13 +176,13 @@
     }
 
     /** Whether its weight changes with its latency only, and no more with time. */
-    boolean isWeightFinal() {
-        return isWeightFinal;
+    boolean isWeightStable() {
+        return isWeightStable;
     }
 
     /** Sets its weight in the round robin by capacity, warm-up and latency. */
     void updateWeight(SlowStart slowStart, long nowTicks) {
-        isWeightFinal = slowStart.isWarm(startedAtTicks, nowTicks);
+        isWeightStable = slowStart.isWarm(startedAtTicks, nowTicks);
         if (pool != null) {
             double latencyRatio =
                     Math.max(MIN_WEIGHED_LATENCY_RATIO, Math.min(MAX_WEIGHED_LATENCY_RATIO, latency.ratioToUsual()));
--- a/src/main/java/laurelkeel/decision/EndpointPicker.java
+++ b/src/main/java/laurelkeel/decision/EndpointPicker.java
@@ -12,7 +12,7 @@
     private final EndpointRegistry endpoints;
     private final RetryPolicy retryPolicy;
     private final SlowStart slowStart;
-    private final FleetThroughput throughput;
+    private final OwnThroughput throughput;
 
     // indices of the endpoints found by the last classification
     private int[] usable = new int[0];
@@ -20,8 +20,7 @@
     private int[] avoided = new int[0];
     private int avoidedCount;
 
-    EndpointPicker(
-            EndpointRegistry endpoints, RetryPolicy retryPolicy, SlowStart slowStart, FleetThroughput throughput) {
+    EndpointPicker(EndpointRegistry endpoints, RetryPolicy retryPolicy, SlowStart slowStart, OwnThroughput throughput) {
         this.endpoints = endpoints;
         this.retryPolicy = retryPolicy;
         this.slowStart = slowStart;
@@ -31,12 +30,12 @@
     /** Picks an endpoint of a build; null where none may take the request. */
     @Nullable
     Endpoint pick(int build, ActiveRequest request, long nowTicks) {
-        EndpointPool pool = endpoints.pool(build);
+        BuildEndpoints pool = endpoints.pool(build);
         if (pool == null) {
             return null;
         }
         int[] subset = pool.subset();
-        if (pool.isUnrestricted() && request.mayUseAnyEndpoint()) {
+        if (pool.areAllEligible() && request.mayUseAnyEndpoint()) {
             return pool.next(subset, subset.length);
         }
         classify(pool, subset, request, nowTicks);
@@ -47,7 +46,7 @@
         return usableCount > 0 ? pool.next(usable, usableCount) : pool.next(avoided, avoidedCount);
     }
 
-    private void classify(EndpointPool pool, int[] from, ActiveRequest request, long nowTicks) {
+    private void classify(BuildEndpoints pool, int[] from, ActiveRequest request, long nowTicks) {
         if (usable.length < pool.size()) {
             usable = new int[pool.size()];
             avoided = new int[pool.size()];
@@ -57,12 +56,12 @@
         boolean isUnrestricted = true;
         for (int index : from) {
             Endpoint endpoint = pool.endpoint(index);
-            if (!endpoint.isWeightFinal()) {
+            if (!endpoint.isWeightStable()) {
                 endpoint.updateWeight(slowStart, nowTicks);
             }
-            isUnrestricted &= isUnrestricted(endpoint, nowTicks);
+            isUnrestricted &= isAlwaysEligible(endpoint, nowTicks);
             if (slowStart.isBudgetExhausted(endpoint, throughput, nowTicks)
-                    || !retryPolicy.knowsFirstAttempt(request, endpoint)) {
+                    || !retryPolicy.isSafeForRetry(request, endpoint)) {
                 continue;
             }
             if (endpoint.health().isEjected(endpoint.inFlight(), nowTicks) || request.hasFailedAt(endpoint)) {
@@ -71,11 +70,11 @@
                 usable[usableCount++] = index;
             }
         }
-        pool.setUnrestricted(isUnrestricted);
+        pool.setAllEligible(isUnrestricted);
     }
 
-    private boolean isUnrestricted(Endpoint endpoint, long nowTicks) {
-        return endpoint.isWeightFinal()
+    private boolean isAlwaysEligible(Endpoint endpoint, long nowTicks) {
+        return endpoint.isWeightStable()
                 && !endpoint.health().isSuspect()
                 && !endpoint.health().isOverloaded(nowTicks)
                 && slowStart.isUnlimited(endpoint.startedAtTicks(), nowTicks);
--- a/src/main/java/laurelkeel/decision/EndpointRegistry.java
+++ b/src/main/java/laurelkeel/decision/EndpointRegistry.java
@@ -31,7 +31,7 @@
     private final SlowStart slowStart;
     private final EndpointSubset subset;
     private final Map<String, Endpoint> endpointsById = new TreeMap<>();
-    private final Map<Integer, EndpointPool> poolsByBuild = new LinkedHashMap<>();
+    private final Map<Integer, BuildEndpoints> poolsByBuild = new LinkedHashMap<>();
     private int newestBuild = Integer.MIN_VALUE;
     private double activeCapacity;
     private long nextSubsetUpdateAtTicks;
@@ -79,7 +79,7 @@
     }
 
     private void rebuildPools() {
-        poolsByBuild.values().forEach(EndpointPool::saveCredits);
+        poolsByBuild.values().forEach(BuildEndpoints::saveCredits);
         poolsByBuild.clear();
         Map<Integer, List<Endpoint>> activeByBuild = new LinkedHashMap<>();
         for (Endpoint endpoint : endpointsById.values()) {
@@ -90,7 +90,7 @@
             }
         }
         activeByBuild.forEach((build, endpoints) -> {
-            EndpointPool pool = new EndpointPool(endpoints);
+            BuildEndpoints pool = new BuildEndpoints(endpoints);
             pool.reselect(subset);
             poolsByBuild.put(build, pool);
         });
@@ -114,11 +114,11 @@
         }
         nextSubsetUpdateAtTicks = nowTicks + SUBSET_INTERVAL_TICKS;
         int largestPool = poolsByBuild.values().stream()
-                .mapToInt(EndpointPool::size)
+                .mapToInt(BuildEndpoints::size)
                 .max()
                 .orElse(0);
         boolean hasSizeChanged = subset.adapt(inFlight, areAnswersWaiting, largestPool);
-        for (EndpointPool pool : poolsByBuild.values()) {
+        for (BuildEndpoints pool : poolsByBuild.values()) {
             if (hasSizeChanged || pool.needsReselection()) {
                 pool.reselect(subset);
             }
@@ -127,9 +127,9 @@
 
     /** Finds the endpoints that answer with errors far more often than others of their build. */
     void markErrorOutliers() {
-        for (EndpointPool pool : poolsByBuild.values()) {
+        for (BuildEndpoints pool : poolsByBuild.values()) {
             if (OutlierDetector.markErrorOutliers(pool.endpointHealth())) {
-                pool.requireCheck();
+                pool.invalidateEligibility();
             }
         }
     }
@@ -153,19 +153,19 @@
 
     /** Returns the active endpoints of a build, or null where it has none. */
     @Nullable
-    EndpointPool pool(int build) {
+    BuildEndpoints pool(int build) {
         return poolsByBuild.get(build);
     }
 
     /** Returns the active endpoints of a build. */
     List<Endpoint> activeEndpoints(int build) {
-        EndpointPool pool = poolsByBuild.get(build);
+        BuildEndpoints pool = poolsByBuild.get(build);
         return pool == null ? List.of() : pool.endpoints();
     }
 
     /** Returns when the newest active endpoint of a build started; 0 for long ago. */
     long newestStartTicks(int build) {
-        EndpointPool pool = poolsByBuild.get(build);
+        BuildEndpoints pool = poolsByBuild.get(build);
         return pool == null ? 0 : pool.newestStartTicks();
     }
 
@@ -186,7 +186,7 @@
 
     @Override
     public double currentCapacity(int build, long nowTicks) {
-        EndpointPool pool = poolsByBuild.get(build);
+        BuildEndpoints pool = poolsByBuild.get(build);
         return pool == null ? 0 : pool.currentCapacity(slowStart, nowTicks);
     }
 }
--- a/src/main/java/laurelkeel/decision/ExposureLimiter.java
+++ b/src/main/java/laurelkeel/decision/ExposureLimiter.java
@@ -17,8 +17,8 @@
     /** Share of the quota that is kept for keys already bound to the canary: these cannot go anywhere else. */
     private static final double RESERVED_FOR_STICKY_KEYS = 0.15;
 
-    /** The window is counted this much to our disadvantage, for others may date the same moments otherwise. */
-    private static final long WINDOW_MARGIN_TICKS = 60;
+    /** The window is counted this much too long or too short, to our disadvantage: whoever audits it may see the same moments a little apart. */
+    private static final long EXPOSURE_MARGIN_TICKS = 60;
 
     /** Past the window, for how long moments are kept at most. */
     private static final long RETENTION_TICKS = Ticks.PER_SECOND;
@@ -54,8 +54,8 @@
      */
     boolean allows(int build, int route, double exposureCap, boolean isSticky, long nowTicks) {
         long windowTicks = settings.exposureWindowTicks();
-        int attempts = attempts(build, route).countSince(nowTicks - windowTicks - WINDOW_MARGIN_TICKS);
-        int requests = received.get(counterOf(route)).countSince(nowTicks - windowTicks + WINDOW_MARGIN_TICKS);
+        int attempts = attempts(build, route).countSince(nowTicks - windowTicks - EXPOSURE_MARGIN_TICKS);
+        int requests = received.get(counterOf(route)).countSince(nowTicks - windowTicks + EXPOSURE_MARGIN_TICKS);
         double quota = exposureCap * requests;
         double reserve = isSticky ? 0 : RESERVED_FOR_STICKY_KEYS * quota;
         return attempts + 1 + reserve <= settings.exposureAllowance() + quota;
--- a/src/main/java/laurelkeel/decision/LatencyComparison.java
+++ b/src/main/java/laurelkeel/decision/LatencyComparison.java
@@ -31,8 +31,8 @@
     /** Returns the finding against the candidate, or null where there is none. */
     Regression.@Nullable HigherLatency compare(
             BuildOutcomes candidate, BuildOutcomes baseline, List<EndpointLatency> candidateEndpoints) {
-        if (candidate.ratedAnswers() < MIN_ANSWERS
-                || baseline.ratedAnswers() < MIN_ANSWERS
+        if (candidate.latencySampleCount() < MIN_ANSWERS
+                || baseline.latencySampleCount() < MIN_ANSWERS
                 || !areMostSlow(candidateEndpoints)) {
             return null;
         }
@@ -43,7 +43,8 @@
         boolean isSlower = ratio > MIN_SLOWDOWN * baselineRatio
                 && ratio - MIN_SURE_SLOWDOWN * baselineRatio > requiredStandardErrors * standardError;
         return isSlower
-                ? new Regression.HigherLatency(ratio, candidate.ratedAnswers(), baselineRatio, baseline.ratedAnswers())
+                ? new Regression.HigherLatency(
+                        ratio, candidate.latencySampleCount(), baselineRatio, baseline.latencySampleCount())
                 : null;
     }
 
--- a/src/main/java/laurelkeel/decision/OutcomeRecorder.java
+++ b/src/main/java/laurelkeel/decision/OutcomeRecorder.java
@@ -9,14 +9,14 @@
     private final RolloutState rollout;
     private final SlowStart slowStart;
     private final LatencyModel latencies;
-    private final FleetThroughput throughput;
+    private final OwnThroughput throughput;
     private final OutcomeHistory history;
 
     OutcomeRecorder(
             RolloutState rollout,
             SlowStart slowStart,
             LatencyModel latencies,
-            FleetThroughput throughput,
+            OwnThroughput throughput,
             OutcomeHistory history) {
         this.rollout = rollout;
         this.slowStart = slowStart;
@@ -43,7 +43,7 @@
         Endpoint endpoint = attempt.endpoint();
         boolean isAnswerDue = nowTicks >= request.answerDueAtTicks();
         if (endpoint.health().record(event.outcome(), isAnswerDue, nowTicks)) {
-            endpoint.restrictionChanged();
+            endpoint.eligibilityChanged();
         }
         if (event.outcome() == AttemptOutcome.COMPLETED) {
             throughput.attemptCompleted();
@@ -58,7 +58,7 @@
         RouteLatency latency = latencies.route(route);
         int level = attempt.concurrencyLevel();
         latency.recordRecent(durationTicks);
-        OptionalDouble ratioToUsual = latency.ratioToUsual(durationTicks, level);
+        OptionalDouble ratioToUsual = latency.ratioToExpected(durationTicks, level);
         if (ratioToUsual.isPresent()) {
             double ratio = ratioToUsual.getAsDouble();
             endpoint.latency().recordRatio(ratio);
@@ -70,7 +70,7 @@
         int judgedBuild = rollout.judgedBuild(nowTicks);
         boolean isUnknownElsewhere = endpoint.build() != judgedBuild && !latency.isKnown(level);
         if (judgedBuild == RolloutState.NO_BUILD || isUnknownElsewhere) {
-            latency.learnUsual(durationTicks, level);
+            latency.learnExpected(durationTicks, level);
         }
     }
 
@@ -88,7 +88,7 @@
 
     private void recordWait(Attempt attempt, RouteLatency latency, long durationTicks, long nowTicks) {
         latency.learnCalm(durationTicks);
-        double waitTicks = durationTicks - latency.calmTicks();
+        double waitTicks = durationTicks - latency.unloadedTicks();
         attempt.endpoint().latency().recordWait(waitTicks, attempt.inFlightAtEndpoint(), nowTicks);
         latencies.waits().recordWait(waitTicks, throughput.answersPerSecond());
     }
--- a/src/main/java/laurelkeel/decision/FleetThroughput.java
+++ b/src/main/java/laurelkeel/decision/OwnThroughput.java
@@ -9,7 +9,7 @@
  *
  * <p>It counts answers and not requests: under overload the requests say nothing of what an endpoint can do.
  */
-final class FleetThroughput {
+final class OwnThroughput {
     /** Assumed before the first answers where the settings name no quota. */
     private static final double DEFAULT_ANSWERS_PER_SECOND = 1;
 
@@ -31,7 +31,7 @@
     private double capacity;
 
     /** @param initialAnswersPerSecond assumed until there are answers */
-    FleetThroughput(double initialAnswersPerSecond) {
+    OwnThroughput(double initialAnswersPerSecond) {
         answersPerSecond = initialAnswersPerSecond;
     }
 
--- a/src/main/java/laurelkeel/decision/RetryPolicy.java
+++ b/src/main/java/laurelkeel/decision/RetryPolicy.java
@@ -14,7 +14,7 @@
  */
 final class RetryPolicy {
     /** A repeat sent this close to the end of the deduplication window could arrive after it. */
-    private static final long WINDOW_MARGIN_TICKS = Ticks.PER_SECOND / 10;
+    private static final long DEDUPLICATION_MARGIN_TICKS = Ticks.PER_SECOND / 10;
 
     private final int maxAttempts;
 
@@ -42,8 +42,8 @@
         return request.route().idempotency() != Idempotency.NOT_IDEMPOTENT && request.attemptCount() + 1 < maxAttempts;
     }
 
-    /** Whether an endpoint would drop a repeat of what may have run already; true where no repeat does harm. */
-    boolean knowsFirstAttempt(ActiveRequest request, Endpoint endpoint) {
+    /** Whether a retry at an endpoint does no harm: nothing has run, the route is idempotent, or the endpoint knows repeats. */
+    boolean isSafeForRetry(ActiveRequest request, Endpoint endpoint) {
         Attempt first = request.firstPossibleRun();
         Route route = request.route();
         if (first == null || route.idempotency() != Idempotency.DEDUPLICATED) {
@@ -74,6 +74,6 @@
     }
 
     private static boolean isInWindow(Attempt first, Route route, long nowTicks) {
-        return nowTicks + WINDOW_MARGIN_TICKS < first.sentAtTicks() + route.deduplicationWindowTicks();
+        return nowTicks + DEDUPLICATION_MARGIN_TICKS < first.sentAtTicks() + route.deduplicationWindowTicks();
     }
 }
--- a/src/main/java/laurelkeel/decision/RouteLatency.java
+++ b/src/main/java/laurelkeel/decision/RouteLatency.java
@@ -33,19 +33,19 @@
     /** Calm latency may rise by this factor with each run, for the service itself can become slower. */
     private static final double MAX_CALM_GROWTH_PER_RUN = 1.02;
 
-    private final double[] usualTicks = new double[LEVELS];
+    private final double[] expectedTicks = new double[LEVELS];
     private final int[] answerCounts = new int[LEVELS];
     private double relativeDeviation = INITIAL_DEVIATION;
-    private double calmTicks;
+    private double unloadedTicks;
     private boolean hasCalmRun;
     private double runSumTicks;
     private int runCount;
-    private double recentTicks;
+    private double recentMeanTicks;
     private int inFlight;
 
     /** @param latencyObjectiveTicks of the route */
     RouteLatency(long latencyObjectiveTicks) {
-        calmTicks = latencyObjectiveTicks / INITIAL_CALM_DIVISOR;
+        unloadedTicks = latencyObjectiveTicks / INITIAL_CALM_DIVISOR;
     }
 
     /** Returns the level of concurrency of an endpoint that serves so many requests. */
@@ -69,16 +69,16 @@
 
     /** Adds a completed attempt to the mean of late, which has to leave out attempts without an answer. */
     void recordRecent(long durationTicks) {
-        recentTicks += (durationTicks - recentTicks) * RECENT_SMOOTHING;
+        recentMeanTicks += (durationTicks - recentMeanTicks) * RECENT_SMOOTHING;
     }
 
     /** Returns the mean latency of the last answers. */
-    double recentTicks() {
-        return recentTicks;
+    double recentMeanTicks() {
+        return recentMeanTicks;
     }
 
     /** Returns a latency as a multiple of the usual one at a level; empty while too little is known. */
-    OptionalDouble ratioToUsual(long durationTicks, int level) {
+    OptionalDouble ratioToExpected(long durationTicks, int level) {
         int known = level;
         while (known > 0 && !isKnown(known)) {
             known--;
@@ -87,8 +87,8 @@
             return OptionalDouble.empty();
         }
         double growth = Math.pow(2, (level - known) / LEVELS_PER_LATENCY_DOUBLING);
-        double expectedTicks = Math.max(1, usualTicks[known]) * growth;
-        return OptionalDouble.of(Math.min(MAX_RATIO, durationTicks / expectedTicks));
+        double extrapolatedTicks = Math.max(1, expectedTicks[known]) * growth;
+        return OptionalDouble.of(Math.min(MAX_RATIO, durationTicks / extrapolatedTicks));
     }
 
     /** Takes note of how far a latency was from the usual one. */
@@ -107,15 +107,15 @@
     }
 
     /** Adds a latency to what is usual at a level. */
-    void learnUsual(long durationTicks, int level) {
+    void learnExpected(long durationTicks, int level) {
         answerCounts[level]++;
         double smoothing = Math.max(MIN_LEVEL_SMOOTHING, 1.0 / answerCounts[level]);
-        usualTicks[level] += (durationTicks - usualTicks[level]) * smoothing;
+        expectedTicks[level] += (durationTicks - expectedTicks[level]) * smoothing;
     }
 
     /** Returns the usual latency at a level, or the calm one where that is not known. */
-    double typicalTicks(int level) {
-        return isKnown(level) ? usualTicks[level] : calmTicks;
+    double expectedOrUnloadedTicks(int level) {
+        return isKnown(level) ? expectedTicks[level] : unloadedTicks;
     }
 
     /** Adds a latency to the calm one, which is the least mean of a run of answers. */
@@ -126,14 +126,14 @@
             return;
         }
         double meanTicks = runSumTicks / ANSWERS_PER_CALM_RUN;
-        calmTicks = hasCalmRun ? Math.min(calmTicks * MAX_CALM_GROWTH_PER_RUN, meanTicks) : meanTicks;
+        unloadedTicks = hasCalmRun ? Math.min(unloadedTicks * MAX_CALM_GROWTH_PER_RUN, meanTicks) : meanTicks;
         hasCalmRun = true;
         runSumTicks = 0;
         runCount = 0;
     }
 
     /** Returns the latency in calm times; what an answer takes beyond it, it has waited. */
-    double calmTicks() {
-        return calmTicks;
+    double unloadedTicks() {
+        return unloadedTicks;
     }
 }
--- a/src/main/java/laurelkeel/decision/RoutingDecider.java
+++ b/src/main/java/laurelkeel/decision/RoutingDecider.java
@@ -32,7 +32,7 @@
 
     private final EndpointRegistry endpoints;
     private final EndpointPoller endpointPoller;
-    private final FleetThroughput throughput;
+    private final OwnThroughput throughput;
     private final LatencyModel latency;
     private final AdmissionController admission;
     private final RolloutState rollout;
@@ -41,7 +41,7 @@
     private final ExposureLimiter exposure;
     private final RequestLifecycle requests;
     private final OutcomeHistory ownOutcomes;
-    private final OutcomeHistory fleetOutcomes;
+    private final OutcomeHistory allNodesOutcomes;
     private final RolloutVoter voter;
 
     private final List<Action> actions = new ArrayList<>();
@@ -60,7 +60,7 @@
         endpoints = new EndpointRegistry(settings, random, slowStart);
         endpointPoller = new EndpointPoller(
                 settings.capabilities().endpointPolling(), settings.limits().maxPollIntervalTicks());
-        throughput = new FleetThroughput(FleetThroughput.assumedAnswersPerSecond(settings));
+        throughput = new OwnThroughput(OwnThroughput.assumedAnswersPerSecond(settings));
         latency = new LatencyModel(settings.routes());
         admission = new AdmissionController(settings, latency);
 
@@ -71,11 +71,11 @@
         BuildRouter router = new BuildRouter(rollout, stickyKeys, canaryRamp, exposure, picker::pick);
 
         ownOutcomes = new OutcomeHistory(routeCount);
-        fleetOutcomes = new OutcomeHistory(routeCount);
+        allNodesOutcomes = new OutcomeHistory(routeCount);
         OutcomeRecorder recorder = new OutcomeRecorder(rollout, slowStart, latency, throughput, ownOutcomes);
         requests = new RequestLifecycle(settings, random, router, latency, retryPolicy, admission, recorder);
 
-        BuildComparison comparison = new BuildComparison(settings, ownOutcomes, fleetOutcomes);
+        BuildComparison comparison = new BuildComparison(settings, ownOutcomes, allNodesOutcomes);
         voter = new RolloutVoter(
                 settings.rollout(),
                 rollout,
@@ -127,6 +127,7 @@
         } else if (event instanceof TimerFired) {
             timerDueAtTicks = DeadlineQueue.NEVER;
         }
+        // started responses, health checks and gossip say nothing that these decisions use
     }
 
     private void updateEndpoints(EndpointListUpdate update, long nowTicks) {
@@ -165,7 +166,7 @@
     }
 
     private void recordStatistics(BuildStatistics statistics, long nowTicks) {
-        fleetOutcomes
+        allNodesOutcomes
                 .secondOf(nowTicks - statistics.ageTicks())
                 .outcomes(statistics.build(), statistics.route())
                 .addAttempts(statistics.attempts(), statistics.errors());
@@ -183,7 +184,7 @@
         exposure.forgetOld(nowTicks);
         endpoints.updateWarmUpBudgets(nowTicks);
         ownOutcomes.forgetOld(nowTicks);
-        fleetOutcomes.forgetOld(nowTicks);
+        allNodesOutcomes.forgetOld(nowTicks);
         requests.forgetOld(nowTicks);
         endpoints.markErrorOutliers();
         endpoints.adaptSubsets(latency.inFlight(), admission.areAnswersWaiting(), nowTicks);
--- a/src/main/java/laurelkeel/decision/SlowStart.java
+++ b/src/main/java/laurelkeel/decision/SlowStart.java
@@ -42,7 +42,7 @@
     }
 
     /** Whether one more attempt could overload an endpoint that is warming up. */
-    boolean isBudgetExhausted(Endpoint endpoint, FleetThroughput throughput, long nowTicks) {
+    boolean isBudgetExhausted(Endpoint endpoint, OwnThroughput throughput, long nowTicks) {
         if (isUnlimited(endpoint.startedAtTicks(), nowTicks)) {
             return false;
         }
--- a/src/main/java/laurelkeel/front/ActiveRequest.java
+++ b/src/main/java/laurelkeel/front/AcceptedRequest.java
@@ -11,14 +11,14 @@
  * A request from its acceptance until it has its final answer and all its attempts have ended. Not thread-safe; used on
  * the event loop's thread.
  */
-final class ActiveRequest {
+final class AcceptedRequest {
     private final String id;
     private final long number;
     private final ClientConnection connection;
     private final ClientRequest clientRequest;
     private final long acceptedAtTicks;
     private final long deadlineTicks;
-    private final List<Attempt> attempts = new ArrayList<>(2);
+    private final List<DispatchedAttempt> attempts = new ArrayList<>(2);
     private boolean answered;
     private @Nullable ScheduledTask overdueTimer;
 
@@ -29,7 +29,7 @@
      * @param number of the request among those of this incarnation, from 0
      * @param deadlineTicks when the client gives the request up
      */
-    ActiveRequest(
+    AcceptedRequest(
             String id,
             long number,
             ClientConnection connection,
@@ -69,13 +69,13 @@
     }
 
     /** The attempts in the order of their numbers. */
-    List<Attempt> attempts() {
+    List<DispatchedAttempt> attempts() {
         return attempts;
     }
 
     /** Adds the next attempt, which is numbered by the ones before it. */
-    Attempt addAttempt(String endpointId, long nowTicks) {
-        Attempt attempt = new Attempt(attempts.size(), endpointId, nowTicks);
+    DispatchedAttempt addAttempt(String endpointId, long nowTicks) {
+        DispatchedAttempt attempt = new DispatchedAttempt(attempts.size(), endpointId, nowTicks);
         attempts.add(attempt);
         return attempt;
     }
@@ -105,6 +105,6 @@
 
     /** Whether the request is answered and none of its attempts goes on. */
     boolean isFinished() {
-        return answered && attempts.stream().allMatch(Attempt::isEnded);
+        return answered && attempts.stream().allMatch(DispatchedAttempt::isEnded);
     }
 }
--- a/src/main/java/laurelkeel/front/RequestTable.java
+++ b/src/main/java/laurelkeel/front/AcceptedRequestTable.java
@@ -13,15 +13,15 @@
  * The active requests of a front node, by their id, and the ids that clients gave them. Not thread-safe; used on the
  * event loop's thread.
  */
-final class RequestTable {
+final class AcceptedRequestTable {
     private static final int ID_RADIX = 36;
 
     private final String incarnation;
-    private final Map<String, ActiveRequest> requests = new HashMap<>();
+    private final Map<String, AcceptedRequest> requests = new HashMap<>();
     private final Set<String> clientRequestIds = new HashSet<>();
     private long nextNumber;
 
-    RequestTable(String incarnation) {
+    AcceptedRequestTable(String incarnation) {
         this.incarnation = incarnation;
     }
 
@@ -41,9 +41,9 @@
     }
 
     /** Creates a request with the next id, without adding it. */
-    ActiveRequest create(ClientConnection connection, ClientRequest request, long nowTicks, long deadlineTicks) {
+    AcceptedRequest create(ClientConnection connection, ClientRequest request, long nowTicks, long deadlineTicks) {
         long number = nextNumber++;
-        return new ActiveRequest(requestId(number), number, connection, request, nowTicks, deadlineTicks);
+        return new AcceptedRequest(requestId(number), number, connection, request, nowTicks, deadlineTicks);
     }
 
     private String requestId(long number) {
@@ -67,12 +67,12 @@
         }
     }
 
-    void add(ActiveRequest request) {
+    void add(AcceptedRequest request) {
         requests.put(request.id(), request);
     }
 
     /** Removes a request and releases its client's id; false where it is not in the table. */
-    boolean remove(ActiveRequest request) {
+    boolean remove(AcceptedRequest request) {
         if (requests.remove(request.id()) == null) {
             return false;
         }
@@ -81,7 +81,7 @@
     }
 
     @Nullable
-    ActiveRequest get(String id) {
+    AcceptedRequest get(String id) {
         return requests.get(id);
     }
 
@@ -90,7 +90,7 @@
     }
 
     /** The requests at this moment, for callers that may add or remove some. */
-    List<ActiveRequest> snapshot() {
+    List<AcceptedRequest> snapshot() {
         return List.copyOf(requests.values());
     }
 
--- a/src/main/java/laurelkeel/front/ActionExecutor.java
+++ b/src/main/java/laurelkeel/front/ActionExecutor.java
@@ -17,14 +17,14 @@
     private final NodeComponents components;
     private final EventLoop loop;
     private final NodeServices services;
-    private final RequestTable requests;
+    private final AcceptedRequestTable requests;
     private final AttemptDispatcher attempts;
     private final ResponseWriter responses;
     private final HealthChecker healthChecker;
 
     ActionExecutor(
             NodeComponents components,
-            RequestTable requests,
+            AcceptedRequestTable requests,
             AttemptDispatcher attempts,
             ResponseWriter responses,
             HealthChecker healthChecker) {
@@ -75,6 +75,8 @@
             castVote(vote);
         } else if (action instanceof Action.WriteLog log) {
             DECISION_LOG.info("{}", log.message());
+        } else {
+            throw new IllegalStateException("an action that is not carried out: " + action);
         }
     }
 
--- a/src/main/java/laurelkeel/front/AttemptDispatcher.java
+++ b/src/main/java/laurelkeel/front/AttemptDispatcher.java
@@ -20,14 +20,14 @@
 
     private final NodeComponents components;
     private final EventLoop loop;
-    private final RequestTable requests;
+    private final AcceptedRequestTable requests;
     private final RequestTotals totals;
     private final FinalAnswerGuard guard;
     private final ResponseWriter responses;
 
     AttemptDispatcher(
             NodeComponents components,
-            RequestTable requests,
+            AcceptedRequestTable requests,
             RequestTotals totals,
             FinalAnswerGuard guard,
             ResponseWriter responses) {
@@ -41,12 +41,12 @@
 
     /** Carries out {@link Action.SendAttempt}; an attempt that may not or cannot begin ends as not sent. */
     void send(Action.SendAttempt action) {
-        ActiveRequest request = requests.get(action.requestId());
+        AcceptedRequest request = requests.get(action.requestId());
         if (request == null) {
             LOG.error("the decider sends an attempt of request {}, which is not active", action.requestId());
             return;
         }
-        Attempt attempt = request.addAttempt(action.endpointId(), loop.nowTicks());
+        DispatchedAttempt attempt = request.addAttempt(action.endpointId(), loop.nowTicks());
         int maxAttempts = components.settings().capabilities().maxAttempts();
         if (!guard.permitsAttempt(request) || request.attempts().size() > maxAttempts) {
             endUnsent(request, attempt);
@@ -56,14 +56,14 @@
         start(request, attempt, attemptDeadline(request, action.timeoutTicks()));
     }
 
-    private long attemptDeadline(ActiveRequest request, long timeoutTicks) {
+    private long attemptDeadline(AcceptedRequest request, long timeoutTicks) {
         if (timeoutTicks == 0) {
             return request.deadlineTicks();
         }
         return Math.min(request.deadlineTicks(), loop.nowTicks() + Math.max(0, timeoutTicks));
     }
 
-    private void start(ActiveRequest request, Attempt attempt, long deadlineTicks) {
+    private void start(AcceptedRequest request, DispatchedAttempt attempt, long deadlineTicks) {
         Exchange exchange;
         try {
             exchange = components
@@ -89,7 +89,7 @@
                 deadlineTicks, () -> onEnded(request, attempt, exchange.cancel(AttemptOutcome.TIMED_OUT), null)));
     }
 
-    private void endUnsent(ActiveRequest request, Attempt attempt) {
+    private void endUnsent(AcceptedRequest request, DispatchedAttempt attempt) {
         attempt.end();
         components.inbox().add(endedEvent(request, attempt, AttemptOutcome.NOT_SENT, LoadReport.NONE));
     }
@@ -99,7 +99,8 @@
      *
      * @return null where the attempt had to wait for a connection and may not be written any more
      */
-    private byte @Nullable [] assembleMessage(ActiveRequest request, Attempt attempt, long attemptDeadlineTicks) {
+    private byte @Nullable [] assembleMessage(
+            AcceptedRequest request, DispatchedAttempt attempt, long attemptDeadlineTicks) {
         long now = loop.nowTicks();
         boolean waited = now > attempt.startedAtTicks();
         if (waited && !mayStillSend(request, attempt)) {
@@ -116,7 +117,7 @@
         return request.clientRequest().forwarded().assemble(components.messageBuilder(), true);
     }
 
-    private boolean mayStillSend(ActiveRequest request, Attempt attempt) {
+    private boolean mayStillSend(AcceptedRequest request, DispatchedAttempt attempt) {
         return !request.isAnswered()
                 && !request.isExpired(loop.nowTicks())
                 && components.services().mayStillSend(attempt.endpointId(), attempt.startedAtTicks());
@@ -124,18 +125,21 @@
 
     /** Carries out {@link Action.CancelAttempt}; one that is unknown or has ended is ignored. */
     void cancel(Action.CancelAttempt action) {
-        ActiveRequest request = requests.get(action.requestId());
+        AcceptedRequest request = requests.get(action.requestId());
         if (request == null || action.attempt() >= request.attempts().size()) {
             return;
         }
-        Attempt attempt = request.attempts().get(action.attempt());
+        DispatchedAttempt attempt = request.attempts().get(action.attempt());
         if (!attempt.isEnded()) {
             onEnded(request, attempt, attempt.cancel(AttemptOutcome.CANCELLED), null);
         }
     }
 
     private void onEnded(
-            ActiveRequest request, Attempt attempt, AttemptOutcome outcome, @Nullable EndpointResponse response) {
+            AcceptedRequest request,
+            DispatchedAttempt attempt,
+            AttemptOutcome outcome,
+            @Nullable EndpointResponse response) {
         if (attempt.isEnded()) {
             return;
         }
@@ -159,7 +163,7 @@
         responses.removeIfFinished(request);
     }
 
-    private void logUnlessCompleted(ActiveRequest request, Attempt attempt, AttemptOutcome outcome) {
+    private void logUnlessCompleted(AcceptedRequest request, DispatchedAttempt attempt, AttemptOutcome outcome) {
         if (outcome != AttemptOutcome.COMPLETED) {
             LOG.info(
                     "request {} ({}) attempt {} at {}: {} after {} ms",
@@ -173,7 +177,7 @@
     }
 
     private Event.AttemptEnded endedEvent(
-            ActiveRequest request, Attempt attempt, AttemptOutcome outcome, LoadReport loadReport) {
+            AcceptedRequest request, DispatchedAttempt attempt, AttemptOutcome outcome, LoadReport loadReport) {
         return new Event.AttemptEnded(
                 request.id(),
                 attempt.number(),
--- a/src/main/java/laurelkeel/front/ComplaintHandler.java
+++ b/src/main/java/laurelkeel/front/ComplaintHandler.java
@@ -38,7 +38,7 @@
     /** Answers a complaint, whose body is the reference. */
     HttpResponse answer(HttpRequest complaint) {
         String reference = new String(complaint.body(), StandardCharsets.UTF_8).strip();
-        ResponseReferences.Origin origin = references.take(RequestTable.requestNumber(reference, incarnation));
+        ResponseReferences.Origin origin = references.take(AcceptedRequestTable.requestNumber(reference, incarnation));
         if (origin == null) {
             return StandaloneProtocol.plain(
                     404,
--- a/src/main/java/laurelkeel/front/Attempt.java
+++ b/src/main/java/laurelkeel/front/DispatchedAttempt.java
@@ -7,7 +7,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** One attempt of a request at an endpoint. Not thread-safe; used on the event loop's thread. */
-final class Attempt {
+final class DispatchedAttempt {
     private final int number;
     private final String endpointId;
     private final long startedAtTicks;
@@ -20,7 +20,7 @@
      *
      * @param number among the attempts of its request, from 0
      */
-    Attempt(int number, String endpointId, long startedAtTicks) {
+    DispatchedAttempt(int number, String endpointId, long startedAtTicks) {
         this.number = number;
         this.endpointId = endpointId;
         this.startedAtTicks = startedAtTicks;
--- a/src/main/java/laurelkeel/front/DrainController.java
+++ b/src/main/java/laurelkeel/front/DrainController.java
@@ -27,13 +27,16 @@
     private final EventLoop loop;
     private final Ingress ingress;
     private final NodeLifecycle lifecycle;
-    private final RequestTable requests;
+    private final AcceptedRequestTable requests;
     private final long maxDrainTicks;
     private final long lameDuckTicks;
     private boolean isListening = true;
 
     DrainController(
-            NodeComponents components, NodeLifecycle lifecycle, RequestTable requests, IngressSettings settings) {
+            NodeComponents components,
+            NodeLifecycle lifecycle,
+            AcceptedRequestTable requests,
+            IngressSettings settings) {
         this.components = components;
         this.lifecycle = lifecycle;
         this.requests = requests;
@@ -65,7 +68,7 @@
     }
 
     private void stopAccepting() {
-        lifecycle.rejectRequests();
+        lifecycle.startClosingConnections();
         // off the loop, for it may have to wait for the thread that accepts
         components.runtime().timer().execute(this::closeListener);
         loop.schedule(loop.nowTicks() + Math.max(longestRouteTimeoutTicks(), maxDrainTicks), loop::stop);
--- a/src/main/java/laurelkeel/front/FinalAnswerGuard.java
+++ b/src/main/java/laurelkeel/front/FinalAnswerGuard.java
@@ -8,7 +8,7 @@
  */
 final class FinalAnswerGuard {
     /** An overdue request is answered this long before its deadline, so that the answer still arrives in time. */
-    private static final long ANSWER_MARGIN_TICKS = 10;
+    private static final long GUARD_MARGIN_TICKS = 10;
 
     private final EventLoop loop;
     private final boolean enabled;
@@ -23,18 +23,18 @@
         this.enabled = enabled;
     }
 
-    boolean permitsAttempt(ActiveRequest request) {
+    boolean permitsAttempt(AcceptedRequest request) {
         return !enabled || (!request.isAnswered() && !request.isExpired(loop.nowTicks()));
     }
 
-    boolean permitsAnswer(ActiveRequest request) {
+    boolean permitsAnswer(AcceptedRequest request) {
         return !enabled || !request.isAnswered();
     }
 
     /** Runs an action shortly before the deadline of a request, unless the request's timer is cancelled earlier. */
-    void watch(ActiveRequest request, Runnable onOverdue) {
+    void watch(AcceptedRequest request, Runnable onOverdue) {
         if (enabled) {
-            request.setOverdueTimer(loop.schedule(request.deadlineTicks() - ANSWER_MARGIN_TICKS, onOverdue));
+            request.setOverdueTimer(loop.schedule(request.deadlineTicks() - GUARD_MARGIN_TICKS, onOverdue));
         }
     }
 }
--- a/src/main/java/laurelkeel/front/FrontNode.java
+++ b/src/main/java/laurelkeel/front/FrontNode.java
@@ -52,7 +52,7 @@
     private final Ingress ingress;
     private final ConnectionPools pools;
     private final NodeLifecycle lifecycle;
-    private final RequestTable requests;
+    private final AcceptedRequestTable requests;
     private final ResponseWriter responses;
     private final RequestIntake intake;
     private final ActionExecutor executor;
@@ -132,7 +132,7 @@
                 new ClientEvents());
         components = new NodeComponents(settings, runtime, services, protocol, ingress, pools, new MessageBuilder());
         lifecycle = new NodeLifecycle(settings.nodeIndex(), runtime.incarnation());
-        requests = new RequestTable(runtime.incarnation());
+        requests = new AcceptedRequestTable(runtime.incarnation());
         RequestTotals totals = new RequestTotals();
         FinalAnswerGuard guard = new FinalAnswerGuard(loop, guarded);
         responses = new ResponseWriter(components, requests, totals, guard);
@@ -299,7 +299,7 @@
 
         @Override
         public void onDisconnect(@Nullable Object current) {
-            if (current instanceof ActiveRequest request) {
+            if (current instanceof AcceptedRequest request) {
                 responses.clientDisconnected(request);
             }
         }
@@ -310,8 +310,8 @@
         }
 
         @Override
-        public boolean isDraining() {
-            return lifecycle.isRejectingRequests();
+        public boolean isClosingConnections() {
+            return lifecycle.isClosingConnections();
         }
 
         @Override
--- a/src/main/java/laurelkeel/front/NodeLifecycle.java
+++ b/src/main/java/laurelkeel/front/NodeLifecycle.java
@@ -16,7 +16,7 @@
     private final String incarnation;
     private final CompletableFuture<@Nullable Throwable> termination = new CompletableFuture<>();
     private volatile NodeState state = NodeState.CREATED;
-    private boolean isRejectingRequests;
+    private boolean isClosingConnections;
     private boolean hasStoppedDeciding;
 
     NodeLifecycle(int nodeIndex, String incarnation) {
@@ -42,18 +42,18 @@
         return state.isShuttingDown() ? "draining" : "ok";
     }
 
-    /** New requests are rejected from now on. */
-    void rejectRequests() {
-        isRejectingRequests = true;
+    /** From now on each response closes its connection; where there was no lame-duck period, new requests are rejected too. */
+    void startClosingConnections() {
+        isClosingConnections = true;
     }
 
-    boolean isRejectingRequests() {
-        return isRejectingRequests;
+    boolean isClosingConnections() {
+        return isClosingConnections;
     }
 
     /** No further event reaches the decider: what still arrives is rejected at once. */
     void stopDeciding() {
-        isRejectingRequests = true;
+        isClosingConnections = true;
         hasStoppedDeciding = true;
     }
 
--- a/src/main/java/laurelkeel/front/NodeShutdown.java
+++ b/src/main/java/laurelkeel/front/NodeShutdown.java
@@ -29,10 +29,14 @@
     private final NodeComponents components;
     private final Ingress ingress;
     private final NodeLifecycle lifecycle;
-    private final RequestTable requests;
+    private final AcceptedRequestTable requests;
     private final TotalsLogger totalsLogger;
 
-    NodeShutdown(NodeComponents components, NodeLifecycle lifecycle, RequestTable requests, TotalsLogger totalsLogger) {
+    NodeShutdown(
+            NodeComponents components,
+            NodeLifecycle lifecycle,
+            AcceptedRequestTable requests,
+            TotalsLogger totalsLogger) {
         this.components = components;
         this.lifecycle = lifecycle;
         this.requests = requests;
@@ -86,8 +90,8 @@
     /** The node is never half alive: active requests fail at once, and no new one is accepted. */
     private void failActiveRequests() {
         lifecycle.stopDeciding();
-        for (ActiveRequest request : requests.snapshot()) {
-            request.attempts().forEach(Attempt::abandon);
+        for (AcceptedRequest request : requests.snapshot()) {
+            request.attempts().forEach(DispatchedAttempt::abandon);
             if (!request.isAnswered()) {
                 request.markAnswered();
                 ingress.answer(
--- a/src/main/java/laurelkeel/front/RequestIntake.java
+++ b/src/main/java/laurelkeel/front/RequestIntake.java
@@ -15,7 +15,7 @@
     private final NodeComponents components;
     private final EventLoop loop;
     private final NodeLifecycle lifecycle;
-    private final RequestTable requests;
+    private final AcceptedRequestTable requests;
     private final RequestTotals totals;
     private final FinalAnswerGuard guard;
     private final ResponseWriter responses;
@@ -23,7 +23,7 @@
     RequestIntake(
             NodeComponents components,
             NodeLifecycle lifecycle,
-            RequestTable requests,
+            AcceptedRequestTable requests,
             RequestTotals totals,
             FinalAnswerGuard guard,
             ResponseWriter responses) {
@@ -48,7 +48,7 @@
         }
         long now = loop.nowTicks();
         long deadline = arrivedAtTicks + clientRequest.remainingTicks();
-        ActiveRequest request = requests.create(connection, clientRequest, now, deadline);
+        AcceptedRequest request = requests.create(connection, clientRequest, now, deadline);
         connection.current(request);
         if (request.isExpired(now)) {
             responses.rejectExpired(request);
@@ -73,7 +73,7 @@
                         components.protocol().badRequest(conflict, null));
     }
 
-    private static Event.RequestReceived receivedEvent(ActiveRequest request) {
+    private static Event.RequestReceived receivedEvent(AcceptedRequest request) {
         ClientRequest clientRequest = request.clientRequest();
         return new Event.RequestReceived(
                 request.id(),
--- a/src/main/java/laurelkeel/front/ResponseWriter.java
+++ b/src/main/java/laurelkeel/front/ResponseWriter.java
@@ -21,11 +21,12 @@
 
     private final NodeComponents components;
     private final Ingress ingress;
-    private final RequestTable requests;
+    private final AcceptedRequestTable requests;
     private final RequestTotals totals;
     private final FinalAnswerGuard guard;
 
-    ResponseWriter(NodeComponents components, RequestTable requests, RequestTotals totals, FinalAnswerGuard guard) {
+    ResponseWriter(
+            NodeComponents components, AcceptedRequestTable requests, RequestTotals totals, FinalAnswerGuard guard) {
         this.components = components;
         this.requests = requests;
         this.totals = totals;
@@ -38,7 +39,7 @@
      *
      * @param request null for one that is not active any more, which gets no answer
      */
-    void answer(@Nullable ActiveRequest request, RequestOutcome outcome, HttpResponse response) {
+    void answer(@Nullable AcceptedRequest request, RequestOutcome outcome, HttpResponse response) {
         if (request == null || !guard.permitsAnswer(request)) {
             return;
         }
@@ -55,12 +56,12 @@
         removeIfFinished(request);
     }
 
-    private double millisSinceAccepted(ActiveRequest request) {
+    private double millisSinceAccepted(AcceptedRequest request) {
         return (components.loop().nowTicks() - request.acceptedAtTicks()) / (double) Ticks.PER_MILLISECOND;
     }
 
     /** Forwards the response of an attempt that completed as the final answer. */
-    void forward(ActiveRequest request, EndpointResponse response) {
+    void forward(AcceptedRequest request, EndpointResponse response) {
         ForwardedMessage message = Objects.requireNonNull(response.forwarded(), "a completed response is forwarded");
         close(request, RequestOutcome.COMPLETED);
         components.protocol().writeResponseHeaders(components.messageBuilder(), request.id());
@@ -73,7 +74,7 @@
     }
 
     /** Rejects a request whose deadline passed while it waited on its connection; it was never in the table. */
-    void rejectExpired(ActiveRequest request) {
+    void rejectExpired(AcceptedRequest request) {
         ClientRequest clientRequest = request.clientRequest();
         request.markAnswered();
         requests.releaseClientRequestId(clientRequest);
@@ -88,7 +89,7 @@
     }
 
     /** Fails a request for which no decision came before its deadline. */
-    void failOverdue(ActiveRequest request) {
+    void failOverdue(AcceptedRequest request) {
         if (request.isAnswered()) {
             return;
         }
@@ -102,7 +103,7 @@
     }
 
     /** Notes that the client of a request is gone, so that nothing more is owed for it. */
-    void clientDisconnected(ActiveRequest request) {
+    void clientDisconnected(AcceptedRequest request) {
         if (request.isAnswered()) {
             return;
         }
@@ -111,7 +112,7 @@
         removeIfFinished(request);
     }
 
-    private void close(ActiveRequest request, RequestOutcome outcome) {
+    private void close(AcceptedRequest request, RequestOutcome outcome) {
         request.markAnswered();
         request.cancelOverdueTimer();
         totals.answered(outcome);
@@ -119,7 +120,7 @@
     }
 
     /** Removes a request that is answered and whose attempts have all ended. */
-    void removeIfFinished(ActiveRequest request) {
+    void removeIfFinished(AcceptedRequest request) {
         if (request.isFinished() && requests.remove(request)) {
             ingress.releaseBody(request.clientRequest());
         }
--- a/src/main/java/laurelkeel/front/TraceLogger.java
+++ b/src/main/java/laurelkeel/front/TraceLogger.java
@@ -17,9 +17,9 @@
 
     private final NodeComponents components;
     private final EventLoop loop;
-    private final RequestTable requests;
+    private final AcceptedRequestTable requests;
 
-    TraceLogger(NodeComponents components, RequestTable requests) {
+    TraceLogger(NodeComponents components, AcceptedRequestTable requests) {
         this.components = components;
         this.requests = requests;
         loop = components.loop();
@@ -45,8 +45,8 @@
 
     private Map<String, Integer> attemptsInFlight() {
         Map<String, Integer> inFlight = new TreeMap<>();
-        for (ActiveRequest request : requests.snapshot()) {
-            for (Attempt attempt : request.attempts()) {
+        for (AcceptedRequest request : requests.snapshot()) {
+            for (DispatchedAttempt attempt : request.attempts()) {
                 if (!attempt.isEnded()) {
                     String address = components
                             .services()
--- a/src/main/java/laurelkeel/front/ingress/IngressListener.java
+++ b/src/main/java/laurelkeel/front/ingress/IngressListener.java
@@ -18,15 +18,15 @@
     /**
      * Called when a connection with a request in progress is gone.
      *
-     * @param current the token of that request, see {@link ClientConnection#current}; null for none
+     * @param current the token of that request, see {@link GeneratorConnection#current}; null for none
      */
     void onDisconnect(@Nullable Object current);
 
     /** Returns the number of requests in flight. */
     int activeRequests();
 
-    /** Whether the node has been told to stop. */
-    boolean isDraining();
+    /** Whether the node is shutting down so far that each response closes its connection; not yet in its lame-duck period. */
+    boolean isClosingConnections();
 
     /** Whether the node makes no decisions any more, so that all further requests are rejected. */
     boolean hasEnded();
--- a/src/main/java/laurelkeel/front/ingress/RequestPipeline.java
+++ b/src/main/java/laurelkeel/front/ingress/RequestPipeline.java
@@ -72,7 +72,7 @@
         String rejection = findReasonToReject();
         if (rejection != null) {
             request.releaseBody(bodyBudget);
-            boolean last = listener.isDraining() || request.closesConnection();
+            boolean last = listener.isClosingConnections() || request.closesConnection();
             connection.write(rejections.reject(rejection, last), last);
             connection.requestAnswered();
             return;
@@ -87,7 +87,7 @@
                 || loop.queuedTasks() >= settings.maxQueuedTasks()) {
             return "this front is full";
         }
-        boolean stopping = listener.hasEnded() || (listener.isDraining() && settings.lameDuckTicks() == 0);
+        boolean stopping = listener.hasEnded() || (listener.isClosingConnections() && settings.lameDuckTicks() == 0);
         return stopping ? "this front is stopping" : null;
     }
 
--- a/src/main/java/laurelkeel/front/ingress/ResponseSender.java
+++ b/src/main/java/laurelkeel/front/ingress/ResponseSender.java
@@ -34,7 +34,7 @@
 
     /** See {@link Ingress#answer}. */
     void answer(ClientConnection connection, boolean last, HttpResponse response) {
-        boolean closes = last || listener.isDraining();
+        boolean closes = last || listener.isClosingConnections();
         if (closes) {
             response.headers().add("Connection", "close");
         }
@@ -48,7 +48,7 @@
             ForwardedMessage response,
             MessageBuilder ownHeaders,
             Runnable onDone) {
-        boolean closes = last || listener.isDraining();
+        boolean closes = last || listener.isClosingConnections();
         if (closes) {
             ownHeaders.appendHeader("Connection", "close");
         }
--- a/src/main/java/laurelkeel/front/upstream/ConnectionLimiter.java
+++ b/src/main/java/laurelkeel/front/upstream/ConnectionLimiter.java
@@ -12,7 +12,7 @@
  */
 final class ConnectionLimiter {
     private final int maxConnections;
-    private final Set<EndpointPool> starvedPools = new LinkedHashSet<>();
+    private final Set<EndpointConnectionPool> starvedPools = new LinkedHashSet<>();
     private int openConnections;
     private int pendingConnects;
 
@@ -45,11 +45,11 @@
     }
 
     /** Queues a pool that waits until a connection to another endpoint is closed. */
-    void addStarved(EndpointPool pool) {
+    void addStarved(EndpointConnectionPool pool) {
         starvedPools.add(pool);
     }
 
-    boolean isStarved(EndpointPool pool) {
+    boolean isStarved(EndpointConnectionPool pool) {
         return starvedPools.contains(pool);
     }
 
@@ -59,12 +59,12 @@
 
     /** Removes the pool that has waited longest; null for none. */
     @Nullable
-    EndpointPool pollStarved() {
-        Iterator<EndpointPool> pools = starvedPools.iterator();
+    EndpointConnectionPool pollStarved() {
+        Iterator<EndpointConnectionPool> pools = starvedPools.iterator();
         if (!pools.hasNext()) {
             return null;
         }
-        EndpointPool first = pools.next();
+        EndpointConnectionPool first = pools.next();
         pools.remove();
         return first;
     }
--- a/src/main/java/laurelkeel/front/upstream/ConnectionOpener.java
+++ b/src/main/java/laurelkeel/front/upstream/ConnectionOpener.java
@@ -55,7 +55,7 @@
     }
 
     /** Starts opening as many connections as the pool's waiting exchanges need and the limits allow. */
-    void openFor(EndpointPool pool) {
+    void openFor(EndpointConnectionPool pool) {
         while (pool.needsConnection()) {
             if (limiter.isFull()) {
                 limiter.addStarved(pool);
@@ -75,13 +75,13 @@
 
     /** Opens connections for the pool that has waited longest for the common limit. */
     void openForStarvedPool() {
-        EndpointPool starved = limiter.pollStarved();
+        EndpointConnectionPool starved = limiter.pollStarved();
         if (starved != null) {
             openFor(starved);
         }
     }
 
-    private void connect(EndpointPool pool) {
+    private void connect(EndpointConnectionPool pool) {
         ConnectAttempt.start(
                 connector,
                 loop,
@@ -93,9 +93,9 @@
     }
 
     private final class PoolConnectListener implements ConnectAttempt.Listener {
-        private final EndpointPool pool;
+        private final EndpointConnectionPool pool;
 
-        PoolConnectListener(EndpointPool pool) {
+        PoolConnectListener(EndpointConnectionPool pool) {
             this.pool = pool;
         }
 
@@ -115,7 +115,7 @@
         }
     }
 
-    private void connected(EndpointPool pool, IoSession session) {
+    private void connected(EndpointConnectionPool pool, IoSession session) {
         pool.connectEnded();
         if (EndpointConnection.wasClosedUnattached(session)) {
             pool.unusedConnectionClosed();
@@ -128,16 +128,16 @@
     }
 
     /** The waiting exchanges have timeouts of their own, and mostly began to wait after this connect did. */
-    private void connectTimedOut(EndpointPool pool) {
+    private void connectTimedOut(EndpointConnectionPool pool) {
         pool.connectEnded();
         openFor(pool);
         openForStarvedPool();
     }
 
-    private void connectFailed(EndpointPool pool, boolean endpointFailure) {
+    private void connectFailed(EndpointConnectionPool pool, boolean endpointFailure) {
         pool.connectEnded();
         Exchange first = pool.peekWaiting();
-        if (first != null && !endpointFailure && first.mayRetryUnsent()) {
+        if (first != null && !endpointFailure && first.countUnsentFailure()) {
             loop.schedule(loop.nowTicks() + LOCAL_FAILURE_RETRY_DELAY_TICKS, () -> openFor(pool));
         } else {
             if (first != null) {
--- a/src/main/java/laurelkeel/front/upstream/ConnectionPools.java
+++ b/src/main/java/laurelkeel/front/upstream/ConnectionPools.java
@@ -96,7 +96,7 @@
             Supplier<byte @Nullable []> message,
             boolean headRequest,
             Exchange.Listener listener) {
-        EndpointPool pool = pools.getOrCreate(address);
+        EndpointConnectionPool pool = pools.getOrCreate(address);
         Exchange exchange = new Exchange(pool, message, headRequest, listener);
         if (address.socketAddress() == null || !pool.acceptsExchange()) {
             loop.post(() -> exchange.end(AttemptOutcome.CONNECT_FAILED, null));
--- a/src/main/java/laurelkeel/front/upstream/EndpointConnection.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointConnection.java
@@ -15,7 +15,7 @@
     private static final AttributeKey CONNECTION = new AttributeKey(EndpointConnection.class, "connection");
     private static final AttributeKey CLOSED_UNATTACHED = new AttributeKey(EndpointConnection.class, "closed");
 
-    private final EndpointPool pool;
+    private final EndpointConnectionPool pool;
     private final IoSession session;
     /** Null while the connection is idle. */
     private @Nullable Exchange exchange;
@@ -25,14 +25,14 @@
     private boolean used;
     private boolean closed;
 
-    private EndpointConnection(EndpointPool pool, IoSession session, long idleSinceTicks) {
+    private EndpointConnection(EndpointConnectionPool pool, IoSession session, long idleSinceTicks) {
         this.pool = pool;
         this.session = session;
         this.idleSinceTicks = idleSinceTicks;
     }
 
     /** Makes a new session a connection of a pool. */
-    static EndpointConnection attach(EndpointPool pool, IoSession session, long idleSinceTicks) {
+    static EndpointConnection attach(EndpointConnectionPool pool, IoSession session, long idleSinceTicks) {
         EndpointConnection connection = new EndpointConnection(pool, session, idleSinceTicks);
         session.setAttribute(CONNECTION, connection);
         return connection;
@@ -52,7 +52,7 @@
         return session.containsAttribute(CLOSED_UNATTACHED);
     }
 
-    EndpointPool pool() {
+    EndpointConnectionPool pool() {
         return pool;
     }
 
--- a/src/main/java/laurelkeel/front/upstream/EndpointPool.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointConnectionPool.java
@@ -10,7 +10,7 @@
  *
  * <p>Not thread-safe; called on the event loop's thread.
  */
-final class EndpointPool {
+final class EndpointConnectionPool {
     private final EndpointAddress address;
     private final UpstreamSettings settings;
     private final ConnectionLimiter limiter;
@@ -21,7 +21,7 @@
     private int openConnections;
     private int pendingConnects;
 
-    EndpointPool(EndpointAddress address, UpstreamSettings settings, ConnectionLimiter limiter) {
+    EndpointConnectionPool(EndpointAddress address, UpstreamSettings settings, ConnectionLimiter limiter) {
         this.address = address;
         this.settings = settings;
         this.limiter = limiter;
@@ -144,7 +144,7 @@
      */
     void unusedConnectionClosed() {
         Exchange first = waiting.peekFirst();
-        if (first != null && !first.mayRetryUnsent()) {
+        if (first != null && !first.countUnsentFailure()) {
             waiting.pollFirst();
             first.end(AttemptOutcome.CONNECT_FAILED, null);
         }
--- a/src/main/java/laurelkeel/front/upstream/EndpointPoolRegistry.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointPoolRegistry.java
@@ -13,20 +13,20 @@
 final class EndpointPoolRegistry {
     private final UpstreamSettings settings;
     private final ConnectionLimiter limiter;
-    private final Map<String, EndpointPool> pools = new HashMap<>();
+    private final Map<String, EndpointConnectionPool> pools = new HashMap<>();
 
     EndpointPoolRegistry(UpstreamSettings settings, ConnectionLimiter limiter) {
         this.settings = settings;
         this.limiter = limiter;
     }
 
-    EndpointPool getOrCreate(EndpointAddress address) {
-        return pools.computeIfAbsent(address.key(), key -> new EndpointPool(address, settings, limiter));
+    EndpointConnectionPool getOrCreate(EndpointAddress address) {
+        return pools.computeIfAbsent(address.key(), key -> new EndpointConnectionPool(address, settings, limiter));
     }
 
     /** Closes all idle connections of one pool. */
     void closeIdle(String key) {
-        EndpointPool pool = pools.get(key);
+        EndpointConnectionPool pool = pools.get(key);
         if (pool != null) {
             pool.closeIdleSinceBefore(Long.MAX_VALUE);
         }
@@ -34,7 +34,7 @@
 
     /** Closes the connections of all pools that became idle before the given time. */
     void closeIdleSinceBefore(long ticks) {
-        for (EndpointPool pool : pools.values()) {
+        for (EndpointConnectionPool pool : pools.values()) {
             pool.closeIdleSinceBefore(ticks);
         }
     }
@@ -50,7 +50,7 @@
 
     private @Nullable EndpointConnection findLongestIdle() {
         EndpointConnection longest = null;
-        for (EndpointPool pool : pools.values()) {
+        for (EndpointConnectionPool pool : pools.values()) {
             EndpointConnection candidate = pool.longestIdle();
             if (candidate != null && (longest == null || candidate.idleSinceTicks() < longest.idleSinceTicks())) {
                 longest = candidate;
@@ -60,10 +60,10 @@
     }
 
     void removeUnused() {
-        pools.values().removeIf(EndpointPool::isUnused);
+        pools.values().removeIf(EndpointConnectionPool::isUnused);
     }
 
-    /** Describes each pool, sorted by key; see {@link EndpointPool#describe}. */
+    /** Describes each pool, sorted by key; see {@link BuildEndpoints#describe}. */
     Map<String, String> describe() {
         Map<String, String> descriptions = new TreeMap<>();
         pools.forEach((key, pool) -> descriptions.put(key, pool.describe()));
--- a/src/main/java/laurelkeel/front/upstream/Exchange.java
+++ b/src/main/java/laurelkeel/front/upstream/Exchange.java
@@ -28,7 +28,7 @@
         void ended(AttemptOutcome outcome, @Nullable EndpointResponse response);
     }
 
-    private final EndpointPool pool;
+    private final EndpointConnectionPool pool;
     private final Supplier<byte @Nullable []> message;
     private final boolean headRequest;
     private final Listener listener;
@@ -46,7 +46,7 @@
      * @param message see {@link ConnectionPools#startExchange}
      * @param headRequest whether its response has no body
      */
-    Exchange(EndpointPool pool, Supplier<byte @Nullable []> message, boolean headRequest, Listener listener) {
+    Exchange(EndpointConnectionPool pool, Supplier<byte @Nullable []> message, boolean headRequest, Listener listener) {
         this.pool = pool;
         this.message = message;
         this.headRequest = headRequest;
@@ -78,7 +78,7 @@
         return outcomeIfSent;
     }
 
-    EndpointPool pool() {
+    EndpointConnectionPool pool() {
         return pool;
     }
 
@@ -127,8 +127,8 @@
         connection = null;
     }
 
-    /** Counts a connection that failed before it carried a byte of this; returns whether another may be tried. */
-    boolean mayRetryUnsent() {
+    /** Counts a connection that failed before it carried a byte of this exchange, and returns whether another may be tried. */
+    boolean countUnsentFailure() {
         return ++unsentFailures < MAX_UNSENT_FAILURES;
     }
 
--- a/src/main/java/laurelkeel/front/upstream/ExchangeDispatcher.java
+++ b/src/main/java/laurelkeel/front/upstream/ExchangeDispatcher.java
@@ -36,7 +36,7 @@
 
     /** Sends an exchange on an idle connection, or queues it for a new one. */
     void dispatch(Exchange exchange) {
-        EndpointPool pool = exchange.pool();
+        EndpointConnectionPool pool = exchange.pool();
         EndpointConnection idle = pool.pollIdle(loop.nowTicks() - restAfterResponseTicks);
         if (idle != null) {
             if (!send(idle, exchange)) {
@@ -53,7 +53,7 @@
     }
 
     private void connectTimedOut(Exchange exchange) {
-        EndpointPool pool = exchange.pool();
+        EndpointConnectionPool pool = exchange.pool();
         pool.removeWaiting(exchange);
         // a pool that waits for the common limit says nothing about its endpoint
         exchange.end(limiter.isStarved(pool) ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED, null);
@@ -75,7 +75,7 @@
         if (!connection.isUsable()) {
             return;
         }
-        EndpointPool pool = connection.pool();
+        EndpointConnectionPool pool = connection.pool();
         for (Exchange next = pool.pollWaiting(); next != null; next = pool.pollWaiting()) {
             if (send(connection, next)) {
                 return;
@@ -116,7 +116,7 @@
             connectionAvailable(connection);
             return;
         }
-        EndpointPool pool = connection.pool();
+        EndpointConnectionPool pool = connection.pool();
         pool.addIdle(connection);
         if (pool.hasWaiting() || limiter.hasStarvedPools()) {
             loop.schedule(loop.nowTicks() + restAfterResponseTicks, () -> {
@@ -142,7 +142,7 @@
         if (!connection.markClosed()) {
             return;
         }
-        EndpointPool pool = connection.pool();
+        EndpointConnectionPool pool = connection.pool();
         pool.connectionClosed(connection);
         exchangeInterrupted(connection, connection.takeExchange());
         if (!connection.wasUsed()) {
@@ -159,7 +159,7 @@
         exchange.detachFromConnection();
         if (connection.hasWrittenExchange()) {
             exchange.end(AttemptOutcome.CONNECTION_LOST, null);
-        } else if (exchange.mayRetryUnsent()) {
+        } else if (exchange.countUnsentFailure()) {
             dispatch(exchange);
         } else {
             exchange.end(AttemptOutcome.CONNECT_FAILED, null);
--- a/src/main/java/laurelkeel/partition/BaselineSelector.java
+++ b/src/main/java/laurelkeel/partition/BaselineSelector.java
@@ -32,7 +32,7 @@
             baseline = largestBuildWithoutRollout();
         }
         double requiredWeight = SUCCESSOR_WEIGHT_RATIO * endpoints.activeWeight(baseline);
-        for (RolloutState rollout : rollouts.all()) {
+        for (RolloutRecord rollout : rollouts.all()) {
             int build = rollout.build();
             if (mayGetAllRequests(rollout)
                     && build < rolloutBuild
@@ -44,7 +44,7 @@
         return Math.max(baseline, rollouts.minimumBaseline());
     }
 
-    private boolean mayGetAllRequests(RolloutState rollout) {
+    private boolean mayGetAllRequests(RolloutRecord rollout) {
         return rollout.isCanary() && rollout.exposureCap() >= 1 && rollout.stage() >= guardedStages;
     }
 
--- a/src/main/java/laurelkeel/partition/ConcurrentRollouts.java
+++ b/src/main/java/laurelkeel/partition/ConcurrentRollouts.java
@@ -15,7 +15,7 @@
     static final int NO_BUILD = -1;
 
     private final List<Double> stageExposureCaps;
-    private final TreeMap<Integer, RolloutState> states = new TreeMap<>();
+    private final TreeMap<Integer, RolloutRecord> states = new TreeMap<>();
     private int releasedBuild = NO_BUILD;
     private int minimumBaseline = NO_BUILD;
 
@@ -30,8 +30,8 @@
      * @return whether it changed anything
      */
     boolean apply(RolloutUpdate update) {
-        RolloutState state = RolloutState.of(update);
-        RolloutState previous = states.put(state.build(), state);
+        RolloutRecord state = RolloutRecord.of(update);
+        RolloutRecord previous = states.put(state.build(), state);
         if (state.phase() == RolloutPhase.RELEASED && state.build() > releasedBuild) {
             releasedBuild = state.build();
             states.headMap(releasedBuild).clear();
@@ -47,12 +47,12 @@
 
     /** The state of a build's rollout, or null where no update named it or a later build has been released. */
     @Nullable
-    RolloutState find(int build) {
+    RolloutRecord find(int build) {
         return states.get(build);
     }
 
     /** All states, by ascending build. */
-    Collection<RolloutState> all() {
+    Collection<RolloutRecord> all() {
         return Collections.unmodifiableCollection(states.values());
     }
 
@@ -61,13 +61,13 @@
     }
 
     boolean isCanary(int build) {
-        RolloutState state = states.get(build);
+        RolloutRecord state = states.get(build);
         return state != null && state.isCanary();
     }
 
     /** Whether a build is known to be rolled back or to be on its way there. */
     boolean isRolledBack(int build) {
-        RolloutState state = states.get(build);
+        RolloutRecord state = states.get(build);
         return state != null && state.isRolledBack();
     }
 
@@ -99,7 +99,7 @@
      * <p>A build later than all that updates named has the cap of the first stage: its rollout may have begun.
      */
     OptionalDouble exposureCap(int build) {
-        RolloutState state = states.get(build);
+        RolloutRecord state = states.get(build);
         if (state == null) {
             boolean isAheadOfUpdates = !states.isEmpty() && build > states.lastKey();
             return isAheadOfUpdates ? OptionalDouble.of(stageExposureCaps.get(0)) : OptionalDouble.empty();
--- a/src/main/java/laurelkeel/partition/RequestTable.java
+++ b/src/main/java/laurelkeel/partition/OwnedRequestTable.java
@@ -7,7 +7,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** Records which partition owns each request that is not complete. Not thread-safe. */
-final class RequestTable {
+final class OwnedRequestTable {
     private final Map<String, OwnedRequest> requests = new HashMap<>();
 
     void add(RequestReceived received, TrafficPartition owner, long nowTicks) {
--- a/src/main/java/laurelkeel/partition/PartitionedDecider.java
+++ b/src/main/java/laurelkeel/partition/PartitionedDecider.java
@@ -46,7 +46,7 @@
 
     private final ConcurrentRollouts rollouts;
     private final EndpointTable endpoints = new EndpointTable();
-    private final RequestTable requests = new RequestTable();
+    private final OwnedRequestTable requests = new OwnedRequestTable();
     private final PartitionSet partitions;
     private final PartitionPlan plan;
     private final PartitionAssigner assigner;
@@ -119,7 +119,7 @@
     }
 
     private void announceCap(TrafficPartition partition) {
-        RolloutState rollout = rollouts.find(partition.rolloutBuild());
+        RolloutRecord rollout = rollouts.find(partition.rolloutBuild());
         if (rollout == null || !rollout.isCanary()) {
             return;
         }
--- a/src/main/java/laurelkeel/partition/RolloutState.java
+++ b/src/main/java/laurelkeel/partition/RolloutRecord.java
@@ -9,10 +9,10 @@
  * @param stage the rollout's stage, from 0
  * @param exposureCap share of the requests that the build may get, from 0 to 1
  */
-record RolloutState(int build, int stage, double exposureCap, RolloutPhase phase) {
+record RolloutRecord(int build, int stage, double exposureCap, RolloutPhase phase) {
 
-    static RolloutState of(RolloutUpdate update) {
-        return new RolloutState(update.build(), update.stage(), update.exposureCap(), update.phase());
+    static RolloutRecord of(RolloutUpdate update) {
+        return new RolloutRecord(update.build(), update.stage(), update.exposureCap(), update.phase());
     }
 
     /** Whether the build serves a limited share of the requests. */
--- a/src/main/java/laurelkeel/partition/TrafficPartition.java
+++ b/src/main/java/laurelkeel/partition/TrafficPartition.java
@@ -129,7 +129,7 @@
         enqueue(update);
         // a decider ignores updates of builds before its own
         if (update.build() >= rolloutBuild) {
-            if (RolloutState.of(update).isRolledBack()) {
+            if (RolloutRecord.of(update).isRolledBack()) {
                 announcedRollbacks.add(update.build());
             }
             if (update.phase() == RolloutPhase.RELEASED) {
@@ -147,7 +147,7 @@
     }
 
     /** Announces the exposure cap to keep to, where the decider goes by another. */
-    void announceCap(RolloutState rollout, double cap) {
+    void announceCap(RolloutRecord rollout, double cap) {
         double knownCap = Double.isNaN(announcedCap) ? rollout.exposureCap() : announcedCap;
         if (cap != knownCap) {
             enqueue(new RolloutUpdate(
--- a/src/main/java/laurelkeel/partition/VoteGate.java
+++ b/src/main/java/laurelkeel/partition/VoteGate.java
@@ -77,7 +77,7 @@
     List<Action> rollBackVotes(ConcurrentRollouts rollouts, long nowTicks) {
         List<Action> actions = new ArrayList<>();
         attributions.forEach((build, attribution) -> {
-            RolloutState rollout = rollouts.find(build);
+            RolloutRecord rollout = rollouts.find(build);
             if (rollout != null && rollout.isCanary() && demandsRollBack(attribution)) {
                 voteToRollBack(rollout, attribution, nowTicks, actions);
             }
@@ -89,7 +89,7 @@
         return attribution == Attribution.GUILTY || attribution == Attribution.SET_ASIDE;
     }
 
-    private void voteToRollBack(RolloutState rollout, Attribution attribution, long nowTicks, List<Action> actions) {
+    private void voteToRollBack(RolloutRecord rollout, Attribution attribution, long nowTicks, List<Action> actions) {
         int build = rollout.build();
         Long lastVoteTicks = lastRollBackVoteTicks.get(build);
         if (lastVoteTicks != null && nowTicks < lastVoteTicks + renewalTicks) {
--- a/src/main/java/laurelkeel/platform/ControlServiceMessage.java
+++ b/src/main/java/laurelkeel/platform/ControlServiceMessage.java
@@ -18,7 +18,7 @@
     record Heartbeat() implements Notification {}
 
     /** The state of the newest build. */
-    record Progress(RolloutState state) implements Notification {}
+    record Progress(ReportedRollout state) implements Notification {}
 
     /**
      * What the platform counted of all nodes' attempts at one build over a period.
@@ -35,7 +35,7 @@
     record Complaint() implements Notification {}
 
     /** The vote counts. */
-    record VoteAccepted(RolloutState state) implements VoteReply {}
+    record VoteAccepted(ReportedRollout state) implements VoteReply {}
 
     /** The vote does not count. */
     record VoteRejected(ControlStatus status) implements VoteReply {}
--- a/src/main/java/laurelkeel/platform/ControlServiceProtocol.java
+++ b/src/main/java/laurelkeel/platform/ControlServiceProtocol.java
@@ -141,7 +141,7 @@
         return List.of(line.split(" ", -1));
     }
 
-    private static RolloutState parseState(List<String> fields) throws MalformedMessageException {
+    private static ReportedRollout parseState(List<String> fields) throws MalformedMessageException {
         int build = wholeNumber(BUILD, fields.get(0));
         int stage = wholeNumber(STAGE, fields.get(1));
         RolloutPhase phase = phase(fields.get(2));
@@ -153,7 +153,7 @@
         if (cap > 1) {
             throw new MalformedMessageException(CAP, cap + " is above 1");
         }
-        return new RolloutState(build, stage, phase, cap, millisToTicks(number(AGE_MS, fields.get(4))));
+        return new ReportedRollout(build, stage, phase, cap, millisToTicks(number(AGE_MS, fields.get(4))));
     }
 
     private static Metrics parseMetrics(List<String> fields) throws MalformedMessageException {
--- a/src/main/java/laurelkeel/platform/DiscoveryClient.java
+++ b/src/main/java/laurelkeel/platform/DiscoveryClient.java
@@ -73,7 +73,7 @@
     private void onList(JsonNode json) throws UnusableMessageException {
         DiscoveredListHeader header = DiscoveryProtocol.parseHeader(json);
         Event.EndpointListUpdate update = null;
-        if (directory.isNews(header, loop.nowTicks())) {
+        if (directory.acceptNews(header, loop.nowTicks())) {
             update = directory.applyNews(DiscoveryProtocol.parseEndpoints(json, header), loop.nowTicks());
         }
         reported = true;
--- a/src/main/java/laurelkeel/platform/EndpointDirectory.java
+++ b/src/main/java/laurelkeel/platform/EndpointDirectory.java
@@ -101,15 +101,16 @@
 
     private Event.@Nullable EndpointListUpdate apply(DiscoveredEndpointList list, boolean cached, long nowTicks)
             throws StaleEndpointListException {
-        return isNews(list.header(), nowTicks) ? applyNews(list, cached, nowTicks) : null;
+        return acceptNews(list.header(), nowTicks) ? applyNews(list, cached, nowTicks) : null;
     }
 
     /**
-     * Whether a list holds anything that is not known; to be asked once for each list, before its entries are parsed.
+     * Takes note of a list that has arrived and returns whether it holds anything that is not known; to be called once for
+     * each list, before its entries are parsed.
      *
      * @throws StaleEndpointListException where it is complete and older than the list that is known
      */
-    boolean isNews(DiscoveredListHeader list, long nowTicks) throws StaleEndpointListException {
+    boolean acceptNews(DiscoveredListHeader list, long nowTicks) throws StaleEndpointListException {
         if (!list.complete() && list.version() <= version) {
             return false;
         }
--- a/src/main/java/laurelkeel/platform/NodeConfiguration.java
+++ b/src/main/java/laurelkeel/platform/NodeConfiguration.java
@@ -25,7 +25,7 @@
         InetSocketAddress controlService,
         long seed,
         int maxSockets,
-        @Nullable RolloutState rolloutState,
+        @Nullable ReportedRollout rolloutState,
         @Nullable DiscoveredEndpointList cachedEndpoints,
         Settings settings,
         SocketOptions socketOptions) {
--- a/src/main/java/laurelkeel/platform/NodeConfigurationParser.java
+++ b/src/main/java/laurelkeel/platform/NodeConfigurationParser.java
@@ -138,7 +138,7 @@
         }
     }
 
-    private static @Nullable RolloutState parseRolloutState(JsonNode state) {
+    private static @Nullable ReportedRollout parseRolloutState(JsonNode state) {
         if (!state.isObject()) {
             return null;
         }
@@ -150,7 +150,7 @@
             LOG.warn("{}.{}.{}: is missing or unknown; the rollout state is ignored", ROLLOUTS, ROLLOUT_STATE, field);
             return null;
         }
-        return new RolloutState(
+        return new ReportedRollout(
                 build.asInt(),
                 state.path(ControlServiceProtocol.STAGE).asInt(0),
                 phase,
--- a/src/main/java/laurelkeel/platform/PlatformServices.java
+++ b/src/main/java/laurelkeel/platform/PlatformServices.java
@@ -94,7 +94,7 @@
     }
 
     private void learnRolloutState(NodeConfiguration configuration) {
-        RolloutState state = configuration.rolloutState();
+        ReportedRollout state = configuration.rolloutState();
         if (state != null) {
             onControlServiceEvent(state.toUpdate(0, false));
         }
--- a/src/main/java/laurelkeel/platform/RolloutState.java
+++ b/src/main/java/laurelkeel/platform/ReportedRollout.java
@@ -11,7 +11,7 @@
  * @param exposureCap share of the requests that the build may get
  * @param ageTicks how long it had been in this state
  */
-public record RolloutState(int build, int stage, RolloutPhase phase, double exposureCap, long ageTicks) {
+public record ReportedRollout(int build, int stage, RolloutPhase phase, double exposureCap, long ageTicks) {
 
     /**
      * Returns the event for the decisions.
--- a/src/main/java/laurelkeel/scenario/NodeProcessFactory.java
+++ b/src/main/java/laurelkeel/scenario/NodeProcessFactory.java
@@ -27,7 +27,7 @@
     }
 
     /** Prepares all nodes; none is started. */
-    List<NodeProcess> prepareAll() throws IOException {
+    List<ScenarioNodeProcess> prepareAll() throws IOException {
         int nodeCount = scenario.nodeCount();
         int[] requestPorts = new int[nodeCount];
         int[] gossipPorts = new int[nodeCount];
@@ -36,11 +36,11 @@
             gossipPorts[i] = PortAllocator.allocate();
         }
         String peers = peersSection(gossipPorts);
-        List<NodeProcess> nodes = new ArrayList<>();
+        List<ScenarioNodeProcess> nodes = new ArrayList<>();
         for (int i = 0; i < nodeCount; i++) {
             Path settingsFile = folder.resolve("front-" + i + ".ini");
             Files.writeString(settingsFile, settings(i, requestPorts[i], gossipPorts[i]) + peers);
-            nodes.add(new NodeProcess(
+            nodes.add(new ScenarioNodeProcess(
                     i,
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), requestPorts[i]),
                     settingsFile,
--- a/src/main/java/laurelkeel/scenario/NodeProcess.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioNodeProcess.java
@@ -10,7 +10,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** One node as a process of its own, started from a settings file. Not thread-safe. */
-final class NodeProcess {
+final class ScenarioNodeProcess {
     private static final long READY_TIMEOUT_SECONDS = 30;
     private static final int CONNECT_TIMEOUT_MILLIS = 200;
     private static final long CONNECT_RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
@@ -21,7 +21,7 @@
     private final Path logFile;
     private @Nullable Process process;
 
-    NodeProcess(int nodeIndex, InetSocketAddress address, Path settingsFile, Path logFile) {
+    ScenarioNodeProcess(int nodeIndex, InetSocketAddress address, Path settingsFile, Path logFile) {
         this.nodeIndex = nodeIndex;
         this.address = address;
         this.settingsFile = settingsFile;
--- a/src/main/java/laurelkeel/scenario/ScenarioRun.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioRun.java
@@ -42,7 +42,7 @@
     private final Path folder;
     private final PrintStream out;
     private final PriorityQueue<DueTask> tasks = new PriorityQueue<>(Comparator.comparingLong(DueTask::dueTicks));
-    private List<NodeProcess> nodes = List.of();
+    private List<ScenarioNodeProcess> nodes = List.of();
 
     /**
      * Creates one that has not started.
@@ -104,10 +104,10 @@
 
     private void startNodes(ScenarioEnvironment environment) throws IOException {
         nodes = new NodeProcessFactory(scenario, environment, folder, seed).prepareAll();
-        for (NodeProcess node : nodes) {
+        for (ScenarioNodeProcess node : nodes) {
             node.start();
         }
-        for (NodeProcess node : nodes) {
+        for (ScenarioNodeProcess node : nodes) {
             node.awaitReady();
         }
     }
@@ -174,13 +174,13 @@
     private void apply(ScenarioEnvironment environment, ScenarioRecorder recorder, ScenarioFault fault) {
         switch (fault.kind()) {
             case KILL_NODE -> {
-                NodeProcess node = nodes.get(fault.nodeIndex());
+                ScenarioNodeProcess node = nodes.get(fault.nodeIndex());
                 recorder.record(new TrafficRecord.NodeStopped(RecordClock.nowTicks(), node.nodeIndex, true));
                 node.kill();
                 restartAfter(node, fault.durationTicks());
             }
             case STOP_NODE -> {
-                NodeProcess node = nodes.get(fault.nodeIndex());
+                ScenarioNodeProcess node = nodes.get(fault.nodeIndex());
                 node.terminate();
                 restartAfter(node, fault.durationTicks());
             }
@@ -188,12 +188,12 @@
         }
     }
 
-    private void restartAfter(NodeProcess node, long delayTicks) {
+    private void restartAfter(ScenarioNodeProcess node, long delayTicks) {
         tasks.add(new DueTask(RecordClock.nowTicks() + delayTicks, () -> restart(node, 0)));
     }
 
     /** Starts a node again; one that still drains has its port and is waited for. */
-    private void restart(NodeProcess node, int checks) {
+    private void restart(ScenarioNodeProcess node, int checks) {
         if (node.isRunning() && checks < MAX_RESTART_CHECKS) {
             tasks.add(new DueTask(RecordClock.nowTicks() + RESTART_CHECK_TICKS, () -> restart(node, checks + 1)));
             return;
@@ -206,10 +206,10 @@
     }
 
     private void stopNodes() throws InterruptedException {
-        nodes.forEach(NodeProcess::terminate);
+        nodes.forEach(ScenarioNodeProcess::terminate);
         List<String> exitCodes = new ArrayList<>();
         boolean allEndedWell = true;
-        for (NodeProcess node : nodes) {
+        for (ScenarioNodeProcess node : nodes) {
             OptionalInt exitCode = node.awaitExit(NODE_EXIT_TIMEOUT_SECONDS);
             exitCodes.add(exitCode.isPresent() ? Integer.toString(exitCode.getAsInt()) : "null");
             allEndedWell &= isExpected(exitCode);
--- a/src/main/java/laurelkeel/soak/EndpointListMessage.java
+++ b/src/main/java/laurelkeel/soak/DiscoveryMessage.java
@@ -8,7 +8,7 @@
  *
  * @param full whether the entries are the whole list, not only those that changed
  */
-record EndpointListMessage(int version, boolean full, Collection<DiscoveryEntry> entries) {
+record DiscoveryMessage(int version, boolean full, Collection<DiscoveryEntry> entries) {
     /** The message in discovery's form. */
     String json() {
         return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":["
--- a/src/main/java/laurelkeel/soak/IncrementalDiscoveryServer.java
+++ b/src/main/java/laurelkeel/soak/IncrementalDiscoveryServer.java
@@ -39,7 +39,7 @@
 
     /** The whole list in discovery's form. */
     synchronized String fullList() {
-        return new EndpointListMessage(version, true, listed.values()).json();
+        return new DiscoveryMessage(version, true, listed.values()).json();
     }
 
     synchronized List<DiscoveryEntry> entries() {
@@ -57,7 +57,7 @@
                 listed.put(entry.id(), entry);
             }
         }
-        sendToAll(new EndpointListMessage(version, false, changed).json() + "\n");
+        sendToAll(new DiscoveryMessage(version, false, changed).json() + "\n");
     }
 
     synchronized void sendHeartbeat() {
@@ -109,7 +109,7 @@
         } else if (knownVersion < version) {
             List<DiscoveryEntry> missed = new ArrayList<>();
             changesByVersion.tailMap(knownVersion, false).values().forEach(missed::addAll);
-            trySend(socket, new EndpointListMessage(version, false, missed).json() + "\n");
+            trySend(socket, new DiscoveryMessage(version, false, missed).json() + "\n");
         }
         watches.add(socket);
     }
--- a/src/main/java/laurelkeel/soak/ResponseJudge.java
+++ b/src/main/java/laurelkeel/soak/ResponseJudge.java
@@ -31,7 +31,7 @@
     }
 
     /** A request that was sent at a moment, over a connection that may have had others before. */
-    record PendingRequest(String id, double sentAtSeconds, ClientConnection connection) {}
+    record PendingRequest(String id, double sentAtSeconds, SoakConnection connection) {}
 
     /** A response has come. */
     void responseReceived(PendingRequest request, NodeResponse response) {
--- a/src/main/java/laurelkeel/soak/SharedEndpointList.java
+++ b/src/main/java/laurelkeel/soak/SharedEndpointList.java
@@ -8,11 +8,11 @@
 /** The endpoint list that all discovery servers of a run serve, with their open watches; thread-safe. */
 final class SharedEndpointList {
     private final List<Socket> watches = new CopyOnWriteArrayList<>();
-    private EndpointListMessage current = new EndpointListMessage(1, true, List.of());
+    private DiscoveryMessage current = new DiscoveryMessage(1, true, List.of());
 
     /** Replaces the list and sends it on all watches. */
     synchronized void publish(List<DiscoveryEntry> entries) {
-        current = new EndpointListMessage(current.version() + 1, true, List.copyOf(entries));
+        current = new DiscoveryMessage(current.version() + 1, true, List.copyOf(entries));
         for (Socket watch : watches) {
             sendList(watch);
         }
--- a/src/main/java/laurelkeel/soak/SoakClient.java
+++ b/src/main/java/laurelkeel/soak/SoakClient.java
@@ -27,7 +27,7 @@
     private final RunState state;
     private final AttemptAuditor auditor;
     private final ResponseJudge judge;
-    private @Nullable ClientConnection connection;
+    private @Nullable SoakConnection connection;
     private int nextNumber;
 
     SoakClient(
@@ -62,20 +62,20 @@
         }
     }
 
-    private @Nullable ClientConnection connect() {
+    private @Nullable SoakConnection connect() {
         NodeInstance node = nodes.drawAdmitting(random);
         if (node == null) {
             return null;
         }
         try {
-            return ClientConnection.open(node);
+            return SoakConnection.open(node);
         } catch (IOException e) {
             monitor.violations().count("connections refused");
             return null;
         }
     }
 
-    private void useConnection(ClientConnection current) throws InterruptedException {
+    private void useConnection(SoakConnection current) throws InterruptedException {
         ClientBehavior behavior = ClientBehavior.draw(random);
         boolean staysOpen;
         if (behavior == ClientBehavior.STOPS) {
@@ -95,7 +95,7 @@
     }
 
     /** Sends a request, judges what becomes of it, and returns whether the connection stays open. */
-    private boolean sendRequest(ClientConnection current, ClientBehavior behavior) throws InterruptedException {
+    private boolean sendRequest(SoakConnection current, ClientBehavior behavior) throws InterruptedException {
         String id = nextId();
         double timeoutSeconds = behavior == ClientBehavior.HURRIES
                 ? HURRIED_TIMEOUT_SECONDS
@@ -103,7 +103,7 @@
         auditor.requestSent(id, timeoutSeconds);
         PendingRequest pending = new PendingRequest(id, monitor.clock().seconds(), current);
         try {
-            current.sendRequest(ClientRequest.draw(random, id, timeoutSeconds).text());
+            current.sendRequest(SoakRequest.draw(random, id, timeoutSeconds).text());
             monitor.violations().count("requests");
             if (behavior == ClientBehavior.LEAVES) {
                 Thread.sleep(random.nextInt(MAX_STAY_MILLIS));
@@ -137,9 +137,9 @@
     }
 
     /** A client that stops in the middle of a request and stays gets an error or the end of its connection in time. */
-    private void sendHalfRequest(ClientConnection current) {
-        String request = ClientRequest.draw(random, nextId(), HALF_REQUEST_TIMEOUT_SECONDS)
-                .text();
+    private void sendHalfRequest(SoakConnection current) {
+        String request =
+                SoakRequest.draw(random, nextId(), HALF_REQUEST_TIMEOUT_SECONDS).text();
         double sentAtSeconds = monitor.clock().seconds();
         try {
             current.sendPart(request.substring(0, 1 + random.nextInt(request.length() - 1)));
--- a/src/main/java/laurelkeel/soak/ClientConnection.java
+++ b/src/main/java/laurelkeel/soak/SoakConnection.java
@@ -9,7 +9,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** A client's connection to one node; not thread-safe. */
-final class ClientConnection implements AutoCloseable {
+final class SoakConnection implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
     private static final int MILLIS_PER_SECOND = 1_000;
 
@@ -18,20 +18,20 @@
     private final NodeInstance node;
     private int requests;
 
-    private ClientConnection(Socket socket, NodeInstance node) throws IOException {
+    private SoakConnection(Socket socket, NodeInstance node) throws IOException {
         this.socket = socket;
         this.in = new BufferedInputStream(socket.getInputStream());
         this.node = node;
     }
 
     /** Connects to a node. */
-    static ClientConnection open(NodeInstance node) throws IOException {
+    static SoakConnection open(NodeInstance node) throws IOException {
         Socket socket = new Socket();
         try {
             socket.connect(
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), node.port()), CONNECT_TIMEOUT_MILLIS);
             socket.setTcpNoDelay(true);
-            return new ClientConnection(socket, node);
+            return new SoakConnection(socket, node);
         } catch (IOException e) {
             socket.close();
             throw e;
--- a/src/main/java/laurelkeel/soak/ClientRequest.java
+++ b/src/main/java/laurelkeel/soak/SoakRequest.java
@@ -9,16 +9,16 @@
  * @param idempotent whether it is idempotent by itself, without a body; otherwise its idempotency key makes it so
  * @param timeoutSeconds how long the client waits
  */
-record ClientRequest(String id, boolean idempotent, String partitionKey, double timeoutSeconds, String body) {
+record SoakRequest(String id, boolean idempotent, String partitionKey, double timeoutSeconds, String body) {
     private static final int MAX_BODY_LENGTH = 500;
     private static final int PARTITION_KEYS = 100;
 
     /** Draws what a request is about. */
-    static ClientRequest draw(Random random, String id, double timeoutSeconds) {
+    static SoakRequest draw(Random random, String id, double timeoutSeconds) {
         boolean idempotent = random.nextBoolean();
         String body = idempotent ? "" : "b".repeat(random.nextInt(MAX_BODY_LENGTH));
         String partitionKey = "k" + random.nextInt(PARTITION_KEYS);
-        return new ClientRequest(id, idempotent, partitionKey, timeoutSeconds, body);
+        return new SoakRequest(id, idempotent, partitionKey, timeoutSeconds, body);
     }
 
     /** The request as it is sent. */
--- a/src/main/java/laurelkeel/soak/SteadyLoad.java
+++ b/src/main/java/laurelkeel/soak/SteadyLoad.java
@@ -112,11 +112,11 @@
             }
         }
 
-        private ClientRequest nextRequest() {
+        private SoakRequest nextRequest() {
             String id = name + "-" + nextNumber++;
             boolean idempotent = random.nextBoolean();
             String partitionKey = "k" + random.nextInt(PARTITION_KEYS);
-            return new ClientRequest(id, idempotent, partitionKey, TIMEOUT_SECONDS, idempotent ? "" : "body");
+            return new SoakRequest(id, idempotent, partitionKey, TIMEOUT_SECONDS, idempotent ? "" : "body");
         }
 
         private void close() throws IOException {
--- a/src/main/java/laurelkeel/testbed/ClientConnectionPool.java
+++ b/src/main/java/laurelkeel/testbed/ClientConnectionPool.java
@@ -25,20 +25,20 @@
     /** Learns what arrives on connections; called on the loop's thread. */
     interface Listener {
         /** A complete response arrived. */
-        void responseReceived(ClientConnection connection, HttpResponse response, long receivedAtTicks);
+        void responseReceived(GeneratorConnection connection, HttpResponse response, long receivedAtTicks);
 
         /** Bytes arrived that are no HTTP response. */
-        void malformedResponseReceived(ClientConnection connection, Exception cause, long receivedAtTicks);
+        void malformedResponseReceived(GeneratorConnection connection, Exception cause, long receivedAtTicks);
 
         /** The connection ended, whoever closed it. */
-        void connectionClosed(ClientConnection connection, long closedAtTicks);
+        void connectionClosed(GeneratorConnection connection, long closedAtTicks);
     }
 
     private final EventLoop loop;
     private final List<InetSocketAddress> nodeAddresses;
     private final Listener listener;
     private final NioSocketConnector connector = new NioSocketConnector(IO_THREADS);
-    private final List<ArrayDeque<ClientConnection>> idleByNode = new ArrayList<>();
+    private final List<ArrayDeque<GeneratorConnection>> idleByNode = new ArrayList<>();
 
     ClientConnectionPool(EventLoop loop, List<InetSocketAddress> nodeAddresses, Listener listener) {
         this.loop = loop;
@@ -58,9 +58,9 @@
     }
 
     /** Gives a request a connection to its node, at once where one is idle. */
-    void connect(ClientRequest request, Consumer<ClientConnection> onConnected, Runnable onFailed) {
-        ArrayDeque<ClientConnection> idle = idleByNode.get(request.nodeIndex);
-        for (ClientConnection candidate = idle.pollFirst(); candidate != null; candidate = idle.pollFirst()) {
+    void connect(GeneratedRequest request, Consumer<GeneratorConnection> onConnected, Runnable onFailed) {
+        ArrayDeque<GeneratorConnection> idle = idleByNode.get(request.nodeIndex);
+        for (GeneratorConnection candidate = idle.pollFirst(); candidate != null; candidate = idle.pollFirst()) {
             if (!candidate.session.isClosing()) {
                 candidate.assign(request);
                 onConnected.accept(candidate);
@@ -74,19 +74,22 @@
     }
 
     private static void connectEnded(
-            ConnectFuture future, ClientRequest request, Consumer<ClientConnection> onConnected, Runnable onFailed) {
+            ConnectFuture future,
+            GeneratedRequest request,
+            Consumer<GeneratorConnection> onConnected,
+            Runnable onFailed) {
         if (!future.isConnected() || !future.getSession().isConnected()) {
             onFailed.run();
             return;
         }
-        ClientConnection connection = new ClientConnection(request.nodeIndex, future.getSession());
+        GeneratorConnection connection = new GeneratorConnection(request.nodeIndex, future.getSession());
         connection.session.setAttribute(CONNECTION, connection);
         connection.assign(request);
         onConnected.accept(connection);
     }
 
     /** Keeps a connection for a later request. */
-    void release(ClientConnection connection) {
+    void release(GeneratorConnection connection) {
         idleByNode.get(connection.nodeIndex).addFirst(connection);
     }
 
@@ -99,7 +102,7 @@
         public void messageReceived(IoSession session, Object message) {
             long receivedAtTicks = RecordClock.nowTicks();
             loop.post(() -> {
-                if (session.getAttribute(CONNECTION) instanceof ClientConnection connection) {
+                if (session.getAttribute(CONNECTION) instanceof GeneratorConnection connection) {
                     if (message instanceof HttpResponse response) {
                         listener.responseReceived(connection, response, receivedAtTicks);
                     } else if (message instanceof Exception cause) {
@@ -114,7 +117,7 @@
         public void sessionClosed(IoSession session) {
             long closedAtTicks = RecordClock.nowTicks();
             loop.post(() -> {
-                if (session.getAttribute(CONNECTION) instanceof ClientConnection connection) {
+                if (session.getAttribute(CONNECTION) instanceof GeneratorConnection connection) {
                     idleByNode.get(connection.nodeIndex).remove(connection);
                     listener.connectionClosed(connection, closedAtTicks);
                 }
--- a/src/main/java/laurelkeel/testbed/EndpointListMessage.java
+++ b/src/main/java/laurelkeel/testbed/EndpointListLine.java
@@ -8,8 +8,7 @@
  *
  * @param previous the version that a delta builds on; 0 for a snapshot
  */
-record EndpointListMessage(
-        String kind, long version, long previous, @JsonProperty("machines") List<Endpoint> endpoints) {
+record EndpointListLine(String kind, long version, long previous, @JsonProperty("machines") List<Endpoint> endpoints) {
     static final String SNAPSHOT = "full";
     static final String DELTA = "changes";
 
--- a/src/main/java/laurelkeel/testbed/EndpointListService.java
+++ b/src/main/java/laurelkeel/testbed/EndpointListService.java
@@ -130,22 +130,22 @@
         if (deltas.size() > MAX_DELTAS) {
             deltas.removeFirst();
         }
-        EndpointListMessage message = message(EndpointListMessage.DELTA, version - 1, List.of(endpoint));
+        EndpointListLine message = message(EndpointListLine.DELTA, version - 1, List.of(endpoint));
         service.watchers().forEach(watcher -> watcher.send(message));
     }
 
-    private EndpointListMessage message(String kind, long previous, Collection<ListedEndpoint> listed) {
-        return new EndpointListMessage(
+    private EndpointListLine message(String kind, long previous, Collection<ListedEndpoint> listed) {
+        return new EndpointListLine(
                 kind, version, previous, listed.stream().map(this::message).toList());
     }
 
-    private EndpointListMessage.Endpoint message(ListedEndpoint endpoint) {
-        double ageMillis = EndpointListMessage.Endpoint.STARTED_WARM;
+    private EndpointListLine.Endpoint message(ListedEndpoint endpoint) {
+        double ageMillis = EndpointListLine.Endpoint.STARTED_WARM;
         if (endpoint.startedCold()) {
             long startedAtTicks = startTicks.getOrDefault(endpoint.endpointId(), loop.clockTicks());
             ageMillis = (loop.clockTicks() - startedAtTicks) / RecordClock.TICKS_PER_MILLISECOND;
         }
-        return new EndpointListMessage.Endpoint(
+        return new EndpointListLine.Endpoint(
                 endpoint.endpointId(),
                 endpoint.build(),
                 endpoint.zone(),
@@ -157,8 +157,8 @@
                 ageMillis);
     }
 
-    private synchronized EndpointListMessage snapshot() {
-        return message(EndpointListMessage.SNAPSHOT, 0, endpoints.values());
+    private synchronized EndpointListLine snapshot() {
+        return message(EndpointListLine.SNAPSHOT, 0, endpoints.values());
     }
 
     private synchronized boolean admitCall() {
@@ -199,7 +199,7 @@
                     missed.add(delta.endpoint());
                 }
             }
-            watcher.send(message(EndpointListMessage.DELTA, knownVersion, missed));
+            watcher.send(message(EndpointListLine.DELTA, knownVersion, missed));
         } else {
             watcher.send(snapshot());
         }
--- a/src/main/java/laurelkeel/testbed/ClientRequest.java
+++ b/src/main/java/laurelkeel/testbed/GeneratedRequest.java
@@ -4,7 +4,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** One request of a call, or a complaint about its answer. Not thread-safe; used on the generator's loop. */
-final class ClientRequest {
+final class GeneratedRequest {
     final ClientCall call;
     final String requestId;
     final int nodeIndex;
@@ -14,7 +14,7 @@
     private @Nullable ScheduledTask earlyCloseTimer;
     private boolean hasEnded;
 
-    ClientRequest(ClientCall call, String requestId, int nodeIndex, long deadlineTicks, boolean isComplaint) {
+    GeneratedRequest(ClientCall call, String requestId, int nodeIndex, long deadlineTicks, boolean isComplaint) {
         this.call = call;
         this.requestId = requestId;
         this.nodeIndex = nodeIndex;
--- a/src/main/java/laurelkeel/testbed/ClientConnection.java
+++ b/src/main/java/laurelkeel/testbed/GeneratorConnection.java
@@ -4,27 +4,27 @@
 import org.jspecify.annotations.Nullable;
 
 /** A client's connection to a node, with at most one request at a time. Not thread-safe; used on the generator's loop. */
-final class ClientConnection {
+final class GeneratorConnection {
     final int nodeIndex;
     final IoSession session;
-    private @Nullable ClientRequest currentRequest;
+    private @Nullable GeneratedRequest currentRequest;
     private String lastRequestId = "";
     private boolean isAbandoned;
 
-    ClientConnection(int nodeIndex, IoSession session) {
+    GeneratorConnection(int nodeIndex, IoSession session) {
         this.nodeIndex = nodeIndex;
         this.session = session;
     }
 
     /** Takes a request that is about to be sent. */
-    void assign(ClientRequest request) {
+    void assign(GeneratedRequest request) {
         currentRequest = request;
         lastRequestId = request.requestId;
     }
 
     /** The request without a response so far; null for none. */
     @Nullable
-    ClientRequest currentRequest() {
+    GeneratedRequest currentRequest() {
         return currentRequest;
     }
 
--- a/src/main/java/laurelkeel/testbed/LoadGenerator.java
+++ b/src/main/java/laurelkeel/testbed/LoadGenerator.java
@@ -148,7 +148,7 @@
             return;
         }
         int nodeIndex = (sampler.nextNodeIndex() + call.connectFailures) % connections.nodeCount();
-        ClientRequest request = new ClientRequest(
+        GeneratedRequest request = new GeneratedRequest(
                 call, call.callId + "." + nextId++, nodeIndex, loop.nowTicks() + remainingTicks, false);
         openRequests++;
         call.statistics.requests++;
@@ -158,7 +158,7 @@
                 () -> connectFailed(request));
     }
 
-    private void write(ClientConnection connection, ClientRequest request, long remainingTicks, boolean isRetry) {
+    private void write(GeneratorConnection connection, GeneratedRequest request, long remainingTicks, boolean isRetry) {
         ClientCall call = request.call;
         records.accept(new TrafficRecord.RequestSent(
                 RecordClock.nowTicks(),
@@ -181,7 +181,7 @@
         }
     }
 
-    private HttpRequest encode(ClientRequest request, boolean isRetry) {
+    private HttpRequest encode(GeneratedRequest request, boolean isRetry) {
         ClientCall call = request.call;
         long statedTicks = request.deadlineTicks - ROUND_TRIP_ALLOWANCE_TICKS - loop.clockTicks();
         double statedMillis = Math.max(MIN_STATED_TICKS, statedTicks) / RecordClock.TICKS_PER_MILLISECOND;
@@ -206,7 +206,7 @@
         }
     }
 
-    private void connectFailed(ClientRequest request) {
+    private void connectFailed(GeneratedRequest request) {
         ClientCall call = request.call;
         call.statistics.connectFailures++;
         end(request);
@@ -216,13 +216,13 @@
         }
     }
 
-    private void end(ClientRequest request) {
+    private void end(GeneratedRequest request) {
         if (request.end() && !request.isComplaint) {
             openRequests--;
         }
     }
 
-    private void abandon(ClientConnection connection, ClientRequest request, boolean beforeDeadline) {
+    private void abandon(GeneratorConnection connection, GeneratedRequest request, boolean beforeDeadline) {
         if (request.hasEnded()) {
             return;
         }
@@ -234,7 +234,7 @@
         connection.abandon();
     }
 
-    private void complete(ClientRequest request, HttpResponse response, long receivedAtTicks) {
+    private void complete(GeneratedRequest request, HttpResponse response, long receivedAtTicks) {
         RouteStatistics routeStatistics = request.call.statistics;
         Headers headers = response.headers();
         Outcome outcome = outcome(headers.get(HeaderNames.RESULT));
@@ -280,8 +280,8 @@
                 : Long.parseLong(millis) * (long) RecordClock.TICKS_PER_MILLISECOND;
     }
 
-    private void complain(ClientRequest about, @Nullable String responseReference) {
-        ClientRequest complaint = new ClientRequest(
+    private void complain(GeneratedRequest about, @Nullable String responseReference) {
+        GeneratedRequest complaint = new GeneratedRequest(
                 about.call, "complaint", about.nodeIndex, loop.nowTicks() + COMPLAINT_TIMEOUT_TICKS, true);
         HttpRequest message = new HttpRequest(
                 "POST",
@@ -311,11 +311,11 @@
 
     private final class ConnectionListener implements ClientConnectionPool.Listener {
         @Override
-        public void responseReceived(ClientConnection connection, HttpResponse response, long receivedAtTicks) {
+        public void responseReceived(GeneratorConnection connection, HttpResponse response, long receivedAtTicks) {
             if (connection.isAbandoned()) {
                 return;
             }
-            ClientRequest request = connection.currentRequest();
+            GeneratedRequest request = connection.currentRequest();
             if (request == null || request.hasEnded()) {
                 records.accept(new TrafficRecord.UnexpectedBytes(
                         receivedAtTicks, connection.lastRequestId(), "an answer of status " + response.status()));
@@ -335,14 +335,14 @@
         }
 
         @Override
-        public void malformedResponseReceived(ClientConnection connection, Exception cause, long receivedAtTicks) {
+        public void malformedResponseReceived(GeneratorConnection connection, Exception cause, long receivedAtTicks) {
             records.accept(new TrafficRecord.UnexpectedBytes(
                     receivedAtTicks, connection.lastRequestId(), String.valueOf(cause.getMessage())));
         }
 
         @Override
-        public void connectionClosed(ClientConnection connection, long closedAtTicks) {
-            ClientRequest request = connection.currentRequest();
+        public void connectionClosed(GeneratorConnection connection, long closedAtTicks) {
+            GeneratedRequest request = connection.currentRequest();
             connection.clearRequest();
             if (request == null || request.hasEnded()) {
                 return;
--- a/src/test/java/laurelkeel/attribution/EffectEstimatesTest.java
+++ b/src/test/java/laurelkeel/attribution/EffectEstimatesTest.java
@@ -52,7 +52,7 @@
 
     @Test
     void aCanaryIsAsSlowAsItsMedianEndpoint() {
-        LatencyComparison comparison = new LatencyComparison();
+        SecondLatencyComparison comparison = new SecondLatencyComparison();
         comparison.addReference(timed("x", 0, 10, 3));
         comparison.addReference(timed("x", 1, 10, 5));
         comparison.addCanary(timed("a", 0, 5, 3.1));
@@ -65,7 +65,7 @@
 
     @Test
     void routesWithFewReferenceAttemptsAreNotCompared() {
-        LatencyComparison comparison = new LatencyComparison();
+        SecondLatencyComparison comparison = new SecondLatencyComparison();
         comparison.addReference(timed("x", 0, 3, 3));
         comparison.addCanary(timed("a", 0, 5, 4));
         comparison.addCanary(timed("b", 0, 5, 4));
--- a/src/test/java/laurelkeel/cli/AttributionPrinterTest.java
+++ b/src/test/java/laurelkeel/cli/AttributionPrinterTest.java
@@ -16,7 +16,7 @@
              "high":2.25,"evidence":"all slow down","considered":["no burst"],"hold":true,"setAside":false,
              "afterSeconds":12}],"reportsDoubled":1,"reportsLate":2,"cellsUnsound":3,"beyondBounds":4}""";
 
-    private static String printed(AttributionReport report) {
+    private static String printed(AttributionSummary report) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         new AttributionPrinter(new PrintStream(bytes, true, UTF_8)).print(report);
         return bytes.toString(UTF_8).replace(System.lineSeparator(), "\n");
@@ -34,11 +34,11 @@
 
                 reports left out: 1 doubled, 2 late; cells: 3 unsound, 4 beyond the bounds
                 """,
-                printed(AttributionReport.parse(PAGE)));
+                printed(AttributionSummary.parse(PAGE)));
     }
 
     @Test
     void whatAPageLacksIsEmpty() throws Exception {
-        assertEquals(new AttributionReport(List.of(), 0, 0, 0, 0), AttributionReport.parse("{}"));
+        assertEquals(new AttributionSummary(List.of(), 0, 0, 0, 0), AttributionSummary.parse("{}"));
     }
 }
--- a/src/test/java/laurelkeel/decision/FleetSlowdownDetectorTest.java
+++ b/src/test/java/laurelkeel/decision/AllEndpointsSlowdownDetectorTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Ten seconds before the build under judgement has traffic, and ten in which it has. */
-class FleetSlowdownDetectorTest {
+class AllEndpointsSlowdownDetectorTest {
     private static final long NOW_TICKS = 20 * SECOND;
 
     private final OutcomeHistory history = new OutcomeHistory(1);
-    private final FleetSlowdownDetector detector = new FleetSlowdownDetector(1);
+    private final AllEndpointsSlowdownDetector detector = new AllEndpointsSlowdownDetector(1);
 
     private void seconds(int from, int to, double ratio, int requests, boolean isJudged) {
         for (int s = from; s < to; s++) {
@@ -69,6 +69,8 @@
         seconds(0, 10, 1, 20, false);
         seconds(12, 20, 2, 20, true);
         assertNotNull(detector.detect(history, NOW_TICKS));
-        assertNull(new FleetSlowdownDetector(1.5).detect(history, NOW_TICKS), "eight seconds, where nine are needed");
+        assertNull(
+                new AllEndpointsSlowdownDetector(1.5).detect(history, NOW_TICKS),
+                "eight seconds, where nine are needed");
     }
 }
--- a/src/test/java/laurelkeel/decision/EndpointPoolTest.java
+++ b/src/test/java/laurelkeel/decision/BuildEndpointsTest.java
@@ -11,18 +11,18 @@
 import laurelkeel.api.Settings.PromotionPolicy;
 import org.junit.jupiter.api.Test;
 
-class EndpointPoolTest {
-    private static EndpointPool pool(int size) {
+class BuildEndpointsTest {
+    private static BuildEndpoints pool(int size) {
         List<Endpoint> endpoints =
                 IntStream.range(0, size).mapToObj(i -> endpoint("e" + i)).toList();
-        EndpointPool pool = new EndpointPool(endpoints);
+        BuildEndpoints pool = new BuildEndpoints(endpoints);
         pool.reselect(new EndpointSubset(0, 1));
         return pool;
     }
 
     @Test
     void ofManyEndpointsASubsetTakesTurns() {
-        EndpointPool pool = pool(200);
+        BuildEndpoints pool = pool(200);
         assertEquals(EndpointSubset.MIN_SIZE, pool.subset().length);
         assertEquals(200, pool.all().length);
         assertEquals(
@@ -32,7 +32,7 @@
 
     @Test
     void itIsReselectedOnceMoreThanAnEighthOfItsSubsetIsSuspect() {
-        EndpointPool pool = pool(200);
+        BuildEndpoints pool = pool(200);
         int[] subset = pool.subset();
         for (int i = 0; i < subset.length / 8; i++) {
             fail(pool.endpoint(subset[i]));
@@ -51,10 +51,10 @@
 
     @Test
     void anEndpointCanRequireACheck() {
-        EndpointPool pool = pool(3);
-        pool.setUnrestricted(true);
-        pool.endpoint(1).restrictionChanged();
-        assertFalse(pool.isUnrestricted());
+        BuildEndpoints pool = pool(3);
+        pool.setAllEligible(true);
+        pool.endpoint(1).eligibilityChanged();
+        assertFalse(pool.areAllEligible());
     }
 
     @Test
@@ -62,7 +62,7 @@
         Endpoint first = endpoint("a");
         Endpoint second = endpoint("b");
         first.setCredit(0.25);
-        EndpointPool pool = new EndpointPool(List.of(first, second));
+        BuildEndpoints pool = new BuildEndpoints(List.of(first, second));
         SlowStart slowStart = new SlowStart(DecisionSimulation.settings(false, 0, PromotionPolicy.FIRST_VOTE)
                 .limits());
         first.updateWeight(slowStart, 0);
--- a/src/test/java/laurelkeel/decision/BuildOutcomesTest.java
+++ b/src/test/java/laurelkeel/decision/BuildOutcomesTest.java
@@ -20,7 +20,7 @@
         assertEquals(3, first.failures());
         assertEquals(1, first.recoveredFailures());
         assertEquals(1, first.complaints());
-        assertEquals(2, first.ratedAnswers());
+        assertEquals(2, first.latencySampleCount());
         assertEquals(2, first.meanLatencyRatio());
         assertEquals(0.5, first.latencyRatioErrorSquared(2), 1e-9);
     }
--- a/src/test/java/laurelkeel/decision/EndpointPickerTest.java
+++ b/src/test/java/laurelkeel/decision/EndpointPickerTest.java
@@ -27,7 +27,7 @@
     private final SlowStart slowStart = new SlowStart(settings.limits());
     private final EndpointRegistry registry = new EndpointRegistry(settings, new SeededRandom(1), slowStart);
     private final EndpointPicker picker =
-            new EndpointPicker(registry, new RetryPolicy(4), slowStart, new FleetThroughput(0));
+            new EndpointPicker(registry, new RetryPolicy(4), slowStart, new OwnThroughput(0));
 
     private void list(EndpointEntry... entries) {
         registry.apply(new EndpointListUpdate(EndpointListKind.SNAPSHOT, List.of(entries)), NOW_TICKS);
@@ -66,7 +66,7 @@
         Endpoint failing = find("a");
         for (int i = 0; i < 2; i++) {
             failing.health().record(AttemptOutcome.CONNECT_FAILED, false, NOW_TICKS);
-            failing.restrictionChanged();
+            failing.eligibilityChanged();
         }
         assertEquals(Set.of("b"), picked(request(Idempotency.IDEMPOTENT)));
         list(entry("a", 1, 0, 0, 0));
--- a/src/test/java/laurelkeel/decision/OutcomeRecorderTest.java
+++ b/src/test/java/laurelkeel/decision/OutcomeRecorderTest.java
@@ -29,7 +29,7 @@
             new RolloutState(settings.rollout()),
             new SlowStart(settings.limits()),
             latencies,
-            new FleetThroughput(1),
+            new OwnThroughput(1),
             history);
     private final Endpoint endpoint = endpoint("e");
 
@@ -82,9 +82,9 @@
         for (int i = 0; i < 8; i++) {
             end(AttemptOutcome.COMPLETED);
         }
-        assertEquals(0, counted().ratedAnswers());
+        assertEquals(0, counted().latencySampleCount());
         end(request(Idempotency.IDEMPOTENT), attempt(endpoint, true), AttemptOutcome.COMPLETED, 3 * USUAL_TICKS);
-        assertEquals(1, counted().ratedAnswers());
+        assertEquals(1, counted().latencySampleCount());
         assertEquals(3, counted().meanLatencyRatio(), 1e-9);
         assertTrue(endpoint.latency().ratioToUsual() > 1);
     }
@@ -96,7 +96,7 @@
         }
         Endpoint cold = endpointStartedAt(1);
         end(request(Idempotency.IDEMPOTENT), attempt(cold, false), AttemptOutcome.COMPLETED, 3 * USUAL_TICKS);
-        assertEquals(0, counted().ratedAnswers());
+        assertEquals(0, counted().latencySampleCount());
         assertEquals(0, cold.latency().warmAnswerCount());
     }
 
--- a/src/test/java/laurelkeel/decision/FleetThroughputTest.java
+++ b/src/test/java/laurelkeel/decision/OwnThroughputTest.java
@@ -7,8 +7,8 @@
 import laurelkeel.api.Settings;
 import org.junit.jupiter.api.Test;
 
-class FleetThroughputTest {
-    private static void answer(FleetThroughput throughput, int perSecond, int seconds) {
+class OwnThroughputTest {
+    private static void answer(OwnThroughput throughput, int perSecond, int seconds) {
         for (int tenth = 0; tenth <= 10 * seconds; tenth++) {
             throughput.update((tenth + 1) * SECOND / 10);
             for (int i = 0; i < perSecond / 10; i++) {
@@ -19,28 +19,28 @@
 
     @Test
     void theRateFollowsTheAnswersOfSomeTenSeconds() {
-        FleetThroughput throughput = new FleetThroughput(1);
+        OwnThroughput throughput = new OwnThroughput(1);
         answer(throughput, 200, 60);
         assertEquals(200, throughput.answersPerSecond(), 5);
     }
 
     @Test
     void theAssumedRateCountsLikeThreeSecondsOfAnswers() {
-        FleetThroughput throughput = new FleetThroughput(100);
+        OwnThroughput throughput = new OwnThroughput(100);
         answer(throughput, 0, 1);
         assertTrue(throughput.answersPerSecond() > 60, "" + throughput.answersPerSecond());
     }
 
     @Test
     void anEndpointsUsualAnswersAreInProportionToItsCapacity() {
-        FleetThroughput throughput = new FleetThroughput(100);
+        OwnThroughput throughput = new OwnThroughput(100);
         throughput.observeCapacity(20);
         assertEquals(20, throughput.usualAnswers(2, 2 * SECOND), 1e-9);
     }
 
     @Test
     void capacityThatIsLostIsForgottenSlowly() {
-        FleetThroughput throughput = new FleetThroughput(100);
+        OwnThroughput throughput = new OwnThroughput(100);
         throughput.observeCapacity(20);
         throughput.observeCapacity(1);
         assertEquals(20, throughput.usualAnswers(2, 2 * SECOND), 0.01, "the others answered most of it");
@@ -53,6 +53,6 @@
     @Test
     void aNodesShareOfTheQuotasIsAssumedAtFirst() {
         Settings settings = DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.FIRST_VOTE);
-        assertEquals(1, FleetThroughput.assumedAnswersPerSecond(settings), "no tenant has a quota");
+        assertEquals(1, OwnThroughput.assumedAnswersPerSecond(settings), "no tenant has a quota");
     }
 }
--- a/src/test/java/laurelkeel/decision/RetryPolicyTest.java
+++ b/src/test/java/laurelkeel/decision/RetryPolicyTest.java
@@ -73,11 +73,11 @@
         Endpoint elsewhere = endpoint("elsewhere", 1, 1, 2);
         for (DeduplicationScope scope : DeduplicationScope.values()) {
             ActiveRequest request = request(route(Idempotency.DEDUPLICATED, scope), "key");
-            assertTrue(policy.knowsFirstAttempt(request, elsewhere), "nothing has run");
+            assertTrue(policy.isSafeForRetry(request, elsewhere), "nothing has run");
             attempt(request, first, AttemptOutcome.CONNECTION_LOST, 0);
-            assertTrue(policy.knowsFirstAttempt(request, sameCell));
-            assertEquals(scope != DeduplicationScope.CELL, policy.knowsFirstAttempt(request, sameZone), scope.name());
-            assertEquals(scope == DeduplicationScope.ALL, policy.knowsFirstAttempt(request, elsewhere), scope.name());
+            assertTrue(policy.isSafeForRetry(request, sameCell));
+            assertEquals(scope != DeduplicationScope.CELL, policy.isSafeForRetry(request, sameZone), scope.name());
+            assertEquals(scope == DeduplicationScope.ALL, policy.isSafeForRetry(request, elsewhere), scope.name());
             assertEquals(
                     scope == DeduplicationScope.ALL,
                     policy.mayReject(request, SECOND),
--- a/src/test/java/laurelkeel/decision/RouteLatencyTest.java
+++ b/src/test/java/laurelkeel/decision/RouteLatencyTest.java
@@ -11,7 +11,7 @@
 
     private void learnUsual(long durationTicks, int level, int answers) {
         for (int i = 0; i < answers; i++) {
-            latency.learnUsual(durationTicks, level);
+            latency.learnExpected(durationTicks, level);
         }
     }
 
@@ -28,31 +28,31 @@
     void aLatencyIsComparedAtItsOwnLevel() {
         learnUsual(100, 0, 8);
         learnUsual(300, 2, 8);
-        assertEquals(2, latency.ratioToUsual(200, 0).orElseThrow(), 1e-9);
-        assertEquals(1, latency.ratioToUsual(300, 2).orElseThrow(), 1e-9);
+        assertEquals(2, latency.ratioToExpected(200, 0).orElseThrow(), 1e-9);
+        assertEquals(1, latency.ratioToExpected(300, 2).orElseThrow(), 1e-9);
     }
 
     @Test
     void atALevelNotMetLatencyIsExpectedToGrowFromTheNextLowerOne() {
         learnUsual(100, 1, 8);
-        assertEquals(1, latency.ratioToUsual(200, 4).orElseThrow(), 1e-9);
-        assertTrue(latency.ratioToUsual(200, 0).isEmpty(), "nothing lower is known");
+        assertEquals(1, latency.ratioToExpected(200, 4).orElseThrow(), 1e-9);
+        assertTrue(latency.ratioToExpected(200, 0).isEmpty(), "nothing lower is known");
     }
 
     @Test
     void fewAnswersTellNothing() {
         learnUsual(100, 0, 7);
         assertFalse(latency.isKnown(0));
-        assertTrue(latency.ratioToUsual(100, 0).isEmpty());
-        assertEquals(2_000, latency.typicalTicks(0), "a fifth of the objective is assumed");
+        assertTrue(latency.ratioToExpected(100, 0).isEmpty());
+        assertEquals(2_000, latency.expectedOrUnloadedTicks(0), "a fifth of the objective is assumed");
         learnUsual(100, 0, 1);
-        assertEquals(100, latency.typicalTicks(0), 1e-9);
+        assertEquals(100, latency.expectedOrUnloadedTicks(0), 1e-9);
     }
 
     @Test
     void aSingleRatioIsBounded() {
         learnUsual(100, 0, 8);
-        assertEquals(4, latency.ratioToUsual(100_000, 0).orElseThrow());
+        assertEquals(4, latency.ratioToExpected(100_000, 0).orElseThrow());
     }
 
     @Test
@@ -62,7 +62,7 @@
                 latency.learnCalm(run == 1 ? 300 : 500);
             }
         }
-        assertEquals(300 * 1.02, latency.calmTicks(), 1e-9, "it rises by 2% a run at most");
+        assertEquals(300 * 1.02, latency.unloadedTicks(), 1e-9, "it rises by 2% a run at most");
     }
 
     @Test
@@ -78,6 +78,6 @@
         for (int i = 0; i < 100; i++) {
             latency.recordRecent(400);
         }
-        assertEquals(400, latency.recentTicks(), 1);
+        assertEquals(400, latency.recentMeanTicks(), 1);
     }
 }
--- a/src/test/java/laurelkeel/decision/SlowStartTest.java
+++ b/src/test/java/laurelkeel/decision/SlowStartTest.java
@@ -39,7 +39,7 @@
     @Test
     void anEndpointGetsAShareOfWhatWouldOverloadItWithinTheWindow() {
         Endpoint endpoint = endpointStartedAt(STARTED_AT_TICKS);
-        FleetThroughput throughput = new FleetThroughput(50);
+        OwnThroughput throughput = new OwnThroughput(50);
         throughput.observeCapacity(5);
         long nowTicks = STARTED_AT_TICKS;
         int sent = 0;
@@ -54,7 +54,7 @@
 
     @Test
     void aWarmEndpointHasNoBudget() {
-        FleetThroughput idle = new FleetThroughput(0);
+        OwnThroughput idle = new OwnThroughput(0);
         assertTrue(slowStart.isBudgetExhausted(endpointStartedAt(STARTED_AT_TICKS), idle, STARTED_AT_TICKS));
         assertFalse(slowStart.isBudgetExhausted(endpointStartedAt(0), idle, STARTED_AT_TICKS));
     }
--- a/src/test/java/laurelkeel/front/RequestTableTest.java
+++ b/src/test/java/laurelkeel/front/AcceptedRequestTableTest.java
@@ -10,15 +10,15 @@
 import laurelkeel.wire.ForwardedMessage;
 import org.junit.jupiter.api.Test;
 
-class RequestTableTest {
-    private final RequestTable table = new RequestTable("life");
+class AcceptedRequestTableTest {
+    private final AcceptedRequestTable table = new AcceptedRequestTable("life");
 
     private static ClientRequest clientRequest(String id) {
         ForwardedMessage message = new ForwardedMessage(new byte[0], new byte[0]);
         return new ClientRequest(id, message, false, false, 0, 0, null, 1_000, 0, false);
     }
 
-    private ActiveRequest create(String clientRequestId) {
+    private AcceptedRequest create(String clientRequestId) {
         return table.create(null, clientRequest(clientRequestId), 10, 1_010);
     }
 
@@ -28,22 +28,22 @@
         for (int i = 1; i < 36; i++) {
             create(null);
         }
-        ActiveRequest request = create(null);
+        AcceptedRequest request = create(null);
         assertEquals("life-10", request.id());
         assertEquals(36, request.number());
     }
 
     @Test
     void theNumberIsReadOutOfTheId() {
-        assertEquals(36, RequestTable.requestNumber("life-10", "life"));
-        assertEquals(-1, RequestTable.requestNumber("other-10", "life"));
-        assertEquals(-1, RequestTable.requestNumber("life-?", "life"));
-        assertEquals(-1, RequestTable.requestNumber("", "life"));
+        assertEquals(36, AcceptedRequestTable.requestNumber("life-10", "life"));
+        assertEquals(-1, AcceptedRequestTable.requestNumber("other-10", "life"));
+        assertEquals(-1, AcceptedRequestTable.requestNumber("life-?", "life"));
+        assertEquals(-1, AcceptedRequestTable.requestNumber("", "life"));
     }
 
     @Test
     void aClientsIdIsTakenUntilItsRequestIsRemoved() {
-        ActiveRequest request = create("a");
+        AcceptedRequest request = create("a");
         assertTrue(table.reserveClientRequestId(request.clientRequest()));
         table.add(request);
         assertFalse(table.reserveClientRequestId(clientRequest("a")));
@@ -57,7 +57,7 @@
 
     @Test
     void requestsAreFoundByTheirIdAndCountAsUnansweredUntilTheyAreAnswered() {
-        ActiveRequest request = create(null);
+        AcceptedRequest request = create(null);
         assertFalse(table.hasUnanswered());
         table.add(request);
         assertSame(request, table.get("life-0"));
@@ -71,9 +71,9 @@
 
     @Test
     void aRequestIsFinishedOnceItIsAnsweredAndItsAttemptsHaveEnded() {
-        ActiveRequest request = create(null);
-        Attempt first = request.addAttempt("10.0.0.1:80", 10);
-        Attempt second = request.addAttempt("10.0.0.2:80", 20);
+        AcceptedRequest request = create(null);
+        DispatchedAttempt first = request.addAttempt("10.0.0.1:80", 10);
+        DispatchedAttempt second = request.addAttempt("10.0.0.2:80", 20);
         assertEquals(1, second.number());
         first.end();
         request.markAnswered();
--- a/src/test/java/laurelkeel/front/FinalAnswerGuardTest.java
+++ b/src/test/java/laurelkeel/front/FinalAnswerGuardTest.java
@@ -16,13 +16,13 @@
 
     private long nowTicks = 10;
     private final EventLoop loop = new EventLoop(() -> nowTicks);
-    private final ActiveRequest request = request();
+    private final AcceptedRequest request = request();
 
-    private static ActiveRequest request() {
+    private static AcceptedRequest request() {
         ForwardedMessage message = new ForwardedMessage(new byte[0], new byte[0]);
         ClientRequest clientRequest =
                 new ClientRequest(null, message, false, false, 0, 0, null, DEADLINE_TICKS, 0, false);
-        return new ActiveRequest("life-0", 0, null, clientRequest, 10, DEADLINE_TICKS);
+        return new AcceptedRequest("life-0", 0, null, clientRequest, 10, DEADLINE_TICKS);
     }
 
     /** Runs the loop at a moment until nothing is due. */
--- a/src/test/java/laurelkeel/front/NodeLifecycleTest.java
+++ b/src/test/java/laurelkeel/front/NodeLifecycleTest.java
@@ -40,11 +40,11 @@
 
     @Test
     void aNodeThatDecidesNoMoreRejectsRequestsToo() {
-        lifecycle.rejectRequests();
-        assertTrue(lifecycle.isRejectingRequests());
+        lifecycle.startClosingConnections();
+        assertTrue(lifecycle.isClosingConnections());
         assertFalse(lifecycle.hasStoppedDeciding());
         NodeLifecycle failed = new NodeLifecycle(0, "life");
         failed.stopDeciding();
-        assertTrue(failed.isRejectingRequests() && failed.hasStoppedDeciding());
+        assertTrue(failed.isClosingConnections() && failed.hasStoppedDeciding());
     }
 }
--- a/src/test/java/laurelkeel/front/ingress/ConnectionCloseTest.java
+++ b/src/test/java/laurelkeel/front/ingress/ConnectionCloseTest.java
@@ -155,7 +155,7 @@
         }
 
         @Override
-        public boolean isDraining() {
+        public boolean isClosingConnections() {
             return false;
         }
 
--- a/src/test/java/laurelkeel/front/ingress/RequestPipelineTest.java
+++ b/src/test/java/laurelkeel/front/ingress/RequestPipelineTest.java
@@ -80,7 +80,7 @@
         }
 
         @Override
-        public boolean isDraining() {
+        public boolean isClosingConnections() {
             return draining;
         }
 
--- a/src/test/java/laurelkeel/front/upstream/ConnectionLimiterTest.java
+++ b/src/test/java/laurelkeel/front/upstream/ConnectionLimiterTest.java
@@ -11,8 +11,8 @@
 class ConnectionLimiterTest {
     private final ConnectionLimiter limiter = new ConnectionLimiter(2);
 
-    private EndpointPool pool(String key) {
-        return new EndpointPool(new EndpointAddress(key, null), EndpointPoolTest.SETTINGS, limiter);
+    private EndpointConnectionPool pool(String key) {
+        return new EndpointConnectionPool(new EndpointAddress(key, null), EndpointConnectionPoolTest.SETTINGS, limiter);
     }
 
     @Test
@@ -30,8 +30,8 @@
 
     @Test
     void starvedPoolsAreServedInTheOrderInWhichTheyBeganToWait() {
-        EndpointPool first = pool("first");
-        EndpointPool second = pool("second");
+        EndpointConnectionPool first = pool("first");
+        EndpointConnectionPool second = pool("second");
         limiter.addStarved(first);
         limiter.addStarved(second);
         limiter.addStarved(first);
--- a/src/test/java/laurelkeel/front/upstream/EndpointPoolTest.java
+++ b/src/test/java/laurelkeel/front/upstream/EndpointConnectionPoolTest.java
@@ -11,13 +11,14 @@
 import org.apache.mina.core.session.DummySession;
 import org.junit.jupiter.api.Test;
 
-class EndpointPoolTest {
+class EndpointConnectionPoolTest {
     /** Two connections and one waiting exchange an endpoint. */
     static final UpstreamSettings SETTINGS =
             new UpstreamSettings(HttpLimits.DEFAULT, 2, 10, 1, 100, 100, 1, "/health", 100, 0);
 
     private final ConnectionLimiter limiter = new ConnectionLimiter(10);
-    private final EndpointPool pool = new EndpointPool(new EndpointAddress("e", null), SETTINGS, limiter);
+    private final EndpointConnectionPool pool =
+            new EndpointConnectionPool(new EndpointAddress("e", null), SETTINGS, limiter);
 
     private EndpointConnection idleSince(long ticks) {
         EndpointConnection connection = EndpointConnection.attach(pool, new DummySession(), ticks);
--- a/src/test/java/laurelkeel/partition/RequestTableTest.java
+++ b/src/test/java/laurelkeel/partition/OwnedRequestTableTest.java
@@ -14,11 +14,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class RequestTableTest {
+class OwnedRequestTableTest {
     private static final String ID = "r";
 
     private final TrafficPartition partition = TrafficPartitionTest.partition(2, (nowTicks, events) -> List.of());
-    private final RequestTable table = new RequestTable();
+    private final OwnedRequestTable table = new OwnedRequestTable();
 
     @BeforeEach
     void addRequest() {
--- a/src/test/java/laurelkeel/partition/TrafficPartitionTest.java
+++ b/src/test/java/laurelkeel/partition/TrafficPartitionTest.java
@@ -53,7 +53,7 @@
 
     @Test
     void aCapIsAnnouncedOnlyWhereTheDeciderGoesByAnother() {
-        RolloutState rollout = RolloutState.of(update(2, 0, 0.1, RolloutPhase.CANARY));
+        RolloutRecord rollout = RolloutRecord.of(update(2, 0, 0.1, RolloutPhase.CANARY));
         partition.announceCap(rollout, 0.1);
         assertFalse(partition.hasPendingEvents(), "the update has said it");
         partition.announceCap(rollout, 0.2);
--- a/src/test/java/laurelkeel/platform/ControlServiceProtocolTest.java
+++ b/src/test/java/laurelkeel/platform/ControlServiceProtocolTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 class ControlServiceProtocolTest {
-    private static final RolloutState STATE = new RolloutState(42, 1, RolloutPhase.CANARY, 0.28, 3_105);
+    private static final ReportedRollout STATE = new ReportedRollout(42, 1, RolloutPhase.CANARY, 0.28, 3_105);
 
     private static String notificationFault(String line) {
         return assertThrows(MalformedMessageException.class, () -> ControlServiceProtocol.parseNotification(line), line)
--- a/src/test/java/laurelkeel/platform/NewestBuildExposureTest.java
+++ b/src/test/java/laurelkeel/platform/NewestBuildExposureTest.java
@@ -15,7 +15,7 @@
     private final NewestBuildExposure exposure = new NewestBuildExposure();
 
     private void update(int build, RolloutPhase phase, double cap, long nowTicks) {
-        exposure.onUpdate(new RolloutState(build, 0, phase, cap, 0).toUpdate(0, false), nowTicks);
+        exposure.onUpdate(new ReportedRollout(build, 0, phase, cap, 0).toUpdate(0, false), nowTicks);
     }
 
     @Test
--- a/src/test/java/laurelkeel/platform/NodeConfigurationParserTest.java
+++ b/src/test/java/laurelkeel/platform/NodeConfigurationParserTest.java
@@ -122,7 +122,7 @@
     @Test
     void aRolloutStateAndACachedListAreParsed() throws Exception {
         NodeConfiguration configuration = parse(withStateAndList(STATE, LIST));
-        assertEquals(new RolloutState(7, 1, RolloutPhase.CANARY, 0.5, 502), configuration.rolloutState());
+        assertEquals(new ReportedRollout(7, 1, RolloutPhase.CANARY, 0.5, 502), configuration.rolloutState());
         DiscoveredEndpointList cached = configuration.cachedEndpoints();
         assertNotNull(cached);
         assertEquals(3, cached.version());
--- a/src/test/java/laurelkeel/testbed/ServiceMessagesTest.java
+++ b/src/test/java/laurelkeel/testbed/ServiceMessagesTest.java
@@ -13,11 +13,11 @@
 
     @Test
     void endpointListsKeepTheirForm() throws Exception {
-        EndpointListMessage message = new EndpointListMessage(
-                EndpointListMessage.DELTA,
+        EndpointListLine message = new EndpointListLine(
+                EndpointListLine.DELTA,
                 3,
                 2,
-                List.of(new EndpointListMessage.Endpoint("127.0.0.1:1", 2, "north", 1, 0, 1.0, "live", 4, 12.5)));
+                List.of(new EndpointListLine.Endpoint("127.0.0.1:1", 2, "north", 1, 0, 1.0, "live", 4, 12.5)));
         assertEquals(
                 "{\"kind\":\"changes\",\"version\":3,\"previous\":2,\"machines\":[{\"machine\":\"127.0.0.1:1\","
                         + "\"build\":2,\"zone\":\"north\",\"cell\":1,\"kind\":0,\"size\":1.0,\"state\":\"live\","
