--- a/src/main/java/laurelkeel/bench/GeneratedTraffic.java
+++ b/src/main/java/laurelkeel/bench/GeneratedTraffic.java
@@ -131,22 +131,56 @@
         }
     }
 
+    /**
+     * Where a request goes.
+     *
+     * @param release null for the baseline build
+     * @param latencyOffset of the endpoint, added to the logarithm of the latency
+     */
+    private record Destination(@Nullable GeneratedRelease release, String endpoint, double latencyOffset) {
+        int build() {
+            return release == null ? GeneratedDay.BASELINE_BUILD : release.build();
+        }
+    }
+
     private void playRequest(Conditions conditions, Map<String, CellCounts> cells) {
         int customer = random.nextInt(GeneratedDay.CUSTOMERS);
         GeneratedRelease release = drawRelease(conditions.now);
         int route = drawRoute();
-        int number = random.nextInt(release == null ? GeneratedDay.BASELINE_ENDPOINTS : release.endpoints());
-        String endpoint =
-                release == null ? GeneratedDay.baselineEndpoint(number) : GeneratedDay.releaseEndpoint(release, number);
-        double offset = release == null ? day.baselineOffset(number) : release.endpointOffset(number);
+        Destination destination = drawDestination(release);
+        RequestEffects effects = drawEffects(conditions, customer, route, destination);
+        boolean silent = day.isDead(destination.endpoint, conditions.now);
+        boolean failed = !silent && random.nextDouble() < effects.failingShare;
+        boolean complained = effects.isWrong && !silent && !failed && random.nextDouble() < COMPLAINT_SHARE;
+        boolean isBad = day.isBad(destination.build());
+        if ((isBad && isHarmful(effects, failed, conditions)) || effects.isHarmedByOthers) {
+            harmedRequests++;
+        }
+        // the order of the cells in a report follows from these keys, and is a part of the recorded days
+        String key = destination.build() + "/" + route + "/" + destination.endpoint + "/" + customer;
+        cells.computeIfAbsent(key, absent -> new CellCounts(destination.build(), route, destination.endpoint, customer))
+                .add(silent, failed, complained, effects.logMillis);
+        countHit(release, conditions.now, failed || silent || complained);
+    }
+
+    private Destination drawDestination(@Nullable GeneratedRelease release) {
+        if (release == null) {
+            int number = random.nextInt(GeneratedDay.BASELINE_ENDPOINTS);
+            return new Destination(null, GeneratedDay.baselineEndpoint(number), day.baselineOffset(number));
+        }
+        int number = random.nextInt(release.endpoints());
+        return new Destination(release, GeneratedDay.releaseEndpoint(release, number), release.endpointOffset(number));
+    }
+
+    private RequestEffects drawEffects(Conditions conditions, int customer, int route, Destination destination) {
         double logMillis = Math.log(ROUTE_LATENCIES_MILLIS.get(route))
                 + conditions.slowdown
                 + LATENCY_DEVIATION * random.nextNormal()
-                + offset;
-        RequestEffects effects = new RequestEffects(
-                logMillis, FAILING_SHARE + (day.isBadCustomer(customer) ? BAD_CUSTOMER_FAILING_SHARE : 0));
-        boolean isBad = release != null && day.isBad(release.build());
-        if (release != null && isBad) {
+                + destination.latencyOffset;
+        double failingShare = FAILING_SHARE + (day.isBadCustomer(customer) ? BAD_CUSTOMER_FAILING_SHARE : 0);
+        RequestEffects effects = new RequestEffects(logMillis, failingShare);
+        GeneratedRelease release = destination.release;
+        if (release != null && day.isBad(release.build())) {
             applyFault(effects, release, route, conditions);
         }
         if (day.fault() == ReleaseFault.HARMS_ALL) {
@@ -154,18 +188,7 @@
             effects.logMillis += harm;
             effects.isHarmedByOthers = harm > HARMFUL_SLOWDOWN;
         }
-        boolean silent = day.isDead(endpoint, conditions.now);
-        boolean failed = !silent && random.nextDouble() < effects.failingShare;
-        boolean complained = effects.isWrong && !silent && !failed && random.nextDouble() < COMPLAINT_SHARE;
-        if ((isBad && isHarmful(effects, failed, conditions)) || effects.isHarmedByOthers) {
-            harmedRequests++;
-        }
-        int build = release == null ? GeneratedDay.BASELINE_BUILD : release.build();
-        // the order of the cells in a report follows from these keys, and is a part of the recorded days
-        String key = build + "/" + route + "/" + endpoint + "/" + customer;
-        cells.computeIfAbsent(key, absent -> new CellCounts(build, route, endpoint, customer))
-                .add(silent, failed, complained, effects.logMillis);
-        countHit(release, conditions.now, failed || silent || complained);
+        return effects;
     }
 
     private @Nullable GeneratedRelease drawRelease(long now) {
--- a/src/test/java/laurelkeel/soak/FailingCallsTest.java
+++ b/src/test/java/laurelkeel/soak/FailingCallsTest.java
@@ -8,6 +8,7 @@
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetAddress;
+import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -15,6 +16,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.OptionalInt;
+import java.util.concurrent.TimeUnit;
 import laurelkeel.front.FrontTestRig;
 import laurelkeel.platform.PlatformTestBed;
 import laurelkeel.testbed.PortAllocator;
@@ -26,15 +28,17 @@
 
 /** A real node whose system calls fail as Linux documents it, and one that is signalled before it has begun. */
 class FailingCallsTest {
-    private static final int ENFILE = 23, ECONNABORTED = 103, EADDRNOTAVAIL = 99;
-    private static final long FOREVER_MS = 1_000_000;
+    private static final int ENFILE = 23;
+    private static final int ECONNABORTED = 103;
+    private static final int EADDRNOTAVAIL = 99;
+    private static final long FOREVER_MILLIS = 1_000_000;
     private static final int DESCRIPTORS = 256;
-    /** A moment, and not the second that a sleeping acceptor costs; twenty in a row. */
-    private static final long MOMENT_MS = 400;
+    /** The longest that a connection takes, far less than the second that a sleeping acceptor costs. */
+    private static final long MOMENT_MILLIS = 400;
 
-    private static final int ASKED = 20;
-    /** The kill comes no sooner after SIGTERM. */
-    private static final long KILL_AFTER_MS = 3_700;
+    private static final int CONNECTIONS = 20;
+    /** SIGKILL comes no sooner after SIGTERM. */
+    private static final long KILL_AFTER_MILLIS = 3_700;
 
     /** What all nodes of this class are started from. */
     @TempDir
@@ -47,11 +51,12 @@
     Path folder;
 
     private int port;
-    private PlatformTestBed.FakeServer discovery, control;
+    private PlatformTestBed.FakeServer discovery;
+    private PlatformTestBed.FakeServer control;
     private NodeProcess node;
 
     @BeforeAll
-    static void make() throws Exception {
+    static void makeImage() throws Exception {
         image = NodeImage.make(shared);
         library = FaultLibrary.build(shared);
     }
@@ -72,7 +77,7 @@
         control.close();
     }
 
-    private String config() {
+    private String configuration() {
         return "{\"name\":\"n\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"" + discovery.address()
                 + "\",\"limits\":{\"sockets\":" + DESCRIPTORS + "},\"rollouts\":{\"address\":\"" + control.address()
                 + "\"},\"settings\":" + PlatformTestBed.SETTINGS.formatted(800) + "}";
@@ -81,7 +86,7 @@
     private void start(String faults) throws Exception {
         assumeTrue(library.isPresent(), "there is no C compiler");
         Path file = folder.resolve("config.json");
-        Files.writeString(file, config());
+        Files.writeString(file, configuration());
         node = NodeProcess.start(
                 image,
                 file,
@@ -90,7 +95,7 @@
                 DESCRIPTORS);
     }
 
-    /** True where it answers at all; it is not ready, for nobody tells it a list. */
+    /** Whether the node answers at all; it is not ready, for it gets no endpoint list. */
     private boolean answers() {
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
             client.setSoTimeout(5_000);
@@ -101,38 +106,39 @@
         }
     }
 
-    private void answersInAMoment() {
-        for (int i = 0; i < ASKED; i++) {
-            long before = System.nanoTime();
+    private void assertAnswersInAMoment() {
+        for (int i = 0; i < CONNECTIONS; i++) {
+            long startedNanos = System.nanoTime();
             assertTrue(answers(), "connection " + i);
-            long took = (System.nanoTime() - before) / 1_000_000;
-            assertTrue(took < MOMENT_MS, "connection " + i + " took " + took + " ms");
+            long tookMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
+            assertTrue(tookMillis < MOMENT_MILLIS, "connection " + i + " took " + tookMillis + " ms");
         }
     }
 
     @Test
     void anAcceptThatFailsCostsAMoment() throws Exception {
         // ECONNABORTED too, though the runtime tries again by itself there
-        start("accept:" + ENFILE + ":0:" + FOREVER_MS + ":40,accept:" + ECONNABORTED + ":0:" + FOREVER_MS + ":10");
+        start("accept:" + ENFILE + ":0:" + FOREVER_MILLIS + ":40,accept:" + ECONNABORTED + ":0:" + FOREVER_MILLIS
+                + ":10");
         FrontTestRig.await("it answers", this::answers);
-        answersInAMoment();
+        assertAnswersInAMoment();
     }
 
     @Test
     void aNodeThatCanAcceptNothingStillEndsInOrder() throws Exception {
-        start("accept:" + ENFILE + ":2500:" + FOREVER_MS + ":100");
+        start("accept:" + ENFILE + ":2500:" + FOREVER_MILLIS + ":100");
         FrontTestRig.await("it answers", this::answers);
         FrontTestRig.await("accepts fail", () -> node.ageMillis() > 2_600);
-        try (Socket waits = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            assertTrue(waits.isConnected());
+        try (Socket waiting = new Socket(InetAddress.getLoopbackAddress(), port)) {
+            assertTrue(waiting.isConnected());
             node.signal("TERM");
-            OptionalInt status = node.awaitExit(KILL_AFTER_MS);
+            OptionalInt status = node.awaitExit(KILL_AFTER_MILLIS);
             assertTrue(status.isPresent(), node.log());
             assertEquals(0, status.getAsInt());
         }
     }
 
-    /** The sources are dialled again and again, and the process goes on meanwhile. */
+    /** The node connects to discovery and control service again and again, and goes on meanwhile. */
     @Test
     void aConnectThatFailsEndsNothing() throws Exception {
         start("connect:" + EADDRNOTAVAIL + ":0:1500:100,socket:" + ENFILE + ":0:700:100");
@@ -150,14 +156,14 @@
         node = NodeProcess.start(image, file, folder.resolve("node.log"), Map.of(), DESCRIPTORS);
         try (OutputStream pipe = Files.newOutputStream(file)) {
             node.signal("TERM");
-            FrontTestRig.await("it is heard, or the node ends", () -> heard("SIGTERM") || !node.isAlive());
+            FrontTestRig.await("it is logged, or the node ends", () -> hasLogged("SIGTERM") || !node.isAlive());
             assertTrue(node.isAlive(), node.log());
-            pipe.write(config().getBytes(UTF_8));
+            pipe.write(configuration().getBytes(UTF_8));
         }
         assertEquals(OptionalInt.of(0), node.awaitExit(10_000));
     }
 
-    private boolean heard(String line) {
+    private boolean hasLogged(String line) {
         try {
             return node.log().contains(line);
         } catch (IOException e) {
@@ -165,25 +171,25 @@
         }
     }
 
-    /** A folder in its place: there, and the system does not hand it over. */
+    /** A folder stands in its place, which the system does not let the node read. */
     @Test
     void aConfigurationThatCannotBeReadYetIsReadAgain() throws Exception {
         Path file = Files.createSymbolicLink(folder.resolve("config.json"), folder);
         node = NodeProcess.start(image, file, folder.resolve("node.log"), Map.of(), DESCRIPTORS);
-        FrontTestRig.await("it reads again, or ends", () -> heard("is read again") || !node.isAlive());
+        FrontTestRig.await("it reads again, or ends", () -> hasLogged("is read again") || !node.isAlive());
         assertTrue(node.isAlive(), node.log());
-        Path aside = Files.writeString(folder.resolve("config.json.new"), config());
-        Files.move(aside, file, StandardCopyOption.ATOMIC_MOVE);
+        Path replacement = Files.writeString(folder.resolve("config.json.new"), configuration());
+        Files.move(replacement, file, StandardCopyOption.ATOMIC_MOVE);
         FrontTestRig.await("it answers", this::answers);
     }
 
     @Test
     void aNewListenerWaitsForAnAddressThatIsStillTaken() throws Exception {
         Path file = folder.resolve("config.json");
-        Files.writeString(file, config());
-        try (java.net.ServerSocket taken = new java.net.ServerSocket(port, 5, InetAddress.getLoopbackAddress())) {
+        Files.writeString(file, configuration());
+        try (ServerSocket taken = new ServerSocket(port, 5, InetAddress.getLoopbackAddress())) {
             node = NodeProcess.start(image, file, folder.resolve("node.log"), Map.of(), DESCRIPTORS);
-            FrontTestRig.await("it waits, or ends", () -> heard("cannot be opened yet") || !node.isAlive());
+            FrontTestRig.await("it waits, or ends", () -> hasLogged("cannot be opened yet") || !node.isAlive());
             assertTrue(node.isAlive(), node.log());
             assertEquals(port, taken.getLocalPort());
         }
--- a/src/test/java/laurelkeel/soak/SoakTest.java
+++ b/src/test/java/laurelkeel/soak/SoakTest.java
@@ -17,30 +17,33 @@
 
 /** A short soak of real nodes; the long one is started by hand (docs/soak.md). */
 class SoakTest {
-    private static final int SEEDS = 6, SECONDS = 8, AT_A_TIME = 2;
+    private static final int SEEDS = 6;
+    private static final int SECONDS = 8;
+    private static final int PARALLEL = 2;
 
     @TempDir
     static Path images;
 
     private static NodeImage image;
-    private static Optional<Path> faults;
+    private static Optional<Path> faultLibrary;
 
     @TempDir
     Path folder;
 
     @BeforeAll
-    static void make() throws Exception {
+    static void makeImage() throws Exception {
         image = NodeImage.make(images);
-        faults = FaultLibrary.build(images);
+        faultLibrary = FaultLibrary.build(images);
     }
 
     @Test
     void realNodesKeepTheRulesUnderWhatTheseSeedsDraw() throws Exception {
-        ExecutorService runs = Executors.newFixedThreadPool(AT_A_TIME);
+        ExecutorService runs = Executors.newFixedThreadPool(PARALLEL);
         List<Future<SoakResult>> results = new ArrayList<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
             SoakPlan plan = SoakPlan.draw(seed, 0, SECONDS);
-            results.add(runs.submit(() -> SoakRun.play(plan, image, faults, folder.resolve("seed-" + plan.seed()))));
+            results.add(
+                    runs.submit(() -> SoakRun.play(plan, image, faultLibrary, folder.resolve("seed-" + plan.seed()))));
         }
         runs.shutdown();
         List<String> broken = new ArrayList<>();
@@ -54,7 +57,7 @@
         assertEquals(List.of(), broken);
     }
 
-    /** Both sides are loaded, each node has a crowd, and accept, socket and connect fail all the while (ENFILE, EMFILE, EADDRNOTAVAIL). */
+    /** Clients and servers are loaded, each node has crowds, and accept, socket and connect fail all the while (ENFILE, EMFILE, EADDRNOTAVAIL). */
     @Test
     void noCrowdTakesTheLastDescriptorsWhileCallsFail() throws Exception {
         List<PlannedEvent> crowds = new ArrayList<>();
@@ -72,7 +75,7 @@
                 "accept:23:1500:9000:30,socket:24:1500:9000:20,connect:99:1500:9000:20",
                 false,
                 Set.of());
-        SoakResult result = SoakRun.play(plan, image, faults, folder.resolve("crowds"));
+        SoakResult result = SoakRun.play(plan, image, faultLibrary, folder.resolve("crowds"));
         System.out.println("crowds: " + result.counts());
         assertEquals(List.of(), result.violations());
     }
