--- a/src/main/java/laurelkeel/partition/BuildVisibility.java
+++ b/src/main/java/laurelkeel/partition/BuildVisibility.java
@@ -43,21 +43,21 @@
     }
 
     /** An update as a partition's decider is to get it; notes in the partition what it is shown. */
-    EndpointListUpdate restrict(EndpointListUpdate update, TrafficPartition partition) {
+    EndpointListUpdate filterUpdate(EndpointListUpdate update, TrafficPartition partition) {
         List<EndpointEntry> visible = new ArrayList<>();
         for (EndpointEntry entry : update.entries()) {
             if (isVisible(partition, entry)) {
-                partition.markShown(entry.endpointId());
+                partition.markVisible(entry.endpointId());
                 visible.add(entry);
             } else if (partition.markHidden(entry.endpointId())) {
                 // restarted with another build: for this partition it is gone
-                visible.add(removed(entry));
+                visible.add(asRemoved(entry));
             }
         }
         return new EndpointListUpdate(update.kind(), visible);
     }
 
-    private static EndpointEntry removed(EndpointEntry entry) {
+    private static EndpointEntry asRemoved(EndpointEntry entry) {
         return new EndpointEntry(
                 entry.endpointId(),
                 entry.build(),
--- a/src/main/java/laurelkeel/partition/EndpointTable.java
+++ b/src/main/java/laurelkeel/partition/EndpointTable.java
@@ -19,9 +19,9 @@
 
     void apply(EndpointListUpdate update) {
         if (update.kind() == EndpointListKind.SNAPSHOT || update.kind() == EndpointListKind.CACHED) {
-            Set<String> namedIds = new HashSet<>();
-            update.entries().forEach(entry -> namedIds.add(entry.endpointId()));
-            entries.keySet().retainAll(namedIds);
+            Set<String> listedIds = new HashSet<>();
+            update.entries().forEach(entry -> listedIds.add(entry.endpointId()));
+            entries.keySet().retainAll(listedIds);
         }
         for (EndpointEntry entry : update.entries()) {
             if (entry.state() == EndpointState.REMOVED) {
--- a/src/main/java/laurelkeel/partition/ExposureWindow.java
+++ b/src/main/java/laurelkeel/partition/ExposureWindow.java
@@ -77,14 +77,14 @@
      * @return at least 1
      */
     static double ratio(ExposureWindow all, ExposureWindow part, long nowTicks, double maxRatio) {
-        double leastRatio = maxRatio;
+        double minRatio = maxRatio;
         for (int scope = 0; scope < all.arrivals.size(); scope++) {
             int partCount = part.evictExpired(scope, nowTicks);
             if (partCount > 0) {
-                leastRatio = Math.min(leastRatio, all.evictExpired(scope, nowTicks) / (double) partCount);
+                minRatio = Math.min(minRatio, all.evictExpired(scope, nowTicks) / (double) partCount);
             }
         }
-        return Math.max(1, leastRatio);
+        return Math.max(1, minRatio);
     }
 
     private int scopeOf(int route) {
--- a/src/main/java/laurelkeel/partition/OwnedRequest.java
+++ b/src/main/java/laurelkeel/partition/OwnedRequest.java
@@ -22,7 +22,7 @@
     private int attemptsInFlight;
     private int sentAttempts;
     private int suppressedAttempts;
-    private int latestBuild = NO_BUILD;
+    private int lastAttemptBuild = NO_BUILD;
 
     OwnedRequest(TrafficPartition partition, @Nullable String key, int route) {
         this.partition = partition;
@@ -44,8 +44,8 @@
     }
 
     /** The build that the last attempt was sent to, or {@link ConcurrentRollouts#NO_BUILD}. */
-    int latestBuild() {
-        return latestBuild;
+    int lastAttemptBuild() {
+        return lastAttemptBuild;
     }
 
     /** Whether it has its final answer. */
@@ -65,7 +65,7 @@
     void onAttemptSent(int build) {
         attemptsInFlight++;
         sentAttempts++;
-        latestBuild = build;
+        lastAttemptBuild = build;
     }
 
     void onAttemptEnded(AttemptEnded ended) {
@@ -95,7 +95,7 @@
     }
 
     /** The same end of an attempt, as the partition's decider counts its attempts. */
-    AttemptEnded toPartition(AttemptEnded ended) {
+    AttemptEnded withPartitionNumbering(AttemptEnded ended) {
         if (suppressedAttempts == 0) {
             return ended;
         }
--- a/src/main/java/laurelkeel/partition/PartitionAssigner.java
+++ b/src/main/java/laurelkeel/partition/PartitionAssigner.java
@@ -17,7 +17,7 @@
     private static final String SALT_PREFIX = "lanes/";
 
     private final byte[] salt;
-    private long draws;
+    private long drawCount;
 
     /** @param seed of the random draws for requests without a key */
     PartitionAssigner(long seed) {
@@ -45,8 +45,8 @@
     private double randomPosition() {
         CRC32 crc = new CRC32();
         crc.update(salt);
-        crc.update(Long.toString(draws).getBytes(StandardCharsets.US_ASCII));
-        draws++;
+        crc.update(Long.toString(drawCount).getBytes(StandardCharsets.US_ASCII));
+        drawCount++;
         return toUnitInterval(crc.getValue());
     }
 
--- a/src/main/java/laurelkeel/partition/PartitionPlan.java
+++ b/src/main/java/laurelkeel/partition/PartitionManager.java
@@ -11,7 +11,7 @@
  * Opens and closes partitions as rollouts begin and end, and passes each partition's decider the rollout updates,
  * endpoints and baseline that concern it. Not thread-safe.
  */
-final class PartitionPlan {
+final class PartitionManager {
     private final PartitionSet partitions;
     private final ConcurrentRollouts rollouts;
     private final EndpointTable endpoints;
@@ -21,7 +21,7 @@
     private boolean baselinesOutdated;
 
     /** @param guardedStages so many stages, from the first, in which a canary may not get all kinds of requests */
-    PartitionPlan(
+    PartitionManager(
             PartitionSet partitions,
             ConcurrentRollouts rollouts,
             EndpointTable endpoints,
@@ -50,7 +50,7 @@
             }
         }
         if (owner != null) {
-            owner.adoptRollout(build);
+            owner.advanceRolloutBuild(build);
         }
         baselinesOutdated |= changed && isAnyPartitionRestricted();
         closeEnded();
@@ -77,7 +77,7 @@
         closeEnded();
         partition.setBaselineBuild(baselines.baselineFor(build));
         partition.announceBaseline();
-        showEndpoints(partition);
+        replaceVisibleEndpoints(partition);
         baselinesOutdated = true;
         return partition;
     }
@@ -110,10 +110,10 @@
         baselinesOutdated |= restricted;
         for (TrafficPartition partition : partitions) {
             if (!restricted && visibility.isEveryBuildVisible(partition)) {
-                update.entries().forEach(entry -> partition.markShown(entry.endpointId()));
+                update.entries().forEach(entry -> partition.markVisible(entry.endpointId()));
                 partition.enqueue(update);
             } else {
-                partition.enqueue(visibility.restrict(update, partition));
+                partition.enqueue(visibility.filterUpdate(update, partition));
             }
         }
     }
@@ -133,7 +133,7 @@
             int baseline = nextBaseline(partition);
             if (baseline != partition.baselineBuild()) {
                 partition.setBaselineBuild(baseline);
-                showEndpoints(partition);
+                replaceVisibleEndpoints(partition);
             }
         }
     }
@@ -156,7 +156,7 @@
                 && rollouts.minimumBaseline() == ConcurrentRollouts.NO_BUILD;
     }
 
-    private void showEndpoints(TrafficPartition partition) {
+    private void replaceVisibleEndpoints(TrafficPartition partition) {
         List<EndpointEntry> visible = visibility.visibleEndpoints(partition, endpoints);
         partition.replaceEndpoints(visible);
     }
--- a/src/main/java/laurelkeel/partition/PartitionSet.java
+++ b/src/main/java/laurelkeel/partition/PartitionSet.java
@@ -67,13 +67,13 @@
 
     /** The open partition with an index among the open ones, in their order. */
     TrafficPartition openAt(int index) {
-        int skipped = 0;
+        int openIndex = 0;
         for (TrafficPartition partition : partitions) {
             if (!partition.isClosing()) {
-                if (skipped == index) {
+                if (openIndex == index) {
                     return partition;
                 }
-                skipped++;
+                openIndex++;
             }
         }
         return first();
--- a/src/main/java/laurelkeel/partition/PartitionedDecider.java
+++ b/src/main/java/laurelkeel/partition/PartitionedDecider.java
@@ -48,15 +48,15 @@
     private final EndpointTable endpoints = new EndpointTable();
     private final OwnedRequestTable requests = new OwnedRequestTable();
     private final PartitionSet partitions;
-    private final PartitionPlan plan;
+    private final PartitionManager partitionManager;
     private final PartitionAssigner assigner;
-    private final CrossPartitionKeys keys;
+    private final StickyKeyBindings keyBindings;
     private final SharedExposureLimiter exposureLimiter;
     private final VoteGate voteGate;
 
     private final List<Action> actions = new ArrayList<>();
     private long nowTicks;
-    private int sharedComplaints;
+    private int sharedComplaintCount;
     private boolean attemptSuppressed;
 
     /**
@@ -69,9 +69,9 @@
         Settings.Rollout rollout = settings.rollout();
         rollouts = new ConcurrentRollouts(rollout.stageExposureCaps());
         partitions = new PartitionSet(settings, seed, deciders);
-        plan = new PartitionPlan(partitions, rollouts, endpoints, rollout.guardedStages(), MAX_ROLLOUTS);
+        partitionManager = new PartitionManager(partitions, rollouts, endpoints, rollout.guardedStages(), MAX_ROLLOUTS);
         assigner = new PartitionAssigner(seed);
-        keys = new CrossPartitionKeys(rollout.stickyKeys(), rollouts);
+        keyBindings = new StickyKeyBindings(rollout.stickyKeys(), rollouts);
         exposureLimiter = new SharedExposureLimiter(settings);
         voteGate = new VoteGate(rollout.voteLifetimeTicks());
     }
@@ -82,8 +82,8 @@
     }
 
     /** How many sticky keys are bound to a partition. */
-    int boundKeys() {
-        return keys.size();
+    int boundKeyCount() {
+        return keyBindings.size();
     }
 
     /** Sets what is known of a build's part in a regression; it counts from the next decision on. */
@@ -96,18 +96,18 @@
         this.nowTicks = nowTicks;
         actions.clear();
         events.forEach(this::accept);
-        plan.refreshBaselines();
+        partitionManager.refreshBaselines();
         actions.addAll(voteGate.rollBackVotes(rollouts, nowTicks));
         for (TrafficPartition partition : partitions) {
             if (partition.hasPendingEvents() || partitions.isSingle()) {
-                run(partition);
+                runDecider(partition);
             }
         }
         partitions.removeDrained();
         return List.copyOf(actions);
     }
 
-    private void run(TrafficPartition partition) {
+    private void runDecider(TrafficPartition partition) {
         announceCap(partition);
         do {
             attemptSuppressed = false;
@@ -142,24 +142,24 @@
             requests.onAnswered(disconnected.requestId());
         } else if (event instanceof Event.TimerFired timer) {
             // a partition's timers carry its id; its decider takes any timer as its turn
-            enqueueWhere(partition -> partition.id() == timer.timerId(), new Event.TimerFired(0));
+            enqueueIf(partition -> partition.id() == timer.timerId(), new Event.TimerFired(0));
         } else if (event instanceof Event.EndpointListUpdate update) {
             endpoints.apply(update);
-            plan.onEndpointListUpdate(update);
+            partitionManager.onEndpointListUpdate(update);
         } else if (event instanceof RolloutUpdate update) {
             acceptRolloutUpdate(update);
         } else if (event instanceof Event.ComplaintReceived complaint) {
             acceptComplaint(complaint);
         } else if (event instanceof Event.HealthCheckEnded ended) {
-            enqueueWhere(partition -> partitions.isSingle() || partition.isShown(ended.endpointId()), event);
+            enqueueIf(partition -> partitions.isSingle() || partition.isVisible(ended.endpointId()), event);
         } else if (event instanceof Event.BuildStatistics statistics) {
-            enqueueWhere(partition -> concerns(statistics, partition), event);
+            enqueueIf(partition -> isRelevant(statistics, partition), event);
         } else {
-            enqueueWhere(partition -> true, event);
+            enqueueIf(partition -> true, event);
         }
     }
 
-    private void enqueueWhere(Predicate<TrafficPartition> concerned, Event event) {
+    private void enqueueIf(Predicate<TrafficPartition> concerned, Event event) {
         for (TrafficPartition partition : partitions) {
             if (concerned.test(partition)) {
                 partition.enqueue(event);
@@ -167,7 +167,7 @@
         }
     }
 
-    private static boolean concerns(Event.BuildStatistics statistics, TrafficPartition partition) {
+    private static boolean isRelevant(Event.BuildStatistics statistics, TrafficPartition partition) {
         return partition.rolloutBuild() == ConcurrentRollouts.NO_BUILD
                 || partition.rolloutBuild() == statistics.build()
                 || partition.baselineBuild() == statistics.build();
@@ -191,7 +191,7 @@
             return partitions.first();
         }
         String key = received.partitionKey();
-        TrafficPartition bound = partitions.findOpen(keys.partitionOf(key));
+        TrafficPartition bound = partitions.findOpen(keyBindings.partitionOf(key));
         return bound != null ? bound : partitions.openAt(assigner.assign(key, partitions.openCount()));
     }
 
@@ -202,10 +202,10 @@
             return;
         }
         TrafficPartition owner = request.partition();
-        owner.enqueue(request.toPartition(ended));
-        keys.onAttemptEnded(
+        owner.enqueue(request.withPartitionNumbering(ended));
+        keyBindings.onAttemptEnded(
                 request.key(),
-                request.latestBuild(),
+                request.lastAttemptBuild(),
                 owner.id(),
                 ended.outcome().mayHaveServed());
         requests.onAttemptEnded(request, ended);
@@ -224,7 +224,7 @@
     private void acceptRolloutUpdate(RolloutUpdate update) {
         if (update.answersVote() && update.status() != ControlStatus.OK) {
             // it names the build that the vote was for, or 0
-            enqueueWhere(
+            enqueueIf(
                     partition ->
                             partitions.isSingle() || update.build() == 0 || partition.rolloutBuild() == update.build(),
                     update);
@@ -234,11 +234,11 @@
         if (!rollouts.isCanary(update.build())) {
             voteGate.forget(update.build());
             if (changed) {
-                keys.forgetEndedRollouts();
+                keyBindings.forgetEndedRollouts();
                 exposureLimiter.retainBuilds(rollouts::bindsStickyKeys);
             }
         }
-        plan.onRolloutUpdate(update, changed);
+        partitionManager.onRolloutUpdate(update, changed);
     }
 
     /** A complaint names an endpoint only; partitions that share the endpoint get its complaints in turn. */
@@ -249,13 +249,13 @@
         }
         List<TrafficPartition> sharing = new ArrayList<>();
         for (TrafficPartition partition : partitions) {
-            if (!partition.isClosing() && partition.isShown(complaint.endpointId())) {
+            if (!partition.isClosing() && partition.isVisible(complaint.endpointId())) {
                 sharing.add(partition);
             }
         }
         if (!sharing.isEmpty()) {
-            sharing.get(sharedComplaints % sharing.size()).enqueue(complaint);
-            sharedComplaints++;
+            sharing.get(sharedComplaintCount % sharing.size()).enqueue(complaint);
+            sharedComplaintCount++;
         }
     }
 
@@ -314,12 +314,12 @@
             return;
         }
         request.onAttemptSent(build);
-        keys.onAttemptSent(request.key(), build);
+        keyBindings.onAttemptSent(request.key(), build);
         actions.add(send);
     }
 
     private boolean isServedByLaterBuild(OwnedRequest request, int build, TrafficPartition partition) {
-        return keys.isServedByLaterBuild(request.key(), build, partition.id(), !partitions.isSingle());
+        return keyBindings.isServedByLaterBuild(request.key(), build, partition.id(), !partitions.isSingle());
     }
 
     private boolean tryAcquireExposure(OwnedRequest request, int build) {
--- a/src/main/java/laurelkeel/partition/CrossPartitionKeys.java
+++ b/src/main/java/laurelkeel/partition/StickyKeyBindings.java
@@ -11,7 +11,7 @@
  * what only all partitions together know: which partition served a key, and that a later build has served it, or may
  * have, in another one. Not thread-safe.
  */
-final class CrossPartitionKeys {
+final class StickyKeyBindings {
     /** Stands for a partition where a key has none. */
     static final int NO_PARTITION = -1;
 
@@ -19,21 +19,21 @@
     private static final int MAX_KEYS = 600_000;
 
     /** The partition that served a key last, and the latest build that served the key. */
-    private record Service(int partitionId, int build) {}
+    private record KeyBinding(int partitionId, int build) {}
 
     private final boolean stickyKeys;
     private final ConcurrentRollouts rollouts;
-    private final Map<String, Service> served = new HashMap<>();
+    private final Map<String, KeyBinding> bindings = new HashMap<>();
     private final InFlightAttempts inFlight = new InFlightAttempts();
 
     /** @param stickyKeys whether a key that a build has answered goes to no earlier build during its rollout */
-    CrossPartitionKeys(boolean stickyKeys, ConcurrentRollouts rollouts) {
+    StickyKeyBindings(boolean stickyKeys, ConcurrentRollouts rollouts) {
         this.stickyKeys = stickyKeys;
         this.rollouts = rollouts;
     }
 
     void onAttemptSent(@Nullable String key, int build) {
-        if (key != null && isBound(build)) {
+        if (key != null && bindsKeys(build)) {
             inFlight.onSent(key, build);
         }
     }
@@ -44,24 +44,24 @@
             return;
         }
         inFlight.onEnded(key, build);
-        if (mayHaveServed && isBound(build) && served.size() < MAX_KEYS) {
+        if (mayHaveServed && bindsKeys(build) && bindings.size() < MAX_KEYS) {
             // an attempt that was in flight when the partitions changed may end late, at an earlier build
-            served.merge(key, new Service(partitionId, build), CrossPartitionKeys::later);
+            bindings.merge(key, new KeyBinding(partitionId, build), StickyKeyBindings::withLaterBuild);
         }
     }
 
-    private static Service later(Service known, Service ended) {
+    private static KeyBinding withLaterBuild(KeyBinding known, KeyBinding ended) {
         return known.build > ended.build ? known : ended;
     }
 
-    private boolean isBound(int build) {
+    private boolean bindsKeys(int build) {
         return stickyKeys && rollouts.bindsStickyKeys(build);
     }
 
     /** The partition that a key has to stay in, or {@link #NO_PARTITION}. */
     int partitionOf(@Nullable String key) {
-        Service service = key == null ? null : served.get(key);
-        return service == null ? NO_PARTITION : service.partitionId;
+        KeyBinding binding = key == null ? null : bindings.get(key);
+        return binding == null ? NO_PARTITION : binding.partitionId;
     }
 
     /**
@@ -74,11 +74,11 @@
         if (key == null || !stickyKeys) {
             return false;
         }
-        Service service = served.get(key);
-        if (service != null
-                && service.partitionId != partitionId
-                && build < service.build
-                && rollouts.bindsStickyKeys(service.build)) {
+        KeyBinding binding = bindings.get(key);
+        if (binding != null
+                && binding.partitionId != partitionId
+                && build < binding.build
+                && rollouts.bindsStickyKeys(binding.build)) {
             return true;
         }
         return severalPartitions && build < inFlight.latestBuild(key, rollouts::bindsStickyKeys);
@@ -86,11 +86,11 @@
 
     /** Forgets keys of rollouts that have ended, to make room for those of rollouts that last. */
     void forgetEndedRollouts() {
-        served.values().removeIf(service -> !rollouts.bindsStickyKeys(service.build));
+        bindings.values().removeIf(binding -> !rollouts.bindsStickyKeys(binding.build));
     }
 
     /** How many keys are bound to a partition. */
     int size() {
-        return served.size();
+        return bindings.size();
     }
 }
--- a/src/main/java/laurelkeel/partition/TrafficPartition.java
+++ b/src/main/java/laurelkeel/partition/TrafficPartition.java
@@ -60,7 +60,7 @@
     }
 
     /** Hands a further rollout to this partition, where its build is later. */
-    void adoptRollout(int build) {
+    void advanceRolloutBuild(int build) {
         rolloutBuild = Math.max(rolloutBuild, build);
     }
 
@@ -174,11 +174,11 @@
         enqueue(new Event.EndpointListUpdate(EndpointListKind.CACHED, entries));
     }
 
-    boolean isShown(String endpointId) {
+    boolean isVisible(String endpointId) {
         return visibleEndpoints.contains(endpointId);
     }
 
-    void markShown(String endpointId) {
+    void markVisible(String endpointId) {
         visibleEndpoints.add(endpointId);
     }
 
--- a/src/main/java/laurelkeel/partition/VoteGate.java
+++ b/src/main/java/laurelkeel/partition/VoteGate.java
@@ -55,10 +55,8 @@
             return mustWait ? "no promotion before a regression is attributed and its build rolled back" : null;
         }
         if (vote.verdict() == Verdict.ROLL_BACK && own != Attribution.GUILTY) {
-            boolean isDoubtful = isOpen || isOtherGuilty || own == Attribution.CLEARED;
-            return isDoubtful && isWithinDelay(vote.build(), nowTicks)
-                    ? "the regression is not attributed to it"
-                    : null;
+            boolean mustWait = isOpen || isOtherGuilty || own == Attribution.CLEARED;
+            return mustWait && isWithinDelay(vote.build(), nowTicks) ? "the regression is not attributed to it" : null;
         }
         return null;
     }
@@ -78,14 +76,14 @@
         List<Action> actions = new ArrayList<>();
         attributions.forEach((build, attribution) -> {
             RolloutRecord rollout = rollouts.find(build);
-            if (rollout != null && rollout.isCanary() && demandsRollBack(attribution)) {
+            if (rollout != null && rollout.isCanary() && requiresRollBack(attribution)) {
                 voteToRollBack(rollout, attribution, nowTicks, actions);
             }
         });
         return actions;
     }
 
-    private static boolean demandsRollBack(Attribution attribution) {
+    private static boolean requiresRollBack(Attribution attribution) {
         return attribution == Attribution.GUILTY || attribution == Attribution.SET_ASIDE;
     }
 
--- a/src/test/java/laurelkeel/partition/BuildVisibilityTest.java
+++ b/src/test/java/laurelkeel/partition/BuildVisibilityTest.java
@@ -43,14 +43,14 @@
         partition.setBaselineBuild(1);
         EndpointEntry first = endpoint("a", 1);
         EndpointEntry restarted = endpoint("a", 3);
-        assertEquals(List.of(first), restrict(first).entries());
+        assertEquals(List.of(first), filterUpdate(first).entries());
         assertEquals(
                 List.of(endpoint("a", 3, 1, EndpointState.REMOVED)),
-                restrict(restarted).entries());
-        assertEquals(List.of(), restrict(restarted).entries(), "it is removed once");
+                filterUpdate(restarted).entries());
+        assertEquals(List.of(), filterUpdate(restarted).entries(), "it is removed once");
     }
 
-    private EndpointListUpdate restrict(EndpointEntry entry) {
-        return visibility.restrict(new EndpointListUpdate(EndpointListKind.DELTA, List.of(entry)), partition);
+    private EndpointListUpdate filterUpdate(EndpointEntry entry) {
+        return visibility.filterUpdate(new EndpointListUpdate(EndpointListKind.DELTA, List.of(entry)), partition);
     }
 }
--- a/src/test/java/laurelkeel/partition/OwnedRequestTableTest.java
+++ b/src/test/java/laurelkeel/partition/OwnedRequestTableTest.java
@@ -32,7 +32,7 @@
         return request;
     }
 
-    private static AttemptEnded end(int attempt, AttemptOutcome outcome) {
+    private static AttemptEnded attemptEnded(int attempt, AttemptOutcome outcome) {
         return new AttemptEnded(ID, attempt, "e", outcome, 10, outcome == AttemptOutcome.COMPLETED, LoadReport.NONE);
     }
 
@@ -42,7 +42,7 @@
         request.onAttemptSent(2);
         table.onAnswered(ID);
         assertFalse(partition.isDrained(), "an attempt is in flight");
-        table.onAttemptEnded(request, end(0, AttemptOutcome.CANCELLED));
+        table.onAttemptEnded(request, attemptEnded(0, AttemptOutcome.CANCELLED));
         assertNull(table.find(ID));
         assertTrue(partition.isDrained());
         table.onAnswered(ID);
@@ -52,11 +52,11 @@
     void aFailedAttemptLeavesTheRequestOpenAndACompletedOneAnswersIt() {
         OwnedRequest request = request();
         request.onAttemptSent(1);
-        table.onAttemptEnded(request, end(0, AttemptOutcome.FAILED));
+        table.onAttemptEnded(request, attemptEnded(0, AttemptOutcome.FAILED));
         assertFalse(request().isAnswered());
         request.onAttemptSent(2);
-        assertEquals(2, request.latestBuild());
-        table.onAttemptEnded(request, end(1, AttemptOutcome.COMPLETED));
+        assertEquals(2, request.lastAttemptBuild());
+        table.onAttemptEnded(request, attemptEnded(1, AttemptOutcome.COMPLETED));
         assertNull(table.find(ID));
     }
 
@@ -67,8 +67,10 @@
         request.onAttemptSent(2);
         assertEquals(1, request.toPartitionAttempt(0));
         assertEquals(0, request.toNodeAttempt(1));
-        assertEquals(end(1, AttemptOutcome.FAILED), request.toPartition(end(0, AttemptOutcome.FAILED)));
-        table.onAttemptEnded(request, end(0, AttemptOutcome.FAILED));
+        assertEquals(
+                attemptEnded(1, AttemptOutcome.FAILED),
+                request.withPartitionNumbering(attemptEnded(0, AttemptOutcome.FAILED)));
+        table.onAttemptEnded(request, attemptEnded(0, AttemptOutcome.FAILED));
         assertEquals(2, request.suppressAttempt());
     }
 }
--- a/src/test/java/laurelkeel/partition/PartitionPlanTest.java
+++ b/src/test/java/laurelkeel/partition/PartitionManagerTest.java
@@ -16,87 +16,88 @@
 import laurelkeel.api.Event.RolloutUpdate;
 import org.junit.jupiter.api.Test;
 
-class PartitionPlanTest {
+class PartitionManagerTest {
     private static final int MAX_OPEN = 2;
 
     /** What the decider of each partition has heard, in the order in which partitions were opened. */
-    private final List<List<Event>> heard = new ArrayList<>();
+    private final List<List<Event>> eventsByPartition = new ArrayList<>();
 
     private final ConcurrentRollouts rollouts = new ConcurrentRollouts(List.of(0.1));
     private final EndpointTable endpoints = new EndpointTable();
     private final PartitionSet partitions =
             new PartitionSet(RolloutSimulation.settings(false, 0), 1, (settings, seed) -> {
                 List<Event> events = new ArrayList<>();
-                heard.add(events);
-                return (nowTicks, now) -> {
-                    events.addAll(now);
+                eventsByPartition.add(events);
+                return (nowTicks, newEvents) -> {
+                    events.addAll(newEvents);
                     return List.of();
                 };
             });
-    private final PartitionPlan plan = new PartitionPlan(partitions, rollouts, endpoints, 0, MAX_OPEN);
+    private final PartitionManager manager = new PartitionManager(partitions, rollouts, endpoints, 0, MAX_OPEN);
 
     private void apply(RolloutUpdate update) {
-        plan.onRolloutUpdate(update, rollouts.apply(update));
+        manager.onRolloutUpdate(update, rollouts.apply(update));
         runPartitions();
     }
 
     private void apply(EndpointListKind kind, EndpointEntry... entries) {
         EndpointListUpdate update = new EndpointListUpdate(kind, List.of(entries));
         endpoints.apply(update);
-        plan.onEndpointListUpdate(update);
+        manager.onEndpointListUpdate(update);
         runPartitions();
     }
 
     private void runPartitions() {
-        plan.refreshBaselines();
+        manager.refreshBaselines();
         partitions.forEach(partition -> partition.decide(0));
     }
 
-    private void canary(int build, double cap) {
+    private void startCanary(int build, double cap) {
         apply(update(build, 0, cap, RolloutPhase.CANARY));
     }
 
     @Test
     void theFirstRolloutNeedsNoPartitionOfItsOwn() {
         apply(update(1, 0, 1, RolloutPhase.RELEASED));
-        canary(2, 0.1);
+        startCanary(2, 0.1);
         assertTrue(partitions.isSingle());
         assertEquals(
-                List.of(update(1, 0, 1, RolloutPhase.RELEASED), update(2, 0, 0.1, RolloutPhase.CANARY)), heard.get(0));
+                List.of(update(1, 0, 1, RolloutPhase.RELEASED), update(2, 0, 0.1, RolloutPhase.CANARY)),
+                eventsByPartition.get(0));
     }
 
     @Test
     void aFurtherRolloutOpensAPartitionThatHearsItsBaselineItsEndpointsAndItsUpdate() {
         apply(update(1, 0, 1, RolloutPhase.RELEASED));
         apply(EndpointListKind.SNAPSHOT, endpoint("a", 1), endpoint("b", 2), endpoint("c", 3));
-        canary(2, 0.1);
-        canary(3, 0.1);
+        startCanary(2, 0.1);
+        startCanary(3, 0.1);
         assertEquals(2, partitions.openCount());
         assertEquals(
                 List.of(
                         update(1, 0, 1, RolloutPhase.RELEASED),
                         new EndpointListUpdate(EndpointListKind.CACHED, List.of(endpoint("a", 1), endpoint("c", 3))),
                         update(3, 0, 0.1, RolloutPhase.CANARY)),
-                heard.get(1));
+                eventsByPartition.get(1));
         assertEquals(
                 new EndpointListUpdate(EndpointListKind.CACHED, List.of(endpoint("a", 1), endpoint("b", 2))),
-                heard.get(0).get(heard.get(0).size() - 1),
+                eventsByPartition.get(0).get(eventsByPartition.get(0).size() - 1),
                 "the first partition is shown the other build no more");
     }
 
     @Test
     void rolloutsBeyondTheLimitGetNoPartition() {
-        canary(2, 0.1);
-        canary(3, 0.1);
-        canary(4, 0.1);
+        startCanary(2, 0.1);
+        startCanary(3, 0.1);
+        startCanary(4, 0.1);
         assertEquals(2, partitions.openCount());
-        assertEquals(2, heard.size());
+        assertEquals(2, eventsByPartition.size());
     }
 
     @Test
     void aPartitionClosesWithItsRolloutAndTheLastOneStays() {
-        canary(2, 0.1);
-        canary(3, 0.1);
+        startCanary(2, 0.1);
+        startCanary(3, 0.1);
         apply(update(2, 0, 0, RolloutPhase.ROLLING_BACK));
         assertTrue(partitions.first().isClosing());
         partitions.removeDrained();
@@ -107,20 +108,20 @@
 
     @Test
     void aReleaseIsToldToThePartitionsOfEarlierBuildsToo() {
-        canary(2, 0.1);
-        canary(3, 0.1);
+        startCanary(2, 0.1);
+        startCanary(3, 0.1);
         RolloutUpdate release = update(3, 0, 1, RolloutPhase.RELEASED);
         apply(release);
-        assertTrue(heard.get(0).contains(release));
-        assertTrue(heard.get(1).contains(release));
+        assertTrue(eventsByPartition.get(0).contains(release));
+        assertTrue(eventsByPartition.get(1).contains(release));
     }
 
     @Test
     void noPartitionGoesBelowACanaryThatServedForAClosedOne() {
         apply(update(1, 0, 1, RolloutPhase.RELEASED));
         apply(EndpointListKind.SNAPSHOT, endpoint("a", 1), endpoint("b", 2), endpoint("c", 2), endpoint("d", 3));
-        canary(2, 1);
-        canary(3, 0.1);
+        startCanary(2, 1);
+        startCanary(3, 0.1);
         apply(update(3, 0, 0, RolloutPhase.ROLLING_BACK));
         assertEquals(2, rollouts.minimumBaseline());
         assertEquals(2, partitions.first().baselineBuild());
--- a/src/test/java/laurelkeel/partition/PartitionedDeciderTest.java
+++ b/src/test/java/laurelkeel/partition/PartitionedDeciderTest.java
@@ -208,10 +208,10 @@
             serve(decider, "k" + i);
         }
         decider.decide(SECOND, List.of(update(2, RolloutPhase.RELEASED)));
-        assertEquals(0, decider.boundKeys(), "the rollout has ended");
+        assertEquals(0, decider.boundKeyCount(), "the rollout has ended");
         decider.decide(SECOND, List.of(snapshotOf("m", 3), update(3, RolloutPhase.CANARY)));
         serve(decider, "new");
-        assertEquals(1, decider.boundKeys(), "a canary served it: it must stay in its partition");
+        assertEquals(1, decider.boundKeyCount(), "a canary served it: it must stay in its partition");
     }
 
     @Test
@@ -245,13 +245,13 @@
 
     @Test
     void timersWakeThePartitionThatStartedThem() {
-        List<List<Event>> heard = new ArrayList<>();
+        List<List<Event>> eventsByPartition = new ArrayList<>();
         PartitionedDecider decider =
                 new PartitionedDecider(RolloutSimulation.settings(false, 0), 1, (settings, seed) -> {
                     List<Event> events = new ArrayList<>();
-                    heard.add(events);
-                    return (nowTicks, now) -> {
-                        events.addAll(now);
+                    eventsByPartition.add(events);
+                    return (nowTicks, newEvents) -> {
+                        events.addAll(newEvents);
                         return List.of(new Action.StartTimer(nowTicks + MILLISECOND, 0));
                     };
                 });
@@ -260,8 +260,8 @@
         assertEquals(
                 List.of(new Action.StartTimer(SECOND + MILLISECOND, 0), new Action.StartTimer(SECOND + MILLISECOND, 1)),
                 started);
-        heard.forEach(List::clear);
+        eventsByPartition.forEach(List::clear);
         decider.decide(SECOND + MILLISECOND, List.of(new Event.TimerFired(1)));
-        assertEquals(List.of(List.of(), List.of(new Event.TimerFired(0))), heard);
+        assertEquals(List.of(List.of(), List.of(new Event.TimerFired(0))), eventsByPartition);
     }
 }
--- a/src/test/java/laurelkeel/partition/RolloutSimulation.java
+++ b/src/test/java/laurelkeel/partition/RolloutSimulation.java
@@ -58,9 +58,9 @@
     private final TreeMap<Integer, RolloutUpdate> rollouts = new TreeMap<>();
     private final Map<Integer, List<ArrayDeque<Long>>> attemptTimes = new HashMap<>();
     private final List<ArrayDeque<Long>> requestTimes = new ArrayList<>();
-    private final Map<String, Integer> latestBuildOfKey = new HashMap<>();
+    private final Map<String, Integer> latestBuildByKey = new HashMap<>();
     private final Map<String, RequestReceived> requests = new HashMap<>();
-    private final Map<String, Integer> attemptsOfRequest = new HashMap<>();
+    private final Map<String, Integer> attemptCountByRequest = new HashMap<>();
     private final Set<String> answeredRequests = new HashSet<>();
     private final TreeMap<Long, List<Event>> dueEvents = new TreeMap<>();
     private int requestCount;
@@ -180,7 +180,7 @@
             rollouts.headMap(build).clear();
         }
         if (phase != RolloutPhase.CANARY && phase != RolloutPhase.RELEASED) {
-            latestBuildOfKey.values().removeIf(latest -> latest == build);
+            latestBuildByKey.values().removeIf(latest -> latest == build);
         }
         decide(List.of(update));
     }
@@ -269,7 +269,7 @@
                 && rollout != null
                 && (rollout.phase() == RolloutPhase.CANARY || rollout.phase() == RolloutPhase.RELEASED);
         if (key != null && binds) {
-            latestBuildOfKey.merge(key, build, Math::max);
+            latestBuildByKey.merge(key, build, Math::max);
         }
     }
 
@@ -320,11 +320,11 @@
             return;
         }
         int build = endpoint.build();
-        int attempt = attemptsOfRequest.merge(send.requestId(), 1, Integer::sum) - 1;
+        int attempt = attemptCountByRequest.merge(send.requestId(), 1, Integer::sum) - 1;
         attemptsByBuild.merge(build, 1, Integer::sum);
         attemptsByEndpoint.merge(send.endpointId(), 1, Integer::sum);
         checkAttempt(requests.get(send.requestId()), build);
-        AttemptOutcome outcome = drawOutcome(build);
+        AttemptOutcome outcome = randomOutcome(build);
         schedule(
                 nowTicks + 8 * MILLISECOND + random.nextInt(100),
                 new AttemptEnded(
@@ -337,7 +337,7 @@
                         LoadReport.NONE));
     }
 
-    private AttemptOutcome drawOutcome(int build) {
+    private AttemptOutcome randomOutcome(int build) {
         if (random.nextDouble() < failureShare && build == FAILING_BUILD) {
             return AttemptOutcome.FAILED;
         }
@@ -351,7 +351,7 @@
         if (answeredRequests.contains(request.requestId())) {
             addViolation("sent after its final answer");
         }
-        Integer latestBuild = request.partitionKey() == null ? null : latestBuildOfKey.get(request.partitionKey());
+        Integer latestBuild = request.partitionKey() == null ? null : latestBuildByKey.get(request.partitionKey());
         if (latestBuild != null && build < latestBuild) {
             addViolation("key " + request.partitionKey() + " of build " + latestBuild + " went to " + build);
         }
@@ -393,51 +393,51 @@
 
     /** Rollouts that begin, advance, are released and rolled back in an order of the seed, up to four at once. */
     void runRandomRollouts(int seed) {
-        Random plan = new Random(seed);
+        Random rolloutRandom = new Random(seed);
         int nextBuild = FIRST_BUILD + 1;
-        Map<Integer, Integer> stageOfCanary = new TreeMap<>();
+        Map<Integer, Integer> stageByCanary = new TreeMap<>();
         for (int turn = 0; turn < 14; turn++) {
-            int kind = plan.nextInt(6);
-            if ((kind <= 1 && stageOfCanary.size() < 4) || stageOfCanary.isEmpty()) {
-                startCanary(nextBuild, plan);
-                stageOfCanary.put(nextBuild, 0);
+            int kind = rolloutRandom.nextInt(6);
+            if ((kind <= 1 && stageByCanary.size() < 4) || stageByCanary.isEmpty()) {
+                startCanary(nextBuild, rolloutRandom);
+                stageByCanary.put(nextBuild, 0);
                 nextBuild++;
             } else {
-                int build = List.copyOf(stageOfCanary.keySet()).get(plan.nextInt(stageOfCanary.size()));
-                int stage = stageOfCanary.get(build);
+                int build = List.copyOf(stageByCanary.keySet()).get(rolloutRandom.nextInt(stageByCanary.size()));
+                int stage = stageByCanary.get(build);
                 if (kind <= 3 && stage < 2) {
                     addEndpoints(build, 3 + 14 * stage);
                     updateRollout(build, stage + 1, RolloutPhase.CANARY);
-                    stageOfCanary.put(build, stage + 1);
+                    stageByCanary.put(build, stage + 1);
                 } else if (kind == 4 && stage == 2) {
-                    release(build, stageOfCanary);
+                    release(build, stageByCanary);
                 } else {
                     rollBack(build, stage);
-                    stageOfCanary.remove(build);
+                    stageByCanary.remove(build);
                 }
             }
-            runTraffic(SECOND + plan.nextInt(30_000), 5 + plan.nextInt(10));
+            runTraffic(SECOND + rolloutRandom.nextInt(30_000), 5 + rolloutRandom.nextInt(10));
         }
     }
 
-    private void startCanary(int build, Random plan) {
-        addEndpoints(build, 1 + plan.nextInt(3));
-        if (plan.nextBoolean()) {
+    private void startCanary(int build, Random rolloutRandom) {
+        addEndpoints(build, 1 + rolloutRandom.nextInt(3));
+        if (rolloutRandom.nextBoolean()) {
             runTraffic(200 * MILLISECOND, 5);
         }
         updateRollout(build, 0, RolloutPhase.CANARY);
     }
 
-    private void release(int build, Map<Integer, Integer> stageOfCanary) {
-        for (int other : List.copyOf(stageOfCanary.keySet())) {
+    private void release(int build, Map<Integer, Integer> stageByCanary) {
+        for (int other : List.copyOf(stageByCanary.keySet())) {
             if (other < build) {
-                updateRollout(other, stageOfCanary.get(other), RolloutPhase.ROLLING_BACK);
+                updateRollout(other, stageByCanary.get(other), RolloutPhase.ROLLING_BACK);
                 removeEndpoints(other);
-                stageOfCanary.remove(other);
+                stageByCanary.remove(other);
             }
         }
         updateRollout(build, 2, RolloutPhase.RELEASED);
-        stageOfCanary.remove(build);
+        stageByCanary.remove(build);
     }
 
     private void rollBack(int build, int stage) {
--- a/src/test/java/laurelkeel/partition/TrafficPartitionTest.java
+++ b/src/test/java/laurelkeel/partition/TrafficPartitionTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 
 class TrafficPartitionTest {
-    private final List<Event> heard = new ArrayList<>();
+    private final List<Event> receivedEvents = new ArrayList<>();
     private final TrafficPartition partition = partition(2, (nowTicks, events) -> {
-        heard.addAll(events);
+        receivedEvents.addAll(events);
         return List.of();
     });
 
@@ -32,7 +32,7 @@
         partition.decide(1);
         assertFalse(partition.hasPendingEvents());
         partition.decide(2);
-        assertEquals(List.of(update), heard);
+        assertEquals(List.of(update), receivedEvents);
     }
 
     @Test
@@ -59,11 +59,11 @@
         partition.announceCap(rollout, 0.2);
         partition.announceCap(rollout, 0.2);
         partition.decide(1);
-        assertEquals(List.of(update(2, 0, 0.2, RolloutPhase.CANARY)), heard);
+        assertEquals(List.of(update(2, 0, 0.2, RolloutPhase.CANARY)), receivedEvents);
         partition.enqueueRolloutUpdate(update(2, 0, 0.1, RolloutPhase.CANARY));
         partition.announceCap(rollout, 0.2);
         partition.decide(2);
-        assertEquals(3, heard.size(), "an update sets the cap of all requests again");
+        assertEquals(3, receivedEvents.size(), "an update sets the cap of all requests again");
     }
 
     @Test
