--- a/src/main/java/laurelkeel/partition/VoteGate.java
+++ b/src/main/java/laurelkeel/partition/VoteGate.java
@@ -14,12 +14,15 @@
 /**
  * Reconciles the votes of the partitions' deciders with the attribution of regressions.
  *
- * <p>A decider compares its rollout's build with the baseline only, and may take for a fault of its build what another
- * rollout causes. Reports of all nodes are attributed to one of the rollouts; this says which votes wait for that, and
- * votes against the build that it falls on. Not thread-safe.
+ * <p>A decider compares its rollout's build only with the baseline, and may attribute to its build a failure that
+ * another rollout causes. The reports of all nodes are used to attribute a regression to one of the rollouts. This
+ * class determines which votes wait for that attribution, and votes to roll back the build that the regression is
+ * attributed to. Not thread-safe.
  */
 final class VoteGate {
-    /** For so long a vote to roll back waits for the attribution; then the decider's comparison decides alone. */
+    /**
+     * How long a vote to roll back waits for the attribution; after that, the decider's own comparison is sufficient.
+     */
     private static final long ROLL_BACK_DELAY_TICKS = 15 * Ticks.PER_SECOND;
 
     private final long renewalTicks;
@@ -27,9 +30,9 @@
     private final Map<Integer, Long> firstWithheldTicks = new HashMap<>();
     private final Map<Integer, Long> lastRollBackVoteTicks = new HashMap<>();
 
-    /** @param voteLifetimeTicks how long a vote counts */
+    /** @param voteLifetimeTicks how long a vote is valid */
     VoteGate(long voteLifetimeTicks) {
-        // renewed before it lapses, with time for an answer that is lost
+        // renewed before it expires, with enough time left if an answer is lost
         renewalTicks = voteLifetimeTicks * 6 / 10;
     }
 
@@ -37,14 +40,14 @@
         attributions.put(build, attribution);
     }
 
-    /** Forgets a build whose rollout has ended. */
+    /** Removes the state of a build whose rollout has ended. */
     void forget(int build) {
         attributions.remove(build);
         firstWithheldTicks.remove(build);
         lastRollBackVoteTicks.remove(build);
     }
 
-    /** Why a partition's vote must not be cast yet, in words for the log; null where it may. */
+    /** Returns why a partition's vote must not be cast yet, as text for the log, or null if it may be cast. */
     @Nullable
     String reasonToWithhold(CastVote vote, long nowTicks) {
         Attribution own = attributions.getOrDefault(vote.build(), Attribution.NONE);
@@ -56,7 +59,9 @@
         }
         if (vote.verdict() == Verdict.ROLL_BACK && own != Attribution.GUILTY) {
             boolean mustWait = isOpen || isOtherGuilty || own == Attribution.CLEARED;
-            return mustWait && isWithinDelay(vote.build(), nowTicks) ? "the regression is not attributed to it" : null;
+            return mustWait && isWithinDelay(vote.build(), nowTicks)
+                    ? "the regression is not attributed to this build"
+                    : null;
         }
         return null;
     }
@@ -71,7 +76,10 @@
         return nowTicks < firstTicks + ROLL_BACK_DELAY_TICKS;
     }
 
-    /** The votes, with their log lines, against canaries that a regression is attributed to or that are set aside. */
+    /**
+     * Returns votes, with their log lines, to roll back canaries that a regression is attributed to or that are set
+     * aside.
+     */
     List<Action> rollBackVotes(ConcurrentRollouts rollouts, long nowTicks) {
         List<Action> actions = new ArrayList<>();
         attributions.forEach((build, attribution) -> {
@@ -98,7 +106,7 @@
         if (lastVoteTicks == null) {
             String reason = attribution == Attribution.GUILTY
                     ? "a regression is attributed to it"
-                    : "set aside to show whether the regression ends with it";
+                    : "set aside to determine whether the regression ends without it";
             actions.add(new Action.WriteLog("votes to roll back build " + build + ": " + reason));
         }
     }
