--- a/src/main/java/laurelkeel/partition/OwnedRequest.java
+++ b/src/main/java/laurelkeel/partition/OwnedRequest.java
@@ -9,9 +9,9 @@
 /**
  * A request that is owned by one partition until it has its final answer and its attempts have ended.
  *
- * <p>An attempt that is suppressed was never sent, yet the partition's decider counts it: attempts carry other numbers
- * within the partition than on the node. The translation holds as long as a decider has one attempt of a request in
- * flight at a time. Not thread-safe.
+ * <p>A suppressed attempt is never sent, but the partition's decider counts it, so that attempts are numbered
+ * differently within the partition than on the node. The translation between the two is valid as long as a decider has
+ * only one attempt of a request in flight at a time. Not thread-safe.
  */
 final class OwnedRequest {
     private final TrafficPartition partition;
@@ -43,12 +43,12 @@
         return route;
     }
 
-    /** The build that the last attempt was sent to, or {@link ConcurrentRollouts#NO_BUILD}. */
+    /** Returns the build that the last attempt was sent to, or {@link ConcurrentRollouts#NO_BUILD}. */
     int lastAttemptBuild() {
         return lastAttemptBuild;
     }
 
-    /** Whether it has its final answer. */
+    /** Returns whether the request has its final answer. */
     boolean isAnswered() {
         return answered;
     }
@@ -57,7 +57,7 @@
         answered = true;
     }
 
-    /** Whether neither an answer nor the end of an attempt is still to come. */
+    /** Returns whether the request has its final answer and no attempt in flight. */
     boolean isComplete() {
         return answered && attemptsInFlight <= 0;
     }
@@ -74,7 +74,7 @@
     }
 
     /**
-     * Notes that an attempt of the partition's decider is not sent.
+     * Records that an attempt of the partition's decider is not sent.
      *
      * @return the number of that attempt within the partition
      */
@@ -84,17 +84,17 @@
         return attempt;
     }
 
-    /** The number that the partition's decider gave to an attempt. */
+    /** Returns the number of an attempt within the partition, by its number on the node. */
     int toPartitionAttempt(int nodeAttempt) {
         return nodeAttempt + suppressedAttempts;
     }
 
-    /** The number that the node gave to an attempt. */
+    /** Returns the number of an attempt on the node, by its number within the partition. */
     int toNodeAttempt(int partitionAttempt) {
         return partitionAttempt - suppressedAttempts;
     }
 
-    /** The same end of an attempt, as the partition's decider counts its attempts. */
+    /** Returns the event with the attempt's number within the partition. */
     AttemptEnded withPartitionNumbering(AttemptEnded ended) {
         if (suppressedAttempts == 0) {
             return ended;
--- a/src/main/java/laurelkeel/partition/OwnedRequestTable.java
+++ b/src/main/java/laurelkeel/partition/OwnedRequestTable.java
@@ -6,7 +6,7 @@
 import laurelkeel.api.Event.RequestReceived;
 import org.jspecify.annotations.Nullable;
 
-/** Records which partition owns each request that is not complete. Not thread-safe. */
+/** The requests that are not complete, with the partition that owns each of them. Not thread-safe. */
 final class OwnedRequestTable {
     private final Map<String, OwnedRequest> requests = new HashMap<>();
 
@@ -15,19 +15,19 @@
         owner.onRequestAssigned(received.route(), nowTicks);
     }
 
-    /** A request that is not complete, or null. */
+    /** Returns a request that is not complete, or null. */
     @Nullable
     OwnedRequest find(String requestId) {
         return requests.get(requestId);
     }
 
-    /** Notes the end of one of the request's attempts. */
+    /** Records the end of one of the request's attempts. */
     void onAttemptEnded(OwnedRequest request, AttemptEnded ended) {
         request.onAttemptEnded(ended);
         removeIfComplete(ended.requestId(), request);
     }
 
-    /** Notes that a request has its final answer, or that none is owed any more; ignores one that is unknown. */
+    /** Records that a request has its final answer or that none is required any more; ignores an unknown request. */
     void onAnswered(String requestId) {
         OwnedRequest request = requests.get(requestId);
         if (request != null) {
--- a/src/main/java/laurelkeel/partition/PartitionedDecider.java
+++ b/src/main/java/laurelkeel/partition/PartitionedDecider.java
@@ -18,29 +18,32 @@
  * Runs several concurrent rollouts behind one front node: divides the requests into partitions, one for each rollout,
  * and runs one decider for each partition.
  *
- * <p>A partition's decider is shown its rollout's build and the baseline beside it, as if no other rollout were there,
- * and keeps that rollout's cap, window, guarded stages and sticky keys by itself. This class routes each event to the
- * deciders that it concerns, and passes their actions on, except for attempts that only all partitions together show to
- * be forbidden and votes that await the attribution of a regression. With one rollout all events go to one decider, and
- * all its actions are passed on unchanged.
+ * <p>Only the rollout's build and the baseline are visible to a partition's decider, as if there were no other rollout.
+ * The decider enforces the cap, window, guarded stages and sticky keys of that rollout itself. This class routes each
+ * event to the deciders that it concerns, and forwards their actions, except for attempts that only the state of all
+ * partitions together shows to be forbidden and votes that await the attribution of a regression. With one rollout, all
+ * events go to one decider and all its actions are forwarded unchanged.
  *
- * <p>Not thread-safe: called by one thread at a time, as every {@link Decider}.
+ * <p>Not thread-safe: called by one thread at a time, like every {@link Decider}.
  */
 public final class PartitionedDecider implements Decider {
-    /** The most rollouts at once; the build of a further one gets no requests until another rollout ends. */
+    /**
+     * The maximum number of concurrent rollouts; the build of a further one receives no requests until another rollout
+     * ends.
+     */
     public static final int MAX_ROLLOUTS = 3;
 
-    /** Whether a regression is attributed to one rollout, by the reports of all nodes. */
+    /** Whether a regression is attributed to a rollout, according to the reports of all nodes. */
     public enum Attribution {
         /** Nothing is known. */
         NONE,
-        /** A regression is attributed to it: it is to be rolled back. */
+        /** A regression is attributed to the build, which is to be rolled back. */
         GUILTY,
-        /** It causes no regression. */
+        /** The build causes no regression. */
         CLEARED,
-        /** There is a regression, and it may be the cause. */
+        /** There is a regression, and the build may be its cause. */
         OPEN,
-        /** It is to be rolled back to show whether the regression ends with it. */
+        /** The build is to be rolled back to determine whether the regression ends as a result. */
         SET_ASIDE
     }
 
@@ -60,9 +63,9 @@
     private boolean attemptSuppressed;
 
     /**
-     * Starts with one partition.
+     * Creates a decider that has one partition.
      *
-     * @param seed of the node's own random draws; the first partition's decider gets it unchanged
+     * @param seed the seed of the node's own random numbers; the first partition's decider gets it unchanged
      * @param deciders creates the decider of each partition
      */
     public PartitionedDecider(Settings settings, long seed, Factory deciders) {
@@ -76,17 +79,17 @@
         voteGate = new VoteGate(rollout.voteLifetimeTicks());
     }
 
-    /** How many partitions take requests. */
+    /** Returns the number of partitions that take requests. */
     public int openPartitions() {
         return partitions.openCount();
     }
 
-    /** How many sticky keys are bound to a partition. */
+    /** Returns the number of sticky keys that are bound to a partition. */
     int boundKeyCount() {
         return keyBindings.size();
     }
 
-    /** Sets what is known of a build's part in a regression; it counts from the next decision on. */
+    /** Sets whether a regression is attributed to a build; takes effect with the next decision. */
     public void attribute(int build, Attribution attribution) {
         voteGate.setAttribution(build, attribution);
     }
@@ -114,7 +117,7 @@
             for (Action action : partition.decide(nowTicks)) {
                 perform(partition, action);
             }
-            // a request whose attempt was suppressed is routed anew or answered at the same moment
+            // a request whose attempt was suppressed is routed again or answered in the same decision
         } while (attemptSuppressed);
     }
 
@@ -141,7 +144,7 @@
             ownerOf(disconnected.requestId()).enqueue(event);
             requests.onAnswered(disconnected.requestId());
         } else if (event instanceof Event.TimerFired timer) {
-            // a partition's timers carry its id; its decider takes any timer as its turn
+            // timers carry the id of their partition; its decider does not distinguish between timers
             enqueueIf(partition -> partition.id() == timer.timerId(), new Event.TimerFired(0));
         } else if (event instanceof Event.EndpointListUpdate update) {
             endpoints.apply(update);
@@ -159,9 +162,9 @@
         }
     }
 
-    private void enqueueIf(Predicate<TrafficPartition> concerned, Event event) {
+    private void enqueueIf(Predicate<TrafficPartition> isConcerned, Event event) {
         for (TrafficPartition partition : partitions) {
-            if (concerned.test(partition)) {
+            if (isConcerned.test(partition)) {
                 partition.enqueue(event);
             }
         }
@@ -185,7 +188,9 @@
         owner.enqueue(received);
     }
 
-    /** A key stays in the partition that served it while that one is open. */
+    /**
+     * Assigns a request to a partition. A key stays in the partition that served it as long as that partition is open.
+     */
     private TrafficPartition assign(Event.RequestReceived received) {
         if (partitions.isSingle()) {
             return partitions.first();
@@ -223,7 +228,7 @@
 
     private void acceptRolloutUpdate(RolloutUpdate update) {
         if (update.answersVote() && update.status() != ControlStatus.OK) {
-            // it names the build that the vote was for, or 0
+            // the update names the build that was voted on, or 0
             enqueueIf(
                     partition ->
                             partitions.isSingle() || update.build() == 0 || partition.rolloutBuild() == update.build(),
@@ -241,7 +246,10 @@
         partitionManager.onRolloutUpdate(update, changed);
     }
 
-    /** A complaint names an endpoint only; partitions that share the endpoint get its complaints in turn. */
+    /**
+     * Forwards a complaint. It names only an endpoint, so partitions that share the endpoint receive its complaints in
+     * turn.
+     */
     private void acceptComplaint(Event.ComplaintReceived complaint) {
         if (partitions.isSingle()) {
             partitions.first().enqueue(complaint);
@@ -279,7 +287,7 @@
         } else if (action instanceof Action.CastVote vote) {
             castOrWithhold(partition, vote);
         } else if (action instanceof Action.WatchEndpoints || action instanceof Action.FetchEndpoints) {
-            // the first partition follows the endpoint list for all
+            // the first partition watches the endpoint list on behalf of all partitions
             if (partition == partitions.first()) {
                 actions.add(action);
             }
@@ -293,7 +301,7 @@
         }
     }
 
-    /** Passes an attempt on, or reports to its decider that it was not sent. */
+    /** Forwards an attempt, or reports to its decider that the attempt was not sent. */
     private void sendOrSuppress(TrafficPartition partition, Action.SendAttempt send) {
         OwnedRequest request = requests.find(send.requestId());
         if (request == null) {
@@ -335,7 +343,7 @@
             actions.add(vote);
             return;
         }
-        // as if the control service had refused it: the decider votes again while it finds the same
+        // as if the control service had refused the vote: the decider repeats it as long as its verdict is the same
         partition.enqueue(new RolloutUpdate(ControlStatus.STALE, 0, 0, 0, RolloutPhase.CANARY, 0, true));
         actions.add(new Action.WriteLog("vote on build " + vote.build() + " stage " + vote.stage() + " withheld: "
                 + vote.verdict() + ", " + reason));
--- a/src/main/java/laurelkeel/partition/TrafficPartition.java
+++ b/src/main/java/laurelkeel/partition/TrafficPartition.java
@@ -16,8 +16,8 @@
 import laurelkeel.api.Event.RolloutUpdate;
 
 /**
- * One share of the requests, with the decider that takes all decisions for it and what that decider knows. Not
- * thread-safe.
+ * One share of the requests, with the decider that makes all decisions for it and the information that this decider has
+ * received. Not thread-safe.
  */
 final class TrafficPartition {
     private final int id;
@@ -29,7 +29,7 @@
     private int rolloutBuild;
     private int baselineBuild = NO_BUILD;
     private int announcedRelease = NO_BUILD;
-    /** The exposure cap that the decider goes by; NaN where it is that of the last update. */
+    /** The exposure cap that the decider applies; NaN if it is that of the last rollout update. */
     private double announcedCap = Double.NaN;
 
     private boolean closing;
@@ -40,8 +40,8 @@
     /**
      * Creates an open partition.
      *
-     * @param rolloutBuild the build that is rolled out in it, or {@link ConcurrentRollouts#NO_BUILD}
-     * @param acceptedRequests counts the requests that are assigned to it
+     * @param rolloutBuild the build that is rolled out in this partition, or {@link ConcurrentRollouts#NO_BUILD}
+     * @param acceptedRequests counts the requests that are assigned to this partition
      */
     TrafficPartition(int id, int rolloutBuild, Decider decider, ExposureWindow acceptedRequests) {
         this.id = id;
@@ -54,17 +54,20 @@
         return id;
     }
 
-    /** The build that is or was rolled out in it, or {@link ConcurrentRollouts#NO_BUILD}. */
+    /** Returns the build that is or was rolled out in this partition, or {@link ConcurrentRollouts#NO_BUILD}. */
     int rolloutBuild() {
         return rolloutBuild;
     }
 
-    /** Hands a further rollout to this partition, where its build is later. */
+    /** Assigns a further rollout to this partition if its build is later than the current one. */
     void advanceRolloutBuild(int build) {
         rolloutBuild = Math.max(rolloutBuild, build);
     }
 
-    /** The build that serves its other requests; {@link ConcurrentRollouts#NO_BUILD} leaves that to the decider. */
+    /**
+     * Returns the build that serves the other requests of this partition, or {@link ConcurrentRollouts#NO_BUILD} if the
+     * decider chooses it.
+     */
     int baselineBuild() {
         return baselineBuild;
     }
@@ -73,12 +76,12 @@
         baselineBuild = build;
     }
 
-    /** Whether the decider chooses the baseline itself, from all endpoints that it is shown. */
+    /** Returns whether the decider chooses the baseline itself, from all endpoints that are visible to it. */
     boolean choosesBaseline() {
         return baselineBuild == NO_BUILD;
     }
 
-    /** Whether it takes no further requests. */
+    /** Returns whether this partition takes no further requests. */
     boolean isClosing() {
         return closing;
     }
@@ -87,7 +90,7 @@
         closing = true;
     }
 
-    /** Whether it is closing and has no request left that needs its decider. */
+    /** Returns whether this partition is closing and has no request left that needs its decider. */
     boolean isDrained() {
         return closing && openRequests == 0;
     }
@@ -109,12 +112,12 @@
         return !pendingEvents.isEmpty();
     }
 
-    /** Keeps an event for the decider's next turn. */
+    /** Queues an event for the next call of the decider. */
     void enqueue(Event event) {
         pendingEvents.add(event);
     }
 
-    /** Gives the decider all events so far; what its actions bring about waits for the next call. */
+    /** Passes all queued events to the decider. Events that its actions cause are queued for the next call. */
     List<Action> decide(long nowTicks) {
         List<Event> events = pendingEvents;
         spareEvents.clear();
@@ -123,11 +126,11 @@
         return decider.decide(nowTicks, events);
     }
 
-    /** Passes on an update of its own rollout, or of one that ends it. */
+    /** Queues an update of this partition's rollout, or of a rollout that ends it. */
     void enqueueRolloutUpdate(RolloutUpdate update) {
         announcedCap = Double.NaN;
         enqueue(update);
-        // a decider ignores updates of builds before its own
+        // a decider ignores updates of builds that are earlier than its own
         if (update.build() >= rolloutBuild) {
             if (RolloutRecord.of(update).isRolledBack()) {
                 announcedRollbacks.add(update.build());
@@ -138,7 +141,7 @@
         }
     }
 
-    /** Announces the baseline to a decider that has just been created. */
+    /** Announces the baseline to a newly created decider. */
     void announceBaseline() {
         if (!choosesBaseline()) {
             enqueue(new RolloutUpdate(ControlStatus.OK, 0, 1, 0, RolloutPhase.RELEASED, baselineBuild, false));
@@ -146,7 +149,7 @@
         }
     }
 
-    /** Announces the exposure cap to keep to, where the decider goes by another. */
+    /** Announces the exposure cap to the decider if the decider applies a different one. */
     void announceCap(RolloutRecord rollout, double cap) {
         double knownCap = Double.isNaN(announcedCap) ? rollout.exposureCap() : announcedCap;
         if (cap != knownCap) {
@@ -156,21 +159,24 @@
         announcedCap = cap;
     }
 
-    /** The latest build that the decider knows as released, or {@link ConcurrentRollouts#NO_BUILD}. */
+    /** Returns the latest build that the decider knows to be released, or {@link ConcurrentRollouts#NO_BUILD}. */
     int announcedRelease() {
         return announcedRelease;
     }
 
-    /** Whether the decider knows that a build is rolled back; of others it might make its baseline. */
+    /**
+     * Returns whether the decider knows that a build is being or has been rolled back. The decider might choose a build
+     * as its baseline if it does not know of the rollback.
+     */
     boolean knowsRollbackOf(int build) {
         return announcedRollbacks.contains(build);
     }
 
-    /** Replaces the endpoint list that the decider knows. */
+    /** Replaces the endpoint list that the decider uses. */
     void replaceEndpoints(List<EndpointEntry> entries) {
         visibleEndpoints.clear();
         entries.forEach(entry -> visibleEndpoints.add(entry.endpointId()));
-        // cached: it says nothing of how recent the list itself is
+        // CACHED, since this update does not indicate how recent the endpoint list is
         enqueue(new Event.EndpointListUpdate(EndpointListKind.CACHED, entries));
     }
 
@@ -183,9 +189,9 @@
     }
 
     /**
-     * Notes that an endpoint is to be hidden from the decider.
+     * Records that an endpoint is hidden from the decider.
      *
-     * @return whether the decider had been shown it
+     * @return whether the endpoint was visible to the decider before
      */
     boolean markHidden(String endpointId) {
         return visibleEndpoints.remove(endpointId);
--- a/src/main/java/laurelkeel/partition/package-info.java
+++ b/src/main/java/laurelkeel/partition/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Several concurrent rollouts behind one front node: the traffic is partitioned, and each rollout gets a partition with
- * a {@link laurelkeel.api.Decider} of its own. {@link laurelkeel.partition.PartitionedDecider} is the only public entry;
- * every other type has one job and knows no socket, clock or thread.
+ * Concurrent rollouts behind one front node: the traffic is divided into partitions, and each rollout gets a partition
+ * with a {@link laurelkeel.api.Decider} of its own. {@link laurelkeel.partition.PartitionedDecider} is the only public
+ * type; every other type has a single responsibility, and none uses sockets, clocks or threads.
  */
 @NullMarked
 package laurelkeel.partition;
