--- a/src/main/java/laurelkeel/partition/BaselineSelector.java
+++ b/src/main/java/laurelkeel/partition/BaselineSelector.java
@@ -3,29 +3,36 @@
 import java.util.Map;
 
 /**
- * Chooses the baseline of a rollout: the build that serves the requests of its partition which the rollout's build does
- * not get.
+ * Selects the baseline of a rollout: the build that serves the requests of the rollout's partition that the rollout's
+ * build does not receive.
  *
- * <p>The released build is the baseline. A canary that may get all requests takes its place for later rollouts once its
- * active endpoints have {@value #SUCCESSOR_WEIGHT_RATIO} times the weight of the baseline's: as endpoints of the
- * released build give way to it, those that remain could not carry the other partitions.
+ * <p>The released build is the baseline. For later rollouts, a canary that may receive all requests replaces it once
+ * the canary's active endpoints have {@value #SUCCESSOR_WEIGHT_RATIO} times the weight of those of the baseline,
+ * because the canary's endpoints replace those of the released build and the remaining ones could not carry the load of
+ * the other partitions.
  */
 final class BaselineSelector {
-    /** Weight of a canary, beside that of the baseline before it, from which it is the baseline of later rollouts. */
+    /**
+     * The ratio of a canary's weight to that of the previous baseline from which the canary is the baseline of later
+     * rollouts.
+     */
     static final double SUCCESSOR_WEIGHT_RATIO = 2;
 
     private final ConcurrentRollouts rollouts;
     private final EndpointTable endpoints;
     private final int guardedStages;
 
-    /** @param guardedStages so many stages, from the first, in which a canary may not get all kinds of requests */
+    /**
+     * @param guardedStages the number of stages, from the first, in which a canary may not receive all kinds of
+     *     requests
+     */
     BaselineSelector(ConcurrentRollouts rollouts, EndpointTable endpoints, int guardedStages) {
         this.rollouts = rollouts;
         this.endpoints = endpoints;
         this.guardedStages = guardedStages;
     }
 
-    /** The baseline for the rollout of a build, or {@link ConcurrentRollouts#NO_BUILD} where none is known. */
+    /** Returns the baseline for the rollout of a build, or {@link ConcurrentRollouts#NO_BUILD} if none is known. */
     int baselineFor(int rolloutBuild) {
         int baseline = rollouts.releasedBuild();
         if (baseline == ConcurrentRollouts.NO_BUILD) {
@@ -48,7 +55,10 @@
         return rollout.isCanary() && rollout.exposureCap() >= 1 && rollout.stage() >= guardedStages;
     }
 
-    /** Stands in for the released build until an update names it. */
+    /**
+     * Returns the baseline to use until an update names the released build: the build with the most active weight that
+     * has no rollout.
+     */
     private int largestBuildWithoutRollout() {
         int largestBuild = ConcurrentRollouts.NO_BUILD;
         double largestWeight = 0;
--- a/src/main/java/laurelkeel/partition/BuildVisibility.java
+++ b/src/main/java/laurelkeel/partition/BuildVisibility.java
@@ -7,8 +7,8 @@
 import laurelkeel.api.Event.EndpointState;
 
 /**
- * Decides which endpoints a partition's decider is shown: those of its rollout's build and of its baseline, as if there
- * were no other rollout.
+ * Determines which endpoints are visible to a partition's decider: those of its rollout's build and of its baseline, as
+ * if there were no other rollout.
  */
 final class BuildVisibility {
     private final ConcurrentRollouts rollouts;
@@ -26,7 +26,7 @@
         return partition.choosesBaseline() && !isUnknownRollback(partition, build);
     }
 
-    /** Whether a partition that chooses its baseline may be shown every endpoint. */
+    /** Returns whether all endpoints may be visible to a partition that chooses its baseline. */
     boolean isEveryBuildVisible(TrafficPartition partition) {
         return rollouts.all().stream().noneMatch(rollout -> isUnknownRollback(partition, rollout.build()));
     }
@@ -35,14 +35,17 @@
         return rollouts.isRolledBack(build) && !partition.knowsRollbackOf(build);
     }
 
-    /** All endpoints that a partition may be shown. */
+    /** Returns all endpoints that may be visible to a partition. */
     List<EndpointEntry> visibleEndpoints(TrafficPartition partition, EndpointTable endpoints) {
         return endpoints.all().stream()
                 .filter(entry -> isVisible(partition, entry))
                 .toList();
     }
 
-    /** An update as a partition's decider is to get it; notes in the partition what it is shown. */
+    /**
+     * Returns an update as a partition's decider is to receive it, and records in the partition which endpoints are
+     * visible.
+     */
     EndpointListUpdate filterUpdate(EndpointListUpdate update, TrafficPartition partition) {
         List<EndpointEntry> visible = new ArrayList<>();
         for (EndpointEntry entry : update.entries()) {
@@ -50,7 +53,7 @@
                 partition.markVisible(entry.endpointId());
                 visible.add(entry);
             } else if (partition.markHidden(entry.endpointId())) {
-                // restarted with another build: for this partition it is gone
+                // the endpoint has restarted with another build: for this partition it is removed
                 visible.add(asRemoved(entry));
             }
         }
--- a/src/main/java/laurelkeel/partition/ConcurrentRollouts.java
+++ b/src/main/java/laurelkeel/partition/ConcurrentRollouts.java
@@ -9,9 +9,11 @@
 import laurelkeel.api.Event.RolloutUpdate;
 import org.jspecify.annotations.Nullable;
 
-/** The state of every rollout, and the released build, by the updates of the control service. Not thread-safe. */
+/**
+ * The state of every rollout and the released build, as of the latest updates of the control service. Not thread-safe.
+ */
 final class ConcurrentRollouts {
-    /** Stands for a build where there is none. */
+    /** The build number that represents the absence of a build. */
     static final int NO_BUILD = -1;
 
     private final List<Double> stageExposureCaps;
@@ -19,15 +21,15 @@
     private int releasedBuild = NO_BUILD;
     private int minimumBaseline = NO_BUILD;
 
-    /** @param stageExposureCaps for each stage, the share of requests that a build may get, from 0 to 1 */
+    /** @param stageExposureCaps for each stage, the maximum share of requests that a build may receive, from 0 to 1 */
     ConcurrentRollouts(List<Double> stageExposureCaps) {
         this.stageExposureCaps = stageExposureCaps;
     }
 
     /**
-     * Takes an update; the release of a build ends all earlier rollouts.
+     * Applies an update. The release of a build ends all earlier rollouts.
      *
-     * @return whether it changed anything
+     * @return whether the state of the build's rollout has changed
      */
     boolean apply(RolloutUpdate update) {
         RolloutRecord state = RolloutRecord.of(update);
@@ -45,13 +47,13 @@
         return !state.equals(previous);
     }
 
-    /** The state of a build's rollout, or null where no update named it or a later build has been released. */
+    /** Returns the state of a build's rollout, or null if no update has named it or a later build has been released. */
     @Nullable
     RolloutRecord find(int build) {
         return states.get(build);
     }
 
-    /** All states, by ascending build. */
+    /** Returns the states of all rollouts, by ascending build. */
     Collection<RolloutRecord> all() {
         return Collections.unmodifiableCollection(states.values());
     }
@@ -65,20 +67,20 @@
         return state != null && state.isCanary();
     }
 
-    /** Whether a build is known to be rolled back or to be on its way there. */
+    /** Returns whether a build is known to be rolled back or in the process of being rolled back. */
     boolean isRolledBack(int build) {
         RolloutRecord state = states.get(build);
         return state != null && state.isRolledBack();
     }
 
-    /** The latest build that was released, or {@link #NO_BUILD}. */
+    /** Returns the latest build that was released, or {@link #NO_BUILD}. */
     int releasedBuild() {
         return releasedBuild;
     }
 
     /**
-     * A canary that has served as the baseline of a partition that was closed, or {@link #NO_BUILD}: no partition goes
-     * back to an earlier baseline while it lasts.
+     * Returns a canary that has served as the baseline of a closed partition, or {@link #NO_BUILD}. As long as it is a
+     * canary, no partition returns to an earlier baseline.
      */
     int minimumBaseline() {
         return minimumBaseline;
@@ -88,15 +90,16 @@
         minimumBaseline = Math.max(minimumBaseline, build);
     }
 
-    /** Whether a sticky key that this build has served may go to no earlier build. */
+    /** Returns whether a sticky key that this build has served must not go to an earlier build. */
     boolean bindsStickyKeys(int build) {
         return build > releasedBuild && !isRolledBack(build);
     }
 
     /**
-     * The share of all requests that a build may get, from 0 to 1; empty where the build is bound by no cap.
+     * Returns the maximum share of all requests that a build may receive, from 0 to 1; empty if the build has no cap.
      *
-     * <p>A build later than all that updates named has the cap of the first stage: its rollout may have begun.
+     * <p>A build that is later than all builds named in updates has the cap of the first stage, since its rollout may
+     * have begun.
      */
     OptionalDouble exposureCap(int build) {
         RolloutRecord state = states.get(build);
--- a/src/main/java/laurelkeel/partition/EndpointTable.java
+++ b/src/main/java/laurelkeel/partition/EndpointTable.java
@@ -13,7 +13,7 @@
 import laurelkeel.api.Event.EndpointListUpdate;
 import laurelkeel.api.Event.EndpointState;
 
-/** The endpoints of all builds, by the updates of the endpoint list. Not thread-safe. */
+/** The endpoints of all builds, as of the latest updates of the endpoint list. Not thread-safe. */
 final class EndpointTable {
     private final Map<String, EndpointEntry> entries = new LinkedHashMap<>();
 
@@ -32,18 +32,18 @@
         }
     }
 
-    /** All endpoints that are not removed, in the order in which the list named them first. */
+    /** Returns all endpoints that are not removed, in the order in which the endpoint list first named them. */
     Collection<EndpointEntry> all() {
         return Collections.unmodifiableCollection(entries.values());
     }
 
-    /** The build that an endpoint runs, or {@link ConcurrentRollouts#NO_BUILD} where the endpoint is unknown. */
+    /** Returns the build that an endpoint runs, or {@link ConcurrentRollouts#NO_BUILD} if the endpoint is unknown. */
     int buildOf(String endpointId) {
         EndpointEntry entry = entries.get(endpointId);
         return entry == null ? ConcurrentRollouts.NO_BUILD : entry.build();
     }
 
-    /** The weight of all active endpoints of a build. */
+    /** Returns the total weight of the active endpoints of a build. */
     double activeWeight(int build) {
         return entries.values().stream()
                 .filter(entry -> entry.build() == build && entry.state() == EndpointState.ACTIVE)
@@ -51,7 +51,7 @@
                 .sum();
     }
 
-    /** The weight of all active endpoints of each build. */
+    /** Returns the total weight of the active endpoints of each build. */
     SortedMap<Integer, Double> activeWeights() {
         SortedMap<Integer, Double> weights = new TreeMap<>();
         for (EndpointEntry entry : entries.values()) {
--- a/src/main/java/laurelkeel/partition/PartitionAssigner.java
+++ b/src/main/java/laurelkeel/partition/PartitionAssigner.java
@@ -5,13 +5,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Divides requests evenly among partitions: by a hash of the partition key, at random where a request has none.
+ * Divides requests evenly among partitions: by a hash of the partition key, or at random if a request has none.
  *
- * <p>The hash depends on neither the build nor the node, so that all nodes divide the keys alike, and is independent of
- * the one that chooses a canary's keys within a partition. Not thread-safe.
+ * <p>The hash depends neither on the build nor on the node, so that all nodes assign a key to the same partition. It is
+ * independent of the hash that selects a canary's keys within a partition. Not thread-safe.
  */
 final class PartitionAssigner {
-    /** Both prefixes are part of the hash's input; another text would divide the keys in another way. */
+    /** Both prefixes are part of the hash's input; a different text would change the assignment of keys. */
     private static final byte[] KEY_PREFIX = "lane of ".getBytes(StandardCharsets.US_ASCII);
 
     private static final String SALT_PREFIX = "lanes/";
@@ -19,15 +19,15 @@
     private final byte[] salt;
     private long drawCount;
 
-    /** @param seed of the random draws for requests without a key */
+    /** @param seed the seed of the random assignment of requests that have no key */
     PartitionAssigner(long seed) {
         salt = (SALT_PREFIX + seed).getBytes(StandardCharsets.US_ASCII);
     }
 
     /**
-     * The partition for a request.
+     * Returns the index of the partition for a request.
      *
-     * @param partitionCount how many partitions there are, at least 1
+     * @param partitionCount the number of partitions, at least 1
      * @return from 0 to {@code partitionCount - 1}
      */
     int assign(@Nullable String key, int partitionCount) {
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Mixes a checksum into a position from 0 to below 1. CRC-32 is linear: unmixed, the partitions would divide every
-     * canary's keys in the same way.
+     * Mixes a checksum and scales it to a position from 0 (inclusive) to 1 (exclusive). CRC-32 is linear: without
+     * mixing, the partitions would divide every canary's keys in the same way.
      */
     private static double toUnitInterval(long crc) {
         long mixed = (crc + 0x632BE59BD9B4E019L) * 0x9E3779B97F4A7C15L;
--- a/src/main/java/laurelkeel/partition/PartitionManager.java
+++ b/src/main/java/laurelkeel/partition/PartitionManager.java
@@ -8,7 +8,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Opens and closes partitions as rollouts begin and end, and passes each partition's decider the rollout updates,
+ * Opens and closes partitions as rollouts begin and end, and forwards to each partition's decider the rollout updates,
  * endpoints and baseline that concern it. Not thread-safe.
  */
 final class PartitionManager {
@@ -20,7 +20,10 @@
     private final int maxOpenPartitions;
     private boolean baselinesOutdated;
 
-    /** @param guardedStages so many stages, from the first, in which a canary may not get all kinds of requests */
+    /**
+     * @param guardedStages the number of stages, from the first, in which a canary may not receive all kinds of
+     *     requests
+     */
     PartitionManager(
             PartitionSet partitions,
             ConcurrentRollouts rollouts,
@@ -36,9 +39,9 @@
     }
 
     /**
-     * Passes on an update of a rollout, after opening a partition where the rollout has just begun.
+     * Forwards an update of a rollout, after opening a partition if the rollout has just begun.
      *
-     * @param changed whether the update has changed the rollouts' state
+     * @param changed whether the update has changed the state of the rollouts
      */
     void onRolloutUpdate(RolloutUpdate update, boolean changed) {
         int build = update.build();
@@ -73,7 +76,7 @@
 
     private TrafficPartition open(int build) {
         TrafficPartition partition = partitions.open(build);
-        // first, since a closed partition's baseline limits the choice of the new one's
+        // must precede the choice of the new partition's baseline, which a closed partition's baseline limits
         closeEnded();
         partition.setBaselineBuild(baselines.baselineFor(build));
         partition.announceBaseline();
@@ -82,7 +85,7 @@
         return partition;
     }
 
-    /** Closes partitions whose rollout has ended; the last one stays open, for all builds. */
+    /** Closes partitions whose rollout has ended. The last open partition stays open and serves all builds. */
     private void closeEnded() {
         if (partitions.isSingle()) {
             return;
@@ -104,7 +107,7 @@
         }
     }
 
-    /** Passes on an update of the endpoint list, which the endpoint table has taken already. */
+    /** Forwards an update of the endpoint list that has already been applied to the endpoint table. */
     void onEndpointListUpdate(EndpointListUpdate update) {
         boolean restricted = isAnyPartitionRestricted();
         baselinesOutdated |= restricted;
@@ -118,12 +121,15 @@
         }
     }
 
-    /** Whether any partition is shown some builds only; a last one may keep the baseline of one that was closed. */
+    /**
+     * Returns whether any partition is shown only some builds. The only remaining partition may still have the baseline
+     * of one that was closed.
+     */
     private boolean isAnyPartitionRestricted() {
         return !partitions.isSingle() || !partitions.first().choosesBaseline();
     }
 
-    /** Chooses the partitions' baselines anew where rollouts or endpoints have changed since the last call. */
+    /** Chooses the partitions' baselines again if rollouts or endpoints have changed since the last call. */
     void refreshBaselines() {
         if (!baselinesOutdated) {
             return;
@@ -143,12 +149,15 @@
             return ConcurrentRollouts.NO_BUILD;
         }
         int baseline = baselines.baselineFor(partition.rolloutBuild());
-        // while a canary that has served as the baseline lasts, only a later build takes its place
+        // as long as a build that has served as the baseline is a canary, only a later build replaces it
         int current = partition.baselineBuild();
         return rollouts.isCanary(current) ? Math.max(baseline, current) : baseline;
     }
 
-    /** The only open partition's decider chooses for itself, once it knows all that was released meanwhile. */
+    /**
+     * Returns whether a partition's decider may choose the baseline itself. Only the decider of the single open
+     * partition may, once it has been informed of all releases so far and no minimum baseline applies.
+     */
     private boolean mayChooseBaseline(TrafficPartition partition) {
         return partitions.openCount() == 1
                 && !partition.isClosing()
--- a/src/main/java/laurelkeel/partition/PartitionSet.java
+++ b/src/main/java/laurelkeel/partition/PartitionSet.java
@@ -10,8 +10,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The partitions of one node in the order in which they were opened, of which there is always one. The first one acts
- * for all where the node has to act once. Not thread-safe.
+ * The partitions of one node, in the order in which they were opened. There is always at least one; the first one acts
+ * on behalf of all if the node has to act only once. Not thread-safe.
  */
 final class PartitionSet implements Iterable<TrafficPartition> {
     private static final long SEED_FACTOR = 31;
@@ -23,9 +23,9 @@
     private int nextId;
 
     /**
-     * Opens the first partition, for no rollout in particular.
+     * Opens the first partition, which is not tied to a particular rollout.
      *
-     * @param seed of the first partition's decider; later seeds are derived from it
+     * @param seed the seed of the first partition's decider; the seeds of later deciders are derived from it
      */
     PartitionSet(Settings settings, long seed, Decider.Factory deciders) {
         this.settings = settings;
@@ -51,12 +51,12 @@
         return partitions.get(0);
     }
 
-    /** Whether there is one partition only, none that is closing included. */
+    /** Returns whether there is exactly one partition, closing ones included. */
     boolean isSingle() {
         return partitions.size() == 1;
     }
 
-    /** How many partitions take requests. */
+    /** Returns the number of partitions that take requests. */
     int openCount() {
         int count = 0;
         for (TrafficPartition partition : partitions) {
@@ -65,7 +65,7 @@
         return count;
     }
 
-    /** The open partition with an index among the open ones, in their order. */
+    /** Returns the open partition at an index among the open ones, in their order. */
     TrafficPartition openAt(int index) {
         int openIndex = 0;
         for (TrafficPartition partition : partitions) {
@@ -79,7 +79,7 @@
         return first();
     }
 
-    /** The open partition with an id, or null. */
+    /** Returns the open partition with the given id, or null. */
     @Nullable
     TrafficPartition findOpen(int id) {
         for (TrafficPartition partition : partitions) {
@@ -90,7 +90,7 @@
         return null;
     }
 
-    /** The first partition of a build's rollout, or null. */
+    /** Returns the first partition of a build's rollout, or null. */
     @Nullable
     TrafficPartition findByRollout(int build) {
         for (TrafficPartition partition : partitions) {
--- a/src/main/java/laurelkeel/partition/RolloutRecord.java
+++ b/src/main/java/laurelkeel/partition/RolloutRecord.java
@@ -4,10 +4,10 @@
 import laurelkeel.api.Event.RolloutUpdate;
 
 /**
- * Where the rollout of one build stands, by its last update.
+ * The state of one build's rollout, as of its most recent update.
  *
  * @param stage the rollout's stage, from 0
- * @param exposureCap share of the requests that the build may get, from 0 to 1
+ * @param exposureCap the maximum share of the requests that the build may receive, from 0 to 1
  */
 record RolloutRecord(int build, int stage, double exposureCap, RolloutPhase phase) {
 
@@ -15,12 +15,12 @@
         return new RolloutRecord(update.build(), update.stage(), update.exposureCap(), update.phase());
     }
 
-    /** Whether the build serves a limited share of the requests. */
+    /** Returns whether the build receives a limited share of the requests. */
     boolean isCanary() {
         return phase == RolloutPhase.CANARY;
     }
 
-    /** Whether the build is being rolled back or has been. */
+    /** Returns whether the build is being or has been rolled back. */
     boolean isRolledBack() {
         return phase == RolloutPhase.ROLLING_BACK || phase == RolloutPhase.ROLLED_BACK;
     }
