--- a/src/main/java/laurelkeel/partition/ExposureWindow.java
+++ b/src/main/java/laurelkeel/partition/ExposureWindow.java
@@ -6,26 +6,27 @@
 import laurelkeel.api.Settings;
 
 /**
- * Counts requests or attempts of the last exposure window, of each route by itself or of all together as the settings
- * say. Not thread-safe.
+ * Counts the requests or attempts of the last exposure window, for each route separately or for all routes together,
+ * depending on the settings. Not thread-safe.
  */
 final class ExposureWindow {
     /**
-     * By so much a decider's own window is shorter for requests and longer for attempts than the settings': what falls
-     * on an edge never raises the exposure.
+     * The margin by which a window for requests is shorter, and a window for attempts longer, than the window of the
+     * settings, so that an arrival at the edge of the window never raises the exposure. A decider's own window has the
+     * same margin.
      */
     private static final long EDGE_MARGIN_TICKS = 60;
 
     private final long spanTicks;
     private final boolean perRoute;
-    /** Times of arrival, oldest first: one queue a route, or one for all. */
+    /** Arrival times in ticks, oldest first: one queue per route, or a single queue for all routes. */
     private final List<ArrayDeque<Long>> arrivals = new ArrayList<>();
 
     /**
      * Creates an empty window.
      *
-     * @param spanTicks how long an arrival counts
-     * @param perRoute whether each route is counted by itself
+     * @param spanTicks how long an arrival is counted
+     * @param perRoute whether each route is counted separately
      */
     ExposureWindow(int routeCount, long spanTicks, boolean perRoute) {
         this.spanTicks = spanTicks;
@@ -36,12 +37,12 @@
         }
     }
 
-    /** A window of requests, whose number permits exposure: it counts none too many. */
+    /** Creates a window for requests. Their number permits exposure, so the window must not count too many. */
     static ExposureWindow ofRequests(Settings settings) {
         return create(settings, -EDGE_MARGIN_TICKS);
     }
 
-    /** A window of attempts, which are the exposure: it counts none too few. */
+    /** Creates a window for attempts. They are the exposure, so the window must not count too few. */
     static ExposureWindow ofAttempts(Settings settings) {
         return create(settings, EDGE_MARGIN_TICKS);
     }
@@ -55,25 +56,25 @@
     void add(int route, long nowTicks) {
         int scope = scopeOf(route);
         arrivals.get(scope).addLast(nowTicks);
-        // also where nobody asks for the count, or a node with one rollout would keep every arrival
+        // even if nothing reads the count: otherwise a node with one rollout would store every arrival
         evictExpired(scope, nowTicks);
     }
 
-    /** How many arrivals count where one of this route would. */
+    /** Returns the number of arrivals that are counted together with those of the given route. */
     int count(int route, long nowTicks) {
         return evictExpired(scopeOf(route), nowTicks);
     }
 
-    /** How many arrivals are kept, in all scopes. */
+    /** Returns the number of arrivals that are stored, in all scopes. */
     int size() {
         return arrivals.stream().mapToInt(ArrayDeque::size).sum();
     }
 
     /**
-     * How many times a part's arrivals all arrivals are, in the scope where that is least.
+     * Returns the ratio of all arrivals to those of a part, in the scope in which this ratio is lowest.
      *
-     * @param part counts a part of what {@code all} counts, in the same scopes
-     * @param maxRatio the result where the part has no arrivals, and the most that is returned
+     * @param part counts a subset of what {@code all} counts, in the same scopes
+     * @param maxRatio the upper limit of the result, and the result if the part has no arrivals
      * @return at least 1
      */
     static double ratio(ExposureWindow all, ExposureWindow part, long nowTicks, double maxRatio) {
--- a/src/main/java/laurelkeel/partition/InFlightAttempts.java
+++ b/src/main/java/laurelkeel/partition/InFlightAttempts.java
@@ -15,7 +15,7 @@
         countsByKey.computeIfAbsent(key, unused -> new TreeMap<>()).merge(build, 1, Integer::sum);
     }
 
-    /** Notes the end of an attempt; one that was not noted as sent is ignored. */
+    /** Records the end of an attempt; ignores an attempt that was not recorded as sent. */
     void onEnded(String key, int build) {
         TreeMap<Integer, Integer> counts = countsByKey.get(key);
         if (counts == null) {
@@ -28,9 +28,9 @@
     }
 
     /**
-     * The latest build that has an attempt for a key in flight, of those that a predicate accepts.
+     * Returns the latest build that has an attempt for a key in flight, among those that a predicate accepts.
      *
-     * @return {@link ConcurrentRollouts#NO_BUILD} where there is none
+     * @return {@link ConcurrentRollouts#NO_BUILD} if there is none
      */
     int latestBuild(String key, IntPredicate accepts) {
         TreeMap<Integer, Integer> counts = countsByKey.get(key);
--- a/src/main/java/laurelkeel/partition/SharedExposureLimiter.java
+++ b/src/main/java/laurelkeel/partition/SharedExposureLimiter.java
@@ -6,12 +6,12 @@
 import laurelkeel.api.Settings;
 
 /**
- * Keeps each build's exposure cap over all partitions together.
+ * Enforces each build's exposure cap over all partitions together.
  *
- * <p>A partition's decider keeps the cap of its own rollout, but counts the requests of its partition only; it is given
- * a cap that is scaled so that the product is the cap of all requests. What no decider can bound is limited here: the
- * attempts at a canary that also serves as another partition's baseline, and attempts that were sent in a partition
- * before the rollout's own was opened. Not thread-safe.
+ * <p>A partition's decider enforces the cap of its own rollout, but counts only the requests of its partition. It is
+ * therefore given a scaled cap, whose product with the partition's requests is the cap of all requests. This class
+ * limits what no single decider can: the attempts at a canary that also serves as another partition's baseline, and the
+ * attempts that were sent in a partition before the rollout's own partition was opened. Not thread-safe.
  */
 final class SharedExposureLimiter {
     private final Settings settings;
@@ -28,11 +28,11 @@
     }
 
     /**
-     * The cap that a partition's decider has to keep, of the requests that it counts.
+     * Returns the exposure cap for a partition's decider, as a share of the requests that this decider counts.
      *
-     * @param cap share of all requests that the rollout's build may get, from 0 to 1
-     * @param partitionRequests the requests of the partition
-     * @param openPartitions how many partitions share the requests
+     * @param cap the maximum share of all requests that the rollout's build may receive, from 0 to 1
+     * @param partitionRequests counts the requests of the partition
+     * @param openPartitions the number of partitions that share the requests
      * @return at most 1
      */
     double partitionCap(double cap, ExposureWindow partitionRequests, int openPartitions, long nowTicks) {
@@ -40,10 +40,10 @@
     }
 
     /**
-     * Counts an attempt at a canary, unless the cap forbids it.
+     * Counts an attempt at a canary, unless the cap forbids the attempt.
      *
-     * @param cap share of all requests that the build may get, from 0 to 1
-     * @param enforced whether the cap is kept here; otherwise the attempt is always admitted
+     * @param cap the maximum share of all requests that the build may receive, from 0 to 1
+     * @param enforced whether the cap is enforced here; otherwise the attempt is always admitted
      * @return whether the attempt may be sent
      */
     boolean tryAcquire(int build, int route, double cap, boolean enforced, long nowTicks) {
@@ -59,7 +59,7 @@
         return settings.rollout().exposureAllowance() + cap * allRequests.count(route, nowTicks);
     }
 
-    /** Forgets the attempts at all other builds. */
+    /** Removes the counts of attempts at all builds that the predicate does not accept. */
     void retainBuilds(IntPredicate isRetained) {
         attemptsByBuild.keySet().removeIf(build -> !isRetained.test(build));
     }
--- a/src/main/java/laurelkeel/partition/StickyKeyBindings.java
+++ b/src/main/java/laurelkeel/partition/StickyKeyBindings.java
@@ -5,20 +5,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Keeps sticky keys sticky while the number of partitions changes.
+ * Binds sticky keys to partitions, so that no key returns to an earlier build when the number of partitions changes.
  *
- * <p>Each decider keeps a key from going back to an earlier build, by the answers of its own partition. This table adds
- * what only all partitions together know: which partition served a key, and that a later build has served it, or may
- * have, in another one. Not thread-safe.
+ * <p>Each decider ensures this for the answers of its own partition. This class records what only all partitions
+ * together show: which partition served a key, and whether a later build has served the key in another partition or may
+ * have served it. Not thread-safe.
  */
 final class StickyKeyBindings {
-    /** Stands for a partition where a key has none. */
+    /** The partition id of a key that is not bound to a partition. */
     static final int NO_PARTITION = -1;
 
-    /** Bounds the memory; keys beyond are divided anew whenever a partition opens or closes. */
+    /**
+     * Limits the memory use. Keys beyond this number are not bound; they are reassigned whenever a partition opens or
+     * closes.
+     */
     private static final int MAX_KEYS = 600_000;
 
-    /** The partition that served a key last, and the latest build that served the key. */
+    /** The latest build that served a key, and the partition in which that build last served it. */
     private record KeyBinding(int partitionId, int build) {}
 
     private final boolean stickyKeys;
@@ -26,7 +29,10 @@
     private final Map<String, KeyBinding> bindings = new HashMap<>();
     private final InFlightAttempts inFlight = new InFlightAttempts();
 
-    /** @param stickyKeys whether a key that a build has answered goes to no earlier build during its rollout */
+    /**
+     * @param stickyKeys whether a key that a build has answered must not go to an earlier build during the rollout of
+     *     that build
+     */
     StickyKeyBindings(boolean stickyKeys, ConcurrentRollouts rollouts) {
         this.stickyKeys = stickyKeys;
         this.rollouts = rollouts;
@@ -38,35 +44,39 @@
         }
     }
 
-    /** @param mayHaveServed whether the endpoint has served the attempt or may have */
+    /**
+     * Records the end of an attempt, and binds its key if the endpoint may have served it.
+     *
+     * @param mayHaveServed whether the endpoint has served the attempt or may have served it
+     */
     void onAttemptEnded(@Nullable String key, int build, int partitionId, boolean mayHaveServed) {
         if (key == null) {
             return;
         }
         inFlight.onEnded(key, build);
         if (mayHaveServed && bindsKeys(build) && bindings.size() < MAX_KEYS) {
-            // an attempt that was in flight when the partitions changed may end late, at an earlier build
+            // an attempt that was in flight when the partitions changed may end late, and at an earlier build
             bindings.merge(key, new KeyBinding(partitionId, build), StickyKeyBindings::withLaterBuild);
         }
     }
 
-    private static KeyBinding withLaterBuild(KeyBinding known, KeyBinding ended) {
-        return known.build > ended.build ? known : ended;
+    private static KeyBinding withLaterBuild(KeyBinding existing, KeyBinding added) {
+        return existing.build > added.build ? existing : added;
     }
 
     private boolean bindsKeys(int build) {
         return stickyKeys && rollouts.bindsStickyKeys(build);
     }
 
-    /** The partition that a key has to stay in, or {@link #NO_PARTITION}. */
+    /** Returns the partition that a key must stay in, or {@link #NO_PARTITION}. */
     int partitionOf(@Nullable String key) {
         KeyBinding binding = key == null ? null : bindings.get(key);
         return binding == null ? NO_PARTITION : binding.partitionId;
     }
 
     /**
-     * Whether a partition's decider must not send a key to a build, since a later build has served the key in another
-     * partition or may be serving it now.
+     * Returns whether a partition's decider must not send a key to a build, because a later build has served the key in
+     * another partition or may be serving it now.
      *
      * @param severalPartitions whether other partitions may have attempts in flight
      */
@@ -84,12 +94,12 @@
         return severalPartitions && build < inFlight.latestBuild(key, rollouts::bindsStickyKeys);
     }
 
-    /** Forgets keys of rollouts that have ended, to make room for those of rollouts that last. */
+    /** Removes the keys of rollouts that have ended, to free capacity for the keys of ongoing rollouts. */
     void forgetEndedRollouts() {
         bindings.values().removeIf(binding -> !rollouts.bindsStickyKeys(binding.build));
     }
 
-    /** How many keys are bound to a partition. */
+    /** Returns the number of keys that are bound to a partition. */
     int size() {
         return bindings.size();
     }
