--- a/src/test/java/laurelkeel/partition/BaselineSelectorTest.java
+++ b/src/test/java/laurelkeel/partition/BaselineSelectorTest.java
@@ -32,11 +32,11 @@
         addEndpoints(1, 1);
         addEndpoints(2, 9);
         assertEquals(1, selector.baselineFor(2));
-        assertEquals(1, selector.baselineFor(3), "the canary may not get all requests");
+        assertEquals(1, selector.baselineFor(3), "the canary may not receive all requests");
     }
 
     @Test
-    void theLargestBuildWithoutRolloutStandsInForAnUnknownRelease() {
+    void theLargestBuildWithoutRolloutIsTheBaselineIfNoReleaseIsKnown() {
         assertEquals(ConcurrentRollouts.NO_BUILD, selector.baselineFor(2));
         rollouts.apply(update(3, 0, 0.1, RolloutPhase.CANARY));
         addEndpoints(1, 2);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aCanaryThatMayGetAllRequestsReplacesABaselineOfHalfItsWeight() {
+    void aCanaryThatMayReceiveAllRequestsReplacesABaselineOfHalfItsWeight() {
         rollouts.apply(update(1, 0, 1, RolloutPhase.RELEASED));
         rollouts.apply(update(2, 1, 1, RolloutPhase.CANARY));
         addEndpoints(1, 3);
@@ -54,13 +54,13 @@
         assertEquals(1, selector.baselineFor(3));
         addEndpoints(2, 6);
         assertEquals(2, selector.baselineFor(3));
-        assertEquals(1, selector.baselineFor(2), "not for its own rollout");
+        assertEquals(1, selector.baselineFor(2), "a canary is not the baseline of its own rollout");
         rollouts.apply(update(2, 0, 1, RolloutPhase.CANARY));
-        assertEquals(1, selector.baselineFor(3), "a guarded stage does not get all kinds of requests");
+        assertEquals(1, selector.baselineFor(3), "a canary in a guarded stage does not receive all kinds of requests");
     }
 
     @Test
-    void noBaselineIsBelowTheMinimum() {
+    void theBaselineIsNotBelowTheMinimum() {
         rollouts.apply(update(1, 0, 1, RolloutPhase.RELEASED));
         rollouts.raiseMinimumBaseline(2);
         assertEquals(2, selector.baselineFor(3));
--- a/src/test/java/laurelkeel/partition/BuildVisibilityTest.java
+++ b/src/test/java/laurelkeel/partition/BuildVisibilityTest.java
@@ -20,7 +20,7 @@
     private final TrafficPartition partition = TrafficPartitionTest.partition(2, (nowTicks, events) -> List.of());
 
     @Test
-    void aPartitionIsShownItsBuildAndItsBaseline() {
+    void onlyItsBuildAndItsBaselineAreVisibleToAPartition() {
         partition.setBaselineBuild(1);
         assertTrue(visibility.isVisible(partition, endpoint("a", 1)));
         assertTrue(visibility.isVisible(partition, endpoint("b", 2)));
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aPartitionThatChoosesItsBaselineIsShownAllButUnknownRollbacks() {
+    void allBuildsExceptUnknownRollbacksAreVisibleToAPartitionThatChoosesItsBaseline() {
         rollouts.apply(update(3, 0, 0, RolloutPhase.ROLLED_BACK));
         assertTrue(visibility.isVisible(partition, endpoint("a", 1)));
         assertFalse(visibility.isVisible(partition, endpoint("c", 3)));
@@ -47,7 +47,7 @@
         assertEquals(
                 List.of(endpoint("a", 3, 1, EndpointState.REMOVED)),
                 filterUpdate(restarted).entries());
-        assertEquals(List.of(), filterUpdate(restarted).entries(), "it is removed once");
+        assertEquals(List.of(), filterUpdate(restarted).entries(), "it is removed only once");
     }
 
     private EndpointListUpdate filterUpdate(EndpointEntry entry) {
--- a/src/test/java/laurelkeel/partition/ConcurrentRolloutsTest.java
+++ b/src/test/java/laurelkeel/partition/ConcurrentRolloutsTest.java
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void onlyBuildsThatMayYetBeReleasedBindKeys() {
+    void onlyBuildsThatMayStillBeReleasedBindKeys() {
         apply(2, RolloutPhase.RELEASED);
         apply(3, RolloutPhase.CANARY);
         apply(4, RolloutPhase.ROLLED_BACK);
@@ -73,8 +73,8 @@
     }
 
     @Test
-    void aBuildAheadOfAllUpdatesHasTheFirstStagesCap() {
-        assertEquals(OptionalDouble.empty(), rollouts.exposureCap(2), "nothing is known");
+    void aBuildLaterThanAllUpdatesHasTheCapOfTheFirstStage() {
+        assertEquals(OptionalDouble.empty(), rollouts.exposureCap(2), "no rollout is known");
         apply(2, RolloutPhase.RELEASED);
         apply(4, RolloutPhase.CANARY);
         assertEquals(OptionalDouble.empty(), rollouts.exposureCap(2));
--- a/src/test/java/laurelkeel/partition/EndpointTableTest.java
+++ b/src/test/java/laurelkeel/partition/EndpointTableTest.java
@@ -30,14 +30,14 @@
     }
 
     @Test
-    void aDeltaChangesOnlyWhatItNames() {
+    void aDeltaChangesOnlyEndpointsThatItNames() {
         apply(EndpointListKind.SNAPSHOT, endpoint("a", 1), endpoint("b", 1));
         apply(EndpointListKind.DELTA, endpoint("b", 1, 1, EndpointState.REMOVED), endpoint("c", 2));
         assertEquals(List.of("a", "c"), ids());
     }
 
     @Test
-    void aWholeListRemovesWhatItDoesNotName() {
+    void aFullListRemovesEndpointsThatItDoesNotName() {
         for (EndpointListKind kind : List.of(EndpointListKind.SNAPSHOT, EndpointListKind.CACHED)) {
             apply(EndpointListKind.DELTA, endpoint("a", 1), endpoint("b", 1));
             apply(kind, endpoint("b", 2));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aFailedFetchKeepsTheList() {
+    void aFailedFetchLeavesTheListUnchanged() {
         apply(EndpointListKind.SNAPSHOT, endpoint("a", 1));
         apply(EndpointListKind.FAILED);
         assertEquals(List.of("a"), ids());
--- a/src/test/java/laurelkeel/partition/ExposureWindowTest.java
+++ b/src/test/java/laurelkeel/partition/ExposureWindowTest.java
@@ -9,7 +9,7 @@
     private static final long SPAN_TICKS = 40_000;
 
     @Test
-    void arrivalsLeaveWithTheWindowAlsoWhereNobodyAsksForTheCount() {
+    void arrivalsOutsideTheWindowAreRemovedEvenIfTheCountIsNotRead() {
         ExposureWindow window = new ExposureWindow(1, SPAN_TICKS, false);
         for (int i = 0; i < 100_000; i++) {
             window.add(0, i * 100L);
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void anArrivalCountsToTheEndOfTheSpan() {
+    void anArrivalIsCountedUntilTheEndOfTheSpan() {
         ExposureWindow window = new ExposureWindow(1, SPAN_TICKS, false);
         window.add(0, 5);
         assertEquals(1, window.count(0, 5 + SPAN_TICKS));
@@ -26,24 +26,24 @@
     }
 
     @Test
-    void routesAreCountedByThemselvesOnlyWhereTheSettingsSaySo() {
+    void routesAreCountedSeparatelyOnlyIfTheWindowIsPerRoute() {
         ExposureWindow perRoute = new ExposureWindow(2, SPAN_TICKS, true);
-        ExposureWindow together = new ExposureWindow(2, SPAN_TICKS, false);
-        for (ExposureWindow window : new ExposureWindow[] {perRoute, together}) {
+        ExposureWindow allRoutes = new ExposureWindow(2, SPAN_TICKS, false);
+        for (ExposureWindow window : new ExposureWindow[] {perRoute, allRoutes}) {
             window.add(0, 0);
             window.add(1, 0);
             window.add(1, 0);
         }
         assertEquals(1, perRoute.count(0, 0));
         assertEquals(2, perRoute.count(1, 0));
-        assertEquals(3, together.count(0, 0));
+        assertEquals(3, allRoutes.count(0, 0));
     }
 
     @Test
-    void theRatioIsThatOfTheScopeWhereItIsLeast() {
+    void theRatioIsThatOfTheScopeInWhichItIsLowest() {
         ExposureWindow all = new ExposureWindow(2, SPAN_TICKS, true);
         ExposureWindow part = new ExposureWindow(2, SPAN_TICKS, true);
-        assertEquals(3, ExposureWindow.ratio(all, part, 0, 3), "no arrivals of the part");
+        assertEquals(3, ExposureWindow.ratio(all, part, 0, 3), "the part has no arrivals");
         for (int i = 0; i < 8; i++) {
             all.add(0, 0);
             all.add(1, 0);
--- a/src/test/java/laurelkeel/partition/InFlightAttemptsTest.java
+++ b/src/test/java/laurelkeel/partition/InFlightAttemptsTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void buildsThatAreNotAcceptedArePassedOver() {
+    void buildsThatThePredicateRejectsAreSkipped() {
         attempts.onSent("k", 2);
         attempts.onSent("k", 3);
         assertEquals(2, attempts.latestBuild("k", build -> build < 3));
--- a/src/test/java/laurelkeel/partition/OwnedRequestTableTest.java
+++ b/src/test/java/laurelkeel/partition/OwnedRequestTableTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aRequestIsKeptUntilItIsAnsweredAndItsAttemptsHaveEnded() {
+    void aRequestIsStoredUntilItIsAnsweredAndItsAttemptsHaveEnded() {
         OwnedRequest request = request();
         request.onAttemptSent(2);
         table.onAnswered(ID);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aFailedAttemptLeavesTheRequestOpenAndACompletedOneAnswersIt() {
+    void aCompletedAttemptAnswersTheRequestAndAFailedOneDoesNot() {
         OwnedRequest request = request();
         request.onAttemptSent(1);
         table.onAttemptEnded(request, attemptEnded(0, AttemptOutcome.FAILED));
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void suppressedAttemptsAreNumberedWithinThePartitionOnly() {
+    void suppressedAttemptsAreNumberedOnlyWithinThePartition() {
         OwnedRequest request = request();
         assertEquals(0, request.suppressAttempt());
         request.onAttemptSent(2);
--- a/src/test/java/laurelkeel/partition/PartitionAssignerTest.java
+++ b/src/test/java/laurelkeel/partition/PartitionAssignerTest.java
@@ -9,7 +9,7 @@
     private static final int REQUESTS = 30_000;
 
     @Test
-    void keysAreDividedEvenlyAndAlikeOnAllNodes() {
+    void keysAreDividedEvenlyAndIdenticallyOnAllNodes() {
         PartitionAssigner oneNode = new PartitionAssigner(1);
         PartitionAssigner otherNode = new PartitionAssigner(2);
         int[] counts = new int[3];
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void requestsWithoutKeyAreDividedEvenlyByTheSeed() {
+    void requestsWithoutKeyAreDividedEvenlyAndReproduciblyForASeed() {
         PartitionAssigner assigner = new PartitionAssigner(7);
         PartitionAssigner sameSeed = new PartitionAssigner(7);
         int[] counts = new int[3];
@@ -35,8 +35,8 @@
     }
 
     @Test
-    void theDivisionOfKeysIsFixed() {
-        // nodes of another version must divide the keys alike
+    void theAssignmentOfKeysIsFixed() {
+        // nodes of different versions must assign the keys identically
         PartitionAssigner assigner = new PartitionAssigner(1);
         StringBuilder assigned = new StringBuilder();
         for (int i = 0; i < 24; i++) {
--- a/src/test/java/laurelkeel/partition/PartitionManagerTest.java
+++ b/src/test/java/laurelkeel/partition/PartitionManagerTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.Test;
 
 class PartitionManagerTest {
-    private static final int MAX_OPEN = 2;
+    private static final int MAX_OPEN_PARTITIONS = 2;
 
-    /** What the decider of each partition has heard, in the order in which partitions were opened. */
+    /** The events that the decider of each partition received, in the order in which the partitions were opened. */
     private final List<List<Event>> eventsByPartition = new ArrayList<>();
 
     private final ConcurrentRollouts rollouts = new ConcurrentRollouts(List.of(0.1));
@@ -33,7 +33,8 @@
                     return List.of();
                 };
             });
-    private final PartitionManager manager = new PartitionManager(partitions, rollouts, endpoints, 0, MAX_OPEN);
+    private final PartitionManager manager =
+            new PartitionManager(partitions, rollouts, endpoints, 0, MAX_OPEN_PARTITIONS);
 
     private void apply(RolloutUpdate update) {
         manager.onRolloutUpdate(update, rollouts.apply(update));
@@ -57,7 +58,7 @@
     }
 
     @Test
-    void theFirstRolloutNeedsNoPartitionOfItsOwn() {
+    void theFirstRolloutUsesTheExistingPartition() {
         apply(update(1, 0, 1, RolloutPhase.RELEASED));
         startCanary(2, 0.1);
         assertTrue(partitions.isSingle());
@@ -67,7 +68,7 @@
     }
 
     @Test
-    void aFurtherRolloutOpensAPartitionThatHearsItsBaselineItsEndpointsAndItsUpdate() {
+    void aFurtherRolloutOpensAPartitionThatReceivesBaselineEndpointsAndUpdate() {
         apply(update(1, 0, 1, RolloutPhase.RELEASED));
         apply(EndpointListKind.SNAPSHOT, endpoint("a", 1), endpoint("b", 2), endpoint("c", 3));
         startCanary(2, 0.1);
@@ -82,7 +83,7 @@
         assertEquals(
                 new EndpointListUpdate(EndpointListKind.CACHED, List.of(endpoint("a", 1), endpoint("b", 2))),
                 eventsByPartition.get(0).get(eventsByPartition.get(0).size() - 1),
-                "the first partition is shown the other build no more");
+                "the other build is no longer visible to the first partition");
     }
 
     @Test
@@ -95,7 +96,7 @@
     }
 
     @Test
-    void aPartitionClosesWithItsRolloutAndTheLastOneStays() {
+    void aPartitionClosesWithItsRolloutAndTheLastOneStaysOpen() {
         startCanary(2, 0.1);
         startCanary(3, 0.1);
         apply(update(2, 0, 0, RolloutPhase.ROLLING_BACK));
@@ -107,7 +108,7 @@
     }
 
     @Test
-    void aReleaseIsToldToThePartitionsOfEarlierBuildsToo() {
+    void aReleaseIsForwardedToThePartitionsOfEarlierBuildsToo() {
         startCanary(2, 0.1);
         startCanary(3, 0.1);
         RolloutUpdate release = update(3, 0, 1, RolloutPhase.RELEASED);
@@ -117,7 +118,7 @@
     }
 
     @Test
-    void noPartitionGoesBelowACanaryThatServedForAClosedOne() {
+    void noPartitionHasABaselineBelowTheCanaryThatWasTheBaselineOfAClosedOne() {
         apply(update(1, 0, 1, RolloutPhase.RELEASED));
         apply(EndpointListKind.SNAPSHOT, endpoint("a", 1), endpoint("b", 2), endpoint("c", 2), endpoint("d", 3));
         startCanary(2, 1);
--- a/src/test/java/laurelkeel/partition/PartitionSetTest.java
+++ b/src/test/java/laurelkeel/partition/PartitionSetTest.java
@@ -18,14 +18,14 @@
             });
 
     @Test
-    void eachDeciderHasASeedOfItsOwn() {
+    void eachDeciderHasItsOwnSeed() {
         partitions.open(2);
         partitions.open(3);
         assertEquals(List.of(7L, 7L * 31 + 1, 7L * 31 + 2), seeds);
     }
 
     @Test
-    void closingPartitionsAreSkippedButKeptUntilTheyAreDrained() {
+    void closingPartitionsAreSkippedButRetainedUntilTheyAreDrained() {
         TrafficPartition second = partitions.open(2);
         TrafficPartition third = partitions.open(3);
         second.onRequestAssigned(0, 1);
--- a/src/test/java/laurelkeel/partition/PartitionedDeciderTest.java
+++ b/src/test/java/laurelkeel/partition/PartitionedDeciderTest.java
@@ -23,7 +23,7 @@
 import laurelkeel.decision.RoutingDecider;
 import org.junit.jupiter.api.Test;
 
-/** Several rollouts behind one node, each rule checked for every rollout at every attempt. */
+/** Runs several rollouts behind one node, and checks every attempt against the rules of every rollout. */
 class PartitionedDeciderTest {
     private static final int RANDOM_RUNS = 25;
 
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void withOneRolloutAllActionsAreThoseOfTheDeciderAlone() {
+    void withOneRolloutAllActionsEqualThoseOfASingleDecider() {
         for (int seed : new int[] {100, 103, 106, 109}) {
             assertEquals(
                     DecisionStreams.sum(RoutingDecider::new, seed),
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void eachRolloutGetsItsShareAndKeepsItsCap() {
+    void eachRolloutReceivesItsShareAndStaysWithinItsCap() {
         for (boolean exposurePerRoute : new boolean[] {false, true}) {
             RolloutSimulation simulation = RolloutSimulation.started(exposurePerRoute, 1, 3);
             simulation.addEndpoints(2, 2);
@@ -53,26 +53,26 @@
             simulation.addEndpoints(3, 2);
             simulation.updateRollout(3, 0, RolloutPhase.CANARY);
             simulation.runTraffic(4 * SECOND, 5);
-            int firstBefore = simulation.attemptsAt(1);
-            int secondBefore = simulation.attemptsAt(2);
-            int thirdBefore = simulation.attemptsAt(3);
+            int build1Before = simulation.attemptsAt(1);
+            int build2Before = simulation.attemptsAt(2);
+            int build3Before = simulation.attemptsAt(3);
             simulation.addEndpoints(2, 5);
             simulation.updateRollout(2, 1, RolloutPhase.CANARY);
             simulation.runTraffic(8 * SECOND, 5);
             assertEquals(List.of(), simulation.violations);
             assertEquals(2, simulation.decider.openPartitions());
-            int first = simulation.attemptsAt(1) - firstBefore;
-            int second = simulation.attemptsAt(2) - secondBefore;
-            int third = simulation.attemptsAt(3) - thirdBefore;
-            double all = first + second + third;
-            // its cap is 0.4 of all requests, not of its partition's
-            assertTrue(second / all > 0.2, simulation.attemptsByBuild.toString());
-            assertTrue(third / all > 0.03, simulation.attemptsByBuild.toString());
+            int build1Attempts = simulation.attemptsAt(1) - build1Before;
+            int build2Attempts = simulation.attemptsAt(2) - build2Before;
+            int build3Attempts = simulation.attemptsAt(3) - build3Before;
+            double allAttempts = build1Attempts + build2Attempts + build3Attempts;
+            // the cap of build 2 is 0.4 of all requests, not of the requests of its partition
+            assertTrue(build2Attempts / allAttempts > 0.2, simulation.attemptsByBuild.toString());
+            assertTrue(build3Attempts / allAttempts > 0.03, simulation.attemptsByBuild.toString());
         }
     }
 
     @Test
-    void randomRolloutsBreakNoRule() {
+    void randomRolloutsViolateNoRule() {
         for (int seed = 0; seed < RANDOM_RUNS; seed++) {
             RolloutSimulation simulation = RolloutSimulation.started(seed % 2 == 0, seed % 3, seed);
             simulation.runRandomRollouts(seed);
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void aFailingBuildIsVotedBackAndTheOtherRolloutGoesOn() {
+    void onlyTheFailingBuildGetsVotesToRollBack() {
         RolloutSimulation simulation = RolloutSimulation.withTwoCanaries(5);
         simulation.failureShare = 0.5;
         simulation.runTraffic(15 * SECOND, 5);
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void whileTheAttributionIsOpenNothingIsPromotedAndTheGuiltyBuildIsVotedBack() {
+    void noVoteIsCastWhileTheAttributionIsOpenAndOnlyTheGuiltyBuildGetsVotesToRollBack() {
         RolloutSimulation simulation = RolloutSimulation.withTwoCanaries(6);
         simulation.decider.attribute(2, PartitionedDecider.Attribution.OPEN);
         simulation.decider.attribute(3, PartitionedDecider.Attribution.OPEN);
@@ -112,7 +112,7 @@
         simulation.decider.attribute(3, PartitionedDecider.Attribution.GUILTY);
         simulation.runTraffic(5 * SECOND, 5);
         assertTrue(simulation.votes.stream().allMatch(isVote(3, Verdict.ROLL_BACK)), simulation.votes.toString());
-        assertTrue(simulation.votes.size() > 1, "the vote is renewed while it counts");
+        assertTrue(simulation.votes.size() > 1, "the vote is renewed before it expires");
         simulation.updateRollout(3, 0, RolloutPhase.ROLLING_BACK);
         simulation.removeEndpoints(3);
         simulation.updateRollout(3, 0, RolloutPhase.ROLLED_BACK);
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void partitionsTogetherSpareAnEndpointThatWarmsUp() {
+    void partitionsTogetherDoNotOverloadAnEndpointThatIsWarmingUp() {
         RolloutSimulation simulation = RolloutSimulation.started(false, 0, 7);
         for (int build = 2; build <= 4; build++) {
             simulation.addEndpoints(build, 1);
@@ -134,27 +134,30 @@
         simulation.runTraffic(2 * SECOND, 5);
         assertEquals(3, simulation.decider.openPartitions());
         assertEquals(List.of(), simulation.violations);
-        // 200 requests a second over 12 endpoints: a usual 33 in the 2 s overload window, 3 times that when warm, 0.4
-        // cold
+        // 200 requests per second over 12 endpoints are 33 each in the 2 s overload window; a warm endpoint bears 3
+        // times
+        // that number, and one that has just started 0.4 of what a warm one bears
         int attempts = simulation.attemptsByEndpoint.getOrDefault("b1.cold", 0);
         assertTrue(attempts > 0 && attempts < 3 * 0.45 * 33, attempts + " attempts");
     }
 
     @Test
-    void whileAnotherBuildIsGuiltyAVoteToRollBackWaits() {
+    void aVoteToRollBackIsWithheldWhileAnotherBuildIsGuilty() {
         RolloutSimulation simulation = RolloutSimulation.withTwoCanaries(8);
         simulation.failureShare = 0.5;
         simulation.decider.attribute(3, PartitionedDecider.Attribution.GUILTY);
         simulation.runTraffic(10 * SECOND, 5);
         assertTrue(
                 simulation.votes.stream().noneMatch(vote -> vote.build() == 2),
-                "its errors may be the guilty build's: " + simulation.votes);
+                "its errors may be caused by the guilty build: " + simulation.votes);
         simulation.runTraffic(20 * SECOND, 5);
-        assertTrue(simulation.votes.stream().anyMatch(isVote(2, Verdict.ROLL_BACK)), "and not for ever");
+        assertTrue(
+                simulation.votes.stream().anyMatch(isVote(2, Verdict.ROLL_BACK)),
+                "the vote is withheld for a limited time");
     }
 
     @Test
-    void aCanaryThatMayGetAllRequestsIsTheBaselineOfALaterOne() {
+    void aCanaryThatMayReceiveAllRequestsIsTheBaselineOfALaterRollout() {
         RolloutSimulation simulation = RolloutSimulation.started(false, 0, 9);
         simulation.addEndpoints(2, 8);
         simulation.updateRollout(2, 2, RolloutPhase.CANARY);
@@ -163,15 +166,15 @@
         simulation.updateRollout(3, 0, RolloutPhase.CANARY);
         simulation.removeEndpoints(1);
         simulation.runTraffic(SECOND, 5);
-        int before = simulation.attemptsAt(2);
+        int attemptsBefore = simulation.attemptsAt(2);
         simulation.runTraffic(10 * SECOND, 5);
-        int attempts = simulation.attemptsAt(2) - before;
+        int attempts = simulation.attemptsAt(2) - attemptsBefore;
         assertTrue(attempts > 1_600, attempts + " of 2,000 requests");
         assertEquals(List.of(), simulation.violations);
     }
 
-    /** A node whose deciders send each request to one endpoint and do nothing else. */
-    private static PartitionedDecider sendingTo(String endpointId) {
+    /** Creates a node whose deciders send each request to one endpoint and do nothing else. */
+    private static PartitionedDecider deciderSendingTo(String endpointId) {
         return new PartitionedDecider(
                 RolloutSimulation.settings(false, 0),
                 1,
@@ -200,8 +203,8 @@
     }
 
     @Test
-    void keysOfEndedRolloutsAreForgottenAndMakeRoomForThoseOfOthers() {
-        PartitionedDecider decider = sendingTo("m");
+    void keysOfEndedRolloutsAreRemovedToFreeCapacityForOthers() {
+        PartitionedDecider decider = deciderSendingTo("m");
         decider.decide(
                 SECOND, List.of(snapshotOf("m", 2), update(1, RolloutPhase.RELEASED), update(2, RolloutPhase.CANARY)));
         for (int i = 0; i < 600_001; i++) {
@@ -211,16 +214,16 @@
         assertEquals(0, decider.boundKeyCount(), "the rollout has ended");
         decider.decide(SECOND, List.of(snapshotOf("m", 3), update(3, RolloutPhase.CANARY)));
         serve(decider, "new");
-        assertEquals(1, decider.boundKeyCount(), "a canary served it: it must stay in its partition");
+        assertEquals(1, decider.boundKeyCount(), "a canary served the key, which must stay in its partition");
     }
 
     @Test
-    void complaintsOfASharedEndpointGoToThePartitionsInTurn() {
-        List<AtomicInteger> complaintsOfPartition = new ArrayList<>();
+    void complaintsAboutASharedEndpointGoToThePartitionsInTurn() {
+        List<AtomicInteger> complaintCounts = new ArrayList<>();
         PartitionedDecider decider =
                 new PartitionedDecider(RolloutSimulation.settings(false, 0), 1, (settings, seed) -> {
                     AtomicInteger complaints = new AtomicInteger();
-                    complaintsOfPartition.add(complaints);
+                    complaintCounts.add(complaints);
                     return (nowTicks, events) -> {
                         events.stream()
                                 .filter(event -> event instanceof Event.ComplaintReceived)
@@ -239,12 +242,11 @@
             decider.decide(SECOND, List.of(new Event.ComplaintReceived("m", 5, 0)));
         }
         assertEquals(
-                List.of(5, 5),
-                complaintsOfPartition.stream().map(AtomicInteger::get).toList());
+                List.of(5, 5), complaintCounts.stream().map(AtomicInteger::get).toList());
     }
 
     @Test
-    void timersWakeThePartitionThatStartedThem() {
+    void timerEventsGoToThePartitionThatStartedTheTimer() {
         List<List<Event>> eventsByPartition = new ArrayList<>();
         PartitionedDecider decider =
                 new PartitionedDecider(RolloutSimulation.settings(false, 0), 1, (settings, seed) -> {
--- a/src/test/java/laurelkeel/partition/RolloutSimulation.java
+++ b/src/test/java/laurelkeel/partition/RolloutSimulation.java
@@ -28,15 +28,16 @@
 import laurelkeel.decision.RoutingDecider;
 
 /**
- * The world of one node with several rollouts: endpoints, a control service and clients of one seed. Every attempt that
- * is sent is checked against the rules that hold for every rollout; {@link #violations} lists what broke them.
+ * Simulates one node with several rollouts: its endpoints, the control service and the clients, generated from one
+ * seed. Every attempt that is sent is checked against the rules that apply to every rollout; {@link #violations}
+ * describes each violation.
  */
 final class RolloutSimulation {
     static final long MILLISECOND = Ticks.PER_MILLISECOND;
     static final long SECOND = Ticks.PER_SECOND;
     static final long EXPOSURE_WINDOW_TICKS = 4 * SECOND;
     private static final double EXPOSURE_ALLOWANCE = 2;
-    /** Builds are numbered from here; it is released at first, and its endpoints started long ago. */
+    /** The lowest build number. This build is released initially, and its endpoints started long ago. */
     private static final int FIRST_BUILD = 1;
 
     private static final int FAILING_BUILD = 2;
@@ -49,7 +50,7 @@
     long nowTicks = 3_600 * SECOND;
     /** Share of the attempts at {@link #FAILING_BUILD} that fail. */
     double failureShare;
-    /** Share of the attempts whose answer an endpoint gave and the node did not get. */
+    /** Share of the attempts that the endpoint answers, but whose answer does not reach the node. */
     double lostAnswerShare;
 
     private final Settings settings;
@@ -74,7 +75,7 @@
         }
     }
 
-    /** A node with an idempotent and a non-idempotent route, where each vote counts alone. */
+    /** Returns settings with an idempotent and a non-idempotent route, in which a single vote is sufficient. */
     static Settings settings(boolean exposurePerRoute, int guardedStages) {
         return new Settings(
                 0,
@@ -115,7 +116,7 @@
                 false);
     }
 
-    /** A simulation in which the first build is released and has served requests on 8 endpoints. */
+    /** Creates a simulation in which the first build is released and has served requests on 8 endpoints. */
     static RolloutSimulation started(boolean exposurePerRoute, int guardedStages, long seed) {
         RolloutSimulation simulation = new RolloutSimulation(settings(exposurePerRoute, guardedStages), seed);
         simulation.addEndpoints(FIRST_BUILD, 8);
@@ -124,7 +125,7 @@
         return simulation;
     }
 
-    /** A simulation in which builds 2 and 3 have just become canaries. */
+    /** Creates a simulation in which builds 2 and 3 have just become canaries. */
     static RolloutSimulation withTwoCanaries(long seed) {
         RolloutSimulation simulation = started(false, 0, seed);
         simulation.addEndpoints(2, 2);
@@ -173,7 +174,7 @@
     void updateRollout(int build, int stage, RolloutPhase phase) {
         RolloutUpdate update = rolloutUpdate(build, stage, phase, false);
         rollouts.put(build, update);
-        // the answer to a vote says what holds when it comes
+        // the answer to a vote contains the rollout's state at the time when it arrives
         RolloutUpdate answer = rolloutUpdate(build, stage, phase, true);
         dueEvents.values().forEach(events -> events.replaceAll(event -> isUpdateOf(build, event) ? answer : event));
         if (phase == RolloutPhase.RELEASED) {
@@ -199,7 +200,7 @@
         return new RolloutUpdate(ControlStatus.OK, stage, cap, 0, phase, build, answersVote);
     }
 
-    /** Sends requests at an even pace, a few keys of which are frequent. */
+    /** Sends requests at a fixed interval; a few of their keys are frequent. */
     void runTraffic(long spanTicks, int intervalMillis) {
         long endTicks = nowTicks + spanTicks;
         while (nowTicks < endTicks) {
@@ -273,8 +274,8 @@
         }
     }
 
-    private void addViolation(String what) {
-        violations.add(nowTicks + ": " + what);
+    private void addViolation(String description) {
+        violations.add(nowTicks + ": " + description);
     }
 
     private void perform(Action action) {
@@ -353,7 +354,8 @@
         }
         Integer latestBuild = request.partitionKey() == null ? null : latestBuildByKey.get(request.partitionKey());
         if (latestBuild != null && build < latestBuild) {
-            addViolation("key " + request.partitionKey() + " of build " + latestBuild + " went to " + build);
+            addViolation("key " + request.partitionKey() + " was served by build " + latestBuild + " and sent to build "
+                    + build);
         }
         RolloutUpdate rollout = rollouts.get(build);
         if (rollout == null) {
@@ -370,7 +372,7 @@
         checkExposure(rollout, scopeOf(request.route()));
         boolean isGuarded = rollout.stage() < settings.rollout().guardedStages();
         if (isGuarded && settings.routes().get(request.route()).idempotency() != Idempotency.IDEMPOTENT) {
-            addViolation("a guarded stage got a request that is not idempotent");
+            addViolation("a request that is not idempotent was sent to a canary in a guarded stage");
         }
     }
 
@@ -387,29 +389,32 @@
         double permitted = EXPOSURE_ALLOWANCE
                 + rollout.exposureCap() * requestTimes.get(scope).size();
         if (attempts.size() > permitted) {
-            addViolation("build " + rollout.build() + " has " + attempts.size() + " attempts of " + permitted);
+            addViolation("build " + rollout.build() + " has " + attempts.size() + " attempts, permitted: " + permitted);
         }
     }
 
-    /** Rollouts that begin, advance, are released and rolled back in an order of the seed, up to four at once. */
+    /**
+     * Runs rollouts that begin, advance, are released and are rolled back in an order that the seed determines, up to
+     * four at a time.
+     */
     void runRandomRollouts(int seed) {
         Random rolloutRandom = new Random(seed);
         int nextBuild = FIRST_BUILD + 1;
         Map<Integer, Integer> stageByCanary = new TreeMap<>();
-        for (int turn = 0; turn < 14; turn++) {
-            int kind = rolloutRandom.nextInt(6);
-            if ((kind <= 1 && stageByCanary.size() < 4) || stageByCanary.isEmpty()) {
+        for (int step = 0; step < 14; step++) {
+            int operation = rolloutRandom.nextInt(6);
+            if ((operation <= 1 && stageByCanary.size() < 4) || stageByCanary.isEmpty()) {
                 startCanary(nextBuild, rolloutRandom);
                 stageByCanary.put(nextBuild, 0);
                 nextBuild++;
             } else {
                 int build = List.copyOf(stageByCanary.keySet()).get(rolloutRandom.nextInt(stageByCanary.size()));
                 int stage = stageByCanary.get(build);
-                if (kind <= 3 && stage < 2) {
+                if (operation <= 3 && stage < 2) {
                     addEndpoints(build, 3 + 14 * stage);
                     updateRollout(build, stage + 1, RolloutPhase.CANARY);
                     stageByCanary.put(build, stage + 1);
-                } else if (kind == 4 && stage == 2) {
+                } else if (operation == 4 && stage == 2) {
                     release(build, stageByCanary);
                 } else {
                     rollBack(build, stage);
@@ -444,7 +449,7 @@
         updateRollout(build, stage, RolloutPhase.ROLLING_BACK);
         runTraffic(SECOND / 2, 5);
         removeEndpoints(build);
-        // the first build comes back in its place
+        // endpoints of the first build replace the removed ones
         addEndpoints(FIRST_BUILD, 8);
         updateRollout(build, stage, RolloutPhase.ROLLED_BACK);
     }
--- a/src/test/java/laurelkeel/partition/SharedExposureLimiterTest.java
+++ b/src/test/java/laurelkeel/partition/SharedExposureLimiterTest.java
@@ -30,28 +30,28 @@
     @Test
     void attemptsBeyondTheCapOfAllRequestsAreRefused() {
         receive(50);
-        // the allowance of 2, and a tenth of 50
+        // the allowance of 2 attempts, and a tenth of the 50 requests
         assertEquals(7, acquire(20, true));
     }
 
     @Test
-    void attemptsThatAreNotBoundHereCountAllTheSame() {
+    void attemptsAreCountedEvenIfTheCapIsNotEnforced() {
         receive(50);
         assertEquals(6, acquire(6, false));
         assertEquals(1, acquire(20, true));
     }
 
     @Test
-    void anAttemptCountsLongerThanARequest() {
+    void anAttemptIsCountedLongerThanARequest() {
         receive(50);
         assertEquals(7, acquire(7, true));
         long windowTicks = settings.rollout().exposureWindowTicks();
-        assertFalse(limiter.tryAcquire(BUILD, 0, 1, true, windowTicks), "the requests count no more");
-        assertTrue(limiter.tryAcquire(BUILD, 0, 1, true, windowTicks + 100), "nor do the attempts");
+        assertFalse(limiter.tryAcquire(BUILD, 0, 1, true, windowTicks), "the requests are no longer counted");
+        assertTrue(limiter.tryAcquire(BUILD, 0, 1, true, windowTicks + 100), "neither are the attempts");
     }
 
     @Test
-    void aForgottenBuildStartsAnew() {
+    void aRemovedBuildIsCountedFromZeroAgain() {
         receive(50);
         acquire(20, true);
         limiter.retainBuilds(build -> build != BUILD);
@@ -59,11 +59,14 @@
     }
 
     @Test
-    void aPartitionsCapTimesItsRequestsIsTheCapOfAllRequests() {
+    void aPartitionsCapTimesItsRequestsEqualsTheCapOfAllRequests() {
         receive(60);
         ExposureWindow partitionRequests = ExposureWindow.ofRequests(settings);
         assertEquals(
-                0.3, limiter.partitionCap(0.1, partitionRequests, 3, 0), 1e-12, "at most the number of partitions");
+                0.3,
+                limiter.partitionCap(0.1, partitionRequests, 3, 0),
+                1e-12,
+                "the cap is scaled by at most the number of partitions");
         for (int i = 0; i < 30; i++) {
             partitionRequests.add(0, 0);
         }
--- a/src/test/java/laurelkeel/partition/StickyKeyBindingsTest.java
+++ b/src/test/java/laurelkeel/partition/StickyKeyBindingsTest.java
@@ -31,34 +31,37 @@
     }
 
     @Test
-    void aKeyStaysInThePartitionWhereACanaryServedIt() {
+    void aKeyStaysInThePartitionInWhichACanaryServedIt() {
         assertEquals(StickyKeyBindings.NO_PARTITION, bindings.partitionOf(KEY));
         serve(1, ONE_PARTITION);
         assertEquals(StickyKeyBindings.NO_PARTITION, bindings.partitionOf(KEY), "the released build binds no key");
         serve(3, ONE_PARTITION);
         assertEquals(ONE_PARTITION, bindings.partitionOf(KEY));
         serve(2, OTHER_PARTITION);
-        assertEquals(ONE_PARTITION, bindings.partitionOf(KEY), "a late answer of an earlier build");
+        assertEquals(
+                ONE_PARTITION, bindings.partitionOf(KEY), "a late answer of an earlier build does not rebind the key");
     }
 
     @Test
-    void anAttemptThatSurelyDidNothingBindsNoKey() {
+    void anAttemptThatProvablyNeverRanBindsNoKey() {
         bindings.onAttemptSent(KEY, 2);
         bindings.onAttemptEnded(KEY, 2, ONE_PARTITION, false);
         assertEquals(0, bindings.size());
     }
 
     @Test
-    void aLaterBuildOfAnotherPartitionForbidsAnEarlierOne() {
+    void aLaterBuildInAnotherPartitionForbidsAnEarlierOne() {
         serve(3, ONE_PARTITION);
         assertTrue(bindings.isServedByLaterBuild(KEY, 2, OTHER_PARTITION, false));
         assertFalse(bindings.isServedByLaterBuild(KEY, 3, OTHER_PARTITION, false));
-        assertFalse(bindings.isServedByLaterBuild(KEY, 2, ONE_PARTITION, false), "its own decider knows");
+        assertFalse(
+                bindings.isServedByLaterBuild(KEY, 2, ONE_PARTITION, false),
+                "the partition's own decider enforces this");
         assertFalse(bindings.isServedByLaterBuild(null, 2, OTHER_PARTITION, false));
     }
 
     @Test
-    void anAttemptInFlightCountsAmongSeveralPartitions() {
+    void anAttemptInFlightForbidsAnEarlierBuildOnlyWithSeveralPartitions() {
         bindings.onAttemptSent(KEY, 3);
         assertTrue(bindings.isServedByLaterBuild(KEY, 2, ONE_PARTITION, true));
         assertFalse(bindings.isServedByLaterBuild(KEY, 2, ONE_PARTITION, false));
@@ -67,7 +70,7 @@
     }
 
     @Test
-    void aRollbackFreesTheKeys() {
+    void aRollbackUnbindsTheKeys() {
         serve(3, ONE_PARTITION);
         rollouts.apply(update(3, 0, 0, RolloutPhase.ROLLING_BACK));
         assertFalse(bindings.isServedByLaterBuild(KEY, 2, OTHER_PARTITION, true));
@@ -76,7 +79,7 @@
     }
 
     @Test
-    void withoutStickyKeysNothingIsBound() {
+    void withoutStickyKeysNoKeyIsBound() {
         StickyKeyBindings disabledBindings = new StickyKeyBindings(false, rollouts);
         disabledBindings.onAttemptSent(KEY, 3);
         disabledBindings.onAttemptEnded(KEY, 3, ONE_PARTITION, true);
--- a/src/test/java/laurelkeel/partition/TrafficPartitionTest.java
+++ b/src/test/java/laurelkeel/partition/TrafficPartitionTest.java
@@ -36,26 +36,26 @@
     }
 
     @Test
-    void anEventOfItsOwnTurnWaitsForTheNext() {
-        List<Integer> turns = new ArrayList<>();
+    void anEventQueuedDuringACallIsPassedToTheNextOne() {
+        List<Integer> eventCounts = new ArrayList<>();
         TrafficPartition[] self = new TrafficPartition[1];
         self[0] = partition(2, (nowTicks, events) -> {
-            turns.add(events.size());
-            if (turns.size() == 1) {
+            eventCounts.add(events.size());
+            if (eventCounts.size() == 1) {
                 self[0].enqueue(new Event.TimerFired(0));
             }
             return List.of();
         });
         self[0].decide(1);
         self[0].decide(1);
-        assertEquals(List.of(0, 1), turns);
+        assertEquals(List.of(0, 1), eventCounts);
     }
 
     @Test
-    void aCapIsAnnouncedOnlyWhereTheDeciderGoesByAnother() {
+    void aCapIsAnnouncedOnlyIfTheDeciderAppliesAnother() {
         RolloutRecord rollout = RolloutRecord.of(update(2, 0, 0.1, RolloutPhase.CANARY));
         partition.announceCap(rollout, 0.1);
-        assertFalse(partition.hasPendingEvents(), "the update has said it");
+        assertFalse(partition.hasPendingEvents(), "the update contained this cap");
         partition.announceCap(rollout, 0.2);
         partition.announceCap(rollout, 0.2);
         partition.decide(1);
@@ -63,11 +63,11 @@
         partition.enqueueRolloutUpdate(update(2, 0, 0.1, RolloutPhase.CANARY));
         partition.announceCap(rollout, 0.2);
         partition.decide(2);
-        assertEquals(3, receivedEvents.size(), "an update sets the cap of all requests again");
+        assertEquals(3, receivedEvents.size(), "an update resets the decider to the cap of all requests");
     }
 
     @Test
-    void updatesOfEarlierBuildsTeachTheDeciderNothing() {
+    void updatesOfEarlierBuildsAreNotCountedAsKnownToTheDecider() {
         partition.enqueueRolloutUpdate(update(1, 0, 0, RolloutPhase.ROLLED_BACK));
         assertFalse(partition.knowsRollbackOf(1));
         partition.enqueueRolloutUpdate(update(1, 0, 1, RolloutPhase.RELEASED));
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void aClosingPartitionIsDrainedWithItsLastRequest() {
+    void aClosingPartitionIsDrainedWhenItsLastRequestCompletes() {
         partition.onRequestAssigned(0, 1);
         partition.close();
         assertFalse(partition.isDrained());
--- a/src/test/java/laurelkeel/partition/VoteGateTest.java
+++ b/src/test/java/laurelkeel/partition/VoteGateTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void votesPassWhereNothingIsAttributed() {
+    void noVoteIsWithheldIfNoRegressionIsAttributed() {
         gate.setAttribution(2, Attribution.CLEARED);
         gate.setAttribution(3, Attribution.NONE);
         assertNull(gate.reasonToWithhold(PROMOTE, 0));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void nothingIsPromotedWhileARegressionIsOpenOrItsBuildNotRolledBack() {
+    void promotionIsWithheldWhileARegressionIsOpenOrItsBuildIsNotRolledBack() {
         gate.setAttribution(3, Attribution.OPEN);
         assertNotNull(gate.reasonToWithhold(PROMOTE, 0));
         gate.setAttribution(3, Attribution.GUILTY);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aVoteToRollBackABuildNotFoundGuiltyWaitsForFifteenSeconds() {
+    void aVoteToRollBackABuildThatIsNotGuiltyIsWithheldForFifteenSeconds() {
         long startTicks = 100;
         gate.setAttribution(3, Attribution.GUILTY);
         assertNotNull(gate.reasonToWithhold(ROLL_BACK, startTicks));
@@ -60,14 +60,14 @@
     }
 
     @Test
-    void aVoteToRollBackTheGuiltyBuildDoesNotWait() {
+    void aVoteToRollBackTheGuiltyBuildIsNotWithheld() {
         gate.setAttribution(2, Attribution.GUILTY);
         gate.setAttribution(3, Attribution.OPEN);
         assertNull(gate.reasonToWithhold(ROLL_BACK, 0));
     }
 
     @Test
-    void aCanaryThatIsGuiltyOrSetAsideIsVotedBackAndTheVoteRenewed() {
+    void votesToRollBackACanaryThatIsGuiltyOrSetAsideAreCastAndRenewed() {
         rollouts.apply(update(2, 1, 0.1, RolloutPhase.CANARY));
         rollouts.apply(update(3, 0, 0.1, RolloutPhase.CANARY));
         gate.setAttribution(2, Attribution.GUILTY);
