--- a/src/main/java/laurelkeel/partition/PartitionedDecider.java
+++ b/src/main/java/laurelkeel/partition/PartitionedDecider.java
@@ -237,9 +237,9 @@
         }
         boolean changed = rollouts.apply(update);
         if (!rollouts.isCanary(update.build())) {
-            voteGate.forget(update.build());
+            voteGate.removeBuild(update.build());
             if (changed) {
-                keyBindings.forgetEndedRollouts();
+                keyBindings.removeEndedRollouts();
                 exposureLimiter.retainBuilds(rollouts::bindsStickyKeys);
             }
         }
--- a/src/main/java/laurelkeel/partition/StickyKeyBindings.java
+++ b/src/main/java/laurelkeel/partition/StickyKeyBindings.java
@@ -95,7 +95,7 @@
     }
 
     /** Removes the keys of rollouts that have ended, to free capacity for the keys of ongoing rollouts. */
-    void forgetEndedRollouts() {
+    void removeEndedRollouts() {
         bindings.values().removeIf(binding -> !rollouts.bindsStickyKeys(binding.build));
     }
 
--- a/src/main/java/laurelkeel/partition/VoteGate.java
+++ b/src/main/java/laurelkeel/partition/VoteGate.java
@@ -41,7 +41,7 @@
     }
 
     /** Removes the state of a build whose rollout has ended. */
-    void forget(int build) {
+    void removeBuild(int build) {
         attributions.remove(build);
         firstWithheldTicks.remove(build);
         lastRollBackVoteTicks.remove(build);
--- a/src/test/java/laurelkeel/partition/StickyKeyBindingsTest.java
+++ b/src/test/java/laurelkeel/partition/StickyKeyBindingsTest.java
@@ -74,7 +74,7 @@
         serve(3, ONE_PARTITION);
         rollouts.apply(update(3, 0, 0, RolloutPhase.ROLLING_BACK));
         assertFalse(bindings.isServedByLaterBuild(KEY, 2, OTHER_PARTITION, true));
-        bindings.forgetEndedRollouts();
+        bindings.removeEndedRollouts();
         assertEquals(0, bindings.size());
     }
 
--- a/src/test/java/laurelkeel/partition/VoteGateTest.java
+++ b/src/test/java/laurelkeel/partition/VoteGateTest.java
@@ -44,7 +44,7 @@
         assertNotNull(gate.reasonToWithhold(PROMOTE, 0));
         gate.setAttribution(3, Attribution.GUILTY);
         assertNotNull(gate.reasonToWithhold(PROMOTE, 0));
-        gate.forget(3);
+        gate.removeBuild(3);
         assertNull(gate.reasonToWithhold(PROMOTE, 0));
         gate.setAttribution(2, Attribution.GUILTY);
         assertNotNull(gate.reasonToWithhold(PROMOTE, 0));
