--- a/src/main/java/laurelkeel/partition/PartitionPlan.java
+++ b/src/main/java/laurelkeel/partition/PartitionManager.java
@@ -8,10 +8,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Opens and closes partitions as rollouts begin and end, and passes each partition's decider the rollout updates,
+ * Opens and closes partitions as rollouts begin and end, and forwards to each partition's decider the rollout updates,
  * endpoints and baseline that concern it. Not thread-safe.
  */
-final class PartitionPlan {
+final class PartitionManager {
     private final PartitionSet partitions;
     private final ConcurrentRollouts rollouts;
     private final EndpointTable endpoints;
@@ -20,8 +20,11 @@
     private final int maxOpenPartitions;
     private boolean baselinesOutdated;
 
-    /** @param guardedStages so many stages, from the first, in which a canary may not get all kinds of requests */
-    PartitionPlan(
+    /**
+     * @param guardedStages the number of stages, from the first, in which a canary may not receive all kinds of
+     *     requests
+     */
+    PartitionManager(
             PartitionSet partitions,
             ConcurrentRollouts rollouts,
             EndpointTable endpoints,
@@ -36,9 +39,9 @@
     }
 
     /**
-     * Passes on an update of a rollout, after opening a partition where the rollout has just begun.
+     * Forwards an update of a rollout, after opening a partition if the rollout has just begun.
      *
-     * @param changed whether the update has changed the rollouts' state
+     * @param changed whether the update has changed the state of the rollouts
      */
     void onRolloutUpdate(RolloutUpdate update, boolean changed) {
         int build = update.build();
@@ -50,7 +53,7 @@
             }
         }
         if (owner != null) {
-            owner.adoptRollout(build);
+            owner.advanceRolloutBuild(build);
         }
         baselinesOutdated |= changed && isAnyPartitionRestricted();
         closeEnded();
@@ -73,16 +76,16 @@
 
     private TrafficPartition open(int build) {
         TrafficPartition partition = partitions.open(build);
-        // first, since a closed partition's baseline limits the choice of the new one's
+        // must precede the choice of the new partition's baseline, which a closed partition's baseline limits
         closeEnded();
         partition.setBaselineBuild(baselines.baselineFor(build));
         partition.announceBaseline();
-        showEndpoints(partition);
+        replaceVisibleEndpoints(partition);
         baselinesOutdated = true;
         return partition;
     }
 
-    /** Closes partitions whose rollout has ended; the last one stays open, for all builds. */
+    /** Closes partitions whose rollout has ended. The last open partition stays open and serves all builds. */
     private void closeEnded() {
         if (partitions.isSingle()) {
             return;
@@ -104,26 +107,29 @@
         }
     }
 
-    /** Passes on an update of the endpoint list, which the endpoint table has taken already. */
+    /** Forwards an update of the endpoint list that has already been applied to the endpoint table. */
     void onEndpointListUpdate(EndpointListUpdate update) {
         boolean restricted = isAnyPartitionRestricted();
         baselinesOutdated |= restricted;
         for (TrafficPartition partition : partitions) {
             if (!restricted && visibility.isEveryBuildVisible(partition)) {
-                update.entries().forEach(entry -> partition.markShown(entry.endpointId()));
+                update.entries().forEach(entry -> partition.markVisible(entry.endpointId()));
                 partition.enqueue(update);
             } else {
-                partition.enqueue(visibility.restrict(update, partition));
+                partition.enqueue(visibility.filterUpdate(update, partition));
             }
         }
     }
 
-    /** Whether any partition is shown some builds only; a last one may keep the baseline of one that was closed. */
+    /**
+     * Returns whether any partition is shown only some builds. The only remaining partition may still have the baseline
+     * of one that was closed.
+     */
     private boolean isAnyPartitionRestricted() {
         return !partitions.isSingle() || !partitions.first().choosesBaseline();
     }
 
-    /** Chooses the partitions' baselines anew where rollouts or endpoints have changed since the last call. */
+    /** Chooses the partitions' baselines again if rollouts or endpoints have changed since the last call. */
     void refreshBaselines() {
         if (!baselinesOutdated) {
             return;
@@ -133,7 +139,7 @@
             int baseline = nextBaseline(partition);
             if (baseline != partition.baselineBuild()) {
                 partition.setBaselineBuild(baseline);
-                showEndpoints(partition);
+                replaceVisibleEndpoints(partition);
             }
         }
     }
@@ -143,12 +149,15 @@
             return ConcurrentRollouts.NO_BUILD;
         }
         int baseline = baselines.baselineFor(partition.rolloutBuild());
-        // while a canary that has served as the baseline lasts, only a later build takes its place
+        // as long as a build that has served as the baseline is a canary, only a later build replaces it
         int current = partition.baselineBuild();
         return rollouts.isCanary(current) ? Math.max(baseline, current) : baseline;
     }
 
-    /** The only open partition's decider chooses for itself, once it knows all that was released meanwhile. */
+    /**
+     * Returns whether a partition's decider may choose the baseline itself. Only the decider of the single open
+     * partition may, once it has been informed of all releases so far and no minimum baseline applies.
+     */
     private boolean mayChooseBaseline(TrafficPartition partition) {
         return partitions.openCount() == 1
                 && !partition.isClosing()
@@ -156,7 +165,7 @@
                 && rollouts.minimumBaseline() == ConcurrentRollouts.NO_BUILD;
     }
 
-    private void showEndpoints(TrafficPartition partition) {
+    private void replaceVisibleEndpoints(TrafficPartition partition) {
         List<EndpointEntry> visible = visibility.visibleEndpoints(partition, endpoints);
         partition.replaceEndpoints(visible);
     }
--- a/src/test/java/laurelkeel/partition/BuildVisibilityTest.java
+++ b/src/test/java/laurelkeel/partition/BuildVisibilityTest.java
@@ -20,7 +20,7 @@
     private final TrafficPartition partition = TrafficPartitionTest.partition(2, (nowTicks, events) -> List.of());
 
     @Test
-    void aPartitionIsShownItsBuildAndItsBaseline() {
+    void onlyItsBuildAndItsBaselineAreVisibleToAPartition() {
         partition.setBaselineBuild(1);
         assertTrue(visibility.isVisible(partition, endpoint("a", 1)));
         assertTrue(visibility.isVisible(partition, endpoint("b", 2)));
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aPartitionThatChoosesItsBaselineIsShownAllButUnknownRollbacks() {
+    void allBuildsExceptUnknownRollbacksAreVisibleToAPartitionThatChoosesItsBaseline() {
         rollouts.apply(update(3, 0, 0, RolloutPhase.ROLLED_BACK));
         assertTrue(visibility.isVisible(partition, endpoint("a", 1)));
         assertFalse(visibility.isVisible(partition, endpoint("c", 3)));
@@ -43,14 +43,14 @@
         partition.setBaselineBuild(1);
         EndpointEntry first = endpoint("a", 1);
         EndpointEntry restarted = endpoint("a", 3);
-        assertEquals(List.of(first), restrict(first).entries());
+        assertEquals(List.of(first), filterUpdate(first).entries());
         assertEquals(
                 List.of(endpoint("a", 3, 1, EndpointState.REMOVED)),
-                restrict(restarted).entries());
-        assertEquals(List.of(), restrict(restarted).entries(), "it is removed once");
+                filterUpdate(restarted).entries());
+        assertEquals(List.of(), filterUpdate(restarted).entries(), "it is removed only once");
     }
 
-    private EndpointListUpdate restrict(EndpointEntry entry) {
-        return visibility.restrict(new EndpointListUpdate(EndpointListKind.DELTA, List.of(entry)), partition);
+    private EndpointListUpdate filterUpdate(EndpointEntry entry) {
+        return visibility.filterUpdate(new EndpointListUpdate(EndpointListKind.DELTA, List.of(entry)), partition);
     }
 }
