--- a/src/main/java/laurelkeel/attribution/Assessment.java
+++ b/src/main/java/laurelkeel/attribution/Assessment.java
@@ -9,16 +9,16 @@
  * What is known of all canaries at one moment.
  *
  * @param evidenceByBuild the evidence of the comparisons side by side
- * @param latencies explanations of the whole fleet's latencies
- * @param hits explanations of the whole fleet's attempts that went wrong
+ * @param latencyRanking explanations of the whole fleet's latencies
+ * @param badAttemptRanking explanations of the whole fleet's attempts that went wrong
  * @param isOpen whether a regression is open, of one canary or of the whole fleet
  * @param isFleetRegressionOpen whether a regression of the whole fleet is open
  * @param buildToSetAside the canary to roll back in order to learn more, or -1
  */
 record Assessment(
         Map<Integer, LogEvidence> evidenceByBuild,
-        ExplanationRanking latencies,
-        ExplanationRanking hits,
+        ExplanationRanking latencyRanking,
+        ExplanationRanking badAttemptRanking,
         boolean isOpen,
         boolean isFleetRegressionOpen,
         int buildToSetAside,
@@ -42,14 +42,14 @@
 
     /** The probability that a canary has a part in a regression of the whole fleet. */
     double probabilityByFleet(int build) {
-        return Math.max(latencies.probabilityOf(build), hits.probabilityOf(build));
+        return Math.max(latencyRanking.probabilityOf(build), badAttemptRanking.probabilityOf(build));
     }
 
     /** The likeliest explanation of the whole fleet's state in which a canary has a part, or null. */
     @Nullable
     Explanation fleetExplanation(int build) {
-        boolean isStrongerInHits = hits.probabilityOf(build) > latencies.probabilityOf(build);
-        return (isStrongerInHits ? hits : latencies).findInvolving(build);
+        boolean isStrongerInHits = badAttemptRanking.probabilityOf(build) > latencyRanking.probabilityOf(build);
+        return (isStrongerInHits ? badAttemptRanking : latencyRanking).findInvolving(build);
     }
 
     /** The strongest evidence against a canary. */
--- a/src/main/java/laurelkeel/attribution/AttemptCounts.java
+++ b/src/main/java/laurelkeel/attribution/AttemptCounts.java
@@ -40,7 +40,7 @@
         return attempts;
     }
 
-    int hits(HitKind kind) {
+    int count(BadOutcome kind) {
         return switch (kind) {
             case FAILED -> failed;
             case UNANSWERED -> unanswered;
@@ -49,8 +49,8 @@
     }
 
     /** Share of the attempts that went wrong in one way. */
-    double share(HitKind kind) {
-        return hits(kind) / (double) attempts;
+    double share(BadOutcome kind) {
+        return count(kind) / (double) attempts;
     }
 
     /** How many answers were errors or complained of. */
--- a/src/main/java/laurelkeel/attribution/HitKind.java
+++ b/src/main/java/laurelkeel/attribution/BadOutcome.java
@@ -3,7 +3,7 @@
 import laurelkeel.attribution.AttributionFinding.Kind;
 
 /** A way in which an attempt can go wrong, as nodes count it. */
-enum HitKind {
+enum BadOutcome {
     /** The answer was an error. */
     FAILED(Kind.FAILS),
     /** No answer came. */
@@ -13,7 +13,7 @@
 
     private final Kind findingKind;
 
-    HitKind(Kind findingKind) {
+    BadOutcome(Kind findingKind) {
         this.findingKind = findingKind;
     }
 
--- a/src/main/java/laurelkeel/attribution/CanaryComparison.java
+++ b/src/main/java/laurelkeel/attribution/CanaryComparison.java
@@ -27,13 +27,13 @@
     private static final double WRONG_WEIGHT = 0.2;
     private static final double SLOW_WEIGHT = 0.125;
 
-    private static final int MIN_ATTEMPTS_ALONE = 50;
-    private static final int MIN_ATTEMPTS_TOGETHER = 20;
-    private static final double MIN_BAD_SHARE_TOGETHER = 0.02;
-    private static final double MIN_RATIO_TOGETHER = 8;
+    private static final int MIN_ATTEMPTS_WHILE_ALONE = 50;
+    private static final int MIN_ATTEMPTS_WITH_OTHERS = 20;
+    private static final double MIN_BAD_SHARE_WITH_OTHERS = 0.02;
+    private static final double MIN_RATIO_WITH_OTHERS = 8;
 
-    private static final Set<HitKind> ANSWER_KINDS = EnumSet.of(HitKind.FAILED, HitKind.WRONG);
-    private static final Set<HitKind> SILENCE_KINDS = EnumSet.of(HitKind.UNANSWERED);
+    private static final Set<BadOutcome> ANSWER_KINDS = EnumSet.of(BadOutcome.FAILED, BadOutcome.WRONG);
+    private static final Set<BadOutcome> SILENCE_KINDS = EnumSet.of(BadOutcome.UNANSWERED);
 
     /** The attempts of one node and route at the canary and at the reference builds. */
     private static final class Stratum {
@@ -48,24 +48,24 @@
             return canary.attempts() > 0 && reference.attempts() > 0;
         }
 
-        ContingencyTable table(HitKind kind) {
+        ContingencyTable table(BadOutcome kind) {
             return new ContingencyTable(
-                    canary.hits(kind),
+                    canary.count(kind),
                     canary.attempts(),
-                    canary.hits(kind) + reference.hits(kind),
+                    canary.count(kind) + reference.count(kind),
                     canary.attempts() + reference.attempts());
         }
     }
 
     /** What one second showed. */
     private static final class SecondSummary {
-        private final PerHitKind<ShareDifference> differences = new PerHitKind<>(ShareDifference::new);
+        private final PerBadOutcome<ShareDifference> differences = new PerBadOutcome<>(ShareDifference::new);
         private int canaryAttempts;
     }
 
     private final int build;
     private final long startedAtSecond;
-    private final PerHitKind<CountEvidence> countEvidence;
+    private final PerBadOutcome<CountEvidence> countEvidence;
     private final LatencyEvidence calmLatencyEvidence = new LatencyEvidence();
     private final LatencyEvidence busyLatencyEvidence = new LatencyEvidence();
     private final LatencyRatioWindow calmLatencyRatio = new LatencyRatioWindow(WINDOW_SECONDS);
@@ -73,14 +73,14 @@
     private final Deque<SecondSummary> recentSeconds = new ArrayDeque<>();
     private final Set<String> excludedEndpoints = new HashSet<>();
     private final Set<Integer> excludedTenants = new HashSet<>();
-    private final AttemptCounts countsAlone = new AttemptCounts();
-    private final AttemptCounts countsTogether = new AttemptCounts();
+    private final AttemptCounts countsWhileAlone = new AttemptCounts();
+    private final AttemptCounts countsWithOtherCanaries = new AttemptCounts();
     private @Nullable Kind guiltyKind;
 
     CanaryComparison(int build, long startedAtSecond, int routeCount) {
         this.build = build;
         this.startedAtSecond = startedAtSecond;
-        countEvidence = new PerHitKind<>(() -> new CountEvidence(routeCount));
+        countEvidence = new PerBadOutcome<>(() -> new CountEvidence(routeCount));
     }
 
     int build() {
@@ -112,22 +112,22 @@
      *
      * @param isReference whether a build is one to compare with
      * @param traffic of the last seconds, this one included
-     * @param othersHaveTraffic whether other canaries have traffic too
+     * @param otherCanariesHaveTraffic whether other canaries have traffic too
      */
     void addSecond(
             ReportedSecond second,
             IntPredicate isReference,
             RecentTraffic traffic,
-            boolean othersHaveTraffic,
+            boolean otherCanariesHaveTraffic,
             LoadClassifier.Level load) {
         countEvidence.forEach(evidence -> evidence.beginSecond(second.nodeCount()));
         ComparisonFilter filter = new ComparisonFilter(build, isReference, traffic);
-        noteExclusions(filter);
+        recordExclusions(filter);
         // one endpoint's silence or slowness cannot be distinguished from its build's
         boolean hasSeveralEndpoints = traffic.endpointCount(build) > 1;
         SecondSummary summary = new SecondSummary();
         SecondLatencyComparison latencies = new SecondLatencyComparison();
-        AttemptCounts canaryCounts = othersHaveTraffic ? countsTogether : countsAlone;
+        AttemptCounts canaryCounts = otherCanariesHaveTraffic ? countsWithOtherCanaries : countsWhileAlone;
         second.cellsByNode().forEach((node, cells) -> {
             List<NodeReport.Cell> accepted =
                     cells.stream().filter(filter::accepts).toList();
@@ -154,21 +154,21 @@
         }
     }
 
-    private void noteExclusions(ComparisonFilter filter) {
+    private void recordExclusions(ComparisonFilter filter) {
         RecentTraffic.addIfPresent(filter.outlierEndpoint(), excludedEndpoints);
         if (filter.excludedTenant() != RecentTraffic.NO_TENANT) {
             excludedTenants.add(filter.excludedTenant());
         }
     }
 
-    private void compareShares(int node, List<NodeReport.Cell> cells, Set<HitKind> kinds, SecondSummary summary) {
+    private void compareShares(int node, List<NodeReport.Cell> cells, Set<BadOutcome> kinds, SecondSummary summary) {
         Map<Integer, Stratum> strataByRoute = new TreeMap<>();
         for (NodeReport.Cell cell : cells) {
             strataByRoute.computeIfAbsent(cell.route(), unused -> new Stratum()).add(cell, cell.build() == build);
         }
         strataByRoute.forEach((route, stratum) -> {
             if (stratum.isComparable()) {
-                for (HitKind kind : kinds) {
+                for (BadOutcome kind : kinds) {
                     countEvidence.get(kind).add(node, route, stratum.table(kind));
                     summary.differences.get(kind).add(stratum.canary, stratum.reference, kind);
                 }
@@ -196,9 +196,9 @@
     /** The evidence so far that the canary is worse than the reference builds. */
     LogEvidence evidence() {
         LogEvidence evidence = new LogEvidence();
-        putCountEvidence(HitKind.FAILED, FAILED_WEIGHT, evidence);
-        putCountEvidence(HitKind.UNANSWERED, UNANSWERED_WEIGHT, evidence);
-        putCountEvidence(HitKind.WRONG, WRONG_WEIGHT, evidence);
+        putCountEvidence(BadOutcome.FAILED, FAILED_WEIGHT, evidence);
+        putCountEvidence(BadOutcome.UNANSWERED, UNANSWERED_WEIGHT, evidence);
+        putCountEvidence(BadOutcome.WRONG, WRONG_WEIGHT, evidence);
         evidence.put(
                 Kind.SLOW,
                 SLOW_WEIGHT,
@@ -206,7 +206,7 @@
         return evidence;
     }
 
-    private void putCountEvidence(HitKind kind, double weight, LogEvidence evidence) {
+    private void putCountEvidence(BadOutcome kind, double weight, LogEvidence evidence) {
         evidence.put(kind.findingKind(), weight, countEvidence.get(kind).logEValue());
     }
 
@@ -223,7 +223,7 @@
     }
 
     /** The difference of the shares of attempts that went wrong in the last seconds. */
-    Estimate shareDifference(HitKind kind, double standardErrors) {
+    Estimate shareDifference(BadOutcome kind, double standardErrors) {
         ShareDifference sum = new ShareDifference();
         recentSeconds.forEach(second -> sum.add(second.differences.get(kind)));
         return sum.estimate(standardErrors);
@@ -237,11 +237,11 @@
     }
 
     /** Whether the canary did well alone and does badly while other canaries have traffic too. */
-    boolean isBadOnlyTogether() {
-        return countsAlone.attempts() >= MIN_ATTEMPTS_ALONE
-                && countsTogether.attempts() >= MIN_ATTEMPTS_TOGETHER
-                && countsTogether.badAnswerShare() > MIN_BAD_SHARE_TOGETHER
-                && countsAlone.badAnswerShare() * MIN_RATIO_TOGETHER < countsTogether.badAnswerShare();
+    boolean isBadOnlyWithOtherCanaries() {
+        return countsWhileAlone.attempts() >= MIN_ATTEMPTS_WHILE_ALONE
+                && countsWithOtherCanaries.attempts() >= MIN_ATTEMPTS_WITH_OTHERS
+                && countsWithOtherCanaries.badAnswerShare() > MIN_BAD_SHARE_WITH_OTHERS
+                && countsWhileAlone.badAnswerShare() * MIN_RATIO_WITH_OTHERS < countsWithOtherCanaries.badAnswerShare();
     }
 
     /** What was left out of the comparison, in words for people. */
--- a/src/main/java/laurelkeel/attribution/ChangePointMixture.java
+++ b/src/main/java/laurelkeel/attribution/ChangePointMixture.java
@@ -11,24 +11,24 @@
  * to 1: the weighted mean of e-values over the change points is an e-value again. Not thread-safe.
  */
 final class ChangePointMixture {
-    private static final int START_INTERVAL_SECONDS = 5;
-    private static final int MAX_STARTS = 24;
+    private static final int CHANGE_POINT_INTERVAL_SECONDS = 5;
+    private static final int MAX_CHANGE_POINTS = 24;
 
     /** A change point and the sums as they were then. */
-    private static final class Start {
+    private static final class ChangePoint {
         private final int number;
         private final double[] sums;
 
-        Start(int number, double[] sums) {
+        ChangePoint(int number, double[] sums) {
             this.number = number;
             this.sums = sums;
         }
     }
 
     private final double[] sums;
-    private final List<Start> starts = new ArrayList<>();
+    private final List<ChangePoint> changePoints = new ArrayList<>();
     private int seconds;
-    private int startsBegun;
+    private int changePointsBegun;
 
     /** @param sumCount how many sums run beside each other */
     ChangePointMixture(int sumCount) {
@@ -37,16 +37,16 @@
 
     /** Begins a second; called before what the second adds. */
     void beginSecond() {
-        boolean beginsStart = seconds % START_INTERVAL_SECONDS == 0;
+        boolean beginsChangePoint = seconds % CHANGE_POINT_INTERVAL_SECONDS == 0;
         seconds++;
-        if (!beginsStart) {
+        if (!beginsChangePoint) {
             return;
         }
-        starts.add(new Start(startsBegun, sums.clone()));
-        startsBegun++;
-        if (starts.size() > MAX_STARTS) {
+        changePoints.add(new ChangePoint(changePointsBegun, sums.clone()));
+        changePointsBegun++;
+        if (changePoints.size() > MAX_CHANGE_POINTS) {
             // the first one sees everything; of the others the oldest is dropped
-            starts.remove(1);
+            changePoints.remove(1);
         }
     }
 
@@ -54,18 +54,18 @@
         sums[sum] += amount;
     }
 
-    int startCount() {
-        return starts.size();
+    int changePointCount() {
+        return changePoints.size();
     }
 
     /** What a sum has grown by since a change point. */
-    double sumSince(int start, int sum) {
-        return sums[sum] - starts.get(start).sums[sum];
+    double sumSince(int changePoint, int sum) {
+        return sums[sum] - changePoints.get(changePoint).sums[sum];
     }
 
     /** The logarithm of a change point's weight. */
-    double logWeight(int start) {
-        int number = starts.get(start).number;
+    double logWeight(int changePoint) {
+        int number = changePoints.get(changePoint).number;
         return -Math.log((number + 1.0) * (number + 2.0));
     }
 }
--- a/src/main/java/laurelkeel/attribution/ClearanceRule.java
+++ b/src/main/java/laurelkeel/attribution/ClearanceRule.java
@@ -21,7 +21,7 @@
         if (canary.recentAttempts() < MIN_ATTEMPTS || canary.recentSecondsWithAttempts() < MIN_SECONDS) {
             return false;
         }
-        for (HitKind kind : HitKind.values()) {
+        for (BadOutcome kind : BadOutcome.values()) {
             if (canary.shareDifference(kind, CONFIDENCE_ERRORS).high() > MAX_SHARE_DIFFERENCE) {
                 return false;
             }
--- a/src/main/java/laurelkeel/attribution/CountEvidence.java
+++ b/src/main/java/laurelkeel/attribution/CountEvidence.java
@@ -13,13 +13,13 @@
  */
 final class CountEvidence {
     /** Odds ratios of the alternative hypotheses. */
-    private static final double[] ALTERNATIVES = {2, 4, 10, 40};
+    private static final double[] ALTERNATIVE_ODDS_RATIOS = {2, 4, 10, 40};
 
     /** Odds ratio of the null hypothesis: a build that is worse by less passes. */
-    private static final double REFERENCE = 1.25;
+    private static final double NULL_ODDS_RATIO = 1.25;
 
     /** From so many nodes on, the evidence does without the node that says most: its figures may be wrong. */
-    private static final int NODES_TO_SPARE_ONE = 4;
+    private static final int MIN_NODES_TO_EXCLUDE_STRONGEST = 4;
 
     /** Weight of the evidence of all routes together; the single routes share the rest. */
     private static final double ALL_ROUTES_WEIGHT = 0.5;
@@ -29,7 +29,7 @@
     private final Map<Integer, ChangePointMixture> mixtureByNode = new HashMap<>();
 
     private int seconds;
-    private int mostNodes;
+    private int maxReportingNodes;
 
     CountEvidence(int routeCount) {
         this.routeCount = routeCount;
@@ -42,25 +42,26 @@
      */
     void beginSecond(int reportingNodes) {
         seconds++;
-        mostNodes = Math.max(mostNodes, reportingNodes);
+        maxReportingNodes = Math.max(maxReportingNodes, reportingNodes);
         mixtureByNode.values().forEach(ChangePointMixture::beginSecond);
     }
 
     /** Adds what one node saw on one route. */
     void add(int node, int route, ContingencyTable table) {
-        if (table.totalHits() == 0 || table.attempts() == 0 || table.attempts() == table.totalAttempts()) {
+        if (table.totalBadAttempts() == 0 || table.attempts() == 0 || table.attempts() == table.totalAttempts()) {
             return;
         }
         ChangePointMixture mixture = mixtureByNode.computeIfAbsent(node, unused -> createMixture());
-        for (int alternative = 0; alternative < ALTERNATIVES.length; alternative++) {
-            double logRatio = OddsRatioEvidence.logLikelihoodRatio(table, ALTERNATIVES[alternative], REFERENCE);
+        for (int alternative = 0; alternative < ALTERNATIVE_ODDS_RATIOS.length; alternative++) {
+            double logRatio =
+                    OddsRatioEvidence.logLikelihoodRatio(table, ALTERNATIVE_ODDS_RATIOS[alternative], NULL_ODDS_RATIO);
             mixture.add(sumIndex(route, alternative), logRatio);
             mixture.add(sumIndex(routeCount, alternative), logRatio);
         }
     }
 
     private ChangePointMixture createMixture() {
-        ChangePointMixture mixture = new ChangePointMixture((routeCount + 1) * ALTERNATIVES.length);
+        ChangePointMixture mixture = new ChangePointMixture((routeCount + 1) * ALTERNATIVE_ODDS_RATIOS.length);
         for (int i = 0; i < seconds; i++) {
             mixture.beginSecond();
         }
@@ -68,7 +69,7 @@
     }
 
     private static int sumIndex(int scope, int alternative) {
-        return scope * ALTERNATIVES.length + alternative;
+        return scope * ALTERNATIVE_ODDS_RATIOS.length + alternative;
     }
 
     /** The natural logarithm of the e-value. */
@@ -78,16 +79,16 @@
         }
         // all nodes have the same change points
         ChangePointMixture anyMixture = mixtureByNode.values().iterator().next();
-        double[] terms = new double[anyMixture.startCount() * (routeCount + 1) * ALTERNATIVES.length];
+        double[] terms = new double[anyMixture.changePointCount() * (routeCount + 1) * ALTERNATIVE_ODDS_RATIOS.length];
         int termCount = 0;
-        for (int start = 0; start < anyMixture.startCount(); start++) {
-            double startWeight = anyMixture.logWeight(start);
+        for (int changePoint = 0; changePoint < anyMixture.changePointCount(); changePoint++) {
+            double changePointWeight = anyMixture.logWeight(changePoint);
             for (int scope = 0; scope <= routeCount; scope++) {
-                for (int alternative = 0; alternative < ALTERNATIVES.length; alternative++) {
-                    terms[termCount] = startWeight
+                for (int alternative = 0; alternative < ALTERNATIVE_ODDS_RATIOS.length; alternative++) {
+                    terms[termCount] = changePointWeight
                             + logScopeWeight(scope)
-                            - Math.log(ALTERNATIVES.length)
-                            + logRatioOfNodes(start, sumIndex(scope, alternative));
+                            - Math.log(ALTERNATIVE_ODDS_RATIOS.length)
+                            + logRatioOfNodes(changePoint, sumIndex(scope, alternative));
                     termCount++;
                 }
             }
@@ -99,14 +100,14 @@
         return scope == routeCount ? Math.log(ALL_ROUTES_WEIGHT) : Math.log((1 - ALL_ROUTES_WEIGHT) / routeCount);
     }
 
-    private double logRatioOfNodes(int start, int sumIndex) {
+    private double logRatioOfNodes(int changePoint, int sumIndex) {
         double sum = 0;
         double largest = 0;
         for (ChangePointMixture mixture : mixtureByNode.values()) {
-            double logRatio = mixture.sumSince(start, sumIndex);
+            double logRatio = mixture.sumSince(changePoint, sumIndex);
             sum += logRatio;
             largest = Math.max(largest, logRatio);
         }
-        return mostNodes >= NODES_TO_SPARE_ONE ? sum - largest : sum;
+        return maxReportingNodes >= MIN_NODES_TO_EXCLUDE_STRONGEST ? sum - largest : sum;
     }
 }
--- a/src/main/java/laurelkeel/attribution/FindingFactory.java
+++ b/src/main/java/laurelkeel/attribution/FindingFactory.java
@@ -52,9 +52,9 @@
 
     private static Estimate effect(CanaryComparison canary, Kind kind, @Nullable Explanation fleetExplanation) {
         return switch (kind) {
-            case FAILS -> canary.shareDifference(HitKind.FAILED, CONFIDENCE_ERRORS);
-            case SILENCE -> canary.shareDifference(HitKind.UNANSWERED, CONFIDENCE_ERRORS);
-            case WRONG -> canary.shareDifference(HitKind.WRONG, CONFIDENCE_ERRORS);
+            case FAILS -> canary.shareDifference(BadOutcome.FAILED, CONFIDENCE_ERRORS);
+            case SILENCE -> canary.shareDifference(BadOutcome.UNANSWERED, CONFIDENCE_ERRORS);
+            case WRONG -> canary.shareDifference(BadOutcome.WRONG, CONFIDENCE_ERRORS);
             case SLOW -> canary.latencyRatio(CONFIDENCE_ERRORS);
             case HARMS_ALL -> fleetExplanation == null ? Estimate.NONE : ratio(fleetExplanation.effect());
         };
@@ -66,13 +66,15 @@
 
     private static List<String> considered(CanaryComparison canary, Assessment assessment) {
         List<String> sentences = new ArrayList<>(canary.exclusions());
-        if (!assessment.latencies().isNoneLikeliest()) {
-            sentences.add("the times of all builds: " + assessment.latencies().describe());
+        if (!assessment.latencyRanking().isNoneLikeliest()) {
+            sentences.add(
+                    "the times of all builds: " + assessment.latencyRanking().describe());
         }
-        if (!assessment.hits().isNoneLikeliest()) {
-            sentences.add("the trouble of all builds: " + assessment.hits().describe());
+        if (!assessment.badAttemptRanking().isNoneLikeliest()) {
+            sentences.add("the trouble of all builds: "
+                    + assessment.badAttemptRanking().describe());
         }
-        if (canary.isBadOnlyTogether()) {
+        if (canary.isBadOnlyWithOtherCanaries()) {
             sentences.add("it was well while no other release had traffic: bad only together with one");
         }
         if (sentences.isEmpty()) {
--- a/src/main/java/laurelkeel/attribution/FleetMeasure.java
+++ b/src/main/java/laurelkeel/attribution/FleetMeasure.java
@@ -24,10 +24,10 @@
         }
     },
     /** Attempts that went wrong; a share of 0.04 counts like a latency ratio of exp(0.25). */
-    HITS(100.0 / 16, 0.004 * 100 / 25) {
+    BAD_ATTEMPTS(100.0 / 16, 0.004 * 100 / 25) {
         @Override
         double sum(RouteTotals totals) {
-            return totals.hits();
+            return totals.badAttempts();
         }
 
         @Override
--- a/src/main/java/laurelkeel/attribution/FleetSecond.java
+++ b/src/main/java/laurelkeel/attribution/FleetSecond.java
@@ -14,13 +14,13 @@
     /** Sums over one route's attempts. Not thread-safe. */
     static final class RouteTotals {
         private double attempts;
-        private double hits;
+        private double badAttempts;
         private double timedAttempts;
         private double logLatencySum;
 
         void add(NodeReport.Cell cell) {
             attempts += cell.tries();
-            hits += cell.fails() + cell.silent() + cell.wrongs();
+            badAttempts += cell.fails() + cell.silent() + cell.wrongs();
             timedAttempts += cell.rated();
             logLatencySum += cell.logTime();
         }
@@ -30,8 +30,8 @@
         }
 
         /** How many attempts went wrong. */
-        double hits() {
-            return hits;
+        double badAttempts() {
+            return badAttempts;
         }
 
         /** How many attempts have a latency that counts. */
--- a/src/main/java/laurelkeel/attribution/FleetWideRegressionDetector.java
+++ b/src/main/java/laurelkeel/attribution/FleetWideRegressionDetector.java
@@ -37,17 +37,17 @@
         List<FleetSecond> seconds = history.seconds();
         Map<Integer, double[]> sharesByBuild = new TreeMap<>();
         builds.forEach(build -> sharesByBuild.put(build, FleetHistory.smoothedShares(seconds, build)));
-        boolean[] isLeftOut = new boolean[seconds.size()];
-        ExplanationRanking nothingLeftOut = explain(measure, builds, seconds, sharesByBuild, isLeftOut);
-        ExplanationRanking ranking = nothingLeftOut;
+        boolean[] isExcluded = new boolean[seconds.size()];
+        ExplanationRanking unfilteredRanking = explain(measure, builds, seconds, sharesByBuild, isExcluded);
+        ExplanationRanking ranking = unfilteredRanking;
         Interval ended = endedTransientCause(ranking);
-        for (int leftOut = 0; ended != null && leftOut < MAX_TRANSIENT_CAUSES; leftOut++) {
+        for (int excludedCauses = 0; ended != null && excludedCauses < MAX_TRANSIENT_CAUSES; excludedCauses++) {
             // what has come and gone would hide what lasts
-            Arrays.fill(isLeftOut, ended.from(), ended.to(), true);
-            ranking = explain(measure, builds, seconds, sharesByBuild, isLeftOut);
+            Arrays.fill(isExcluded, ended.from(), ended.to(), true);
+            ranking = explain(measure, builds, seconds, sharesByBuild, isExcluded);
             ended = endedTransientCause(ranking);
         }
-        return ended == null ? ranking : nothingLeftOut;
+        return ended == null ? ranking : unfilteredRanking;
     }
 
     private static @Nullable Interval endedTransientCause(ExplanationRanking ranking) {
@@ -61,9 +61,9 @@
             List<Integer> builds,
             List<FleetSecond> seconds,
             Map<Integer, double[]> sharesByBuild,
-            boolean[] isLeftOut) {
+            boolean[] isExcluded) {
         int[] indexes =
-                IntStream.range(0, seconds.size()).filter(i -> !isLeftOut[i]).toArray();
+                IntStream.range(0, seconds.size()).filter(i -> !isExcluded[i]).toArray();
         if (indexes.length < MIN_SECONDS) {
             return new ExplanationRanking(List.of(Explanation.none().withProbability(1)));
         }
--- a/src/main/java/laurelkeel/attribution/LatencyEvidence.java
+++ b/src/main/java/laurelkeel/attribution/LatencyEvidence.java
@@ -10,7 +10,7 @@
  */
 final class LatencyEvidence {
     /** Log ratio of latencies that passes. */
-    private static final double PASSING_LOG_RATIO = Math.log(1.3);
+    private static final double TOLERATED_LOG_RATIO = Math.log(1.3);
 
     /** A single second counts for no more. */
     private static final double MAX_LOG_RATIO = 2;
@@ -50,7 +50,7 @@
         double bounded = Math.max(-MAX_LOG_RATIO, Math.min(MAX_LOG_RATIO, logRatio));
         if (comparedSeconds >= WARM_UP_SECONDS) {
             double spread = Math.max(MIN_SPREAD, Math.sqrt(meanSquaredStep / 2));
-            sums.add(EXCESS, bounded - PASSING_LOG_RATIO);
+            sums.add(EXCESS, bounded - TOLERATED_LOG_RATIO);
             sums.add(VARIANCE, CORRELATED_SECONDS * spread * spread);
         }
         // after its use: no second vouches for itself; by steps: a build that has turned slow does not count as spread
@@ -64,15 +64,15 @@
 
     /** The natural logarithm of the e-value. */
     double logEValue() {
-        if (sums.startCount() == 0) {
+        if (sums.changePointCount() == 0) {
             return 0;
         }
-        double[] terms = new double[sums.startCount()];
-        for (int start = 0; start < terms.length; start++) {
-            double excess = sums.sumSince(start, EXCESS);
-            double precision = sums.sumSince(start, VARIANCE) + PRIOR_PRECISION;
+        double[] terms = new double[sums.changePointCount()];
+        for (int changePoint = 0; changePoint < terms.length; changePoint++) {
+            double excess = sums.sumSince(changePoint, EXCESS);
+            double precision = sums.sumSince(changePoint, VARIANCE) + PRIOR_PRECISION;
             double tail = STANDARD_NORMAL.cumulativeProbability(excess / Math.sqrt(precision));
-            terms[start] = sums.logWeight(start)
+            terms[changePoint] = sums.logWeight(changePoint)
                     + Math.log(2)
                     + 0.5 * Math.log(PRIOR_PRECISION / precision)
                     + excess * excess / (2 * precision)
--- a/src/main/java/laurelkeel/attribution/LeastSquaresFit.java
+++ b/src/main/java/laurelkeel/attribution/LeastSquaresFit.java
@@ -13,13 +13,13 @@
 final class LeastSquaresFit {
     private static final double MIN_LOAD_NORM = 1e-6;
     /** A regressor whose remaining square is less is explained by constant and load. */
-    private static final double MIN_SQUARE = 1e-12;
+    private static final double MIN_SQUARED_NORM = 1e-12;
 
     /** Constant, load and regressor take a degree of freedom each. */
     private static final int PARAMETERS = 3;
 
     private final double[] levels;
-    private final List<double[]> orthonormalBase = new ArrayList<>();
+    private final List<double[]> orthonormalBasis = new ArrayList<>();
     private final double totalSquares;
     private final double minResidual;
 
@@ -33,16 +33,16 @@
         int count = levels.length;
         double[] constant = new double[count];
         Arrays.fill(constant, 1 / Math.sqrt(count));
-        orthonormalBase.add(constant);
+        orthonormalBasis.add(constant);
         double[] remainingLoad = withoutComponent(load, constant);
         double norm = Math.sqrt(dot(remainingLoad, remainingLoad));
         if (norm > MIN_LOAD_NORM) {
             for (int i = 0; i < count; i++) {
                 remainingLoad[i] /= norm;
             }
-            orthonormalBase.add(remainingLoad);
+            orthonormalBasis.add(remainingLoad);
         }
-        this.levels = orthogonal(levels);
+        this.levels = orthogonalize(levels);
         totalSquares = dot(this.levels, this.levels);
         minResidual = count * minSpread * minSpread;
     }
@@ -64,9 +64,9 @@
         return remaining;
     }
 
-    private double[] orthogonal(double[] vector) {
+    private double[] orthogonalize(double[] vector) {
         double[] remaining = vector;
-        for (double[] unit : orthonormalBase) {
+        for (double[] unit : orthonormalBasis) {
             remaining = withoutComponent(remaining, unit);
         }
         return remaining;
@@ -74,9 +74,9 @@
 
     /** The slope on a regressor; 0 where constant and load explain the regressor. */
     double slope(double[] regressor) {
-        double[] remaining = orthogonal(regressor);
-        double square = dot(remaining, remaining);
-        return square < MIN_SQUARE ? 0 : dot(remaining, levels) / square;
+        double[] remaining = orthogonalize(regressor);
+        double squaredNorm = dot(remaining, remaining);
+        return squaredNorm < MIN_SQUARED_NORM ? 0 : dot(remaining, levels) / squaredNorm;
     }
 
     /** The sum of squares that constant and load leave unexplained. */
@@ -86,13 +86,13 @@
 
     /** The sum of squares that constant, load and a regressor leave unexplained. */
     double residual(double[] regressor) {
-        double[] remaining = orthogonal(regressor);
-        double square = dot(remaining, remaining);
-        if (square < MIN_SQUARE) {
+        double[] remaining = orthogonalize(regressor);
+        double squaredNorm = dot(remaining, remaining);
+        if (squaredNorm < MIN_SQUARED_NORM) {
             return residual();
         }
-        double product = dot(remaining, levels);
-        return Math.max(0, totalSquares - product * product / square) + minResidual;
+        double dotProduct = dot(remaining, levels);
+        return Math.max(0, totalSquares - dotProduct * dotProduct / squaredNorm) + minResidual;
     }
 
     /**
@@ -102,12 +102,12 @@
      * @return infinite where constant and load explain the regressor
      */
     double slopeError(double[] regressor, double correlatedLevels) {
-        double[] remaining = orthogonal(regressor);
-        double square = dot(remaining, remaining);
-        if (square < MIN_SQUARE) {
+        double[] remaining = orthogonalize(regressor);
+        double squaredNorm = dot(remaining, remaining);
+        if (squaredNorm < MIN_SQUARED_NORM) {
             return Double.POSITIVE_INFINITY;
         }
         int degreesOfFreedom = Math.max(1, levels.length - PARAMETERS);
-        return Math.sqrt(correlatedLevels * residual(regressor) / degreesOfFreedom / square);
+        return Math.sqrt(correlatedLevels * residual(regressor) / degreesOfFreedom / squaredNorm);
     }
 }
--- a/src/main/java/laurelkeel/attribution/OddsRatioEvidence.java
+++ b/src/main/java/laurelkeel/attribution/OddsRatioEvidence.java
@@ -24,27 +24,27 @@
         if (table.isDegenerate()) {
             return 0;
         }
-        return table.hits() * Math.log(alternative / reference)
+        return table.badAttempts() * Math.log(alternative / reference)
                 - logNormalizer(table, alternative)
                 + logNormalizer(table, reference);
     }
 
-    /** The logarithm of the mean of the odds ratio to the power of the hits, under the central distribution. */
+    /** The logarithm of the mean of the odds ratio to the power of the bad attempts, under the central distribution. */
     private static double logNormalizer(ContingencyTable table, double oddsRatio) {
         int otherAttempts = table.totalAttempts() - table.attempts();
-        int leastHits = Math.max(0, table.totalHits() - otherAttempts);
-        int mostHits = Math.min(table.totalHits(), table.attempts());
-        // both relative to the term of the least hits; each term is a ratio to the one before
+        int minBadAttempts = Math.max(0, table.totalBadAttempts() - otherAttempts);
+        int maxBadAttempts = Math.min(table.totalBadAttempts(), table.attempts());
+        // both relative to the term of the least bad attempts; each term is a ratio to the one before
         ScaledSum weighted = new ScaledSum();
         ScaledSum central = new ScaledSum();
-        for (int hits = leastHits; hits < mostHits; hits++) {
-            double ratio = (double) (table.totalHits() - hits)
-                    * (table.attempts() - hits)
-                    / ((double) (hits + 1) * (otherAttempts - table.totalHits() + hits + 1));
+        for (int badAttempts = minBadAttempts; badAttempts < maxBadAttempts; badAttempts++) {
+            double ratio = (double) (table.totalBadAttempts() - badAttempts)
+                    * (table.attempts() - badAttempts)
+                    / ((double) (badAttempts + 1) * (otherAttempts - table.totalBadAttempts() + badAttempts + 1));
             weighted.addNext(ratio * oddsRatio);
             central.addNext(ratio);
         }
-        return leastHits * Math.log(oddsRatio)
+        return minBadAttempts * Math.log(oddsRatio)
                 + Math.log(weighted.sum)
                 + weighted.logScale
                 - Math.log(central.sum)
--- a/src/main/java/laurelkeel/attribution/PerHitKind.java
+++ b/src/main/java/laurelkeel/attribution/PerBadOutcome.java
@@ -7,16 +7,16 @@
 import java.util.function.Supplier;
 
 /** Holds one object for each kind of hit. */
-final class PerHitKind<T> {
-    private final Map<HitKind, T> values = new EnumMap<>(HitKind.class);
+final class PerBadOutcome<T> {
+    private final Map<BadOutcome, T> values = new EnumMap<>(BadOutcome.class);
 
-    PerHitKind(Supplier<T> factory) {
-        for (HitKind kind : HitKind.values()) {
+    PerBadOutcome(Supplier<T> factory) {
+        for (BadOutcome kind : BadOutcome.values()) {
             values.put(kind, factory.get());
         }
     }
 
-    T get(HitKind kind) {
+    T get(BadOutcome kind) {
         return Objects.requireNonNull(values.get(kind));
     }
 
--- a/src/main/java/laurelkeel/attribution/RecentTraffic.java
+++ b/src/main/java/laurelkeel/attribution/RecentTraffic.java
@@ -23,7 +23,7 @@
     /** Largest share of its build's attempts that an outlier has: a larger one is most of the build. */
     private static final double MAX_SHARE_OF_ATTEMPTS = 0.55;
     /** Least ratio of an outlier's share of bad answers to that of the others. */
-    private static final double MIN_RATIO = 4;
+    private static final double MIN_SHARE_RATIO = 4;
 
     private static final int MIN_BAD_ANSWERS = 3;
     private static final int MIN_OTHER_ATTEMPTS = 10;
@@ -105,7 +105,7 @@
         String endpointId = null;
         int mostUnanswered = 0;
         for (Map.Entry<Group, AttemptCounts> entry : sums.entrySet()) {
-            int unanswered = entry.getValue().hits(HitKind.UNANSWERED);
+            int unanswered = entry.getValue().count(BadOutcome.UNANSWERED);
             if (entry.getKey().isEndpointOf(build) && unanswered > mostUnanswered) {
                 endpointId = entry.getKey().endpointId();
                 mostUnanswered = unanswered;
@@ -143,9 +143,9 @@
                 elsewhere.add(counts);
             }
         });
-        boolean isAlike = elsewhere.attempts() < MIN_OTHER_ATTEMPTS
-                || elsewhere.badAnswerShare() * MIN_RATIO >= atBuild.badAnswerShare();
-        return isAlike ? outlier.tenant() : NO_TENANT;
+        boolean isSimilarElsewhere = elsewhere.attempts() < MIN_OTHER_ATTEMPTS
+                || elsewhere.badAnswerShare() * MIN_SHARE_RATIO >= atBuild.badAnswerShare();
+        return isSimilarElsewhere ? outlier.tenant() : NO_TENANT;
     }
 
     /** The endpoint, or else the tenant, that has most of a build's bad answers while the others have few. */
@@ -175,6 +175,6 @@
         double shareOfOthers = (all.badAnswers() - one.badAnswers()) / (double) otherAttempts;
         return one.badAnswers() >= MIN_SHARE_OF_BAD_ANSWERS * all.badAnswers()
                 && one.attempts() <= MAX_SHARE_OF_ATTEMPTS * all.attempts()
-                && shareOfOthers * MIN_RATIO <= one.badAnswerShare();
+                && shareOfOthers * MIN_SHARE_RATIO <= one.badAnswerShare();
     }
 }
--- a/src/main/java/laurelkeel/attribution/RegressionAttributor.java
+++ b/src/main/java/laurelkeel/attribution/RegressionAttributor.java
@@ -33,7 +33,7 @@
     private static final long SET_ASIDE_AFTER_SECONDS = 18;
 
     /** How long, from its start, a canary that was set aside may still be found guilty. */
-    private static final long SET_ASIDE_MEMORY_SECONDS = 180;
+    private static final long SET_ASIDE_RETENTION_SECONDS = 180;
 
     private static final int NO_BUILD = -1;
     private static final long NOT_OPEN = -1;
@@ -45,7 +45,7 @@
     private final FleetWideRegressionDetector fleet = new FleetWideRegressionDetector();
     private final Map<Integer, CanaryComparison> canaries = new TreeMap<>();
     /** Set aside: canaries no more, yet possible causes still. */
-    private final Map<Integer, CanaryComparison> setAside = new TreeMap<>();
+    private final Map<Integer, CanaryComparison> setAsideCanaries = new TreeMap<>();
     /** Neither canaries nor references: rolled back, or beyond the limit. */
     private final Set<Integer> excludedBuilds = new HashSet<>();
 
@@ -89,7 +89,7 @@
         CanaryComparison canary = canaries.remove(build);
         if (canary != null) {
             excludedBuilds.add(build);
-            setAside.put(build, canary);
+            setAsideCanaries.put(build, canary);
         }
     }
 
@@ -131,18 +131,19 @@
         int attempts = attemptsByBuild.values().stream().mapToInt(v -> v).sum();
         LoadClassifier.Level load = loadClassifier.addSecond(attempts);
         for (CanaryComparison canary : canaries.values()) {
-            boolean othersHaveTraffic = canaries.keySet().stream()
+            boolean otherCanariesHaveTraffic = canaries.keySet().stream()
                     .anyMatch(build -> build != canary.build() && attemptsByBuild.containsKey(build));
-            canary.addSecond(second, this::isReference, traffic, othersHaveTraffic, load);
+            canary.addSecond(second, this::isReference, traffic, otherCanariesHaveTraffic, load);
         }
         fleet.addSecond(second, this::isReference, traffic);
     }
 
     private List<AttributionFinding> createFindings(long nowSecond) {
-        setAside.values()
-                .removeIf(
-                        canary -> canary.isGuilty() || nowSecond - canary.startedAtSecond() > SET_ASIDE_MEMORY_SECONDS);
-        Map<Integer, CanaryComparison> suspects = new TreeMap<>(setAside);
+        setAsideCanaries
+                .values()
+                .removeIf(canary ->
+                        canary.isGuilty() || nowSecond - canary.startedAtSecond() > SET_ASIDE_RETENTION_SECONDS);
+        Map<Integer, CanaryComparison> suspects = new TreeMap<>(setAsideCanaries);
         suspects.putAll(canaries);
         Assessment assessment = assess(suspects, nowSecond);
         List<AttributionFinding> created = new ArrayList<>();
@@ -156,8 +157,8 @@
 
     private Assessment assess(Map<Integer, CanaryComparison> suspects, long nowSecond) {
         List<Integer> builds = List.copyOf(suspects.keySet());
-        ExplanationRanking latencies = fleet.explain(FleetMeasure.LATENCY, builds);
-        ExplanationRanking hits = fleet.explain(FleetMeasure.HITS, builds);
+        ExplanationRanking latencyRanking = fleet.explain(FleetMeasure.LATENCY, builds);
+        ExplanationRanking badAttemptRanking = fleet.explain(FleetMeasure.BAD_ATTEMPTS, builds);
         Map<Integer, LogEvidence> evidenceByBuild = new TreeMap<>();
         suspects.values().forEach(suspect -> evidenceByBuild.put(suspect.build(), suspect.evidence()));
         markGuiltyByComparison(suspects.values(), evidenceByBuild);
@@ -165,16 +166,17 @@
                 evidenceByBuild.values().stream().anyMatch(evidence -> evidence.total() >= Math.log(SUSPICION_E_VALUE));
         // a failing build slows all others by the retries that it causes: what a comparison shows goes first
         if (!isAnySuspected && !isAnyGuilty(suspects)) {
-            markGuiltyByFleet(suspects, latencies);
-            markGuiltyByFleet(suspects, hits);
+            markGuiltyByFleet(suspects, latencyRanking);
+            markGuiltyByFleet(suspects, badAttemptRanking);
         }
         boolean isAnyGuilty = isAnyGuilty(suspects);
-        boolean isFleetRegressionOpen = !isAnyGuilty && (latencies.isRegression() || hits.isRegression());
+        boolean isFleetRegressionOpen =
+                !isAnyGuilty && (latencyRanking.isRegression() || badAttemptRanking.isRegression());
         int buildToSetAside = shouldSetAside(isFleetRegressionOpen, nowSecond) ? newest(canaries.values()) : NO_BUILD;
         return new Assessment(
                 evidenceByBuild,
-                latencies,
-                hits,
+                latencyRanking,
+                badAttemptRanking,
                 isAnyGuilty || isFleetRegressionOpen || isAnySuspected,
                 isFleetRegressionOpen,
                 buildToSetAside,
--- a/src/main/java/laurelkeel/attribution/ReportAggregator.java
+++ b/src/main/java/laurelkeel/attribution/ReportAggregator.java
@@ -26,8 +26,8 @@
 
     private final long maxDelaySeconds;
     private final TreeMap<Long, Map<Integer, List<NodeReport.Cell>>> openSeconds = new TreeMap<>();
-    private final Set<String> knownReports = new HashSet<>();
-    private final TreeMap<Long, List<String>> knownReportsBySecond = new TreeMap<>();
+    private final Set<String> seenReportIds = new HashSet<>();
+    private final TreeMap<Long, List<String>> seenReportIdsBySecond = new TreeMap<>();
     private long lastClosedSecond = Long.MIN_VALUE;
 
     private long duplicateReports;
@@ -55,11 +55,11 @@
             return false;
         }
         String id = report.nodeIndex() + "/" + report.incarnation() + "/" + report.second();
-        if (!knownReports.add(id)) {
+        if (!seenReportIds.add(id)) {
             duplicateReports++;
             return false;
         }
-        knownReportsBySecond
+        seenReportIdsBySecond
                 .computeIfAbsent(report.second(), unused -> new ArrayList<>())
                 .add(id);
         Map<Integer, List<NodeReport.Cell>> cellsByNode =
@@ -98,13 +98,13 @@
             closed.add(new ReportedSecond(earliest.getKey(), limitWeights(earliest.getValue())));
         }
         lastClosedSecond = Math.max(lastClosedSecond, nowSecond - maxDelaySeconds - 1);
-        forgetReportsUpTo(lastClosedSecond);
+        removeReportIdsUpTo(lastClosedSecond);
         return closed;
     }
 
-    private void forgetReportsUpTo(long second) {
-        Map<Long, List<String>> forgotten = knownReportsBySecond.headMap(second, true);
-        forgotten.values().forEach(ids -> ids.forEach(knownReports::remove));
+    private void removeReportIdsUpTo(long second) {
+        Map<Long, List<String>> forgotten = seenReportIdsBySecond.headMap(second, true);
+        forgotten.values().forEach(ids -> ids.forEach(seenReportIds::remove));
         forgotten.clear();
     }
 
@@ -123,11 +123,11 @@
     }
 
     private static List<NodeReport.Cell> limitAttempts(List<NodeReport.Cell> cells, double maxAttempts) {
-        double excess = attempts(cells) / maxAttempts;
-        if (excess <= 1) {
+        double limitRatio = attempts(cells) / maxAttempts;
+        if (limitRatio <= 1) {
             return cells;
         }
-        return cells.stream().map(cell -> cell.scaled(1 / excess)).toList();
+        return cells.stream().map(cell -> cell.scaled(1 / limitRatio)).toList();
     }
 
     private static int attempts(List<NodeReport.Cell> cells) {
--- a/src/main/java/laurelkeel/attribution/ShareDifference.java
+++ b/src/main/java/laurelkeel/attribution/ShareDifference.java
@@ -10,11 +10,11 @@
     private double weight;
 
     /** Adds a stratum in which both builds had attempts. */
-    void add(AttemptCounts own, AttemptCounts other, HitKind kind) {
+    void add(AttemptCounts own, AttemptCounts other, BadOutcome kind) {
         int totalAttempts = own.attempts() + other.attempts();
         double stratumWeight = own.attempts() * (double) other.attempts() / totalAttempts;
         // half a hit and half a miss more, or a stratum without hits would seem certain
-        double pooledShare = (own.hits(kind) + other.hits(kind) + 0.5) / (totalAttempts + 1.0);
+        double pooledShare = (own.count(kind) + other.count(kind) + 0.5) / (totalAttempts + 1.0);
         weight += stratumWeight;
         weightedDifference += stratumWeight * (own.share(kind) - other.share(kind));
         weightedVariance += stratumWeight * pooledShare * (1 - pooledShare);
--- a/src/test/java/laurelkeel/attribution/CanaryComparisonTest.java
+++ b/src/test/java/laurelkeel/attribution/CanaryComparisonTest.java
@@ -19,11 +19,11 @@
     private final RecentTraffic traffic = new RecentTraffic();
     private final CanaryComparison canary = new CanaryComparison(CANARY, 0, 1);
 
-    private void run(int seconds, boolean othersHaveTraffic, Level load, Cell... cells) {
+    private void run(int seconds, boolean otherCanariesHaveTraffic, Level load, Cell... cells) {
         for (int i = 0; i < seconds; i++) {
             ReportedSecond second = new ReportedSecond(i, Map.of(0, List.of(cells), 1, List.of(cells)));
             traffic.addSecond(second);
-            canary.addSecond(second, build -> build == REFERENCE, traffic, othersHaveTraffic, load);
+            canary.addSecond(second, build -> build == REFERENCE, traffic, otherCanariesHaveTraffic, load);
         }
     }
 
@@ -72,7 +72,7 @@
         run(10, false, Level.EVEN, cells(4, 3));
         assertEquals(Kind.FAILS, canary.evidence().strongestKind());
         assertTrue(canary.evidence().total() > Math.log(500));
-        assertEquals(0.4, canary.shareDifference(HitKind.FAILED, 1.96).value(), 1e-9);
+        assertEquals(0.4, canary.shareDifference(BadOutcome.FAILED, 1.96).value(), 1e-9);
         canary.markGuilty(Kind.FAILS);
         assertTrue(
                 finding().evidence().startsWith("build 2 is to blame: of its tries 40.0 in 100 more fail"),
@@ -93,15 +93,15 @@
     @Test
     void aCanaryThatIsBadOnlyBesideOthersIsToldApart() {
         run(10, false, Level.EVEN, cells(0, 3));
-        assertFalse(canary.isBadOnlyTogether());
+        assertFalse(canary.isBadOnlyWithOtherCanaries());
         run(10, true, Level.EVEN, cells(4, 3));
-        assertTrue(canary.isBadOnlyTogether());
+        assertTrue(canary.isBadOnlyWithOtherCanaries());
     }
 
     @Test
     void anOutlierIsNamedAmongTheExclusions() {
         run(5, false, Level.EVEN, cell(REFERENCE, "a", 0, 3), cell(CANARY, "c", 9, 3), cell(CANARY, "d", 0, 3));
         assertEquals(List.of("machine c alone had most of this build's trouble: left out"), canary.exclusions());
-        assertEquals(0, canary.shareDifference(HitKind.FAILED, 1.96).value());
+        assertEquals(0, canary.shareDifference(BadOutcome.FAILED, 1.96).value());
     }
 }
--- a/src/test/java/laurelkeel/attribution/ChangePointMixtureTest.java
+++ b/src/test/java/laurelkeel/attribution/ChangePointMixtureTest.java
@@ -14,7 +14,7 @@
             mixture.beginSecond();
             mixture.add(1, 1);
         }
-        assertEquals(3, mixture.startCount());
+        assertEquals(3, mixture.changePointCount());
         assertEquals(12, mixture.sumSince(0, 1));
         assertEquals(7, mixture.sumSince(1, 1));
         assertEquals(2, mixture.sumSince(2, 1));
@@ -30,10 +30,10 @@
         assertEquals(1_000, mixture.sumSince(0, 0));
         assertEquals(-Math.log(2), mixture.logWeight(0), 1e-12);
         double weights = 0;
-        for (int start = 0; start < mixture.startCount(); start++) {
-            weights += Math.exp(mixture.logWeight(start));
+        for (int changePoint = 0; changePoint < mixture.changePointCount(); changePoint++) {
+            weights += Math.exp(mixture.logWeight(changePoint));
         }
         assertTrue(weights <= 1, "weights " + weights);
-        assertEquals(24, mixture.startCount());
+        assertEquals(24, mixture.changePointCount());
     }
 }
--- a/src/test/java/laurelkeel/attribution/CountEvidenceTest.java
+++ b/src/test/java/laurelkeel/attribution/CountEvidenceTest.java
@@ -26,14 +26,14 @@
             double largest = 0;
             for (int second = 0; second < 100; second++) {
                 evidence.beginSecond(1);
-                int totalHits = 0;
-                int hits = 0;
+                int totalBadAttempts = 0;
+                int badAttempts = 0;
                 for (int i = 0; i < 100; i++) {
-                    boolean isHit = random.nextInt(20) == 0;
-                    totalHits += isHit ? 1 : 0;
-                    hits += isHit && i < 10 ? 1 : 0;
+                    boolean isBad = random.nextInt(20) == 0;
+                    totalBadAttempts += isBad ? 1 : 0;
+                    badAttempts += isBad && i < 10 ? 1 : 0;
                 }
-                evidence.add(0, 0, new ContingencyTable(hits, 10, totalHits, 100));
+                evidence.add(0, 0, new ContingencyTable(badAttempts, 10, totalBadAttempts, 100));
                 largest = Math.max(largest, evidence.logEValue());
             }
             suspected += largest > Math.log(20) ? 1 : 0;
--- a/src/test/java/laurelkeel/attribution/EffectEstimatesTest.java
+++ b/src/test/java/laurelkeel/attribution/EffectEstimatesTest.java
@@ -18,8 +18,8 @@
     @Test
     void strataAreWeightedByMantelAndHaenszel() {
         ShareDifference difference = new ShareDifference();
-        difference.add(counts(10, 5), counts(10, 0), HitKind.FAILED);
-        difference.add(counts(30, 0), counts(30, 0), HitKind.FAILED);
+        difference.add(counts(10, 5), counts(10, 0), BadOutcome.FAILED);
+        difference.add(counts(30, 0), counts(30, 0), BadOutcome.FAILED);
         Estimate estimate = difference.estimate(1.96);
         // weights 5 and 15
         assertEquals(0.125, estimate.value(), 1e-12);
--- a/src/test/java/laurelkeel/attribution/FleetHistoryTest.java
+++ b/src/test/java/laurelkeel/attribution/FleetHistoryTest.java
@@ -28,7 +28,7 @@
         assertEquals(0.25, only.shareOf(2));
         assertEquals(0, only.shareOf(3));
         assertEquals(60, only.totalsByRoute().get(0).attempts());
-        assertEquals(6, only.totalsByRoute().get(0).hits());
+        assertEquals(6, only.totalsByRoute().get(0).badAttempts());
     }
 
     @Test
@@ -81,7 +81,7 @@
     void aShareOfFourInAHundredCountsLikeALatencyRatioThatMatters() {
         add(cell(REFERENCE, "a", -1, 100, 0, 0));
         add(cell(REFERENCE, "a", -1, 100, 8, 0));
-        double[] levels = FleetMeasure.HITS.levels(history.seconds());
+        double[] levels = FleetMeasure.BAD_ATTEMPTS.levels(history.seconds());
         assertArrayEquals(new double[] {-0.25, 0.25}, levels, 1e-12);
     }
 }
--- a/src/test/java/laurelkeel/attribution/OddsRatioEvidenceTest.java
+++ b/src/test/java/laurelkeel/attribution/OddsRatioEvidenceTest.java
@@ -17,14 +17,14 @@
             @ForAll @IntRange(min = 1, max = 60) int attempts,
             @ForAll @IntRange(min = 1, max = 200) int otherAttempts,
             @ForAll @DoubleRange(min = 1.5, max = 40) double oddsRatio,
-            @ForAll @IntRange(min = 1, max = 50) int hits) {
+            @ForAll @IntRange(min = 1, max = 50) int badAttempts) {
         int totalAttempts = attempts + otherAttempts;
-        int totalHits = Math.min(hits, totalAttempts);
+        int totalBadAttempts = Math.min(badAttempts, totalAttempts);
         HypergeometricDistribution nullDistribution =
-                new HypergeometricDistribution(null, totalAttempts, attempts, totalHits);
+                new HypergeometricDistribution(null, totalAttempts, attempts, totalBadAttempts);
         double mean = 0;
         for (int x = nullDistribution.getSupportLowerBound(); x <= nullDistribution.getSupportUpperBound(); x++) {
-            ContingencyTable table = new ContingencyTable(x, attempts, totalHits, totalAttempts);
+            ContingencyTable table = new ContingencyTable(x, attempts, totalBadAttempts, totalAttempts);
             mean += nullDistribution.probability(x)
                     * Math.exp(OddsRatioEvidence.logLikelihoodRatio(table, oddsRatio, 1));
         }
