--- a/src/main/java/laurelkeel/attribution/AttemptCounts.java
+++ b/src/main/java/laurelkeel/attribution/AttemptCounts.java
@@ -1,6 +1,6 @@
 package laurelkeel.attribution;
 
-/** Sums over attempts: how many there were, how many went wrong, and their latencies. Not thread-safe. */
+/** Sums over a group of attempts: their number, their bad outcomes and their latencies. Not thread-safe. */
 final class AttemptCounts {
     private int attempts;
     private int failed;
@@ -40,6 +40,7 @@
         return attempts;
     }
 
+    /** Returns the number of attempts with a bad outcome of one kind. */
     int count(BadOutcome kind) {
         return switch (kind) {
             case FAILED -> failed;
@@ -48,27 +49,29 @@
         };
     }
 
-    /** Share of the attempts that went wrong in one way. */
+    /** Returns the share of the attempts with a bad outcome of one kind; NaN if there are no attempts. */
     double share(BadOutcome kind) {
         return count(kind) / (double) attempts;
     }
 
-    /** How many answers were errors or complained of. */
+    /** Returns the number of answers that were errors or that clients complained about. */
     int badAnswers() {
         return failed + wrong;
     }
 
-    /** Share of the attempts whose answers were errors or complained of; 0 where there are no attempts. */
+    /**
+     * Returns the share of the attempts whose answer was an error or led to a complaint; 0 if there are no attempts.
+     */
     double badAnswerShare() {
         return attempts == 0 ? 0 : badAnswers() / (double) attempts;
     }
 
-    /** How many attempts have a latency that counts. */
+    /** Returns the number of attempts with a valid latency: completed, at an endpoint that was not warming up. */
     int timedAttempts() {
         return timedAttempts;
     }
 
-    /** Sum of the natural logarithms of those latencies in milliseconds. */
+    /** Returns the sum of the natural logarithms of those latencies in milliseconds. */
     double logLatencySum() {
         return logLatencySum;
     }
--- a/src/main/java/laurelkeel/attribution/AttributionFinding.java
+++ b/src/main/java/laurelkeel/attribution/AttributionFinding.java
@@ -3,21 +3,22 @@
 import java.util.List;
 
 /**
- * What is known of one build's part in a regression. The components and constants have the names of the rollout
- * service's page of findings.
+ * The current result for one build: whether it causes a regression, and by which evidence. Component and constant names
+ * appear as they are in the rollout service's JSON response.
  *
- * @param probability that the build causes a regression, by the evidence so far, from 0 to 1
- * @param kind the strongest evidence against it
- * @param effect how much worse the build is: a difference of shares, or for {@link Kind#SLOW} and {@link Kind#HARMS_ALL}
- *     a ratio of latencies
+ * @param build number of the build
+ * @param probability posterior probability that the build causes a regression, from 0 to 1
+ * @param kind the kind of the strongest evidence against the build
+ * @param effect how much worse the build is: a difference of shares from 0 to 1, or for {@link Kind#SLOW} and {@link
+ *     Kind#HARMS_ALL} a ratio of latencies
  * @param low lower limit of the effect's 95% confidence interval
  * @param high upper limit of the effect's 95% confidence interval
- * @param evidence one sentence for people
- * @param considered other causes that were looked at, each with the result
- * @param hold whether a regression is open: the build should not be promoted yet
- * @param setAside whether to roll the build back in order to learn more: a regression of all builds lasts, and two
- *     rollouts explain it alike
- * @param afterSeconds since the rollout started
+ * @param evidence one sentence that summarizes the evidence for operators
+ * @param considered one sentence for each other cause that was examined, with the result
+ * @param hold whether a regression is open, so that the build must not be promoted yet
+ * @param setAside whether to roll the build back to see whether a regression ends with it: a regression of all builds
+ *     has persisted, and several rollouts explain it equally well
+ * @param afterSeconds seconds since the rollout started
  */
 public record AttributionFinding(
         int build,
@@ -33,27 +34,27 @@
         boolean setAside,
         long afterSeconds) {
 
-    /** What the evidence says of a build. */
+    /** A conclusion about a build. */
     public enum Verdict {
-        /** It causes a regression. */
+        /** The build causes a regression. */
         GUILTY,
-        /** It causes none that matters. */
+        /** The build causes no regression that is large enough to matter. */
         CLEARED,
-        /** There is not enough evidence for either. */
+        /** There is not enough evidence for either conclusion. */
         NOT_YET_KNOWN
     }
 
-    /** A way in which a build can be worse. */
+    /** A way in which a build can be worse than the reference builds. */
     public enum Kind {
-        /** More of its answers are errors. */
+        /** A larger share of its attempts is answered with an error. */
         FAILS,
-        /** More of its attempts get no answer. */
+        /** A larger share of its attempts gets no answer. */
         SILENCE,
-        /** Clients complain of more of its answers. */
+        /** Clients complain about a larger share of its answers. */
         WRONG,
-        /** Its answers take longer. */
+        /** Its latencies are higher. */
         SLOW,
-        /** All builds get worse with its share of the traffic. */
+        /** All builds get worse as its share of the traffic grows. */
         HARMS_ALL
     }
 }
--- a/src/main/java/laurelkeel/attribution/BadOutcome.java
+++ b/src/main/java/laurelkeel/attribution/BadOutcome.java
@@ -2,13 +2,13 @@
 
 import laurelkeel.attribution.AttributionFinding.Kind;
 
-/** A way in which an attempt can go wrong, as nodes count it. */
+/** A bad outcome of an attempt, as counted by nodes. */
 enum BadOutcome {
-    /** The answer was an error. */
+    /** The attempt was answered with an error. */
     FAILED(Kind.FAILS),
-    /** No answer came. */
+    /** The attempt got no answer. */
     UNANSWERED(Kind.SILENCE),
-    /** A client complained of the answer. */
+    /** A client complained about the answer. */
     WRONG(Kind.WRONG);
 
     private final Kind findingKind;
@@ -17,7 +17,7 @@
         this.findingKind = findingKind;
     }
 
-    /** What a finding calls it. */
+    /** Returns the kind that a finding gives to a regression of this outcome. */
     Kind findingKind() {
         return findingKind;
     }
--- a/src/main/java/laurelkeel/attribution/ComparisonFilter.java
+++ b/src/main/java/laurelkeel/attribution/ComparisonFilter.java
@@ -8,8 +8,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Chooses which of one second's cells a canary is compared by: its own and those of the reference builds, without single
- * endpoints and tenants whose failures are not their build's. Not thread-safe.
+ * Selects the cells of one second that are used to compare a canary with the reference builds: those of the canary and
+ * of the reference builds, except endpoints and tenants whose failures are not caused by their build. Not thread-safe.
  */
 final class ComparisonFilter {
     private final int build;
@@ -18,7 +18,7 @@
     private final @Nullable String outlierEndpoint;
     private final int excludedTenant;
     private final Set<String> excludedEndpoints = new HashSet<>();
-    /** The least responsive endpoint of each build: its silence says nothing of the build. */
+    /** The endpoint of each build with the most unanswered attempts; these carry no information about the build. */
     private final Set<String> leastResponsiveEndpoints = new HashSet<>();
 
     private final Map<Integer, Boolean> knownReferences = new HashMap<>();
@@ -27,8 +27,8 @@
      * Creates the filter of one second.
      *
      * @param build the canary
-     * @param isReference whether a build is one to compare with
-     * @param traffic of the last seconds, this one included
+     * @param isReference whether a build is a reference build
+     * @param traffic the traffic of the last seconds, including this one
      */
     ComparisonFilter(int build, IntPredicate isReference, RecentTraffic traffic) {
         this.build = build;
@@ -40,13 +40,13 @@
         RecentTraffic.addIfPresent(traffic.leastResponsiveEndpoint(build), leastResponsiveEndpoints);
     }
 
-    /** The canary's endpoint that is left out, or null. */
+    /** Returns the canary's endpoint that is excluded as an outlier, or null. */
     @Nullable
     String outlierEndpoint() {
         return outlierEndpoint;
     }
 
-    /** The tenant that is left out, or {@link RecentTraffic#NO_TENANT}. */
+    /** Returns the tenant that is excluded, or {@link RecentTraffic#NO_TENANT}. */
     int excludedTenant() {
         return excludedTenant;
     }
@@ -55,14 +55,14 @@
         return cell.build() == build;
     }
 
-    /** Whether a cell counts in the comparison of answers and latencies. */
+    /** Returns whether a cell is used in the comparison of answers and latencies. */
     boolean accepts(NodeReport.Cell cell) {
         return isCompared(cell.build())
                 && !excludedEndpoints.contains(cell.machine())
                 && cell.customer() != excludedTenant;
     }
 
-    /** Whether a cell counts in the comparison of attempts without answer. */
+    /** Returns whether a cell is used in the comparison of unanswered attempts. */
     boolean acceptsForSilence(NodeReport.Cell cell) {
         return isCompared(cell.build()) && !leastResponsiveEndpoints.contains(cell.machine());
     }
--- a/src/main/java/laurelkeel/attribution/NodeReport.java
+++ b/src/main/java/laurelkeel/attribution/NodeReport.java
@@ -3,32 +3,33 @@
 import java.util.List;
 
 /**
- * What one node's attempts met in one second. Node, incarnation and second identify it: it counts once, however often it
- * comes.
+ * The outcomes of one node's attempts that were sent in one second. A report is identified by node, incarnation and
+ * second, and counts only once, even if it is received several times.
  *
- * @param nodeIndex the node's number, from 0
- * @param incarnation differs from start to start of the node
+ * @param nodeIndex index of the node, from 0
+ * @param incarnation id of the node's process, different after each restart
  * @param second number of the second on the rollout service's clock
+ * @param cells the outcomes by build, route, endpoint and tenant
  */
 public record NodeReport(int nodeIndex, String incarnation, long second, List<Cell> cells) {
-    /** The most cells of one second that a node reports or that are counted. */
+    /** The maximum number of cells for one second that a node reports, and that are counted for a node. */
     public static final int MAX_CELLS = 1024;
 
     /**
-     * The attempts at one endpoint for one route and tenant, by the second in which they were sent. The components have
-     * the names of the wire: nodes send cells as they are.
+     * The attempts at one endpoint for one route and tenant that were sent in one second. The component names are also
+     * the field names on the wire: nodes send cells in this form.
      *
      * @param build the build that the endpoint ran
      * @param route index of the route in the settings
      * @param machine id of the endpoint
-     * @param customer index of the tenant; -1 where none is named
-     * @param tries how many attempts there were
-     * @param fails of these, how many were answered with an error
-     * @param silent of these, how many ended without an answer
-     * @param wrongs of these, how many answers clients complained of
-     * @param rated of these, how many have a latency that counts: they completed, at an endpoint that was warm
-     * @param logTime sum of the natural logarithms of these latencies in milliseconds
-     * @param logSquare sum of the squares of these logarithms
+     * @param customer index of the tenant; -1 if the requests name none
+     * @param tries number of attempts
+     * @param fails number of attempts that were answered with an error
+     * @param silent number of attempts that ended without an answer
+     * @param wrongs number of answers that clients complained about
+     * @param rated number of attempts with a valid latency: completed, at an endpoint that was not warming up
+     * @param logTime sum of the natural logarithms of those latencies in milliseconds
+     * @param logSquare sum of the squares of those logarithms
      */
     public record Cell(
             int build,
@@ -43,7 +44,9 @@
             double logTime,
             double logSquare) {
 
-        /** Whether any attempts can have these figures; a cell of the wire may also lack its endpoint. */
+        /**
+         * Returns whether the indexes, counts and sums are possible. A cell from the wire may also lack its endpoint.
+         */
         public boolean hasConsistentCounts() {
             return machine != null && hasValidIndexes() && hasValidCounts() && hasValidLatencies();
         }
@@ -61,7 +64,9 @@
             return Double.isFinite(logTime) && Double.isFinite(logSquare) && logSquare >= 0;
         }
 
-        /** The same with all counts and sums multiplied by a factor from 0 to 1, at least one attempt remaining. */
+        /**
+         * Returns a copy with all counts and sums multiplied by a factor from 0 to 1, and with at least one attempt.
+         */
         Cell scaled(double factor) {
             int scaledTries = scaled(tries, factor);
             int scaledFails = Math.min(scaledTries, scaled(fails, factor));
--- a/src/main/java/laurelkeel/attribution/PerBadOutcome.java
+++ b/src/main/java/laurelkeel/attribution/PerBadOutcome.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Holds one object for each kind of hit. */
+/** Holds one object for each kind of bad outcome. */
 final class PerBadOutcome<T> {
     private final Map<BadOutcome, T> values = new EnumMap<>(BadOutcome.class);
 
--- a/src/main/java/laurelkeel/attribution/RecentTraffic.java
+++ b/src/main/java/laurelkeel/attribution/RecentTraffic.java
@@ -9,20 +9,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Finds single endpoints and tenants whose failures are not their build's, in the traffic of the last seconds. Not
- * thread-safe.
+ * Finds single endpoints and tenants whose failures are not caused by their build, in the traffic of the last ten
+ * seconds. Not thread-safe.
  */
 final class RecentTraffic {
-    /** Stands for a tenant where there is none; differs from that of a cell which names none. */
+    /** Represents the absence of a tenant; differs from the -1 of a cell that names no tenant. */
     static final int NO_TENANT = -2;
 
     private static final int WINDOW_SECONDS = 10;
 
-    /** Least share of its build's bad answers that an outlier has. */
+    /** Minimum share of its build's bad answers that an outlier has. */
     private static final double MIN_SHARE_OF_BAD_ANSWERS = 0.6;
-    /** Largest share of its build's attempts that an outlier has: a larger one is most of the build. */
+    /** Maximum share of its build's attempts that an outlier has; one with more makes up most of the build. */
     private static final double MAX_SHARE_OF_ATTEMPTS = 0.55;
-    /** Least ratio of an outlier's share of bad answers to that of the others. */
+    /** Minimum ratio of an outlier's share of bad answers to that of the others. */
     private static final double MIN_SHARE_RATIO = 4;
 
     private static final int MIN_BAD_ANSWERS = 3;
@@ -77,14 +77,14 @@
         });
     }
 
-    /** How many endpoints of a build had attempts. */
+    /** Returns the number of endpoints of a build that had attempts. */
     int endpointCount(int build) {
         return (int) sums.keySet().stream()
                 .filter(group -> group.isEndpointOf(build))
                 .count();
     }
 
-    /** The endpoints of a build that say nothing of the build. */
+    /** Returns the endpoints of a build that carry no information about the build. */
     Set<String> unrepresentativeEndpoints(int build) {
         Set<String> endpoints = new HashSet<>();
         addIfPresent(leastResponsiveEndpoint(build), endpoints);
@@ -92,14 +92,14 @@
         return endpoints;
     }
 
-    /** Adds an endpoint where there is one. */
+    /** Adds an endpoint unless it is null. */
     static void addIfPresent(@Nullable String endpointId, Set<String> endpoints) {
         if (endpointId != null) {
             endpoints.add(endpointId);
         }
     }
 
-    /** The endpoint of a build that most often gave no answer, or null where all answered. */
+    /** Returns the endpoint of a build with the most unanswered attempts, or null if all were answered. */
     @Nullable
     String leastResponsiveEndpoint(int build) {
         String endpointId = null;
@@ -114,22 +114,25 @@
         return endpointId;
     }
 
-    /** The one endpoint of a build that has most of its bad answers while the others have few, or null. */
+    /** Returns the one endpoint of a build that has most of its bad answers while the others have few, or null. */
     @Nullable
     String outlierEndpoint(int build) {
         Group outlier = findOutlier(build, true);
         return outlier == null ? null : outlier.endpointId();
     }
 
-    /** The one tenant that has most of a build's bad answers, or {@link #NO_TENANT}. */
+    /**
+     * Returns the one tenant that has most of a build's bad answers while the others have few, or {@link #NO_TENANT}.
+     */
     int outlierTenant(int build) {
         Group outlier = findOutlier(build, false);
         return outlier == null ? NO_TENANT : outlier.tenant();
     }
 
     /**
-     * The one tenant that has most of a build's bad answers and has as many at other builds, or {@link #NO_TENANT}: its
-     * failures are not the build's.
+     * Returns the one tenant that has most of a build's bad answers and has a similar share of bad answers, or few
+     * attempts, at other builds: its failures are not attributed to the build. Returns {@link #NO_TENANT} if there is
+     * none.
      */
     int outlierTenantOfAllBuilds(int build) {
         Group outlier = findOutlier(build, false);
@@ -137,18 +140,22 @@
         if (outlier == null || atBuild == null) {
             return NO_TENANT;
         }
-        AttemptCounts elsewhere = new AttemptCounts();
+        AttemptCounts atOtherBuilds = new AttemptCounts();
         sums.forEach((group, counts) -> {
             if (group.build() != build && group.tenant() == outlier.tenant()) {
-                elsewhere.add(counts);
+                atOtherBuilds.add(counts);
             }
         });
-        boolean isSimilarElsewhere = elsewhere.attempts() < MIN_OTHER_ATTEMPTS
-                || elsewhere.badAnswerShare() * MIN_SHARE_RATIO >= atBuild.badAnswerShare();
-        return isSimilarElsewhere ? outlier.tenant() : NO_TENANT;
+        boolean isSimilarAtOtherBuilds = atOtherBuilds.attempts() < MIN_OTHER_ATTEMPTS
+                || atOtherBuilds.badAnswerShare() * MIN_SHARE_RATIO >= atBuild.badAnswerShare();
+        return isSimilarAtOtherBuilds ? outlier.tenant() : NO_TENANT;
     }
 
-    /** The endpoint, or else the tenant, that has most of a build's bad answers while the others have few. */
+    /**
+     * Returns the endpoint or tenant that has most of a build's bad answers while the others have few, or null.
+     *
+     * @param amongEndpoints whether to search the endpoints rather than the tenants
+     */
     private @Nullable Group findOutlier(int build, boolean amongEndpoints) {
         AttemptCounts all = new AttemptCounts();
         Group worst = null;
--- a/src/main/java/laurelkeel/attribution/RegressionAttributor.java
+++ b/src/main/java/laurelkeel/attribution/RegressionAttributor.java
@@ -12,27 +12,27 @@
 import laurelkeel.attribution.AttributionFinding.Kind;
 
 /**
- * Attributes a regression to one of several concurrent rollouts, by the reports of all nodes.
+ * Attributes a regression to one of several concurrent rollouts, based on the reports of all nodes.
  *
- * <p>It is notified of rollouts that start and end, takes reports and is evaluated once a second. A build that is no worse than
- * the others is found guilty with a probability of at most {@link #FALSE_ALARM_PROBABILITY} over its whole rollout,
- * however often this is evaluated: exactly so for failed, unanswered and wrong attempts, and as far as the model holds
- * for latencies and for regressions of the whole fleet.
+ * <p>It is notified of rollouts that start and end, receives reports and is evaluated once a second. A build that is no
+ * worse than the others is found guilty with a probability of at most {@link #FALSE_ALARM_PROBABILITY} over its whole
+ * rollout, however often it is evaluated. This bound is exact for failed, unanswered and wrong attempts; for latencies
+ * and for regressions of the whole fleet it holds as far as the model does.
  *
  * <p>Not thread-safe.
  */
 public final class RegressionAttributor {
-    /** The greatest probability with which a comparison finds a build guilty that is no worse. */
+    /** The maximum probability that a comparison finds a build guilty that is no worse than the others. */
     public static final double FALSE_ALARM_PROBABILITY = 0.002;
 
-    /** E-value from which a canary is suspected and nothing is promoted. */
+    /** E-value from which a canary is suspected, and no build is promoted. */
     private static final double SUSPICION_E_VALUE = 20;
 
     private static final int MAX_CANARIES = 8;
     /** How long a regression of the whole fleet stays open before a canary is set aside. */
     private static final long SET_ASIDE_AFTER_SECONDS = 18;
 
-    /** How long, from its start, a canary that was set aside may still be found guilty. */
+    /** How long after its rollout started a canary that was set aside may still be found guilty. */
     private static final long SET_ASIDE_RETENTION_SECONDS = 180;
 
     private static final int NO_BUILD = -1;
@@ -44,26 +44,28 @@
     private final LoadClassifier loadClassifier = new LoadClassifier();
     private final FleetWideRegressionDetector fleet = new FleetWideRegressionDetector();
     private final Map<Integer, CanaryComparison> canaries = new TreeMap<>();
-    /** Set aside: canaries no more, yet possible causes still. */
+    /** Builds that were set aside: no longer canaries, but still possible causes. */
     private final Map<Integer, CanaryComparison> setAsideCanaries = new TreeMap<>();
-    /** Neither canaries nor references: rolled back, or beyond the limit. */
+    /** Builds that are neither canaries nor references: rolled back, or beyond the limit on canaries. */
     private final Set<Integer> excludedBuilds = new HashSet<>();
 
     private long fleetRegressionSinceSecond = NOT_OPEN;
     private List<AttributionFinding> findings = List.of();
 
     /**
-     * Starts without rollouts and reports.
+     * Creates an attributor without rollouts and reports.
      *
-     * @param routeCount how many routes the settings have
-     * @param maxReportDelaySeconds how late a report may come before its second is evaluated without it
+     * @param routeCount number of routes in the settings
+     * @param maxReportDelaySeconds how late a report may arrive before its second is evaluated without it
      */
     public RegressionAttributor(int routeCount, long maxReportDelaySeconds) {
         this.routeCount = routeCount;
         this.reports = new ReportAggregator(maxReportDelaySeconds);
     }
 
-    /** Starts comparing a build whose rollout starts; builds beyond a limit on their number are ignored. */
+    /**
+     * Starts comparing a build whose rollout starts; ignores the build if the maximum number of canaries is reached.
+     */
     public void rolloutStarted(int build, long nowSecond) {
         if (canaries.size() >= MAX_CANARIES) {
             excludedBuilds.add(build);
@@ -76,7 +78,8 @@
     /**
      * Stops comparing a build whose rollout has ended.
      *
-     * @param released whether it serves all requests now, and is a reference for others; otherwise it is rolled back
+     * @param released whether the build now serves all requests and becomes a reference build; otherwise it was rolled
+     *     back
      */
     public void rolloutEnded(int build, boolean released) {
         if (canaries.remove(build) != null && !released) {
@@ -84,7 +87,7 @@
         }
     }
 
-    /** Notes that a build is rolled back to show whether a regression ends with it; it may still be found guilty. */
+    /** Records that a build was rolled back to see whether a regression ends with it; it may still be found guilty. */
     public void rolloutSetAside(int build) {
         CanaryComparison canary = canaries.remove(build);
         if (canary != null) {
@@ -94,20 +97,24 @@
     }
 
     /**
-     * Takes a node's report.
+     * Adds a node's report.
      *
-     * @return whether it counts: false for one that is late, from the future, a duplicate or beyond the limits
+     * @return whether the report counts; false if it is late, from the future, a duplicate or beyond the limits
      */
     public boolean addReport(NodeReport report, long nowSecond) {
         return reports.add(report, nowSecond);
     }
 
-    /** What was not counted so far. */
+    /** Returns the numbers of reports and cells discarded so far. */
     public DiscardCounts discarded() {
         return reports.discarded();
     }
 
-    /** What is known now: a finding for each canary, and for each build that was set aside and found guilty. */
+    /**
+     * Evaluates the seconds for which the maximum delay of reports has passed.
+     *
+     * @return the current finding for each canary, and for each build that was set aside and then found guilty
+     */
     public List<AttributionFinding> evaluate(long nowSecond) {
         List<ReportedSecond> closed = reports.closeSeconds(nowSecond);
         if (!closed.isEmpty()) {
@@ -164,7 +171,7 @@
         markGuiltyByComparison(suspects.values(), evidenceByBuild);
         boolean isAnySuspected =
                 evidenceByBuild.values().stream().anyMatch(evidence -> evidence.total() >= Math.log(SUSPICION_E_VALUE));
-        // a failing build slows all others by the retries that it causes: what a comparison shows goes first
+        // retries caused by a failing build slow down all other builds, so evidence from comparisons takes precedence
         if (!isAnySuspected && !isAnyGuilty(suspects)) {
             markGuiltyByFleet(suspects, latencyRanking);
             markGuiltyByFleet(suspects, badAttemptRanking);
@@ -193,7 +200,10 @@
         }
     }
 
-    /** Of two builds that are bad only together, the one that started later is guilty: before it there was no regression. */
+    /**
+     * Marks the most recently started of the builds that cause a regression of the whole fleet. Of two builds that are
+     * bad only together it is the guilty one, since there was no regression before it started.
+     */
     private static void markGuiltyByFleet(Map<Integer, CanaryComparison> suspects, ExplanationRanking ranking) {
         List<CanaryComparison> guilty = suspects.values().stream()
                 .filter(suspect -> ranking.guiltyBuilds().contains(suspect.build()))
@@ -208,7 +218,10 @@
         return suspects.values().stream().anyMatch(CanaryComparison::isGuilty);
     }
 
-    /** The build whose rollout started last, of several the latest build; {@link #NO_BUILD} for none. */
+    /**
+     * Returns the build whose rollout started last, the one with the highest number if several did; {@link #NO_BUILD}
+     * if there are no rollouts.
+     */
     private static int newest(Collection<CanaryComparison> rollouts) {
         return rollouts.stream()
                 .max(Comparator.comparingLong(CanaryComparison::startedAtSecond)
@@ -217,7 +230,10 @@
                 .orElse(NO_BUILD);
     }
 
-    /** Whether a regression of the whole fleet has been open for long; the time is measured anew after each time. */
+    /**
+     * Returns whether a canary should be set aside because a regression of the whole fleet has been open for long
+     * enough while there are several canaries. After that the time is measured from zero again.
+     */
     private boolean shouldSetAside(boolean isFleetRegressionOpen, long nowSecond) {
         if (!isFleetRegressionOpen) {
             fleetRegressionSinceSecond = NOT_OPEN;
--- a/src/main/java/laurelkeel/attribution/ReportAggregator.java
+++ b/src/main/java/laurelkeel/attribution/ReportAggregator.java
@@ -8,21 +8,22 @@
 import java.util.TreeMap;
 
 /**
- * Collects the reports of many nodes by second, in whatever order they come, and closes a second once its reports have
- * had their time to come.
+ * Collects the reports of many nodes by second, in any order, and closes a second when the maximum delay of its reports
+ * has passed.
  *
- * <p>A report counts once. No node weighs more than a few times the median node, whatever it reports. Not thread-safe.
+ * <p>Each report counts once. No node has more than a few times the weight of the median node, regardless of the counts
+ * it reports. Not thread-safe.
  */
 final class ReportAggregator {
-    /** Nodes' clocks may be ahead by so much. */
+    /** How far a node's clock may be ahead. */
     private static final int MAX_SECONDS_AHEAD = 8;
 
     private static final int MAX_NODES = 4096;
-    /** The most attempts of a node, beside those of the median node. */
+    /** The maximum ratio of the attempts counted for a node to those of the median node. */
     private static final double MAX_NODE_WEIGHT = 3;
 
-    /** Fewer nodes have no median to hold one of them against. */
-    private static final int MIN_NODES_TO_WEIGH = 3;
+    /** Minimum number of nodes for a meaningful median; weights are not limited with fewer nodes. */
+    private static final int MIN_NODES_FOR_MEDIAN = 3;
 
     private final long maxDelaySeconds;
     private final TreeMap<Long, Map<Integer, List<NodeReport.Cell>>> openSeconds = new TreeMap<>();
@@ -35,15 +36,15 @@
     private long invalidCells;
     private long overLimitCells;
 
-    /** @param maxDelaySeconds how late a report may come */
+    /** @param maxDelaySeconds how late a report may arrive */
     ReportAggregator(long maxDelaySeconds) {
         this.maxDelaySeconds = maxDelaySeconds;
     }
 
     /**
-     * Takes a report.
+     * Adds a report.
      *
-     * @return whether it counts: false for one that is late, from the future, a duplicate or beyond the limits
+     * @return whether the report counts; false if it is late, from the future, a duplicate or beyond the limits
      */
     boolean add(NodeReport report, long nowSecond) {
         if (report.second() <= lastClosedSecond) {
@@ -84,12 +85,12 @@
         }
     }
 
-    /** What was not counted so far. */
+    /** Returns the numbers of reports and cells discarded so far. */
     DiscardCounts discarded() {
         return new DiscardCounts(duplicateReports, lateReports, invalidCells, overLimitCells);
     }
 
-    /** Closes the seconds whose reports have had their time, and returns them in order. */
+    /** Closes the seconds for which the maximum delay has passed, and returns them in ascending order. */
     List<ReportedSecond> closeSeconds(long nowSecond) {
         List<ReportedSecond> closed = new ArrayList<>();
         while (!openSeconds.isEmpty() && openSeconds.firstKey() + maxDelaySeconds < nowSecond) {
@@ -103,13 +104,13 @@
     }
 
     private void removeReportIdsUpTo(long second) {
-        Map<Long, List<String>> forgotten = seenReportIdsBySecond.headMap(second, true);
-        forgotten.values().forEach(ids -> ids.forEach(seenReportIds::remove));
-        forgotten.clear();
+        Map<Long, List<String>> expired = seenReportIdsBySecond.headMap(second, true);
+        expired.values().forEach(ids -> ids.forEach(seenReportIds::remove));
+        expired.clear();
     }
 
     private static Map<Integer, List<NodeReport.Cell>> limitWeights(Map<Integer, List<NodeReport.Cell>> cellsByNode) {
-        if (cellsByNode.size() < MIN_NODES_TO_WEIGH) {
+        if (cellsByNode.size() < MIN_NODES_FOR_MEDIAN) {
             return cellsByNode;
         }
         int[] attempts = cellsByNode.values().stream()
--- a/src/main/java/laurelkeel/attribution/ReportedSecond.java
+++ b/src/main/java/laurelkeel/attribution/ReportedSecond.java
@@ -4,13 +4,14 @@
 import java.util.Map;
 
 /**
- * What all nodes reported of one second.
+ * The reports of all nodes for one second.
  *
- * @param cellsByNode by ascending node index, for each node that reported
+ * @param second number of the second on the rollout service's clock
+ * @param cellsByNode the cells of each node that reported, in ascending order of node indexes
  */
 record ReportedSecond(long second, Map<Integer, List<NodeReport.Cell>> cellsByNode) {
 
-    /** How many nodes reported the second. */
+    /** Returns the number of nodes that reported the second. */
     int nodeCount() {
         return cellsByNode.size();
     }
--- a/src/main/java/laurelkeel/attribution/package-info.java
+++ b/src/main/java/laurelkeel/attribution/package-info.java
@@ -1,10 +1,10 @@
 /**
- * Attributes a regression to one of several concurrent rollouts: node reports go in, findings come out.
+ * Attributes a regression to one of several concurrent rollouts: the input is node reports, the output is findings.
  *
- * <p>{@link laurelkeel.attribution.RegressionAttributor} is the entry. Canaries are compared with the builds that are
- * not being rolled out by e-values, which may be looked at after every report; a regression of the whole fleet, which no
- * comparison side by side shows, is explained by Bayesian model comparison. The package knows no socket, clock, thread
- * or random source.
+ * <p>{@link laurelkeel.attribution.RegressionAttributor} is the entry point. Canaries are compared with the builds that
+ * are not being rolled out, the reference builds, by e-values, which may be evaluated after every report. A regression
+ * of the whole fleet, which such a comparison cannot detect, is explained by Bayesian model comparison. The package
+ * uses no sockets, clocks, threads or random sources.
  */
 @NullMarked
 package laurelkeel.attribution;
