--- a/src/main/java/laurelkeel/attribution/Assessment.java
+++ b/src/main/java/laurelkeel/attribution/Assessment.java
@@ -6,14 +6,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What is known of all canaries at one moment.
+ * The evidence about all canaries at one moment.
  *
- * @param evidenceByBuild the evidence of the comparisons side by side
+ * @param evidenceByBuild for each canary, including those set aside, the evidence from its comparison with the
+ *     reference builds
  * @param latencyRanking explanations of the whole fleet's latencies
- * @param badAttemptRanking explanations of the whole fleet's attempts that went wrong
- * @param isOpen whether a regression is open, of one canary or of the whole fleet
+ * @param badAttemptRanking explanations of the whole fleet's failed, unanswered and wrong attempts
+ * @param isOpen whether a regression of one canary or of the whole fleet is open or suspected
  * @param isFleetRegressionOpen whether a regression of the whole fleet is open
- * @param buildToSetAside the canary to roll back in order to learn more, or -1
+ * @param buildToSetAside the canary to roll back to see whether the regression ends with it, or -1
+ * @param nowSecond the current second on the rollout service's clock
  */
 record Assessment(
         Map<Integer, LogEvidence> evidenceByBuild,
@@ -31,7 +33,10 @@
         return Objects.requireNonNull(evidenceByBuild.get(build));
     }
 
-    /** The posterior probability that a canary is worse than the reference builds, one canary at most being so. */
+    /**
+     * Returns the posterior probability that a canary is worse than the reference builds, assuming that at most one
+     * canary is.
+     */
     double probabilityByComparison(int build) {
         double logTotal = Math.log(1 - PRIOR);
         for (LogEvidence evidence : evidenceByBuild.values()) {
@@ -40,19 +45,20 @@
         return Math.exp(Math.log(PRIOR) + evidence(build).total() - logTotal);
     }
 
-    /** The probability that a canary has a part in a regression of the whole fleet. */
+    /** Returns the probability that a canary contributes to a regression of the whole fleet. */
     double probabilityByFleet(int build) {
         return Math.max(latencyRanking.probabilityOf(build), badAttemptRanking.probabilityOf(build));
     }
 
-    /** The likeliest explanation of the whole fleet's state in which a canary has a part, or null. */
+    /** Returns the most probable explanation of the whole fleet's state that involves a canary, or null. */
     @Nullable
     Explanation fleetExplanation(int build) {
-        boolean isStrongerInHits = badAttemptRanking.probabilityOf(build) > latencyRanking.probabilityOf(build);
-        return (isStrongerInHits ? badAttemptRanking : latencyRanking).findInvolving(build);
+        boolean isBadAttemptEvidenceStronger =
+                badAttemptRanking.probabilityOf(build) > latencyRanking.probabilityOf(build);
+        return (isBadAttemptEvidenceStronger ? badAttemptRanking : latencyRanking).findInvolving(build);
     }
 
-    /** The strongest evidence against a canary. */
+    /** Returns the kind of the strongest evidence against a canary. */
     Kind strongestKind(int build) {
         boolean isFleetStronger =
                 fleetExplanation(build) != null && probabilityByFleet(build) > probabilityByComparison(build);
--- a/src/main/java/laurelkeel/attribution/ChangePointMixture.java
+++ b/src/main/java/laurelkeel/attribution/ChangePointMixture.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * Running sums of log-likelihood ratios over several possible change points at once, so that a build that turns bad late
- * is not saved by its past.
+ * Running sums, such as log-likelihood ratios, since each of several possible change points, so that a build's good
+ * past does not hide that it became worse later.
  *
- * <p>A change point begins every few seconds. Each has a fixed weight, and the weights of all that will ever begin sum
- * to 1: the weighted mean of e-values over the change points is an e-value again. Not thread-safe.
+ * <p>A new change point begins every few seconds. Each has a fixed weight, and the weights of all that can ever begin
+ * sum to 1. The weighted mean of e-values over the change points is therefore an e-value too. Not thread-safe.
  */
 final class ChangePointMixture {
     private static final int CHANGE_POINT_INTERVAL_SECONDS = 5;
     private static final int MAX_CHANGE_POINTS = 24;
 
-    /** A change point and the sums as they were then. */
+    /** A change point with the values of the sums at that time. */
     private static final class ChangePoint {
         private final int number;
         private final double[] sums;
@@ -30,12 +30,12 @@
     private int seconds;
     private int changePointsBegun;
 
-    /** @param sumCount how many sums run beside each other */
+    /** @param sumCount number of independent sums */
     ChangePointMixture(int sumCount) {
         sums = new double[sumCount];
     }
 
-    /** Begins a second; called before what the second adds. */
+    /** Begins a second; must be called before the amounts of that second are added. */
     void beginSecond() {
         boolean beginsChangePoint = seconds % CHANGE_POINT_INTERVAL_SECONDS == 0;
         seconds++;
@@ -45,7 +45,7 @@
         changePoints.add(new ChangePoint(changePointsBegun, sums.clone()));
         changePointsBegun++;
         if (changePoints.size() > MAX_CHANGE_POINTS) {
-            // the first one sees everything; of the others the oldest is dropped
+            // the first change point covers the whole rollout and stays; the oldest of the others is dropped
             changePoints.remove(1);
         }
     }
@@ -58,12 +58,12 @@
         return changePoints.size();
     }
 
-    /** What a sum has grown by since a change point. */
+    /** Returns the amount that a sum has grown by since a change point. */
     double sumSince(int changePoint, int sum) {
         return sums[sum] - changePoints.get(changePoint).sums[sum];
     }
 
-    /** The logarithm of a change point's weight. */
+    /** Returns the natural logarithm of a change point's weight. */
     double logWeight(int changePoint) {
         int number = changePoints.get(changePoint).number;
         return -Math.log((number + 1.0) * (number + 2.0));
--- a/src/main/java/laurelkeel/attribution/ClearanceRule.java
+++ b/src/main/java/laurelkeel/attribution/ClearanceRule.java
@@ -1,10 +1,10 @@
 package laurelkeel.attribution;
 
-/** Decides when enough has been seen of a canary to say that it causes no regression which matters. */
+/** Decides whether there is enough evidence that a canary causes no regression large enough to matter. */
 final class ClearanceRule {
     private static final int MIN_ATTEMPTS = 150;
     private static final int MIN_SECONDS = 8;
-    /** Limits of a 99% confidence interval, in standard errors. */
+    /** Half width of a 99% confidence interval, in standard errors. */
     private static final double CONFIDENCE_ERRORS = 2.6;
 
     private static final double MAX_SHARE_DIFFERENCE = 0.02;
@@ -13,9 +13,9 @@
     private ClearanceRule() {}
 
     /**
-     * Whether the canary is surely no worse than a little.
+     * Returns whether the upper confidence limits of all effects of a canary are small.
      *
-     * @return false for a canary with one endpoint, whose latency ratio is unknown
+     * @return always false for a canary with a single endpoint, because its latency ratio is unknown
      */
     static boolean isCleared(CanaryComparison canary) {
         if (canary.recentAttempts() < MIN_ATTEMPTS || canary.recentSecondsWithAttempts() < MIN_SECONDS) {
--- a/src/main/java/laurelkeel/attribution/CountEvidence.java
+++ b/src/main/java/laurelkeel/attribution/CountEvidence.java
@@ -4,28 +4,30 @@
 import java.util.Map;
 
 /**
- * Evidence that more of one build's attempts go wrong in one way than those of the builds beside it, as an e-value: a
- * number whose mean is at most 1 while the build is no worse, so that it ever exceeds 1/a with probability at most a
- * (Ville's inequality), however often it is looked at.
+ * Evidence, as an e-value, that a canary has a larger share of attempts with one kind of bad outcome than the reference
+ * builds.
  *
- * <p>The e-value is a mixture of likelihood ratios over odds ratios, routes and change points, multiplied over nodes and
- * seconds. Not thread-safe.
+ * <p>The expected value of an e-value is at most 1 while the build is no worse. By Ville's inequality it then ever
+ * exceeds 1/a with probability at most a, however often it is evaluated. This e-value is a mixture of likelihood ratios
+ * over odds ratios, routes and change points, multiplied over nodes and seconds. Not thread-safe.
  */
 final class CountEvidence {
     /** Odds ratios of the alternative hypotheses. */
     private static final double[] ALTERNATIVE_ODDS_RATIOS = {2, 4, 10, 40};
 
-    /** Odds ratio of the null hypothesis: a build that is worse by less passes. */
+    /** Odds ratio of the null hypothesis: a build with a lower odds ratio is tolerated. */
     private static final double NULL_ODDS_RATIO = 1.25;
 
-    /** From so many nodes on, the evidence does without the node that says most: its figures may be wrong. */
+    /**
+     * With at least this number of nodes, the node with the strongest evidence is excluded: its counts may be wrong.
+     */
     private static final int MIN_NODES_TO_EXCLUDE_STRONGEST = 4;
 
-    /** Weight of the evidence of all routes together; the single routes share the rest. */
+    /** Weight of the evidence from all routes together; the individual routes share the rest equally. */
     private static final double ALL_ROUTES_WEIGHT = 0.5;
 
     private final int routeCount;
-    /** For each node a sum for each scope and alternative; the scopes are the routes, and after them all together. */
+    /** By node, one sum for each scope and alternative. The scopes are the single routes, then all routes together. */
     private final Map<Integer, ChangePointMixture> mixtureByNode = new HashMap<>();
 
     private int seconds;
@@ -36,9 +38,9 @@
     }
 
     /**
-     * Begins a second; called before what nodes saw in it.
+     * Begins a second; must be called before the tables of that second are added.
      *
-     * @param reportingNodes how many nodes reported the second
+     * @param reportingNodes number of nodes that reported the second
      */
     void beginSecond(int reportingNodes) {
         seconds++;
@@ -46,7 +48,7 @@
         mixtureByNode.values().forEach(ChangePointMixture::beginSecond);
     }
 
-    /** Adds what one node saw on one route. */
+    /** Adds the attempts of one node on one route. */
     void add(int node, int route, ContingencyTable table) {
         if (table.totalBadAttempts() == 0 || table.attempts() == 0 || table.attempts() == table.totalAttempts()) {
             return;
@@ -72,7 +74,7 @@
         return scope * ALTERNATIVE_ODDS_RATIOS.length + alternative;
     }
 
-    /** The natural logarithm of the e-value. */
+    /** Returns the natural logarithm of the e-value. */
     double logEValue() {
         if (mixtureByNode.isEmpty()) {
             return 0;
--- a/src/main/java/laurelkeel/attribution/Explanation.java
+++ b/src/main/java/laurelkeel/attribution/Explanation.java
@@ -4,13 +4,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One explanation of how the whole fleet did in the last minute.
+ * One possible explanation of the levels of a {@link FleetMeasure} in the last minute.
  *
- * @param builds the builds whose traffic is the cause; none for other causes
- * @param probability beside the other explanations, from 0 to 1
- * @param effect size of the regression, as a level of the measure
- * @param affectedSeconds in how many seconds the regression was large enough to matter
- * @param endedInterval when a transient cause that is over acted, or null
+ * @param builds the builds whose traffic is the cause; empty for other causes
+ * @param probability posterior probability among all explanations, from 0 to 1
+ * @param effect size of the regression, in the units of {@link FleetMeasure#levels}
+ * @param affectedSeconds number of seconds in which the regression was large enough to matter
+ * @param endedInterval interval of a transient cause that has ended, or null
  */
 record Explanation(
         Cause cause,
@@ -24,17 +24,17 @@
     enum Cause {
         /** There is no regression. */
         NONE,
-        /** Something outside of all rollouts, from one second to another. */
+        /** A temporary cause that is unrelated to any rollout. */
         TRANSIENT,
-        /** The traffic of one build, or of two builds together. */
+        /** The traffic of one build, or the combined traffic of two builds. */
         BUILDS
     }
 
     /**
-     * A span of seconds.
+     * An interval of seconds, given by their indexes in the history.
      *
-     * @param from first second
-     * @param to second after the last
+     * @param from index of the first second
+     * @param to index after that of the last second
      */
     record Interval(int from, int to) {}
 
--- a/src/main/java/laurelkeel/attribution/ExplanationModel.java
+++ b/src/main/java/laurelkeel/attribution/ExplanationModel.java
@@ -11,11 +11,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Ranks explanations of one series of levels by Bayesian model comparison: each is a regressor in a least-squares fit,
- * scored by its prior probability and the Bayesian information criterion.
+ * Ranks explanations of one series of levels by Bayesian model comparison. Each explanation is a regressor in a
+ * least-squares fit, scored by its prior probability and the Bayesian information criterion.
  *
- * <p>No regression has no regressor; a transient cause is 1 from one second to another; a build's regressor is its share
- * of the traffic, that of two builds together the product of their shares.
+ * <p>The explanation that there is no regression has no regressor. The regressor of a transient cause is 1 in an
+ * interval of seconds and 0 otherwise, that of a build is its share of the traffic, and that of a pair of builds is the
+ * product of their shares.
  */
 final class ExplanationModel {
     private static final double PRIOR_OF_NONE = 0.80;
@@ -23,16 +24,19 @@
     private static final double PRIOR_OF_SINGLE_BUILDS = 0.04;
     private static final double PRIOR_OF_BUILD_PAIRS = 0.01;
 
-    /** Transient causes seldom last: what goes on is ever more likely a build's. */
+    /**
+     * Mean duration of a transient cause. It is short: the longer a regression lasts, the more likely a build causes
+     * it.
+     */
     private static final double MEAN_TRANSIENT_SECONDS = 6;
 
-    /** So many seconds in a row count as one: queues make them alike. */
+    /** Number of consecutive seconds that count as one independent sample, because queues correlate them. */
     private static final double CORRELATED_SECONDS = 2;
 
-    /** Limits of a 95% confidence interval, in standard errors. */
+    /** Half width of a 95% confidence interval, in standard errors. */
     private static final double CONFIDENCE_ERRORS = 1.96;
 
-    /** An explanation and the logarithm of its prior times its likelihood. */
+    /** An explanation with the natural logarithm of the product of its prior and its likelihood. */
     private record Scored(Explanation explanation, double logScore) {}
 
     private final int[] secondIndexes;
@@ -43,9 +47,10 @@
     /**
      * Prepares the comparison.
      *
-     * @param seconds the seconds that are explained
-     * @param secondIndexes the index of each of them among all seconds
-     * @param sharesByBuild each build's share of the traffic, by the index among all seconds
+     * @param seconds the seconds to explain
+     * @param secondIndexes the index of each of these seconds in the history
+     * @param sharesByBuild each build's share of the traffic, by index in the history
+     * @param measure the measure whose levels are explained
      */
     ExplanationModel(
             List<FleetSecond> seconds,
@@ -68,7 +73,7 @@
         return loads;
     }
 
-    /** Ranks all explanations, with these builds as possible causes. */
+    /** Ranks all explanations, with the given builds as possible causes. */
     ExplanationRanking rank(List<Integer> builds) {
         List<Scored> scored = new ArrayList<>();
         scored.add(new Scored(Explanation.none(), logScore(Math.log(PRIOR_OF_NONE), fit.residual())));
@@ -90,7 +95,7 @@
         double logTotal = LogProbability.logSumExp(
                 scored.stream().mapToDouble(Scored::logScore).toArray());
         return new ExplanationRanking(scored.stream()
-                .map(one -> one.explanation().withProbability(FastMath.exp(one.logScore() - logTotal)))
+                .map(entry -> entry.explanation().withProbability(FastMath.exp(entry.logScore() - logTotal)))
                 .toList());
     }
 
@@ -98,7 +103,10 @@
         return logPrior - independentSeconds / 2 * Math.log(residual);
     }
 
-    /** The score with a regressor, which costs a parameter; only a slope that makes things worse explains anything. */
+    /**
+     * Returns the score of an explanation with a regressor, including the penalty for its additional parameter. A slope
+     * that is not positive explains no regression.
+     */
     private double logScore(double logPrior, double slope, double[] regressor) {
         if (slope <= 0) {
             return Double.NEGATIVE_INFINITY;
@@ -138,7 +146,10 @@
         return Arrays.stream(values).reduce(0, Math::max);
     }
 
-    /** Scores all intervals in which a transient cause may have acted; one that still acts may go on. */
+    /**
+     * Scores a transient cause: the sum over all intervals in which it may have acted. An interval up to the last
+     * second may continue.
+     */
     private Scored scoreTransient() {
         int count = secondIndexes.length;
         double[] logScores = new double[count * (count + 1) / 2];
@@ -172,7 +183,10 @@
         return new Interval(secondIndexes[from], secondIndexes[to - 1] + 1);
     }
 
-    /** Lengths are geometrically distributed; of one that has not ended only the seconds so far count. */
+    /**
+     * Returns the log probability of an interval's length under a geometric distribution. For an interval that has not
+     * ended it is the probability of lasting at least this long.
+     */
     private static double logProbabilityOfLength(int seconds, boolean hasEnded) {
         double logProbabilityOfLasting = -(seconds - 1) / MEAN_TRANSIENT_SECONDS;
         return hasEnded
--- a/src/main/java/laurelkeel/attribution/FleetHistory.java
+++ b/src/main/java/laurelkeel/attribution/FleetHistory.java
@@ -10,19 +10,19 @@
 import java.util.function.IntPredicate;
 import laurelkeel.attribution.FleetSecond.RouteTotals;
 
-/** Keeps what the last minute showed of the whole fleet. Not thread-safe. */
+/** The totals of the whole fleet for each second of the last minute. Not thread-safe. */
 final class FleetHistory {
     private static final int WINDOW_SECONDS = 60;
-    /** Shares are smoothed over so many seconds on either side. */
+    /** Number of seconds on either side that the moving median of the shares covers. */
     private static final int SMOOTHING_RADIUS = 2;
 
     private final Deque<FleetSecond> seconds = new ArrayDeque<>();
 
     /**
-     * Adds a second.
+     * Adds the reports of one second; ignored if they contain no attempts.
      *
-     * @param isReference whether a build is not being rolled out
-     * @param traffic of the last seconds, this one included
+     * @param isReference whether a build is a reference build
+     * @param traffic the traffic of the last seconds, including this one
      */
     void addSecond(ReportedSecond second, IntPredicate isReference, RecentTraffic traffic) {
         Map<Integer, Set<String>> excludedEndpoints = new TreeMap<>();
@@ -54,14 +54,17 @@
         }
     }
 
-    /** The seconds in which reference builds had attempts, oldest first. */
+    /** Returns the seconds in which reference builds had attempts, oldest first. */
     List<FleetSecond> seconds() {
         return seconds.stream()
                 .filter(second -> !second.totalsByRoute().isEmpty())
                 .toList();
     }
 
-    /** A build's share of the attempts in each second, by a moving median, which keeps the steps of its rollout. */
+    /**
+     * Returns a build's share of the attempts in each second, smoothed by a moving median, which preserves the steps of
+     * its rollout.
+     */
     static double[] smoothedShares(List<FleetSecond> seconds, int build) {
         double[] smoothed = new double[seconds.size()];
         double[] neighbours = new double[2 * SMOOTHING_RADIUS + 1];
--- a/src/main/java/laurelkeel/attribution/FleetMeasure.java
+++ b/src/main/java/laurelkeel/attribution/FleetMeasure.java
@@ -7,11 +7,11 @@
 import laurelkeel.attribution.FleetSecond.RouteTotals;
 
 /**
- * What a regression of the whole fleet shows in. Levels of both measures are scaled alike, so that one size of
- * regression matters in both.
+ * A measure in which a regression of the whole fleet can appear. The levels of both measures are scaled so that the
+ * same threshold for a regression applies to both.
  */
 enum FleetMeasure {
-    /** Natural logarithms of latencies. */
+    /** The natural logarithm of the latency. */
     LATENCY(1, 0.03) {
         @Override
         double sum(RouteTotals totals) {
@@ -23,7 +23,7 @@
             return totals.timedAttempts();
         }
     },
-    /** Attempts that went wrong; a share of 0.04 counts like a latency ratio of exp(0.25). */
+    /** The share of failed, unanswered and wrong attempts; a share of 0.04 equals a latency ratio of exp(0.25). */
     BAD_ATTEMPTS(100.0 / 16, 0.004 * 100 / 25) {
         @Override
         double sum(RouteTotals totals) {
@@ -44,18 +44,21 @@
         this.minSpread = minSpread;
     }
 
-    /** Sum of the measure over a route's attempts. */
+    /** Returns the sum of the measure over a route's attempts. */
     abstract double sum(RouteTotals totals);
 
-    /** How many attempts that sum is of. */
+    /** Returns the number of attempts that the sum covers. */
     abstract double count(RouteTotals totals);
 
-    /** The least standard deviation of single seconds' levels that chance leaves. */
+    /** Returns the lowest standard deviation of single seconds' levels that random variation alone causes. */
     double minSpread() {
         return minSpread;
     }
 
-    /** Each second's level over all routes, each route relative to its own mean: a change of their mix is no regression. */
+    /**
+     * Returns the level of each second over all routes. Each route is measured relative to its own mean, so that a
+     * change in the mix of routes does not look like a regression.
+     */
     double[] levels(List<FleetSecond> seconds) {
         Map<Integer, Mean> meanByRoute = new TreeMap<>();
         for (FleetSecond second : seconds) {
@@ -82,7 +85,7 @@
         return attempts == 0 ? 0 : excess / attempts * scale;
     }
 
-    /** The mean of a route over all seconds. */
+    /** The mean of the measure for one route over all seconds. */
     private static final class Mean {
         private double sum;
         private double count;
--- a/src/main/java/laurelkeel/attribution/FleetSecond.java
+++ b/src/main/java/laurelkeel/attribution/FleetSecond.java
@@ -3,15 +3,15 @@
 import java.util.Map;
 
 /**
- * What one second showed of the whole fleet.
+ * The totals of the whole fleet for one second.
  *
- * @param attempts all attempts, at all builds
- * @param totalsByRoute the attempts at reference builds, by ascending route
+ * @param attempts number of attempts at all builds
+ * @param totalsByRoute totals of the attempts at reference builds, in ascending order of routes
  * @param shareByBuild each build's share of all attempts
  */
 record FleetSecond(double attempts, Map<Integer, RouteTotals> totalsByRoute, Map<Integer, Double> shareByBuild) {
 
-    /** Sums over one route's attempts. Not thread-safe. */
+    /** Sums over the attempts of one route. Not thread-safe. */
     static final class RouteTotals {
         private double attempts;
         private double badAttempts;
@@ -29,23 +29,23 @@
             return attempts;
         }
 
-        /** How many attempts went wrong. */
+        /** Returns the number of failed, unanswered and wrong attempts. */
         double badAttempts() {
             return badAttempts;
         }
 
-        /** How many attempts have a latency that counts. */
+        /** Returns the number of attempts with a valid latency: completed, at an endpoint that was not warming up. */
         double timedAttempts() {
             return timedAttempts;
         }
 
-        /** Sum of the natural logarithms of those latencies in milliseconds. */
+        /** Returns the sum of the natural logarithms of those latencies in milliseconds. */
         double logLatencySum() {
             return logLatencySum;
         }
     }
 
-    /** A build's share of all attempts. */
+    /** Returns a build's share of all attempts, from 0 to 1. */
     double shareOf(int build) {
         return shareByBuild.getOrDefault(build, 0.0);
     }
--- a/src/main/java/laurelkeel/attribution/FleetWideRegressionDetector.java
+++ b/src/main/java/laurelkeel/attribution/FleetWideRegressionDetector.java
@@ -10,12 +10,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Explains regressions of all builds alike, which no comparison side by side can show, by the course of the last minute.
- * Not thread-safe.
+ * Finds explanations for regressions that affect all builds equally, which a comparison between builds cannot detect,
+ * from how the last minute developed. Not thread-safe.
  */
 final class FleetWideRegressionDetector {
     private static final int MIN_SECONDS = 10;
-    /** So many transient causes that are over are left out, one after another. */
+    /** The maximum number of ended transient causes that are excluded, one after another. */
     private static final int MAX_TRANSIENT_CAUSES = 4;
 
     private static final double MIN_TRANSIENT_PROBABILITY = 0.5;
@@ -23,16 +23,16 @@
     private final FleetHistory history = new FleetHistory();
 
     /**
-     * Adds a second.
+     * Adds the reports of one second.
      *
-     * @param isReference whether a build is not being rolled out
-     * @param traffic of the last seconds, this one included
+     * @param isReference whether a build is a reference build
+     * @param traffic the traffic of the last seconds, including this one
      */
     void addSecond(ReportedSecond second, IntPredicate isReference, RecentTraffic traffic) {
         history.addSecond(second, isReference, traffic);
     }
 
-    /** Ranks the explanations of the last minute, with these builds as possible causes. */
+    /** Ranks the explanations of the last minute, with the given builds as possible causes. */
     ExplanationRanking explain(FleetMeasure measure, List<Integer> builds) {
         List<FleetSecond> seconds = history.seconds();
         Map<Integer, double[]> sharesByBuild = new TreeMap<>();
@@ -41,8 +41,10 @@
         ExplanationRanking unfilteredRanking = explain(measure, builds, seconds, sharesByBuild, isExcluded);
         ExplanationRanking ranking = unfilteredRanking;
         Interval ended = endedTransientCause(ranking);
-        for (int excludedCauses = 0; ended != null && excludedCauses < MAX_TRANSIENT_CAUSES; excludedCauses++) {
-            // what has come and gone would hide what lasts
+        for (int excludedCauseCount = 0;
+                ended != null && excludedCauseCount < MAX_TRANSIENT_CAUSES;
+                excludedCauseCount++) {
+            // a transient cause that has ended would hide a regression that persists
             Arrays.fill(isExcluded, ended.from(), ended.to(), true);
             ranking = explain(measure, builds, seconds, sharesByBuild, isExcluded);
             ended = endedTransientCause(ranking);
--- a/src/main/java/laurelkeel/attribution/LatencyEvidence.java
+++ b/src/main/java/laurelkeel/attribution/LatencyEvidence.java
@@ -3,23 +3,24 @@
 import org.apache.commons.math3.distribution.NormalDistribution;
 
 /**
- * Evidence that one build's answers take longer than those of the builds beside it, as an e-value.
+ * Evidence, as an e-value, that a canary's answers take longer than those of the reference builds.
  *
- * <p>A one-sided normal mixture over the size of the drift (Robbins' method of mixtures) of the log ratios of the
- * seconds. The spread of the ratios is estimated, so that the guarantee is as good as the estimate. Not thread-safe.
+ * <p>The e-value is a one-sided normal mixture over the drift of the per-second log ratios (Robbins' method of
+ * mixtures). The spread of the ratios is estimated, so the bound on false alarms is only as good as that estimate. Not
+ * thread-safe.
  */
 final class LatencyEvidence {
-    /** Log ratio of latencies that passes. */
+    /** Log ratio of latencies that is tolerated. */
     private static final double TOLERATED_LOG_RATIO = Math.log(1.3);
 
-    /** A single second counts for no more. */
+    /** Limit on the log ratio of a single second, in both directions. */
     private static final double MAX_LOG_RATIO = 2;
 
     private static final double MIN_SPREAD = 0.12;
-    /** So many seconds in a row count as one: queues make them alike. */
+    /** Number of consecutive seconds that count as one independent sample, because queues correlate them. */
     private static final double CORRELATED_SECONDS = 3;
 
-    /** Seconds from which the spread is known well enough. */
+    /** Number of compared seconds after which the estimate of the spread is good enough. */
     private static final int WARM_UP_SECONDS = 3;
 
     private static final double MIN_LEARNING_RATE = 0.05;
@@ -29,7 +30,9 @@
     private static final double MIN_PROBABILITY = 1e-300;
     private static final NormalDistribution STANDARD_NORMAL = new NormalDistribution(null, 0, 1);
 
+    /** Indexes of the two sums. */
     private static final int EXCESS = 0;
+
     private static final int VARIANCE = 1;
 
     private final ChangePointMixture sums = new ChangePointMixture(2);
@@ -40,7 +43,7 @@
     /**
      * Adds a second.
      *
-     * @param logRatio natural logarithm of the ratio of latencies; NaN where the second cannot be compared
+     * @param logRatio natural logarithm of the ratio of latencies; NaN if the second cannot be compared
      */
     void addSecond(double logRatio) {
         sums.beginSecond();
@@ -53,7 +56,8 @@
             sums.add(EXCESS, bounded - TOLERATED_LOG_RATIO);
             sums.add(VARIANCE, CORRELATED_SECONDS * spread * spread);
         }
-        // after its use: no second vouches for itself; by steps: a build that has turned slow does not count as spread
+        // Updated after its use, so that a second does not affect its own weight. Based on the differences between
+        // seconds, so that a lasting slowdown does not count as spread.
         if (comparedSeconds > 0) {
             double step = bounded - previousLogRatio;
             meanSquaredStep += (step * step - meanSquaredStep) * Math.max(MIN_LEARNING_RATE, 1.0 / comparedSeconds);
@@ -62,7 +66,7 @@
         comparedSeconds++;
     }
 
-    /** The natural logarithm of the e-value. */
+    /** Returns the natural logarithm of the e-value. */
     double logEValue() {
         if (sums.changePointCount() == 0) {
             return 0;
--- a/src/main/java/laurelkeel/attribution/LatencyRatioWindow.java
+++ b/src/main/java/laurelkeel/attribution/LatencyRatioWindow.java
@@ -4,10 +4,10 @@
 import java.util.Arrays;
 import java.util.Deque;
 
-/** Estimates the ratio of two builds' latencies over the last seconds in which they could be compared. Not thread-safe. */
+/** Estimates the ratio of two builds' latencies from the most recent seconds with a comparison. Not thread-safe. */
 final class LatencyRatioWindow {
     private static final int MIN_SECONDS = 4;
-    /** So many seconds in a row count as one: queues make them alike. */
+    /** Number of consecutive seconds that count as one independent sample, because queues correlate them. */
     private static final double CORRELATED_SECONDS = 3;
 
     private static final double MIN_VARIANCE = 0.0025;
@@ -26,7 +26,12 @@
         }
     }
 
-    /** The ratio of latencies, with limits at so many standard errors; unlimited where too few seconds are known. */
+    /**
+     * Estimates the ratio of latencies.
+     *
+     * @param standardErrors half width of the confidence interval of the log ratio, in standard errors
+     * @return an estimate with the limits 0 and infinity if there are too few seconds
+     */
     Estimate estimate(double standardErrors) {
         if (logRatios.size() < MIN_SECONDS) {
             return new Estimate(1, 0, Double.POSITIVE_INFINITY);
--- a/src/main/java/laurelkeel/attribution/LeastSquaresFit.java
+++ b/src/main/java/laurelkeel/attribution/LeastSquaresFit.java
@@ -5,17 +5,17 @@
 import java.util.List;
 
 /**
- * Least squares of a series of levels on one regressor at a time, beside a constant and the load.
+ * A least-squares fit of a series of levels to one regressor at a time, in addition to a constant and the load.
  *
- * <p>Levels and regressors are made orthogonal to constant and load (the Frisch-Waugh-Lovell theorem), which leaves a
- * regression on a single variable.
+ * <p>The levels and the regressor are first made orthogonal to the constant and the load, which reduces the fit to a
+ * regression on a single variable (Frisch-Waugh-Lovell theorem). Immutable.
  */
 final class LeastSquaresFit {
     private static final double MIN_LOAD_NORM = 1e-6;
-    /** A regressor whose remaining square is less is explained by constant and load. */
+    /** A regressor whose orthogonal component has a lower squared norm is explained by the constant and the load. */
     private static final double MIN_SQUARED_NORM = 1e-12;
 
-    /** Constant, load and regressor take a degree of freedom each. */
+    /** The constant, the load and the regressor each use one degree of freedom. */
     private static final int PARAMETERS = 3;
 
     private final double[] levels;
@@ -24,10 +24,12 @@
     private final double minResidual;
 
     /**
-     * Prepares fits to one series.
+     * Prepares fits to one series of levels.
      *
-     * @param load of each second
-     * @param minSpread the least standard deviation that chance leaves, added to every residual
+     * @param levels the level of each second
+     * @param load the load of each second
+     * @param minSpread the lowest standard deviation that random variation alone causes; its square is added to every
+     *     residual sum of squares, once for each second
      */
     LeastSquaresFit(double[] levels, double[] load, double minSpread) {
         int count = levels.length;
@@ -72,19 +74,19 @@
         return remaining;
     }
 
-    /** The slope on a regressor; 0 where constant and load explain the regressor. */
+    /** Returns the slope on a regressor; 0 if the constant and the load explain the regressor. */
     double slope(double[] regressor) {
         double[] remaining = orthogonalize(regressor);
         double squaredNorm = dot(remaining, remaining);
         return squaredNorm < MIN_SQUARED_NORM ? 0 : dot(remaining, levels) / squaredNorm;
     }
 
-    /** The sum of squares that constant and load leave unexplained. */
+    /** Returns the sum of squares that the constant and the load leave unexplained. */
     double residual() {
         return totalSquares + minResidual;
     }
 
-    /** The sum of squares that constant, load and a regressor leave unexplained. */
+    /** Returns the sum of squares that the constant, the load and a regressor leave unexplained. */
     double residual(double[] regressor) {
         double[] remaining = orthogonalize(regressor);
         double squaredNorm = dot(remaining, remaining);
@@ -96,10 +98,10 @@
     }
 
     /**
-     * The standard error of the slope on a regressor.
+     * Returns the standard error of the slope on a regressor.
      *
-     * @param correlatedLevels so many levels in a row count as one
-     * @return infinite where constant and load explain the regressor
+     * @param correlatedLevels number of consecutive levels that count as one independent sample
+     * @return positive infinity if the constant and the load explain the regressor
      */
     double slopeError(double[] regressor, double correlatedLevels) {
         double[] remaining = orthogonalize(regressor);
--- a/src/main/java/laurelkeel/attribution/LoadClassifier.java
+++ b/src/main/java/laurelkeel/attribution/LoadClassifier.java
@@ -3,27 +3,27 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Classifies seconds by their load beside that of the last minute. Not thread-safe. */
+/** Classifies seconds by their load relative to that of the last minute. Not thread-safe. */
 final class LoadClassifier {
     private static final int WINDOW_SECONDS = 60;
     private static final int SMOOTHING_SECONDS = 5;
-    /** Ratio of the highest load to the lowest below which the load counts as even. */
+    /** Ratio of the highest to the lowest load below which the load counts as even. */
     private static final double MIN_LOAD_RATIO = 1.15;
 
-    /** How a second's load compares with that of the last minute. */
+    /** The load of a second relative to that of the last minute. */
     enum Level {
-        /** In the lower half of the range. */
+        /** The load is in the lower half of the range. */
         CALM,
-        /** In the upper half of the range. */
+        /** The load is in the upper half of the range. */
         BUSY,
-        /** The load has hardly changed: the second is as calm as it is busy. */
+        /** The load has hardly changed; the second counts as both calm and busy. */
         EVEN
     }
 
     private final Deque<Double> recentLoads = new ArrayDeque<>();
     private final Deque<Double> smoothedLoads = new ArrayDeque<>();
 
-    /** Adds a second with so many attempts and classifies it. */
+    /** Adds a second, given its number of attempts, and classifies it. */
     Level addSecond(int attempts) {
         double load = smooth(attempts);
         double lowest = smoothedLoads.stream().mapToDouble(v -> v).min().orElse(0);
--- a/src/main/java/laurelkeel/attribution/LogEvidence.java
+++ b/src/main/java/laurelkeel/attribution/LogEvidence.java
@@ -5,24 +5,24 @@
 import laurelkeel.attribution.AttributionFinding.Kind;
 
 /**
- * The logarithms of the weighted e-values against one build, by kind; the weights sum to 1, so that the sum of the
- * weighted e-values is an e-value.
+ * The natural logarithms of the weighted e-values against one build, by kind. The weights sum to 1, so that the sum of
+ * the weighted e-values is an e-value too. Not thread-safe.
  */
 final class LogEvidence {
     private final Map<Kind, Double> logEValues = new EnumMap<>(Kind.class);
 
-    /** Adds the evidence of a kind. */
+    /** Sets the evidence of one kind. */
     void put(Kind kind, double weight, double logEValue) {
         logEValues.put(kind, Math.log(weight) + logEValue);
     }
 
-    /** The logarithm of the e-value of all kinds together. */
+    /** Returns the natural logarithm of the e-value of all kinds together. */
     double total() {
         return LogProbability.logSumExp(
                 logEValues.values().stream().mapToDouble(v -> v).toArray());
     }
 
-    /** The kind that speaks most against the build; the first one of those that do so alike. */
+    /** Returns the kind with the strongest evidence against the build; the first one if several are equal. */
     Kind strongestKind() {
         Kind strongest = Kind.FAILS;
         double largest = Double.NEGATIVE_INFINITY;
--- a/src/main/java/laurelkeel/attribution/LogProbability.java
+++ b/src/main/java/laurelkeel/attribution/LogProbability.java
@@ -1,10 +1,10 @@
 package laurelkeel.attribution;
 
-/** Arithmetic on numbers that are kept as their natural logarithms. */
+/** Arithmetic on numbers that are represented by their natural logarithms. */
 final class LogProbability {
     private LogProbability() {}
 
-    /** The logarithm of the sum of numbers; negative infinity where there are none. */
+    /** Returns the logarithm of the sum of the numbers; negative infinity if there are none. */
     static double logSumExp(double... logs) {
         double largest = Double.NEGATIVE_INFINITY;
         for (double log : logs) {
--- a/src/main/java/laurelkeel/attribution/OddsRatioEvidence.java
+++ b/src/main/java/laurelkeel/attribution/OddsRatioEvidence.java
@@ -1,24 +1,25 @@
 package laurelkeel.attribution;
 
 /**
- * Compares how well two odds ratios explain a two-by-two table whose margins are given, by Fisher's noncentral
+ * Compares how well two odds ratios explain a two-by-two contingency table with given margins, by Fisher's noncentral
  * hypergeometric distribution.
  *
- * <p>Given the margins nothing else is unknown, so that the products of these likelihood ratios over independent tables
- * are martingales under the null hypothesis: by Ville's inequality they may be looked at after every table.
+ * <p>Given the margins, the distribution has no other unknown parameter. Products of these likelihood ratios over
+ * independent tables are therefore martingales under the null hypothesis, and by Ville's inequality they may be
+ * evaluated after every table.
  */
 final class OddsRatioEvidence {
-    /** A sum beyond it is scaled down before it could overflow. */
+    /** A sum above this limit is scaled down before it can overflow. */
     private static final double RESCALING_LIMIT = 1e200;
 
     private OddsRatioEvidence() {}
 
     /**
-     * The logarithm of the likelihood ratio of two hypotheses.
+     * Returns the natural logarithm of the likelihood ratio of two hypotheses.
      *
      * @param alternative odds ratio of the alternative hypothesis
      * @param reference odds ratio of the null hypothesis
-     * @return 0 where the table is no evidence
+     * @return 0 if the table carries no information
      */
     static double logLikelihoodRatio(ContingencyTable table, double alternative, double reference) {
         if (table.isDegenerate()) {
@@ -29,12 +30,15 @@
                 + logNormalizer(table, reference);
     }
 
-    /** The logarithm of the mean of the odds ratio to the power of the bad attempts, under the central distribution. */
+    /**
+     * Returns the logarithm of the expected value, under the central distribution, of the odds ratio to the power of
+     * the number of bad attempts.
+     */
     private static double logNormalizer(ContingencyTable table, double oddsRatio) {
         int otherAttempts = table.totalAttempts() - table.attempts();
         int minBadAttempts = Math.max(0, table.totalBadAttempts() - otherAttempts);
         int maxBadAttempts = Math.min(table.totalBadAttempts(), table.attempts());
-        // both relative to the term of the least bad attempts; each term is a ratio to the one before
+        // Both sums are relative to the term of minBadAttempts; further terms are given as ratios to the previous term.
         ScaledSum weighted = new ScaledSum();
         ScaledSum central = new ScaledSum();
         for (int badAttempts = minBadAttempts; badAttempts < maxBadAttempts; badAttempts++) {
@@ -51,7 +55,7 @@
                 - central.logScale;
     }
 
-    /** A sum of terms that starts with 1, each term given by its ratio to the one before. */
+    /** A sum of terms, of which the first is 1 and each further one is given by its ratio to the previous one. */
     private static final class ScaledSum {
         private double term = 1;
         private double sum = 1;
--- a/src/main/java/laurelkeel/attribution/SecondLatencyComparison.java
+++ b/src/main/java/laurelkeel/attribution/SecondLatencyComparison.java
@@ -12,7 +12,7 @@
     /** The attempts of one route at one endpoint of the canary. */
     private record EndpointRoute(String endpointId, int route, AttemptCounts counts) {}
 
-    /** How much longer an endpoint's attempts took than the reference builds', as a sum of logarithms. */
+    /** The excess of an endpoint's latencies over those of the reference builds, as a sum of logarithms. */
     private static final class Excess {
         private double logSum;
         private double attempts;
@@ -29,7 +29,7 @@
     }
 
     private final Map<Integer, AttemptCounts> referenceByRoute = new HashMap<>();
-    /** By endpoint and route in one string, whose order in the map is that of the additions. */
+    /** By endpoint and route, combined into one string. Latencies are summed in the iteration order of this map. */
     private final Map<String, EndpointRoute> canaryCounts = new HashMap<>();
 
     void addReference(NodeReport.Cell cell) {
@@ -48,10 +48,10 @@
     }
 
     /**
-     * The natural logarithm of the ratio of latencies at the canary's median endpoint, of two in the middle the faster
-     * one: a single slow endpoint does not make a slow build.
+     * Returns the natural logarithm of the ratio of latencies at the canary's median endpoint; with an even number of
+     * endpoints, at the faster of the two middle ones. A single slow endpoint thus does not make the build slow.
      *
-     * @return NaN where fewer than two endpoints can be compared
+     * @return NaN if fewer than two endpoints can be compared
      */
     double medianLogRatio() {
         Map<String, Excess> excessByEndpoint = new TreeMap<>();
--- a/src/main/java/laurelkeel/attribution/ShareDifference.java
+++ b/src/main/java/laurelkeel/attribution/ShareDifference.java
@@ -1,19 +1,20 @@
 package laurelkeel.attribution;
 
 /**
- * Sums for the Mantel-Haenszel estimate of the difference of two builds' shares of attempts that went wrong, over strata
- * of one node, route and second each. Not thread-safe.
+ * The Mantel-Haenszel estimate of the difference between two groups' shares of attempts with a bad outcome. Each
+ * stratum is one node, route and second. Not thread-safe.
  */
 final class ShareDifference {
     private double weightedDifference;
     private double weightedVariance;
     private double weight;
 
-    /** Adds a stratum in which both builds had attempts. */
+    /** Adds a stratum in which both groups had attempts. */
     void add(AttemptCounts own, AttemptCounts other, BadOutcome kind) {
         int totalAttempts = own.attempts() + other.attempts();
         double stratumWeight = own.attempts() * (double) other.attempts() / totalAttempts;
-        // half a hit and half a miss more, or a stratum without hits would seem certain
+        // half a bad and half a good attempt are added; otherwise a stratum without bad attempts would have zero
+        // variance
         double pooledShare = (own.count(kind) + other.count(kind) + 0.5) / (totalAttempts + 1.0);
         weight += stratumWeight;
         weightedDifference += stratumWeight * (own.share(kind) - other.share(kind));
@@ -26,7 +27,12 @@
         weight += other.weight;
     }
 
-    /** The difference of shares, with limits at so many standard errors. */
+    /**
+     * Estimates the difference of shares.
+     *
+     * @param standardErrors half width of the confidence interval, in standard errors
+     * @return an estimate of 0 with the limits -1 and 1 if there are no strata
+     */
     Estimate estimate(double standardErrors) {
         double mean = weight == 0 ? 0 : weightedDifference / weight;
         double margin = weight == 0 ? 1 : standardErrors * Math.sqrt(weightedVariance) / weight;
