--- a/src/main/java/laurelkeel/attribution/CanaryComparison.java
+++ b/src/main/java/laurelkeel/attribution/CanaryComparison.java
@@ -14,13 +14,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Compares one canary, second by second, with the reference builds that serve beside it: within each node and route,
- * where which build gets an attempt is independent of the attempt. Not thread-safe.
+ * Compares one canary, second by second, with the reference builds that serve at the same time.
+ *
+ * <p>Attempts are compared within the same node and route only, because there the choice of the build is independent of
+ * the attempt. Not thread-safe.
  */
 final class CanaryComparison {
     private static final int WINDOW_SECONDS = 30;
 
-    /** Weights of the kinds of evidence, which sum to 1; calm and busy seconds have one each. */
+    /**
+     * Weights of the kinds of evidence. They sum to 1: {@link #SLOW_WEIGHT} counts twice, for calm and for busy
+     * seconds.
+     */
     private static final double FAILED_WEIGHT = 0.4;
 
     private static final double UNANSWERED_WEIGHT = 0.15;
@@ -57,7 +62,7 @@
         }
     }
 
-    /** What one second showed. */
+    /** The result of one second. */
     private static final class SecondSummary {
         private final PerBadOutcome<ShareDifference> differences = new PerBadOutcome<>(ShareDifference::new);
         private int canaryAttempts;
@@ -87,7 +92,7 @@
         return build;
     }
 
-    /** The second in which the rollout started. */
+    /** Returns the second in which the rollout started. */
     long startedAtSecond() {
         return startedAtSecond;
     }
@@ -96,23 +101,24 @@
         return guiltyKind != null;
     }
 
-    /** What the canary was found guilty of, or null. */
+    /** Returns the kind of regression that the canary was found guilty of, or null. */
     @Nullable
     Kind guiltyKind() {
         return guiltyKind;
     }
 
-    /** Finds the canary guilty, for good. */
+    /** Marks the canary as guilty; the mark is never removed. */
     void markGuilty(Kind kind) {
         guiltyKind = kind;
     }
 
     /**
-     * Adds a second.
+     * Adds the reports of one second.
      *
-     * @param isReference whether a build is one to compare with
-     * @param traffic of the last seconds, this one included
-     * @param otherCanariesHaveTraffic whether other canaries have traffic too
+     * @param isReference whether a build is a reference build
+     * @param traffic the traffic of the last seconds, including this one
+     * @param otherCanariesHaveTraffic whether other canaries have traffic in this second
+     * @param load the load of this second relative to the last minute
      */
     void addSecond(
             ReportedSecond second,
@@ -123,7 +129,7 @@
         countEvidence.forEach(evidence -> evidence.beginSecond(second.nodeCount()));
         ComparisonFilter filter = new ComparisonFilter(build, isReference, traffic);
         recordExclusions(filter);
-        // one endpoint's silence or slowness cannot be distinguished from its build's
+        // with a single endpoint, a silent or slow endpoint cannot be distinguished from a silent or slow build
         boolean hasSeveralEndpoints = traffic.endpointCount(build) > 1;
         SecondSummary summary = new SecondSummary();
         SecondLatencyComparison latencies = new SecondLatencyComparison();
@@ -176,7 +182,10 @@
         });
     }
 
-    /** Calm and busy seconds are kept apart: a build that is slow under load only is not saved by calm seconds. */
+    /**
+     * Adds a second's latency ratio to the evidence of calm or busy seconds, or to both. They are separate so that calm
+     * seconds do not hide a build that is slow only under load.
+     */
     private void addLogRatio(double logRatio, LoadClassifier.Level load) {
         boolean isCalm = load != LoadClassifier.Level.BUSY;
         boolean isBusy = load != LoadClassifier.Level.CALM;
@@ -193,7 +202,7 @@
         }
     }
 
-    /** The evidence so far that the canary is worse than the reference builds. */
+    /** Returns the evidence so far that the canary is worse than the reference builds. */
     LogEvidence evidence() {
         LogEvidence evidence = new LogEvidence();
         putCountEvidence(BadOutcome.FAILED, FAILED_WEIGHT, evidence);
@@ -210,33 +219,43 @@
         evidence.put(kind.findingKind(), weight, countEvidence.get(kind).logEValue());
     }
 
-    /** The canary's attempts in the last seconds. */
+    /** Returns the number of the canary's attempts in the last 30 seconds, without excluded endpoints and tenants. */
     int recentAttempts() {
         return recentSeconds.stream().mapToInt(second -> second.canaryAttempts).sum();
     }
 
-    /** How many of the last seconds had attempts at the canary. */
+    /** Returns the number of the last 30 seconds that had attempts at the canary, without excluded ones. */
     int recentSecondsWithAttempts() {
         return (int) recentSeconds.stream()
                 .filter(second -> second.canaryAttempts > 0)
                 .count();
     }
 
-    /** The difference of the shares of attempts that went wrong in the last seconds. */
+    /**
+     * Estimates, over the last 30 seconds, by how much the canary's share of attempts with a bad outcome exceeds that
+     * of the reference builds.
+     *
+     * @param standardErrors half width of the confidence interval, in standard errors
+     */
     Estimate shareDifference(BadOutcome kind, double standardErrors) {
         ShareDifference sum = new ShareDifference();
         recentSeconds.forEach(second -> sum.add(second.differences.get(kind)));
         return sum.estimate(standardErrors);
     }
 
-    /** The ratio of latencies in the last calm or busy seconds, whichever is worse. */
+    /**
+     * Estimates the ratio of the canary's latencies to those of the reference builds, in the last calm or in the last
+     * busy seconds, whichever has the higher upper limit.
+     *
+     * @param standardErrors half width of the confidence interval of the log ratio, in standard errors
+     */
     Estimate latencyRatio(double standardErrors) {
         Estimate calm = calmLatencyRatio.estimate(standardErrors);
         Estimate busy = busyLatencyRatio.estimate(standardErrors);
         return calm.high() > busy.high() ? calm : busy;
     }
 
-    /** Whether the canary did well alone and does badly while other canaries have traffic too. */
+    /** Returns whether the canary gives many more bad answers while other canaries have traffic than without them. */
     boolean isBadOnlyWithOtherCanaries() {
         return countsWhileAlone.attempts() >= MIN_ATTEMPTS_WHILE_ALONE
                 && countsWithOtherCanaries.attempts() >= MIN_ATTEMPTS_WITH_OTHERS
@@ -244,13 +263,13 @@
                 && countsWhileAlone.badAnswerShare() * MIN_RATIO_WITH_OTHERS < countsWithOtherCanaries.badAnswerShare();
     }
 
-    /** What was left out of the comparison, in words for people. */
+    /** Describes for operators which endpoints and tenants were excluded from the comparison. */
     List<String> exclusions() {
         List<String> sentences = new ArrayList<>();
         excludedEndpoints.forEach(endpointId ->
-                sentences.add("machine " + endpointId + " alone had most of this build's trouble: left out"));
-        excludedTenants.forEach(
-                tenant -> sentences.add("customer " + tenant + " has as much trouble on other builds: left out"));
+                sentences.add("endpoint " + endpointId + " alone had most of this build's bad answers: excluded"));
+        excludedTenants.forEach(tenant ->
+                sentences.add("tenant " + tenant + " has a similar share of bad answers on other builds: excluded"));
         return sentences;
     }
 }
--- a/src/main/java/laurelkeel/attribution/ExplanationRanking.java
+++ b/src/main/java/laurelkeel/attribution/ExplanationRanking.java
@@ -7,9 +7,9 @@
 import laurelkeel.attribution.Explanation.Cause;
 import org.jspecify.annotations.Nullable;
 
-/** The explanations of how the whole fleet did in the last minute, the likeliest one first. Immutable. */
+/** The explanations of the whole fleet's levels in the last minute, the most probable one first. Immutable. */
 final class ExplanationRanking {
-    /** Level from which a regression matters: a latency ratio of about 1.28. */
+    /** Level above which a regression matters: a latency ratio of about 1.28. */
     static final double MIN_EFFECT = 0.25;
 
     private static final double GUILTY_PROBABILITY = 0.995;
@@ -19,7 +19,7 @@
 
     private final List<Explanation> explanations;
 
-    /** @param explanations at least one; in the order of which those that are equally likely remain */
+    /** @param explanations at least one; equally probable explanations stay in this order */
     ExplanationRanking(List<Explanation> explanations) {
         this.explanations = explanations.stream()
                 .sorted(Comparator.comparingDouble(Explanation::probability).reversed())
@@ -30,7 +30,7 @@
         return explanations.get(0);
     }
 
-    /** The probability that a build has a part in the regression, alone or with another one. */
+    /** Returns the probability that a build contributes to the regression, alone or together with another build. */
     double probabilityOf(int build) {
         return explanations.stream()
                 .filter(explanation -> explanation.involves(build))
@@ -38,7 +38,7 @@
                 .sum();
     }
 
-    /** The likeliest explanation that a build has a part in, or null. */
+    /** Returns the most probable explanation that involves a build, or null. */
     @Nullable
     Explanation findInvolving(int build) {
         for (Explanation explanation : explanations) {
@@ -49,7 +49,10 @@
         return null;
     }
 
-    /** The builds that surely have a part in a regression which has lasted; empty for none. */
+    /**
+     * Returns the builds that almost certainly cause a regression which has lasted long enough; empty if there are
+     * none.
+     */
     List<Integer> guiltyBuilds() {
         boolean hasLasted = best().affectedSeconds() >= MIN_GUILTY_SECONDS && isLarge();
         if (!hasLasted) {
@@ -64,7 +67,7 @@
         return best().effect().value() > MIN_EFFECT;
     }
 
-    /** Whether there is a regression, whatever its cause. */
+    /** Returns whether there is a large regression, regardless of its cause. */
     boolean isRegression() {
         double probabilityOfNone = 0;
         for (Explanation explanation : explanations) {
@@ -75,12 +78,12 @@
         return probabilityOfNone < MAX_PROBABILITY_OF_NONE && isLarge();
     }
 
-    /** Whether the likeliest explanation is that there is no regression. */
-    boolean isNoneLikeliest() {
+    /** Returns whether the most probable explanation is that there is no regression. */
+    boolean isNoneMostProbable() {
         return best().cause() == Cause.NONE;
     }
 
-    /** The likely explanations in words for people, with their probabilities. */
+    /** Describes the probable explanations for operators, each with its probability. */
     String describe() {
         return explanations.stream()
                 .filter(explanation -> explanation.probability() > MIN_PROBABILITY_TO_MENTION)
@@ -91,8 +94,8 @@
 
     private static String describe(Explanation explanation) {
         return switch (explanation.cause()) {
-            case NONE -> "nothing";
-            case TRANSIENT -> "an outside spell of " + explanation.affectedSeconds() + " s";
+            case NONE -> "no regression";
+            case TRANSIENT -> "a transient external cause of " + explanation.affectedSeconds() + " s";
             case BUILDS ->
                 "build " + explanation.builds().stream().map(String::valueOf).collect(Collectors.joining(" with "));
         };
--- a/src/main/java/laurelkeel/attribution/FindingFactory.java
+++ b/src/main/java/laurelkeel/attribution/FindingFactory.java
@@ -7,12 +7,12 @@
 import laurelkeel.attribution.AttributionFinding.Verdict;
 import org.jspecify.annotations.Nullable;
 
-/** Puts what is known of a canary into a finding, with its sentences for people. */
+/** Creates the finding on a canary, with the sentences for operators. */
 final class FindingFactory {
-    /** Limits of a 95% confidence interval, in standard errors. */
+    /** Half width of a 95% confidence interval, in standard errors. */
     private static final double CONFIDENCE_ERRORS = 1.96;
 
-    /** An e-value below it does not speak against a canary. */
+    /** An e-value below this limit does not prevent clearing a canary. */
     private static final double MAX_CLEARED_E_VALUE = 3;
 
     private static final double PERCENT = 100;
@@ -66,48 +66,56 @@
 
     private static List<String> considered(CanaryComparison canary, Assessment assessment) {
         List<String> sentences = new ArrayList<>(canary.exclusions());
-        if (!assessment.latencyRanking().isNoneLikeliest()) {
+        if (!assessment.latencyRanking().isNoneMostProbable()) {
             sentences.add(
-                    "the times of all builds: " + assessment.latencyRanking().describe());
+                    "latencies of all builds: " + assessment.latencyRanking().describe());
         }
-        if (!assessment.badAttemptRanking().isNoneLikeliest()) {
-            sentences.add("the trouble of all builds: "
+        if (!assessment.badAttemptRanking().isNoneMostProbable()) {
+            sentences.add("failed, unanswered and wrong attempts of all builds: "
                     + assessment.badAttemptRanking().describe());
         }
         if (canary.isBadOnlyWithOtherCanaries()) {
-            sentences.add("it was well while no other release had traffic: bad only together with one");
+            sentences.add("few bad answers while no other rollout had traffic: bad only together with one");
         }
         if (sentences.isEmpty()) {
-            sentences.add("no machine, customer or outside spell stands out");
+            sentences.add("no endpoint, tenant or transient external cause stands out");
         }
         return List.copyOf(sentences);
     }
 
     private static String evidenceSentence(CanaryComparison canary, Kind kind, Estimate effect, Verdict verdict) {
-        return "build " + canary.build() + " " + verdictWords(verdict) + ": " + effectWords(kind, effect)
-                + " in the last " + canary.recentSecondsWithAttempts() + " s, " + canary.recentAttempts() + " tries";
+        return "build " + canary.build() + " " + describeVerdict(verdict) + ": " + describeEffect(kind, effect)
+                + " in the last " + canary.recentSecondsWithAttempts() + " s, " + canary.recentAttempts() + " attempts";
     }
 
-    private static String verdictWords(Verdict verdict) {
+    private static String describeVerdict(Verdict verdict) {
         return switch (verdict) {
-            case GUILTY -> "is to blame";
-            case CLEARED -> "does no harm";
-            case NOT_YET_KNOWN -> "is not yet known";
+            case GUILTY -> "causes a regression";
+            case CLEARED -> "causes no significant regression";
+            case NOT_YET_KNOWN -> "has no verdict yet";
         };
     }
 
-    private static String effectWords(Kind kind, Estimate effect) {
+    private static String describeEffect(Kind kind, Estimate effect) {
         return switch (kind) {
-            case FAILS -> format("of its tries %.1f in 100 more fail than beside it (%.1f to %.1f)", effect, PERCENT);
+            case FAILS ->
+                format(
+                        "%.1f in 100 more of its attempts fail than at reference builds (%.1f to %.1f)",
+                        effect, PERCENT);
             case SILENCE ->
-                format("of its tries %.1f in 100 more get no answer than beside it (%.1f to %.1f)", effect, PERCENT);
+                format(
+                        "%.1f in 100 more of its attempts get no answer than at reference builds (%.1f to %.1f)",
+                        effect, PERCENT);
             case WRONG ->
                 format(
-                        "of its answers %.1f in 100 more are complained of than beside it (%.1f to %.1f)",
+                        "%.1f in 100 more of its attempts lead to complaints than at reference builds (%.1f to %.1f)",
                         effect, PERCENT);
-            case SLOW -> format("its answers take %.2f times as long as beside it (%.2f to %.2f)", effect, 1);
+            case SLOW ->
+                format("its answers take %.2f times as long as those of reference builds (%.2f to %.2f)", effect, 1);
             case HARMS_ALL ->
-                format("all builds get worse in step with its traffic, times to %.2f (%.2f to %.2f)", effect, 1);
+                format(
+                        "all builds get worse as its traffic share grows, latencies up to %.2f-fold (%.2f to %.2f)",
+                        effect, 1);
         };
     }
 
--- a/src/test/java/laurelkeel/attribution/CanaryComparisonTest.java
+++ b/src/test/java/laurelkeel/attribution/CanaryComparisonTest.java
@@ -49,38 +49,40 @@
     }
 
     @Test
-    void aCanaryLikeItsReferenceIsCleared() {
+    void aCanaryThatPerformsLikeTheReferenceBuildIsCleared() {
         run(15, false, Level.EVEN, cells(0, 3));
         assertTrue(ClearanceRule.isCleared(canary));
         assertEquals(600, canary.recentAttempts());
         assertEquals(15, canary.recentSecondsWithAttempts());
         AttributionFinding finding = finding();
         assertEquals(Verdict.CLEARED, finding.verdict());
-        assertEquals(List.of("no machine, customer or outside spell stands out"), finding.considered());
-        assertTrue(finding.evidence().startsWith("build 2 does no harm: "), finding.evidence());
+        assertEquals(List.of("no endpoint, tenant or transient external cause stands out"), finding.considered());
+        assertTrue(finding.evidence().startsWith("build 2 causes no significant regression: "), finding.evidence());
     }
 
     @Test
-    void fewAttemptsClearNobody() {
+    void aCanaryWithFewAttemptsIsNotCleared() {
         run(7, false, Level.EVEN, cells(0, 3));
         assertFalse(ClearanceRule.isCleared(canary));
         assertEquals(Verdict.NOT_YET_KNOWN, finding().verdict());
     }
 
     @Test
-    void aCanaryThatFailsMoreIsSuspectedOfThat() {
+    void aCanaryWithMoreErrorsIsSuspectedOfFailing() {
         run(10, false, Level.EVEN, cells(4, 3));
         assertEquals(Kind.FAILS, canary.evidence().strongestKind());
         assertTrue(canary.evidence().total() > Math.log(500));
         assertEquals(0.4, canary.shareDifference(BadOutcome.FAILED, 1.96).value(), 1e-9);
         canary.markGuilty(Kind.FAILS);
         assertTrue(
-                finding().evidence().startsWith("build 2 is to blame: of its tries 40.0 in 100 more fail"),
+                finding()
+                        .evidence()
+                        .startsWith("build 2 causes a regression: 40.0 in 100 more of its attempts fail than at"),
                 finding().evidence());
     }
 
     @Test
-    void aCanaryThatIsSlowWhenBusyIsNotSavedByCalmSeconds() {
+    void calmSecondsDoNotHideACanaryThatIsSlowUnderLoad() {
         run(20, false, Level.CALM, cells(0, 3));
         run(20, false, Level.BUSY, cells(0, 4));
         assertEquals(Kind.SLOW, canary.evidence().strongestKind());
@@ -91,7 +93,7 @@
     }
 
     @Test
-    void aCanaryThatIsBadOnlyBesideOthersIsToldApart() {
+    void aCanaryThatIsBadOnlyWithOtherCanariesIsDetected() {
         run(10, false, Level.EVEN, cells(0, 3));
         assertFalse(canary.isBadOnlyWithOtherCanaries());
         run(10, true, Level.EVEN, cells(4, 3));
@@ -99,9 +101,9 @@
     }
 
     @Test
-    void anOutlierIsNamedAmongTheExclusions() {
+    void anOutlierEndpointIsListedAmongTheExclusions() {
         run(5, false, Level.EVEN, cell(REFERENCE, "a", 0, 3), cell(CANARY, "c", 9, 3), cell(CANARY, "d", 0, 3));
-        assertEquals(List.of("machine c alone had most of this build's trouble: left out"), canary.exclusions());
+        assertEquals(List.of("endpoint c alone had most of this build's bad answers: excluded"), canary.exclusions());
         assertEquals(0, canary.shareDifference(BadOutcome.FAILED, 1.96).value());
     }
 }
--- a/src/test/java/laurelkeel/attribution/ExplanationModelTest.java
+++ b/src/test/java/laurelkeel/attribution/ExplanationModelTest.java
@@ -24,12 +24,12 @@
     private static final int ATTEMPTS = 100;
 
     private final Random random = new Random(4);
-    private final double[] sharesOfTwo = new double[SECONDS];
-    private final double[] sharesOfThree = new double[SECONDS];
+    private final double[] sharesOfBuild2 = new double[SECONDS];
+    private final double[] sharesOfBuild3 = new double[SECONDS];
 
     ExplanationModelTest() {
-        Arrays.fill(sharesOfTwo, 10, SECONDS, 0.2);
-        Arrays.fill(sharesOfThree, 25, SECONDS, 0.2);
+        Arrays.fill(sharesOfBuild2, 10, SECONDS, 0.2);
+        Arrays.fill(sharesOfBuild3, 25, SECONDS, 0.2);
     }
 
     private FleetSecond second(double logLatency) {
@@ -45,21 +45,21 @@
             seconds.add(second(logLatency.applyAsDouble(i) + 0.03 * random.nextGaussian()));
         }
         int[] indexes = IntStream.range(0, SECONDS).toArray();
-        Map<Integer, double[]> shares = Map.of(2, sharesOfTwo, 3, sharesOfThree);
+        Map<Integer, double[]> shares = Map.of(2, sharesOfBuild2, 3, sharesOfBuild3);
         return new ExplanationModel(seconds, indexes, shares, FleetMeasure.LATENCY).rank(List.of(2, 3));
     }
 
     @Test
-    void withoutRegressionNothingIsLikeliest() {
+    void withoutRegressionNoneIsMostProbable() {
         ExplanationRanking ranking = rank(second -> 3);
-        assertTrue(ranking.isNoneLikeliest(), ranking.describe());
+        assertTrue(ranking.isNoneMostProbable(), ranking.describe());
         assertFalse(ranking.isRegression());
         assertEquals(List.of(), ranking.guiltyBuilds());
     }
 
     @Test
-    void latenciesThatRiseWithABuildsShareAreItsDoing() {
-        ExplanationRanking ranking = rank(second -> 3 + 4 * sharesOfTwo[second]);
+    void latenciesThatRiseWithABuildsShareAreAttributedToIt() {
+        ExplanationRanking ranking = rank(second -> 3 + 4 * sharesOfBuild2[second]);
         assertEquals(List.of(2), ranking.best().builds());
         assertEquals(List.of(2), ranking.guiltyBuilds(), ranking.describe());
         assertTrue(ranking.isRegression());
@@ -68,8 +68,8 @@
     }
 
     @Test
-    void latenciesThatRiseWithBothSharesAreTheDoingOfBothTogether() {
-        ExplanationRanking ranking = rank(second -> 3 + 20 * sharesOfTwo[second] * sharesOfThree[second]);
+    void latenciesThatRiseWithTheProductOfTwoSharesAreAttributedToBoth() {
+        ExplanationRanking ranking = rank(second -> 3 + 20 * sharesOfBuild2[second] * sharesOfBuild3[second]);
         assertTrue(ranking.probabilityOf(3) > 0.9, ranking.describe());
     }
 
@@ -79,11 +79,11 @@
         assertEquals(Cause.TRANSIENT, ranking.best().cause());
         assertEquals(new Interval(30, 34), ranking.best().endedInterval());
         assertEquals(4, ranking.best().affectedSeconds());
-        assertTrue(ranking.describe().startsWith("an outside spell of 4 s"), ranking.describe());
+        assertTrue(ranking.describe().startsWith("a transient external cause of 4 s"), ranking.describe());
     }
 
     @Test
-    void aTransientCauseThatStillActsHasNotEnded() {
+    void aTransientCauseUpToTheLastSecondHasNotEnded() {
         ExplanationRanking ranking = rank(second -> second >= 37 ? 4 : 3);
         assertEquals(Cause.TRANSIENT, ranking.best().cause());
         assertNull(ranking.best().endedInterval());
@@ -91,17 +91,17 @@
 
     @Test
     void fasterAnswersAreNoRegression() {
-        ExplanationRanking ranking = rank(second -> 3 - 4 * sharesOfTwo[second]);
+        ExplanationRanking ranking = rank(second -> 3 - 4 * sharesOfBuild2[second]);
         assertEquals(0, ranking.probabilityOf(2));
     }
 
     @Test
     void probabilitiesSumToOne() {
-        ExplanationRanking ranking = rank(second -> 3 + sharesOfTwo[second]);
-        Explanation ofTwo = ranking.findInvolving(2);
-        assertNotNull(ofTwo);
-        assertTrue(ofTwo.probability() <= ranking.probabilityOf(2));
-        assertTrue(ranking.best().probability() >= ofTwo.probability());
+        ExplanationRanking ranking = rank(second -> 3 + sharesOfBuild2[second]);
+        Explanation withBuild2 = ranking.findInvolving(2);
+        assertNotNull(withBuild2);
+        assertTrue(withBuild2.probability() <= ranking.probabilityOf(2));
+        assertTrue(ranking.best().probability() >= withBuild2.probability());
         assertNull(ranking.findInvolving(4));
     }
 }
