--- a/src/test/java/laurelkeel/attribution/ChangePointMixtureTest.java
+++ b/src/test/java/laurelkeel/attribution/ChangePointMixtureTest.java
@@ -9,7 +9,7 @@
     private final ChangePointMixture mixture = new ChangePointMixture(2);
 
     @Test
-    void eachChangePointHasWhatCameAfterIt() {
+    void sumsSinceAChangePointContainOnlyLaterAmounts() {
         for (int second = 0; second < 12; second++) {
             mixture.beginSecond();
             mixture.add(1, 1);
@@ -22,18 +22,18 @@
     }
 
     @Test
-    void theFirstChangePointIsKeptAndTheWeightsNeverExceedOne() {
+    void theFirstChangePointIsRetainedAndTheWeightsNeverExceedOne() {
         for (int second = 0; second < 1_000; second++) {
             mixture.beginSecond();
             mixture.add(0, 1);
         }
         assertEquals(1_000, mixture.sumSince(0, 0));
         assertEquals(-Math.log(2), mixture.logWeight(0), 1e-12);
-        double weights = 0;
+        double weightSum = 0;
         for (int changePoint = 0; changePoint < mixture.changePointCount(); changePoint++) {
-            weights += Math.exp(mixture.logWeight(changePoint));
+            weightSum += Math.exp(mixture.logWeight(changePoint));
         }
-        assertTrue(weights <= 1, "weights " + weights);
+        assertTrue(weightSum <= 1, "sum of weights " + weightSum);
         assertEquals(24, mixture.changePointCount());
     }
 }
--- a/src/test/java/laurelkeel/attribution/ComparisonFilterTest.java
+++ b/src/test/java/laurelkeel/attribution/ComparisonFilterTest.java
@@ -13,8 +13,8 @@
     private static final int CANARY = 2;
     private static final int REFERENCE = 1;
 
-    private final Cell ownOutlier = cell(CANARY, "a", -1, 20, 8, 2);
-    private final Cell ownUsual = cell(CANARY, "b", -1, 20, 0, 0);
+    private final Cell canaryOutlier = cell(CANARY, "a", -1, 20, 8, 2);
+    private final Cell canaryUsual = cell(CANARY, "b", -1, 20, 0, 0);
     private final Cell referenceOutlier = cell(REFERENCE, "c", -1, 20, 8, 2);
     private final Cell referenceUsual = cell(REFERENCE, "d", -1, 20, 0, 0);
     private final Cell otherCanary = cell(3, "e", -1, 20, 0, 0);
@@ -27,18 +27,18 @@
 
     @Test
     void aCanaryIsComparedWithReferenceBuildsOnly() {
-        ComparisonFilter filter = filter(ownUsual, referenceUsual, otherCanary);
-        assertTrue(filter.accepts(ownUsual));
+        ComparisonFilter filter = filter(canaryUsual, referenceUsual, otherCanary);
+        assertTrue(filter.accepts(canaryUsual));
         assertTrue(filter.accepts(referenceUsual));
         assertFalse(filter.accepts(otherCanary));
         assertFalse(filter.acceptsForSilence(otherCanary));
     }
 
     @Test
-    void outliersOfBothSidesAreLeftOut() {
-        ComparisonFilter filter = filter(ownOutlier, ownUsual, referenceOutlier, referenceUsual);
+    void outliersOfCanaryAndReferenceBuildsAreExcluded() {
+        ComparisonFilter filter = filter(canaryOutlier, canaryUsual, referenceOutlier, referenceUsual);
         assertEquals("a", filter.outlierEndpoint());
-        for (Cell outlier : new Cell[] {ownOutlier, referenceOutlier}) {
+        for (Cell outlier : new Cell[] {canaryOutlier, referenceOutlier}) {
             assertFalse(filter.accepts(outlier));
             assertFalse(filter.acceptsForSilence(outlier));
         }
@@ -47,13 +47,13 @@
     }
 
     @Test
-    void aTenantWithTroubleEverywhereIsLeftOut() {
-        Cell troubled = cell(CANARY, "b", 7, 20, 8, 0);
+    void aTenantWithBadAnswersAtAllBuildsIsExcluded() {
+        Cell failing = cell(CANARY, "b", 7, 20, 8, 0);
         Cell usual = cell(CANARY, "b", 8, 60, 0, 0);
-        ComparisonFilter filter = filter(troubled, usual);
+        ComparisonFilter filter = filter(failing, usual);
         assertEquals(7, filter.excludedTenant());
-        assertFalse(filter.accepts(troubled));
+        assertFalse(filter.accepts(failing));
         assertTrue(filter.accepts(usual));
-        assertTrue(filter.acceptsForSilence(troubled));
+        assertTrue(filter.acceptsForSilence(failing));
     }
 }
--- a/src/test/java/laurelkeel/attribution/CountEvidenceTest.java
+++ b/src/test/java/laurelkeel/attribution/CountEvidenceTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void buildsThatAreNoWorseAreSeldomSuspectedHoweverOftenLookedAt() {
+    void repeatedEvaluationRarelySuspectsBuildsThatAreNoWorse() {
         int suspected = 0;
         for (int run = 0; run < 60; run++) {
             CountEvidence evidence = new CountEvidence(1);
@@ -38,19 +38,19 @@
             }
             suspected += largest > Math.log(20) ? 1 : 0;
         }
-        // by Ville's inequality under 1 in 20 of them, ever
+        // by Ville's inequality, the probability that the e-value of a run ever exceeds 20 is at most 1 in 20
         assertTrue(suspected <= 6, suspected + " suspected");
     }
 
     @Test
-    void withoutHitsThereIsNoEvidence() {
+    void withoutBadAttemptsThereIsNoEvidence() {
         CountEvidence evidence = new CountEvidence(2);
         runSeconds(evidence, 20, 2, new ContingencyTable(0, 10, 0, 100));
         assertEquals(0, evidence.logEValue());
     }
 
     @Test
-    void aBuildThatTurnsBadLateIsNotSavedByItsPast() {
+    void aGoodPastDoesNotHideABuildThatBecomesBadLater() {
         CountEvidence evidence = new CountEvidence(1);
         runSeconds(evidence, 200, 2, new ContingencyTable(0, 50, 5, 100));
         assertTrue(evidence.logEValue() < Math.log(20), "log e-value " + evidence.logEValue());
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void ofFourNodesTheOneThatSaysMostDoesNotCount() {
+    void withFourNodesTheOneWithTheStrongestEvidenceIsExcluded() {
         for (int nodes : new int[] {3, 4}) {
             CountEvidence evidence = new CountEvidence(1);
             for (int second = 0; second < 20; second++) {
--- a/src/test/java/laurelkeel/attribution/EffectEstimatesTest.java
+++ b/src/test/java/laurelkeel/attribution/EffectEstimatesTest.java
@@ -7,7 +7,7 @@
 import laurelkeel.attribution.NodeReport.Cell;
 import org.junit.jupiter.api.Test;
 
-/** Differences of shares and ratios of latencies, as findings give them. */
+/** Tests the differences of shares and the ratios of latencies that findings report. */
 class EffectEstimatesTest {
     private static AttemptCounts counts(int attempts, int failed) {
         AttemptCounts counts = new AttemptCounts();
@@ -16,12 +16,12 @@
     }
 
     @Test
-    void strataAreWeightedByMantelAndHaenszel() {
+    void strataHaveMantelHaenszelWeights() {
         ShareDifference difference = new ShareDifference();
         difference.add(counts(10, 5), counts(10, 0), BadOutcome.FAILED);
         difference.add(counts(30, 0), counts(30, 0), BadOutcome.FAILED);
         Estimate estimate = difference.estimate(1.96);
-        // weights 5 and 15
+        // the strata have the weights 5 and 15
         assertEquals(0.125, estimate.value(), 1e-12);
         assertTrue(estimate.low() < 0.125 && estimate.high() > 0.125, estimate.toString());
         assertEquals(estimate.high() - 0.125, 0.125 - estimate.low(), 1e-12);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void theLatencyRatioIsThatOfTheLastSeconds() {
+    void theLatencyRatioCoversTheWindowOnly() {
         LatencyRatioWindow window = new LatencyRatioWindow(5);
         window.add(3);
         window.add(0);
@@ -51,12 +51,12 @@
     }
 
     @Test
-    void aCanaryIsAsSlowAsItsMedianEndpoint() {
+    void theLatencyRatioIsThatOfTheMedianEndpoint() {
         SecondLatencyComparison comparison = new SecondLatencyComparison();
         comparison.addReference(timed("x", 0, 10, 3));
         comparison.addReference(timed("x", 1, 10, 5));
         comparison.addCanary(timed("a", 0, 5, 3.1));
-        assertTrue(Double.isNaN(comparison.medianLogRatio()), "one endpoint");
+        assertTrue(Double.isNaN(comparison.medianLogRatio()), "with one endpoint");
         comparison.addCanary(timed("b", 1, 5, 5.5));
         assertEquals(0.1, comparison.medianLogRatio(), 1e-9);
         comparison.addCanary(timed("c", 0, 5, 9));
--- a/src/test/java/laurelkeel/attribution/FleetHistoryTest.java
+++ b/src/test/java/laurelkeel/attribution/FleetHistoryTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void levelsAreThoseOfReferenceBuildsAndSharesThoseOfAll() {
+    void totalsCoverReferenceBuildsAndSharesCoverAllBuilds() {
         add(cell(REFERENCE, "a", -1, 60, 6, 0), cell(2, "b", -1, 20, 20, 0));
         FleetSecond only = history.seconds().get(0);
         assertEquals(80, only.attempts());
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void endpointsThatAreNotRepresentativeAreLeftOut() {
+    void unrepresentativeEndpointsAreExcluded() {
         add(cell(REFERENCE, "a", -1, 60, 0, 0), cell(REFERENCE, "b", -1, 20, 0, 5));
         assertEquals(60, history.seconds().get(0).totalsByRoute().get(0).attempts());
     }
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void oneMinuteIsKept() {
+    void oneMinuteIsRetained() {
         for (int i = 0; i < 70; i++) {
             add(cell(REFERENCE, "a", -1, 1 + i, 0, 0));
         }
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void smoothedSharesKeepStepsAndDropSingleSeconds() {
+    void smoothingPreservesStepsAndRemovesSingleSeconds() {
         int[] canaryAttempts = {0, 0, 100, 0, 0, 0, 100, 100, 100, 100};
         for (int attempts : canaryAttempts) {
             if (attempts > 0) {
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void aChangeOfTheMixOfRoutesIsNoRegression() {
+    void aChangeInTheMixOfRoutesIsNoRegression() {
         Cell slowRoute = new Cell(REFERENCE, 0, "a", -1, 10, 0, 0, 0, 10, 50, 0);
         Cell fastRoute = new Cell(REFERENCE, 1, "a", -1, 10, 0, 0, 0, 10, 20, 0);
         Cell moreOfFastRoute = new Cell(REFERENCE, 1, "a", -1, 90, 0, 0, 0, 90, 180, 0);
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void aShareOfFourInAHundredCountsLikeALatencyRatioThatMatters() {
+    void fourPercentBadAttemptsHaveTheLevelOfARelevantLatencyRatio() {
         add(cell(REFERENCE, "a", -1, 100, 0, 0));
         add(cell(REFERENCE, "a", -1, 100, 8, 0));
         double[] levels = FleetMeasure.BAD_ATTEMPTS.levels(history.seconds());
--- a/src/test/java/laurelkeel/attribution/LatencyEvidenceTest.java
+++ b/src/test/java/laurelkeel/attribution/LatencyEvidenceTest.java
@@ -24,20 +24,20 @@
     }
 
     @Test
-    void aLittleSlowerPasses() {
+    void aSlightlySlowerBuildIsTolerated() {
         run(300, Math.log(1.2));
         assertTrue(evidence.logEValue() < 0, "log e-value " + evidence.logEValue());
     }
 
     @Test
-    void aBuildThatTurnsSlowLateIsFound() {
+    void aBuildThatBecomesSlowLaterIsDetected() {
         run(100, 0);
         run(30, Math.log(2));
         assertTrue(evidence.logEValue() > Math.log(500), "log e-value " + evidence.logEValue());
     }
 
     @Test
-    void oneWildSecondIsNotEnough() {
+    void oneExtremeSecondIsNotEnough() {
         run(30, 0);
         evidence.addSecond(50);
         assertTrue(evidence.logEValue() < Math.log(20), "log e-value " + evidence.logEValue());
--- a/src/test/java/laurelkeel/attribution/LeastSquaresFitTest.java
+++ b/src/test/java/laurelkeel/attribution/LeastSquaresFitTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void theSlopeIsFoundBesideConstantAndLoad() {
+    void theSlopeIsSeparatedFromConstantAndLoad() {
         LeastSquaresFit fit = fit(7, 0.5, 2, 0);
         assertEquals(2, fit.slope(STEP), 1e-9);
         assertEquals(0, fit.residual(STEP), 1e-9);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void residualsAreNeverLessThanChanceLeaves() {
+    void residualsIncludeTheMinimumSpread() {
         LeastSquaresFit fit = fit(0, 0, 1, 0.1);
         assertEquals(8 * 0.01, fit.residual(STEP), 1e-9);
     }
--- a/src/test/java/laurelkeel/attribution/LoadClassifierTest.java
+++ b/src/test/java/laurelkeel/attribution/LoadClassifierTest.java
@@ -23,14 +23,14 @@
     }
 
     @Test
-    void secondsOfTheUpperHalfAreBusy() {
+    void secondsInTheUpperHalfOfTheRangeAreBusy() {
         run(30, 100);
         assertEquals(Level.BUSY, run(10, 200));
         assertEquals(Level.CALM, run(10, 110));
     }
 
     @Test
-    void oneMinuteLaterTheNewLoadIsTheUsualOne() {
+    void aNewLoadIsEvenAfterOneMinute() {
         run(30, 100);
         assertEquals(Level.EVEN, run(70, 200));
     }
--- a/src/test/java/laurelkeel/attribution/LogProbabilityTest.java
+++ b/src/test/java/laurelkeel/attribution/LogProbabilityTest.java
@@ -7,7 +7,7 @@
 
 class LogProbabilityTest {
     @Test
-    void sumsOfLogarithmsNeitherOverflowNorUnderflow() {
+    void logSumExpNeitherOverflowsNorUnderflows() {
         assertEquals(Math.log(5), LogProbability.logSumExp(Math.log(2), Math.log(3)), 1e-12);
         assertEquals(1_000 + Math.log(2), LogProbability.logSumExp(1_000, 1_000), 1e-9);
         assertEquals(-1_000, LogProbability.logSumExp(-1_000, Double.NEGATIVE_INFINITY), 1e-9);
--- a/src/test/java/laurelkeel/attribution/NodeReportTest.java
+++ b/src/test/java/laurelkeel/attribution/NodeReportTest.java
@@ -10,7 +10,7 @@
 
 class NodeReportTest {
     @Test
-    void cellsThatNoAttemptsCanHaveAreInvalid() {
+    void impossibleCellsAreInvalid() {
         assertTrue(new Cell(1, 0, "m", -1, 10, 4, 6, 10, 10, 30, 90).hasConsistentCounts());
         for (Cell invalid : List.of(
                 new Cell(-1, 0, "m", -1, 10, 0, 0, 0, 0, 0, 0),
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aScaledCellIsAPartOfTheSame() {
+    void scalingMultipliesAllCountsAndSums() {
         Cell cell = new Cell(1, 0, "m", 3, 100, 40, 60, 10, 50, 150, 450);
         assertEquals(new Cell(1, 0, "m", 3, 10, 4, 6, 1, 5, 15, 45), cell.scaled(0.1));
     }
--- a/src/test/java/laurelkeel/attribution/OddsRatioEvidenceTest.java
+++ b/src/test/java/laurelkeel/attribution/OddsRatioEvidenceTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 class OddsRatioEvidenceTest {
-    /** This is what makes it safe to look at any time. */
+    /** This property is the reason that the evidence may be evaluated at any time. */
     @Property(tries = 200)
-    void theMeanOfTheRatioUnderTheNullHypothesisIsOne(
+    void theExpectedRatioUnderTheNullHypothesisIsOne(
             @ForAll @IntRange(min = 1, max = 60) int attempts,
             @ForAll @IntRange(min = 1, max = 200) int otherAttempts,
             @ForAll @DoubleRange(min = 1.5, max = 40) double oddsRatio,
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aTableWithOnlyOnePossibilityTellsNothing() {
+    void aDegenerateTableCarriesNoInformation() {
         for (ContingencyTable table : new ContingencyTable[] {
             new ContingencyTable(0, 5, 0, 20),
             new ContingencyTable(5, 5, 20, 20),
--- a/src/test/java/laurelkeel/attribution/RecentTrafficTest.java
+++ b/src/test/java/laurelkeel/attribution/RecentTrafficTest.java
@@ -26,19 +26,19 @@
     }
 
     @Test
-    void endpointsThatFailAlikeAreNoOutliers() {
+    void endpointsThatFailEquallyAreNoOutliers() {
         traffic.addSecond(second(cell(2, "a", -1, 20, 8, 0), cell(2, "b", -1, 20, 6, 0)));
         assertNull(traffic.outlierEndpoint(2));
     }
 
     @Test
-    void anEndpointThatIsMostOfItsBuildIsNoOutlier() {
+    void anEndpointWithMostOfItsBuildsAttemptsIsNoOutlier() {
         traffic.addSecond(second(cell(2, "a", -1, 40, 8, 0), cell(2, "b", -1, 20, 0, 0)));
         assertNull(traffic.outlierEndpoint(2));
     }
 
     @Test
-    void theLeastResponsiveEndpointIsTheOneThatGaveNoAnswerMostOften() {
+    void theLeastResponsiveEndpointHasTheMostUnansweredAttempts() {
         traffic.addSecond(second(cell(2, "a", -1, 20, 0, 1), cell(2, "b", -1, 20, 0, 3), cell(3, "c", -1, 9, 0, 9)));
         assertEquals("b", traffic.leastResponsiveEndpoint(2));
         assertEquals(Set.of("b"), traffic.unrepresentativeEndpoints(2));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aTenantWithTroubleAtAllBuildsIsToldFromOneWithTroubleAtOne() {
+    void tenantsWithBadAnswersAtAllBuildsAndAtOneBuildAreDistinguished() {
         traffic.addSecond(second(
                 cell(1, "a", 7, 20, 8, 0), cell(1, "a", 8, 200, 0, 0),
                 cell(2, "b", 7, 20, 8, 0), cell(2, "b", 8, 60, 0, 0)));
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void trafficIsForgottenAfterTenSeconds() {
+    void trafficIsDroppedAfterTenSeconds() {
         traffic.addSecond(second(cell(2, "a", -1, 20, 0, 5)));
         for (int i = 0; i < 9; i++) {
             traffic.addSecond(second());
--- a/src/test/java/laurelkeel/attribution/RegressionAttributorTest.java
+++ b/src/test/java/laurelkeel/attribution/RegressionAttributorTest.java
@@ -15,7 +15,7 @@
 import laurelkeel.attribution.NodeReport.Cell;
 import org.junit.jupiter.api.Test;
 
-/** Generated reports for each kind of trouble, and what is attributed. */
+/** Tests attribution with generated reports for each kind of regression. */
 class RegressionAttributorTest {
     private static final int REFERENCE_BUILD = 1;
     private static final int REFERENCE_ENDPOINTS = 8;
@@ -23,7 +23,7 @@
     private static final int REQUESTS_PER_NODE = 60;
     private static final String INCARNATION = "x";
 
-    /** How one attempt ended: with an error, without answer, or else after a latency given as its logarithm. */
+    /** How one attempt ended: with an error, without an answer, or after a latency, which is given as its logarithm. */
     private record Outcome(boolean failed, boolean unanswered, double logLatency) {
         static final Outcome ERROR = new Outcome(true, false, 0);
         static final Outcome NO_ANSWER = new Outcome(false, true, 0);
@@ -38,10 +38,10 @@
         Outcome outcome(int build, String endpointId);
     }
 
-    /** Where an attempt was sent. */
+    /** The target of an attempt. */
     private record Destination(int build, int route, String endpointId) {}
 
-    /** Sums of one cell. */
+    /** The sums of one cell. */
     private static final class Sums {
         private int attempts;
         private int failed;
@@ -82,7 +82,7 @@
     private long nowSecond;
     private List<AttributionFinding> findings = List.of();
 
-    /** Runs seconds in which each node has 60 requests, a tenth of them at each canary. */
+    /** Runs seconds in which each node sends 60 requests, on average a tenth of them to each canary. */
     private void run(int seconds, List<Integer> canaries, int canaryEndpoints, Behaviour behaviour) {
         for (int i = 0; i < seconds; i++, nowSecond++) {
             for (int node = 0; node < NODES; node++) {
@@ -109,12 +109,12 @@
         return cells;
     }
 
-    private Outcome usualOutcome() {
+    private Outcome normalOutcome() {
         boolean failed = random.nextInt(300) == 0;
         return new Outcome(failed, false, 3 + 0.4 * random.nextGaussian());
     }
 
-    private Verdict verdictOn(int build) {
+    private Verdict verdictOf(int build) {
         return findings.stream()
                 .filter(finding -> finding.build() == build)
                 .findFirst()
@@ -122,7 +122,7 @@
                 .verdict();
     }
 
-    private void assertNobodyGuilty() {
+    private void assertNoBuildGuilty() {
         assertFalse(findings.stream().anyMatch(finding -> finding.verdict() == Verdict.GUILTY), findings.toString());
     }
 
@@ -133,88 +133,92 @@
     }
 
     @Test
-    void theBuildThatFailsIsGuiltyAndTheOtherIsCleared() {
-        run(12, List.of(), 2, (build, endpointId) -> usualOutcome());
+    void theFailingBuildIsGuiltyAndTheOtherIsCleared() {
+        run(12, List.of(), 2, (build, endpointId) -> normalOutcome());
         startRollouts(2, 3);
         run(
                 25,
                 List.of(2, 3),
                 3,
-                (build, endpointId) -> build == 3 && random.nextInt(6) == 0 ? Outcome.ERROR : usualOutcome());
-        assertEquals(Verdict.GUILTY, verdictOn(3));
+                (build, endpointId) -> build == 3 && random.nextInt(6) == 0 ? Outcome.ERROR : normalOutcome());
+        assertEquals(Verdict.GUILTY, verdictOf(3));
         attributor.rolloutEnded(3, false);
-        run(15, List.of(2), 3, (build, endpointId) -> usualOutcome());
-        assertEquals(Verdict.CLEARED, verdictOn(2));
+        run(15, List.of(2), 3, (build, endpointId) -> normalOutcome());
+        assertEquals(Verdict.CLEARED, verdictOf(2));
     }
 
     @Test
-    void bothAreGuiltyWhereBothFail() {
+    void bothBuildsAreGuiltyIfBothFail() {
         startRollouts(2, 3);
         run(
                 20,
                 List.of(2, 3),
                 2,
-                (build, endpointId) -> build > 1 && random.nextInt(6) == 0 ? Outcome.ERROR : usualOutcome());
-        assertEquals(List.of(Verdict.GUILTY, Verdict.GUILTY), List.of(verdictOn(2), verdictOn(3)));
+                (build, endpointId) -> build > 1 && random.nextInt(6) == 0 ? Outcome.ERROR : normalOutcome());
+        assertEquals(List.of(Verdict.GUILTY, Verdict.GUILTY), List.of(verdictOf(2), verdictOf(3)));
     }
 
     @Test
-    void aSingleBadEndpointMakesNoBuildGuilty() {
+    void aSingleBadEndpointDoesNotMakeItsBuildGuilty() {
         startRollouts(2, 3);
-        run(30, List.of(2, 3), 3, (build, endpointId) -> endpointId.equals("2m1") ? Outcome.NO_ANSWER : usualOutcome());
-        assertNobodyGuilty();
+        run(
+                30,
+                List.of(2, 3),
+                3,
+                (build, endpointId) -> endpointId.equals("2m1") ? Outcome.NO_ANSWER : normalOutcome());
+        assertNoBuildGuilty();
         run(
                 30,
                 List.of(2, 3),
                 3,
                 (build, endpointId) ->
-                        endpointId.equals("2m1") && random.nextBoolean() ? Outcome.ERROR : usualOutcome());
-        assertNobodyGuilty();
+                        endpointId.equals("2m1") && random.nextBoolean() ? Outcome.ERROR : normalOutcome());
+        assertNoBuildGuilty();
         assertTrue(findings.get(0).considered().toString().contains("2m1"), findings.toString());
     }
 
     @Test
-    void aBuildWhoseEndpointsAllFallSilentIsGuilty() {
+    void aBuildWithUnansweredAttemptsAtAllEndpointsIsGuilty() {
         startRollouts(2);
         run(
                 20,
                 List.of(2),
                 3,
-                (build, endpointId) -> build == 2 && random.nextInt(4) == 0 ? Outcome.NO_ANSWER : usualOutcome());
-        assertEquals(Verdict.GUILTY, verdictOn(2));
+                (build, endpointId) -> build == 2 && random.nextInt(4) == 0 ? Outcome.NO_ANSWER : normalOutcome());
+        assertEquals(Verdict.GUILTY, verdictOf(2));
     }
 
     @Test
-    void aBuildIsSlowOnlyWhereMostOfItsEndpointsAre() {
+    void aBuildIsSlowOnlyIfMostOfItsEndpointsAre() {
         startRollouts(2, 3);
         run(
                 25,
                 List.of(2, 3),
                 3,
-                (build, endpointId) -> endpointId.equals("3m0") ? Outcome.completed(4.2) : usualOutcome());
-        assertNobodyGuilty();
+                (build, endpointId) -> endpointId.equals("3m0") ? Outcome.completed(4.2) : normalOutcome());
+        assertNoBuildGuilty();
         run(
                 30,
                 List.of(2, 3),
                 3,
                 (build, endpointId) ->
-                        build == 3 ? Outcome.completed(3.9 + 0.4 * random.nextGaussian()) : usualOutcome());
-        assertEquals(Verdict.GUILTY, verdictOn(3));
-        assertNotEquals(Verdict.GUILTY, verdictOn(2));
+                        build == 3 ? Outcome.completed(3.9 + 0.4 * random.nextGaussian()) : normalOutcome());
+        assertEquals(Verdict.GUILTY, verdictOf(3));
+        assertNotEquals(Verdict.GUILTY, verdictOf(2));
     }
 
     @Test
-    void oneNodeThatReportsTenTimesTooMuchDecidesNothing() {
+    void oneNodeWithTenfoldReportedAttemptsDoesNotMakeABuildGuilty() {
         startRollouts(2);
         for (int i = 0; i < 40; i++, nowSecond++) {
             for (int node = 0; node < 5; node++) {
-                List<Cell> cells = cells(List.of(2), 2, (build, endpointId) -> usualOutcome());
+                List<Cell> cells = cells(List.of(2), 2, (build, endpointId) -> normalOutcome());
                 List<Cell> reported = node == 3 ? exaggerated(cells) : cells;
                 attributor.addReport(new NodeReport(node, INCARNATION, nowSecond, reported), nowSecond);
             }
             findings = attributor.evaluate(nowSecond);
         }
-        assertNotEquals(Verdict.GUILTY, verdictOn(2), findings.toString());
+        assertNotEquals(Verdict.GUILTY, verdictOf(2), findings.toString());
     }
 
     private static List<Cell> exaggerated(List<Cell> cells) {
@@ -235,18 +239,18 @@
     }
 
     @Test
-    void aTransientRegressionAtTheStartOfARolloutHoldsItAndPasses() {
-        run(20, List.of(), 2, (build, endpointId) -> usualOutcome());
+    void aTransientRegressionAtTheStartOfRolloutsHoldsThemUntilItEnds() {
+        run(20, List.of(), 2, (build, endpointId) -> normalOutcome());
         startRollouts(2, 3);
         run(8, List.of(2, 3), 2, (build, endpointId) -> Outcome.completed(3.7 + 0.4 * random.nextGaussian()));
         assertTrue(findings.stream().allMatch(AttributionFinding::hold), findings.toString());
-        run(25, List.of(2, 3), 2, (build, endpointId) -> usualOutcome());
-        assertNobodyGuilty();
+        run(25, List.of(2, 3), 2, (build, endpointId) -> normalOutcome());
+        assertNoBuildGuilty();
         assertTrue(findings.stream().noneMatch(AttributionFinding::hold), findings.toString());
     }
 
     @Test
-    void findingsDependNeitherOnTheOrderOfReportsNorOnDuplicates() {
+    void findingsDoNotDependOnReportOrderOrDuplicates() {
         RegressionAttributor inOrder = new RegressionAttributor(2, 2);
         RegressionAttributor shuffled = new RegressionAttributor(2, 2);
         inOrder.rolloutStarted(2, 0);
@@ -257,7 +261,7 @@
                 List<Cell> cells = cells(
                         List.of(2),
                         2,
-                        (build, endpointId) -> build == 2 && random.nextInt(5) == 0 ? Outcome.ERROR : usualOutcome());
+                        (build, endpointId) -> build == 2 && random.nextInt(5) == 0 ? Outcome.ERROR : normalOutcome());
                 all.add(new NodeReport(node, INCARNATION, second, cells));
             }
         }
@@ -276,13 +280,13 @@
     }
 
     @Test
-    void oneOfTwoBuildsThatExplainARegressionOfAllIsSetAside() {
-        run(20, List.of(), 2, (build, endpointId) -> usualOutcome());
+    void theNewerOfTwoBuildsThatExplainAFleetRegressionIsSetAside() {
+        run(20, List.of(), 2, (build, endpointId) -> normalOutcome());
         startRollouts(2, 3);
         boolean isAnySetAside = false;
         for (int i = 0; i < 30 && !isAnySetAside; i++) {
             run(1, List.of(2, 3), 2, (build, endpointId) -> Outcome.completed(4 + 0.4 * random.nextGaussian()));
-            assertNobodyGuilty();
+            assertNoBuildGuilty();
             isAnySetAside = findings.stream().anyMatch(AttributionFinding::setAside);
         }
         assertTrue(isAnySetAside);
@@ -292,9 +296,9 @@
                         .filter(AttributionFinding::setAside)
                         .map(AttributionFinding::build)
                         .toList(),
-                "the one that came last");
+                "the newest build");
         attributor.rolloutSetAside(3);
-        run(2, List.of(2), 2, (build, endpointId) -> usualOutcome());
+        run(2, List.of(2), 2, (build, endpointId) -> normalOutcome());
         assertEquals(
                 List.of(2), findings.stream().map(AttributionFinding::build).toList());
     }
--- a/src/test/java/laurelkeel/attribution/ReportAggregatorTest.java
+++ b/src/test/java/laurelkeel/attribution/ReportAggregatorTest.java
@@ -25,18 +25,18 @@
     }
 
     @Test
-    void noNodeWeighsMoreThanThreeTimesTheMedian() {
+    void noNodeHasMoreThanThreeTimesTheMedianWeight() {
         for (int node = 0; node < 4; node++) {
             aggregator.add(report(node, 1, cell(100, 1)), 1);
         }
         aggregator.add(report(4, 1, cell(30_000, 30_000)), 1);
-        List<Cell> loud = aggregator.closeSeconds(10).get(0).cellsByNode().get(4);
-        assertEquals(300, loud.stream().mapToInt(Cell::tries).sum());
-        assertEquals(300, loud.stream().mapToInt(Cell::fails).sum());
+        List<Cell> limited = aggregator.closeSeconds(10).get(0).cellsByNode().get(4);
+        assertEquals(300, limited.stream().mapToInt(Cell::tries).sum());
+        assertEquals(300, limited.stream().mapToInt(Cell::fails).sum());
     }
 
     @Test
-    void secondsCloseInOrderOnceTheirReportsHadTime() {
+    void secondsCloseInOrderAfterTheMaximumDelay() {
         aggregator.add(report(0, 2, cell(1, 0)), 2);
         aggregator.add(report(0, 1, cell(1, 0)), 2);
         assertEquals(List.of(), aggregator.closeSeconds(5));
@@ -46,19 +46,19 @@
     }
 
     @Test
-    void reportsThatDoNotCountAreCountedByReason() {
+    void discardedReportsAreCountedByReason() {
         assertTrue(aggregator.add(report(0, 1, cell(1, 0)), 1));
-        assertFalse(aggregator.add(report(0, 1, cell(1, 0)), 1), "a duplicate");
+        assertFalse(aggregator.add(report(0, 1, cell(1, 0)), 1), "duplicate");
         assertTrue(aggregator.add(new NodeReport(0, "y", 1, List.of()), 1), "another incarnation");
         assertFalse(aggregator.add(report(0, 10, cell(1, 0)), 1), "from the future");
-        assertTrue(aggregator.add(report(0, 2, cell(1, 5)), 1), "with a cell that no attempts can have");
+        assertTrue(aggregator.add(report(0, 2, cell(1, 5)), 1), "with an inconsistent cell");
         aggregator.closeSeconds(6);
         assertFalse(aggregator.add(report(1, 1, cell(1, 0)), 6), "late");
         assertEquals(new DiscardCounts(1, 1, 2, 0), aggregator.discarded());
     }
 
     @Test
-    void cellsBeyondTheLimitAreLeftOut() {
+    void cellsBeyondTheLimitAreDiscarded() {
         List<Cell> cells = new ArrayList<>();
         cells.add(cell(1, 5));
         for (int i = 0; i < 3000; i++) {
