--- a/src/main/java/laurelkeel/attribution/CanaryComparison.java
+++ b/src/main/java/laurelkeel/attribution/CanaryComparison.java
@@ -267,9 +267,9 @@
     List<String> exclusions() {
         List<String> sentences = new ArrayList<>();
         excludedEndpoints.forEach(endpointId ->
-                sentences.add("endpoint " + endpointId + " alone had most of this build's bad answers: excluded"));
-        excludedTenants.forEach(tenant ->
-                sentences.add("tenant " + tenant + " has a similar share of bad answers on other builds: excluded"));
+                sentences.add("machine " + endpointId + " alone had most of this build's trouble: left out"));
+        excludedTenants.forEach(
+                tenant -> sentences.add("customer " + tenant + " has as much trouble on other builds: left out"));
         return sentences;
     }
 }
--- a/src/main/java/laurelkeel/attribution/ExplanationRanking.java
+++ b/src/main/java/laurelkeel/attribution/ExplanationRanking.java
@@ -94,8 +94,8 @@
 
     private static String describe(Explanation explanation) {
         return switch (explanation.cause()) {
-            case NONE -> "no regression";
-            case TRANSIENT -> "a transient external cause of " + explanation.affectedSeconds() + " s";
+            case NONE -> "nothing";
+            case TRANSIENT -> "an outside spell of " + explanation.affectedSeconds() + " s";
             case BUILDS ->
                 "build " + explanation.builds().stream().map(String::valueOf).collect(Collectors.joining(" with "));
         };
--- a/src/main/java/laurelkeel/attribution/FindingFactory.java
+++ b/src/main/java/laurelkeel/attribution/FindingFactory.java
@@ -68,54 +68,46 @@
         List<String> sentences = new ArrayList<>(canary.exclusions());
         if (!assessment.latencyRanking().isNoneMostProbable()) {
             sentences.add(
-                    "latencies of all builds: " + assessment.latencyRanking().describe());
+                    "the times of all builds: " + assessment.latencyRanking().describe());
         }
         if (!assessment.badAttemptRanking().isNoneMostProbable()) {
-            sentences.add("failed, unanswered and wrong attempts of all builds: "
+            sentences.add("the trouble of all builds: "
                     + assessment.badAttemptRanking().describe());
         }
         if (canary.isBadOnlyWithOtherCanaries()) {
-            sentences.add("few bad answers while no other rollout had traffic: bad only together with one");
+            sentences.add("it was well while no other release had traffic: bad only together with one");
         }
         if (sentences.isEmpty()) {
-            sentences.add("no endpoint, tenant or transient external cause stands out");
+            sentences.add("no machine, customer or outside spell stands out");
         }
         return List.copyOf(sentences);
     }
 
     private static String evidenceSentence(CanaryComparison canary, Kind kind, Estimate effect, Verdict verdict) {
         return "build " + canary.build() + " " + describeVerdict(verdict) + ": " + describeEffect(kind, effect)
-                + " in the last " + canary.recentSecondsWithAttempts() + " s, " + canary.recentAttempts() + " attempts";
+                + " in the last " + canary.recentSecondsWithAttempts() + " s, " + canary.recentAttempts() + " tries";
     }
 
     private static String describeVerdict(Verdict verdict) {
         return switch (verdict) {
-            case GUILTY -> "causes a regression";
-            case CLEARED -> "causes no significant regression";
-            case NOT_YET_KNOWN -> "has no verdict yet";
+            case GUILTY -> "is to blame";
+            case CLEARED -> "does no harm";
+            case NOT_YET_KNOWN -> "is not yet known";
         };
     }
 
     private static String describeEffect(Kind kind, Estimate effect) {
         return switch (kind) {
-            case FAILS ->
-                format(
-                        "%.1f in 100 more of its attempts fail than at reference builds (%.1f to %.1f)",
-                        effect, PERCENT);
+            case FAILS -> format("of its tries %.1f in 100 more fail than beside it (%.1f to %.1f)", effect, PERCENT);
             case SILENCE ->
-                format(
-                        "%.1f in 100 more of its attempts get no answer than at reference builds (%.1f to %.1f)",
-                        effect, PERCENT);
+                format("of its tries %.1f in 100 more get no answer than beside it (%.1f to %.1f)", effect, PERCENT);
             case WRONG ->
                 format(
-                        "%.1f in 100 more of its attempts lead to complaints than at reference builds (%.1f to %.1f)",
+                        "of its answers %.1f in 100 more are complained of than beside it (%.1f to %.1f)",
                         effect, PERCENT);
-            case SLOW ->
-                format("its answers take %.2f times as long as those of reference builds (%.2f to %.2f)", effect, 1);
+            case SLOW -> format("its answers take %.2f times as long as beside it (%.2f to %.2f)", effect, 1);
             case HARMS_ALL ->
-                format(
-                        "all builds get worse as its traffic share grows, latencies up to %.2f-fold (%.2f to %.2f)",
-                        effect, 1);
+                format("all builds get worse in step with its traffic, times to %.2f (%.2f to %.2f)", effect, 1);
         };
     }
 
