--- a/src/main/java/laurelkeel/attribution/CanaryComparison.java
+++ b/src/main/java/laurelkeel/attribution/CanaryComparison.java
@@ -14,26 +14,31 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Compares one canary, second by second, with the reference builds that serve beside it: within each node and route,
- * where which build gets an attempt is independent of the attempt. Not thread-safe.
+ * Compares one canary, second by second, with the reference builds that serve at the same time.
+ *
+ * <p>Attempts are compared within the same node and route only, because there the choice of the build is independent of
+ * the attempt. Not thread-safe.
  */
 final class CanaryComparison {
     private static final int WINDOW_SECONDS = 30;
 
-    /** Weights of the kinds of evidence, which sum to 1; calm and busy seconds have one each. */
+    /**
+     * Weights of the kinds of evidence. They sum to 1: {@link #SLOW_WEIGHT} counts twice, for calm and for busy
+     * seconds.
+     */
     private static final double FAILED_WEIGHT = 0.4;
 
     private static final double UNANSWERED_WEIGHT = 0.15;
     private static final double WRONG_WEIGHT = 0.2;
     private static final double SLOW_WEIGHT = 0.125;
 
-    private static final int MIN_ATTEMPTS_ALONE = 50;
-    private static final int MIN_ATTEMPTS_TOGETHER = 20;
-    private static final double MIN_BAD_SHARE_TOGETHER = 0.02;
-    private static final double MIN_RATIO_TOGETHER = 8;
+    private static final int MIN_ATTEMPTS_WHILE_ALONE = 50;
+    private static final int MIN_ATTEMPTS_WITH_OTHERS = 20;
+    private static final double MIN_BAD_SHARE_WITH_OTHERS = 0.02;
+    private static final double MIN_RATIO_WITH_OTHERS = 8;
 
-    private static final Set<HitKind> ANSWER_KINDS = EnumSet.of(HitKind.FAILED, HitKind.WRONG);
-    private static final Set<HitKind> SILENCE_KINDS = EnumSet.of(HitKind.UNANSWERED);
+    private static final Set<BadOutcome> ANSWER_KINDS = EnumSet.of(BadOutcome.FAILED, BadOutcome.WRONG);
+    private static final Set<BadOutcome> SILENCE_KINDS = EnumSet.of(BadOutcome.UNANSWERED);
 
     /** The attempts of one node and route at the canary and at the reference builds. */
     private static final class Stratum {
@@ -48,24 +53,24 @@
             return canary.attempts() > 0 && reference.attempts() > 0;
         }
 
-        ContingencyTable table(HitKind kind) {
+        ContingencyTable table(BadOutcome kind) {
             return new ContingencyTable(
-                    canary.hits(kind),
+                    canary.count(kind),
                     canary.attempts(),
-                    canary.hits(kind) + reference.hits(kind),
+                    canary.count(kind) + reference.count(kind),
                     canary.attempts() + reference.attempts());
         }
     }
 
-    /** What one second showed. */
+    /** The result of one second. */
     private static final class SecondSummary {
-        private final PerHitKind<ShareDifference> differences = new PerHitKind<>(ShareDifference::new);
+        private final PerBadOutcome<ShareDifference> differences = new PerBadOutcome<>(ShareDifference::new);
         private int canaryAttempts;
     }
 
     private final int build;
     private final long startedAtSecond;
-    private final PerHitKind<CountEvidence> countEvidence;
+    private final PerBadOutcome<CountEvidence> countEvidence;
     private final LatencyEvidence calmLatencyEvidence = new LatencyEvidence();
     private final LatencyEvidence busyLatencyEvidence = new LatencyEvidence();
     private final LatencyRatioWindow calmLatencyRatio = new LatencyRatioWindow(WINDOW_SECONDS);
@@ -73,21 +78,21 @@
     private final Deque<SecondSummary> recentSeconds = new ArrayDeque<>();
     private final Set<String> excludedEndpoints = new HashSet<>();
     private final Set<Integer> excludedTenants = new HashSet<>();
-    private final AttemptCounts countsAlone = new AttemptCounts();
-    private final AttemptCounts countsTogether = new AttemptCounts();
+    private final AttemptCounts countsWhileAlone = new AttemptCounts();
+    private final AttemptCounts countsWithOtherCanaries = new AttemptCounts();
     private @Nullable Kind guiltyKind;
 
     CanaryComparison(int build, long startedAtSecond, int routeCount) {
         this.build = build;
         this.startedAtSecond = startedAtSecond;
-        countEvidence = new PerHitKind<>(() -> new CountEvidence(routeCount));
+        countEvidence = new PerBadOutcome<>(() -> new CountEvidence(routeCount));
     }
 
     int build() {
         return build;
     }
 
-    /** The second in which the rollout started. */
+    /** Returns the second in which the rollout started. */
     long startedAtSecond() {
         return startedAtSecond;
     }
@@ -96,38 +101,39 @@
         return guiltyKind != null;
     }
 
-    /** What the canary was found guilty of, or null. */
+    /** Returns the kind of regression that the canary was found guilty of, or null. */
     @Nullable
     Kind guiltyKind() {
         return guiltyKind;
     }
 
-    /** Finds the canary guilty, for good. */
+    /** Marks the canary as guilty; the mark is never removed. */
     void markGuilty(Kind kind) {
         guiltyKind = kind;
     }
 
     /**
-     * Adds a second.
+     * Adds the reports of one second.
      *
-     * @param isReference whether a build is one to compare with
-     * @param traffic of the last seconds, this one included
-     * @param othersHaveTraffic whether other canaries have traffic too
+     * @param isReference whether a build is a reference build
+     * @param traffic the traffic of the last seconds, including this one
+     * @param otherCanariesHaveTraffic whether other canaries have traffic in this second
+     * @param load the load of this second relative to the last minute
      */
     void addSecond(
             ReportedSecond second,
             IntPredicate isReference,
             RecentTraffic traffic,
-            boolean othersHaveTraffic,
+            boolean otherCanariesHaveTraffic,
             LoadClassifier.Level load) {
         countEvidence.forEach(evidence -> evidence.beginSecond(second.nodeCount()));
         ComparisonFilter filter = new ComparisonFilter(build, isReference, traffic);
-        noteExclusions(filter);
-        // one endpoint's silence or slowness cannot be distinguished from its build's
+        recordExclusions(filter);
+        // with a single endpoint, a silent or slow endpoint cannot be distinguished from a silent or slow build
         boolean hasSeveralEndpoints = traffic.endpointCount(build) > 1;
         SecondSummary summary = new SecondSummary();
         SecondLatencyComparison latencies = new SecondLatencyComparison();
-        AttemptCounts canaryCounts = othersHaveTraffic ? countsTogether : countsAlone;
+        AttemptCounts canaryCounts = otherCanariesHaveTraffic ? countsWithOtherCanaries : countsWhileAlone;
         second.cellsByNode().forEach((node, cells) -> {
             List<NodeReport.Cell> accepted =
                     cells.stream().filter(filter::accepts).toList();
@@ -154,21 +160,21 @@
         }
     }
 
-    private void noteExclusions(ComparisonFilter filter) {
+    private void recordExclusions(ComparisonFilter filter) {
         RecentTraffic.addIfPresent(filter.outlierEndpoint(), excludedEndpoints);
         if (filter.excludedTenant() != RecentTraffic.NO_TENANT) {
             excludedTenants.add(filter.excludedTenant());
         }
     }
 
-    private void compareShares(int node, List<NodeReport.Cell> cells, Set<HitKind> kinds, SecondSummary summary) {
+    private void compareShares(int node, List<NodeReport.Cell> cells, Set<BadOutcome> kinds, SecondSummary summary) {
         Map<Integer, Stratum> strataByRoute = new TreeMap<>();
         for (NodeReport.Cell cell : cells) {
             strataByRoute.computeIfAbsent(cell.route(), unused -> new Stratum()).add(cell, cell.build() == build);
         }
         strataByRoute.forEach((route, stratum) -> {
             if (stratum.isComparable()) {
-                for (HitKind kind : kinds) {
+                for (BadOutcome kind : kinds) {
                     countEvidence.get(kind).add(node, route, stratum.table(kind));
                     summary.differences.get(kind).add(stratum.canary, stratum.reference, kind);
                 }
@@ -176,7 +182,10 @@
         });
     }
 
-    /** Calm and busy seconds are kept apart: a build that is slow under load only is not saved by calm seconds. */
+    /**
+     * Adds a second's latency ratio to the evidence of calm or busy seconds, or to both. They are separate so that calm
+     * seconds do not hide a build that is slow only under load.
+     */
     private void addLogRatio(double logRatio, LoadClassifier.Level load) {
         boolean isCalm = load != LoadClassifier.Level.BUSY;
         boolean isBusy = load != LoadClassifier.Level.CALM;
@@ -193,12 +202,12 @@
         }
     }
 
-    /** The evidence so far that the canary is worse than the reference builds. */
+    /** Returns the evidence so far that the canary is worse than the reference builds. */
     LogEvidence evidence() {
         LogEvidence evidence = new LogEvidence();
-        putCountEvidence(HitKind.FAILED, FAILED_WEIGHT, evidence);
-        putCountEvidence(HitKind.UNANSWERED, UNANSWERED_WEIGHT, evidence);
-        putCountEvidence(HitKind.WRONG, WRONG_WEIGHT, evidence);
+        putCountEvidence(BadOutcome.FAILED, FAILED_WEIGHT, evidence);
+        putCountEvidence(BadOutcome.UNANSWERED, UNANSWERED_WEIGHT, evidence);
+        putCountEvidence(BadOutcome.WRONG, WRONG_WEIGHT, evidence);
         evidence.put(
                 Kind.SLOW,
                 SLOW_WEIGHT,
@@ -206,45 +215,55 @@
         return evidence;
     }
 
-    private void putCountEvidence(HitKind kind, double weight, LogEvidence evidence) {
+    private void putCountEvidence(BadOutcome kind, double weight, LogEvidence evidence) {
         evidence.put(kind.findingKind(), weight, countEvidence.get(kind).logEValue());
     }
 
-    /** The canary's attempts in the last seconds. */
+    /** Returns the number of the canary's attempts in the last 30 seconds, without excluded endpoints and tenants. */
     int recentAttempts() {
         return recentSeconds.stream().mapToInt(second -> second.canaryAttempts).sum();
     }
 
-    /** How many of the last seconds had attempts at the canary. */
+    /** Returns the number of the last 30 seconds that had attempts at the canary, without excluded ones. */
     int recentSecondsWithAttempts() {
         return (int) recentSeconds.stream()
                 .filter(second -> second.canaryAttempts > 0)
                 .count();
     }
 
-    /** The difference of the shares of attempts that went wrong in the last seconds. */
-    Estimate shareDifference(HitKind kind, double standardErrors) {
+    /**
+     * Estimates, over the last 30 seconds, by how much the canary's share of attempts with a bad outcome exceeds that
+     * of the reference builds.
+     *
+     * @param standardErrors half width of the confidence interval, in standard errors
+     */
+    Estimate shareDifference(BadOutcome kind, double standardErrors) {
         ShareDifference sum = new ShareDifference();
         recentSeconds.forEach(second -> sum.add(second.differences.get(kind)));
         return sum.estimate(standardErrors);
     }
 
-    /** The ratio of latencies in the last calm or busy seconds, whichever is worse. */
+    /**
+     * Estimates the ratio of the canary's latencies to those of the reference builds, in the last calm or in the last
+     * busy seconds, whichever has the higher upper limit.
+     *
+     * @param standardErrors half width of the confidence interval of the log ratio, in standard errors
+     */
     Estimate latencyRatio(double standardErrors) {
         Estimate calm = calmLatencyRatio.estimate(standardErrors);
         Estimate busy = busyLatencyRatio.estimate(standardErrors);
         return calm.high() > busy.high() ? calm : busy;
     }
 
-    /** Whether the canary did well alone and does badly while other canaries have traffic too. */
-    boolean isBadOnlyTogether() {
-        return countsAlone.attempts() >= MIN_ATTEMPTS_ALONE
-                && countsTogether.attempts() >= MIN_ATTEMPTS_TOGETHER
-                && countsTogether.badAnswerShare() > MIN_BAD_SHARE_TOGETHER
-                && countsAlone.badAnswerShare() * MIN_RATIO_TOGETHER < countsTogether.badAnswerShare();
+    /** Returns whether the canary gives many more bad answers while other canaries have traffic than without them. */
+    boolean isBadOnlyWithOtherCanaries() {
+        return countsWhileAlone.attempts() >= MIN_ATTEMPTS_WHILE_ALONE
+                && countsWithOtherCanaries.attempts() >= MIN_ATTEMPTS_WITH_OTHERS
+                && countsWithOtherCanaries.badAnswerShare() > MIN_BAD_SHARE_WITH_OTHERS
+                && countsWhileAlone.badAnswerShare() * MIN_RATIO_WITH_OTHERS < countsWithOtherCanaries.badAnswerShare();
     }
 
-    /** What was left out of the comparison, in words for people. */
+    /** Describes for operators which endpoints and tenants were excluded from the comparison. */
     List<String> exclusions() {
         List<String> sentences = new ArrayList<>();
         excludedEndpoints.forEach(endpointId ->
--- a/src/main/java/laurelkeel/attribution/ChangePointMixture.java
+++ b/src/main/java/laurelkeel/attribution/ChangePointMixture.java
@@ -4,49 +4,49 @@
 import java.util.List;
 
 /**
- * Running sums of log-likelihood ratios over several possible change points at once, so that a build that turns bad late
- * is not saved by its past.
+ * Running sums, such as log-likelihood ratios, since each of several possible change points, so that a build's good
+ * past does not hide that it became worse later.
  *
- * <p>A change point begins every few seconds. Each has a fixed weight, and the weights of all that will ever begin sum
- * to 1: the weighted mean of e-values over the change points is an e-value again. Not thread-safe.
+ * <p>A new change point begins every few seconds. Each has a fixed weight, and the weights of all that can ever begin
+ * sum to 1. The weighted mean of e-values over the change points is therefore an e-value too. Not thread-safe.
  */
 final class ChangePointMixture {
-    private static final int START_INTERVAL_SECONDS = 5;
-    private static final int MAX_STARTS = 24;
+    private static final int CHANGE_POINT_INTERVAL_SECONDS = 5;
+    private static final int MAX_CHANGE_POINTS = 24;
 
-    /** A change point and the sums as they were then. */
-    private static final class Start {
+    /** A change point with the values of the sums at that time. */
+    private static final class ChangePoint {
         private final int number;
         private final double[] sums;
 
-        Start(int number, double[] sums) {
+        ChangePoint(int number, double[] sums) {
             this.number = number;
             this.sums = sums;
         }
     }
 
     private final double[] sums;
-    private final List<Start> starts = new ArrayList<>();
+    private final List<ChangePoint> changePoints = new ArrayList<>();
     private int seconds;
-    private int startsBegun;
+    private int changePointsBegun;
 
-    /** @param sumCount how many sums run beside each other */
+    /** @param sumCount number of independent sums */
     ChangePointMixture(int sumCount) {
         sums = new double[sumCount];
     }
 
-    /** Begins a second; called before what the second adds. */
+    /** Begins a second; must be called before the amounts of that second are added. */
     void beginSecond() {
-        boolean beginsStart = seconds % START_INTERVAL_SECONDS == 0;
+        boolean beginsChangePoint = seconds % CHANGE_POINT_INTERVAL_SECONDS == 0;
         seconds++;
-        if (!beginsStart) {
+        if (!beginsChangePoint) {
             return;
         }
-        starts.add(new Start(startsBegun, sums.clone()));
-        startsBegun++;
-        if (starts.size() > MAX_STARTS) {
-            // the first one sees everything; of the others the oldest is dropped
-            starts.remove(1);
+        changePoints.add(new ChangePoint(changePointsBegun, sums.clone()));
+        changePointsBegun++;
+        if (changePoints.size() > MAX_CHANGE_POINTS) {
+            // the first change point covers the whole rollout and stays; the oldest of the others is dropped
+            changePoints.remove(1);
         }
     }
 
@@ -54,18 +54,18 @@
         sums[sum] += amount;
     }
 
-    int startCount() {
-        return starts.size();
+    int changePointCount() {
+        return changePoints.size();
     }
 
-    /** What a sum has grown by since a change point. */
-    double sumSince(int start, int sum) {
-        return sums[sum] - starts.get(start).sums[sum];
+    /** Returns the amount that a sum has grown by since a change point. */
+    double sumSince(int changePoint, int sum) {
+        return sums[sum] - changePoints.get(changePoint).sums[sum];
     }
 
-    /** The logarithm of a change point's weight. */
-    double logWeight(int start) {
-        int number = starts.get(start).number;
+    /** Returns the natural logarithm of a change point's weight. */
+    double logWeight(int changePoint) {
+        int number = changePoints.get(changePoint).number;
         return -Math.log((number + 1.0) * (number + 2.0));
     }
 }
--- a/src/main/java/laurelkeel/attribution/FindingFactory.java
+++ b/src/main/java/laurelkeel/attribution/FindingFactory.java
@@ -7,12 +7,12 @@
 import laurelkeel.attribution.AttributionFinding.Verdict;
 import org.jspecify.annotations.Nullable;
 
-/** Puts what is known of a canary into a finding, with its sentences for people. */
+/** Creates the finding on a canary, with the sentences for operators. */
 final class FindingFactory {
-    /** Limits of a 95% confidence interval, in standard errors. */
+    /** Half width of a 95% confidence interval, in standard errors. */
     private static final double CONFIDENCE_ERRORS = 1.96;
 
-    /** An e-value below it does not speak against a canary. */
+    /** An e-value below this limit does not prevent clearing a canary. */
     private static final double MAX_CLEARED_E_VALUE = 3;
 
     private static final double PERCENT = 100;
@@ -52,9 +52,9 @@
 
     private static Estimate effect(CanaryComparison canary, Kind kind, @Nullable Explanation fleetExplanation) {
         return switch (kind) {
-            case FAILS -> canary.shareDifference(HitKind.FAILED, CONFIDENCE_ERRORS);
-            case SILENCE -> canary.shareDifference(HitKind.UNANSWERED, CONFIDENCE_ERRORS);
-            case WRONG -> canary.shareDifference(HitKind.WRONG, CONFIDENCE_ERRORS);
+            case FAILS -> canary.shareDifference(BadOutcome.FAILED, CONFIDENCE_ERRORS);
+            case SILENCE -> canary.shareDifference(BadOutcome.UNANSWERED, CONFIDENCE_ERRORS);
+            case WRONG -> canary.shareDifference(BadOutcome.WRONG, CONFIDENCE_ERRORS);
             case SLOW -> canary.latencyRatio(CONFIDENCE_ERRORS);
             case HARMS_ALL -> fleetExplanation == null ? Estimate.NONE : ratio(fleetExplanation.effect());
         };
@@ -66,13 +66,15 @@
 
     private static List<String> considered(CanaryComparison canary, Assessment assessment) {
         List<String> sentences = new ArrayList<>(canary.exclusions());
-        if (!assessment.latencies().isNoneLikeliest()) {
-            sentences.add("the times of all builds: " + assessment.latencies().describe());
+        if (!assessment.latencyRanking().isNoneMostProbable()) {
+            sentences.add(
+                    "the times of all builds: " + assessment.latencyRanking().describe());
         }
-        if (!assessment.hits().isNoneLikeliest()) {
-            sentences.add("the trouble of all builds: " + assessment.hits().describe());
+        if (!assessment.badAttemptRanking().isNoneMostProbable()) {
+            sentences.add("the trouble of all builds: "
+                    + assessment.badAttemptRanking().describe());
         }
-        if (canary.isBadOnlyTogether()) {
+        if (canary.isBadOnlyWithOtherCanaries()) {
             sentences.add("it was well while no other release had traffic: bad only together with one");
         }
         if (sentences.isEmpty()) {
@@ -82,11 +84,11 @@
     }
 
     private static String evidenceSentence(CanaryComparison canary, Kind kind, Estimate effect, Verdict verdict) {
-        return "build " + canary.build() + " " + verdictWords(verdict) + ": " + effectWords(kind, effect)
+        return "build " + canary.build() + " " + describeVerdict(verdict) + ": " + describeEffect(kind, effect)
                 + " in the last " + canary.recentSecondsWithAttempts() + " s, " + canary.recentAttempts() + " tries";
     }
 
-    private static String verdictWords(Verdict verdict) {
+    private static String describeVerdict(Verdict verdict) {
         return switch (verdict) {
             case GUILTY -> "is to blame";
             case CLEARED -> "does no harm";
@@ -94,7 +96,7 @@
         };
     }
 
-    private static String effectWords(Kind kind, Estimate effect) {
+    private static String describeEffect(Kind kind, Estimate effect) {
         return switch (kind) {
             case FAILS -> format("of its tries %.1f in 100 more fail than beside it (%.1f to %.1f)", effect, PERCENT);
             case SILENCE ->
--- a/src/test/java/laurelkeel/attribution/CanaryComparisonTest.java
+++ b/src/test/java/laurelkeel/attribution/CanaryComparisonTest.java
@@ -19,11 +19,11 @@
     private final RecentTraffic traffic = new RecentTraffic();
     private final CanaryComparison canary = new CanaryComparison(CANARY, 0, 1);
 
-    private void run(int seconds, boolean othersHaveTraffic, Level load, Cell... cells) {
+    private void run(int seconds, boolean otherCanariesHaveTraffic, Level load, Cell... cells) {
         for (int i = 0; i < seconds; i++) {
             ReportedSecond second = new ReportedSecond(i, Map.of(0, List.of(cells), 1, List.of(cells)));
             traffic.addSecond(second);
-            canary.addSecond(second, build -> build == REFERENCE, traffic, othersHaveTraffic, load);
+            canary.addSecond(second, build -> build == REFERENCE, traffic, otherCanariesHaveTraffic, load);
         }
     }
 
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aCanaryLikeItsReferenceIsCleared() {
+    void aCanaryThatPerformsLikeTheReferenceBuildIsCleared() {
         run(15, false, Level.EVEN, cells(0, 3));
         assertTrue(ClearanceRule.isCleared(canary));
         assertEquals(600, canary.recentAttempts());
@@ -61,18 +61,18 @@
     }
 
     @Test
-    void fewAttemptsClearNobody() {
+    void aCanaryWithFewAttemptsIsNotCleared() {
         run(7, false, Level.EVEN, cells(0, 3));
         assertFalse(ClearanceRule.isCleared(canary));
         assertEquals(Verdict.NOT_YET_KNOWN, finding().verdict());
     }
 
     @Test
-    void aCanaryThatFailsMoreIsSuspectedOfThat() {
+    void aCanaryWithMoreErrorsIsSuspectedOfFailing() {
         run(10, false, Level.EVEN, cells(4, 3));
         assertEquals(Kind.FAILS, canary.evidence().strongestKind());
         assertTrue(canary.evidence().total() > Math.log(500));
-        assertEquals(0.4, canary.shareDifference(HitKind.FAILED, 1.96).value(), 1e-9);
+        assertEquals(0.4, canary.shareDifference(BadOutcome.FAILED, 1.96).value(), 1e-9);
         canary.markGuilty(Kind.FAILS);
         assertTrue(
                 finding().evidence().startsWith("build 2 is to blame: of its tries 40.0 in 100 more fail"),
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void aCanaryThatIsSlowWhenBusyIsNotSavedByCalmSeconds() {
+    void calmSecondsDoNotHideACanaryThatIsSlowUnderLoad() {
         run(20, false, Level.CALM, cells(0, 3));
         run(20, false, Level.BUSY, cells(0, 4));
         assertEquals(Kind.SLOW, canary.evidence().strongestKind());
@@ -91,17 +91,17 @@
     }
 
     @Test
-    void aCanaryThatIsBadOnlyBesideOthersIsToldApart() {
+    void aCanaryThatIsBadOnlyWithOtherCanariesIsDetected() {
         run(10, false, Level.EVEN, cells(0, 3));
-        assertFalse(canary.isBadOnlyTogether());
+        assertFalse(canary.isBadOnlyWithOtherCanaries());
         run(10, true, Level.EVEN, cells(4, 3));
-        assertTrue(canary.isBadOnlyTogether());
+        assertTrue(canary.isBadOnlyWithOtherCanaries());
     }
 
     @Test
-    void anOutlierIsNamedAmongTheExclusions() {
+    void anOutlierEndpointIsListedAmongTheExclusions() {
         run(5, false, Level.EVEN, cell(REFERENCE, "a", 0, 3), cell(CANARY, "c", 9, 3), cell(CANARY, "d", 0, 3));
         assertEquals(List.of("machine c alone had most of this build's trouble: left out"), canary.exclusions());
-        assertEquals(0, canary.shareDifference(HitKind.FAILED, 1.96).value());
+        assertEquals(0, canary.shareDifference(BadOutcome.FAILED, 1.96).value());
     }
 }
