--- a/src/main/java/laurelkeel/decision/AllEndpointsSlowdownDetector.java
+++ b/src/main/java/laurelkeel/decision/AllEndpointsSlowdownDetector.java
@@ -35,7 +35,7 @@
         int requests = 0;
         int ratedSeconds = 0;
         int slowSeconds = 0;
-        for (OutcomeSecond second : history.lastSeconds(OBSERVED_SECONDS, nowTicks)) {
+        for (OutcomeBucket second : history.lastSeconds(OBSERVED_SECONDS, nowTicks)) {
             double ratio = second.fleetLatencyRatio();
             boolean hasTraffic = second.attemptsSentToJudgedBuild() > MIN_TRAFFIC_SHARE * second.attemptsSent();
             ratedSeconds += ratio > 0 ? 1 : 0;
@@ -53,7 +53,7 @@
     private static double requestsPerSecondBefore(OutcomeHistory history) {
         return history.seconds().stream()
                 .filter(second -> second.attemptsSentToJudgedBuild() == 0)
-                .mapToInt(OutcomeSecond::requestsReceived)
+                .mapToInt(OutcomeBucket::requestsReceived)
                 .average()
                 .orElse(0);
     }
@@ -61,7 +61,7 @@
     private static double ratioBefore(OutcomeHistory history) {
         return history.seconds().stream()
                 .filter(second -> second.attemptsSentToJudgedBuild() == 0)
-                .mapToDouble(OutcomeSecond::fleetLatencyRatio)
+                .mapToDouble(OutcomeBucket::fleetLatencyRatio)
                 .filter(ratio -> ratio > 0)
                 .map(ratio -> Math.max(MIN_RATIO_BEFORE, ratio))
                 .average()
--- a/src/main/java/laurelkeel/decision/OutcomeSecond.java
+++ b/src/main/java/laurelkeel/decision/OutcomeBucket.java
@@ -5,7 +5,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** What happened at one node in one second: outcomes by build and route, traffic, and how fast each endpoint was. */
-final class OutcomeSecond {
+final class OutcomeBucket {
     private static final int MIN_RATED_ENDPOINTS = 3;
 
     private final int routeCount;
@@ -15,7 +15,7 @@
     private int attemptsSent;
     private int attemptsSentToJudgedBuild;
 
-    OutcomeSecond(int routeCount) {
+    OutcomeBucket(int routeCount) {
         this.routeCount = routeCount;
     }
 
--- a/src/main/java/laurelkeel/decision/OutcomeHistory.java
+++ b/src/main/java/laurelkeel/decision/OutcomeHistory.java
@@ -12,24 +12,24 @@
     static final long MEMORY_SECONDS = 30;
 
     private final int routeCount;
-    private final TreeMap<Long, OutcomeSecond> seconds = new TreeMap<>();
+    private final TreeMap<Long, OutcomeBucket> seconds = new TreeMap<>();
 
     OutcomeHistory(int routeCount) {
         this.routeCount = routeCount;
     }
 
     /** Returns the second of a moment, to be added to. */
-    OutcomeSecond secondOf(long atTicks) {
-        return seconds.computeIfAbsent(atTicks / Ticks.PER_SECOND, key -> new OutcomeSecond(routeCount));
+    OutcomeBucket bucketAt(long atTicks) {
+        return seconds.computeIfAbsent(atTicks / Ticks.PER_SECOND, key -> new OutcomeBucket(routeCount));
     }
 
     /** Returns all seconds remembered, in order. */
-    Collection<OutcomeSecond> seconds() {
+    Collection<OutcomeBucket> seconds() {
         return seconds.values();
     }
 
     /** Returns the seconds from so many before the present one on. */
-    Collection<OutcomeSecond> lastSeconds(long count, long nowTicks) {
+    Collection<OutcomeBucket> lastSeconds(long count, long nowTicks) {
         return seconds.tailMap(nowTicks / Ticks.PER_SECOND - count).values();
     }
 
@@ -67,11 +67,11 @@
         return List.of(compare(seconds.headMap(nowSecond, true).values(), candidate, baseline));
     }
 
-    private ComparedOutcomes compare(Collection<OutcomeSecond> span, int candidate, int baseline) {
+    private ComparedOutcomes compare(Collection<OutcomeBucket> span, int candidate, int baseline) {
         return new ComparedOutcomes(total(span, candidate), total(span, baseline));
     }
 
-    private RouteOutcomes total(Collection<OutcomeSecond> span, int build) {
+    private RouteOutcomes total(Collection<OutcomeBucket> span, int build) {
         RouteOutcomes total = new RouteOutcomes(routeCount);
         span.forEach(second -> second.addTo(total, build));
         return total;
--- a/src/main/java/laurelkeel/decision/OutcomeRecorder.java
+++ b/src/main/java/laurelkeel/decision/OutcomeRecorder.java
@@ -27,7 +27,7 @@
 
     /** Counts a request as load, unless its client has sent it before. */
     void requestReceived(ActiveRequest request, long nowTicks) {
-        OutcomeSecond second = history.secondOf(nowTicks);
+        OutcomeBucket second = history.bucketAt(nowTicks);
         if (!request.isClientRetry()) {
             second.requestReceived();
         }
@@ -35,7 +35,7 @@
 
     /** Counts an attempt that is going to be sent. */
     void attemptPlanned(Endpoint endpoint, long nowTicks) {
-        history.secondOf(nowTicks).attemptSent(endpoint.build() == rollout.judgedBuild(nowTicks));
+        history.bucketAt(nowTicks).attemptSent(endpoint.build() == rollout.judgedBuild(nowTicks));
     }
 
     /** Takes note of an attempt that has ended. */
@@ -79,10 +79,10 @@
         // an endpoint that warms up is slow through no fault of its build
         if (slowStart.isWarm(endpoint.startedAtTicks(), attempt.sentAtTicks())) {
             endpoint.latency().countWarmAnswer();
-            history.secondOf(nowTicks).outcomes(endpoint.build(), route).addLatencyRatio(ratio);
+            history.bucketAt(nowTicks).outcomes(endpoint.build(), route).addLatencyRatio(ratio);
         }
         if (attempt.isEndpointSettled()) {
-            history.secondOf(nowTicks).addLatencyRatio(endpoint.id(), ratio);
+            history.bucketAt(nowTicks).addLatencyRatio(endpoint.id(), ratio);
         }
     }
 
@@ -106,7 +106,7 @@
         }
         // by when it was sent: errors come quickly, so a build whose share has just risen has them first
         BuildOutcomes outcomes =
-                history.secondOf(attempt.sentAtTicks()).outcomes(endpoint.build(), request.routeIndex());
+                history.bucketAt(attempt.sentAtTicks()).outcomes(endpoint.build(), request.routeIndex());
         boolean isFailure = outcome == AttemptOutcome.FAILED;
         outcomes.addAttempts(1, isFailure ? 1 : 0);
         request.setFailureCountedIn(isFailure ? outcomes : null);
--- a/src/main/java/laurelkeel/decision/RoutingDecider.java
+++ b/src/main/java/laurelkeel/decision/RoutingDecider.java
@@ -159,7 +159,7 @@
         Endpoint endpoint = endpoints.find(complaint.endpointId());
         if (endpoint != null) {
             ownOutcomes
-                    .secondOf(nowTicks - complaint.sentAgoTicks())
+                    .bucketAt(nowTicks - complaint.sentAgoTicks())
                     .outcomes(endpoint.build(), complaint.route())
                     .addComplaint();
         }
@@ -167,7 +167,7 @@
 
     private void recordStatistics(BuildStatistics statistics, long nowTicks) {
         allNodesOutcomes
-                .secondOf(nowTicks - statistics.ageTicks())
+                .bucketAt(nowTicks - statistics.ageTicks())
                 .outcomes(statistics.build(), statistics.route())
                 .addAttempts(statistics.attempts(), statistics.errors());
     }
--- a/src/test/java/laurelkeel/decision/AllEndpointsSlowdownDetectorTest.java
+++ b/src/test/java/laurelkeel/decision/AllEndpointsSlowdownDetectorTest.java
@@ -16,7 +16,7 @@
 
     private void seconds(int from, int to, double ratio, int requests, boolean isJudged) {
         for (int s = from; s < to; s++) {
-            OutcomeSecond second = history.secondOf(s * SECOND);
+            OutcomeBucket second = history.bucketAt(s * SECOND);
             for (String endpoint : new String[] {"a", "b", "c"}) {
                 second.addLatencyRatio(endpoint, ratio);
             }
--- a/src/test/java/laurelkeel/decision/BuildComparisonTest.java
+++ b/src/test/java/laurelkeel/decision/BuildComparisonTest.java
@@ -26,7 +26,7 @@
     private final List<Endpoint> endpoints = List.of(endpoint("a", CANARY, 0, 0), endpoint("b", CANARY, 0, 0));
 
     private static BuildOutcomes outcomes(OutcomeHistory history, int build) {
-        return history.secondOf(NOW_TICKS).outcomes(build, ROUTE);
+        return history.bucketAt(NOW_TICKS).outcomes(build, ROUTE);
     }
 
     private @Nullable Regression find(boolean isBaselineServing) {
--- a/src/test/java/laurelkeel/decision/OutcomeHistoryTest.java
+++ b/src/test/java/laurelkeel/decision/OutcomeHistoryTest.java
@@ -15,7 +15,7 @@
     private final OutcomeHistory history = new OutcomeHistory(2);
 
     private void attempts(long second, int build, int route, int count) {
-        history.secondOf(second * SECOND + 5).outcomes(build, route).addAttempts(count, 0);
+        history.bucketAt(second * SECOND + 5).outcomes(build, route).addAttempts(count, 0);
     }
 
     @Test
@@ -64,7 +64,7 @@
 
     @Test
     void theFleetIsAsSlowAsTwoThirdsOfItsEndpointsExceed() {
-        OutcomeSecond second = history.secondOf(0);
+        OutcomeBucket second = history.bucketAt(0);
         second.addLatencyRatio("a", 1);
         second.addLatencyRatio("a", 3);
         second.addLatencyRatio("b", 5);
@@ -75,7 +75,7 @@
 
     @Test
     void trafficIsCounted() {
-        OutcomeSecond second = history.secondOf(0);
+        OutcomeBucket second = history.bucketAt(0);
         second.requestReceived();
         second.attemptSent(true);
         second.attemptSent(false);
--- a/src/test/java/laurelkeel/decision/OutcomeRecorderTest.java
+++ b/src/test/java/laurelkeel/decision/OutcomeRecorderTest.java
@@ -104,7 +104,7 @@
     void requestsAndAttemptsCountAsLoad() {
         recorder.requestReceived(request(Idempotency.IDEMPOTENT), NOW_TICKS);
         recorder.attemptPlanned(endpoint, NOW_TICKS);
-        OutcomeSecond second = history.secondOf(NOW_TICKS);
+        OutcomeBucket second = history.bucketAt(NOW_TICKS);
         assertEquals(1, second.requestsReceived());
         assertEquals(1, second.attemptsSent());
         assertEquals(0, second.attemptsSentToJudgedBuild(), "there is no rollout");
