--- a/src/main/java/laurelkeel/decision/BuildOutcomes.java
+++ b/src/main/java/laurelkeel/decision/BuildOutcomes.java
@@ -1,6 +1,6 @@
 package laurelkeel.decision;
 
-/** What the attempts at one build came to, over some span of time. */
+/** Outcome counts and latency sums of the attempts at one build over a span of time. */
 final class BuildOutcomes {
     private int attempts;
     private int failures;
@@ -10,13 +10,13 @@
     private double latencyRatioSum;
     private double latencyRatioSquareSum;
 
-    /** Adds attempts, of which some failed. */
+    /** Adds attempts and the number of failures among them. */
     void addAttempts(long attemptCount, long failureCount) {
         attempts += (int) attemptCount;
         failures += (int) failureCount;
     }
 
-    /** Adds a failure whose request another attempt served: the request itself was no cause of it. */
+    /** Adds a failure after which another attempt served the request, so that the request did not cause it. */
     void addRecoveredFailure() {
         recoveredFailures++;
     }
@@ -25,7 +25,7 @@
         complaints++;
     }
 
-    /** Adds an answer by its latency as a multiple of the usual one. */
+    /** Adds the latency of an answer as a multiple of the expected latency. */
     void addLatencyRatio(double ratio) {
         latencySampleCount++;
         latencyRatioSum += ratio;
@@ -58,22 +58,22 @@
         return complaints;
     }
 
-    /** Returns the number of answers whose latency is known as a multiple of the usual one. */
+    /** Returns the number of answers whose latency ratio is known. */
     int latencySampleCount() {
         return latencySampleCount;
     }
 
-    /** Returns the mean latency as a multiple of the usual one. There must be rated answers. */
+    /** Returns the mean latency as a multiple of the expected latency; there must be a sample. */
     double meanLatencyRatio() {
         return latencyRatioSum / latencySampleCount;
     }
 
     /**
-     * Returns the squared standard error of the mean latency ratio.
+     * Returns the variance of the mean latency ratio, which is the square of its standard error.
      *
-     * @param mean the value that the squares are taken about; the caller may have raised it above the true mean
+     * @param mean the value that deviations are taken from; the caller may have raised it above the true mean
      */
-    double latencyRatioErrorSquared(double mean) {
+    double meanLatencyRatioVariance(double mean) {
         return (latencyRatioSquareSum / latencySampleCount - mean * mean) / latencySampleCount;
     }
 }
--- a/src/main/java/laurelkeel/decision/OutcomeBucket.java
+++ b/src/main/java/laurelkeel/decision/OutcomeBucket.java
@@ -4,22 +4,22 @@
 import java.util.TreeMap;
 import org.jspecify.annotations.Nullable;
 
-/** What happened at one node in one second: outcomes by build and route, traffic, and how fast each endpoint was. */
+/** Outcomes by build and route, traffic, and latency by endpoint, within one second. */
 final class OutcomeBucket {
-    private static final int MIN_RATED_ENDPOINTS = 3;
+    private static final int MIN_MEASURED_ENDPOINTS = 3;
 
     private final int routeCount;
     private final Map<Integer, @Nullable BuildOutcomes[]> outcomesByBuild = new TreeMap<>();
     private final Map<String, RatioMean> ratiosByEndpoint = new TreeMap<>();
     private int requestsReceived;
     private int attemptsSent;
-    private int attemptsSentToJudgedBuild;
+    private int attemptsSentToEvaluatedBuild;
 
     OutcomeBucket(int routeCount) {
         this.routeCount = routeCount;
     }
 
-    /** Returns the outcomes of a build on one route, to be added to. */
+    /** Returns the outcomes of a build on one route, for the caller to add to; creates them if needed. */
     BuildOutcomes outcomes(int build, int route) {
         @Nullable
         BuildOutcomes[] byRoute = outcomesByBuild.computeIfAbsent(build, key -> new BuildOutcomes[routeCount]);
@@ -31,8 +31,8 @@
         return outcomes;
     }
 
-    /** Whether there are any outcomes of a build. */
-    boolean hasSeen(int build) {
+    /** Returns whether there are any outcomes of a build. */
+    boolean hasOutcomesOf(int build) {
         return outcomesByBuild.containsKey(build);
     }
 
@@ -54,17 +54,17 @@
         requestsReceived++;
     }
 
-    void attemptSent(boolean isJudgedBuild) {
+    void attemptSent(boolean isEvaluatedBuild) {
         attemptsSent++;
-        attemptsSentToJudgedBuild += isJudgedBuild ? 1 : 0;
+        attemptsSentToEvaluatedBuild += isEvaluatedBuild ? 1 : 0;
     }
 
-    /** Adds an answer of an endpoint by its latency as a multiple of the usual one. */
+    /** Adds the latency of an endpoint's answer as a multiple of the expected latency. */
     void addLatencyRatio(String endpointId, double ratio) {
         ratiosByEndpoint.computeIfAbsent(endpointId, key -> new RatioMean()).add(ratio);
     }
 
-    /** Returns the requests that clients sent for the first time. */
+    /** Returns the number of requests that clients sent for the first time. */
     int requestsReceived() {
         return requestsReceived;
     }
@@ -73,21 +73,21 @@
         return attemptsSent;
     }
 
-    /** Returns the attempts sent to the build that was under judgement. */
-    int attemptsSentToJudgedBuild() {
-        return attemptsSentToJudgedBuild;
+    /** Returns the number of attempts sent to the build that was then under evaluation. */
+    int attemptsSentToEvaluatedBuild() {
+        return attemptsSentToEvaluatedBuild;
     }
 
     /**
-     * Returns the mean latency ratio that two thirds of the endpoints exceed, or 0 where too few are known. Were it the
-     * median, a fleet half of which is slow would pass for a slow one.
+     * Returns the lower tertile of the endpoints' mean latency ratios, which about two thirds of the endpoints exceed; 0 if
+     * too few endpoints are known. With the median, all endpoints would seem slow when half of them are.
      */
-    double fleetLatencyRatio() {
+    double lowerTertileLatencyRatio() {
         double[] means = ratiosByEndpoint.values().stream()
                 .mapToDouble(RatioMean::mean)
                 .sorted()
                 .toArray();
-        return means.length < MIN_RATED_ENDPOINTS ? 0 : means[means.length / 3];
+        return means.length < MIN_MEASURED_ENDPOINTS ? 0 : means[means.length / 3];
     }
 
     private static final class RatioMean {
--- a/src/main/java/laurelkeel/decision/OutcomeHistory.java
+++ b/src/main/java/laurelkeel/decision/OutcomeHistory.java
@@ -6,57 +6,61 @@
 import java.util.TreeMap;
 import laurelkeel.api.Ticks;
 
-/** What happened of late, second by second. */
+/** Outcomes and traffic of the last {@value #RETENTION_SECONDS} seconds, in buckets of one second. */
 final class OutcomeHistory {
-    /** How many seconds are remembered. */
-    static final long MEMORY_SECONDS = 30;
+    /** How long buckets are retained. */
+    static final long RETENTION_SECONDS = 30;
 
     private final int routeCount;
-    private final TreeMap<Long, OutcomeBucket> seconds = new TreeMap<>();
+    private final TreeMap<Long, OutcomeBucket> bucketsBySecond = new TreeMap<>();
 
     OutcomeHistory(int routeCount) {
         this.routeCount = routeCount;
     }
 
-    /** Returns the second of a moment, to be added to. */
+    /** Returns the bucket of the second that includes a time; creates it if needed. */
     OutcomeBucket bucketAt(long atTicks) {
-        return seconds.computeIfAbsent(atTicks / Ticks.PER_SECOND, key -> new OutcomeBucket(routeCount));
+        return bucketsBySecond.computeIfAbsent(atTicks / Ticks.PER_SECOND, key -> new OutcomeBucket(routeCount));
     }
 
-    /** Returns all seconds remembered, in order. */
-    Collection<OutcomeBucket> seconds() {
-        return seconds.values();
+    /** Returns the buckets retained, in order of time. */
+    Collection<OutcomeBucket> buckets() {
+        return bucketsBySecond.values();
     }
 
-    /** Returns the seconds from so many before the present one on. */
+    /** Returns the buckets of the current second and of the {@code count} seconds before it. */
     Collection<OutcomeBucket> lastSeconds(long count, long nowTicks) {
-        return seconds.tailMap(nowTicks / Ticks.PER_SECOND - count).values();
+        return bucketsBySecond.tailMap(nowTicks / Ticks.PER_SECOND - count).values();
     }
 
-    /** Forgets the seconds that are too old. */
+    /** Discards the buckets that are too old. */
     void forgetOld(long nowTicks) {
-        long memoryTicks = MEMORY_SECONDS * Ticks.PER_SECOND;
-        seconds.headMap((nowTicks - memoryTicks) / Ticks.PER_SECOND).clear();
+        long retentionTicks = RETENTION_SECONDS * Ticks.PER_SECOND;
+        bucketsBySecond.headMap((nowTicks - retentionTicks) / Ticks.PER_SECOND).clear();
     }
 
-    /** Returns all outcomes of a build. */
+    /** Returns all retained outcomes of a build. */
     RouteOutcomes total(int build) {
-        return total(seconds.values(), build);
+        return total(bucketsBySecond.values(), build);
     }
 
-    /** Returns the outcomes of a build in the seconds in which another one was seen too. */
-    RouteOutcomes totalBeside(int build, int other) {
-        return total(seconds.values().stream().filter(s -> s.hasSeen(other)).toList(), build);
+    /** Returns the outcomes of a build in the seconds in which another build has outcomes too. */
+    RouteOutcomes totalInSharedSeconds(int build, int otherBuild) {
+        return total(
+                bucketsBySecond.values().stream()
+                        .filter(bucket -> bucket.hasOutcomesOf(otherBuild))
+                        .toList(),
+                build);
     }
 
-    /** Returns the outcomes of two builds up to now, by spans of so many seconds, the last span first. */
+    /** Returns the outcomes of two builds up to now, in spans of {@code spanSeconds} seconds, the last span first. */
     List<ComparedOutcomes> compare(int candidate, int baseline, long spanSeconds, long nowTicks) {
         long nowSecond = nowTicks / Ticks.PER_SECOND;
-        long firstSecond = (nowTicks - MEMORY_SECONDS * Ticks.PER_SECOND) / Ticks.PER_SECOND;
+        long firstSecond = (nowTicks - RETENTION_SECONDS * Ticks.PER_SECOND) / Ticks.PER_SECOND;
         List<ComparedOutcomes> spans = new ArrayList<>();
         for (long end = nowSecond; end > firstSecond; end -= spanSeconds) {
-            spans.add(
-                    compare(seconds.subMap(end - spanSeconds, false, end, true).values(), candidate, baseline));
+            spans.add(compare(
+                    bucketsBySecond.subMap(end - spanSeconds, false, end, true).values(), candidate, baseline));
         }
         return spans;
     }
@@ -64,7 +68,7 @@
     /** Returns the outcomes of two builds up to now as one span. */
     List<ComparedOutcomes> compareAsOneSpan(int candidate, int baseline, long nowTicks) {
         long nowSecond = nowTicks / Ticks.PER_SECOND;
-        return List.of(compare(seconds.headMap(nowSecond, true).values(), candidate, baseline));
+        return List.of(compare(bucketsBySecond.headMap(nowSecond, true).values(), candidate, baseline));
     }
 
     private ComparedOutcomes compare(Collection<OutcomeBucket> span, int candidate, int baseline) {
@@ -73,7 +77,7 @@
 
     private RouteOutcomes total(Collection<OutcomeBucket> span, int build) {
         RouteOutcomes total = new RouteOutcomes(routeCount);
-        span.forEach(second -> second.addTo(total, build));
+        span.forEach(bucket -> bucket.addTo(total, build));
         return total;
     }
 }
--- a/src/main/java/laurelkeel/decision/OutcomeRecorder.java
+++ b/src/main/java/laurelkeel/decision/OutcomeRecorder.java
@@ -4,7 +4,7 @@
 import laurelkeel.api.Event.AttemptEnded;
 import laurelkeel.api.Event.AttemptOutcome;
 
-/** Learns from the end of each attempt: the health and latency of its endpoint, its route's latency, its build's outcomes. */
+/** Records the end of each attempt in its endpoint's health and latency, its route's latency and its build's outcomes. */
 final class OutcomeRecorder {
     private final RolloutState rollout;
     private final SlowStart slowStart;
@@ -25,20 +25,20 @@
         this.history = history;
     }
 
-    /** Counts a request as load, unless its client has sent it before. */
+    /** Counts a request as load, unless it is a retry by the client. */
     void requestReceived(ActiveRequest request, long nowTicks) {
-        OutcomeBucket second = history.bucketAt(nowTicks);
+        OutcomeBucket bucket = history.bucketAt(nowTicks);
         if (!request.isClientRetry()) {
-            second.requestReceived();
+            bucket.requestReceived();
         }
     }
 
-    /** Counts an attempt that is going to be sent. */
+    /** Counts an attempt that is about to be sent. */
     void attemptPlanned(Endpoint endpoint, long nowTicks) {
-        history.bucketAt(nowTicks).attemptSent(endpoint.build() == rollout.judgedBuild(nowTicks));
+        history.bucketAt(nowTicks).attemptSent(endpoint.build() == rollout.evaluatedBuild(nowTicks));
     }
 
-    /** Takes note of an attempt that has ended. */
+    /** Records the end of an attempt. */
     void attemptEnded(ActiveRequest request, Attempt attempt, AttemptEnded event, long nowTicks) {
         Endpoint endpoint = attempt.endpoint();
         boolean isAnswerDue = nowTicks >= request.answerDueAtTicks();
@@ -58,25 +58,27 @@
         RouteLatency latency = latencies.route(route);
         int level = attempt.concurrencyLevel();
         latency.recordRecent(durationTicks);
-        OptionalDouble ratioToUsual = latency.ratioToExpected(durationTicks, level);
-        if (ratioToUsual.isPresent()) {
-            double ratio = ratioToUsual.getAsDouble();
+        OptionalDouble ratioToExpected = latency.ratioToExpected(durationTicks, level);
+        if (ratioToExpected.isPresent()) {
+            double ratio = ratioToExpected.getAsDouble();
             endpoint.latency().recordRatio(ratio);
             endpoint.updateWeight(slowStart, nowTicks);
             latency.recordDeviation(ratio);
             recordRatio(attempt, route, ratio, nowTicks);
         }
-        // while a build is judged the usual latency stands still: harm that all builds share would become usual
-        int judgedBuild = rollout.judgedBuild(nowTicks);
-        boolean isUnknownElsewhere = endpoint.build() != judgedBuild && !latency.isKnown(level);
-        if (judgedBuild == RolloutState.NO_BUILD || isUnknownElsewhere) {
+        // while a build is evaluated, only unknown levels are learned, and only from other builds: otherwise a slowdown
+        // of
+        // all builds would become the expected latency
+        int evaluatedBuild = rollout.evaluatedBuild(nowTicks);
+        boolean isOtherBuildAtUnknownLevel = endpoint.build() != evaluatedBuild && !latency.isKnown(level);
+        if (evaluatedBuild == RolloutState.NO_BUILD || isOtherBuildAtUnknownLevel) {
             latency.learnExpected(durationTicks, level);
         }
     }
 
     private void recordRatio(Attempt attempt, int route, double ratio, long nowTicks) {
         Endpoint endpoint = attempt.endpoint();
-        // an endpoint that warms up is slow through no fault of its build
+        // an endpoint that is warming up is slow for reasons other than its build
         if (slowStart.isWarm(endpoint.startedAtTicks(), attempt.sentAtTicks())) {
             endpoint.latency().countWarmAnswer();
             history.bucketAt(nowTicks).outcomes(endpoint.build(), route).addLatencyRatio(ratio);
@@ -104,7 +106,7 @@
         if (!countsForBuild || !isCounted(outcome)) {
             return;
         }
-        // by when it was sent: errors come quickly, so a build whose share has just risen has them first
+        // by send time: errors return early, so a build whose share has just risen would seem to fail more often
         BuildOutcomes outcomes =
                 history.bucketAt(attempt.sentAtTicks()).outcomes(endpoint.build(), request.routeIndex());
         boolean isFailure = outcome == AttemptOutcome.FAILED;
--- a/src/main/java/laurelkeel/decision/RateComparison.java
+++ b/src/main/java/laurelkeel/decision/RateComparison.java
@@ -4,38 +4,38 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Tests whether something happens more often at a candidate build than at its baseline, with the Mantel-Haenszel weights
- * over spans of time and routes.
+ * Tests whether an event is more frequent at a candidate build than at its baseline, with Mantel-Haenszel weights over
+ * strata of one time span and route each.
  *
- * <p>Each span and route is compared by itself. If they were summed first, a share of the traffic that changes with time
- * or route would pass for a difference of the builds.
+ * <p>The builds are compared within each stratum. If outcomes were summed first, a traffic share that changes with time or
+ * route would look like a difference between the builds.
  */
 final class RateComparison {
-    /** A difference of the rates below it is not worth a rollback, however sure it is. */
+    /** A smaller difference between the rates does not justify a rollback, however certain it is. */
     private static final double MIN_DIFFERENCE = 0.02;
 
     private final double requiredStandardErrors;
 
-    /** @param requiredStandardErrors how many standard errors of it a difference must exceed */
+    /** @param requiredStandardErrors number of its standard errors that a difference must exceed */
     RateComparison(double requiredStandardErrors) {
         this.requiredStandardErrors = requiredStandardErrors;
     }
 
     /**
-     * The least evidence that counts, of the candidate's attempts.
+     * The smallest sample of the candidate's attempts that is compared.
      *
-     * @param attempts how many there have to be
-     * @param events in how many of them what is compared has to have happened
+     * @param attempts minimum number of attempts
+     * @param events minimum number of events among them
      */
     record MinimumSample(int attempts, int events) {}
 
     /**
-     * Whether an event is surely more frequent at the candidate.
+     * Returns whether an event is significantly more frequent at the candidate.
      *
      * @param route index of the route, or {@link RouteOutcomes#ALL_ROUTES}
      * @param events counts the event in a build's outcomes
-     * @param independentAttempts most attempts that count as independent: where outcomes cannot be told apart by
-     *     endpoint, a few endpoints that always fail are no faulty build
+     * @param independentAttempts upper limit on the attempts that count as independent. If the endpoints of the outcomes
+     *     are not known, it keeps a few endpoints that always fail from looking like a faulty build.
      */
     boolean isHigherAtCandidate(
             List<ComparedOutcomes> spans,
@@ -73,18 +73,21 @@
             if (candidateTotal <= 0 || baselineTotal <= 0) {
                 return;
             }
-            double candidateHits = counter.applyAsInt(candidate);
-            double baselineHits = counter.applyAsInt(baseline);
+            double candidateCount = counter.applyAsInt(candidate);
+            double baselineCount = counter.applyAsInt(baseline);
             double stratumWeight = candidateTotal * baselineTotal / (candidateTotal + baselineTotal);
-            difference += stratumWeight * (candidateHits / candidateTotal - baselineHits / baselineTotal);
+            difference += stratumWeight * (candidateCount / candidateTotal - baselineCount / baselineTotal);
             weight += stratumWeight;
             attempts += candidateTotal + baselineTotal;
-            events += candidateHits + baselineHits;
+            events += candidateCount + baselineCount;
             candidateAttempts += candidateTotal;
-            candidateEvents += candidateHits;
+            candidateEvents += candidateCount;
         }
 
-        /** Returns the standard error by the rate over all: a stratum of few attempts shows too little of its own. */
+        /**
+         * Returns the standard error, by the overall rate because a stratum of few attempts is too small to estimate its
+         * own.
+         */
         double standardError(double independentAttempts) {
             double rate = events / attempts;
             return Math.sqrt(weight * events / attempts * Math.max(0, 1 - rate))
--- a/src/main/java/laurelkeel/decision/Regression.java
+++ b/src/main/java/laurelkeel/decision/Regression.java
@@ -1,12 +1,12 @@
 package laurelkeel.decision;
 
-/** Evidence against a build beside its baseline. */
+/** Evidence that a candidate build is worse than its baseline. */
 sealed interface Regression {
-    /** Returns the finding in words for the log. */
+    /** Returns the finding as text for the log. */
     String describe();
 
     /**
-     * It fails more often.
+     * The candidate fails more often.
      *
      * @param route index of the route, or {@link RouteOutcomes#ALL_ROUTES}
      */
@@ -18,7 +18,7 @@
     }
 
     /**
-     * Clients complain more often of its answers.
+     * Clients complain more often about the candidate's answers.
      *
      * @param route index of the route, or {@link RouteOutcomes#ALL_ROUTES}
      */
@@ -30,7 +30,7 @@
     }
 
     /**
-     * It answers more slowly. Latencies are multiples of what is usual for a route and concurrency.
+     * The candidate answers more slowly. Latencies are multiples of the expected latency for a route and concurrency.
      *
      * @param ratio mean latency of the candidate
      * @param baselineRatio mean latency of the baseline, at least 1
@@ -44,17 +44,17 @@
     }
 
     /**
-     * All endpoints have become slower since it has traffic.
+     * The endpoints of all builds have become slower since the candidate has had traffic.
      *
-     * @param slowSeconds of the last seconds, in how many they were slow
-     * @param ratedSeconds of the last seconds, in how many that could be told
-     * @param ratioBefore latency before it had traffic, as a multiple of the usual one
+     * @param slowSeconds number of the last seconds in which they were slow
+     * @param measuredSeconds number of the last seconds in which enough endpoints were measured
+     * @param ratioBefore latency before the candidate had traffic, as a multiple of the expected latency
      */
-    record FleetSlowdown(int slowSeconds, int ratedSeconds, double ratioBefore) implements Regression {
+    record AllEndpointsSlowdown(int slowSeconds, int measuredSeconds, double ratioBefore) implements Regression {
         @Override
         public String describe() {
-            return "all endpoints slowed down in " + slowSeconds + " of " + ratedSeconds + " s, latency ratio before "
-                    + ratioBefore;
+            return "all endpoints slowed down in " + slowSeconds + " of " + measuredSeconds
+                    + " s, latency ratio before " + ratioBefore;
         }
     }
 
--- a/src/main/java/laurelkeel/decision/RolloutState.java
+++ b/src/main/java/laurelkeel/decision/RolloutState.java
@@ -11,16 +11,16 @@
 import laurelkeel.api.Ticks;
 
 /**
- * Where the newest rollout stands, and which builds serve: a canary build, if there is one, and the stable build.
+ * Progress of the newest rollout, and the builds that serve: the stable build, and a canary build if there is one.
  *
- * <p>A build is a canary also from when the endpoint list names it until the control service does.
+ * <p>A new build in the endpoint list counts as a canary even before the control service announces it.
  */
 final class RolloutState {
-    /** Stands for no build at all. */
+    /** Represents the absence of a build. */
     static final int NO_BUILD = StickyKeys.NO_BUILD;
 
-    /** A build can still be rolled back after its release; for so long it is judged. */
-    private static final long JUDGED_AFTER_RELEASE_TICKS = 25 * Ticks.PER_SECOND;
+    /** How long a build is evaluated after its release, because it can still be rolled back then. */
+    private static final long EVALUATION_AFTER_RELEASE_TICKS = 25 * Ticks.PER_SECOND;
 
     private final Rollout settings;
     private final TreeSet<Integer> releasedBuilds = new TreeSet<>(Set.of(NO_BUILD));
@@ -40,7 +40,7 @@
         this.settings = settings;
     }
 
-    /** Whether an update tells of the newest build known; others are out of date. */
+    /** Returns whether an update is valid and names no build older than the newest one announced; others are outdated. */
     boolean isCurrent(RolloutUpdate update) {
         return update.status() == ControlStatus.OK && update.build() >= announcedBuild;
     }
@@ -48,7 +48,7 @@
     /**
      * Applies a current update.
      *
-     * @return whether build, stage or phase have changed
+     * @return whether the build, stage or phase has changed
      */
     boolean apply(RolloutUpdate update, long nowTicks) {
         boolean hasChanged = update.build() != announcedBuild || update.stage() != stage || update.phase() != phase;
@@ -70,7 +70,7 @@
         return hasChanged;
     }
 
-    /** Chooses the canary and the stable build anew, at every decision. */
+    /** Selects the canary and the stable build; called for every decision. */
     void selectBuilds(BuildCapacities capacities, long nowTicks) {
         canaryBuild = findCanary(Math.max(announcedBuild, capacities.newestActiveBuild()));
         stableBuild = findStable(capacities, nowTicks);
@@ -84,7 +84,10 @@
         return newestBuild > announcedBuild && announcedBuild >= 0 ? newestBuild : NO_BUILD;
     }
 
-    /** Finds the build with most capacity from the last released one on that is neither canary nor rolled back. */
+    /**
+     * Returns the announced build once it is released. Otherwise returns the build with the most capacity that is no older
+     * than the last released one, and neither canary nor rolled back. If there is none, the last stable build may remain.
+     */
     private int findStable(BuildCapacities capacities, long nowTicks) {
         if (phase == RolloutPhase.RELEASED) {
             return announcedBuild;
@@ -103,7 +106,7 @@
         return largest < 0 && mayKeepLast ? stableBuild : largest;
     }
 
-    /** Returns the newest build that the control service has named, or {@link #NO_BUILD}. */
+    /** Returns the newest build that the control service has announced, or {@link #NO_BUILD}. */
     int announcedBuild() {
         return announcedBuild;
     }
@@ -117,12 +120,12 @@
         return stage;
     }
 
-    /** Returns since when build, stage and phase are what they are. */
+    /** Returns when the build, stage or phase last changed. */
     long stageStartedAtTicks() {
         return stageStartedAtTicks;
     }
 
-    /** Returns the build under test, or {@link #NO_BUILD}. */
+    /** Returns the canary build, or {@link #NO_BUILD}. */
     int canaryBuild() {
         return canaryBuild;
     }
@@ -131,33 +134,36 @@
         return canaryBuild >= 0;
     }
 
-    /** Returns the build that serves what the canary does not, or {@link #NO_BUILD} where no build may. */
+    /** Returns the build that serves what the canary does not, or {@link #NO_BUILD} if no build may. */
     int stableBuild() {
         return stableBuild;
     }
 
-    /** Returns the build to compare the canary with; after its release, the one that was stable before. */
+    /** Returns the build to compare the canary with; after the release, the previous stable build. */
     int baselineBuild() {
         return baselineBuild;
     }
 
-    /** Returns the build under judgement, or {@link #NO_BUILD}: the canary, or a build released a short while ago. */
-    int judgedBuild(long nowTicks) {
+    /** Returns the build under evaluation: the canary, a recently released build, or {@link #NO_BUILD}. */
+    int evaluatedBuild(long nowTicks) {
         if (hasCanary()) {
             return canaryBuild;
         }
-        boolean isJustReleased = phase == RolloutPhase.RELEASED
+        boolean isRecentlyReleased = phase == RolloutPhase.RELEASED
                 && baselineBuild >= 0
-                && nowTicks < stageStartedAtTicks + JUDGED_AFTER_RELEASE_TICKS;
-        return isJustReleased ? announcedBuild : NO_BUILD;
+                && nowTicks < stageStartedAtTicks + EVALUATION_AFTER_RELEASE_TICKS;
+        return isRecentlyReleased ? announcedBuild : NO_BUILD;
     }
 
-    /** Returns the share of the requests that the canary may get, from 0 to 1; the first stage's before its news. */
+    /**
+     * Returns the share of the requests that the canary may receive, from 0 to 1. Until the canary is announced, it is the
+     * first stage's.
+     */
     double exposureCap() {
         return isCanaryAnnounced() ? announcedCap : settings.stageExposureCaps().get(0);
     }
 
-    /** Whether stage and cap let the canary serve requests of such a route at all. */
+    /** Returns whether the stage and the cap let the canary serve any requests of this idempotency. */
     boolean mayExpose(Idempotency idempotency) {
         int canaryStage = isCanaryAnnounced() ? stage : 0;
         boolean isGuarded = canaryStage < settings.guardedStages();
@@ -168,7 +174,7 @@
         return canaryBuild <= announcedBuild;
     }
 
-    /** Whether a key that a build has served goes to no older build any more. */
+    /** Returns whether keys that a build has served must not go to an older build. */
     boolean bindsKeys(int build) {
         return settings.stickyKeys() && build > stableBuild && !rolledBackBuilds.contains(build);
     }
--- a/src/main/java/laurelkeel/decision/RolloutVoter.java
+++ b/src/main/java/laurelkeel/decision/RolloutVoter.java
@@ -13,21 +13,21 @@
 /**
  * Decides when the node votes on the newest build, and how.
  *
- * <p>It votes to roll the build back as soon as there is a regression, and otherwise to promote it once the stage and its
- * newest endpoint have had time to show one. A vote is renewed before it lapses.
+ * <p>It votes to roll the build back as soon as there is a regression. Otherwise it votes to promote the build, once the
+ * stage and the build's newest endpoint have lasted long enough to reveal one. A vote is renewed before it expires.
  */
 final class RolloutVoter {
     private static final long EVALUATION_INTERVAL_TICKS = Ticks.PER_SECOND / 4;
     private static final long PAUSE_AFTER_VOTE_TICKS = Ticks.PER_SECOND / 2;
-    /** Past the timeout of a vote, for how long its answer is waited for. */
+    /** How long an answer is awaited beyond the timeout of a vote. */
     private static final long ANSWER_GRACE_TICKS = Ticks.PER_SECOND / 2;
 
-    /** Tenths of its lifetime after which a vote is renewed. */
+    /** Tenths of a vote's lifetime after which it is renewed. */
     private static final long RENEWAL_TENTHS = 6;
 
     /** Compares a build with its baseline. */
     interface RegressionCheck {
-        /** Returns the evidence against a build, or null where there is none. */
+        /** Returns the evidence against a candidate build, or null if there is none. */
         @Nullable
         Regression find(int candidate, int baseline, boolean isBaselineServing, long nowTicks);
     }
@@ -35,13 +35,13 @@
     /**
      * A vote to cast.
      *
-     * @param regression why the build is to be rolled back; null for other verdicts
+     * @param regression reason for a rollback; null for other verdicts
      */
     record Vote(CastVote action, @Nullable Regression regression) {}
 
-    private record Judgement(Verdict verdict, @Nullable Regression regression) {}
+    private record Evaluation(Verdict verdict, @Nullable Regression regression) {}
 
-    private static final Judgement NO_OPINION = new Judgement(Verdict.NONE, null);
+    private static final Evaluation NO_VERDICT = new Evaluation(Verdict.NONE, null);
 
     private final Rollout settings;
     private final RolloutState rollout;
@@ -54,7 +54,7 @@
     private long pendingVoteCastAtTicks;
     private long nextEvaluationAtTicks;
 
-    /** @param newestStartTicks when the newest active endpoint of a build started; 0 for long ago */
+    /** @param newestStartTicks returns when the newest active endpoint of a build started; 0 for long ago */
     RolloutVoter(
             Rollout settings, RolloutState rollout, RegressionCheck regressions, IntToLongFunction newestStartTicks) {
         this.settings = settings;
@@ -63,7 +63,7 @@
         this.newestStartTicks = newestStartTicks;
     }
 
-    /** Takes note of the answer to the last vote. */
+    /** Records the answer to the last vote. */
     void voteAnswered(ControlStatus status) {
         if (pendingVote == null) {
             return;
@@ -75,22 +75,22 @@
         pendingVote = null;
     }
 
-    /** Returns the vote to cast now, which then counts as cast; null for none. */
+    /** Returns the vote to cast now and records it as cast; null if there is none. */
     @Nullable
     Vote nextVote(long nowTicks) {
         if (rollout.announcedBuild() < 0 || nowTicks < nextEvaluationAtTicks || isAnswerAwaited(nowTicks)) {
             return null;
         }
         nextEvaluationAtTicks = nowTicks + EVALUATION_INTERVAL_TICKS;
-        Judgement judgement = judge(nowTicks);
-        if (judgement.verdict() == Verdict.NONE || isAlreadyCast(judgement.verdict(), nowTicks)) {
+        Evaluation evaluation = evaluate(nowTicks);
+        if (evaluation.verdict() == Verdict.NONE || isAlreadyCast(evaluation.verdict(), nowTicks)) {
             return null;
         }
-        CastVote vote = new CastVote(rollout.announcedBuild(), rollout.stage(), judgement.verdict());
+        CastVote vote = new CastVote(rollout.announcedBuild(), rollout.stage(), evaluation.verdict());
         pendingVote = vote;
         pendingVoteCastAtTicks = nowTicks;
         nextEvaluationAtTicks = nowTicks + PAUSE_AFTER_VOTE_TICKS;
-        return new Vote(vote, judgement.regression());
+        return new Vote(vote, evaluation.regression());
     }
 
     private boolean isAnswerAwaited(long nowTicks) {
@@ -107,21 +107,21 @@
                 && nowTicks < acceptedVoteCastAtTicks + settings.voteLifetimeTicks() * RENEWAL_TENTHS / 10;
     }
 
-    private Judgement judge(long nowTicks) {
+    private Evaluation evaluate(long nowTicks) {
         int build = rollout.announcedBuild();
-        if (rollout.judgedBuild(nowTicks) != build) {
-            return NO_OPINION;
+        if (rollout.evaluatedBuild(nowTicks) != build) {
+            return NO_VERDICT;
         }
         boolean isCanary = rollout.phase() == RolloutPhase.CANARY;
         int baseline = rollout.baselineBuild();
         Regression regression = baseline == build ? null : regressions.find(build, baseline, isCanary, nowTicks);
         if (regression != null) {
-            return new Judgement(Verdict.ROLL_BACK, regression);
+            return new Evaluation(Verdict.ROLL_BACK, regression);
         }
-        long shownSinceTicks = Math.max(rollout.stageStartedAtTicks(), newestStartTicks.applyAsLong(build));
+        long observableSinceTicks = Math.max(rollout.stageStartedAtTicks(), newestStartTicks.applyAsLong(build));
         boolean mayPromote = isCanary
                 && settings.promotionPolicy() != PromotionPolicy.AUTOMATIC
-                && nowTicks >= shownSinceTicks + Endpoint.SETTLING_TICKS;
-        return mayPromote ? new Judgement(Verdict.PROMOTE, null) : NO_OPINION;
+                && nowTicks >= observableSinceTicks + Endpoint.SETTLING_TICKS;
+        return mayPromote ? new Evaluation(Verdict.PROMOTE, null) : NO_VERDICT;
     }
 }
--- a/src/main/java/laurelkeel/decision/RouteOutcomes.java
+++ b/src/main/java/laurelkeel/decision/RouteOutcomes.java
@@ -2,9 +2,9 @@
 
 import java.util.stream.Stream;
 
-/** What the attempts at one build came to, by route and over all routes. */
+/** Outcomes of the attempts at one build, by route and in total. */
 final class RouteOutcomes {
-    /** Stands for all routes together. */
+    /** Route index that represents all routes together. */
     static final int ALL_ROUTES = -1;
 
     private final BuildOutcomes[] byRoute;
--- a/src/test/java/laurelkeel/decision/BuildComparisonTest.java
+++ b/src/test/java/laurelkeel/decision/BuildComparisonTest.java
@@ -21,8 +21,8 @@
 
     private final Settings settings = DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.FIRST_VOTE);
     private final OutcomeHistory own = new OutcomeHistory(settings.routes().size());
-    private final OutcomeHistory fleet = new OutcomeHistory(settings.routes().size());
-    private final BuildComparison comparison = new BuildComparison(settings, own, fleet);
+    private final OutcomeHistory allNodes = new OutcomeHistory(settings.routes().size());
+    private final BuildComparison comparison = new BuildComparison(settings, own, allNodes);
     private final List<Endpoint> endpoints = List.of(endpoint("a", CANARY, 0, 0), endpoint("b", CANARY, 0, 0));
 
     private static BuildOutcomes outcomes(OutcomeHistory history, int build) {
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aHigherErrorRateIsFoundByRoute() {
+    void findsHigherErrorRateOnARoute() {
         outcomes(own, STABLE).addAttempts(200, 1);
         outcomes(own, CANARY).addAttempts(50, 1);
         assertNull(find(true));
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void whereTheBaselineFailsTooOnlyRecoveredErrorsCount() {
+    void countsOnlyRecoveredErrorsIfTheBaselineFailsToo() {
         outcomes(own, STABLE).addAttempts(200, 20);
         outcomes(own, CANARY).addAttempts(100, 50);
         assertNull(find(true));
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void afterTheReleaseOnlyRecoveredErrorsCount() {
+    void countsOnlyRecoveredErrorsAfterTheRelease() {
         outcomes(own, STABLE).addAttempts(200, 0);
         outcomes(own, CANARY).addAttempts(100, 50);
         assertNull(find(false));
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void errorsOfOneEndpointAmongSeveralAreNotItsBuilds() {
+    void ignoresErrorsOfOneEndpointAmongSeveral() {
         outcomes(own, STABLE).addAttempts(200, 0);
         outcomes(own, CANARY).addAttempts(100, 30);
         for (int i = 0; i < 5; i++) {
@@ -82,23 +82,23 @@
     }
 
     @Test
-    void theCountsOfAllNodesSpeakWhereThisOneHasSeenFewAttemptsAndAnErrorOfItsOwn() {
-        outcomes(fleet, STABLE).addAttempts(100, 0);
-        outcomes(fleet, CANARY).addAttempts(20, 15);
+    void usesOutcomesOfAllNodesIfThisOneHasFewAttemptsIncludingAnError() {
+        outcomes(allNodes, STABLE).addAttempts(100, 0);
+        outcomes(allNodes, CANARY).addAttempts(20, 15);
         outcomes(own, CANARY).addAttempts(5, 0);
         List<Endpoint> eight = IntStream.range(0, 8)
                 .mapToObj(i -> endpoint("e" + i, CANARY, 0, 0))
                 .toList();
-        assertNull(find(true, eight), "timeouts of endpoints that warm up would count the same");
+        assertNull(find(true, eight), "the errors may be timeouts of endpoints that are warming up");
         outcomes(own, CANARY).addAttempts(1, 1);
         assertEquals(new Regression.HigherErrorRate(ROUTE), find(true, eight));
-        assertNull(find(true), "half of two endpoints may be faulty by themselves");
+        assertNull(find(true), "the fault may be in one of only two endpoints");
         outcomes(own, CANARY).addAttempts(14, 0);
-        assertNull(find(true, eight), "by now it has attempts enough of its own");
+        assertNull(find(true, eight), "this node now has enough attempts of its own");
     }
 
     @Test
-    void aHigherComplaintRateIsFound() {
+    void findsHigherComplaintRate() {
         outcomes(own, STABLE).addAttempts(200, 0);
         outcomes(own, CANARY).addAttempts(100, 0);
         for (int i = 0; i < 20; i++) {
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void aSlowBuildIsFoundWhileItsBaselineServes() {
+    void findsHigherLatencyOnlyWhileTheBaselineServes() {
         for (int i = 0; i < 50; i++) {
             outcomes(own, STABLE).addLatencyRatio(1);
             outcomes(own, CANARY).addLatencyRatio(3);
@@ -122,11 +122,11 @@
     }
 
     @Test
-    void eachNodeMustBeSurerTheMoreNodesThereAreForAVote() {
+    void requiresMoreStandardErrorsTheMoreNodesThereArePerVote() {
         assertEquals(3, BuildComparison.requiredStandardErrors(1, 1), 1e-9);
         assertEquals(3, BuildComparison.requiredStandardErrors(2, 3), 1e-9);
-        double ofMany = BuildComparison.requiredStandardErrors(100, 1);
-        assertEquals(Math.sqrt(9 + 2 * Math.log(100)), ofMany, 1e-9);
-        assertTrue(BuildComparison.requiredStandardErrors(100, 10) < ofMany);
+        double withManyNodes = BuildComparison.requiredStandardErrors(100, 1);
+        assertEquals(Math.sqrt(9 + 2 * Math.log(100)), withManyNodes, 1e-9);
+        assertTrue(BuildComparison.requiredStandardErrors(100, 10) < withManyNodes);
     }
 }
--- a/src/test/java/laurelkeel/decision/BuildOutcomesTest.java
+++ b/src/test/java/laurelkeel/decision/BuildOutcomesTest.java
@@ -6,7 +6,7 @@
 
 class BuildOutcomesTest {
     @Test
-    void outcomesAddUp() {
+    void addsUpAllCounts() {
         BuildOutcomes first = new BuildOutcomes();
         first.addAttempts(10, 2);
         first.addRecoveredFailure();
@@ -22,6 +22,6 @@
         assertEquals(1, first.complaints());
         assertEquals(2, first.latencySampleCount());
         assertEquals(2, first.meanLatencyRatio());
-        assertEquals(0.5, first.latencyRatioErrorSquared(2), 1e-9);
+        assertEquals(0.5, first.meanLatencyRatioVariance(2), 1e-9);
     }
 }
--- a/src/test/java/laurelkeel/decision/LatencyComparisonTest.java
+++ b/src/test/java/laurelkeel/decision/LatencyComparisonTest.java
@@ -18,7 +18,7 @@
         return outcomes;
     }
 
-    /** Warm endpoints with these latency ratios. */
+    /** Returns the latencies of warm endpoints with these ratios to the expected latency. */
     private static List<EndpointLatency> endpoints(double... ratios) {
         return DoubleStream.of(ratios)
                 .mapToObj(ratio -> {
@@ -33,42 +33,42 @@
     }
 
     @Test
-    void aBuildTwiceAsSlowOnItsEndpointsIsFound() {
+    void findsABuildMoreThanTwiceAsSlow() {
         assertNotNull(comparison.compare(answers(40, 2.5), answers(40, 1), endpoints(2.5, 2.5)));
         assertNull(comparison.compare(answers(40, 1.9), answers(40, 1), endpoints(1.9, 1.9)));
     }
 
     @Test
-    void aBaselineFasterThanUsualCountsAsUsual() {
+    void treatsABaselineFasterThanExpectedAsExpected() {
         assertNull(comparison.compare(answers(40, 1.5), answers(40, 0.5), endpoints(1.6, 1.6)));
     }
 
     @Test
-    void fewAnswersTellNothing() {
+    void ignoresSmallSamples() {
         assertNull(comparison.compare(answers(39, 3), answers(40, 1), endpoints(3, 3)));
         assertNull(comparison.compare(answers(40, 3), answers(39, 1), endpoints(3, 3)));
     }
 
     @Test
-    void oneSlowEndpointIsNoSlowBuild() {
+    void ignoresASingleSlowEndpoint() {
         assertNull(comparison.compare(answers(100, 3), answers(100, 1), endpoints(3)));
         assertNull(comparison.compare(answers(100, 3), answers(100, 1), endpoints(9, 1, 1)));
     }
 
     @Test
-    void fiveOfSixEndpointsMustBeSlow() {
+    void requiresFiveOfSixEndpointsToBeSlow() {
         assertNotNull(comparison.compare(answers(100, 3), answers(100, 1), endpoints(3, 3, 3, 3, 3, 1)));
         assertNull(comparison.compare(answers(100, 3), answers(100, 1), endpoints(3, 3, 3, 3, 1)));
     }
 
     @Test
-    void endpointsWithFewAnswersDoNotCount() {
-        EndpointLatency unknown = new EndpointLatency();
+    void ignoresEndpointsWithFewAnswers() {
+        EndpointLatency notMeasured = new EndpointLatency();
         for (int i = 0; i < 4; i++) {
-            unknown.countWarmAnswer();
+            notMeasured.countWarmAnswer();
         }
-        List<EndpointLatency> known = endpoints(3, 3);
-        List<EndpointLatency> all = List.of(known.get(0), unknown, known.get(1));
+        List<EndpointLatency> measured = endpoints(3, 3);
+        List<EndpointLatency> all = List.of(measured.get(0), notMeasured, measured.get(1));
         assertNotNull(comparison.compare(answers(100, 3), answers(100, 1), all));
     }
 }
--- a/src/test/java/laurelkeel/decision/OutcomeHistoryTest.java
+++ b/src/test/java/laurelkeel/decision/OutcomeHistoryTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void outcomesAreSummedByRouteAndOverall() {
+    void sumsOutcomesByRouteAndOverall() {
         attempts(1, CANARY, 0, 3);
         attempts(2, CANARY, 1, 4);
         attempts(2, STABLE, 1, 50);
@@ -31,21 +31,21 @@
     }
 
     @Test
-    void onlySecondsInWhichTheOtherBuildWasSeenCountBesideIt() {
+    void sumsOnlySecondsSharedWithTheOtherBuild() {
         attempts(1, STABLE, 0, 10);
         attempts(2, STABLE, 0, 20);
         attempts(2, CANARY, 0, 1);
-        assertEquals(20, history.totalBeside(STABLE, CANARY).overall().attempts());
-        assertEquals(1, history.totalBeside(CANARY, STABLE).overall().attempts());
+        assertEquals(20, history.totalInSharedSeconds(STABLE, CANARY).overall().attempts());
+        assertEquals(1, history.totalInSharedSeconds(CANARY, STABLE).overall().attempts());
     }
 
     @Test
-    void buildsAreComparedSpanBySpanFromTheLastOne() {
+    void returnsSpansFromTheLastToTheFirst() {
         attempts(40, CANARY, 0, 1);
         attempts(36, CANARY, 0, 2);
         attempts(35, CANARY, 0, 4);
         List<ComparedOutcomes> spans = history.compare(CANARY, STABLE, 5, 40 * SECOND);
-        assertEquals(6, spans.size(), "of the last 30 seconds");
+        assertEquals(6, spans.size(), "six spans of 5 seconds make 30 seconds");
         assertEquals(3, spans.get(0).candidate().overall().attempts());
         assertEquals(4, spans.get(1).candidate().overall().attempts());
         List<ComparedOutcomes> whole = history.compareAsOneSpan(CANARY, STABLE, 40 * SECOND);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void secondsAreForgottenAfterHalfAMinute() {
+    void discardsBucketsAfterHalfAMinute() {
         attempts(10, CANARY, 0, 1);
         attempts(11, CANARY, 0, 2);
         history.forgetOld(41 * SECOND);
@@ -63,27 +63,27 @@
     }
 
     @Test
-    void theFleetIsAsSlowAsTwoThirdsOfItsEndpointsExceed() {
-        OutcomeBucket second = history.bucketAt(0);
-        second.addLatencyRatio("a", 1);
-        second.addLatencyRatio("a", 3);
-        second.addLatencyRatio("b", 5);
-        assertEquals(0, second.fleetLatencyRatio(), "two endpoints are too few");
-        second.addLatencyRatio("c", 1);
-        assertEquals(2, second.fleetLatencyRatio());
+    void returnsTheLowerTertileOfTheLatencyRatiosOfEndpoints() {
+        OutcomeBucket bucket = history.bucketAt(0);
+        bucket.addLatencyRatio("a", 1);
+        bucket.addLatencyRatio("a", 3);
+        bucket.addLatencyRatio("b", 5);
+        assertEquals(0, bucket.lowerTertileLatencyRatio(), "two endpoints are too few");
+        bucket.addLatencyRatio("c", 1);
+        assertEquals(2, bucket.lowerTertileLatencyRatio());
     }
 
     @Test
-    void trafficIsCounted() {
-        OutcomeBucket second = history.bucketAt(0);
-        second.requestReceived();
-        second.attemptSent(true);
-        second.attemptSent(false);
-        assertEquals(1, second.requestsReceived());
-        assertEquals(2, second.attemptsSent());
-        assertEquals(1, second.attemptsSentToJudgedBuild());
-        assertFalse(second.hasSeen(CANARY));
-        second.outcomes(CANARY, 0);
-        assertTrue(second.hasSeen(CANARY));
+    void countsTraffic() {
+        OutcomeBucket bucket = history.bucketAt(0);
+        bucket.requestReceived();
+        bucket.attemptSent(true);
+        bucket.attemptSent(false);
+        assertEquals(1, bucket.requestsReceived());
+        assertEquals(2, bucket.attemptsSent());
+        assertEquals(1, bucket.attemptsSentToEvaluatedBuild());
+        assertFalse(bucket.hasOutcomesOf(CANARY));
+        bucket.outcomes(CANARY, 0);
+        assertTrue(bucket.hasOutcomesOf(CANARY));
     }
 }
--- a/src/test/java/laurelkeel/decision/OutcomeRecorderTest.java
+++ b/src/test/java/laurelkeel/decision/OutcomeRecorderTest.java
@@ -20,7 +20,7 @@
 class OutcomeRecorderTest {
     private static final int BUILD = 1;
     private static final long NOW_TICKS = SECOND;
-    private static final long USUAL_TICKS = 100;
+    private static final long EXPECTED_TICKS = 100;
 
     private final Settings settings = DecisionSimulation.settings(false, 0, Settings.PromotionPolicy.FIRST_VOTE);
     private final LatencyModel latencies = new LatencyModel(List.of(route(Idempotency.IDEMPOTENT)));
@@ -39,75 +39,75 @@
     }
 
     private void end(AttemptOutcome outcome) {
-        end(request(Idempotency.IDEMPOTENT), attempt(endpoint, true), outcome, USUAL_TICKS);
+        end(request(Idempotency.IDEMPOTENT), attempt(endpoint, true), outcome, EXPECTED_TICKS);
     }
 
     private static Attempt attempt(Endpoint endpoint, boolean isSettled) {
         return new Attempt(0, endpoint, 0, isSettled, 1, 0);
     }
 
-    private BuildOutcomes counted() {
+    private BuildOutcomes countedOutcomes() {
         return history.total(BUILD).overall();
     }
 
     @Test
-    void answersErrorsAndTimeoutsCountForTheBuild() {
+    void countsAnswersErrorsAndTimeoutsForTheBuild() {
         for (AttemptOutcome outcome : AttemptOutcome.values()) {
             end(outcome);
             end(AttemptOutcome.COMPLETED);
         }
-        assertEquals(AttemptOutcome.values().length + 3, counted().attempts());
-        assertEquals(1, counted().failures());
+        assertEquals(AttemptOutcome.values().length + 3, countedOutcomes().attempts());
+        assertEquals(1, countedOutcomes().failures());
     }
 
     @Test
-    void anErrorThatAnotherAttemptRecoversIsCountedWhereItHappened() {
+    void countsARecoveredErrorForTheBuildThatFailed() {
         ActiveRequest request = request(Idempotency.IDEMPOTENT);
-        end(request, attempt(endpoint, true), AttemptOutcome.FAILED, USUAL_TICKS);
-        assertEquals(0, counted().recoveredFailures());
-        end(request, attempt(endpoint("other", 2, 0, 0), true), AttemptOutcome.COMPLETED, USUAL_TICKS);
-        assertEquals(1, counted().recoveredFailures());
+        end(request, attempt(endpoint, true), AttemptOutcome.FAILED, EXPECTED_TICKS);
+        assertEquals(0, countedOutcomes().recoveredFailures());
+        end(request, attempt(endpoint("other", 2, 0, 0), true), AttemptOutcome.COMPLETED, EXPECTED_TICKS);
+        assertEquals(1, countedOutcomes().recoveredFailures());
     }
 
     @Test
-    void endpointsThatJustStartedAndSuspectsSpeakForNoBuild() {
-        end(request(Idempotency.IDEMPOTENT), attempt(endpoint, false), AttemptOutcome.FAILED, USUAL_TICKS);
+    void ignoresEndpointsThatJustStartedAndSuspects() {
+        end(request(Idempotency.IDEMPOTENT), attempt(endpoint, false), AttemptOutcome.FAILED, EXPECTED_TICKS);
         endpoint.health().setErrorOutlier(true);
         end(AttemptOutcome.FAILED);
-        assertEquals(0, counted().attempts());
+        assertEquals(0, countedOutcomes().attempts());
     }
 
     @Test
-    void latencyIsRatedOnceTheUsualOneIsKnown() {
+    void recordsLatencyRatiosOnceTheExpectedLatencyIsKnown() {
         for (int i = 0; i < 8; i++) {
             end(AttemptOutcome.COMPLETED);
         }
-        assertEquals(0, counted().latencySampleCount());
-        end(request(Idempotency.IDEMPOTENT), attempt(endpoint, true), AttemptOutcome.COMPLETED, 3 * USUAL_TICKS);
-        assertEquals(1, counted().latencySampleCount());
-        assertEquals(3, counted().meanLatencyRatio(), 1e-9);
+        assertEquals(0, countedOutcomes().latencySampleCount());
+        end(request(Idempotency.IDEMPOTENT), attempt(endpoint, true), AttemptOutcome.COMPLETED, 3 * EXPECTED_TICKS);
+        assertEquals(1, countedOutcomes().latencySampleCount());
+        assertEquals(3, countedOutcomes().meanLatencyRatio(), 1e-9);
         assertTrue(endpoint.latency().ratioToUsual() > 1);
     }
 
     @Test
-    void endpointsThatWarmUpAreNotRatedForTheirBuild() {
+    void recordsNoLatencyRatiosOfEndpointsThatAreWarmingUp() {
         for (int i = 0; i < 8; i++) {
             end(AttemptOutcome.COMPLETED);
         }
         Endpoint cold = endpointStartedAt(1);
-        end(request(Idempotency.IDEMPOTENT), attempt(cold, false), AttemptOutcome.COMPLETED, 3 * USUAL_TICKS);
-        assertEquals(0, counted().latencySampleCount());
+        end(request(Idempotency.IDEMPOTENT), attempt(cold, false), AttemptOutcome.COMPLETED, 3 * EXPECTED_TICKS);
+        assertEquals(0, countedOutcomes().latencySampleCount());
         assertEquals(0, cold.latency().warmAnswerCount());
     }
 
     @Test
-    void requestsAndAttemptsCountAsLoad() {
+    void countsRequestsAndAttemptsAsLoad() {
         recorder.requestReceived(request(Idempotency.IDEMPOTENT), NOW_TICKS);
         recorder.attemptPlanned(endpoint, NOW_TICKS);
-        OutcomeBucket second = history.bucketAt(NOW_TICKS);
-        assertEquals(1, second.requestsReceived());
-        assertEquals(1, second.attemptsSent());
-        assertEquals(0, second.attemptsSentToJudgedBuild(), "there is no rollout");
-        assertFalse(second.hasSeen(BUILD));
+        OutcomeBucket bucket = history.bucketAt(NOW_TICKS);
+        assertEquals(1, bucket.requestsReceived());
+        assertEquals(1, bucket.attemptsSent());
+        assertEquals(0, bucket.attemptsSentToEvaluatedBuild(), "no build is evaluated without a rollout");
+        assertFalse(bucket.hasOutcomesOf(BUILD));
     }
 }
--- a/src/test/java/laurelkeel/decision/RateComparisonTest.java
+++ b/src/test/java/laurelkeel/decision/RateComparisonTest.java
@@ -39,15 +39,15 @@
     }
 
     @Test
-    void aClearDifferenceIsFound() {
+    void findsAClearDifference() {
         span(0, 100, 20, 400, 4);
         assertTrue(isHigher());
         assertTrue(isHigher(0, ALL_INDEPENDENT));
-        assertFalse(isHigher(1, ALL_INDEPENDENT), "there is nothing on that route");
+        assertFalse(isHigher(1, ALL_INDEPENDENT), "no outcomes on that route");
     }
 
     @Test
-    void equalRatesAndChanceAreNoDifference() {
+    void ignoresEqualRatesAndInsignificantDifferences() {
         span(0, 100, 20, 400, 80);
         assertFalse(isHigher());
         spans.clear();
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aSureDifferenceBelowTwoPercentIsNotWorthARollback() {
+    void ignoresSignificantDifferencesBelowTwoPercent() {
         span(0, 100_000, 1_500, 100_000, 0);
         assertFalse(isHigher());
         span(0, 100_000, 3_000, 100_000, 0);
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void smallSamplesTellNothing() {
+    void ignoresSmallSamples() {
         span(0, 19, 19, 400, 0);
         assertFalse(isHigher(), "too few attempts");
         spans.clear();
@@ -72,28 +72,31 @@
         assertFalse(isHigher(), "too few failures");
     }
 
-    /** Summed over the spans, the candidate fails 92 of 200 and the baseline 28 of 200. */
+    /**
+     * The rates are equal within each span. Summed over the spans, however, 92 of 200 attempts fail at the candidate and 28 of
+     * 200 at the baseline.
+     */
     @Test
-    void aShareThatGrowsWhileAllFailMoreIsNoDifference() {
+    void ignoresARisingTrafficShareWhileBothBuildsFailMore() {
         span(0, 20, 2, 180, 18);
         span(0, 180, 90, 20, 10);
         assertFalse(isHigher());
     }
 
     @Test
-    void spansWithoutOneOfTheBuildsDoNotCount() {
+    void ignoresSpansThatLackOneBuild() {
         span(0, 100, 100, 0, 0);
         assertFalse(isHigher());
     }
 
     @Test
-    void fewIndependentAttemptsNeedAGreaterDifference() {
+    void requiresALargerDifferenceIfFewAttemptsAreIndependent() {
         span(0, 100, 20, 400, 4);
         assertFalse(isHigher(RouteOutcomes.ALL_ROUTES, 2));
     }
 
     @Test
-    void theStricterTestNeedsMore() {
+    void requiresALargerDifferenceIfMoreStandardErrorsAreRequired() {
         span(0, 100, 8, 400, 8);
         assertTrue(isHigher());
         RateComparison stricter = new RateComparison(5);
--- a/src/test/java/laurelkeel/decision/RegressionTest.java
+++ b/src/test/java/laurelkeel/decision/RegressionTest.java
@@ -6,7 +6,7 @@
 
 class RegressionTest {
     @Test
-    void findingsAreDescribedForTheLog() {
+    void describesFindingsForTheLog() {
         assertEquals("higher error rate on route 2", new Regression.HigherErrorRate(2).describe());
         assertEquals(
                 "higher complaint rate on all routes",
@@ -16,6 +16,6 @@
                 new Regression.HigherLatency(2.5, 50, 1, 90).describe());
         assertEquals(
                 "all endpoints slowed down in 9 of 10 s, latency ratio before 1.1",
-                new Regression.FleetSlowdown(9, 10, 1.1).describe());
+                new Regression.AllEndpointsSlowdown(9, 10, 1.1).describe());
     }
 }
--- a/src/test/java/laurelkeel/decision/RolloutStateTest.java
+++ b/src/test/java/laurelkeel/decision/RolloutStateTest.java
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void updatesOfOlderBuildsAndFailedCallsAreOutOfDate() {
+    void updatesOfOlderBuildsAndFailedCallsAreNotCurrent() {
         announce(3, 0, 0.1, RolloutPhase.CANARY);
         assertFalse(rollout.isCurrent(update(ControlStatus.OK, 2, 2, 1, RolloutPhase.RELEASED)));
         assertFalse(rollout.isCurrent(update(ControlStatus.STALE, 3, 1, 0.5, RolloutPhase.CANARY)));
@@ -63,16 +63,16 @@
     }
 
     @Test
-    void aStageStartsWhenBuildStageOrPhaseChange() {
+    void stageStartsWhenTheBuildStageOrPhaseChanges() {
         RolloutUpdate first = update(ControlStatus.OK, 2, 0, 0.1, RolloutPhase.CANARY);
         assertTrue(rollout.apply(first, NOW_TICKS));
         assertFalse(rollout.apply(first, NOW_TICKS + SECOND));
-        assertEquals(NOW_TICKS - SECOND, rollout.stageStartedAtTicks(), "it was a second old");
+        assertEquals(NOW_TICKS - SECOND, rollout.stageStartedAtTicks(), "the update was one second old");
         assertTrue(rollout.apply(update(ControlStatus.OK, 2, 1, 0.5, RolloutPhase.CANARY), NOW_TICKS));
     }
 
     @Test
-    void theReleasedBuildIsStableAndANewerOneIsACanaryAheadOfItsNews() {
+    void newerBuildThanTheReleasedOneIsACanaryBeforeItsAnnouncement() {
         capacities.put(1, 4.0);
         announce(1, 2, 1, RolloutPhase.RELEASED);
         assertEquals(1, rollout.stableBuild());
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void guardedStagesTakeIdempotentRequestsOnly() {
+    void guardedStagesExposeOnlyIdempotentRequests() {
         announce(1, 2, 1, RolloutPhase.RELEASED);
         announce(2, 0, 0.1, RolloutPhase.CANARY);
         assertTrue(rollout.mayExpose(Idempotency.IDEMPOTENT));
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void withoutAReleaseTheOlderBuildOfMostCapacityIsStable() {
+    void olderBuildWithMostCapacityIsStableWithoutARelease() {
         capacities.put(1, 2.0);
         capacities.put(2, 5.0);
         capacities.put(3, 9.0);
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void aBuildRolledBackAfterItsReleaseIsNotStable() {
+    void buildRolledBackAfterItsReleaseIsNotStable() {
         capacities.put(2, 5.0);
         announce(2, 2, 1, RolloutPhase.RELEASED);
         announce(2, 2, 0, RolloutPhase.ROLLING_BACK);
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void theLastStableBuildStaysSoWhileNoOtherHasEndpoints() {
+    void lastStableBuildRemainsWhileNoOtherHasEndpoints() {
         capacities.put(1, 5.0);
         announce(1, 2, 1, RolloutPhase.RELEASED);
         announce(2, 1, 0.5, RolloutPhase.CANARY);
@@ -128,16 +128,16 @@
     }
 
     @Test
-    void aBuildIsJudgedAsCanaryAndForAWhileAfterItsRelease() {
+    void buildIsEvaluatedAsCanaryAndForAWhileAfterItsRelease() {
         announce(1, 2, 1, RolloutPhase.RELEASED);
-        assertEquals(RolloutState.NO_BUILD, rollout.judgedBuild(NOW_TICKS), "nothing to compare it with");
+        assertEquals(RolloutState.NO_BUILD, rollout.evaluatedBuild(NOW_TICKS), "there is no baseline");
         announce(2, 1, 0.5, RolloutPhase.CANARY);
-        assertEquals(2, rollout.judgedBuild(NOW_TICKS));
+        assertEquals(2, rollout.evaluatedBuild(NOW_TICKS));
         announce(2, 2, 1, RolloutPhase.RELEASED);
         assertEquals(1, rollout.baselineBuild());
         long endTicks = rollout.stageStartedAtTicks() + 25 * SECOND;
-        assertEquals(2, rollout.judgedBuild(endTicks - 1));
-        assertEquals(RolloutState.NO_BUILD, rollout.judgedBuild(endTicks));
+        assertEquals(2, rollout.evaluatedBuild(endTicks - 1));
+        assertEquals(RolloutState.NO_BUILD, rollout.evaluatedBuild(endTicks));
     }
 
     @Test
--- a/src/test/java/laurelkeel/decision/RolloutVoterTest.java
+++ b/src/test/java/laurelkeel/decision/RolloutVoterTest.java
@@ -18,7 +18,7 @@
 import org.jspecify.annotations.Nullable;
 import org.junit.jupiter.api.Test;
 
-/** Votes time out after one second and count for five. */
+/** In the settings, votes time out after one second and have a lifetime of five seconds. */
 class RolloutVoterTest {
     private static final long SETTLED_TICKS = 3 * SECOND;
     private static final Regression REGRESSION = new Regression.HigherErrorRate(0);
@@ -70,19 +70,19 @@
     }
 
     @Test
-    void withoutACanaryThereIsNoVote() {
+    void doesNotVoteWithoutACanary() {
         assertNull(voteAt(100 * SECOND));
     }
 
     @Test
-    void aStageIsPromotedAfterThreeSeconds() {
+    void promotesAStageAfterThreeSeconds() {
         announce(2, 0, RolloutPhase.CANARY, 10 * SECOND);
         assertNull(voteAt(10 * SECOND + SETTLED_TICKS - 1));
         assertEquals(new CastVote(2, 0, Verdict.PROMOTE), voteAt(11 * SECOND + SETTLED_TICKS));
     }
 
     @Test
-    void itsNewestEndpointMustHaveRunForThreeSecondsToo() {
+    void promotesThreeSecondsAfterTheStartOfTheNewestEndpoint() {
         announce(2, 0, RolloutPhase.CANARY, 10 * SECOND);
         newestStartTicks = 12 * SECOND;
         assertNull(voteAt(12 * SECOND + SETTLED_TICKS - 1));
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void aRegressionIsVotedAgainstAtOnce() {
+    void votesAgainstARegressionImmediately() {
         announce(2, 0, RolloutPhase.CANARY, 10 * SECOND);
         regression = REGRESSION;
         RolloutVoter.Vote vote = voter.nextVote(10 * SECOND);
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void whereStagesEndByTimeNothingIsPromoted() {
+    void doesNotPromoteIfPromotionIsAutomatic() {
         voter = voter(PromotionPolicy.AUTOMATIC);
         announce(2, 0, RolloutPhase.CANARY, 10 * SECOND);
         assertNull(voteAt(20 * SECOND));
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void anAcceptedVoteIsRenewedBeforeItLapses() {
+    void renewsAnAcceptedVoteBeforeItExpires() {
         announce(2, 0, RolloutPhase.CANARY, 10 * SECOND);
         long castTicks = 20 * SECOND;
         assertNotNull(voteAt(castTicks));
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void aNewStageOrAnotherVerdictIsVotedOnAtOnce() {
+    void votesImmediatelyOnANewStageOrWithAnotherVerdict() {
         announce(2, 0, RolloutPhase.CANARY, 10 * SECOND);
         assertNotNull(voteAt(20 * SECOND));
         voter.voteAnswered(ControlStatus.OK);
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void aVoteWithoutAnAnswerIsCastAgainAfterItsTimeout() {
+    void castsAVoteWithoutAnAnswerAgainAfterItsTimeout() {
         announce(2, 0, RolloutPhase.CANARY, 10 * SECOND);
         assertNotNull(voteAt(20 * SECOND));
         assertNull(voteAt(20 * SECOND + 3 * SECOND / 2 - 1));
@@ -140,16 +140,16 @@
     }
 
     @Test
-    void aVoteThatWasNotAcceptedIsCastAgain() {
+    void castsAVoteThatWasNotAcceptedAgain() {
         announce(2, 0, RolloutPhase.CANARY, 10 * SECOND);
         assertNotNull(voteAt(20 * SECOND));
         voter.voteAnswered(ControlStatus.RATE_LIMITED);
-        assertNull(voteAt(20 * SECOND + SECOND / 2 - 1), "after a pause");
+        assertNull(voteAt(20 * SECOND + SECOND / 2 - 1), "only after a pause");
         assertNotNull(voteAt(20 * SECOND + SECOND / 2));
     }
 
     @Test
-    void aReleasedBuildIsNotPromotedButCanBeRolledBack() {
+    void doesNotPromoteAReleasedBuildButCanRollItBack() {
         announce(2, 2, RolloutPhase.CANARY, 10 * SECOND);
         announce(2, 2, RolloutPhase.RELEASED, 20 * SECOND);
         assertNull(voteAt(25 * SECOND));
