--- a/src/main/java/laurelkeel/decision/BuildCapacities.java
+++ b/src/main/java/laurelkeel/decision/BuildCapacities.java
@@ -2,14 +2,17 @@
 
 import java.util.Collection;
 
-/** The builds that have active endpoints, and how much these can serve. */
+/** The builds that have active endpoints, and the capacities of these endpoints. */
 interface BuildCapacities {
     /** Returns the builds that have active endpoints. */
     Collection<Integer> activeBuilds();
 
-    /** Returns the newest build that has active endpoints, or the least integer where none has. */
+    /** Returns the newest build that has active endpoints, or {@link Integer#MIN_VALUE} if there is none. */
     int newestActiveBuild();
 
-    /** Returns the capacity of a build's active endpoints, as far as they have warmed up; 0 where it has none. */
+    /**
+     * Returns the present capacity of a build's active endpoints, which is reduced while they are warming up; 0 if it has
+     * none.
+     */
     double currentCapacity(int build, long nowTicks);
 }
--- a/src/main/java/laurelkeel/decision/BuildEndpoints.java
+++ b/src/main/java/laurelkeel/decision/BuildEndpoints.java
@@ -7,7 +7,7 @@
 
 /** The active endpoints of one build, until the next update of the endpoint list. */
 final class BuildEndpoints {
-    /** Suspects above this share of the subset are replaced by other endpoints. */
+    /** If suspects exceed this share of the subset, it is selected again to replace them. */
     private static final double MAX_SUSPECT_SHARE = 0.125;
 
     private final List<Endpoint> endpoints;
@@ -19,7 +19,7 @@
     private boolean isCapacityStable;
     private double capacity;
 
-    /** @param endpoints at least one, by id */
+    /** @param endpoints at least one, in the order of their ids */
     BuildEndpoints(List<Endpoint> endpoints) {
         this.endpoints = endpoints;
         endpointHealth = endpoints.stream().map(Endpoint::health).toList();
@@ -44,7 +44,7 @@
         return endpoints;
     }
 
-    /** Returns the health of its endpoints, by index. */
+    /** Returns the health of each endpoint, by index. */
     List<EndpointHealth> endpointHealth() {
         return endpointHealth;
     }
@@ -58,12 +58,16 @@
         return all;
     }
 
-    /** Returns the indices of the endpoints that take turns. */
+    /** Returns the indices of the endpoints in use, as selected by {@link EndpointSubset}. */
     int[] subset() {
         return subset;
     }
 
-    /** Gives the next turn to one of some endpoints; null where there are none. */
+    /**
+     * Returns the next endpoint of the round robin among some endpoints, or null if there are none.
+     *
+     * @param candidates indices of the endpoints, in the first {@code count} entries
+     */
     @Nullable
     Endpoint next(int[] candidates, int count) {
         int index = rotation.next(candidates, count);
@@ -71,23 +75,23 @@
     }
 
     /**
-     * Whether every endpoint of the subset was found warm, healthy and not overloaded, with no outcome against one since:
-     * then all of them are candidates for a request that may go anywhere.
+     * Returns whether every endpoint of the subset was warm, healthy and not overloaded when last checked, and none has
+     * had an adverse outcome since. Then all of them are candidates for a request that may use any endpoint.
      */
     boolean areAllEligible() {
         return areAllEligible;
     }
 
-    void setAllEligible(boolean isUnrestricted) {
-        this.areAllEligible = isUnrestricted;
+    void setAllEligible(boolean areAllEligible) {
+        this.areAllEligible = areAllEligible;
     }
 
-    /** Makes the next pick look at the endpoints one by one. */
+    /** Makes the next pick check each endpoint again. */
     void invalidateEligibility() {
         areAllEligible = false;
     }
 
-    /** Selects anew the endpoints that take turns. */
+    /** Selects the endpoints in use again. */
     void reselect(EndpointSubset selection) {
         int size = endpoints.size();
         double[] positions =
@@ -109,7 +113,7 @@
         invalidateEligibility();
     }
 
-    /** Whether suspects are to give their places in the subset to other endpoints. */
+    /** Returns whether the subset has to be selected again to replace suspects. */
     boolean needsReselection() {
         return subset.length < all.length && suspectsInSubset() > MAX_SUSPECT_SHARE * subset.length;
     }
@@ -120,7 +124,7 @@
                 .count();
     }
 
-    /** Returns the capacity of its endpoints at the moment, as far as they have warmed up. */
+    /** Returns the present capacity of its endpoints, which is reduced while they are warming up. */
     double currentCapacity(SlowStart slowStart, long nowTicks) {
         if (!isCapacityStable) {
             capacity = endpoints.stream()
@@ -131,12 +135,12 @@
         return capacity;
     }
 
-    /** Returns when the newest of its endpoints started; 0 for long ago. */
+    /** Returns the start time of its newest endpoint; 0 if all started long ago. */
     long newestStartTicks() {
         return endpoints.stream().mapToLong(Endpoint::startedAtTicks).max().orElse(0);
     }
 
-    /** Keeps each endpoint's claim to turns for its next pool. */
+    /** Stores each endpoint's round robin credit in the endpoint, for its next pool. */
     void saveCredits() {
         for (int i = 0; i < all.length; i++) {
             endpoints.get(i).setCredit(rotation.credit(i));
--- a/src/main/java/laurelkeel/decision/BuildRouter.java
+++ b/src/main/java/laurelkeel/decision/BuildRouter.java
@@ -4,13 +4,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Chooses the build of a request's next attempt, and with it the endpoint.
+ * Chooses the build and the endpoint of a request's next attempt.
  *
- * <p>A key bound to a newer build goes there or nowhere. Other keys of the canary's slice go to the canary while its cap
- * allows, and all else goes to the stable build. Where that has no endpoint left, what the cap allows goes to the canary.
+ * <p>Requests whose key is bound to a build newer than the stable one are sent to that build only. Other requests in the
+ * canary's slice go to the canary as far as its cap allows, and the rest go to the stable build. If the stable build has no
+ * endpoint for them, the canary serves as many as its cap allows.
  */
 final class BuildRouter {
-    /** Picks an endpoint of a build; null where none may take the request. */
+    /** Picks an endpoint of a build; null if none may take the request. */
     interface Picker {
         @Nullable
         Endpoint pick(int build, ActiveRequest request, long nowTicks);
@@ -30,42 +31,42 @@
         this.picker = picker;
     }
 
-    /** Returns the endpoint for the next attempt of a request, or null where none may take it. */
+    /** Returns the endpoint for the next attempt of a request, or null if none may take it. */
     @Nullable
     Endpoint choose(ActiveRequest request, long nowTicks) {
         String key = request.partitionKey();
         int oldestAllowed = key == null ? StickyKeys.NO_BUILD : stickyKeys.oldestAllowedBuild(key);
         if (oldestAllowed > rollout.stableBuild()) {
-            boolean mayGoThere = oldestAllowed == rollout.canaryBuild() && mayExpose(request, true, nowTicks);
-            return mayGoThere ? picker.pick(oldestAllowed, request, nowTicks) : null;
+            boolean mayUseBoundBuild = oldestAllowed == rollout.canaryBuild() && mayExpose(request, true, nowTicks);
+            return mayUseBoundBuild ? picker.pick(oldestAllowed, request, nowTicks) : null;
         }
-        boolean isCanaryOpen = rollout.hasCanary() && !stickyKeys.isFull() && mayExpose(request, false, nowTicks);
+        boolean mayUseCanary = rollout.hasCanary() && !stickyKeys.isFull() && mayExpose(request, false, nowTicks);
         Endpoint endpoint = null;
-        if (isCanaryOpen && !request.avoidsCanary() && isInCanarySlice(request)) {
+        if (mayUseCanary && !request.avoidsCanary() && isInCanarySlice(request)) {
             endpoint = picker.pick(rollout.canaryBuild(), request, nowTicks);
         }
         if (endpoint == null) {
             endpoint = picker.pick(rollout.stableBuild(), request, nowTicks);
         }
-        if (endpoint == null && isCanaryOpen) {
+        if (endpoint == null && mayUseCanary) {
             endpoint = picker.pick(rollout.canaryBuild(), request, nowTicks);
         }
         return endpoint;
     }
 
-    /** Counts a request, a share of which the canary may get. */
+    /** Counts a request received; the canary's exposure cap is a share of these. */
     void requestReceived(int route, long nowTicks) {
         exposure.requestReceived(route, nowTicks);
     }
 
-    /** Counts an attempt against the cap of the canary, if it goes there. */
+    /** Counts an attempt against the canary's exposure cap if it goes to the canary. */
     void attemptPlanned(ActiveRequest request, Endpoint endpoint, long nowTicks) {
         if (isCanary(endpoint)) {
             exposure.attemptSent(endpoint.build(), request.routeIndex(), nowTicks);
         }
     }
 
-    /** Binds the key of a request while its attempt is in flight. */
+    /** Binds the key of a request to the endpoint's build while the attempt is in flight. */
     void attemptSent(ActiveRequest request, Endpoint endpoint) {
         String key = request.partitionKey();
         if (key != null && rollout.bindsKeys(endpoint.build())) {
@@ -73,7 +74,10 @@
         }
     }
 
-    /** Binds the key of a request for good where the endpoint has served it or may have. */
+    /**
+     * Ends the binding of the request's key by this attempt in flight. Binds the key permanently if the endpoint has served
+     * the request or may have.
+     */
     void attemptEnded(ActiveRequest request, Endpoint endpoint, AttemptOutcome outcome) {
         String key = request.partitionKey();
         if (key == null) {
@@ -85,7 +89,7 @@
         }
     }
 
-    /** Whether an endpoint runs the canary build. */
+    /** Returns whether an endpoint runs the canary build. */
     boolean isCanary(Endpoint endpoint) {
         return endpoint.build() == rollout.canaryBuild();
     }
--- a/src/main/java/laurelkeel/decision/ExposureLimiter.java
+++ b/src/main/java/laurelkeel/decision/ExposureLimiter.java
@@ -8,19 +8,22 @@
 import laurelkeel.api.Ticks;
 
 /**
- * Keeps the attempts at a canary build within its cap: a free allowance and a share of the requests received, within the
- * window of the settings.
+ * Limits the attempts at a canary build to its exposure cap: a fixed allowance plus a share of the requests received,
+ * within the window that the settings define.
  *
- * <p>Attempts are counted by build, so that a build which leaves the endpoint list and returns has no new allowance.
+ * <p>Attempts are counted by build, so that a build that leaves the endpoint list and returns gets no new allowance.
  */
 final class ExposureLimiter {
-    /** Share of the quota that is kept for keys already bound to the canary: these cannot go anywhere else. */
-    private static final double RESERVED_FOR_STICKY_KEYS = 0.15;
+    /** Share of the quota reserved for keys already bound to the canary, because they may not go to any other build. */
+    private static final double STICKY_KEY_RESERVE = 0.15;
 
-    /** The window is counted this much too long or too short, to our disadvantage: whoever audits it may see the same moments a little apart. */
-    private static final long EXPOSURE_MARGIN_TICKS = 60;
+    /**
+     * Lengthens the window for attempts and shortens the window for requests, because an auditor of the cap may see the
+     * same events at slightly different times.
+     */
+    private static final long WINDOW_MARGIN_TICKS = 60;
 
-    /** Past the window, for how long moments are kept at most. */
+    /** How long past the window timestamps are retained at most. */
     private static final long RETENTION_TICKS = Ticks.PER_SECOND;
 
     private final Rollout settings;
@@ -39,7 +42,7 @@
     }
 
     void requestReceived(int route, long nowTicks) {
-        received.get(counterOf(route)).record(nowTicks);
+        received.get(windowIndex(route)).record(nowTicks);
     }
 
     void attemptSent(int build, int route, long nowTicks) {
@@ -47,21 +50,21 @@
     }
 
     /**
-     * Whether one more attempt may be sent to a canary build.
+     * Returns whether one more attempt may be sent to a canary build.
      *
-     * @param exposureCap share of the requests that the build may get, from 0 to 1
+     * @param exposureCap share of the requests that the build may receive, from 0 to 1
      * @param isSticky whether the request's key is bound to the build
      */
     boolean allows(int build, int route, double exposureCap, boolean isSticky, long nowTicks) {
         long windowTicks = settings.exposureWindowTicks();
-        int attempts = attempts(build, route).countSince(nowTicks - windowTicks - EXPOSURE_MARGIN_TICKS);
-        int requests = received.get(counterOf(route)).countSince(nowTicks - windowTicks + EXPOSURE_MARGIN_TICKS);
+        int attempts = attempts(build, route).countSince(nowTicks - windowTicks - WINDOW_MARGIN_TICKS);
+        int requests = received.get(windowIndex(route)).countSince(nowTicks - windowTicks + WINDOW_MARGIN_TICKS);
         double quota = exposureCap * requests;
-        double reserve = isSticky ? 0 : RESERVED_FOR_STICKY_KEYS * quota;
+        double reserve = isSticky ? 0 : STICKY_KEY_RESERVE * quota;
         return attempts + 1 + reserve <= settings.exposureAllowance() + quota;
     }
 
-    /** Forgets what is out of the window. */
+    /** Discards timestamps that are outside the window. */
     void forgetOld(long nowTicks) {
         long beforeTicks = nowTicks - settings.exposureWindowTicks() - RETENTION_TICKS;
         received.forEach(window -> window.forgetBefore(beforeTicks));
@@ -70,10 +73,10 @@
     }
 
     private SlidingWindow attempts(int build, int route) {
-        return attemptsByBuild.computeIfAbsent(build, key -> newWindows()).get(counterOf(route));
+        return attemptsByBuild.computeIfAbsent(build, key -> newWindows()).get(windowIndex(route));
     }
 
-    private int counterOf(int route) {
+    private int windowIndex(int route) {
         return settings.exposurePerRoute() ? route : 0;
     }
 }
--- a/src/main/java/laurelkeel/decision/StickyKeys.java
+++ b/src/main/java/laurelkeel/decision/StickyKeys.java
@@ -5,19 +5,19 @@
 import java.util.TreeMap;
 
 /**
- * The oldest build that each partition key may still be sent to, where keys are sticky.
+ * The oldest build that each partition key may still be sent to, if keys are sticky.
  *
- * <p>A build binds a key by serving it, and for as long as an attempt of the key is in flight there: the endpoint may have
- * served it already, with the answer unread on a silent connection.
+ * <p>A key is bound to a build that has served it, and to a build with an attempt of the key in flight, whose endpoint may
+ * have served it already although the answer has not been read from the connection.
  */
 final class StickyKeys {
-    /** No build binds the key. */
+    /** The key is bound to no build. */
     static final int NO_BUILD = -1;
 
-    /** Bounds the memory: no further keys are exposed to a canary build beyond it. */
+    /** Bounds the memory used; beyond it, no further keys are sent to a canary build. */
     private static final int MAX_SERVED_KEYS = 200_000;
 
-    private final Map<String, Integer> servedBy = new HashMap<>();
+    private final Map<String, Integer> newestServingBuild = new HashMap<>();
     /** Number of attempts in flight, by key and build. */
     private final Map<String, TreeMap<Integer, Integer>> inFlight = new HashMap<>();
 
@@ -26,7 +26,7 @@
         inFlight.computeIfAbsent(partitionKey, key -> new TreeMap<>()).merge(build, 1, Integer::sum);
     }
 
-    /** Records the end of an attempt; one that was never recorded as sent changes nothing. */
+    /** Records the end of an attempt; has no effect if the attempt was never recorded as sent. */
     void attemptEnded(String partitionKey, int build) {
         TreeMap<Integer, Integer> attempts = inFlight.get(partitionKey);
         if (attempts == null) {
@@ -40,31 +40,31 @@
 
     /** Records that a build has served a key, whether or not its answer could be read. */
     void served(String partitionKey, int build) {
-        servedBy.merge(partitionKey, build, Math::max);
+        newestServingBuild.merge(partitionKey, build, Math::max);
     }
 
-    /** Returns the oldest build that a key may be sent to, or {@link #NO_BUILD} where any build may serve it. */
+    /** Returns the oldest build that a key may be sent to, or {@link #NO_BUILD} if any build may serve it. */
     int oldestAllowedBuild(String partitionKey) {
         TreeMap<Integer, Integer> attempts = inFlight.get(partitionKey);
         int newestInFlight = attempts == null ? NO_BUILD : attempts.lastKey();
-        return Math.max(newestInFlight, servedBy.getOrDefault(partitionKey, NO_BUILD));
+        return Math.max(newestInFlight, newestServingBuild.getOrDefault(partitionKey, NO_BUILD));
     }
 
-    /** Whether no further key may become sticky. */
+    /** Returns whether no further key may be bound. */
     boolean isFull() {
-        return servedBy.size() >= MAX_SERVED_KEYS;
+        return newestServingBuild.size() >= MAX_SERVED_KEYS;
     }
 
-    /** Frees the keys of a build that is taken back. */
+    /** Unbinds the keys of a build that is rolled back. */
     void buildRolledBack(int build) {
-        servedBy.values().removeIf(by -> by == build);
+        newestServingBuild.values().removeIf(servingBuild -> servingBuild == build);
         inFlight.values().forEach(attempts -> attempts.remove(build));
         inFlight.values().removeIf(TreeMap::isEmpty);
     }
 
-    /** Frees the keys of a released build and of older ones: nothing is sent to a build older than it again. */
+    /** Unbinds the keys of a released build and of older ones; builds older than it receive no more attempts. */
     void buildReleased(int build) {
-        servedBy.values().removeIf(by -> by <= build);
+        newestServingBuild.values().removeIf(servingBuild -> servingBuild <= build);
         inFlight.values().forEach(attempts -> attempts.headMap(build, true).clear());
         inFlight.values().removeIf(TreeMap::isEmpty);
     }
--- a/src/main/java/laurelkeel/decision/package-info.java
+++ b/src/main/java/laurelkeel/decision/package-info.java
@@ -1,10 +1,10 @@
 /**
- * Every decision of one front node: {@link laurelkeel.decision.RoutingDecider} takes events, asks one module for each
- * rule, and gives back actions. docs/design.md explains the rules.
+ * The decisions of one front node: {@link laurelkeel.decision.RoutingDecider} receives events, applies one module for each
+ * rule, and returns actions. docs/design.md explains the rules.
  *
- * <p>The modules are pure: no I/O, clock, thread or random source of their own. Moments are passed in, in
- * {@link laurelkeel.api.Ticks ticks} on a clock that only advances. They are not thread-safe; each belongs to one decider
- * and is used by that decider's caller only.
+ * <p>The modules have no I/O, clock, thread or random source of their own. Times are passed in as
+ * {@link laurelkeel.api.Ticks ticks} of a clock that only advances. The modules are not thread-safe; each belongs to one
+ * decider and is used only by that decider's caller.
  */
 @NullMarked
 package laurelkeel.decision;
--- a/src/test/java/laurelkeel/decision/BuildEndpointsTest.java
+++ b/src/test/java/laurelkeel/decision/BuildEndpointsTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void ofManyEndpointsASubsetTakesTurns() {
+    void usesASubsetOfManyEndpoints() {
         BuildEndpoints pool = pool(200);
         assertEquals(EndpointSubset.MIN_SIZE, pool.subset().length);
         assertEquals(200, pool.all().length);
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void itIsReselectedOnceMoreThanAnEighthOfItsSubsetIsSuspect() {
+    void needsReselectionIfMoreThanAnEighthOfTheSubsetIsSuspect() {
         BuildEndpoints pool = pool(200);
         int[] subset = pool.subset();
         for (int i = 0; i < subset.length / 8; i++) {
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void anEndpointCanRequireACheck() {
+    void endpointInvalidatesEligibilityOfItsPool() {
         BuildEndpoints pool = pool(3);
         pool.setAllEligible(true);
         pool.endpoint(1).eligibilityChanged();
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void creditsOutliveThePool() {
+    void storesCreditsForTheNextPool() {
         Endpoint first = endpoint("a");
         Endpoint second = endpoint("b");
         first.setCredit(0.25);
--- a/src/test/java/laurelkeel/decision/BuildRouterTest.java
+++ b/src/test/java/laurelkeel/decision/BuildRouterTest.java
@@ -25,7 +25,7 @@
     private static final int CANARY = 2;
     private static final int NONE = -1;
 
-    /** Builds follow from the announcements alone. */
+    /** Without active endpoints, the canary and the stable build depend on the announcements only. */
     private static final BuildCapacities NO_CAPACITIES = new BuildCapacities() {
         @Override
         public Collection<Integer> activeBuilds() {
@@ -49,7 +49,7 @@
     private final StickyKeys stickyKeys = new StickyKeys();
     private final CanaryRamp ramp = new CanaryRamp();
     private final ExposureLimiter exposure = new ExposureLimiter(settings, 1);
-    /** The builds that have an endpoint for any request. */
+    /** The builds that have an endpoint for every request. */
     private final Set<Integer> available = new TreeSet<>(List.of(STABLE, CANARY));
 
     private final BuildRouter router = new BuildRouter(
@@ -93,13 +93,13 @@
     }
 
     @Test
-    void theSliceOfTheCanaryGoesThereAndOtherKeysDoNot() {
+    void sendsOnlyKeysOfItsSliceToTheCanary() {
         assertEquals(CANARY, chosenBuild(key(true)));
         assertEquals(STABLE, chosenBuild(key(false)));
     }
 
     @Test
-    void aBoundKeyGoesToItsBuildOrNowhere() {
+    void sendsABoundKeyToItsBuildOnly() {
         String key = key(false);
         stickyKeys.served(key, CANARY);
         assertEquals(CANARY, chosenBuild(key));
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void beyondTheCapTheSliceGoesToTheStableBuild() {
+    void sendsTheSliceToTheStableBuildBeyondTheCap() {
         while (exposure.allows(CANARY, 0, 0.5, true, 0)) {
             exposure.attemptSent(CANARY, 0, 0);
         }
@@ -116,14 +116,14 @@
     }
 
     @Test
-    void aRequestThatFailedAtTheCanaryGoesToTheStableBuild() {
+    void sendsARequestThatFailedAtTheCanaryToTheStableBuild() {
         ActiveRequest request = request(route(Idempotency.IDEMPOTENT), key(true));
         request.attemptFailed(endpoint("e"), true);
         assertEquals(STABLE, chosenBuild(request));
     }
 
     @Test
-    void whereTheStableBuildHasNoEndpointTheCanaryServesWhatTheCapAllows() {
+    void usesTheCanaryUpToTheCapIfTheStableBuildHasNoEndpoint() {
         available.remove(STABLE);
         assertEquals(CANARY, chosenBuild(key(false)));
         while (exposure.allows(CANARY, 0, 0.5, true, 0)) {
@@ -133,13 +133,13 @@
     }
 
     @Test
-    void whereTheCanaryHasNoEndpointItsSliceGoesToTheStableBuild() {
+    void sendsTheSliceToTheStableBuildIfTheCanaryHasNoEndpoint() {
         available.remove(CANARY);
         assertEquals(STABLE, chosenBuild(key(true)));
     }
 
     @Test
-    void anAttemptAtTheCanaryBindsItsKeyAndCountsAgainstTheCap() {
+    void bindsTheKeyOfAnAttemptAtTheCanaryAndCountsItAgainstTheCap() {
         String key = key(true);
         ActiveRequest request = request(route(Idempotency.IDEMPOTENT), key);
         Endpoint canary = endpoint("e", CANARY, 0, 0);
@@ -151,11 +151,11 @@
         router.attemptEnded(request, canary, AttemptOutcome.FAILED);
         assertEquals(StickyKeys.NO_BUILD, stickyKeys.oldestAllowedBuild(key));
         router.attemptEnded(request, canary, AttemptOutcome.TIMED_OUT);
-        assertEquals(CANARY, stickyKeys.oldestAllowedBuild(key), "its answer may be on the way");
+        assertEquals(CANARY, stickyKeys.oldestAllowedBuild(key), "the endpoint may have served it");
     }
 
     @Test
-    void anAttemptAtTheStableBuildBindsNothing() {
+    void doesNotBindTheKeyOfAnAttemptAtTheStableBuild() {
         ActiveRequest request = request(route(Idempotency.IDEMPOTENT), "key");
         Endpoint stable = endpoint("e", STABLE, 0, 0);
         router.attemptPlanned(request, stable, 0);
@@ -165,11 +165,11 @@
     }
 
     @Test
-    void aRequestWithoutAKeyGoesByItsDraw() {
+    void sendsARequestWithoutAKeyByItsRandomFraction() {
         assertEquals(
                 STABLE,
                 chosenBuild(request(route(Idempotency.IDEMPOTENT), null)),
-                "a draw of 0.5 beside a threshold of 0.4");
+                "a fraction of 0.5 is above the threshold of 0.4");
         ramp.raise(1, 1, 1);
         assertTrue(ramp.threshold() > 0.5);
         assertEquals(CANARY, chosenBuild(request(route(Idempotency.IDEMPOTENT), null)));
--- a/src/test/java/laurelkeel/decision/CanaryRampTest.java
+++ b/src/test/java/laurelkeel/decision/CanaryRampTest.java
@@ -8,14 +8,14 @@
     private final CanaryRamp ramp = new CanaryRamp();
 
     @Test
-    void theThresholdIsAPartOfTheCap() {
+    void raisesTheThresholdToAShareOfTheCap() {
         ramp.observe(2, 10);
         ramp.raise(0.5, 10, 10);
         assertEquals(0.4, ramp.threshold(), 1e-9);
     }
 
     @Test
-    void itFollowsTheWarmCapacityOfTheCanary() {
+    void raisesTheThresholdWithTheCapacityOfTheCanary() {
         ramp.observe(2, 10);
         ramp.raise(1, 1, 10);
         assertEquals(0.125, ramp.threshold(), 1e-9);
@@ -24,14 +24,14 @@
     }
 
     @Test
-    void itRisesUpToTheCapWhereTheStableBuildHasLostItsCapacity() {
+    void raisesTheThresholdToTheCapIfTheStableBuildLosesCapacity() {
         ramp.observe(2, 10);
         ramp.raise(0.5, 3, 1);
         assertEquals(0.5, ramp.threshold(), 1e-9);
     }
 
     @Test
-    void itNeverFallsDuringARollout() {
+    void neverLowersTheThresholdDuringARollout() {
         ramp.observe(2, 10);
         ramp.raise(0.5, 10, 10);
         ramp.observe(2, 10);
@@ -40,12 +40,12 @@
     }
 
     @Test
-    void anotherCanaryStartsFromNothing() {
+    void resetsTheThresholdForAnotherCanary() {
         ramp.observe(2, 10);
         ramp.raise(0.5, 10, 10);
         ramp.observe(3, 5);
         assertEquals(0, ramp.threshold());
         ramp.raise(1, 1, 5);
-        assertEquals(0.25, ramp.threshold(), 1e-9, "the capacity before its own rollout counts");
+        assertEquals(0.25, ramp.threshold(), 1e-9, "relative to the capacity before its own rollout");
     }
 }
--- a/src/test/java/laurelkeel/decision/ExposureLimiterTest.java
+++ b/src/test/java/laurelkeel/decision/ExposureLimiterTest.java
@@ -8,7 +8,7 @@
 import laurelkeel.api.Settings.PromotionPolicy;
 import org.junit.jupiter.api.Test;
 
-/** With an allowance of two attempts and a window of four seconds. */
+/** The settings have an allowance of two attempts and a window of four seconds. */
 class ExposureLimiterTest {
     private static final int CANARY = 2;
     private static final double CAP = 0.5;
@@ -40,21 +40,21 @@
     }
 
     @Test
-    void attemptsStayWithinTheAllowanceAndTheShareOfTheRequests() {
+    void limitsAttemptsToTheAllowanceAndAShareOfTheRequests() {
         assertEquals(2, sendAll(limiter, 0, true, 0));
         receive(limiter, 100, 0);
         assertEquals(50, sendAll(limiter, 0, true, 0));
     }
 
     @Test
-    void aPartOfTheShareIsKeptForStickyKeys() {
+    void reservesPartOfTheShareForStickyKeys() {
         receive(limiter, 100, 0);
-        assertEquals(44, sendAll(limiter, 0, false, 0), "two and 85% of 50");
+        assertEquals(44, sendAll(limiter, 0, false, 0), "the allowance of 2 and 85% of 50");
         assertEquals(8, sendAll(limiter, 0, true, 0));
     }
 
     @Test
-    void requestsLeaveTheWindowAheadOfAttempts() {
+    void requestsLeaveTheWindowBeforeAttempts() {
         receive(limiter, 4, 0);
         assertEquals(4, sendAll(limiter, 0, true, 0));
         long requestsEndTicks = WINDOW_TICKS - MARGIN_TICKS;
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void routesAreCountedApartWhereTheSettingsSaySo() {
+    void countsByRouteOnlyIfTheSettingsSaySo() {
         ExposureLimiter perRoute = limiter(true);
         receive(perRoute, 100, 0);
         assertEquals(2, sendAll(perRoute, 1, true, 0));
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void eachBuildIsCountedByItself() {
+    void countsEachBuildSeparately() {
         assertEquals(2, sendAll(limiter, 0, true, 0));
         assertTrue(limiter.allows(CANARY + 1, 0, CAP, true, 0));
         limiter.forgetOld(WINDOW_TICKS);
--- a/src/test/java/laurelkeel/decision/StickyKeySliceTest.java
+++ b/src/test/java/laurelkeel/decision/StickyKeySliceTest.java
@@ -9,12 +9,12 @@
     private static final int KEYS = 10_000;
 
     @Test
-    void aKeyHasOneFractionForABuild() {
+    void mapsAKeyToOneFractionPerBuild() {
         assertEquals(StickyKeySlice.fractionOf("customer-1", 4), StickyKeySlice.fractionOf("customer-1", 4));
     }
 
     @Test
-    void keysOfAnyAlphabetAreSpreadEvenly() {
+    void distributesNonAsciiKeysEvenly() {
         int inSlice = 0;
         for (int i = 0; i < KEYS; i++) {
             String key = "" + (char) ('à' + i % 100) + (char) ('à' + i / 100);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void theSlicesOfTwoBuildsAreIndependent() {
+    void slicesOfTwoBuildsAreIndependent() {
         int inFirst = 0;
         int inBoth = 0;
         for (int i = 0; i < KEYS; i++) {
--- a/src/test/java/laurelkeel/decision/StickyKeysTest.java
+++ b/src/test/java/laurelkeel/decision/StickyKeysTest.java
@@ -10,7 +10,7 @@
     private final StickyKeys keys = new StickyKeys();
 
     @Test
-    void aServedKeyGoesToNoOlderBuild() {
+    void doesNotAllowOlderBuildsForAServedKey() {
         keys.served("a", 3);
         keys.served("a", 2);
         assertEquals(3, keys.oldestAllowedBuild("a"));
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void anAttemptInFlightBindsItsKeyUntilItEnds() {
+    void attemptInFlightBindsItsKeyUntilItEnds() {
         keys.attemptSent("a", 2);
         keys.attemptSent("a", 2);
         keys.attemptEnded("a", 2);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void theEndOfAnAttemptThatWasNotRecordedChangesNothing() {
+    void ignoresTheEndOfAnAttemptThatWasNotRecorded() {
         keys.attemptSent("a", 3);
         keys.attemptEnded("a", 2);
         keys.attemptEnded("b", 2);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aRollbackFreesTheKeysOfItsBuildOnly() {
+    void rollbackUnbindsOnlyTheKeysOfItsBuild() {
         keys.served("a", 2);
         keys.served("b", 3);
         keys.attemptSent("c", 3);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void aReleaseFreesTheKeysOfItsBuildAndOfOlderOnes() {
+    void releaseUnbindsTheKeysOfItsBuildAndOfOlderOnes() {
         keys.served("a", 2);
         keys.served("b", 3);
         keys.attemptSent("c", 2);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void itIsFullAtABoundedNumberOfKeys() {
+    void isFullAtAFixedNumberOfKeys() {
         for (int i = 0; i < 199_999; i++) {
             keys.served("k" + i, 2);
         }
