--- a/src/main/java/laurelkeel/decision/ExposureLimiter.java
+++ b/src/main/java/laurelkeel/decision/ExposureLimiter.java
@@ -18,8 +18,8 @@
     private static final double STICKY_KEY_RESERVE = 0.15;
 
     /**
-     * Lengthens the window for attempts and shortens the window for requests, because an auditor of the cap may see the
-     * same events at slightly different times.
+     * Lengthens the window for attempts and shortens the window for requests. This errs on the safe side, because an auditor
+     * of the cap may see the same events at slightly different times.
      */
     private static final long WINDOW_MARGIN_TICKS = 60;
 
@@ -65,7 +65,7 @@
     }
 
     /** Discards timestamps that are outside the window. */
-    void forgetOld(long nowTicks) {
+    void removeExpired(long nowTicks) {
         long beforeTicks = nowTicks - settings.exposureWindowTicks() - RETENTION_TICKS;
         received.forEach(window -> window.forgetBefore(beforeTicks));
         attemptsByBuild.values().forEach(windows -> windows.forEach(window -> window.forgetBefore(beforeTicks)));
--- a/src/main/java/laurelkeel/decision/OutcomeHistory.java
+++ b/src/main/java/laurelkeel/decision/OutcomeHistory.java
@@ -34,7 +34,7 @@
     }
 
     /** Discards the buckets that are too old. */
-    void forgetOld(long nowTicks) {
+    void removeExpired(long nowTicks) {
         long retentionTicks = RETENTION_SECONDS * Ticks.PER_SECOND;
         bucketsBySecond.headMap((nowTicks - retentionTicks) / Ticks.PER_SECOND).clear();
     }
--- a/src/main/java/laurelkeel/decision/RoutingDecider.java
+++ b/src/main/java/laurelkeel/decision/RoutingDecider.java
@@ -181,10 +181,10 @@
     /** Updates what need not be exact at every decision. */
     private void runHousekeeping(long nowTicks) {
         throughput.update(nowTicks);
-        exposure.forgetOld(nowTicks);
+        exposure.removeExpired(nowTicks);
         endpoints.updateWarmUpBudgets(nowTicks);
-        ownOutcomes.forgetOld(nowTicks);
-        allNodesOutcomes.forgetOld(nowTicks);
+        ownOutcomes.removeExpired(nowTicks);
+        allNodesOutcomes.removeExpired(nowTicks);
         requests.forgetOld(nowTicks);
         endpoints.markErrorOutliers();
         endpoints.adaptSubsets(latency.inFlight(), admission.areAnswersWaiting(), nowTicks);
--- a/src/test/java/laurelkeel/decision/ExposureLimiterTest.java
+++ b/src/test/java/laurelkeel/decision/ExposureLimiterTest.java
@@ -80,7 +80,7 @@
     void countsEachBuildSeparately() {
         assertEquals(2, sendAll(limiter, 0, true, 0));
         assertTrue(limiter.allows(CANARY + 1, 0, CAP, true, 0));
-        limiter.forgetOld(WINDOW_TICKS);
+        limiter.removeExpired(WINDOW_TICKS);
         assertFalse(limiter.allows(CANARY, 0, CAP, true, WINDOW_TICKS), "its attempts are still in the window");
     }
 }
--- a/src/test/java/laurelkeel/decision/OutcomeHistoryTest.java
+++ b/src/test/java/laurelkeel/decision/OutcomeHistoryTest.java
@@ -56,7 +56,7 @@
     void discardsBucketsAfterHalfAMinute() {
         attempts(10, CANARY, 0, 1);
         attempts(11, CANARY, 0, 2);
-        history.forgetOld(41 * SECOND);
+        history.removeExpired(41 * SECOND);
         assertEquals(2, history.total(CANARY).overall().attempts());
         assertEquals(1, history.lastSeconds(30, 41 * SECOND).size());
         assertEquals(0, history.lastSeconds(29, 41 * SECOND).size());
