--- a/src/main/java/laurelkeel/decision/BuildEndpoints.java
+++ b/src/main/java/laurelkeel/decision/BuildEndpoints.java
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Returns the next endpoint of the round robin among some endpoints, or null if there are none.
+     * Gives the next turn of the round robin to one of some endpoints and returns it; null if there are none.
      *
      * @param candidates indices of the endpoints, in the first {@code count} entries
      */
--- a/src/main/java/laurelkeel/decision/BuildOutcomes.java
+++ b/src/main/java/laurelkeel/decision/BuildOutcomes.java
@@ -71,7 +71,7 @@
     /**
      * Returns the variance of the mean latency ratio, which is the square of its standard error.
      *
-     * @param mean the value that deviations are taken from; the caller may have raised it above the true mean
+     * @param mean the mean latency ratio; the caller may have raised it above the true mean, which lowers the result
      */
     double meanLatencyRatioVariance(double mean) {
         return (latencyRatioSquareSum / latencySampleCount - mean * mean) / latencySampleCount;
--- a/src/main/java/laurelkeel/decision/CanaryRamp.java
+++ b/src/main/java/laurelkeel/decision/CanaryRamp.java
@@ -32,7 +32,7 @@
     /**
      * Raises the share to what the cap and the capacities allow now.
      *
-     * @param exposureCap share of the requests that the canary may get
+     * @param exposureCap share of the requests that the canary may receive
      */
     void raise(double exposureCap, double canaryCapacity, double stableCapacity) {
         double targetShare = TARGET_SHARE_OF_CAP * exposureCap;
--- a/src/main/java/laurelkeel/decision/OutcomeRecorder.java
+++ b/src/main/java/laurelkeel/decision/OutcomeRecorder.java
@@ -66,9 +66,8 @@
             latency.recordDeviation(ratio);
             recordRatio(attempt, route, ratio, nowTicks);
         }
-        // while a build is evaluated, only unknown levels are learned, and only from other builds: otherwise a slowdown
-        // of
-        // all builds would become the expected latency
+        // while a build is evaluated, only unknown levels are learned, and only from other builds:
+        // otherwise a slowdown of all builds would become the expected latency
         int evaluatedBuild = rollout.evaluatedBuild(nowTicks);
         boolean isOtherBuildAtUnknownLevel = endpoint.build() != evaluatedBuild && !latency.isKnown(level);
         if (evaluatedBuild == RolloutState.NO_BUILD || isOtherBuildAtUnknownLevel) {
--- a/src/main/java/laurelkeel/decision/package-info.java
+++ b/src/main/java/laurelkeel/decision/package-info.java
@@ -3,8 +3,8 @@
  * rule, and returns actions. docs/design.md explains the rules.
  *
  * <p>The modules have no I/O, clock, thread or random source of their own. Times are passed in as
- * {@link laurelkeel.api.Ticks ticks} of a clock that only advances. The modules are not thread-safe; each belongs to one
- * decider and is used only by that decider's caller.
+ * {@link laurelkeel.api.Ticks ticks} of a monotonic clock. The modules are not thread-safe; each belongs to one decider
+ * and is used only by that decider's caller.
  */
 @NullMarked
 package laurelkeel.decision;
