--- a/src/main/java/laurelkeel/decision/AllEndpointsSlowdownDetector.java
+++ b/src/main/java/laurelkeel/decision/AllEndpointsSlowdownDetector.java
@@ -51,10 +51,11 @@
             requests += bucket.requestsReceived();
         }
         // not attempts: load shedding would hide an increase in requests
-        boolean isUsualLoad =
+        boolean isLoadComparable =
                 ratioBefore > 0 && requests < MAX_LOAD_GROWTH * requestsPerSecondBefore(history) * OBSERVED_SECONDS;
-        boolean isLasting =
-                isUsualLoad && measuredSeconds >= minMeasuredSeconds && slowSeconds >= MIN_SLOW_SHARE * measuredSeconds;
+        boolean isLasting = isLoadComparable
+                && measuredSeconds >= minMeasuredSeconds
+                && slowSeconds >= MIN_SLOW_SHARE * measuredSeconds;
         return isLasting ? new Regression.AllEndpointsSlowdown(slowSeconds, measuredSeconds, ratioBefore) : null;
     }
 
