--- a/src/main/java/laurelkeel/decision/RoutingDecider.java
+++ b/src/main/java/laurelkeel/decision/RoutingDecider.java
@@ -159,7 +159,7 @@
         Endpoint endpoint = endpoints.find(complaint.endpointId());
         if (endpoint != null) {
             ownOutcomes
-                    .secondOf(nowTicks - complaint.sentAgoTicks())
+                    .bucketAt(nowTicks - complaint.sentAgoTicks())
                     .outcomes(endpoint.build(), complaint.route())
                     .addComplaint();
         }
@@ -167,7 +167,7 @@
 
     private void recordStatistics(BuildStatistics statistics, long nowTicks) {
         allNodesOutcomes
-                .secondOf(nowTicks - statistics.ageTicks())
+                .bucketAt(nowTicks - statistics.ageTicks())
                 .outcomes(statistics.build(), statistics.route())
                 .addAttempts(statistics.attempts(), statistics.errors());
     }
@@ -181,10 +181,10 @@
     /** Updates what need not be exact at every decision. */
     private void runHousekeeping(long nowTicks) {
         throughput.update(nowTicks);
-        exposure.forgetOld(nowTicks);
+        exposure.removeExpired(nowTicks);
         endpoints.updateWarmUpBudgets(nowTicks);
-        ownOutcomes.forgetOld(nowTicks);
-        allNodesOutcomes.forgetOld(nowTicks);
+        ownOutcomes.removeExpired(nowTicks);
+        allNodesOutcomes.removeExpired(nowTicks);
         requests.forgetOld(nowTicks);
         endpoints.markErrorOutliers();
         endpoints.adaptSubsets(latency.inFlight(), admission.areAnswersWaiting(), nowTicks);
