--- a/src/main/java/laurelkeel/platform/DiscoveryClient.java
+++ b/src/main/java/laurelkeel/platform/DiscoveryClient.java
@@ -73,8 +73,8 @@
     private void onList(JsonNode json) throws UnusableMessageException {
         DiscoveredListHeader header = DiscoveryProtocol.parseHeader(json);
         Event.EndpointListUpdate update = null;
-        if (directory.acceptNews(header, loop.nowTicks())) {
-            update = directory.applyNews(DiscoveryProtocol.parseEndpoints(json, header), loop.nowTicks());
+        if (directory.acceptVersion(header, loop.nowTicks())) {
+            update = directory.applyUpdate(DiscoveryProtocol.parseEndpoints(json, header), loop.nowTicks());
         }
         reported = true;
         if (FrontNode.TRACE) {
--- a/src/main/java/laurelkeel/platform/EndpointDirectory.java
+++ b/src/main/java/laurelkeel/platform/EndpointDirectory.java
@@ -83,25 +83,14 @@
     }
 
     /**
-     * Applies a list from the watch.
+     * Applies the endpoint list from the configuration, which is the list that this node last knew.
      *
-     * @return the event for it; null where the list is known already
-     * @throws StaleEndpointListException where it is complete and older than the list that is known
+     * @return the event for it; null if it contains nothing new
+     * @throws StaleEndpointListException if it is complete and older than the known list
      */
-    Event.@Nullable EndpointListUpdate apply(DiscoveredEndpointList list, long nowTicks)
-            throws StaleEndpointListException {
-        return apply(list, false, nowTicks);
-    }
-
-    /** As {@link #apply}, for the list of the configuration, as this node last had it. */
     Event.@Nullable EndpointListUpdate applyCached(DiscoveredEndpointList list, long nowTicks)
             throws StaleEndpointListException {
-        return apply(list, true, nowTicks);
-    }
-
-    private Event.@Nullable EndpointListUpdate apply(DiscoveredEndpointList list, boolean cached, long nowTicks)
-            throws StaleEndpointListException {
-        return acceptNews(list.header(), nowTicks) ? applyNews(list, cached, nowTicks) : null;
+        return acceptVersion(list.header(), nowTicks) ? applyUpdate(list, true, nowTicks) : null;
     }
 
     /**
@@ -110,7 +99,7 @@
      *
      * @throws StaleEndpointListException where it is complete and older than the list that is known
      */
-    boolean acceptNews(DiscoveredListHeader list, long nowTicks) throws StaleEndpointListException {
+    boolean acceptVersion(DiscoveredListHeader list, long nowTicks) throws StaleEndpointListException {
         if (!list.complete() && list.version() <= version) {
             return false;
         }
@@ -119,11 +108,11 @@
     }
 
     /** Applies a list from the watch that is news, and returns the event for it. */
-    Event.EndpointListUpdate applyNews(DiscoveredEndpointList list, long nowTicks) {
-        return applyNews(list, false, nowTicks);
+    Event.EndpointListUpdate applyUpdate(DiscoveredEndpointList list, long nowTicks) {
+        return applyUpdate(list, false, nowTicks);
     }
 
-    private Event.EndpointListUpdate applyNews(DiscoveredEndpointList list, boolean cached, long nowTicks) {
+    private Event.EndpointListUpdate applyUpdate(DiscoveredEndpointList list, boolean cached, long nowTicks) {
         boolean justChanged = watched && !list.complete();
         List<Entry> listed = new ArrayList<>();
         for (DiscoveredEndpoint endpoint : list.endpoints()) {
--- a/src/test/java/laurelkeel/platform/EndpointDirectoryTest.java
+++ b/src/test/java/laurelkeel/platform/EndpointDirectoryTest.java
@@ -13,6 +13,7 @@
 import laurelkeel.api.Event.EndpointListKind;
 import laurelkeel.api.Event.EndpointState;
 import laurelkeel.api.Ticks;
+import org.jspecify.annotations.Nullable;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -33,21 +34,25 @@
         return new DiscoveredEndpointList(new DiscoveredListHeader(version, complete), List.of(endpoints));
     }
 
+    /** Applies a list from the watch as {@link DiscoveryClient} does; returns null if it contains nothing new. */
+    private Event.@Nullable EndpointListUpdate apply(DiscoveredEndpointList list, long nowTicks)
+            throws StaleEndpointListException {
+        return directory.acceptVersion(list.header(), nowTicks) ? directory.applyUpdate(list, nowTicks) : null;
+    }
+
     @BeforeEach
-    void learnFirstList() throws Exception {
-        directory.apply(
-                list(5, true, endpoint("s-1", EndpointState.ACTIVE, 1), endpoint("s-2", EndpointState.ACTIVE, 1)), NOW);
+    void applyFirstList() throws Exception {
+        apply(list(5, true, endpoint("s-1", EndpointState.ACTIVE, 1), endpoint("s-2", EndpointState.ACTIVE, 1)), NOW);
     }
 
     @Test
     void aListBecomesAnEventOfItsKind() throws Exception {
-        Event.EndpointListUpdate delta =
-                directory.apply(list(6, false, endpoint("s-1", EndpointState.DRAINING, 1)), NOW);
+        Event.EndpointListUpdate delta = apply(list(6, false, endpoint("s-1", EndpointState.DRAINING, 1)), NOW);
         assertNotNull(delta);
         assertEquals(EndpointListKind.DELTA, delta.kind());
         assertEquals(
                 List.of(new Event.EndpointEntry("s-1", 1, 1, 0, 0, 1, EndpointState.DRAINING, 0)), delta.entries());
-        Event.EndpointListUpdate snapshot = directory.apply(list(7, true), NOW);
+        Event.EndpointListUpdate snapshot = apply(list(7, true), NOW);
         assertNotNull(snapshot);
         assertEquals(EndpointListKind.SNAPSHOT, snapshot.kind());
         assertEquals(7, directory.version());
@@ -63,39 +68,39 @@
 
     @Test
     void changesThatAreKnownChangeNothing() throws Exception {
-        assertNull(directory.apply(list(5, false, endpoint("s-1", EndpointState.REMOVED, 1)), NOW));
+        assertNull(apply(list(5, false, endpoint("s-1", EndpointState.REMOVED, 1)), NOW));
         assertEquals(1, directory.buildUnchangedSince("s-1", NOW));
     }
 
     @Test
     void anOlderCompleteListIsFollowedOnlyAfterSixSeconds() throws Exception {
         DiscoveredEndpointList older = list(4, true, endpoint("s-1", EndpointState.ACTIVE, 1));
-        assertThrows(StaleEndpointListException.class, () -> directory.apply(older, NOW));
-        assertThrows(StaleEndpointListException.class, () -> directory.apply(older, NOW + 6 * Ticks.PER_SECOND - 1));
+        assertThrows(StaleEndpointListException.class, () -> apply(older, NOW));
+        assertThrows(StaleEndpointListException.class, () -> apply(older, NOW + 6 * Ticks.PER_SECOND - 1));
         assertEquals(5, directory.version());
-        assertNotNull(directory.apply(older, NOW + 6 * Ticks.PER_SECOND));
+        assertNotNull(apply(older, NOW + 6 * Ticks.PER_SECOND));
         assertEquals(4, directory.version());
     }
 
     @Test
     void aNewerListBetweenOlderOnesBeginsTheirWaitAnew() throws Exception {
         DiscoveredEndpointList older = list(4, true);
-        assertThrows(StaleEndpointListException.class, () -> directory.apply(older, NOW));
-        directory.apply(list(6, false), NOW);
-        assertThrows(StaleEndpointListException.class, () -> directory.apply(older, LATER));
+        assertThrows(StaleEndpointListException.class, () -> apply(older, NOW));
+        apply(list(6, false), NOW);
+        assertThrows(StaleEndpointListException.class, () -> apply(older, LATER));
     }
 
     @Test
     void anAddressIsRetiredWithItsEndpointItsBuildAndItsRemoval() throws Exception {
         String first = directory.addressOf("s-1").key();
         String second = directory.addressOf("s-2").key();
-        directory.apply(list(6, false, endpoint("s-1", EndpointState.ACTIVE, 2)), NOW);
+        apply(list(6, false, endpoint("s-1", EndpointState.ACTIVE, 2)), NOW);
         assertEquals(List.of(first), retired);
         assertNotEquals(first, directory.addressOf("s-1").key());
-        directory.apply(list(7, false, endpoint("s-2", EndpointState.REMOVED, 1)), NOW);
+        apply(list(7, false, endpoint("s-2", EndpointState.REMOVED, 1)), NOW);
         assertEquals(List.of(first, second), retired);
         String third = directory.addressOf("s-1").key();
-        directory.apply(list(8, true), NOW);
+        apply(list(8, true), NOW);
         assertEquals(List.of(first, second, third), retired);
     }
 
@@ -107,19 +112,19 @@
 
     @Test
     void onlyAnActiveEndpointThatHasNotChangedHasABuild() throws Exception {
-        directory.apply(list(6, false, endpoint("s-1", EndpointState.ACTIVE, 1)), LATER);
+        apply(list(6, false, endpoint("s-1", EndpointState.ACTIVE, 1)), LATER);
         assertEquals(1, directory.buildUnchangedSince("s-1", NOW));
-        directory.apply(list(7, false, endpoint("s-1", EndpointState.ACTIVE, 2)), LATER);
+        apply(list(7, false, endpoint("s-1", EndpointState.ACTIVE, 2)), LATER);
         assertEquals(EndpointDirectory.NO_BUILD, directory.buildUnchangedSince("s-1", NOW));
         assertEquals(2, directory.buildUnchangedSince("s-1", LATER));
-        directory.apply(list(8, false, endpoint("s-1", EndpointState.DRAINING, 2)), LATER);
+        apply(list(8, false, endpoint("s-1", EndpointState.DRAINING, 2)), LATER);
         assertEquals(EndpointDirectory.NO_BUILD, directory.buildUnchangedSince("s-1", LATER));
     }
 
     @Test
     void namesThatTheSettingsLackAreNumberedAsTheyAreMet() throws Exception {
         DiscoveredEndpoint other = new DiscoveredEndpoint("s-3", "", null, "c", "m9", 0, EndpointState.ACTIVE, 1, 0, 1);
-        Event.EndpointListUpdate update = directory.apply(list(6, false, other), NOW);
+        Event.EndpointListUpdate update = apply(list(6, false, other), NOW);
         assertNotNull(update);
         assertEquals(2, update.entries().get(0).zone());
         assertEquals(2, update.entries().get(0).kind());
