--- a/src/main/java/laurelkeel/platform/ClientRequestParser.java
+++ b/src/main/java/laurelkeel/platform/ClientRequestParser.java
@@ -14,14 +14,14 @@
 import laurelkeel.wire.HttpRequest;
 import org.jspecify.annotations.Nullable;
 
-/** Parses the requests of the platform's clients; thread-safe. */
+/** Parses and validates client requests; thread-safe. */
 final class ClientRequestParser {
-    /** Longer than any value that the platform makes, and short enough to keep thousands of them. */
-    private static final int MAX_VALUE_CHARS = 128;
+    /** Longer than any header value that the platform generates, and short enough to store thousands of them. */
+    private static final int MAX_HEADER_VALUE_CHARS = 128;
 
-    private static final int UNKNOWN = -1;
-    /** The tenant of every request where the settings have none. */
-    private static final int ONLY_TENANT = 0;
+    private static final int UNKNOWN_ROUTE = -1;
+    /** Tenant index of every request if the settings define no tenants. */
+    private static final int DEFAULT_TENANT = 0;
 
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
@@ -34,51 +34,51 @@
 
     ClientRequestParser(List<Settings.Route> routes, SocketOptions options) {
         this.routes = routes;
-        routeIndexes = indexes(options.routes());
-        tenantIndexes = indexes(options.tenants());
+        routeIndexes = indexByName(options.routes());
+        tenantIndexes = indexByName(options.tenants());
         clientsMarkRetries = options.clientsMarkRetries();
     }
 
-    private static Map<String, Integer> indexes(List<String> names) {
+    private static Map<String, Integer> indexByName(List<String> names) {
         Map<String, Integer> indexes = new HashMap<>();
         names.forEach(name -> indexes.put(name, indexes.size()));
         return indexes;
     }
 
-    /** The index of a route by its name; below 0 where there is none. */
+    /** Returns the index of the route of this name; negative if there is none. */
     int routeIndex(String name) {
-        return routeIndexes.getOrDefault(name, UNKNOWN);
+        return routeIndexes.getOrDefault(name, UNKNOWN_ROUTE);
     }
 
     /**
      * Parses a request.
      *
-     * @throws HttpProtocolException where it cannot be accepted; its message goes to the client
+     * @throws HttpProtocolException if the request is invalid; its message becomes the body of the response
      */
     ClientRequest parse(HttpRequest request) throws HttpProtocolException {
         int routeIndex = routeIndex(firstPathSegment(request.path()));
-        if (routeIndex == UNKNOWN) {
+        if (routeIndex == UNKNOWN_ROUTE) {
             throw new HttpProtocolException(NOT_FOUND, "no route has this path");
         }
         Settings.Route route = routes.get(routeIndex);
         checkMethod(request, route.idempotency());
-        String requestId = requiredValue(request, PlatformHeaders.REQUEST_ID);
+        String requestId = requiredHeader(request, PlatformHeaders.REQUEST_ID);
         String idempotencyKey = route.idempotency() == Idempotency.DEDUPLICATED
-                ? requiredValue(request, PlatformHeaders.IDEMPOTENCY_KEY)
-                : value(request, PlatformHeaders.IDEMPOTENCY_KEY);
-        int tenant = tenant(request);
+                ? requiredHeader(request, PlatformHeaders.IDEMPOTENCY_KEY)
+                : optionalHeader(request, PlatformHeaders.IDEMPOTENCY_KEY);
+        int tenantIndex = parseTenantIndex(request);
         return new ClientRequest(
                 requestId,
-                forwarded(request, requestId, idempotencyKey),
+                forwardedMessage(request, requestId, idempotencyKey),
                 false,
                 request.closesConnection(),
                 routeIndex,
-                tenant,
-                value(request, PlatformHeaders.PARTITION_KEY),
-                remainingTicks(request, route.timeoutTicks()),
+                tenantIndex,
+                optionalHeader(request, PlatformHeaders.PARTITION_KEY),
+                parseRemainingTicks(request, route.timeoutTicks()),
                 0,
                 clientsMarkRetries
-                        && PlatformHeaders.YES.equals(request.headers().get(PlatformHeaders.CLIENT_RETRY)));
+                        && PlatformHeaders.FLAG_SET.equals(request.headers().get(PlatformHeaders.CLIENT_RETRY)));
     }
 
     private static String firstPathSegment(String path) {
@@ -97,10 +97,10 @@
         }
     }
 
-    private int tenant(HttpRequest request) throws HttpProtocolException {
-        String name = value(request, PlatformHeaders.TENANT);
+    private int parseTenantIndex(HttpRequest request) throws HttpProtocolException {
+        String name = optionalHeader(request, PlatformHeaders.TENANT);
         if (tenantIndexes.isEmpty()) {
-            return ONLY_TENANT;
+            return DEFAULT_TENANT;
         }
         Integer index = name == null ? null : tenantIndexes.get(name);
         if (index == null) {
@@ -109,8 +109,9 @@
         return index;
     }
 
-    /** What goes on to an endpoint: the request with its id and key alone, without other headers. */
-    private static ForwardedMessage forwarded(HttpRequest request, String requestId, @Nullable String idempotencyKey) {
+    /** Builds the request for endpoints; of its headers, only the request id and the idempotency key are forwarded. */
+    private static ForwardedMessage forwardedMessage(
+            HttpRequest request, String requestId, @Nullable String idempotencyKey) {
         Headers headers = Headers.of(PlatformHeaders.REQUEST_ID, requestId);
         if (idempotencyKey != null) {
             headers.add(PlatformHeaders.IDEMPOTENCY_KEY, idempotencyKey);
@@ -119,31 +120,33 @@
                 new HttpRequest(request.method(), request.target(), 1, headers, request.body()), List.of());
     }
 
-    private static String requiredValue(HttpRequest request, String header) throws HttpProtocolException {
-        String value = value(request, header);
+    private static String requiredHeader(HttpRequest request, String header) throws HttpProtocolException {
+        String value = optionalHeader(request, header);
         if (value == null) {
             throw new HttpProtocolException(BAD_REQUEST, header + " is missing");
         }
         return value;
     }
 
-    /** The value of a header that may stand once at most; null where it is missing. */
-    private static @Nullable String value(HttpRequest request, String header) throws HttpProtocolException {
+    /** Returns the value of a header that may occur at most once; null if it is missing. */
+    private static @Nullable String optionalHeader(HttpRequest request, String header) throws HttpProtocolException {
         String value = request.headers().get(header);
         if (value == null) {
             return null;
         }
         if (value.isEmpty()
-                || value.length() > MAX_VALUE_CHARS
+                || value.length() > MAX_HEADER_VALUE_CHARS
                 || request.headers().count(header) > 1) {
             throw new HttpProtocolException(
-                    BAD_REQUEST, header + " must stand once, with 1 to " + MAX_VALUE_CHARS + " characters");
+                    BAD_REQUEST, header + " must stand once, with 1 to " + MAX_HEADER_VALUE_CHARS + " characters");
         }
         return value;
     }
 
-    /** Rounded down: the client must never be answered later than it waits. */
-    private static long remainingTicks(HttpRequest request, long maxTicks) throws HttpProtocolException {
+    /**
+     * Returns the time that the client still waits, rounded down so that no response comes after the client gave up.
+     */
+    private static long parseRemainingTicks(HttpRequest request, long maxTicks) throws HttpProtocolException {
         String text = request.headers().get(PlatformHeaders.REMAINING_SECONDS);
         OptionalLong ticks = text == null ? OptionalLong.empty() : DecimalSeconds.parseTicks(text);
         if (ticks.isEmpty()) {
--- a/src/main/java/laurelkeel/platform/ClientResponses.java
+++ b/src/main/java/laurelkeel/platform/ClientResponses.java
@@ -5,7 +5,7 @@
 import laurelkeel.wire.HttpProtocolException;
 import laurelkeel.wire.HttpResponse;
 
-/** Builds the responses that a front node itself gives to clients; thread-safe. */
+/** Builds the responses that a front node generates itself; thread-safe. */
 final class ClientResponses {
     private static final int BAD_GATEWAY = 502;
     private static final int SERVICE_UNAVAILABLE = 503;
@@ -13,15 +13,15 @@
 
     private ClientResponses() {}
 
-    /** The response to a request that cannot be accepted. */
+    /** Returns the response to an invalid request. */
     static HttpResponse badRequest(HttpProtocolException reason) {
         return plainText(reason.status(), String.valueOf(reason.getMessage()));
     }
 
     /**
-     * The response to a request that had no effect: the client may repeat it.
+     * Returns the response to a rejected request. The request had no effect, so the client may retry it.
      *
-     * @param retryAfterTicks how long the client is asked to stay away; 0 for no advice
+     * @param retryAfterTicks how long the client should wait before it retries; 0 to omit the header
      */
     static HttpResponse rejected(long retryAfterTicks, String reason) {
         HttpResponse response = plainText(SERVICE_UNAVAILABLE, reason);
@@ -31,7 +31,7 @@
         return response;
     }
 
-    /** The response to a request that failed and may have had an effect. */
+    /** Returns the response to a request that failed and may have had an effect. */
     static HttpResponse failed(boolean timedOut, String reason) {
         return plainText(timedOut ? GATEWAY_TIMEOUT : BAD_GATEWAY, reason);
     }
--- a/src/main/java/laurelkeel/platform/EndpointMessages.java
+++ b/src/main/java/laurelkeel/platform/EndpointMessages.java
@@ -8,7 +8,7 @@
 import laurelkeel.wire.HttpResponse;
 import laurelkeel.wire.MessageBuilder;
 
-/** Writes what a front node sends to endpoints, and parses their responses; thread-safe. */
+/** Writes a front node's messages to endpoints and parses their responses; thread-safe. */
 final class EndpointMessages {
     static final String HEALTH_CHECK_PATH = "/load";
 
@@ -22,14 +22,14 @@
     /**
      * Writes the headers that this node adds to an attempt.
      *
-     * @param timeoutTicks how long this node waits for the response; below 0 counts as 0
+     * @param timeoutTicks how long this node waits for the response; a negative value counts as 0
      */
     static void writeAttemptHeaders(MessageBuilder message, long timeoutTicks) {
         message.appendHeader(PlatformHeaders.HOST, HOST)
                 .appendHeader(PlatformHeaders.REMAINING_SECONDS, DecimalSeconds.formatTicks(Math.max(0, timeoutTicks)));
     }
 
-    /** A complete request for an endpoint's health and load. */
+    /** Returns a complete request for an endpoint's health and load. */
     static byte[] healthCheckRequest(MessageBuilder message) {
         return message.appendText("GET " + HEALTH_CHECK_PATH + " HTTP/1.1\r\n")
                 .appendHeader(PlatformHeaders.HOST, HOST)
@@ -37,7 +37,7 @@
                 .takeBytes();
     }
 
-    /** Parses a complete response; only the body of one that completed goes on to the client. */
+    /** Parses a complete response; only the body is forwarded to the client, and only if the attempt completed. */
     static EndpointResponse parse(HttpResponse response) {
         AttemptOutcome outcome = outcome(response);
         ForwardedMessage forwarded = outcome == AttemptOutcome.COMPLETED
@@ -55,8 +55,8 @@
         if (status == OK) {
             return AttemptOutcome.COMPLETED;
         }
-        boolean neverRan = (status == SERVICE_UNAVAILABLE || status == GATEWAY_TIMEOUT)
-                && PlatformHeaders.YES.equals(response.headers().get(PlatformHeaders.NOT_EXECUTED));
-        return neverRan ? AttemptOutcome.OVERLOADED : AttemptOutcome.FAILED;
+        boolean notExecuted = (status == SERVICE_UNAVAILABLE || status == GATEWAY_TIMEOUT)
+                && PlatformHeaders.FLAG_SET.equals(response.headers().get(PlatformHeaders.NOT_EXECUTED));
+        return notExecuted ? AttemptOutcome.OVERLOADED : AttemptOutcome.FAILED;
     }
 }
--- a/src/main/java/laurelkeel/platform/LoadReportParser.java
+++ b/src/main/java/laurelkeel/platform/LoadReportParser.java
@@ -7,9 +7,9 @@
 import laurelkeel.api.LoadReport;
 import org.jspecify.annotations.Nullable;
 
-/** Parses endpoints' load reports into the names that the decisions know; thread-safe. */
+/** Parses endpoints' load reports and translates the names of their values; thread-safe. */
 final class LoadReportParser {
-    /** The platform's names of values, and the settings' names of the same. */
+    /** The settings' name for each value by the platform's name. */
     private static final Map<String, String> VALUE_NAMES = Map.of(
             "inflight", "concurrent",
             "queue", "depth",
@@ -21,10 +21,10 @@
     private LoadReportParser() {}
 
     /**
-     * Parses the value of a header.
+     * Parses the value of the load report header.
      *
-     * @param header a JSON object; null where there is no header
-     * @return its numbers; empty where it is missing or malformed
+     * @param header a JSON object; null if the header is missing
+     * @return the numbers of the object; empty if the header is missing or malformed
      */
     static LoadReport parse(@Nullable String header) {
         if (header == null) {
--- a/src/main/java/laurelkeel/platform/PlatformProtocol.java
+++ b/src/main/java/laurelkeel/platform/PlatformProtocol.java
@@ -12,22 +12,22 @@
 import laurelkeel.wire.MessageBuilder;
 import org.jspecify.annotations.Nullable;
 
-/** The platform's HTTP protocol on both sides of a front node; thread-safe. */
+/** The platform's HTTP protocol between clients, front node and endpoints; thread-safe. */
 final class PlatformProtocol implements Protocol {
     static final String HEALTH_PATH = "/healthz";
 
-    private final ClientRequestParser requests;
-    private final long retryAfterWhenNotAcceptedTicks;
+    private final ClientRequestParser requestParser;
+    private final long notAcceptedRetryAfterTicks;
 
     PlatformProtocol(Settings settings, SocketOptions options) {
-        requests = new ClientRequestParser(settings.routes(), options);
+        requestParser = new ClientRequestParser(settings.routes(), options);
         Settings.Capabilities capabilities = settings.capabilities();
-        retryAfterWhenNotAcceptedTicks = capabilities.retryAfter() ? capabilities.maxRetryAfterTicks() : 0;
+        notAcceptedRetryAfterTicks = capabilities.retryAfter() ? capabilities.maxRetryAfterTicks() : 0;
     }
 
-    /** The index of a route by its name; below 0 where there is none. */
+    /** Returns the index of the route of this name; negative if there is none. */
     int routeIndex(String name) {
-        return requests.routeIndex(name);
+        return requestParser.routeIndex(name);
     }
 
     @Override
@@ -37,7 +37,7 @@
 
     @Override
     public ClientRequest parseRequest(HttpRequest request) throws HttpProtocolException {
-        return requests.parse(request);
+        return requestParser.parse(request);
     }
 
     @Override
@@ -47,7 +47,7 @@
 
     @Override
     public HttpResponse notAccepted(String reason) {
-        return ClientResponses.rejected(retryAfterWhenNotAcceptedTicks, reason);
+        return ClientResponses.rejected(notAcceptedRetryAfterTicks, reason);
     }
 
     @Override
@@ -65,7 +65,10 @@
         return EndpointMessages.parse(response);
     }
 
-    /** The attempt may have run. It does not count against the endpoint's build: any endpoint may send such bytes. */
+    /**
+     * Treats an unreadable response as a lost connection: the attempt may have been executed, and the response does not
+     * count against the endpoint's build, since endpoints of any build may send such bytes.
+     */
     @Override
     public AttemptOutcome unreadableOutcome() {
         return AttemptOutcome.CONNECTION_LOST;
@@ -77,7 +80,7 @@
         EndpointMessages.writeAttemptHeaders(message, timeoutTicks);
     }
 
-    /** Adds nothing: the platform's responses carry no headers of the front node. */
+    /** Does nothing, since the platform's responses carry no headers of the front node. */
     @Override
     public void writeResponseHeaders(MessageBuilder message, String requestId) {}
 
--- a/src/test/java/laurelkeel/platform/ClientRequestParserTest.java
+++ b/src/test/java/laurelkeel/platform/ClientRequestParserTest.java
@@ -46,10 +46,10 @@
         return new HttpRequest("POST", target, 1, headers, "body".getBytes(StandardCharsets.US_ASCII));
     }
 
-    private void assertRefused(int status, String message, HttpRequest request) {
-        HttpProtocolException refused = assertThrows(HttpProtocolException.class, () -> parser.parse(request));
-        assertEquals(status, refused.status());
-        assertEquals(message, refused.getMessage());
+    private void assertRejected(int status, String message, HttpRequest request) {
+        HttpProtocolException rejected = assertThrows(HttpProtocolException.class, () -> parser.parse(request));
+        assertEquals(status, rejected.status());
+        assertEquals(message, rejected.getMessage());
     }
 
     @Test
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void theMarkOfARetryCountsOnlyWhereClientsSetIt() throws Exception {
+    void theRetryHeaderIsIgnoredUnlessClientsSetIt() throws Exception {
         HttpRequest marked = get("/look", headers().add("X-Repeat", "1"));
         assertTrue(parser.parse(marked).clientRetry());
         assertFalse(parser(List.of("umbrella"), false).parse(marked).clientRetry());
@@ -90,36 +90,36 @@
     }
 
     @Test
-    void withoutTenantsInTheSettingsEveryRequestIsOfTheFirst() throws Exception {
+    void withoutConfiguredTenantsEveryRequestHasTenantZero() throws Exception {
         assertEquals(0, parser(List.of(), true).parse(get("/look", headers())).tenant());
     }
 
     @Test
-    void onlyADeduplicatedRouteNeedsAnIdempotencyKey() throws Exception {
-        assertRefused(400, "Idempotency-Key is missing", post("/pay", headers()));
+    void onlyADeduplicatedRouteRequiresAnIdempotencyKey() throws Exception {
+        assertRejected(400, "Idempotency-Key is missing", post("/pay", headers()));
         assertEquals(2, parser.parse(post("/go", headers())).route());
     }
 
     @Test
-    void anInvalidRequestIsRefusedWithTheReason() {
-        assertRefused(404, "no route has this path", get("/nowhere", headers()));
-        assertRefused(405, "this path takes GET", post("/look", headers()));
-        assertRefused(405, "this path takes POST", get("/go", headers()));
-        assertRefused(400, "a GET has no body", new HttpRequest("GET", "/look", 1, headers(), new byte[] {'x'}));
-        assertRefused(400, "X-Correlation-Id is missing", get("/look", new Headers()));
-        assertRefused(
+    void anInvalidRequestIsRejectedWithTheReason() {
+        assertRejected(404, "no route has this path", get("/nowhere", headers()));
+        assertRejected(405, "this path takes GET", post("/look", headers()));
+        assertRejected(405, "this path takes POST", get("/go", headers()));
+        assertRejected(400, "a GET has no body", new HttpRequest("GET", "/look", 1, headers(), new byte[] {'x'}));
+        assertRejected(400, "X-Correlation-Id is missing", get("/look", new Headers()));
+        assertRejected(
                 400,
                 "X-Correlation-Id must stand once, with 1 to 128 characters",
                 get("/look", headers().add("X-Correlation-Id", "r2")));
-        assertRefused(
+        assertRejected(
                 400,
                 "X-Session-Key must stand once, with 1 to 128 characters",
                 get("/look", headers().add("X-Session-Key", "x".repeat(129))));
-        assertRefused(
+        assertRejected(
                 400,
                 "X-Account names no customer",
                 get("/look", Headers.of("X-Correlation-Id", "r1", "X-Account", "nobody")));
-        assertRefused(
+        assertRejected(
                 400,
                 "X-Time-Left must be a number of seconds above 0",
                 get("/look", Headers.of("X-Correlation-Id", "r1", "X-Account", "acme")));
--- a/src/test/java/laurelkeel/platform/ClientResponsesTest.java
+++ b/src/test/java/laurelkeel/platform/ClientResponsesTest.java
@@ -24,14 +24,14 @@
     }
 
     @Test
-    void aFailureTellsATimeoutFromOtherReasons() {
+    void aTimeoutAndAnotherFailureHaveDifferentStatuses() {
         assertEquals(504, ClientResponses.failed(true, "late").status());
         assertEquals(502, ClientResponses.failed(false, "failed").status());
         assertEquals("failed\n", body(ClientResponses.failed(false, "failed")));
     }
 
     @Test
-    void aRequestThatCannotBeAcceptedGetsItsStatusAndReason() {
+    void anInvalidRequestGetsItsStatusAndReason() {
         HttpResponse response = ClientResponses.badRequest(new HttpProtocolException(405, "this path takes GET"));
         assertEquals(405, response.status());
         assertEquals("this path takes GET\n", body(response));
--- a/src/test/java/laurelkeel/platform/DecimalSecondsTest.java
+++ b/src/test/java/laurelkeel/platform/DecimalSecondsTest.java
@@ -9,7 +9,7 @@
 
 class DecimalSecondsTest {
     @Test
-    void aTimeIsParsedToWholeTicksRoundedDown() {
+    void aDurationIsParsedToWholeTicksRoundedDown() {
         assertEquals(OptionalLong.of(4_800), DecimalSeconds.parseTicks("0.480"));
         assertEquals(OptionalLong.of(4_801), DecimalSeconds.parseTicks("0.48019"));
         assertEquals(OptionalLong.of(2_900), DecimalSeconds.parseTicks("0.29"));
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void whatIsNoTimeAboveZeroIsEmpty() {
+    void anythingButAPositiveDurationIsEmpty() {
         for (String text : List.of("", "soon", "NaN", "0", "-1", "1e999")) {
             assertTrue(DecimalSeconds.parseTicks(text).isEmpty(), text);
         }
--- a/src/test/java/laurelkeel/platform/EndpointMessagesTest.java
+++ b/src/test/java/laurelkeel/platform/EndpointMessagesTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void theStatusAndTheMarkDecideTheOutcome() {
+    void theStatusAndTheNotExecutedHeaderDetermineTheOutcome() {
         assertEquals(AttemptOutcome.COMPLETED, outcome(200));
         assertEquals(AttemptOutcome.COMPLETED, outcome(200, "X-Unprocessed", "1"));
         assertEquals(AttemptOutcome.OVERLOADED, outcome(503, "X-Unprocessed", "1"));
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void onlyTheBodyOfACompletedResponseGoesOn() {
+    void onlyTheBodyOfACompletedResponseIsForwarded() {
         EndpointResponse response = parse(200, Headers.of("Other", "x", "Connection", "close"));
         assertEquals(
                 "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n",
@@ -46,14 +46,14 @@
     }
 
     @Test
-    void aLoadReportMayRideOnAnyResponse() {
+    void anyResponseMayCarryALoadReport() {
         Headers headers = Headers.of("X-Backend-Load", "{\"inflight\":7}");
         assertEquals(Double.valueOf(7), parse(503, headers).loadReport().concurrentRequests());
         assertEquals(LoadReport.NONE, parse(200, new Headers()).loadReport());
     }
 
     @Test
-    void anAttemptCarriesTheTimeThatTheNodeWaits() {
+    void anAttemptCarriesTheNodesTimeout() {
         MessageBuilder message = new MessageBuilder();
         EndpointMessages.writeAttemptHeaders(message, 4_801);
         assertEquals("Host: app.svc\r\nX-Time-Left: 0.4801\r\n", text(message.takeBytes()));
--- a/src/test/java/laurelkeel/platform/LoadReportParserTest.java
+++ b/src/test/java/laurelkeel/platform/LoadReportParserTest.java
@@ -8,7 +8,7 @@
 
 class LoadReportParserTest {
     @Test
-    void valuesGetTheNamesOfTheSettings() {
+    void valuesAreRenamedToTheNamesOfTheSettings() {
         assertEquals(
                 new LoadReport(Map.of(
                         "concurrent",
--- a/src/test/java/laurelkeel/platform/PlatformProtocolTest.java
+++ b/src/test/java/laurelkeel/platform/PlatformProtocolTest.java
@@ -14,13 +14,13 @@
 import laurelkeel.api.Event.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
-/** The platform's HTTP protocol on the sockets of a node: what clients and endpoints send, and what they receive. */
+/** The platform's HTTP protocol on a node's sockets: the messages that clients and endpoints send and receive. */
 class PlatformProtocolTest {
-    /** An endpoint's bytes before it closes the connection, and the attempt's outcome. */
+    /** The bytes that an endpoint sends before it closes the connection, and the expected outcome of the attempt. */
     private record ResponseCase(String response, AttemptOutcome outcome) {}
 
     @Test
-    void aRequestIsForwardedByteForByteAndItsResponseComesBack() throws Exception {
+    void aRequestIsForwardedByteForByteAndItsResponseIsReturned() throws Exception {
         try (PlatformTestBed testBed = new PlatformTestBed(PlatformTestBed::sendOnce)) {
             Socket client = testBed.connectClient();
             send(
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void eachResponseOfTheOutcomeTableHasItsOutcome() throws Exception {
+    void eachEndpointResponseIsMappedToItsOutcome() throws Exception {
         List<ResponseCase> cases = List.of(
                 new ResponseCase("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", AttemptOutcome.FAILED),
                 new ResponseCase(
@@ -100,32 +100,32 @@
     }
 
     @Test
-    void anInvalidRequestIsRefusedAndNeverForwarded() throws Exception {
-        String sound = getRequest("x", "");
-        String[] bad = {
-            sound.replace("/look", "/nowhere"),
-            sound.replace("GET", "POST"),
-            sound.replace("X-Correlation-Id: x\r\n", ""),
-            sound.replace("acme", "nobody"),
-            sound.replace("4.5", "soon"),
-            sound.replace("4.5", "NaN"),
-            sound.replace("4.5", "-1"),
-            sound.replace("4.5", "1e999"),
+    void anInvalidRequestIsRejectedAndNeverForwarded() throws Exception {
+        String valid = getRequest("x", "");
+        String[] invalidRequests = {
+            valid.replace("/look", "/nowhere"),
+            valid.replace("GET", "POST"),
+            valid.replace("X-Correlation-Id: x\r\n", ""),
+            valid.replace("acme", "nobody"),
+            valid.replace("4.5", "soon"),
+            valid.replace("4.5", "NaN"),
+            valid.replace("4.5", "-1"),
+            valid.replace("4.5", "1e999"),
             getRequest("x", "Content-Length: 2\r\n") + "ab",
             getRequest("x", "Content-Length: -2\r\n"),
             getRequest("x", "Content-Length: 60000000\r\n"),
-            getRequest("x", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + sound,
-            sound.replace("\r\n", "\n"),
+            getRequest("x", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n" + valid,
+            valid.replace("\r\n", "\n"),
             getRequest("x", "Folded: a\r\n b\r\n"),
             "\0\1\2\r\n\r\n",
             "POST /pay HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: x\r\nX-Account: acme\r\nX-Time-Left: 1\r\n\r\n"
         };
         try (PlatformTestBed testBed = new PlatformTestBed(PlatformTestBed::sendOnce)) {
-            for (String b : bad) {
+            for (String invalid : invalidRequests) {
                 Socket client = testBed.connectClient();
-                send(client, b);
+                send(client, invalid);
                 String answer = receive(client);
-                assertTrue(answer.startsWith("HTTP/1.1 4"), b + " got " + answer);
+                assertTrue(answer.startsWith("HTTP/1.1 4"), invalid + " got " + answer);
             }
             assertTrue(testBed.eventsOf(Event.RequestReceived.class).isEmpty());
             assertTrue(testBed.endpoint.connections.isEmpty());
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void aRequestIdThatIsInUseIsRefused() throws Exception {
+    void aRequestIdThatIsInUseIsRejected() throws Exception {
         try (PlatformTestBed testBed = new PlatformTestBed(PlatformTestBed::sendOnce)) {
             Socket first = testBed.connectClient();
             Socket second = testBed.connectClient();
@@ -148,41 +148,44 @@
         }
     }
 
-    /** Two responses that are read at once must not answer two requests. */
+    /** Guards against two responses that are read together being used for two requests. */
     @Test
-    void bytesBehindAResponseAreNeverTakenForTheNextRequests() throws Exception {
-        for (String behind : List.of(okResponse("first"), "noise", "HTTP/1.1 200")) {
+    void surplusBytesAfterAResponseAreNeverUsedForTheNextRequest() throws Exception {
+        for (String surplus : List.of(okResponse("first"), "noise", "HTTP/1.1 200")) {
             try (PlatformTestBed testBed = new PlatformTestBed(PlatformTestBed::sendOnce)) {
                 Socket client = testBed.connectClient();
                 send(client, getRequest("1", ""));
                 Socket endpointConnection = testBed.endpoint.nextConnection();
                 receive(endpointConnection);
-                send(endpointConnection, okResponse("first") + behind);
+                send(endpointConnection, okResponse("first") + surplus);
                 assertTrue(receive(client).endsWith("first"));
                 send(client, getRequest("2", ""));
                 Socket other = testBed.endpoint.nextConnection();
                 receive(other);
                 send(other, okResponse("second"));
-                assertTrue(receive(client).endsWith("second"), behind);
+                assertTrue(receive(client).endsWith("second"), surplus);
                 assertTrue(receive(endpointConnection).contains("<end>"));
             }
         }
     }
 
     @Test
-    void aResponseCutAtAnyByteIsIncomplete() throws Exception {
+    void aResponseTruncatedAtAnyByteIsIncomplete() throws Exception {
         String whole = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
         try (PlatformTestBed testBed = new PlatformTestBed(PlatformTestBed::sendOnce)) {
             Socket client = testBed.connectClient();
-            for (int cut = 0; cut <= whole.length(); cut++) {
-                send(client, getRequest("cut-" + cut, ""));
+            for (int truncatedLength = 0; truncatedLength <= whole.length(); truncatedLength++) {
+                send(client, getRequest("cut-" + truncatedLength, ""));
                 Socket endpointConnection = testBed.endpoint.nextConnection();
                 receive(endpointConnection);
-                send(endpointConnection, whole.substring(0, cut));
+                send(endpointConnection, whole.substring(0, truncatedLength));
                 endpointConnection.close();
                 String answer = receive(client);
-                assertEquals(cut == whole.length(), answer.startsWith("HTTP/1.1 200 "), cut + ": " + answer);
-                testBed.awaitEvent(Event.AttemptEnded.class, cut + 1);
+                assertEquals(
+                        truncatedLength == whole.length(),
+                        answer.startsWith("HTTP/1.1 200 "),
+                        truncatedLength + ": " + answer);
+                testBed.awaitEvent(Event.AttemptEnded.class, truncatedLength + 1);
             }
         }
     }
--- a/src/test/java/laurelkeel/platform/WireNamesTest.java
+++ b/src/test/java/laurelkeel/platform/WireNamesTest.java
@@ -16,7 +16,7 @@
 import laurelkeel.platform.ControlServiceMessage.VoteRejected;
 import org.junit.jupiter.api.Test;
 
-/** The names on the wire as the platform's protocol and deployment pages give them. */
+/** The names on the wire, as documented on the platform's protocol and deployment pages. */
 class WireNamesTest {
     @Test
     void headersHaveTheNamesOfTheProtocol() {
@@ -29,7 +29,7 @@
         assertEquals("X-Unprocessed", PlatformHeaders.NOT_EXECUTED);
         assertEquals("X-Backend-Load", PlatformHeaders.LOAD_REPORT);
         assertEquals("Retry-After", PlatformHeaders.RETRY_AFTER);
-        assertEquals("1", PlatformHeaders.YES);
+        assertEquals("1", PlatformHeaders.FLAG_SET);
     }
 
     @Test
