--- a/src/main/java/laurelkeel/platform/ControlServiceClient.java
+++ b/src/main/java/laurelkeel/platform/ControlServiceClient.java
@@ -15,9 +15,9 @@
 import laurelkeel.wire.BoundedLineReader;
 import laurelkeel.wire.LineTooLongException;
 
-/** Follows the control service's notifications as events, and sends votes on a connection of their own. */
+/** Converts the control service's notifications to events, and sends votes on a separate connection. */
 final class ControlServiceClient implements ServiceClient {
-    /** A heartbeat comes every second. */
+    /** The control service sends a heartbeat every second. */
     private static final long SILENCE_TIMEOUT_TICKS = 3_500 * Ticks.PER_MILLISECOND;
 
     private final EventLoop loop;
@@ -28,12 +28,12 @@
     private boolean reported;
 
     /**
-     * Creates one that is complete, and silent until it starts or votes.
+     * Creates a client that opens no connection until it is started or sends a vote.
      *
-     * @param seed for the random part of its backoff
+     * @param seed seeds the random part of the reconnect backoff
      * @param voteTimeoutTicks the longest wait for the reply to a vote
-     * @param routeIndex the index of a route by its name; below 0 where there is none
-     * @param address of the control service, until it moves
+     * @param routeIndex maps a route's name to its index; negative if there is none
+     * @param address initial address of the control service
      * @param events receives notifications and the replies to votes
      */
     ControlServiceClient(
@@ -68,22 +68,25 @@
         votes.close();
     }
 
-    /** Whether it has accepted the subscription or reported the newest build's state. */
+    /**
+     * Returns whether the control service has accepted the subscription, sent a heartbeat or reported the newest
+     * build's state.
+     */
     @Override
     public boolean hasReported() {
         return reported;
     }
 
-    /** Sends a vote, also before the start; exactly one event answers it. */
+    /** Sends a vote, which is possible before {@link #start} too; exactly one event follows as its reply. */
     void vote(CastVote vote) {
         votes.send(vote);
     }
 
     private void onNotification(Notification notification, long arrivedAtTicks) throws MalformedMessageException {
-        // counted from when the bytes arrived: the loop may have come to them later
+        // measured from the arrival of the bytes, since the event loop may have handled them later
         long elapsedTicks = Math.max(0, loop.nowTicks() - arrivedAtTicks);
         if (notification instanceof Metrics metrics) {
-            events.accept(statistics(metrics, elapsedTicks));
+            events.accept(toBuildStatistics(metrics, elapsedTicks));
         } else if (notification instanceof Progress progress) {
             reported = true;
             events.accept(progress.state().toUpdate(elapsedTicks, false));
@@ -92,7 +95,8 @@
         }
     }
 
-    private Event.BuildStatistics statistics(Metrics metrics, long elapsedTicks) throws MalformedMessageException {
+    private Event.BuildStatistics toBuildStatistics(Metrics metrics, long elapsedTicks)
+            throws MalformedMessageException {
         int route = routeIndex.applyAsInt(metrics.route());
         if (route < 0) {
             throw new MalformedMessageException(
@@ -108,7 +112,7 @@
                 metrics.ageTicks() + elapsedTicks);
     }
 
-    /** A subscription to all notifications. */
+    /** The protocol of a subscription to all notifications. */
     private final class SubscriptionProtocol implements StreamProtocol {
         @Override
         public String serviceName() {
@@ -131,7 +135,7 @@
         }
     }
 
-    /** Reads the notifications of one connection. */
+    /** Parses the notifications that arrive on one connection. */
     private final class NotificationReader implements StreamReader {
         private final BoundedLineReader lines = new BoundedLineReader(ControlServiceProtocol.MAX_LINE_BYTES);
         private boolean received;
--- a/src/main/java/laurelkeel/platform/ControlServiceMessage.java
+++ b/src/main/java/laurelkeel/platform/ControlServiceMessage.java
@@ -2,41 +2,41 @@
 
 import laurelkeel.api.Event.ControlStatus;
 
-/** A line of the control service, as a typed message. */
+/** A line from the control service, parsed into a typed message. */
 sealed interface ControlServiceMessage {
 
-    /** What it sends on a connection that has subscribed. */
+    /** A message on a connection that has subscribed. */
     sealed interface Notification extends ControlServiceMessage {}
 
-    /** How it answers a vote. */
+    /** The reply to a vote. */
     sealed interface VoteReply extends ControlServiceMessage {}
 
-    /** The subscription is accepted. */
+    /** The subscription was accepted. */
     record SubscriptionAccepted() implements Notification {}
 
-    /** Nothing has changed; the service lives. */
+    /** The service is alive and nothing has changed. */
     record Heartbeat() implements Notification {}
 
-    /** The state of the newest build. */
+    /** The rollout state of the newest build. */
     record Progress(ReportedRollout state) implements Notification {}
 
     /**
-     * What the platform counted of all nodes' attempts at one build over a period.
+     * The platform's statistics over one period for the attempts of all nodes at one build and route.
      *
-     * @param route the route's name
-     * @param failures attempts that failed
-     * @param meanDurationTicks of the attempts that did not fail
-     * @param ageTicks since the period ended
+     * @param route name of the route
+     * @param failures number of attempts that failed
+     * @param meanDurationTicks mean duration of the attempts that did not fail
+     * @param ageTicks time since the end of the period
      */
     record Metrics(int build, String route, long attempts, long failures, long meanDurationTicks, long ageTicks)
             implements Notification {}
 
-    /** A client found an answer wrong. This node does not use it. */
+    /** A client complained about an incorrect response; this node ignores it. */
     record Complaint() implements Notification {}
 
-    /** The vote counts. */
+    /** The vote was accepted. */
     record VoteAccepted(ReportedRollout state) implements VoteReply {}
 
-    /** The vote does not count. */
+    /** The vote was rejected. */
     record VoteRejected(ControlStatus status) implements VoteReply {}
 }
--- a/src/main/java/laurelkeel/platform/ControlServiceProtocol.java
+++ b/src/main/java/laurelkeel/platform/ControlServiceProtocol.java
@@ -20,12 +20,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The text protocol of the control service: it encodes calls and parses lines into typed messages.
+ * The text protocol of the control service. Encodes commands and parses lines into typed messages.
  *
- * <p>A line is words with a space between, ended by CRLF. All names of the protocol stand here. Thread-safe.
+ * <p>A line consists of words separated by single spaces and ends with CRLF. All names of the protocol are defined
+ * here. Thread-safe.
  */
 final class ControlServiceProtocol {
-    /** The longest line that either side may send, in bytes. */
+    /** Maximum length of a line in either direction, in bytes. */
     static final int MAX_LINE_BYTES = 8 << 10;
 
     static final String SUBSCRIBE = "SUB";
@@ -71,12 +72,12 @@
 
     private ControlServiceProtocol() {}
 
-    /** The call that asks for notifications on its connection. */
+    /** Returns the command that subscribes its connection to notifications. */
     static byte[] encodeSubscribe() {
         return encode(SUBSCRIBE);
     }
 
-    /** The call that votes on a build. */
+    /** Returns the command that votes on a build. */
     static byte[] encodeVote(CastVote vote) {
         return encode(VOTE + " " + vote.build() + " " + vote.stage() + " " + VERDICTS.get(vote.verdict()));
     }
@@ -85,17 +86,17 @@
         return (line + LINE_END).getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** The phase of that name, or null where there is none. */
+    /** Returns the phase of this name; null if there is none. */
     static @Nullable RolloutPhase phase(String name) {
         return PHASES.get(name);
     }
 
-    /** Whether a line is a notification, which may come between the replies to calls. */
+    /** Returns whether a line is a notification; notifications may arrive between the replies to commands. */
     static boolean isNotification(String line) {
         return line.startsWith(NOTIFICATION);
     }
 
-    /** Parses a line that arrived on a connection that has subscribed. */
+    /** Parses a line from a connection that has subscribed. */
     static Notification parseNotification(String line) throws MalformedMessageException {
         if (line.equals(ACCEPTED)) {
             return new SubscriptionAccepted();
@@ -103,7 +104,7 @@
         if (line.equals(NOTIFICATION)) {
             return new Heartbeat();
         }
-        List<String> words = words(line);
+        List<String> words = splitWords(line);
         if (words.get(0).equals(NOTIFICATION)) {
             String kind = words.get(1);
             List<String> fields = words.subList(2, words.size());
@@ -118,12 +119,12 @@
             }
         }
         throw new MalformedMessageException(
-                "notification", MalformedMessageException.excerpt(line) + " has no known form");
+                "notification", MalformedMessageException.excerpt(line) + " has an unknown format");
     }
 
     /** Parses the reply to a vote. */
     static VoteReply parseVoteReply(String line) throws MalformedMessageException {
-        List<String> words = words(line);
+        List<String> words = splitWords(line);
         String kind = words.get(0);
         List<String> fields = words.subList(1, words.size());
         if (kind.equals(ACCEPTED) && fields.size() == STATE_FIELDS) {
@@ -132,46 +133,47 @@
         ControlStatus rejection = kind.equals(REJECTED) && fields.size() == 1 ? REJECTIONS.get(fields.get(0)) : null;
         if (rejection == null) {
             throw new MalformedMessageException(
-                    "reply", MalformedMessageException.excerpt(line) + " has no known form");
+                    "reply", MalformedMessageException.excerpt(line) + " has an unknown format");
         }
         return new VoteRejected(rejection);
     }
 
-    private static List<String> words(String line) {
+    private static List<String> splitWords(String line) {
         return List.of(line.split(" ", -1));
     }
 
     private static ReportedRollout parseState(List<String> fields) throws MalformedMessageException {
-        int build = wholeNumber(BUILD, fields.get(0));
-        int stage = wholeNumber(STAGE, fields.get(1));
+        int build = parseNonNegativeInteger(BUILD, fields.get(0));
+        int stage = parseNonNegativeInteger(STAGE, fields.get(1));
         RolloutPhase phase = phase(fields.get(2));
         if (phase == null) {
             throw new MalformedMessageException(
                     PHASE, MalformedMessageException.excerpt(fields.get(2)) + " is unknown");
         }
-        double cap = number(CAP, fields.get(3));
+        double cap = parseNonNegativeNumber(CAP, fields.get(3));
         if (cap > 1) {
             throw new MalformedMessageException(CAP, cap + " is above 1");
         }
-        return new ReportedRollout(build, stage, phase, cap, millisToTicks(number(AGE_MS, fields.get(4))));
+        return new ReportedRollout(
+                build, stage, phase, cap, millisToTicks(parseNonNegativeNumber(AGE_MS, fields.get(4))));
     }
 
     private static Metrics parseMetrics(List<String> fields) throws MalformedMessageException {
         return new Metrics(
-                wholeNumber(BUILD, fields.get(0)),
+                parseNonNegativeInteger(BUILD, fields.get(0)),
                 fields.get(1),
-                wholeNumber(ATTEMPTS, fields.get(2)),
-                wholeNumber(FAILURES, fields.get(3)),
-                millisToTicks(number(MEAN_MS, fields.get(4))),
-                millisToTicks(number(AGE_MS, fields.get(5))));
+                parseNonNegativeInteger(ATTEMPTS, fields.get(2)),
+                parseNonNegativeInteger(FAILURES, fields.get(3)),
+                millisToTicks(parseNonNegativeNumber(MEAN_MS, fields.get(4))),
+                millisToTicks(parseNonNegativeNumber(AGE_MS, fields.get(5))));
     }
 
-    /** Milliseconds as ticks, rounded towards 0. */
+    /** Converts milliseconds to ticks, rounded towards 0. */
     static long millisToTicks(double millis) {
         return (long) (millis * Ticks.PER_MILLISECOND);
     }
 
-    private static int wholeNumber(String field, String text) throws MalformedMessageException {
+    private static int parseNonNegativeInteger(String field, String text) throws MalformedMessageException {
         try {
             int value = Integer.parseInt(text);
             if (value >= 0) {
@@ -181,10 +183,10 @@
             // reported below
         }
         throw new MalformedMessageException(
-                field, MalformedMessageException.excerpt(text) + " is not a whole number from 0");
+                field, MalformedMessageException.excerpt(text) + " is not a non-negative integer");
     }
 
-    private static double number(String field, String text) throws MalformedMessageException {
+    private static double parseNonNegativeNumber(String field, String text) throws MalformedMessageException {
         try {
             double value = Double.parseDouble(text);
             if (value >= 0 && !Double.isInfinite(value)) {
@@ -193,6 +195,7 @@
         } catch (NumberFormatException ignored) {
             // reported below
         }
-        throw new MalformedMessageException(field, MalformedMessageException.excerpt(text) + " is not a number from 0");
+        throw new MalformedMessageException(
+                field, MalformedMessageException.excerpt(text) + " is not a non-negative number");
     }
 }
--- a/src/main/java/laurelkeel/platform/MalformedMessageException.java
+++ b/src/main/java/laurelkeel/platform/MalformedMessageException.java
@@ -1,6 +1,6 @@
 package laurelkeel.platform;
 
-/** Signals a message that breaks the protocol; it names the field and the reason. */
+/** Signals a message that violates the protocol; the exception names the field and the reason. */
 final class MalformedMessageException extends UnusableMessageException {
     private static final long serialVersionUID = 1L;
     private static final int MAX_EXCERPT_CHARS = 60;
@@ -9,9 +9,9 @@
     private final String reason;
 
     /**
-     * Creates one.
+     * Creates an exception.
      *
-     * @param field the field or part of the message that is wrong
+     * @param field the malformed field or part of the message
      * @param reason what is wrong with it
      */
     MalformedMessageException(String field, String reason) {
@@ -28,7 +28,7 @@
         return reason;
     }
 
-    /** The quoted start of what a peer sent, in printable characters. */
+    /** Returns the quoted start of received text, with non-printable characters replaced by question marks. */
     static String excerpt(String received) {
         String start =
                 received.length() > MAX_EXCERPT_CHARS ? received.substring(0, MAX_EXCERPT_CHARS) + "..." : received;
--- a/src/main/java/laurelkeel/platform/NewestBuildExposure.java
+++ b/src/main/java/laurelkeel/platform/NewestBuildExposure.java
@@ -5,7 +5,7 @@
 import laurelkeel.api.Event.RolloutPhase;
 
 /**
- * Remembers when the newest build's share of the requests was last lowered, so that attempts decided before that are not
+ * Records when the exposure of the newest build was last lowered, so that attempts decided before that time are not
  * sent after it.
  *
  * <p>Not thread-safe.
@@ -18,7 +18,7 @@
     private double exposureCap;
     private long loweredAtTicks = NEVER;
 
-    /** Follows an update of the control service; one without a state, or of an earlier build, changes nothing. */
+    /** Applies an update from the control service; one without a state or for an earlier build is ignored. */
     void onUpdate(Event.RolloutUpdate update, long nowTicks) {
         if (update.status() != ControlStatus.OK || update.build() < newestBuild) {
             return;
@@ -36,7 +36,7 @@
         return serves ? update.exposureCap() : 0;
     }
 
-    /** Whether an attempt at an endpoint of a build, decided at a moment, may still be sent. */
+    /** Returns whether an attempt that was decided at the given time may still be sent to an endpoint of the build. */
     boolean maySend(int build, long decidedAtTicks) {
         return build < newestBuild || loweredAtTicks < decidedAtTicks;
     }
--- a/src/main/java/laurelkeel/platform/VoteChannel.java
+++ b/src/main/java/laurelkeel/platform/VoteChannel.java
@@ -11,9 +11,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends votes to the control service, one at a time, each answered by exactly one event.
+ * Sends votes to the control service one at a time; exactly one event follows as the reply to each.
  *
- * <p>A reply carries no name of its vote, so a connection whose vote was given up is never used again. Not thread-safe;
+ * <p>A reply does not identify its vote, so a connection whose vote was abandoned is never reused. Not thread-safe;
  * called on the event loop's thread.
  */
 final class VoteChannel {
@@ -27,11 +27,11 @@
     private @Nullable VoteConnection connection;
 
     /**
-     * Creates one that connects with its first vote.
+     * Creates a channel that connects when the first vote is sent.
      *
      * @param replyTimeoutTicks the longest wait for a reply
-     * @param address of the control service, until it moves
-     * @param replies receives one event for each vote, never from within {@link #send} for the vote that it sends
+     * @param address initial address of the control service
+     * @param replies receives one event for each vote, but never the event of the vote that {@link #send} is sending
      */
     VoteChannel(
             ServiceConnector connector,
@@ -46,9 +46,9 @@
         this.replies = replies;
     }
 
-    /** Sends a vote; one that still waits for its reply is given up. */
+    /** Sends a vote; a vote that is still in flight is abandoned. */
     void send(CastVote vote) {
-        LOG.info("votes {} on build {} stage {}", vote.verdict(), vote.build(), vote.stage());
+        LOG.info("sending vote {} on build {} stage {}", vote.verdict(), vote.build(), vote.stage());
         VoteConnection reusable = reusableConnection();
         if (reusable != null) {
             reusable.send(vote);
@@ -58,36 +58,38 @@
     }
 
     private @Nullable VoteConnection reusableConnection() {
-        VoteConnection present = connection;
-        if (present == null || present.hasEnded()) {
+        VoteConnection existing = connection;
+        if (existing == null || existing.hasEnded()) {
             return null;
         }
-        if (present.hasVoteInFlight()) {
-            // its reply may still arrive there, and must not be taken for the next one's
-            present.end(ControlStatus.TIMED_OUT);
+        if (existing.hasVoteInFlight()) {
+            // the reply may still arrive on this connection and must not be attributed to the next vote
+            existing.end(ControlStatus.TIMED_OUT);
             return null;
         }
-        if (!present.isReusableFor(address)) {
-            present.end(ControlStatus.FAILED);
+        if (!existing.isReusableFor(address)) {
+            existing.end(ControlStatus.FAILED);
             return null;
         }
-        return present;
+        return existing;
     }
 
-    /** Follows the control service to another address; a vote in flight still gets its reply from the old one. */
+    /**
+     * Moves to another address of the control service; the reply to a vote in flight is still read from the old one.
+     */
     void moveTo(InetSocketAddress newAddress) {
         address = newAddress;
-        VoteConnection present = connection;
-        if (present != null && !present.hasEnded() && !present.hasVoteInFlight()) {
-            present.end(ControlStatus.FAILED);
+        VoteConnection existing = connection;
+        if (existing != null && !existing.hasEnded() && !existing.hasVoteInFlight()) {
+            existing.end(ControlStatus.FAILED);
         }
     }
 
-    /** Closes its connection; a vote in flight has failed. */
+    /** Closes the connection; a vote in flight fails. */
     void close() {
-        VoteConnection present = connection;
-        if (present != null && !present.hasEnded()) {
-            present.end(ControlStatus.FAILED);
+        VoteConnection existing = connection;
+        if (existing != null && !existing.hasEnded()) {
+            existing.end(ControlStatus.FAILED);
         }
     }
 }
--- a/src/main/java/laurelkeel/platform/VoteConnection.java
+++ b/src/main/java/laurelkeel/platform/VoteConnection.java
@@ -19,13 +19,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One connection to the control service that carries votes, at most one of them in flight.
+ * One connection to the control service for votes, with at most one vote in flight.
  *
  * <p>Not thread-safe; called on the event loop's thread.
  */
 final class VoteConnection implements ConnectionListener {
     private static final Logger LOG = LoggerFactory.getLogger(VoteConnection.class);
-    /** The control service closes a connection after some 10 s of idleness; a vote must not cross that. */
+    /**
+     * The control service closes idle connections after about 10 s; a vote must not be sent at the time of such a
+     * close.
+     */
     private static final long MAX_IDLE_TICKS = 4 * Ticks.PER_SECOND;
 
     private final EventLoop loop;
@@ -34,25 +37,25 @@
     private final Consumer<Event.RolloutUpdate> replies;
     private final BoundedLineReader lines = new BoundedLineReader(ControlServiceProtocol.MAX_LINE_BYTES);
     private final ServiceConnection connection;
-    private @Nullable CastVote inFlight;
+    private @Nullable CastVote voteInFlight;
     private EventLoop.ScheduledTask replyTimeout;
     private long idleSinceTicks;
     private boolean ended;
 
-    /** Opens the connection and sends its first vote; parameters as of {@link VoteChannel}. */
+    /** Opens the connection and sends the first vote; the parameters are those of {@link VoteChannel}. */
     VoteConnection(
             ServiceConnector connector,
             EventLoop loop,
             long replyTimeoutTicks,
             InetSocketAddress address,
             Consumer<Event.RolloutUpdate> replies,
-            CastVote first) {
+            CastVote firstVote) {
         this.loop = loop;
         this.replyTimeoutTicks = replyTimeoutTicks;
         this.address = address;
         this.replies = replies;
-        inFlight = first;
-        connection = connector.open(address, ControlServiceProtocol.encodeVote(first), this);
+        voteInFlight = firstVote;
+        connection = connector.open(address, ControlServiceProtocol.encodeVote(firstVote), this);
         replyTimeout = scheduleReplyTimeout();
     }
 
@@ -61,23 +64,25 @@
     }
 
     boolean hasVoteInFlight() {
-        return inFlight != null;
+        return voteInFlight != null;
     }
 
     boolean hasEnded() {
         return ended;
     }
 
-    /** Whether the next vote may go on it, where the control service is at that address. */
+    /**
+     * Returns whether the next vote may be sent on this connection, given the current address of the control service.
+     */
     boolean isReusableFor(InetSocketAddress serviceAddress) {
         return connection.isOpen()
                 && address.equals(serviceAddress)
                 && loop.nowTicks() <= idleSinceTicks + MAX_IDLE_TICKS;
     }
 
-    /** Sends a vote; only while none is in flight. */
+    /** Sends a vote; none may be in flight. */
     void send(CastVote vote) {
-        inFlight = vote;
+        voteInFlight = vote;
         connection.write(ControlServiceProtocol.encodeVote(vote));
         replyTimeout = scheduleReplyTimeout();
     }
@@ -87,7 +92,7 @@
         try {
             lines.<MalformedMessageException>read(ByteBuffer.wrap(bytes), line -> onLine(line, arrivedAtTicks));
         } catch (LineTooLongException | MalformedMessageException e) {
-            LOG.warn("control service: the reply to a vote cannot be parsed: {}", e.getMessage());
+            LOG.warn("control service: cannot parse the reply to a vote: {}", e.getMessage());
             end(ControlStatus.TIMED_OUT);
         }
     }
@@ -96,17 +101,17 @@
         if (ControlServiceProtocol.isNotification(line)) {
             return;
         }
-        if (inFlight == null) {
+        if (voteInFlight == null) {
             throw new MalformedMessageException(
-                    "reply", MalformedMessageException.excerpt(line) + " came without a vote in flight");
+                    "reply", MalformedMessageException.excerpt(line) + " was received without a vote in flight");
         }
         VoteReply reply = ControlServiceProtocol.parseVoteReply(line);
-        inFlight = null;
+        voteInFlight = null;
         replyTimeout.cancel();
         idleSinceTicks = loop.nowTicks();
         Event.RolloutUpdate update = toUpdate(reply, Math.max(0, loop.nowTicks() - arrivedAtTicks));
         LOG.info(
-                "the reply to a vote is {}: build {} stage {} {}",
+                "received reply {} to a vote: build {} stage {} {}",
                 update.status(),
                 update.build(),
                 update.stage(),
@@ -118,10 +123,10 @@
         if (reply instanceof VoteAccepted accepted) {
             return accepted.state().toUpdate(elapsedTicks, true);
         }
-        return withoutState(((VoteRejected) reply).status());
+        return updateWithoutState(((VoteRejected) reply).status());
     }
 
-    private static Event.RolloutUpdate withoutState(ControlStatus status) {
+    private static Event.RolloutUpdate updateWithoutState(ControlStatus status) {
         return new Event.RolloutUpdate(status, 0, 0, 0, RolloutPhase.CANARY, 0, true);
     }
 
@@ -131,23 +136,19 @@
     }
 
     /**
-     * Closes the connection for good.
+     * Closes the connection permanently.
      *
-     * @param status what a vote in flight is answered with
+     * @param status status of the event for a vote in flight
      */
     void end(ControlStatus status) {
         ended = true;
         connection.close();
         replyTimeout.cancel();
-        CastVote unanswered = inFlight;
+        CastVote unanswered = voteInFlight;
         if (unanswered != null) {
-            LOG.info(
-                    "a vote on build {} stage {} ends without a reply: {}",
-                    unanswered.build(),
-                    unanswered.stage(),
-                    status);
-            inFlight = null;
-            replies.accept(withoutState(status));
+            LOG.info("no reply to the vote on build {} stage {}: {}", unanswered.build(), unanswered.stage(), status);
+            voteInFlight = null;
+            replies.accept(updateWithoutState(status));
         }
     }
 }
--- a/src/test/java/laurelkeel/platform/ControlServiceClientTest.java
+++ b/src/test/java/laurelkeel/platform/ControlServiceClientTest.java
@@ -13,7 +13,7 @@
 import laurelkeel.api.Event.RolloutPhase;
 import org.junit.jupiter.api.Test;
 
-/** What the control service sends, and how votes are answered. */
+/** Notifications from the control service, and the replies to votes. */
 class ControlServiceClientTest {
     @Test
     void notificationsBecomeEventsAndAMalformedLineReconnects() throws Exception {
@@ -24,15 +24,15 @@
             Socket subscription = testBed.controlService.nextConnection();
             assertEquals("SUB", lineReader(subscription).readLine());
             send(subscription, "OK\r\n*\r\n* metrics 42 pay 57 2 18.5 900\r\n* progress 42 1 Progr");
-            Event.BuildStatistics counts = testBed.awaitEvent(Event.BuildStatistics.class, 1);
+            Event.BuildStatistics statistics = testBed.awaitEvent(Event.BuildStatistics.class, 1);
             assertEquals(
                     List.of(42, 1, 57L, 2L, 185L),
                     List.of(
-                            counts.build(),
-                            counts.route(),
-                            counts.attempts(),
-                            counts.errors(),
-                            counts.meanDurationTicks()));
+                            statistics.build(),
+                            statistics.route(),
+                            statistics.attempts(),
+                            statistics.errors(),
+                            statistics.meanDurationTicks()));
             send(subscription, "essing 0.28 310\r\n");
             Event.RolloutUpdate update = testBed.awaitEvent(Event.RolloutUpdate.class, 2);
             assertEquals(
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aLateReplyIsNotTakenForTheNextVotes() throws Exception {
+    void aLateReplyIsNotAttributedToTheNextVote() throws Exception {
         try (PlatformTestBed testBed = new PlatformTestBed(1024, 300, PlatformTestBed::voteOnEachRequest)) {
             testBed.controlService.nextConnection();
             Socket client = testBed.connectClient();
--- a/src/test/java/laurelkeel/platform/ControlServiceProtocolTest.java
+++ b/src/test/java/laurelkeel/platform/ControlServiceProtocolTest.java
@@ -18,18 +18,18 @@
 class ControlServiceProtocolTest {
     private static final ReportedRollout STATE = new ReportedRollout(42, 1, RolloutPhase.CANARY, 0.28, 3_105);
 
-    private static String notificationFault(String line) {
+    private static String notificationErrorField(String line) {
         return assertThrows(MalformedMessageException.class, () -> ControlServiceProtocol.parseNotification(line), line)
                 .field();
     }
 
-    private static String replyFault(String line) {
+    private static String replyErrorField(String line) {
         return assertThrows(MalformedMessageException.class, () -> ControlServiceProtocol.parseVoteReply(line), line)
                 .field();
     }
 
     @Test
-    void eachNotificationHasItsType() throws Exception {
+    void eachNotificationIsParsedToItsType() throws Exception {
         assertEquals(new SubscriptionAccepted(), ControlServiceProtocol.parseNotification("OK"));
         assertEquals(new Heartbeat(), ControlServiceProtocol.parseNotification("*"));
         assertEquals(
@@ -47,42 +47,42 @@
     }
 
     @Test
-    void aMalformedFieldIsNamed() {
-        assertEquals("build", notificationFault("* progress x 1 Progressing 0.28 310"));
-        assertEquals("build", notificationFault("* progress 2147483648 1 Progressing 0.28 310"));
-        assertEquals("stage", notificationFault("* progress 42 -1 Progressing 0.28 310"));
-        assertEquals("phase", notificationFault("* progress 42 1 Nothing 0.28 310"));
-        assertEquals("cap", notificationFault("* progress 42 1 Progressing 7 310"));
-        assertEquals("cap", notificationFault("* progress 42 1 Progressing NaN 310"));
-        assertEquals("age_ms", notificationFault("* progress 42 1 Progressing 0.28 -1"));
-        assertEquals("count", notificationFault("* metrics 42 lookup x 2 18.5 900"));
-        assertEquals("failed", notificationFault("* metrics 42 lookup 57 x 18.5 900"));
-        assertEquals("mean_ms", notificationFault("* metrics 42 lookup 57 2 Infinity 900"));
-        assertEquals("age_ms", notificationFault("* metrics 42 lookup 57 2 18.5 x"));
-        assertEquals("phase", replyFault("OK 42 1 Nothing 0.28 310"));
+    void anErrorNamesTheMalformedField() {
+        assertEquals("build", notificationErrorField("* progress x 1 Progressing 0.28 310"));
+        assertEquals("build", notificationErrorField("* progress 2147483648 1 Progressing 0.28 310"));
+        assertEquals("stage", notificationErrorField("* progress 42 -1 Progressing 0.28 310"));
+        assertEquals("phase", notificationErrorField("* progress 42 1 Nothing 0.28 310"));
+        assertEquals("cap", notificationErrorField("* progress 42 1 Progressing 7 310"));
+        assertEquals("cap", notificationErrorField("* progress 42 1 Progressing NaN 310"));
+        assertEquals("age_ms", notificationErrorField("* progress 42 1 Progressing 0.28 -1"));
+        assertEquals("count", notificationErrorField("* metrics 42 lookup x 2 18.5 900"));
+        assertEquals("failed", notificationErrorField("* metrics 42 lookup 57 x 18.5 900"));
+        assertEquals("mean_ms", notificationErrorField("* metrics 42 lookup 57 2 Infinity 900"));
+        assertEquals("age_ms", notificationErrorField("* metrics 42 lookup 57 2 18.5 x"));
+        assertEquals("phase", replyErrorField("OK 42 1 Nothing 0.28 310"));
     }
 
     @Test
-    void aLineOfAnotherFormIsRefused() {
+    void aLineInAnUnknownFormatIsRejected() {
         for (String line : List.of("", "ok", "* ", "* other", "* progress 42 1 Progressing 0.28", "OK 1", "\1\2")) {
-            assertEquals("notification", notificationFault(line));
+            assertEquals("notification", notificationErrorField(line));
         }
         for (String line : List.of("", "OK", "OK 45 no", "ERR", "ERR other", "ERR unavailable now", "NO")) {
-            assertEquals("reply", replyFault(line));
+            assertEquals("reply", replyErrorField(line));
         }
     }
 
     @Test
-    void anErrorQuotesOnlyAPrintableStart() {
+    void anErrorQuotesATruncatedPrintableExcerpt() {
         String message = assertThrows(
                         MalformedMessageException.class,
                         () -> ControlServiceProtocol.parseNotification("\1" + "x".repeat(100)))
                 .getMessage();
-        assertEquals("notification: '?" + "x".repeat(59) + "...' has no known form", message);
+        assertEquals("notification: '?" + "x".repeat(59) + "...' has an unknown format", message);
     }
 
     @Test
-    void notificationsAreToldFromReplies() {
+    void notificationsAreDistinguishedFromReplies() {
         assertTrue(ControlServiceProtocol.isNotification("*"));
         assertTrue(ControlServiceProtocol.isNotification("* progress 42 1 Progressing 0.28 310"));
         assertFalse(ControlServiceProtocol.isNotification("OK 42 1 Progressing 0.28 310"));
--- a/src/test/java/laurelkeel/platform/NewestBuildExposureTest.java
+++ b/src/test/java/laurelkeel/platform/NewestBuildExposureTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aCapThatIsRaisedStopsNothing() {
+    void aRaisedCapBlocksNoAttempt() {
         update(2, RolloutPhase.CANARY, 0.1, 0);
         update(2, RolloutPhase.CANARY, 0.5, LATER);
         update(2, RolloutPhase.RELEASED, 1, LATER);
@@ -49,14 +49,14 @@
     }
 
     @Test
-    void aBuildThatIsTakenBackHasNoShare() {
+    void aBuildThatIsRolledBackHasNoExposure() {
         update(2, RolloutPhase.CANARY, 0.5, 0);
         update(2, RolloutPhase.ROLLING_BACK, 0.5, LATER);
         assertFalse(exposure.maySend(2, DECIDED));
     }
 
     @Test
-    void anUpdateOfAnEarlierBuildOrWithoutAStateChangesNothing() {
+    void anUpdateForAnEarlierBuildOrWithoutAStateIsIgnored() {
         update(2, RolloutPhase.CANARY, 0.5, 0);
         update(1, RolloutPhase.ROLLED_BACK, 0, LATER);
         exposure.onUpdate(
