--- a/src/main/java/laurelkeel/platform/DiscoveredEndpoint.java
+++ b/src/main/java/laurelkeel/platform/DiscoveredEndpoint.java
@@ -5,15 +5,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One entry of discovery's list.
+ * One entry of the endpoint list as sent by discovery.
  *
- * @param address as discovery wrote it
- * @param socketAddress where it is reached; null where the address cannot be parsed
- * @param zone name of its zone
- * @param kind name of its kind of endpoint
- * @param cell a small group of endpoints that share what they know of partition keys
- * @param weight its capacity beside that of other endpoints, above 0, without unit
- * @param startedAtUnixMillis Unix time of its last start; 0 for long ago
+ * @param address the address as text, unchanged
+ * @param socketAddress the parsed address; null if it cannot be parsed
+ * @param zone name of the zone
+ * @param kind name of the kind of endpoint
+ * @param cell number of the cell, a small group of endpoints that share their knowledge of partition keys
+ * @param weight capacity relative to other endpoints, above 0, without unit
+ * @param startedAtUnixMillis Unix time of the last start; 0 for long ago
  */
 public record DiscoveredEndpoint(
         String id,
--- a/src/main/java/laurelkeel/platform/DiscoveredEndpointList.java
+++ b/src/main/java/laurelkeel/platform/DiscoveredEndpointList.java
@@ -2,14 +2,14 @@
 
 import java.util.List;
 
-/** One message of discovery: the complete endpoint list, or the entries that have changed. */
+/** A message from discovery with the complete endpoint list or the entries that have changed. */
 public record DiscoveredEndpointList(DiscoveredListHeader header, List<DiscoveredEndpoint> endpoints) {
-    /** The version of the list after it. */
+    /** Returns the version of the endpoint list after this message. */
     public long version() {
         return header.version();
     }
 
-    /** Whether it names every endpoint. */
+    /** Returns whether the message contains every endpoint. */
     public boolean complete() {
         return header.complete();
     }
--- a/src/main/java/laurelkeel/platform/DiscoveredListHeader.java
+++ b/src/main/java/laurelkeel/platform/DiscoveredListHeader.java
@@ -1,9 +1,9 @@
 package laurelkeel.platform;
 
 /**
- * Which endpoint list a message of discovery holds.
+ * Version and completeness of the endpoint list in a message from discovery.
  *
- * @param version of the list after it
- * @param complete whether it names every endpoint
+ * @param version version of the endpoint list after this message
+ * @param complete whether the message contains every endpoint, and not only the changed ones
  */
 public record DiscoveredListHeader(long version, boolean complete) {}
--- a/src/main/java/laurelkeel/platform/DiscoveryClient.java
+++ b/src/main/java/laurelkeel/platform/DiscoveryClient.java
@@ -10,12 +10,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Follows discovery's watch, applies each list to the directory and hands it on as an event. */
+/** Watches discovery, applies each endpoint list to the directory and emits the resulting event. */
 final class DiscoveryClient implements ServiceClient {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
     /**
-     * An empty line comes every 2 s, and what a silent watch misses counts as known after 6 s: a second watch that is
-     * silent too must leave time for a third.
+     * Discovery sends an empty line every 2 s, and the platform treats a change as known to this node after 6 s, even
+     * if the watch was silent. The timeout leaves time for a third watch within that limit if the second one is silent
+     * too.
      */
     private static final long SILENCE_TIMEOUT_TICKS = 3 * Ticks.PER_SECOND;
 
@@ -29,11 +30,11 @@
     private boolean reported;
 
     /**
-     * Creates one that is complete, and silent until it starts.
+     * Creates a client that opens no connection until it is started.
      *
-     * @param seed for the random part of its backoff
-     * @param address of discovery, until it moves
-     * @param events receives what has changed
+     * @param seed seeds the random part of the reconnect backoff
+     * @param address initial address of discovery
+     * @param events receives an event for each list that contains something new
      */
     DiscoveryClient(
             ServiceConnector connector,
@@ -64,13 +65,13 @@
         stream.close();
     }
 
-    /** Whether it has sent a list or what has changed of it. */
+    /** Returns whether discovery has sent a complete list or a change of it. */
     @Override
     public boolean hasReported() {
         return reported;
     }
 
-    private void onList(JsonNode json) throws UnusableMessageException {
+    private void onEndpointList(JsonNode json) throws UnusableMessageException {
         DiscoveredListHeader header = DiscoveryProtocol.parseHeader(json);
         Event.EndpointListUpdate update = null;
         if (directory.acceptVersion(header, loop.nowTicks())) {
@@ -86,7 +87,7 @@
         }
     }
 
-    /** A watch from the version that the directory has. */
+    /** The protocol of a watch that starts after the version in the directory. */
     private final class WatchProtocol implements StreamProtocol {
         @Override
         public String serviceName() {
@@ -100,7 +101,7 @@
 
         @Override
         public StreamReader newReader() {
-            return new DiscoveryWatchReader(DiscoveryClient.this::onList);
+            return new DiscoveryWatchReader(DiscoveryClient.this::onEndpointList);
         }
 
         @Override
--- a/src/main/java/laurelkeel/platform/DiscoveryProtocol.java
+++ b/src/main/java/laurelkeel/platform/DiscoveryProtocol.java
@@ -9,9 +9,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The protocol of discovery: it encodes the request for a watch and parses JSON objects into typed lists.
+ * The HTTP and JSON protocol of discovery. Encodes the request for a watch and parses JSON objects into typed lists.
  *
- * <p>All names of the protocol stand here. Fields that are not known are ignored. Thread-safe.
+ * <p>All names of the protocol are defined here. Unknown fields are ignored. Thread-safe.
  */
 final class DiscoveryProtocol {
     static final String WATCH_TARGET = "/v1/servers?watch=1";
@@ -41,9 +41,9 @@
     private DiscoveryProtocol() {}
 
     /**
-     * The request for a watch, whose response carries each change of the list.
+     * Returns the request for a watch; its response delivers every change of the endpoint list.
      *
-     * @param afterVersion the version that is known; below 0 where there is none
+     * @param afterVersion the known version; negative if there is none
      */
     static byte[] encodeWatchRequest(String host, long afterVersion) {
         String after = afterVersion < 0 ? "" : AFTER_PARAMETER + afterVersion;
@@ -51,17 +51,17 @@
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** The state of that name, or null where there is none. */
+    /** Returns the state of this name; null if there is none. */
     static @Nullable EndpointState state(String name) {
         return STATES.get(name);
     }
 
-    /** Parses one list; where any entry is malformed, the whole list is. */
+    /** Parses a list; if any entry is malformed, the whole list is rejected. */
     static DiscoveredEndpointList parseList(JsonNode list) throws MalformedMessageException {
         return parseEndpoints(list, parseHeader(list));
     }
 
-    /** Parses which list it is, and checks that it has entries. */
+    /** Parses the version and completeness of a list, and checks that it has an array of entries. */
     static DiscoveredListHeader parseHeader(JsonNode list) throws MalformedMessageException {
         JsonNode version = list.path(VERSION);
         if (!version.isIntegralNumber()) {
@@ -73,7 +73,7 @@
         return new DiscoveredListHeader(version.longValue(), list.path(COMPLETE).asBoolean(false));
     }
 
-    /** Parses the entries of a list whose header is parsed. */
+    /** Parses the entries of a list whose header has been parsed. */
     static DiscoveredEndpointList parseEndpoints(JsonNode list, DiscoveredListHeader header)
             throws MalformedMessageException {
         JsonNode entries = list.path(ENDPOINTS);
--- a/src/main/java/laurelkeel/platform/DiscoveryWatchReader.java
+++ b/src/main/java/laurelkeel/platform/DiscoveryWatchReader.java
@@ -8,12 +8,12 @@
 import laurelkeel.wire.HttpProtocolException;
 
 /**
- * Reads the answer to a watch on discovery: a chunked HTTP response that stays open and carries JSON objects.
+ * Reads the response to a watch on discovery, an open-ended chunked HTTP response that contains JSON objects.
  *
- * <p>Not thread-safe; one for each connection.
+ * <p>Not thread-safe; each connection needs a new reader.
  */
 final class DiscoveryWatchReader implements StreamReader {
-    /** Some 200 bytes an endpoint, twice that where the list is indented, for thousands of endpoints. */
+    /** Enough for thousands of endpoints: an entry has about 200 bytes, or twice that if the JSON is indented. */
     private static final int MAX_LIST_BYTES = 1 << 20;
 
     private static final int MAX_LINE_BYTES = 1 << 10;
@@ -50,7 +50,7 @@
         return received;
     }
 
-    /** Parses until the response has ended or the bytes are used up, and returns whether it has ended. */
+    /** Parses until the response ends or all bytes are consumed, and returns whether the response has ended. */
     private boolean parse(ByteBuffer bytes) throws MalformedMessageException {
         try {
             boolean ended = parser.read(bytes) != null;
--- a/src/main/java/laurelkeel/platform/EndpointDirectory.java
+++ b/src/main/java/laurelkeel/platform/EndpointDirectory.java
@@ -16,24 +16,27 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The endpoint list as discovery last sent it: the state of each endpoint, and where it is reached.
+ * The current endpoint list: the state and address of each endpoint as last sent by discovery.
  *
  * <p>Not thread-safe; called on the event loop's thread, or before that thread has started.
  */
 final class EndpointDirectory {
-    /** What discovery knows arrives within 6 s; a complete list that is still older then is from a restarted discovery. */
+    /**
+     * Changes reach this node within 6 s. If discovery still sends older complete lists after that time, it has been
+     * restarted and its lists are current.
+     */
     private static final long MAX_LIST_DELAY_TICKS = 6 * Ticks.PER_SECOND;
 
     private static final long NO_VERSION = -1;
     private static final long NEVER = -1;
-    /** What {@link #buildUnchangedSince} returns for an endpoint that has changed. */
+    /** Returned by {@link #buildUnchangedSince} for an endpoint that has changed. */
     static final int NO_BUILD = -1;
 
     /**
-     * One endpoint as it was last listed.
+     * One endpoint as last listed.
      *
-     * @param startedAtUnixMillis its start as discovery sent it
-     * @param stateSinceTicks when it was first listed at this address and in this state
+     * @param startedAtUnixMillis start time as sent by discovery
+     * @param stateSinceTicks when the endpoint was first listed at this address and in this state
      */
     private record Entry(
             EndpointEntry endpoint, EndpointAddress address, long startedAtUnixMillis, long stateSinceTicks) {
@@ -52,18 +55,18 @@
     private final Consumer<String> retiredAddresses;
     private final Map<String, Entry> entries = new HashMap<>();
     private long version = NO_VERSION;
-    /** Whether a watch has delivered a list; changes that it delivers after that have just happened. */
-    private boolean watched;
-    /** Since when complete lists arrive that are older than this one. */
+    /** Whether a watch has delivered a list, so that all further changes from it have just happened. */
+    private boolean watchDelivered;
+    /** When discovery began to send complete lists that are older than the known one; {@link #NEVER} if it does not. */
     private long staleSinceTicks = NEVER;
 
     /**
-     * Creates an empty one.
+     * Creates an empty directory.
      *
      * @param zones names of the zones in the order of the settings
      * @param kinds names of the kinds of endpoints in the order of the settings
-     * @param startTimes translates the endpoints' start times
-     * @param retiredAddresses receives the key of each address at which its endpoint is not reached any more
+     * @param startTimes translates the endpoints' start times to this node's clock
+     * @param retiredAddresses receives the key of each {@link EndpointAddress} that is no longer in use
      */
     EndpointDirectory(
             List<String> zones, List<String> kinds, StartTimeTranslator startTimes, Consumer<String> retiredAddresses) {
@@ -73,7 +76,7 @@
         this.retiredAddresses = retiredAddresses;
     }
 
-    /** The version of the list; below 0 where none is known. */
+    /** Returns the version of the known list; negative if none is known. */
     long version() {
         return version;
     }
@@ -94,10 +97,11 @@
     }
 
     /**
-     * Takes note of a list that has arrived and returns whether it holds anything that is not known; to be called once for
-     * each list, before its entries are parsed.
+     * Records the arrival of a list and returns whether it contains anything new. Called once for each list, before its
+     * entries are parsed.
      *
-     * @throws StaleEndpointListException where it is complete and older than the list that is known
+     * @throws StaleEndpointListException if it is complete and older than the known list; if such lists keep arriving,
+     *     they are accepted after {@link #MAX_LIST_DELAY_TICKS}
      */
     boolean acceptVersion(DiscoveredListHeader list, long nowTicks) throws StaleEndpointListException {
         if (!list.complete() && list.version() <= version) {
@@ -107,18 +111,18 @@
         return true;
     }
 
-    /** Applies a list from the watch that is news, and returns the event for it. */
+    /** Applies a list from the watch whose version was accepted, and returns the event for it. */
     Event.EndpointListUpdate applyUpdate(DiscoveredEndpointList list, long nowTicks) {
         return applyUpdate(list, false, nowTicks);
     }
 
     private Event.EndpointListUpdate applyUpdate(DiscoveredEndpointList list, boolean cached, long nowTicks) {
-        boolean justChanged = watched && !list.complete();
+        boolean justChanged = watchDelivered && !list.complete();
         List<Entry> listed = new ArrayList<>();
         for (DiscoveredEndpoint endpoint : list.endpoints()) {
             listed.add(toEntry(endpoint, nowTicks, justChanged));
         }
-        watched |= !cached;
+        watchDelivered |= !cached;
         listed.forEach(this::put);
         if (list.complete()) {
             removeUnlisted(listed);
@@ -135,7 +139,7 @@
         return list.complete() ? EndpointListKind.SNAPSHOT : EndpointListKind.DELTA;
     }
 
-    /** A source that lags behind may list endpoints as active that are draining. */
+    /** Rejects older lists, since a discovery instance that lags behind may list draining endpoints as active. */
     private void checkNotStale(DiscoveredListHeader list, long nowTicks) throws StaleEndpointListException {
         if (list.complete() && list.version() < version) {
             if (staleSinceTicks == NEVER) {
@@ -158,13 +162,15 @@
                 listed.weight(),
                 listed.state(),
                 startedAtTicks(listed, nowTicks, justChanged));
-        // an endpoint with a new start, build or address gets no connection of its predecessor
+        // an endpoint with a new start, build or address must not reuse connections of its previous incarnation
         String key = listed.id() + "@" + listed.address() + "/" + endpoint.build() + "/" + endpoint.startedAtTicks();
         EndpointAddress address = new EndpointAddress(key, listed.socketAddress());
         return new Entry(endpoint, address, listed.startedAtUnixMillis(), nowTicks);
     }
 
-    /** Each start is translated once: a second result may differ a little and would pass for a new start. */
+    /**
+     * Translates each start only once, since a second result may differ slightly and would be treated as a new start.
+     */
     private long startedAtTicks(DiscoveredEndpoint listed, long nowTicks, boolean justChanged) {
         Entry known = entries.get(listed.id());
         if (known != null && known.startedAtUnixMillis == listed.startedAtUnixMillis()) {
@@ -202,14 +208,15 @@
         });
     }
 
-    /** Where an endpoint is reached; one that is not listed cannot be reached. */
+    /** Returns the address of an endpoint; for an unlisted one, an address without a socket address. */
     EndpointAddress addressOf(String endpointId) {
         Entry entry = entries.get(endpointId);
         return entry == null ? new EndpointAddress(endpointId, null) : entry.address;
     }
 
     /**
-     * Returns the build of an endpoint that is active, at the same address and with the same start since a moment.
+     * Returns the build of an endpoint that has been active since the given time with an unchanged address, build and
+     * start.
      *
      * @return the build, or {@link #NO_BUILD} for any other endpoint
      */
--- a/src/main/java/laurelkeel/platform/Json.java
+++ b/src/main/java/laurelkeel/platform/Json.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-/** Holds the one JSON mapper of the platform's documents; thread-safe. */
+/** Provides the JSON mapper that the package shares; thread-safe. */
 final class Json {
     static final ObjectMapper MAPPER = new ObjectMapper();
 
--- a/src/main/java/laurelkeel/platform/JsonObjectReader.java
+++ b/src/main/java/laurelkeel/platform/JsonObjectReader.java
@@ -9,15 +9,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads a sequence of JSON objects of bounded size from bytes that arrive in arbitrary pieces.
+ * Parses a sequence of JSON objects of bounded size from bytes that arrive in arbitrary pieces.
  *
- * <p>An object may be laid out over any number of lines. Not thread-safe.
+ * <p>An object may span any number of lines. Not thread-safe.
  */
 final class JsonObjectReader {
     private final int maxObjectBytes;
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
-    /** The tokens of the object that is being read; null between objects. */
+    /** Tokens of the incomplete object; null between objects. */
     private @Nullable TokenBuffer tokens;
 
     private int depth;
@@ -34,30 +34,30 @@
         try {
             parser = Json.MAPPER.getFactory().createNonBlockingByteArrayParser();
         } catch (IOException e) {
-            throw new IllegalStateException("the parser reads no source that could fail", e);
+            throw new IllegalStateException("creating a parser without an input source failed", e);
         }
         feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
     /**
-     * Reads bytes and hands over each object that they complete.
+     * Reads bytes and passes each object that they complete to the consumer.
      *
      * @return whether an object was completed, or the bytes begin with a blank line between objects
-     * @throws MalformedMessageException where the bytes are not JSON objects or an object is too large; the reader is
-     *     of no further use
-     * @throws UnusableMessageException where the consumer throws it
+     * @throws MalformedMessageException if the bytes are not JSON objects or an object is too large; the reader cannot
+     *     be used any further
+     * @throws UnusableMessageException if the consumer throws it
      */
     boolean read(byte[] bytes, ObjectConsumer consumer) throws UnusableMessageException {
         boolean received = tokens == null && startsWithBlankLine(bytes);
         objectBytes = tokens == null ? bytes.length : objectBytes + bytes.length;
         if (objectBytes > maxObjectBytes) {
-            throw new MalformedMessageException("JSON", "an object of over " + maxObjectBytes + " bytes");
+            throw new MalformedMessageException("JSON", "an object exceeds " + maxObjectBytes + " bytes");
         }
         try {
             feeder.feedInput(bytes, 0, bytes.length);
             JsonToken token = parser.nextToken();
             while (token != JsonToken.NOT_AVAILABLE) {
-                JsonNode object = add(token);
+                JsonNode object = addToken(token);
                 if (object != null) {
                     received = true;
                     consumer.accept(object);
@@ -72,12 +72,12 @@
         return received;
     }
 
-    /** Adds a token to the object that is being read, and returns the object once it is complete. */
-    private @Nullable JsonNode add(JsonToken token) throws IOException, MalformedMessageException {
+    /** Adds a token to the incomplete object, and returns the object if that completes it, otherwise null. */
+    private @Nullable JsonNode addToken(JsonToken token) throws IOException, MalformedMessageException {
         TokenBuffer buffer = tokens;
         if (buffer == null) {
             if (token != JsonToken.START_OBJECT) {
-                throw new MalformedMessageException("JSON", "no object but " + token);
+                throw new MalformedMessageException("JSON", "expected an object instead of " + token);
             }
             buffer = new TokenBuffer(Json.MAPPER, false);
             tokens = buffer;
--- a/src/main/java/laurelkeel/platform/NameTable.java
+++ b/src/main/java/laurelkeel/platform/NameTable.java
@@ -4,7 +4,10 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Numbers names in the order of the settings, and further names as they are met. Not thread-safe. */
+/**
+ * Assigns indexes to names: first to those of the settings in their order, then to others as they occur. Not
+ * thread-safe.
+ */
 final class NameTable {
     private final List<String> names;
 
@@ -12,7 +15,7 @@
         this.names = new ArrayList<>(names);
     }
 
-    /** The number of a name, which it keeps from now on. */
+    /** Returns the index of a name; a new name gets the next index. */
     int indexOf(String name) {
         int index = names.indexOf(name);
         if (index >= 0) {
--- a/src/main/java/laurelkeel/platform/StaleEndpointListException.java
+++ b/src/main/java/laurelkeel/platform/StaleEndpointListException.java
@@ -1,6 +1,6 @@
 package laurelkeel.platform;
 
-/** Signals a complete endpoint list that is older than the one known. */
+/** Signals a complete endpoint list that is older than the known one. */
 final class StaleEndpointListException extends UnusableMessageException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/laurelkeel/platform/StartTimeTranslator.java
+++ b/src/main/java/laurelkeel/platform/StartTimeTranslator.java
@@ -3,40 +3,40 @@
 import laurelkeel.api.Ticks;
 
 /**
- * Translates the Unix times at which endpoints started to this node's monotonic clock.
+ * Translates endpoints' start times from Unix time to this node's monotonic clock.
  *
- * <p>This host's wall clock is read once, for it may be stepped at any time, and may have been wrong already.
- * Discovery's lists correct it: no endpoint starts after it is listed, and none that a running watch lists for the first
- * time started longer ago than lists may be late. A clock that was ahead by less than that cannot be told from late
- * lists, and is believed.
+ * <p>This host's wall clock is read only once, since it may be stepped at any time, and it may already have been wrong
+ * when it was read. Discovery's lists correct it: no endpoint starts after it is listed, and an endpoint that a running
+ * watch lists for the first time cannot have started longer ago than the maximum listing delay. A clock that was ahead
+ * by less than that delay cannot be distinguished from late lists and is not corrected.
  *
  * <p>Not thread-safe.
  */
 final class StartTimeTranslator {
     private static final long TICKS_PER_DAY = 24L * 3600 * Ticks.PER_SECOND;
-    /** A time that is further off is wrong itself; no clock is. */
+    /** If a start time is further off than this, the start time itself is wrong and not the clock. */
     private static final long MAX_CORRECTION_TICKS = 7 * TICKS_PER_DAY;
-    /** Longer than an endpoint takes to come up and discovery to list it. */
+    /** Longer than an endpoint takes to start and to be listed by discovery. */
     private static final long MAX_LISTING_DELAY_TICKS = 30 * Ticks.PER_SECOND;
-    /** Later times overflow ticks. */
+    /** Later times would overflow when converted to ticks. */
     private static final long MAX_UNIX_MILLIS = Long.MAX_VALUE / 100;
-    /** A moment of 0 stands for long ago. */
-    private static final long FIRST_MOMENT_TICKS = 1;
+    /** The earliest start on this node's clock, since 0 means long ago. */
+    private static final long MIN_START_TICKS = 1;
 
     private long unixEpochTicks;
 
-    /** @param unixEpochTicks what this node's clock showed when this host's Unix clock stood at 0 */
+    /** @param unixEpochTicks the time on this node's clock that corresponds to Unix time 0 of this host */
     StartTimeTranslator(long unixEpochTicks) {
         this.unixEpochTicks = unixEpochTicks;
     }
 
     /**
-     * Returns the moment of a start on this node's clock. A second call may return another one.
+     * Returns a start time on this node's clock. A second call with the same time may return a different result.
      *
-     * @param unixMillis Unix time; 0 or less for long ago
-     * @param nowTicks when it was listed
-     * @param justStarted whether a running watch listed it as a change, and it was not known before
-     * @return between 1 and now; 0 for long ago
+     * @param unixMillis the start as Unix time; 0 or negative for long ago
+     * @param nowTicks when the start was listed
+     * @param justStarted whether a running watch listed the start as a change and it was not known before
+     * @return the start, from 1 to {@code nowTicks}; 0 for long ago
      */
     long toTicks(long unixMillis, long nowTicks, boolean justStarted) {
         if (unixMillis <= 0) {
@@ -50,6 +50,6 @@
             unixEpochTicks += ageTicks;
             return nowTicks;
         }
-        return Math.max(FIRST_MOMENT_TICKS, Math.min(nowTicks, nowTicks - ageTicks));
+        return Math.max(MIN_START_TICKS, Math.min(nowTicks, nowTicks - ageTicks));
     }
 }
--- a/src/test/java/laurelkeel/platform/DiscoveryClientTest.java
+++ b/src/test/java/laurelkeel/platform/DiscoveryClientTest.java
@@ -21,16 +21,16 @@
 import laurelkeel.api.Event.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** How endpoint lists arrive from discovery, and what a node makes of them. */
+/** Receiving endpoint lists from discovery, and their effect on the node. */
 class DiscoveryClientTest {
     @Test
-    void aListArrivesInAnyPiecesAndAWatchThatEndsIsResumed() throws Exception {
+    void aListMayArriveInPiecesAndAWatchThatEndsIsResumed() throws Exception {
         try (PlatformTestBed testBed = new PlatformTestBed(PlatformTestBed::doNothing)) {
-            Event.EndpointListUpdate known = testBed.awaitEvent(Event.EndpointListUpdate.class, 1);
-            assertEquals(EndpointListKind.CACHED, known.kind());
+            Event.EndpointListUpdate cached = testBed.awaitEvent(Event.EndpointListUpdate.class, 1);
+            assertEquals(EndpointListKind.CACHED, cached.kind());
             assertEquals(
                     new Event.EndpointEntry("s-1", 1, 1, 3, 1, 1.5, EndpointState.ACTIVE, 0),
-                    known.entries().get(0));
+                    cached.entries().get(0));
             Socket watch = testBed.discovery.nextConnection();
             assertTrue(receive(watch).startsWith("GET /v1/servers?watch=1&after=1 HTTP/1.1\r\n"));
             String all = WATCH_RESPONSE_HEAD
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aListMayBeLaidOutOverLinesAndCutAnywhere() throws Exception {
+    void aListMaySpanLinesAndBeSplitAnywhere() throws Exception {
         try (PlatformTestBed testBed = new PlatformTestBed(PlatformTestBed::doNothing)) {
             Socket watch = testBed.acceptWatch();
             String indented = testBed.listJson(2, false, "leaving", 1)
@@ -93,9 +93,9 @@
     }
 
     @Test
-    void aMalformedListEndsTheWatchAndTheLastListStays() throws Exception {
+    void aMalformedListEndsTheWatchAndThePreviousListIsRetained() throws Exception {
         try (PlatformTestBed testBed = new PlatformTestBed(PlatformTestBed::doNothing)) {
-            for (String bad : List.of(
+            for (String malformed : List.of(
                     "[1]",
                     "7 ",
                     "{\"version\":9,\"full\":true,\"servers\":[}",
@@ -104,9 +104,9 @@
                     "\1\2",
                     "{\"a\":\"" + "x".repeat(1 << 20))) {
                 Socket watch = testBed.discovery.nextConnection();
-                assertTrue(receive(watch).contains("after=1 "), "nothing of it was followed");
+                assertTrue(receive(watch).contains("after=1 "), "no part of the malformed list was applied");
                 try {
-                    send(watch, WATCH_RESPONSE_HEAD + chunk(bad));
+                    send(watch, WATCH_RESPONSE_HEAD + chunk(malformed));
                 } catch (IOException ignored) {
                     // the node closed it before all of the large object was sent
                 }
@@ -116,9 +116,9 @@
         }
     }
 
-    /** A source that lags behind, or a list delayed on its way, names draining endpoints as active. */
+    /** A discovery instance that lags behind, or a delayed list, may list draining endpoints as active. */
     @Test
-    void anOlderCompleteListIsNotFollowedUntilItHasComeForLong() throws Exception {
+    void anOlderCompleteListIsIgnoredUntilSuchListsHaveArrivedForSixSeconds() throws Exception {
         TestClock clock = TestClock.running();
         try (PlatformTestBed testBed = new PlatformTestBed(1024, 5000, clock, PlatformTestBed::doNothing)) {
             Socket watch = testBed.acceptWatch(testBed.listJson(5, false, "leaving", 1));
@@ -131,7 +131,7 @@
             next = testBed.discovery.nextConnection();
             receive(next);
             assertEquals(2, testBed.eventsOf(Event.EndpointListUpdate.class).size());
-            // nothing newer comes for longer than it may take; the watch, which is silent meanwhile, is given up too
+            // no newer list arrives within the maximum delay; the watch, which is silent in that time, is closed too
             clock.advance(61_000);
             assertTrue(receive(next).contains("<end>"));
             next = testBed.discovery.nextConnection();
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void anEndpointThatReturnsWithAnotherBuildGetsNoOldConnection() throws Exception {
+    void anEndpointThatReturnsWithAnotherBuildReusesNoOldConnection() throws Exception {
         try (PlatformTestBed testBed = new PlatformTestBed(PlatformTestBed::sendOnce)) {
             Socket watch = testBed.acceptWatch(testBed.listJson(2, false, "active", 1));
             testBed.awaitEvent(Event.EndpointListUpdate.class, 2);
@@ -162,7 +162,10 @@
         }
     }
 
-    /** What a silent watch misses counts as known 6 s after it fell silent; the third one comes after 5.1 s. */
+    /**
+     * A change that a silent watch misses is treated as known 6 s after the silence began; the third watch opens after
+     * 5.1 s.
+     */
     @Test
     void aSecondSilentWatchLeavesTimeForAThird() throws Exception {
         TestClock clock = TestClock.stopped();
@@ -182,7 +185,7 @@
             send(third, WATCH_RESPONSE_HEAD + chunk("{\"version\":"));
             clock.advance(40_000);
             assertTrue(receive(third).contains("<end>"));
-            // for the drain
+            // lets the drain complete
             clock.run();
         }
     }
--- a/src/test/java/laurelkeel/platform/DiscoveryProtocolTest.java
+++ b/src/test/java/laurelkeel/platform/DiscoveryProtocolTest.java
@@ -20,7 +20,7 @@
         return DiscoveryProtocol.parseList(Json.MAPPER.readTree(json));
     }
 
-    private static String fault(String json) {
+    private static String errorField(String json) {
         return assertThrows(MalformedMessageException.class, () -> parse(json), json)
                 .field();
     }
@@ -48,23 +48,23 @@
                 new DiscoveredEndpointList(new DiscoveredListHeader(43, false), List.of(endpoint)), parse(list(ENTRY)));
     }
 
-    /** Lists that are known already are passed over before their entries are looked at. */
+    /** A list that is already known is skipped before its entries are parsed. */
     @Test
-    void theHeaderIsParsedWhateverTheEntriesHold() throws Exception {
+    void theHeaderIsParsedEvenIfEntriesAreMalformed() throws Exception {
         assertEquals(
                 new DiscoveredListHeader(43, false),
                 DiscoveryProtocol.parseHeader(Json.MAPPER.readTree(list("{\"id\":\"\"}"))));
     }
 
     @Test
-    void onlyIdAndStateAreNeeded() throws Exception {
+    void onlyIdAndStateAreRequired() throws Exception {
         assertEquals(
                 List.of(new DiscoveredEndpoint("s", "", null, "", "", 0, EndpointState.ACTIVE, 1, 0, 0)),
                 parse(list("{\"id\":\"s\",\"state\":\"active\"}")).endpoints());
     }
 
     @Test
-    void anEndpointWithoutAValidAddressOrWeightIsListedAllTheSame() throws Exception {
+    void anEndpointWithAnInvalidAddressOrWeightIsStillListed() throws Exception {
         DiscoveredEndpoint endpoint = parse(
                         list(ENTRY.replace("10.1.0.18:5000", "host:5000").replace("1.5", "-2")))
                 .endpoints()
@@ -75,14 +75,14 @@
     }
 
     @Test
-    void aMalformedListNamesTheField() {
-        assertEquals("version", fault("{}"));
-        assertEquals("version", fault("{\"version\":\"43\",\"full\":true,\"servers\":[]}"));
-        assertEquals("version", fault("{\"version\":4.5,\"full\":true,\"servers\":[]}"));
-        assertEquals("servers", fault("{\"version\":43,\"full\":true}"));
-        assertEquals("servers", fault("{\"version\":43,\"full\":true,\"servers\":{}}"));
-        assertEquals("id", fault(list("{\"state\":\"active\"}")));
-        assertEquals("state", fault(list("{\"id\":\"s-9\"}")));
-        assertEquals("state", fault(list(ENTRY + "," + ENTRY.replace("leaving", "gone"))));
+    void anErrorNamesTheMalformedField() {
+        assertEquals("version", errorField("{}"));
+        assertEquals("version", errorField("{\"version\":\"43\",\"full\":true,\"servers\":[]}"));
+        assertEquals("version", errorField("{\"version\":4.5,\"full\":true,\"servers\":[]}"));
+        assertEquals("servers", errorField("{\"version\":43,\"full\":true}"));
+        assertEquals("servers", errorField("{\"version\":43,\"full\":true,\"servers\":{}}"));
+        assertEquals("id", errorField(list("{\"state\":\"active\"}")));
+        assertEquals("state", errorField(list("{\"id\":\"s-9\"}")));
+        assertEquals("state", errorField(list(ENTRY + "," + ENTRY.replace("leaving", "gone"))));
     }
 }
--- a/src/test/java/laurelkeel/platform/EndpointDirectoryTest.java
+++ b/src/test/java/laurelkeel/platform/EndpointDirectoryTest.java
@@ -67,13 +67,13 @@
     }
 
     @Test
-    void changesThatAreKnownChangeNothing() throws Exception {
+    void knownChangesAreIgnored() throws Exception {
         assertNull(apply(list(5, false, endpoint("s-1", EndpointState.REMOVED, 1)), NOW));
         assertEquals(1, directory.buildUnchangedSince("s-1", NOW));
     }
 
     @Test
-    void anOlderCompleteListIsFollowedOnlyAfterSixSeconds() throws Exception {
+    void anOlderCompleteListIsAppliedOnlyAfterSixSeconds() throws Exception {
         DiscoveredEndpointList older = list(4, true, endpoint("s-1", EndpointState.ACTIVE, 1));
         assertThrows(StaleEndpointListException.class, () -> apply(older, NOW));
         assertThrows(StaleEndpointListException.class, () -> apply(older, NOW + 6 * Ticks.PER_SECOND - 1));
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void aNewerListBetweenOlderOnesBeginsTheirWaitAnew() throws Exception {
+    void aNewerListRestartsTheWaitForOlderOnes() throws Exception {
         DiscoveredEndpointList older = list(4, true);
         assertThrows(StaleEndpointListException.class, () -> apply(older, NOW));
         apply(list(6, false), NOW);
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void anAddressIsRetiredWithItsEndpointItsBuildAndItsRemoval() throws Exception {
+    void anAddressIsRetiredOnANewBuildARemovalOrAnOmission() throws Exception {
         String first = directory.addressOf("s-1").key();
         String second = directory.addressOf("s-2").key();
         apply(list(6, false, endpoint("s-1", EndpointState.ACTIVE, 2)), NOW);
@@ -105,13 +105,13 @@
     }
 
     @Test
-    void anEndpointThatIsNotListedCannotBeReached() {
+    void anUnlistedEndpointHasNoAddressAndNoBuild() {
         assertNull(directory.addressOf("other").socketAddress());
         assertEquals(EndpointDirectory.NO_BUILD, directory.buildUnchangedSince("other", NOW));
     }
 
     @Test
-    void onlyAnActiveEndpointThatHasNotChangedHasABuild() throws Exception {
+    void onlyAnUnchangedActiveEndpointHasABuild() throws Exception {
         apply(list(6, false, endpoint("s-1", EndpointState.ACTIVE, 1)), LATER);
         assertEquals(1, directory.buildUnchangedSince("s-1", NOW));
         apply(list(7, false, endpoint("s-1", EndpointState.ACTIVE, 2)), LATER);
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void namesThatTheSettingsLackAreNumberedAsTheyAreMet() throws Exception {
+    void namesMissingFromTheSettingsAreIndexedAsTheyOccur() throws Exception {
         DiscoveredEndpoint other = new DiscoveredEndpoint("s-3", "", null, "c", "m9", 0, EndpointState.ACTIVE, 1, 0, 1);
         Event.EndpointListUpdate update = apply(list(6, false, other), NOW);
         assertNotNull(update);
--- a/src/test/java/laurelkeel/platform/JsonObjectReaderTest.java
+++ b/src/test/java/laurelkeel/platform/JsonObjectReaderTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void objectsAreCompleteHoweverTheirBytesArrive() throws Exception {
+    void objectsAreAssembledFromBytesInAnyPieces() throws Exception {
         String text = "{\"a\":[1,{\"b\":2}]}\r\n\r\n{ \"c\":\n3 }";
         for (String character : PlatformTestBed.characters(text)) {
             read(character);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void whatIsNoObjectIsRefused() {
+    void anythingButAnObjectIsRejected() {
         for (String text : List.of("[1]", "7 ", "{]", "\1")) {
             JsonObjectReader other = new JsonObjectReader(MAX_OBJECT_BYTES);
             assertThrows(
@@ -52,15 +52,15 @@
     }
 
     @Test
-    void anObjectThatIsTooLargeIsRefused() throws Exception {
+    void anOversizedObjectIsRejected() throws Exception {
         read("{\"a\":\"" + "x".repeat(20));
-        MalformedMessageException refused =
+        MalformedMessageException rejected =
                 assertThrows(MalformedMessageException.class, () -> read("x".repeat(MAX_OBJECT_BYTES)));
-        assertEquals("JSON: an object of over 32 bytes", refused.getMessage());
+        assertEquals("JSON: an object exceeds 32 bytes", rejected.getMessage());
     }
 
     @Test
-    void whatTheConsumerThrowsPassesThrough() {
+    void exceptionsOfTheConsumerArePropagated() {
         assertThrows(
                 StaleEndpointListException.class,
                 () -> reader.read("{}".getBytes(StandardCharsets.UTF_8), object -> {
