--- a/src/main/java/laurelkeel/platform/ConnectionListener.java
+++ b/src/main/java/laurelkeel/platform/ConnectionListener.java
@@ -1,18 +1,18 @@
 package laurelkeel.platform;
 
-/** Receives what happens on one {@link ServiceConnection}; called on the event loop's thread. */
+/** Receives the events of one {@link ServiceConnection}; called on the event loop's thread. */
 interface ConnectionListener {
     /**
-     * Bytes have arrived.
+     * Called when bytes have been received.
      *
-     * @param arrivedAtTicks when they were read from the socket
+     * @param arrivedAtTicks when the bytes were read from the socket
      */
     void onBytes(byte[] bytes, long arrivedAtTicks);
 
     /**
-     * The connection has ended or could not be opened. Called once, and not after {@link ServiceConnection#close}.
+     * Called once when the connection has ended or could not be opened, but not after {@link ServiceConnection#close}.
      *
-     * @param written whether bytes of this node may have been sent
+     * @param written whether bytes may have been sent to the service
      */
     void onClosed(boolean written);
 }
--- a/src/main/java/laurelkeel/platform/ReconnectingStream.java
+++ b/src/main/java/laurelkeel/platform/ReconnectingStream.java
@@ -9,22 +9,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps one connection to a service that sends messages without being asked.
+ * Maintains one connection to a service that pushes messages.
  *
- * <p>A connection that ends is replaced, with a growing backoff where the new one receives nothing. Where the current
- * one is silent or the service moves, a candidate is opened beside it and takes over with its first message, so no
- * message in between is missed.
+ * <p>A connection that ends is replaced, with an increasing backoff as long as new connections receive nothing. If the
+ * current connection is silent or the service moves, a candidate connection is opened in parallel and replaces the
+ * current one with its first message, so that no message is missed in between.
  *
- * <p>Lifecycle as of {@link ServiceClient}. Not thread-safe; called on the event loop's thread.
+ * <p>Has the same lifecycle as {@link ServiceClient}. Not thread-safe; called on the event loop's thread.
  */
 final class ReconnectingStream {
     private static final Logger LOG = LoggerFactory.getLogger(ReconnectingStream.class);
     private static final long CHECK_INTERVAL_TICKS = 100 * Ticks.PER_MILLISECOND;
-    /** A service that is up answers at once. */
+    /** A service that is up responds immediately. */
     private static final long CANDIDATE_IDLE_TIMEOUT_TICKS = 700 * Ticks.PER_MILLISECOND;
 
     private static final long MIN_BACKOFF_MILLIS = 100;
-    /** Well below the seconds after which the platform takes its news as known. */
+    /** Well below the number of seconds after which the platform treats its updates as known. */
     private static final long MAX_BACKOFF_MILLIS = 1_000;
 
     private final StreamProtocol protocol;
@@ -32,9 +32,9 @@
     private final EventLoop loop;
     private final ReconnectBackoff backoff;
     private InetSocketAddress address;
-    /** The connection that has received messages; null while there is none. */
+    /** The connection that has received messages; null if there is none. */
     private @Nullable StreamConnection current;
-    /** The connection that is to take over; null while there is none. */
+    /** The connection that is to replace the current one; null if there is none. */
     private @Nullable StreamConnection candidate;
 
     private long retryAtTicks;
@@ -42,10 +42,10 @@
     private boolean closed;
 
     /**
-     * Creates one that is complete, and silent until it starts.
+     * Creates a stream that opens no connection until it is started.
      *
-     * @param seed for the random part of its backoff
-     * @param address of the service, until it moves
+     * @param seed seeds the random part of the backoff
+     * @param address initial address of the service
      */
     ReconnectingStream(
             StreamProtocol protocol, ServiceConnector connector, EventLoop loop, long seed, InetSocketAddress address) {
@@ -56,7 +56,7 @@
         backoff = new ReconnectBackoff(seed, MIN_BACKOFF_MILLIS, MAX_BACKOFF_MILLIS);
     }
 
-    /** Connects to the present address; has no effect where it has started or is closed. */
+    /** Connects to the current address; has no effect if the stream has been started or closed. */
     void start() {
         if (!started && !closed) {
             started = true;
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Follows the service to another address; the old connection is read until the new one receives a message. */
+    /** Moves to another address of the service; the old connection is read until the new one receives a message. */
     void moveTo(InetSocketAddress newAddress) {
         if (closed || newAddress.equals(address)) {
             return;
@@ -77,7 +77,7 @@
         }
     }
 
-    /** Closes all connections and opens no further ones. */
+    /** Closes all connections; no further ones are opened. */
     void close() {
         closed = true;
         closeCandidate();
@@ -108,7 +108,7 @@
         }
     }
 
-    /** Whether there is no current connection, or one that is silent or at an address that the service has left. */
+    /** Returns whether the current connection is missing, silent or at an old address of the service. */
     private boolean needsCandidate(long nowTicks) {
         return current == null || !current.isAt(address) || current.isSilent(nowTicks);
     }
@@ -122,7 +122,7 @@
         backoff.reset();
     }
 
-    private void onLost(StreamConnection lost) {
+    private void onConnectionLost(StreamConnection lost) {
         boolean wasCurrent = lost == current;
         if (wasCurrent) {
             current = null;
@@ -130,7 +130,7 @@
         if (lost == candidate) {
             candidate = null;
         }
-        // a service whose connection worked is likely to be back at once; another is not
+        // a service whose connection worked is likely to accept a new one immediately; otherwise it is not
         retryAtTicks = wasCurrent ? loop.nowTicks() : loop.nowTicks() + nextBackoffTicks();
         if (wasCurrent && candidate == null && !closed) {
             candidate = new StreamConnection();
@@ -141,13 +141,13 @@
         return backoff.nextDelayMillis() * Ticks.PER_MILLISECOND;
     }
 
-    /** One connection and when it last received something. */
+    /** One connection and the times at which it last received bytes and a message. */
     private final class StreamConnection implements ConnectionListener {
         private final StreamReader reader = protocol.newReader();
         private final InetSocketAddress connectionAddress = address;
         private final long openedAtTicks = loop.nowTicks();
         private long lastMessageAtTicks = openedAtTicks;
-        /** Also of bytes that are only part of a message. */
+        /** Includes bytes that are only part of a message. */
         private long lastBytesAtTicks = openedAtTicks;
 
         private final ServiceConnection connection = connector.open(address, protocol.openingRequest(), this);
@@ -164,7 +164,7 @@
             return nowTicks > lastMessageAtTicks + protocol.silenceTimeoutTicks();
         }
 
-        /** For a candidate: whether it receives nothing at all, or nothing complete. */
+        /** Returns whether a candidate has failed because it received no bytes or no complete message in time. */
         boolean hasFailed(long nowTicks) {
             return nowTicks > lastBytesAtTicks + CANDIDATE_IDLE_TIMEOUT_TICKS
                     || nowTicks > openedAtTicks + protocol.silenceTimeoutTicks();
@@ -182,26 +182,26 @@
                 }
             } catch (UnusableMessageException e) {
                 LOG.warn(
-                        "{}: a message cannot be followed, so the connection is replaced: {}",
+                        "{}: received an unusable message; replacing the connection: {}",
                         protocol.serviceName(),
                         e.getMessage());
                 discard();
             } catch (RuntimeException e) {
-                // no message of a service may stop the node, which goes on with what it knows
-                LOG.error("{}: handling a message failed; the connection is replaced", protocol.serviceName(), e);
+                // no message from a service may stop the node, which continues with its last known state
+                LOG.error("{}: handling a message failed; replacing the connection", protocol.serviceName(), e);
                 discard();
             }
         }
 
         private void discard() {
             connection.close();
-            onLost(this);
+            onConnectionLost(this);
         }
 
         @Override
         public void onClosed(boolean written) {
-            LOG.warn("{}: the connection ended", protocol.serviceName());
-            onLost(this);
+            LOG.warn("{}: the connection was closed or could not be opened", protocol.serviceName());
+            onConnectionLost(this);
         }
     }
 }
--- a/src/main/java/laurelkeel/platform/ServiceClient.java
+++ b/src/main/java/laurelkeel/platform/ServiceClient.java
@@ -5,19 +5,19 @@
 /**
  * A client of one of the platform's services.
  *
- * <p>Lifecycle: it is complete when constructed, and opens no stream before it starts. It may be closed at any time,
- * also before its start, and does not start after that. Not thread-safe; called on the event loop's thread.
+ * <p>Lifecycle: a client opens no stream before it is started. It may be closed at any time, even before the start, and
+ * cannot be started after that. Not thread-safe; called on the event loop's thread.
  */
 interface ServiceClient {
-    /** Opens its stream; has no effect where it has started or is closed. */
+    /** Opens the stream; has no effect if the client has been started or closed. */
     void start();
 
-    /** Follows the service to another address, without losing messages. */
+    /** Moves to another address of the service without losing messages. */
     void moveTo(InetSocketAddress address);
 
-    /** Whether the service has sent what it has to send first. */
+    /** Returns whether the service has sent its initial state or confirmation. */
     boolean hasReported();
 
-    /** Closes all its connections; has no effect where it is closed. */
+    /** Closes all connections; has no effect if the client is closed. */
     void close();
 }
--- a/src/main/java/laurelkeel/platform/ServiceConnection.java
+++ b/src/main/java/laurelkeel/platform/ServiceConnection.java
@@ -5,7 +5,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One connection to a service of the platform, from the moment in which it is being opened.
+ * One connection to a platform service, which may still be opening.
  *
  * <p>Not thread-safe; called on the event loop's thread.
  */
@@ -18,12 +18,12 @@
         this.listener = listener;
     }
 
-    /** Whether it is established and has not ended. */
+    /** Returns whether the connection is established and has not ended. */
     boolean isOpen() {
         return session != null && !closed;
     }
 
-    /** Sends bytes; only while it is open. */
+    /** Sends bytes; the connection must be open. */
     void write(byte[] bytes) {
         IoSession established = session;
         if (established == null) {
@@ -32,7 +32,7 @@
         established.write(IoBuffer.wrap(bytes));
     }
 
-    /** Closes it in any state; its listener is not called any more. */
+    /** Closes the connection in any state; the listener is no longer called. */
     void close() {
         closed = true;
         if (session != null) {
@@ -40,12 +40,12 @@
         }
     }
 
-    void onConnected(IoSession established, byte[] opening) {
+    void onConnected(IoSession established, byte[] initialBytes) {
         if (closed) {
             established.closeNow();
         } else {
             session = established;
-            write(opening);
+            write(initialBytes);
         }
     }
 
--- a/src/main/java/laurelkeel/platform/ServiceConnector.java
+++ b/src/main/java/laurelkeel/platform/ServiceConnector.java
@@ -17,7 +17,7 @@
 /**
  * Opens connections to the platform's services.
  *
- * <p>Called on the event loop's thread. What arrives is handed over on that thread as well, ahead of traffic.
+ * <p>Called on the event loop's thread. Events are also delivered on that thread, with priority over request traffic.
  */
 final class ServiceConnector {
     private static final Logger LOG = LoggerFactory.getLogger(ServiceConnector.class);
@@ -27,18 +27,19 @@
     private final EventLoop loop;
     private final NioSocketConnector connector;
 
-    /** Opens nothing yet. */
+    /** Creates a connector; opens no connection. */
     ServiceConnector(EventLoop loop, Executor socketThreads, SimpleIoProcessorPool<NioSession> processors) {
         this.loop = loop;
         connector = new NioSocketConnector(socketThreads, processors);
         connector.setConnectTimeoutMillis(ConnectAttempt.MINA_TIMEOUT_MS);
         connector.getSessionConfig().setTcpNoDelay(true);
-        // MINA measures it by the wall clock, which may be stepped; who awaits an answer limits the wait
+        // MINA measures this timeout by the wall clock, which may be stepped; callers limit the wait for a response
+        // themselves
         connector.getSessionConfig().setWriteTimeout(0);
         connector.setHandler(new SessionHandler());
     }
 
-    /** Opens no further connections; those that are open end on their own or are closed by their users. */
+    /** Stops opening connections; open ones end by themselves or are closed by their users. */
     void close() {
         connector.dispose(false);
     }
@@ -46,10 +47,10 @@
     /**
      * Opens a connection.
      *
-     * @param opening sent once it is established
-     * @param listener also receives every failure to connect, but never from within this call
+     * @param initialBytes sent once the connection is established
+     * @param listener also notified of every failure to connect, but never from within this call
      */
-    ServiceConnection open(InetSocketAddress address, byte[] opening, ConnectionListener listener) {
+    ServiceConnection open(InetSocketAddress address, byte[] initialBytes, ConnectionListener listener) {
         ServiceConnection connection = new ServiceConnection(listener);
         try {
             ConnectAttempt.start(
@@ -59,9 +60,9 @@
                     CONNECT_TIMEOUT_TICKS,
                     address,
                     session -> session.setAttribute(CONNECTION, connection),
-                    new ConnectListener(address, connection, opening));
+                    new ConnectListener(address, connection, initialBytes));
         } catch (RuntimeException e) {
-            LOG.warn("no connection to {} could be begun: {}", address, e.toString());
+            LOG.warn("starting to connect to {} failed: {}", address, e.toString());
             loop.postPriority(() -> connection.onClosed(false));
         }
         return connection;
@@ -71,21 +72,21 @@
         return (ServiceConnection) session.getAttribute(CONNECTION);
     }
 
-    /** Tells a connection how its attempt to connect ended. */
+    /** Notifies a connection of the result of connecting. */
     private static final class ConnectListener implements ConnectAttempt.Listener {
         private final InetSocketAddress address;
         private final ServiceConnection connection;
-        private final byte[] opening;
+        private final byte[] initialBytes;
 
-        ConnectListener(InetSocketAddress address, ServiceConnection connection, byte[] opening) {
+        ConnectListener(InetSocketAddress address, ServiceConnection connection, byte[] initialBytes) {
             this.address = address;
             this.connection = connection;
-            this.opening = opening;
+            this.initialBytes = initialBytes;
         }
 
         @Override
         public void connected(IoSession session) {
-            connection.onConnected(session, opening);
+            connection.onConnected(session, initialBytes);
         }
 
         @Override
@@ -101,7 +102,7 @@
         }
     }
 
-    /** Posts what happens on a socket to the event loop; called on the socket threads. */
+    /** Posts socket events to the event loop; called on the socket threads. */
     private final class SessionHandler extends ConnectAttempt.Handler {
         @Override
         public void messageReceived(IoSession session, Object message) {
--- a/src/main/java/laurelkeel/platform/StreamProtocol.java
+++ b/src/main/java/laurelkeel/platform/StreamProtocol.java
@@ -1,16 +1,16 @@
 package laurelkeel.platform;
 
-/** What a {@link ReconnectingStream} has to know of the protocol that it carries. */
+/** The protocol-specific part of a {@link ReconnectingStream}. */
 interface StreamProtocol {
-    /** The service's name in log lines. */
+    /** Returns the name of the service for log lines. */
     String serviceName();
 
-    /** The request that begins a connection. */
+    /** Returns the request that is sent first on a new connection. */
     byte[] openingRequest();
 
-    /** A reader for a new connection. */
+    /** Returns a reader for a new connection. */
     StreamReader newReader();
 
-    /** A connection without a complete message for so long has failed. */
+    /** Returns how long a connection may receive no complete message before it counts as failed. */
     long silenceTimeoutTicks();
 }
--- a/src/main/java/laurelkeel/platform/StreamReader.java
+++ b/src/main/java/laurelkeel/platform/StreamReader.java
@@ -4,11 +4,11 @@
 @FunctionalInterface
 interface StreamReader {
     /**
-     * Reads bytes in the order of their arrival.
+     * Reads bytes; called in the order of their arrival.
      *
-     * @param arrivedAtTicks when they were read from the socket
-     * @return whether a complete message was received; false where all that has come is part of one
-     * @throws UnusableMessageException where the connection is of no further use
+     * @param arrivedAtTicks when the bytes were read from the socket
+     * @return whether the bytes completed a message; false if they are only part of one
+     * @throws UnusableMessageException if the connection cannot be used any further
      */
     boolean read(byte[] bytes, long arrivedAtTicks) throws UnusableMessageException;
 }
--- a/src/test/java/laurelkeel/platform/ReconnectingStreamTest.java
+++ b/src/test/java/laurelkeel/platform/ReconnectingStreamTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The lifecycle of a stream: complete when constructed, started once, closed at any time. */
+/** The lifecycle of a stream: usable when constructed, started once, closed at any time. */
 class ReconnectingStreamTest {
     private final NodeRuntime runtime = NodeRuntime.forSingleCore(NodeRuntime.monotonicClock());
     private final EventLoop loop = runtime.loop();
@@ -23,7 +23,7 @@
             new ServiceConnector(loop, runtime.socketThreads(), runtime.sharedProcessors());
     private PlatformTestBed.FakeServer server;
 
-    /** A service whose every byte is a message, and which is never silent for too long. */
+    /** A protocol in which any received bytes are a message, and whose silence timeout is longer than a test. */
     private record TestProtocol(String serviceName) implements StreamProtocol {
         @Override
         public byte[] openingRequest() {
@@ -62,13 +62,13 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), to.listener.getLocalPort());
     }
 
-    /** The name of the stream whose connection the server accepts next. */
+    /** Returns the name of the stream whose connection the server accepts next. */
     private String nextStream() throws Exception {
         return PlatformTestBed.lineReader(server.nextConnection()).readLine();
     }
 
     @Test
-    void aStreamThatIsClosedBeforeItsStartConnectsToNothing() throws Exception {
+    void aStreamThatIsClosedBeforeItsStartOpensNoConnection() throws Exception {
         ReconnectingStream closed = stream("closed", server);
         ReconnectingStream other = stream("other", server);
         loop.post(() -> {
@@ -97,14 +97,14 @@
 
     @Test
     void aServiceThatMovesBeforeTheStartIsReachedAtItsNewAddress() throws Exception {
-        try (PlatformTestBed.FakeServer left = new PlatformTestBed.FakeServer()) {
-            ReconnectingStream moved = stream("moved", left);
+        try (PlatformTestBed.FakeServer oldServer = new PlatformTestBed.FakeServer()) {
+            ReconnectingStream moved = stream("moved", oldServer);
             loop.post(() -> {
                 moved.moveTo(address(server));
                 moved.start();
             });
             assertEquals("moved", nextStream());
-            assertTrue(left.hasNoConnection());
+            assertTrue(oldServer.hasNoConnection());
         }
     }
 
--- a/src/test/java/laurelkeel/platform/ServiceConnectorTest.java
+++ b/src/test/java/laurelkeel/platform/ServiceConnectorTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Events of connections to the platform's services go ahead of traffic on a loop that has fallen behind. */
+/** Events of service connections are handled ahead of request traffic on an event loop with a backlog. */
 class ServiceConnectorTest {
     private static final int BACKLOG = 3_000;
 
@@ -41,7 +41,7 @@
         LockSupport.parkNanos(TimeUnit.MICROSECONDS.toNanos(200));
     }
 
-    /** How much of the backlog was handled when the connection's end was reported. */
+    /** Returns the number of tasks of the backlog that were handled before the end of the connection was reported. */
     private int handledBeforeTheEnd(InetSocketAddress to) throws Exception {
         CompletableFuture<Integer> handledAtEnd = new CompletableFuture<>();
         loop.post(() -> {
@@ -65,11 +65,11 @@
 
     @Test
     void aRefusedConnectionIsReportedAheadOfTheBacklog() throws Exception {
-        InetSocketAddress nobody;
+        InetSocketAddress unusedAddress;
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            nobody = new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
+            unusedAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
         }
-        int before = handledBeforeTheEnd(nobody);
+        int before = handledBeforeTheEnd(unusedAddress);
         assertTrue(before < BACKLOG / 2, "reported after " + before + " of " + BACKLOG);
     }
 }
