--- a/src/main/java/laurelkeel/platform/FrontNodeSettings.java
+++ b/src/main/java/laurelkeel/platform/FrontNodeSettings.java
@@ -5,16 +5,16 @@
 import laurelkeel.front.upstream.UpstreamSettings;
 import laurelkeel.wire.HttpLimits;
 
-/** Derives the limits and timeouts of a front node's sockets from its configuration; thread-safe. */
+/** Derives a front node's socket limits and timeouts from its configuration; thread-safe. */
 final class FrontNodeSettings {
-    /** The platform's limit of a body. */
+    /** The platform's limit on the size of a body. */
     private static final int MAX_BODY_BYTES = 64 << 10;
 
     private static final int MAX_REQUEST_LINE_BYTES = 2 << 10;
     private static final int MAX_STATUS_LINE_BYTES = 1 << 10;
     private static final int MAX_HEADER_BYTES = 8 << 10;
     private static final int MAX_HEADERS = 64;
-    /** The one thread for sockets is shared by both sides. */
+    /** A single I/O thread is shared by client and endpoint connections. */
     private static final int IO_THREADS = 1;
 
     private static final int OPEN_REQUESTS_PER_CLIENT_CONNECTION = 2;
@@ -22,30 +22,30 @@
     private static final int MAX_PIPELINED_REQUESTS = 4;
     private static final long CLIENT_IDLE_TIMEOUT_TICKS = 60 * Ticks.PER_SECOND;
     private static final long WRITE_TIMEOUT_TICKS = 10 * Ticks.PER_SECOND;
-    /** A drain takes as long as the longest timeout of a route at least, and need not take longer. */
+    /** 0 adds nothing: a drain always allows at least the longest route timeout, which is enough. */
     private static final long MAX_DRAIN_TICKS = 0;
-    /** After SIGTERM new connections come for 0.4 s, and requests are owed an answer for 0.7 s. */
+    /** After SIGTERM, new connections arrive for up to 0.4 s, and requests must be answered for 0.7 s. */
     private static final long LAME_DUCK_TICKS = 550 * Ticks.PER_MILLISECOND;
-    /** A client that sends no valid request is owed an answer or a close within 3 s. */
+    /** A client that sends no valid request must receive a response or a close within 3 s. */
     private static final long FIRST_REQUEST_TIMEOUT_TICKS = 2_400 * Ticks.PER_MILLISECOND;
 
     private static final long PARTIAL_REQUEST_TIMEOUT_TICKS = 2_000 * Ticks.PER_MILLISECOND;
-    /** A client's connection may be closed 2 s after its answer. */
+    /** A client's connection may be closed once it has been idle for 2 s after a response. */
     private static final long MIN_IDLE_TICKS = 2_100 * Ticks.PER_MILLISECOND;
 
     private static final int MAX_WAITING_PER_ENDPOINT = 1024;
     private static final long DEFAULT_CONNECT_TIMEOUT_TICKS = 250 * Ticks.PER_MILLISECOND;
     private static final long DEFAULT_ENDPOINT_IDLE_TIMEOUT_TICKS = 10 * Ticks.PER_SECOND;
-    /** How much sooner than an endpoint this side closes an idle connection. */
+    /** How much earlier than the endpoint this node closes an idle connection. */
     private static final long IDLE_MARGIN_TICKS = 2 * Ticks.PER_SECOND;
 
     private static final long HEALTH_CHECK_TIMEOUT_TICKS = 250 * Ticks.PER_MILLISECOND;
-    /** Bytes that an endpoint sends behind a response arrive within this time. */
+    /** Surplus bytes that an endpoint sends after a response arrive within this time. */
     private static final long REST_AFTER_RESPONSE_TICKS = 10 * Ticks.PER_MILLISECOND;
 
     private FrontNodeSettings() {}
 
-    /** The limits and timeouts towards clients. */
+    /** Returns the limits and timeouts of connections from clients. */
     static IngressSettings ingress(NodeConfiguration configuration) {
         SocketBudget budget = SocketBudget.of(configuration.maxSockets());
         return new IngressSettings(
@@ -72,7 +72,7 @@
         return configured > 0 ? Math.min(configured, maxForSockets) : maxForSockets;
     }
 
-    /** The limits and timeouts towards endpoints. */
+    /** Returns the limits and timeouts of connections to endpoints. */
     static UpstreamSettings upstream(NodeConfiguration configuration) {
         int maxConnections = SocketBudget.of(configuration.maxSockets()).endpointConnections();
         long connectTimeoutTicks =
--- a/src/main/java/laurelkeel/platform/InvalidConfigurationException.java
+++ b/src/main/java/laurelkeel/platform/InvalidConfigurationException.java
@@ -1,15 +1,15 @@
 package laurelkeel.platform;
 
-/** Signals a configuration that cannot be followed; the message names the field or the file, and the reason. */
+/** Signals an invalid or unreadable configuration; the message names the field or file and the reason. */
 public final class InvalidConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final boolean fileReadable;
 
     /**
-     * Creates one for a configuration that was read.
+     * Creates an exception for a configuration that was read but is invalid.
      *
-     * @param subject the field, or what else is wrong
+     * @param subject the invalid field, file or other part
      * @param reason what is wrong with it
      */
     InvalidConfigurationException(String subject, String reason) {
@@ -21,12 +21,12 @@
         this.fileReadable = fileReadable;
     }
 
-    /** One for a file that the system failed to read, whose content may be valid. */
+    /** Returns the exception for a file that the system failed to read; its content may be valid. */
     static InvalidConfigurationException unreadableFile(String file, String reason) {
         return new InvalidConfigurationException(file, "cannot be read: " + reason, false);
     }
 
-    /** False where the system failed to read a file that exists, so that its content may be valid. */
+    /** Returns false if the system failed to read an existing file, whose content may be valid. */
     public boolean isFileReadable() {
         return fileReadable;
     }
--- a/src/main/java/laurelkeel/platform/Ipv4Addresses.java
+++ b/src/main/java/laurelkeel/platform/Ipv4Addresses.java
@@ -5,7 +5,7 @@
 import java.net.UnknownHostException;
 import org.jspecify.annotations.Nullable;
 
-/** Parses socket addresses as the platform writes them, such as 10.0.0.4:5000; thread-safe. */
+/** Parses the platform's socket addresses, such as 10.0.0.4:5000; thread-safe. */
 final class Ipv4Addresses {
     private static final int OCTETS = 4;
     private static final int MAX_OCTET = 255;
@@ -13,7 +13,9 @@
 
     private Ipv4Addresses() {}
 
-    /** Returns the address, or null where the text is none. No name is ever looked up: the platform has no DNS. */
+    /**
+     * Returns the address; null if the text is not one. Host names are never resolved, since the platform has no DNS.
+     */
     static @Nullable InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 0) {
--- a/src/main/java/laurelkeel/platform/NodeConfiguration.java
+++ b/src/main/java/laurelkeel/platform/NodeConfiguration.java
@@ -9,14 +9,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The configuration that the platform gives a front node at its start, and again with each SIGHUP.
+ * The configuration of a front node, which the platform provides at its start and again with each SIGHUP.
  *
- * @param name the node's name, the same after a restart
- * @param listen where clients connect
- * @param seed for random numbers; new with each start
- * @param maxSockets descriptors that the process may hold
- * @param rolloutState where the newest build stands; null where that is not known
- * @param cachedEndpoints the endpoint list as this node last had it; null where there is none
+ * @param name the node's name, which stays the same after a restart
+ * @param listen address on which the node accepts clients
+ * @param seed seed for random numbers; new at each start
+ * @param maxSockets number of file descriptors that the process may have open
+ * @param rolloutState rollout state of the newest build; null if it is not known
+ * @param cachedEndpoints the endpoint list that this node last knew; null if there is none
  */
 public record NodeConfiguration(
         String name,
@@ -33,8 +33,8 @@
     /**
      * Reads a configuration file.
      *
-     * @param environment stands for fields that the file lacks
-     * @throws InvalidConfigurationException where it cannot be read or followed
+     * @param environment environment variables, which provide fields that the file lacks
+     * @throws InvalidConfigurationException if the file cannot be read or is invalid
      */
     public static NodeConfiguration read(Path file, Map<String, String> environment)
             throws InvalidConfigurationException {
@@ -44,8 +44,8 @@
     /**
      * Parses a configuration that has been read as JSON.
      *
-     * @param environment stands for fields that the configuration lacks
-     * @throws InvalidConfigurationException where it cannot be followed
+     * @param environment environment variables, which provide fields that the configuration lacks
+     * @throws InvalidConfigurationException if the configuration is invalid
      */
     public static NodeConfiguration of(@Nullable JsonNode root, Map<String, String> environment)
             throws InvalidConfigurationException {
--- a/src/main/java/laurelkeel/platform/NodeConfigurationParser.java
+++ b/src/main/java/laurelkeel/platform/NodeConfigurationParser.java
@@ -17,11 +17,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Parses the configuration that the platform gives a front node.
+ * Parses the configuration of a front node.
  *
- * <p>All names of its fields and environment variables stand here. Fields that are not known are ignored; one that is
- * missing or malformed is named in the error. The cached endpoint list and the rollout state are not needed: where they
- * are malformed, they are logged and ignored. Thread-safe.
+ * <p>All names of its fields and environment variables are defined here. Unknown fields are ignored. If a field is
+ * missing or malformed, the error names it. The cached endpoint list and the rollout state are optional; if one of them
+ * is malformed, a warning is logged and it is ignored. Thread-safe.
  */
 final class NodeConfigurationParser {
     static final String NAME_VARIABLE = "RELAY_NAME";
@@ -45,7 +45,7 @@
 
     private final Map<String, String> environment;
 
-    /** @param environment the process's variables, which stand for fields that the configuration lacks */
+    /** @param environment environment variables, which provide fields that the configuration lacks */
     NodeConfigurationParser(Map<String, String> environment) {
         this.environment = environment;
     }
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Parses a configuration that has been read as JSON; null stands for an empty one. */
+    /** Parses a configuration that has been read as JSON; null is treated as an empty document. */
     NodeConfiguration parse(@Nullable JsonNode root) throws InvalidConfigurationException {
         if (root == null || !root.isObject()) {
             throw new InvalidConfigurationException("the configuration", "is not a JSON object");
@@ -105,7 +105,7 @@
     private static Settings parseSettings(Map<String, String> options) throws InvalidConfigurationException {
         Settings settings = OptionsParser.settings(options);
         if (settings.routes().isEmpty()) {
-            throw new InvalidConfigurationException(SETTINGS + "." + OptionsParser.ROUTES, "names no route");
+            throw new InvalidConfigurationException(SETTINGS + "." + OptionsParser.ROUTES, "contains no route");
         }
         if (settings.rollout().stageExposureCaps().isEmpty()) {
             throw new InvalidConfigurationException(SETTINGS + "." + OptionsParser.STAGE_EXPOSURE_CAPS, "is missing");
@@ -129,7 +129,7 @@
         return address;
     }
 
-    /** A seed is a hexadecimal number; any other text stands for its hash. */
+    /** Parses the seed, a hexadecimal number; the seed of any other text is its hash code. */
     private static long parseSeed(String text) {
         try {
             return Long.parseUnsignedLong(text, HEXADECIMAL);
--- a/src/main/java/laurelkeel/platform/PlatformNode.java
+++ b/src/main/java/laurelkeel/platform/PlatformNode.java
@@ -8,10 +8,10 @@
 import laurelkeel.front.NodeServices;
 
 /**
- * A front node on the platform: the front and the services that it was given.
+ * A front node together with the platform services that it uses.
  *
- * <p>Complete when created, in the order in which its parts need each other: runtime, services, front. Nothing runs
- * before {@link FrontNode#start}. Thread-safe.
+ * <p>The parts are created in the order of their dependencies: runtime, services, front node. Nothing runs before
+ * {@link FrontNode#start}. Thread-safe.
  */
 public final class PlatformNode {
     private final PlatformServices services;
@@ -23,15 +23,15 @@
     }
 
     /**
-     * Creates a node with the decider that a factory makes.
+     * Creates a node.
      *
-     * @param configuration as the platform gave it
+     * @param deciderFactory creates the node's decider
      */
     public static PlatformNode create(NodeConfiguration configuration, Decider.Factory deciderFactory) {
         return create(configuration, deciderFactory, NodeRuntime.monotonicClock());
     }
 
-    /** As {@link #create}, with a clock of ticks that only advances. */
+    /** As {@link #create}, with a monotonic clock that returns ticks. */
     static PlatformNode create(
             NodeConfiguration configuration, Decider.Factory deciderFactory, LongSupplier clockTicks) {
         return create(configuration, deciderFactory, clockTicks, UnaryOperator.identity());
@@ -40,7 +40,7 @@
     /**
      * As {@link #create}, for tests.
      *
-     * @param decorator wraps the services that the front is given
+     * @param decorator wraps the services before the front node receives them
      */
     static PlatformNode create(
             NodeConfiguration configuration,
@@ -58,17 +58,17 @@
         return new PlatformNode(services, frontNode);
     }
 
-    /** The front, which starts and ends the node. */
+    /** Returns the front node, which controls start and termination. */
     public FrontNode frontNode() {
         return frontNode;
     }
 
-    /** Follows the services to the addresses of a new configuration; all else of it is ignored. */
+    /** Moves to the service addresses of a new configuration; everything else in it is ignored. */
     public void reconfigure(NodeConfiguration next) {
         services.moveTo(next);
     }
 
-    /** The version of the endpoint list; below 0 where none is known. */
+    /** Returns the version of the endpoint list; negative if none is known. */
     long endpointListVersion() {
         return services.endpointListVersion();
     }
--- a/src/main/java/laurelkeel/platform/PlatformServices.java
+++ b/src/main/java/laurelkeel/platform/PlatformServices.java
@@ -20,14 +20,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a front node on the platform is given: the platform's protocol, discovery, the control service and a decider.
+ * The services of a front node on the platform: its protocol, discovery, the control service and a decider.
  *
- * <p>Complete when constructed: the decider may ask for anything before the services are started. Called on the event
+ * <p>Fully usable after construction, since the decider may use any service before {@link #start}. Called on the event
  * loop's thread unless a method says otherwise.
  */
 final class PlatformServices implements NodeServices {
     private static final Logger LOG = LoggerFactory.getLogger(PlatformServices.class);
-    /** Both services may be down; the node is ready without them after this time. */
+    /** After this time the node is ready without discovery and the control service, since both may be down. */
     private static final long MAX_WAIT_FOR_SERVICES_TICKS = 3 * Ticks.PER_SECOND;
 
     private static final String HEALTHY = "ok";
@@ -47,9 +47,9 @@
     private final long createdAtTicks;
 
     /**
-     * Wires the services up and takes over the lists of the configuration; opens no connection.
+     * Creates the services and applies the endpoint list and rollout state of the configuration; opens no connection.
      *
-     * @param deciderFactory makes the decider from the configuration's settings and seed
+     * @param deciderFactory creates the decider from the configuration's settings and seed
      */
     PlatformServices(NodeConfiguration configuration, Decider.Factory deciderFactory, NodeRuntime runtime) {
         decider = deciderFactory.create(configuration.settings(), configuration.seed());
@@ -74,11 +74,11 @@
                 protocol::routeIndex,
                 configuration.controlService(),
                 this::onControlServiceEvent);
-        learnCachedEndpoints(configuration);
-        learnRolloutState(configuration);
+        applyCachedEndpoints(configuration);
+        applyRolloutState(configuration);
     }
 
-    private void learnCachedEndpoints(NodeConfiguration configuration) {
+    private void applyCachedEndpoints(NodeConfiguration configuration) {
         DiscoveredEndpointList cached = configuration.cachedEndpoints();
         if (cached == null) {
             return;
@@ -93,7 +93,7 @@
         }
     }
 
-    private void learnRolloutState(NodeConfiguration configuration) {
+    private void applyRolloutState(NodeConfiguration configuration) {
         ReportedRollout state = configuration.rolloutState();
         if (state != null) {
             onControlServiceEvent(state.toUpdate(0, false));
@@ -115,11 +115,11 @@
         });
     }
 
-    /** Follows the services to the addresses of another configuration; from any thread. */
+    /** Moves to the service addresses of another configuration; may be called on any thread. */
     void moveTo(NodeConfiguration configuration) {
         loop.postPriority(() -> {
             LOG.info(
-                    "discovery is at {}, the control service at {}",
+                    "using discovery at {} and the control service at {}",
                     configuration.discovery(),
                     configuration.controlService());
             discovery.moveTo(configuration.discovery());
@@ -132,7 +132,7 @@
         return List.of(discovery::close, controlService::close, connector::close);
     }
 
-    /** The version of the endpoint list; below 0 where none is known. */
+    /** Returns the version of the endpoint list; negative if none is known. */
     long endpointListVersion() {
         return directory.version();
     }
@@ -167,11 +167,11 @@
                 healthy ? STATUS_OK : STATUS_UNAVAILABLE, new Headers(), body.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Whether an endpoint is known, and both services have reported or were waited for long enough. */
+    /** Returns whether an endpoint is known, and either both services have reported or the wait for them is over. */
     private boolean isReady() {
         boolean reported = discovery.hasReported() && controlService.hasReported();
-        boolean waited = loop.nowTicks() > createdAtTicks + MAX_WAIT_FOR_SERVICES_TICKS;
-        return !directory.isEmpty() && (reported || waited);
+        boolean waitIsOver = loop.nowTicks() > createdAtTicks + MAX_WAIT_FOR_SERVICES_TICKS;
+        return !directory.isEmpty() && (reported || waitIsOver);
     }
 
     @Override
@@ -179,15 +179,15 @@
         controlService.vote(vote);
     }
 
-    /** Does nothing: discovery is followed all the time. */
+    /** Does nothing, since discovery is always watched. */
     @Override
     public void watchEndpoints(boolean enabled) {}
 
-    /** Does nothing: discovery is followed all the time. */
+    /** Does nothing, since discovery is always watched. */
     @Override
     public void fetchEndpoints() {}
 
-    /** Does nothing: the platform's settings allow no gossip. */
+    /** Does nothing, since the platform's settings do not allow gossip. */
     @Override
     public void sendGossip(int toNode, byte[] payload) {}
 }
--- a/src/main/java/laurelkeel/platform/SettingsFlattener.java
+++ b/src/main/java/laurelkeel/platform/SettingsFlattener.java
@@ -5,10 +5,11 @@
 import java.util.Map;
 
 /**
- * Flattens nested JSON settings to options, as {@link laurelkeel.options.OptionsParser} reads them.
+ * Flattens nested JSON settings to the options that {@link laurelkeel.options.OptionsParser} reads.
  *
- * <p>The names of nested fields are joined by dots. A list of objects has its length under {@code count} and its items
- * under 0, 1 and so on; a list of plain values is joined by commas. A null is left out. Not thread-safe.
+ * <p>The names of nested fields are joined with dots. An array of objects or arrays becomes its length under {@code
+ * count} and its items under 0, 1 and so on; an array of plain values is joined with commas. A null is omitted. Not
+ * thread-safe.
  */
 final class SettingsFlattener {
     private static final String LENGTH = "count";
--- a/src/test/java/laurelkeel/platform/Ipv4AddressesTest.java
+++ b/src/test/java/laurelkeel/platform/Ipv4AddressesTest.java
@@ -10,14 +10,14 @@
 
 class Ipv4AddressesTest {
     @Test
-    void fourNumbersAndAPortAreAnAddress() throws Exception {
+    void fourOctetsAndAPortAreAnAddress() throws Exception {
         assertEquals(
                 new InetSocketAddress(InetAddress.getByAddress(new byte[] {10, 0, 0, (byte) 255}), 65_535),
                 Ipv4Addresses.parse("10.0.0.255:65535"));
     }
 
     @Test
-    void anythingElseIsNone() {
+    void anyOtherTextIsRejected() {
         for (String text : List.of(
                 "",
                 "10.0.0.4",
--- a/src/test/java/laurelkeel/platform/NodeConfigurationParserTest.java
+++ b/src/test/java/laurelkeel/platform/NodeConfigurationParserTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a configuration may lack, and how its faults are reported. */
+/** Optional and required fields of a configuration, and the errors for missing or malformed ones. */
 class NodeConfigurationParserTest {
     private static final String SETTINGS = PlatformTestBed.SETTINGS.formatted(800);
     private static final String REQUIRED =
@@ -43,7 +43,7 @@
         return parse(json, Map.of());
     }
 
-    private static String fault(String json) {
+    private static String errorMessage(String json) {
         return assertThrows(InvalidConfigurationException.class, () -> parse(json))
                 .getMessage();
     }
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void settingsAreTheSameFromJsonAndFromTheSimulatorsWire() throws Exception {
+    void jsonSettingsEqualTheSameSettingsInTheSimulatorsFormat() throws Exception {
         Map<String, String> options = new TreeMap<>(SettingsFlattener.flatten(Json.MAPPER.readTree(SETTINGS)));
         assertEquals("2", options.get("services.count"));
         assertEquals("0.1,0.5,1.0", options.get("familyInfo.stageCap"));
@@ -81,33 +81,33 @@
     }
 
     @Test
-    void aConfigurationThatLacksAFieldNamesIt() throws Exception {
+    void anErrorNamesTheMissingField() throws Exception {
         assertFalse(parse(REQUIRED).settings().routes().isEmpty());
         for (String field : List.of("name", "listen", "discovery", "limits", "rollouts", "settings")) {
-            String message = fault(without(field).toString());
+            String message = errorMessage(without(field).toString());
             assertTrue(message.startsWith(field), message);
         }
     }
 
     @Test
-    void aMalformedFieldIsNamedWithTheReason() {
+    void anErrorNamesTheMalformedFieldAndTheReason() {
         assertEquals(
                 "settings.services.0.effect: 'odd' is unknown",
-                fault(REQUIRED.replace("\"effect\":\"safe\"", "\"effect\":\"odd\"")));
+                errorMessage(REQUIRED.replace("\"effect\":\"safe\"", "\"effect\":\"odd\"")));
         assertEquals(
                 "listen: 'localhost:1' is not an address such as 10.0.0.4:5000",
-                fault(REQUIRED.replace("127.0.0.1:1", "localhost:1")));
+                errorMessage(REQUIRED.replace("127.0.0.1:1", "localhost:1")));
         assertEquals(
                 "rollouts.address: '' is not an address such as 10.0.0.4:5000",
-                fault(REQUIRED.replace("\"address\":\"127.0.0.1:3\"", "")));
-        assertEquals("limits.sockets: is not a whole number above 0", fault(REQUIRED.replace(":256", ":0")));
-        assertEquals("settings.services: names no route", fault(REQUIRED.replace("services", "other")));
-        assertEquals("settings.familyInfo.stageCap: is missing", fault(REQUIRED.replace("stageCap", "other")));
-        assertEquals("the configuration: is not a JSON object", fault("[]"));
+                errorMessage(REQUIRED.replace("\"address\":\"127.0.0.1:3\"", "")));
+        assertEquals("limits.sockets: is not a whole number above 0", errorMessage(REQUIRED.replace(":256", ":0")));
+        assertEquals("settings.services: contains no route", errorMessage(REQUIRED.replace("services", "other")));
+        assertEquals("settings.familyInfo.stageCap: is missing", errorMessage(REQUIRED.replace("stageCap", "other")));
+        assertEquals("the configuration: is not a JSON object", errorMessage("[]"));
     }
 
     @Test
-    void theEnvironmentStandsForFieldsThatAreMissing() throws Exception {
+    void theEnvironmentProvidesMissingFields() throws Exception {
         Map<String, String> environment =
                 Map.of("RELAY_NAME", "n9", "RELAY_LISTEN", "127.0.0.1:8", "RELAY_DISCOVERY", "127.0.0.1:9");
         assertEquals("n9", parse(without("name").toString(), environment).name());
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void aSeedIsHexadecimalAndAnyOtherTextHasOneToo() throws Exception {
+    void aSeedIsHexadecimalAndOtherTextIsHashed() throws Exception {
         assertEquals(0x8c1f30d27a5be964L, parse(withSeed("8c1f30d27a5be964")).seed());
         assertEquals("other".hashCode(), parse(withSeed("other")).seed());
     }
--- a/src/test/java/laurelkeel/platform/PlatformNodeTest.java
+++ b/src/test/java/laurelkeel/platform/PlatformNodeTest.java
@@ -14,10 +14,10 @@
 import laurelkeel.api.Event;
 import org.junit.jupiter.api.Test;
 
-/** A node and its clients: drain, idle connections, and clients that end their output. */
+/** A node's connections: drain, idle connections, and clients that half-close their connections. */
 class PlatformNodeTest {
     @Test
-    void aDrainingNodeAcceptsWhatStillArrivesAndAnswersAll() throws Exception {
+    void aDrainingNodeStillAcceptsAndAnswersRequests() throws Exception {
         try (PlatformTestBed testBed = new PlatformTestBed(PlatformTestBed::sendOnce)) {
             testBed.acceptWatch(testBed.listJson(2, true, "active", 1));
             Socket subscription = testBed.controlService.nextConnection();
@@ -28,7 +28,7 @@
             Socket idle = testBed.connectClient();
             send(client, getRequest("1", ""));
             Socket firstConnection = testBed.endpoint.nextConnection();
-            // received first, so that it has its connection before the next request needs one
+            // received first, so that request 1 occupies its connection before the next request needs one
             receive(firstConnection);
             send(idle, getRequest("0", ""));
             Socket idleConnection = testBed.endpoint.nextConnection();
@@ -40,11 +40,13 @@
             Socket lateClient = testBed.connectClient();
             send(lateClient, getRequest("2", ""));
             testBed.awaitEvent(Event.RequestReceived.class, 3);
-            assertTrue(receive(idle).contains("<end>"), "idle connections are closed once no new clients come");
+            assertTrue(
+                    receive(idle).contains("<end>"),
+                    "idle connections are closed once new clients are no longer accepted");
             send(firstConnection, okResponse("one"));
             String answer = receive(client);
             assertTrue(answer.endsWith("one") && answer.contains("Connection: close\r\n"), answer);
-            // on the connection that served request 0, or on a new one
+            // request 2 is sent on the connection that served request 0, or on a new one
             Socket lateConnection =
                     testBed.endpoint.connections.isEmpty() ? idleConnection : testBed.endpoint.nextConnection();
             send(lateConnection, okResponse("two"));
@@ -54,7 +56,7 @@
     }
 
     @Test
-    void silentConnectionsNeverKeepClientsOut() throws Exception {
+    void silentConnectionsNeverBlockOtherClients() throws Exception {
         try (PlatformTestBed testBed = new PlatformTestBed(128, 5000, PlatformTestBed::sendOnce)) {
             for (int i = 0; i < 300; i++) {
                 testBed.connectClient();
@@ -71,7 +73,7 @@
         }
     }
 
-    /** The endpoint closes it after 15 s, and an attempt that is sent then is lost. */
+    /** The endpoint closes idle connections after 15 s, and an attempt that is sent at that time is lost. */
     @Test
     void anIdleConnectionIsClosedBeforeTheEndpointWouldCloseIt() throws Exception {
         TestClock clock = TestClock.stopped();
@@ -93,9 +95,12 @@
         }
     }
 
-    /** A client that has ended its output may still be reading; it looks the same as one that has closed. */
+    /**
+     * A client that has shut down its output may still read the response; the node cannot distinguish it from one that
+     * has closed the connection.
+     */
     @Test
-    void aClientThatEndsItsOutputGetsItsAnswerAndNoFurtherAttempt() throws Exception {
+    void aHalfClosedClientGetsItsResponseAndNoFurtherAttempt() throws Exception {
         try (PlatformTestBed testBed = new PlatformTestBed(PlatformTestBed::sendOnce)) {
             Socket client = testBed.connectClient();
             send(client, getRequest("1", ""));
@@ -109,7 +114,7 @@
     }
 
     @Test
-    void allRequestsThatAClientSentBeforeItEndedItsOutputAreAnswered() throws Exception {
+    void allRequestsSentBeforeAClientHalfClosesAreAnswered() throws Exception {
         try (PlatformTestBed testBed = new PlatformTestBed(PlatformTestBed::sendOnce)) {
             Socket client = testBed.connectClient();
             send(client, getRequest("1", "") + getRequest("2", "") + "GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n");
--- a/src/test/java/laurelkeel/platform/PlatformReconfigurationTest.java
+++ b/src/test/java/laurelkeel/platform/PlatformReconfigurationTest.java
@@ -17,7 +17,7 @@
 import laurelkeel.api.Event.ControlStatus;
 import org.junit.jupiter.api.Test;
 
-/** What a new configuration changes in a running node. */
+/** The effect of a new configuration on a running node. */
 class PlatformReconfigurationTest {
     @Test
     void aNewConfigurationMovesTheServicesAndLosesNoRequest() throws Exception {
@@ -39,8 +39,8 @@
             testBed.awaitEvent(Event.EndpointListUpdate.class, 3);
             send(watch, WATCH_RESPONSE_HEAD + chunk("\n"));
             assertTrue(receive(old).contains("<end>"));
-            send(endpointConnection, okResponse("held"));
-            assertTrue(receive(client).endsWith("held"));
+            send(endpointConnection, okResponse("served"));
+            assertTrue(receive(client).endsWith("served"));
         }
     }
 
@@ -56,7 +56,7 @@
             receive(client);
             testBed.node.reconfigure(testBed.configuration(testBed.discovery, next));
             assertEquals("SUB", lineReader(next.nextConnection()).readLine());
-            // its reply comes from the old address all the same
+            // the reply to the vote in flight still comes from the old address
             send(old, "OK 42 1 Progressing 0.28 1\r\n");
             assertEquals(ControlStatus.OK, testBed.awaitVoteReply(1).status());
             send(client, getRequest("2", ""));
@@ -64,9 +64,9 @@
         }
     }
 
-    /** The old connection may stay open and receive lists; the new address is tried again all the same. */
+    /** The new address must be retried even while the old connection stays open and receives lists. */
     @Test
-    void aNewAddressThatIsNotUpYetIsRetriedWhileTheOldOneIsStillRead() throws Exception {
+    void aNewAddressThatIsNotUpYetIsRetriedWhileTheOldConnectionIsRead() throws Exception {
         try (PlatformTestBed testBed = new PlatformTestBed(PlatformTestBed::sendOnce);
                 PlatformTestBed.FakeServer nextDiscovery = new PlatformTestBed.FakeServer();
                 PlatformTestBed.FakeServer nextControlService = new PlatformTestBed.FakeServer()) {
--- a/src/test/java/laurelkeel/platform/PlatformTestBed.java
+++ b/src/test/java/laurelkeel/platform/PlatformTestBed.java
@@ -28,9 +28,9 @@
 import laurelkeel.front.FrontTestRig;
 import laurelkeel.front.NodeRuntime;
 
-/** A front node between an endpoint, discovery and a control service whose every byte a test writes. */
+/** A front node with a fake endpoint, discovery and control service; a test writes every byte that these send. */
 public final class PlatformTestBed implements AutoCloseable {
-    /** A configuration's settings; to be formatted with the timeout of a vote, in milliseconds. */
+    /** The settings of a configuration, as a format string whose argument is the vote timeout in milliseconds. */
     public static final String SETTINGS =
             """
             {"selfIndex":0,"balancers":2,"zone":0,"zones":["a","b"],"kinds":["m1","m2"],"membershipMode":"push",
@@ -50,7 +50,7 @@
     private static final int DEFAULT_VOTE_TIMEOUT_MILLIS = 5_000;
     private static final int READ_TIMEOUT_MILLIS = 10_000;
 
-    /** A server that accepts connections and leaves all else to the test. */
+    /** A server that accepts connections and leaves everything else to the test. */
     public static final class FakeServer implements AutoCloseable {
         final ServerSocket listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         final BlockingQueue<Socket> connections = new LinkedBlockingQueue<>();
@@ -78,16 +78,16 @@
             return "127.0.0.1:" + listener.getLocalPort();
         }
 
-        /** True where nobody has connected, but for what nextConnection has returned. */
+        /** Returns whether there is no connection that {@link #nextConnection} has not returned yet. */
         public boolean hasNoConnection() {
             return connections.isEmpty();
         }
 
-        /** Waits for the next connection. */
+        /** Waits for the next connection and returns it. */
         public Socket nextConnection() throws InterruptedException {
             Socket connection = connections.poll(10, TimeUnit.SECONDS);
             if (connection == null) {
-                throw new AssertionError("nobody connected");
+                throw new AssertionError("no connection arrived in time");
             }
             return connection;
         }
@@ -100,7 +100,7 @@
         /** Closes the listener and every connection that it has accepted. */
         void stop() throws IOException {
             listener.close();
-            // until it has returned from accept the kernel takes connections for it, and it would keep one open
+            // until accept has returned, the kernel still accepts connections for the listener, and one would stay open
             joinAcceptor();
             for (Socket connection : accepted) {
                 connection.close();
@@ -174,7 +174,7 @@
                 + "\",\"weight\":1.5,\"started_ms\":0,\"revision_no\":" + build + "}";
     }
 
-    /** A list whose one entry is the endpoint. */
+    /** Returns a list whose only entry is the endpoint. */
     String listJson(int version, boolean complete, String state, int build) {
         return listJson(version, complete, entryJson(state, build, endpoint));
     }
@@ -214,7 +214,7 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** The characters of a text, each as a text. */
+    /** Returns each character of a text as a string. */
     static List<String> characters(String text) {
         return text.codePoints().mapToObj(Character::toString).toList();
     }
@@ -223,7 +223,7 @@
         FrontTestPeers.say(socket, text);
     }
 
-    /** Accepts the watch on discovery, and sends the response's head and these lines. */
+    /** Accepts the watch on discovery, and sends the head of the response and the given lines. */
     Socket acceptWatch(String... lines) throws Exception {
         Socket socket = discovery.nextConnection();
         receive(socket);
@@ -238,7 +238,7 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** Receives one message; the text is &lt;end&gt; where the connection has ended or was reset. */
+    /** Receives one message; returns &lt;end&gt; if the connection has ended or was reset. */
     static String receive(Socket socket) throws IOException {
         return FrontTestPeers.hear(new FilterInputStream(socket.getInputStream()) {
             @Override
@@ -261,7 +261,7 @@
         });
     }
 
-    /** A reader of the lines that arrive on a connection. */
+    /** Returns a reader for the lines that arrive on a connection. */
     public static BufferedReader lineReader(Socket socket) throws IOException {
         return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
     }
@@ -280,7 +280,7 @@
         return List.of();
     }
 
-    /** Waits until so many votes have been answered, and returns the last of these answers. */
+    /** Waits until the given number of votes have been answered, and returns the last of these replies. */
     Event.RolloutUpdate awaitVoteReply(int count) {
         await(count + " votes answered", () -> voteReplies().size() >= count);
         return voteReplies().get(count - 1);
@@ -292,7 +292,7 @@
                 .toList();
     }
 
-    /** The response to a health check; empty where the connection has ended. */
+    /** Returns the response to a health check; empty if the connection has ended. */
     static String getHealth(Socket socket) {
         try {
             send(socket, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -302,7 +302,7 @@
         }
     }
 
-    /** Waits until so many events of a kind have come, and returns the last of them. */
+    /** Waits until the given number of events of a type have occurred, and returns the last of them. */
     <E extends Event> E awaitEvent(Class<E> kind, int count) {
         await(count + " of " + kind.getSimpleName(), () -> eventsOf(kind).size() >= count);
         return eventsOf(kind).get(count - 1);
--- a/src/test/java/laurelkeel/platform/QueuedAttemptTest.java
+++ b/src/test/java/laurelkeel/platform/QueuedAttemptTest.java
@@ -18,14 +18,14 @@
 import laurelkeel.api.Event.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
-/** Attempts that have to wait until a connection to an endpoint may be opened. */
+/** Attempts that are queued until a connection to an endpoint may be opened. */
 class QueuedAttemptTest {
     private static final int SMALL_MAX_SOCKETS = 64;
     private static final int MAX_CONNECTIONS = 8;
 
     private final TestClock clock = TestClock.running();
 
-    /** Occupies all eight connections that so small a node may have to endpoints, and returns the endpoint's side. */
+    /** Occupies all eight endpoint connections of a node with few sockets, and returns the endpoint's side of them. */
     private static List<Socket> occupyAllConnections(PlatformTestBed testBed) throws Exception {
         List<Socket> occupied = new ArrayList<>();
         for (int i = 0; i < MAX_CONNECTIONS; i++) {
@@ -47,7 +47,9 @@
                 : List.of();
     }
 
-    /** A node with eight connections; the requests after the first eight go to another endpoint. */
+    /**
+     * Creates a node with eight endpoint connections that sends requests after the first eight to the given endpoint.
+     */
     private PlatformTestBed smallTestBed(String endpointOfNinth) throws Exception {
         return new PlatformTestBed(
                 SMALL_MAX_SOCKETS,
@@ -61,7 +63,7 @@
     }
 
     @Test
-    void anAttemptCarriesTheRemainingTimeAsOfItsWriting() throws Exception {
+    void anAttemptCarriesTheTimeThatRemainsWhenItIsWritten() throws Exception {
         try (PlatformTestBed testBed = smallTestBed("s-1")) {
             List<Socket> occupied = occupyAllConnections(testBed);
             Socket late = testBed.connectClient();
@@ -79,10 +81,10 @@
     void anAttemptWhoseClientDisconnectsWhileItIsQueuedIsNotSent() throws Exception {
         try (PlatformTestBed testBed = smallTestBed("s-1")) {
             List<Socket> occupied = occupyAllConnections(testBed);
-            Socket leaves = testBed.connectClient();
-            send(leaves, getRequest("leaves", ""));
+            Socket leavingClient = testBed.connectClient();
+            send(leavingClient, getRequest("leaves", ""));
             testBed.awaitEvent(Event.RequestReceived.class, 9);
-            leaves.close();
+            leavingClient.close();
             testBed.awaitEvent(Event.ClientDisconnected.class, 1);
             send(occupied.get(0), okResponse("x"));
             assertEquals(
@@ -95,25 +97,25 @@
     }
 
     @Test
-    void aConnectionSlotThatBecomesFreeGoesToTheEndpointThatWaitsForOne() throws Exception {
+    void aFreedConnectionSlotIsUsedForTheEndpointWithAQueuedAttempt() throws Exception {
         try (PlatformTestBed.FakeServer other = new PlatformTestBed.FakeServer();
                 PlatformTestBed testBed = smallTestBed("s-2")) {
             testBed.acceptWatch(listJson(2, false, testBed.entryJson("s-2", "active", 1, other)));
             testBed.awaitEvent(Event.EndpointListUpdate.class, 2);
             List<Socket> occupied = occupyAllConnections(testBed);
-            Socket waits = testBed.connectClient();
-            send(waits, getRequest("waits", ""));
+            Socket waitingClient = testBed.connectClient();
+            send(waitingClient, getRequest("waits", ""));
             testBed.awaitEvent(Event.RequestReceived.class, 9);
             send(occupied.get(0), okResponse("x"));
             Socket endpointConnection = other.nextConnection();
             assertTrue(receive(endpointConnection).contains("X-Correlation-Id: waits\r\n"));
             send(endpointConnection, okResponse("y"));
-            assertTrue(receive(waits).endsWith("y"));
+            assertTrue(receive(waitingClient).endsWith("y"));
         }
     }
 
     @Test
-    void anAttemptQueuedPastADrainOrALowerCapIsNotSent() throws Exception {
+    void anAttemptIsNotSentIfADrainOrALowerCapArrivesWhileItIsQueued() throws Exception {
         for (boolean drain : List.of(true, false)) {
             try (PlatformTestBed testBed = new PlatformTestBed(60, 5000, PlatformTestBed::sendOnce)) {
                 Socket watch = testBed.acceptWatch(testBed.listJson(2, true, "active", 2));
@@ -121,7 +123,7 @@
                 lineReader(subscription).readLine();
                 send(subscription, "OK\r\n* progress 2 1 Progressing 0.5 10\r\n");
                 testBed.awaitEvent(Event.RolloutUpdate.class, 2);
-                // every connection that may be open is taken, so the next one waits
+                // all connections are occupied, so the next attempt is queued
                 int maxConnections = SocketBudget.of(60).endpointConnections();
                 for (int i = 0; i < maxConnections; i++) {
                     send(testBed.connectClient(), getRequest("r-" + i, ""));
--- a/src/test/java/laurelkeel/platform/SocketBudgetTest.java
+++ b/src/test/java/laurelkeel/platform/SocketBudgetTest.java
@@ -13,13 +13,13 @@
     }
 
     @Test
-    void neitherSideIsWithoutConnections() {
+    void bothSidesHaveAMinimumOfConnections() {
         assertEquals(new SocketBudget(8, 2, 8), SocketBudget.of(1));
         assertEquals(new SocketBudget(8, 2, 8), SocketBudget.of(64));
     }
 
     @Test
-    void noMoreThanTheDescriptorsAreUsed() {
+    void theBudgetNeverExceedsTheDescriptors() {
         for (int descriptors = 80; descriptors < 5_000; descriptors++) {
             SocketBudget budget = SocketBudget.of(descriptors);
             int used = budget.clientConnections() + budget.spareClientConnections() + budget.endpointConnections();
--- a/src/test/java/laurelkeel/platform/StartOrderTest.java
+++ b/src/test/java/laurelkeel/platform/StartOrderTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What may come to a node before it has started, in the orders that two threads may take. */
+/** Calls and events that may reach a node before it has started, in the orders in which two threads may run. */
 class StartOrderTest {
     private static final long MAX_DELAY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
@@ -38,18 +38,18 @@
 
     private final AtomicInteger turns = new AtomicInteger();
     private PlatformTestBed.FakeServer discovery;
-    private PlatformTestBed.FakeServer control;
+    private PlatformTestBed.FakeServer controlService;
 
     @BeforeEach
     void open() throws Exception {
         discovery = new PlatformTestBed.FakeServer();
-        control = new PlatformTestBed.FakeServer();
+        controlService = new PlatformTestBed.FakeServer();
     }
 
     @AfterEach
     void close() throws Exception {
         discovery.close();
-        control.close();
+        controlService.close();
     }
 
     private static NodeConfiguration configuration(
@@ -61,22 +61,22 @@
         return NodeConfiguration.of(Json.MAPPER.readTree(json), Map.of());
     }
 
-    /** Votes in its first turn. */
+    /** Returns a decider that votes in its first turn. */
     private Decider voter() {
         return (now, events) -> turns.getAndIncrement() == 0 ? List.of(VOTE) : List.of();
     }
 
     private PlatformNode createNode(Decider decider, UnaryOperator<NodeServices> decorator) throws Exception {
         return PlatformNode.create(
-                configuration(discovery, control),
+                configuration(discovery, controlService),
                 (settings, seed) -> decider,
                 NodeRuntime.monotonicClock(),
                 decorator);
     }
 
-    /** The services, with something that is run before each call of one method. */
+    /** Wraps services so that a task is run before each call of one method. */
     private static NodeServices intercepted(NodeServices services, String methodName, Runnable beforeCall) {
-        // a method that does not exist would never be called, and the test would show nothing
+        // with a method name that does not exist, nothing would be intercepted and the test would verify nothing
         assertTrue(
                 Arrays.stream(NodeServices.class.getMethods())
                         .anyMatch(method -> method.getName().equals(methodName)),
@@ -94,7 +94,7 @@
                 });
     }
 
-    /** Returns after the first turn, or after a second. */
+    /** Waits for the first turn, for at most one second. */
     private void awaitFirstTurn() {
         long endNanos = System.nanoTime() + MAX_DELAY_NANOS;
         while (turns.get() == 0 && System.nanoTime() < endNanos) {
@@ -115,10 +115,10 @@
         return node.frontNode().termination().get(30, TimeUnit.SECONDS);
     }
 
-    /** The first lines on the node's two connections to the control service. */
+    /** Returns the first lines on the node's two connections to the control service. */
     private List<String> awaitControlServiceLines() throws Exception {
-        Socket first = control.nextConnection();
-        Socket second = control.nextConnection();
+        Socket first = controlService.nextConnection();
+        Socket second = controlService.nextConnection();
         return List.of(lineReader(first).readLine(), lineReader(second).readLine());
     }
 
@@ -135,19 +135,19 @@
         assertVoteReachesTheControlService(services -> services);
     }
 
-    /** The thread that starts the services is delayed until the first turn has come, or for a second. */
+    /** Delays the thread that starts the services until the first turn has run, for at most one second. */
     @Test
-    void aVoteReachesTheControlServiceHoweverLongTheStartIsDelayed() throws Exception {
+    void aVoteReachesTheControlServiceEvenIfTheStartIsDelayed() throws Exception {
         assertVoteReachesTheControlService(services -> intercepted(services, "start", this::awaitFirstTurn));
     }
 
-    /** SIGHUP right at the start: the addresses of the configuration before must not come back. */
+    /** After a SIGHUP right at the start, the addresses of the previous configuration must not be used again. */
     @Test
-    void aConfigurationFollowedBeforeTheStartStays() throws Exception {
+    void aConfigurationAppliedBeforeTheStartIsRetained() throws Exception {
         try (PlatformTestBed.FakeServer moved = new PlatformTestBed.FakeServer()) {
             PlatformNode node = PlatformNode.create(
-                    configuration(discovery, control), (settings, seed) -> (now, events) -> List.of());
-            node.reconfigure(configuration(moved, control));
+                    configuration(discovery, controlService), (settings, seed) -> (now, events) -> List.of());
+            node.reconfigure(configuration(moved, controlService));
             node.frontNode().start();
             moved.nextConnection().close();
             moved.nextConnection();
@@ -156,9 +156,9 @@
         }
     }
 
-    /** A vote that could not even be tried has failed, and the node goes on. */
+    /** A vote that could not be attempted is reported as failed, and the node continues to run. */
     @Test
-    void aVoteThatCannotBeSentIsAFailedVote() throws Exception {
+    void aVoteThatCannotBeSentIsReportedAsFailed() throws Exception {
         List<Event> events = new CopyOnWriteArrayList<>();
         Decider decider =
                 FrontTestPeers.decider(events, event -> turns.getAndIncrement() == 0 ? List.of(VOTE) : List.of());
@@ -173,7 +173,7 @@
     }
 
     @Test
-    void anActionThatCannotBeCarriedOutStopsNoOther() throws Exception {
+    void aFailedActionDoesNotPreventOtherActions() throws Exception {
         Decider decider = (now, events) ->
                 turns.getAndIncrement() == 0 ? List.of(new Action.SendGossip(1, new byte[0]), VOTE) : List.of();
         PlatformNode node = createNode(decider, services -> intercepted(services, "sendGossip", StartOrderTest::fail));
@@ -183,14 +183,16 @@
         assertEndsAfterDrain(node);
     }
 
-    /** A drain and a failure that come before the start end the node once it has started. */
+    /** A drain or a failure before the start ends the node once it has started. */
     @Test
-    void aDrainBeforeTheStartEndsTheFrontAfterIt() throws Exception {
-        PlatformNode drained = PlatformNode.create(configuration(discovery, control), (settings, seed) -> voter());
+    void aDrainOrFailureBeforeTheStartEndsTheNodeAfterIt() throws Exception {
+        PlatformNode drained =
+                PlatformNode.create(configuration(discovery, controlService), (settings, seed) -> voter());
         drained.frontNode().drain();
         drained.frontNode().start();
         assertEquals(null, awaitTermination(drained));
-        PlatformNode failed = PlatformNode.create(configuration(discovery, control), (settings, seed) -> voter());
+        PlatformNode failed =
+                PlatformNode.create(configuration(discovery, controlService), (settings, seed) -> voter());
         Error failure = new OutOfMemoryError("thrown for the test");
         failed.frontNode().fail(failure);
         failed.frontNode().start();
--- a/src/test/java/laurelkeel/platform/TestClock.java
+++ b/src/test/java/laurelkeel/platform/TestClock.java
@@ -4,7 +4,7 @@
 import java.util.function.LongSupplier;
 import laurelkeel.front.NodeRuntime;
 
-/** A clock of ticks that a test moves forward; it starts running or stopped. Thread-safe. */
+/** A clock in ticks that a test can advance, and that starts running or stopped. Thread-safe. */
 final class TestClock implements LongSupplier {
     private static final long STOPPED_AT_TICKS = 36_000_000;
 
@@ -16,12 +16,12 @@
         this.running = running;
     }
 
-    /** Shows real time and what the test adds to it. */
+    /** Returns a clock that shows real time plus the ticks that the test adds. */
     static TestClock running() {
         return new TestClock(true);
     }
 
-    /** Shows only what the test adds, until it lets the clock run. */
+    /** Returns a clock that advances only by the ticks that the test adds, until {@link #run}. */
     static TestClock stopped() {
         return new TestClock(false);
     }
