--- a/src/main/java/laurelkeel/platform/VoteChannel.java
+++ b/src/main/java/laurelkeel/platform/VoteChannel.java
@@ -31,7 +31,7 @@
      *
      * @param replyTimeoutTicks the longest wait for a reply
      * @param address initial address of the control service
-     * @param replies receives one event for each vote, but never the event of the vote that {@link #send} is sending
+     * @param replies receives one event for each vote, which is never delivered from within {@link #send} of that vote
      */
     VoteChannel(
             ServiceConnector connector,
--- a/src/test/java/laurelkeel/platform/WireNamesTest.java
+++ b/src/test/java/laurelkeel/platform/WireNamesTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void callsToTheControlServiceHaveTheNamesOfTheProtocol() {
+    void commandsToTheControlServiceHaveTheNamesOfTheProtocol() {
         assertEquals("SUB\r\n", text(ControlServiceProtocol.encodeSubscribe()));
         Map<Verdict, String> names = new EnumMap<>(Map.of(
                 Verdict.NONE, "clear",
