--- a/src/main/java/laurelkeel/decision/Endpoint.java
+++ b/src/main/java/laurelkeel/decision/Endpoint.java
@@ -184,8 +184,8 @@
     void updateWeight(SlowStart slowStart, long nowTicks) {
         isWeightStable = slowStart.isWarm(startedAtTicks, nowTicks);
         if (pool != null) {
-            double latencyRatio =
-                    Math.max(MIN_WEIGHED_LATENCY_RATIO, Math.min(MAX_WEIGHED_LATENCY_RATIO, latency.ratioToUsual()));
+            double latencyRatio = Math.max(
+                    MIN_WEIGHED_LATENCY_RATIO, Math.min(MAX_WEIGHED_LATENCY_RATIO, latency.meanRatioToExpected()));
             double weight = capacity * slowStart.capacityShare(startedAtTicks, nowTicks) / latencyRatio;
             pool.rotation().setWeight(poolIndex, weight);
         }
--- a/src/main/java/laurelkeel/decision/EndpointLatency.java
+++ b/src/main/java/laurelkeel/decision/EndpointLatency.java
@@ -7,7 +7,7 @@
     /** Weight of one answer in the mean wait and the mean number in flight. */
     private static final double WAIT_SMOOTHING = 0.15;
 
-    private double ratioToUsual = 1;
+    private double meanRatioToExpected = 1;
     private int warmAnswerCount;
     private double waitTicks;
     private double usualInFlight = 1;
@@ -15,7 +15,7 @@
 
     /** Takes note of an answer whose latency can be compared with what is usual. */
     void recordRatio(double ratio) {
-        ratioToUsual += (ratio - ratioToUsual) * RATIO_SMOOTHING;
+        meanRatioToExpected += (ratio - meanRatioToExpected) * RATIO_SMOOTHING;
     }
 
     /** Counts an answer that it gave once it had warmed up. */
@@ -31,8 +31,8 @@
     }
 
     /** Returns the mean latency of its answers of late as a multiple of what is usual for their routes. */
-    double ratioToUsual() {
-        return ratioToUsual;
+    double meanRatioToExpected() {
+        return meanRatioToExpected;
     }
 
     /** Returns how many of its answers since it had warmed up could be compared with what is usual. */
--- a/src/main/java/laurelkeel/decision/EndpointRegistry.java
+++ b/src/main/java/laurelkeel/decision/EndpointRegistry.java
@@ -142,7 +142,7 @@
             if (budget.isDrawExpired(nowTicks)) {
                 budget.draw(random, windowTicks, nowTicks);
             }
-            budget.forgetBefore(nowTicks - windowTicks);
+            budget.removeBefore(nowTicks - windowTicks);
         }
     }
 
--- a/src/main/java/laurelkeel/decision/ExposureLimiter.java
+++ b/src/main/java/laurelkeel/decision/ExposureLimiter.java
@@ -64,8 +64,8 @@
     /** Forgets what is out of the window. */
     void forgetOld(long nowTicks) {
         long beforeTicks = nowTicks - settings.exposureWindowTicks() - RETENTION_TICKS;
-        received.forEach(window -> window.forgetBefore(beforeTicks));
-        attemptsByBuild.values().forEach(windows -> windows.forEach(window -> window.forgetBefore(beforeTicks)));
+        received.forEach(window -> window.removeBefore(beforeTicks));
+        attemptsByBuild.values().forEach(windows -> windows.forEach(window -> window.removeBefore(beforeTicks)));
         attemptsByBuild.values().removeIf(windows -> windows.stream().allMatch(SlidingWindow::isEmpty));
     }
 
--- a/src/main/java/laurelkeel/decision/LatencyComparison.java
+++ b/src/main/java/laurelkeel/decision/LatencyComparison.java
@@ -52,8 +52,9 @@
         List<EndpointLatency> rated = endpoints.stream()
                 .filter(e -> e.warmAnswerCount() >= MIN_ANSWERS_PER_ENDPOINT)
                 .toList();
-        long slow =
-                rated.stream().filter(e -> e.ratioToUsual() > MIN_SURE_SLOWDOWN).count();
+        long slow = rated.stream()
+                .filter(e -> e.meanRatioToExpected() > MIN_SURE_SLOWDOWN)
+                .count();
         return slow >= MIN_SLOW_ENDPOINTS
                 && slow * SLOW_ENDPOINTS_DENOMINATOR >= (long) rated.size() * SLOW_ENDPOINTS_NUMERATOR;
     }
--- a/src/main/java/laurelkeel/decision/OutcomeRecorder.java
+++ b/src/main/java/laurelkeel/decision/OutcomeRecorder.java
@@ -70,7 +70,7 @@
         int judgedBuild = rollout.judgedBuild(nowTicks);
         boolean isUnknownElsewhere = endpoint.build() != judgedBuild && !latency.isKnown(level);
         if (judgedBuild == RolloutState.NO_BUILD || isUnknownElsewhere) {
-            latency.learnExpected(durationTicks, level);
+            latency.updateExpected(durationTicks, level);
         }
     }
 
@@ -87,7 +87,7 @@
     }
 
     private void recordWait(Attempt attempt, RouteLatency latency, long durationTicks, long nowTicks) {
-        latency.learnCalm(durationTicks);
+        latency.updateUnloaded(durationTicks);
         double waitTicks = durationTicks - latency.unloadedTicks();
         attempt.endpoint().latency().recordWait(waitTicks, attempt.inFlightAtEndpoint(), nowTicks);
         latencies.waits().recordWait(waitTicks, throughput.answersPerSecond());
--- a/src/main/java/laurelkeel/decision/OwnThroughput.java
+++ b/src/main/java/laurelkeel/decision/OwnThroughput.java
@@ -70,7 +70,7 @@
     }
 
     /** Returns how many answers a warm endpoint of this capacity usually gives this node within a span. */
-    double usualAnswers(double endpointCapacity, long spanTicks) {
+    double expectedAnswers(double endpointCapacity, long spanTicks) {
         return answersPerSecond * spanTicks / Ticks.PER_SECOND * endpointCapacity / Math.max(capacity, MIN_CAPACITY);
     }
 }
--- a/src/main/java/laurelkeel/decision/RouteLatency.java
+++ b/src/main/java/laurelkeel/decision/RouteLatency.java
@@ -92,8 +92,8 @@
     }
 
     /** Takes note of how far a latency was from the usual one. */
-    void recordDeviation(double ratioToUsual) {
-        relativeDeviation += (Math.abs(ratioToUsual - 1) - relativeDeviation) * DEVIATION_SMOOTHING;
+    void recordDeviation(double ratioToExpected) {
+        relativeDeviation += (Math.abs(ratioToExpected - 1) - relativeDeviation) * DEVIATION_SMOOTHING;
     }
 
     /** Returns the mean distance of latencies from the usual one, as a share of it. */
@@ -107,7 +107,7 @@
     }
 
     /** Adds a latency to what is usual at a level. */
-    void learnExpected(long durationTicks, int level) {
+    void updateExpected(long durationTicks, int level) {
         answerCounts[level]++;
         double smoothing = Math.max(MIN_LEVEL_SMOOTHING, 1.0 / answerCounts[level]);
         expectedTicks[level] += (durationTicks - expectedTicks[level]) * smoothing;
@@ -119,7 +119,7 @@
     }
 
     /** Adds a latency to the calm one, which is the least mean of a run of answers. */
-    void learnCalm(long durationTicks) {
+    void updateUnloaded(long durationTicks) {
         runSumTicks += durationTicks;
         runCount++;
         if (runCount < ANSWERS_PER_CALM_RUN) {
--- a/src/main/java/laurelkeel/decision/SlidingWindow.java
+++ b/src/main/java/laurelkeel/decision/SlidingWindow.java
@@ -13,12 +13,12 @@
 
     /** Returns how many events there were at a moment or after it, and forgets the earlier ones. */
     int countSince(long fromTicks) {
-        forgetBefore(fromTicks);
+        removeBefore(fromTicks);
         return momentsTicks.size();
     }
 
     /** Forgets the events before a moment. */
-    void forgetBefore(long beforeTicks) {
+    void removeBefore(long beforeTicks) {
         while (!momentsTicks.isEmpty() && momentsTicks.peekFirst() < beforeTicks) {
             momentsTicks.pollFirst();
         }
--- a/src/main/java/laurelkeel/decision/SlowStart.java
+++ b/src/main/java/laurelkeel/decision/SlowStart.java
@@ -47,11 +47,11 @@
             return false;
         }
         long windowTicks = limits.overloadWindowTicks();
-        double usualAnswers = throughput.usualAnswers(endpoint.capacity(), windowTicks);
+        double expectedAnswers = throughput.expectedAnswers(endpoint.capacity(), windowTicks);
         double limit = USED_SHARE_OF_OVERLOAD
                 * limits.overloadMultiple()
                 * capacityShare(endpoint.startedAtTicks(), nowTicks)
-                * usualAnswers;
+                * expectedAnswers;
         return endpoint.warmUpBudget().isExhausted(limit, nowTicks - windowTicks);
     }
 }
--- a/src/main/java/laurelkeel/decision/WarmUpBudget.java
+++ b/src/main/java/laurelkeel/decision/WarmUpBudget.java
@@ -31,7 +31,7 @@
         return attempts.countSince(sinceTicks) + 1 > Math.floor(limit + roundingDraw);
     }
 
-    void forgetBefore(long beforeTicks) {
-        attempts.forgetBefore(beforeTicks);
+    void removeBefore(long beforeTicks) {
+        attempts.removeBefore(beforeTicks);
     }
 }
--- a/src/test/java/laurelkeel/decision/AdmissionControllerTest.java
+++ b/src/test/java/laurelkeel/decision/AdmissionControllerTest.java
@@ -31,7 +31,7 @@
     void serveInCalm() {
         for (int route = 0; route < settings.routes().size(); route++) {
             for (int i = 0; i < 100; i++) {
-                latency.route(route).learnCalm(CALM_TICKS);
+                latency.route(route).updateUnloaded(CALM_TICKS);
             }
             latency.route(route).attemptStarted();
             latency.route(route).attemptStarted();
--- a/src/test/java/laurelkeel/decision/AttemptTimeoutPolicyTest.java
+++ b/src/test/java/laurelkeel/decision/AttemptTimeoutPolicyTest.java
@@ -19,7 +19,7 @@
 
     private void answers(long durationTicks, double deviation) {
         for (int i = 0; i < 500; i++) {
-            latency.route(0).learnExpected(durationTicks, 0);
+            latency.route(0).updateExpected(durationTicks, 0);
             latency.route(0).recordDeviation(1 + deviation);
         }
     }
--- a/src/test/java/laurelkeel/decision/EndpointLatencyTest.java
+++ b/src/test/java/laurelkeel/decision/EndpointLatencyTest.java
@@ -9,11 +9,11 @@
 
     @Test
     void theRatioStartsAtOneAndFollowsTheAnswers() {
-        assertEquals(1, latency.ratioToUsual());
+        assertEquals(1, latency.meanRatioToExpected());
         for (int i = 0; i < 100; i++) {
             latency.recordRatio(2);
         }
-        assertEquals(2, latency.ratioToUsual(), 0.01);
+        assertEquals(2, latency.meanRatioToExpected(), 0.01);
     }
 
     @Test
--- a/src/test/java/laurelkeel/decision/OutcomeRecorderTest.java
+++ b/src/test/java/laurelkeel/decision/OutcomeRecorderTest.java
@@ -86,7 +86,7 @@
         end(request(Idempotency.IDEMPOTENT), attempt(endpoint, true), AttemptOutcome.COMPLETED, 3 * USUAL_TICKS);
         assertEquals(1, counted().latencySampleCount());
         assertEquals(3, counted().meanLatencyRatio(), 1e-9);
-        assertTrue(endpoint.latency().ratioToUsual() > 1);
+        assertTrue(endpoint.latency().meanRatioToExpected() > 1);
     }
 
     @Test
--- a/src/test/java/laurelkeel/decision/OwnThroughputTest.java
+++ b/src/test/java/laurelkeel/decision/OwnThroughputTest.java
@@ -35,7 +35,7 @@
     void anEndpointsUsualAnswersAreInProportionToItsCapacity() {
         OwnThroughput throughput = new OwnThroughput(100);
         throughput.observeCapacity(20);
-        assertEquals(20, throughput.usualAnswers(2, 2 * SECOND), 1e-9);
+        assertEquals(20, throughput.expectedAnswers(2, 2 * SECOND), 1e-9);
     }
 
     @Test
@@ -43,11 +43,11 @@
         OwnThroughput throughput = new OwnThroughput(100);
         throughput.observeCapacity(20);
         throughput.observeCapacity(1);
-        assertEquals(20, throughput.usualAnswers(2, 2 * SECOND), 0.01, "the others answered most of it");
+        assertEquals(20, throughput.expectedAnswers(2, 2 * SECOND), 0.01, "the others answered most of it");
         for (int i = 0; i < 100_000; i++) {
             throughput.observeCapacity(1);
         }
-        assertEquals(400, throughput.usualAnswers(2, 2 * SECOND), 1e-9);
+        assertEquals(400, throughput.expectedAnswers(2, 2 * SECOND), 1e-9);
     }
 
     @Test
--- a/src/test/java/laurelkeel/decision/RouteLatencyTest.java
+++ b/src/test/java/laurelkeel/decision/RouteLatencyTest.java
@@ -11,7 +11,7 @@
 
     private void learnUsual(long durationTicks, int level, int answers) {
         for (int i = 0; i < answers; i++) {
-            latency.learnExpected(durationTicks, level);
+            latency.updateExpected(durationTicks, level);
         }
     }
 
@@ -59,7 +59,7 @@
     void calmIsTheLeastMeanOfAHundredAnswers() {
         for (int run = 0; run < 3; run++) {
             for (int i = 0; i < 100; i++) {
-                latency.learnCalm(run == 1 ? 300 : 500);
+                latency.updateUnloaded(run == 1 ? 300 : 500);
             }
         }
         assertEquals(300 * 1.02, latency.unloadedTicks(), 1e-9, "it rises by 2% a run at most");
--- a/src/test/java/laurelkeel/decision/SlidingWindowTest.java
+++ b/src/test/java/laurelkeel/decision/SlidingWindowTest.java
@@ -24,9 +24,9 @@
     void itIsEmptyOnceAllIsForgotten() {
         assertTrue(window.isEmpty());
         window.record(10);
-        window.forgetBefore(10);
+        window.removeBefore(10);
         assertFalse(window.isEmpty());
-        window.forgetBefore(11);
+        window.removeBefore(11);
         assertTrue(window.isEmpty());
     }
 }
