--- a/src/main/java/laurelkeel/api/Decider.java
+++ b/src/main/java/laurelkeel/api/Decider.java
@@ -3,26 +3,26 @@
 import java.util.List;
 
 /**
- * Takes all decisions of one front node: what it has learned at a moment goes in, what it is to do at that moment comes
- * out. Implementations are deterministic, use no clock or random source of their own, and are called by one thread at a
- * time.
+ * Makes all decisions of one front node: it receives the events of a point in time and returns the actions to take then.
+ * Implementations are deterministic, use no clock or source of randomness of their own, and are called by one thread at
+ * a time.
  */
 public interface Decider {
     /**
-     * Decides at one moment.
+     * Handles events and returns the resulting actions.
      *
-     * @param nowTicks the moment, on a clock that only advances
-     * @param events all that was learned since the last call, in order of arrival
-     * @return the actions to carry out, in order
+     * @param nowTicks the current time, on a monotonic clock
+     * @param events all events since the last call, in order of arrival
+     * @return the actions to execute, in order
      */
     List<Action> decide(long nowTicks, List<Event> events);
 
-    /** Creates the decider of a front node at its start. */
+    /** Creates the decider of a front node when the node starts. */
     interface Factory {
         /**
          * Creates a decider.
          *
-         * @param seed of the node's own random draws
+         * @param seed the seed of the random numbers of this node
          */
         Decider create(Settings settings, long seed);
     }
--- a/src/main/java/laurelkeel/api/Event.java
+++ b/src/main/java/laurelkeel/api/Event.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 
-/** Something a front node has learned. */
+/** An occurrence that a front node reports to its {@link Decider}. */
 public sealed interface Event {
 
     /** How an attempt ended. */
@@ -12,87 +12,87 @@
         COMPLETED,
         /** The endpoint answered with an error. */
         FAILED,
-        /** The endpoint rejected the attempt unread, for it is at capacity or draining. */
+        /** The endpoint rejected the attempt unread because it is at capacity or draining. */
         OVERLOADED,
-        /** No answer came in time. */
+        /** No answer arrived within the timeout. */
         TIMED_OUT,
-        /** No connection could be made in time. */
+        /** No connection was established in time. */
         CONNECT_FAILED,
         /** The connection was lost while the attempt was in flight. */
         CONNECTION_LOST,
-        /** The front node stopped waiting for it. */
+        /** The front node stopped waiting for the attempt. */
         CANCELLED,
-        /** It was never written to a connection. */
+        /** The attempt was never written to a connection. */
         NOT_SENT;
 
-        /** Whether the endpoint provably did nothing for the request. */
+        /** Returns whether the endpoint provably did not process the request. */
         public boolean provablyNeverRan() {
             return this == OVERLOADED || this == CONNECT_FAILED || this == NOT_SENT;
         }
 
-        /** Whether the endpoint has served the request or may have: its answer may be lost, unread or late. */
+        /** Returns whether the endpoint has or may have served the request: its answer may be lost, unread or late. */
         public boolean mayHaveServed() {
             return !provablyNeverRan() && this != FAILED;
         }
     }
 
-    /** Whether an endpoint takes new requests. */
+    /** Whether an endpoint accepts new requests. */
     enum EndpointState {
-        /** It serves. */
+        /** The endpoint accepts requests. */
         ACTIVE,
-        /** It finishes what it has; nothing new may be sent to it. */
+        /** The endpoint finishes the requests in flight; no new ones may be sent to it. */
         DRAINING,
-        /** It is no longer part of the service. */
+        /** The endpoint is no longer part of the service. */
         REMOVED
     }
 
-    /** What an update of the endpoint list holds. */
+    /** What an update of the endpoint list contains. */
     enum EndpointListKind {
         /** Only the entries that changed. */
         DELTA,
-        /** Every entry; endpoints that it does not name are removed. */
+        /** Every entry; endpoints that are not in the update are removed. */
         SNAPSHOT,
-        /** The whole list as this node last knew it, which may be out of date. */
+        /** The whole endpoint list as last stored by this node; it may be out of date. */
         CACHED,
-        /** Nothing: a fetch or watch failed, and the list known so far stands. */
+        /** Nothing: a fetch or watch failed, and the previous endpoint list stays in effect. */
         FAILED
     }
 
-    /** How the control service answered a call. */
+    /** The result of a call to the control service. */
     enum ControlStatus {
-        /** It was accepted, and the other fields of the update hold. */
+        /** The call was accepted, and the other fields of the update are valid. */
         OK,
-        /** The vote was for a build or stage that has passed. */
+        /** The vote was for a build or stage that is no longer current. */
         STALE,
-        /** There were more votes than the control service takes in a second. */
+        /** The votes exceeded the number that the control service accepts per second. */
         RATE_LIMITED,
         /** The control service failed. */
         FAILED,
-        /** No answer came in time; the vote may count. */
+        /** No answer arrived in time; the vote may have been counted. */
         TIMED_OUT
     }
 
-    /** Where the rollout of a build stands. */
+    /** The phase of a build's rollout. */
     enum RolloutPhase {
         /** The build serves a limited share of the requests. */
         CANARY,
-        /** The build is being taken back. */
+        /** The build is being rolled back. */
         ROLLING_BACK,
         /** The build serves all requests. */
         RELEASED,
-        /** The build has been taken back. */
+        /** The build has been rolled back. */
         ROLLED_BACK
     }
 
     /**
-     * One line of the endpoint list.
+     * One entry of the endpoint list.
      *
-     * @param build the build that it runs; a later build has a higher number
+     * @param build number of the build that the endpoint runs; a later build has a higher number
      * @param zone index of its zone
-     * @param cell a small group of endpoints that share what they know of partition keys
-     * @param kind index of its kind of endpoint
-     * @param weight its capacity beside that of other endpoints, without unit
-     * @param startedAtTicks when it last started; 0 for long ago
+     * @param cell number of its cell, a small group of endpoints that share their state about partition keys
+     * @param kind index of its endpoint type
+     * @param weight its capacity relative to other endpoints, without unit
+     * @param startedAtTicks when it last started; 0 if it started long ago
      */
     record EndpointEntry(
             String endpointId,
@@ -104,18 +104,18 @@
             EndpointState state,
             long startedAtTicks) {}
 
-    /** News of the endpoint list. */
+    /** An update of the endpoint list. */
     record EndpointListUpdate(EndpointListKind kind, List<EndpointEntry> entries) implements Event {}
 
     /**
-     * A client's request has arrived, and this node owes it one final answer.
+     * A client's request has arrived, and this node must give it exactly one final answer.
      *
      * @param route index of its route in the settings
-     * @param tenant index of its tenant in the settings; 0 where there are none
-     * @param partitionKey what the request is about; null where it names nothing
-     * @param deadlineTicks when the client gives it up
-     * @param expectedWorkMillis work on a standard core that it is expected to need; 0 where that is unknown
-     * @param clientRetry whether the client says that it sends the request again
+     * @param tenant index of its tenant in the settings; 0 if the settings have none
+     * @param partitionKey identifies the entity that the request concerns; null if it has none
+     * @param deadlineTicks time at which the client stops waiting
+     * @param expectedWorkMillis expected processing time on a standard core; 0 if unknown
+     * @param clientRetry whether the client marks the request as a retry
      */
     record RequestReceived(
             String requestId,
@@ -127,14 +127,14 @@
             boolean clientRetry)
             implements Event {}
 
-    /** The answer to an attempt of a streamed route has begun to reach the client. */
+    /** The client has begun to receive the answer to an attempt of a streamed route. */
     record ResponseStarted(String requestId, int attempt) implements Event {}
 
     /**
      * An attempt has ended; each attempt ends once.
      *
-     * @param durationTicks from when it was sent
-     * @param requestEnded whether the request has its final answer, by this outcome or earlier
+     * @param durationTicks time since the attempt was sent
+     * @param requestEnded whether the request now has its final answer, from this attempt or from an earlier event
      */
     record AttemptEnded(
             String requestId,
@@ -146,7 +146,7 @@
             LoadReport loadReport)
             implements Event {}
 
-    /** The client has closed its connection or given up; nothing more is owed for the request. */
+    /** The client has closed its connection or stopped waiting; the request needs no further answer. */
     record ClientDisconnected(String requestId) implements Event {}
 
     /** A timer of {@link Action.StartTimer} is due. */
@@ -156,19 +156,19 @@
     record HealthCheckEnded(String endpointId, AttemptOutcome outcome, long durationTicks, LoadReport loadReport)
             implements Event {}
 
-    /** A short message from another front node has come in. */
-    // handed over to one reader and never compared: a copy or a list of bytes would only cost
+    /** A short message from another front node has arrived. */
+    // the array is handed to a single reader and never compared, so a defensive copy or a list would only add cost
     @SuppressWarnings("ArrayRecordComponent")
     record GossipReceived(int fromNode, byte[] payload) implements Event {}
 
     /**
-     * Where the newest build stands, as the control service said.
+     * The rollout state of the newest build, as received from the control service.
      *
-     * @param status where it is not {@link ControlStatus#OK}, only it and {@code answersVote} hold anything
+     * @param status if it is not {@link ControlStatus#OK}, only {@code status} and {@code answersVote} are valid
      * @param stage the rollout's stage, from 0
-     * @param exposureCap share of the requests that the build may get, from 0 to 1
-     * @param ageTicks how long this has been so
-     * @param answersVote whether this answers a vote of this node
+     * @param exposureCap share of the requests that the build may receive, from 0 to 1
+     * @param ageTicks time since the rollout entered this state
+     * @param answersVote whether this is the response to a vote of this node
      */
     record RolloutUpdate(
             ControlStatus status,
@@ -181,19 +181,19 @@
             implements Event {}
 
     /**
-     * What the platform counted of all nodes' attempts at one build over its last period.
+     * The platform's statistics about the attempts of all nodes at one build in its last reporting period.
      *
-     * @param errors attempts that did not complete
-     * @param meanDurationTicks of the attempts that completed
-     * @param ageTicks since the period ended
+     * @param errors number of attempts that did not complete
+     * @param meanDurationTicks mean duration of the attempts that completed
+     * @param ageTicks time since the period ended
      */
     record BuildStatistics(int build, int route, long attempts, long errors, long meanDurationTicks, long ageTicks)
             implements Event {}
 
     /**
-     * A client found an answer wrong that this node had passed on as completed.
+     * A client reported as wrong an answer that this node had forwarded as completed.
      *
-     * @param sentAgoTicks since the attempt was sent
+     * @param sentAgoTicks time since the attempt was sent
      */
     record ComplaintReceived(String endpointId, long sentAgoTicks, int route) implements Event {}
 }
--- a/src/main/java/laurelkeel/api/LoadReport.java
+++ b/src/main/java/laurelkeel/api/LoadReport.java
@@ -4,17 +4,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What an endpoint said of its own load beside an answer. Reports are delayed and noisy.
+ * The load that an endpoint reported about itself along with an answer. Reports are delayed and noisy.
  *
- * @param values by the names of the simulator's load reports, to which each protocol maps its own; empty if the endpoint sent none
+ * @param values reported values by name. The names are those of the simulator's load reports, to which each protocol maps
+ *     its own; empty if the endpoint sent none
  */
 public record LoadReport(Map<String, Double> values) {
-    /** The report of an endpoint that sent none. */
+    /** Represents the report of an endpoint that sent none. */
     public static final LoadReport NONE = new LoadReport(Map.of());
 
     private static final String CONCURRENT_REQUESTS = "concurrent";
 
-    /** How many requests the endpoint was serving, or null where it did not say. */
+    /** Returns the number of requests that the endpoint was serving, or null if it did not report it. */
     public @Nullable Double concurrentRequests() {
         return values.get(CONCURRENT_REQUESTS);
     }
--- a/src/main/java/laurelkeel/api/Settings.java
+++ b/src/main/java/laurelkeel/api/Settings.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * What a front node is told when it starts.
+ * The settings that a front node receives when it starts.
  *
- * @param nodeIndex this node's number, from 0
- * @param nodeCount how many front nodes there are
+ * @param nodeIndex this node's index, from 0
+ * @param nodeCount number of front nodes
  * @param zone index of this node's zone
- * @param valueByWork whether a request's value grows with the work it needs
+ * @param valueByWork whether the value of a request grows with the work that it needs
  */
 public record Settings(
         int nodeIndex,
@@ -22,34 +22,35 @@
         Rollout rollout,
         boolean valueByWork) {
 
-    /** What sending a request more than once does. */
+    /** The effect of sending a request more than once. */
     public enum Idempotency {
-        /** Nothing beyond what sending it once does. */
+        /** The same as sending it once. */
         IDEMPOTENT,
-        /** Endpoints of a group know a repeat by its key for a while and drop it. */
+        /** Endpoints of a group recognize a repeat by its key for a limited time and drop it. */
         DEDUPLICATED,
-        /** It may take effect again. */
+        /** The request may take effect again. */
         NOT_IDEMPOTENT
     }
 
-    /** Which endpoints together know repeats of a deduplicated request. */
+    /** The group of endpoints that jointly recognizes repeats of a deduplicated request. */
     public enum DeduplicationScope {
-        /** All of them. */
+        /** All endpoints. */
         ALL,
-        /** Those of one zone. */
+        /** The endpoints of one zone. */
         ZONE,
-        /** Those of one cell. */
+        /** The endpoints of one cell. */
         CELL
     }
 
     /**
      * One class of requests.
      *
-     * @param latencyObjectiveTicks an answer within it earns its full value
-     * @param timeoutTicks the longest that a client waits
-     * @param priorityWeight the value of an answer beside that of other routes
+     * @param latencyObjectiveTicks latency up to which an answer has its full value
+     * @param timeoutTicks maximum time that a client waits
+     * @param priorityWeight value of an answer relative to that of other routes
      * @param lateValueShare share of the value that an answer after the objective still has, from 0 to 1
-     * @param deduplicationWindowTicks how long repeats are known, from the send of the first attempt that may have run
+     * @param deduplicationWindowTicks how long repeats are recognized, counted from when the first attempt that may have
+     *     run was sent
      */
     public record Route(
             Idempotency idempotency,
@@ -63,19 +64,19 @@
     /**
      * One customer of the service.
      *
-     * @param quotaPerSecond requests a second within its share, over all nodes
+     * @param quotaPerSecond the tenant's quota in requests per second, over all nodes
      */
     public record Tenant(double quotaPerSecond) {}
 
     /**
-     * What endpoints bear.
+     * The limits that endpoints impose on front nodes.
      *
-     * @param drainGraceTicks how long after the news of a drain something may still be sent there
-     * @param warmUpTicks how long an endpoint takes to reach its full capacity after a start
-     * @param warmUpInitialShare share of its capacity that it starts with, from 0 to 1
-     * @param overloadWindowTicks span over which work at an endpoint that warms up is counted
-     * @param overloadMultiple of its present capacity beyond which it falls over, within that span
-     * @param maxPollIntervalTicks how old news of the endpoint list may become where the list is polled
+     * @param drainGraceTicks how long after the update that an endpoint is draining attempts may still be sent to it
+     * @param warmUpTicks time that an endpoint takes to reach its full capacity after a start
+     * @param warmUpInitialShare share of its full capacity that an endpoint has at its start, from 0 to 1
+     * @param overloadWindowTicks window over which the work at an endpoint that is warming up is counted
+     * @param overloadMultiple multiple of its current capacity above which an endpoint becomes overloaded, within that window
+     * @param maxPollIntervalTicks maximum age of the endpoint list if it is polled
      */
     public record Limits(
             long drainGraceTicks,
@@ -86,15 +87,15 @@
             long maxPollIntervalTicks) {}
 
     /**
-     * What a front node may do.
+     * The operations that a front node may use.
      *
-     * @param maxAttempts of one request
-     * @param healthChecks whether endpoints may be checked
+     * @param maxAttempts maximum number of attempts per request, including the first
+     * @param healthChecks whether endpoints may be health-checked
      * @param gossip whether nodes may send each other messages
      * @param cancellation whether attempts may be cancelled
-     * @param retryAfter whether a rejected client may be told when to come back
-     * @param maxRetryAfterTicks the longest that it may be told
-     * @param endpointPolling whether the endpoint list has to be asked for; otherwise it is pushed
+     * @param retryAfter whether a rejection may tell the client how long to wait before a retry
+     * @param maxRetryAfterTicks maximum wait that a rejection may ask for
+     * @param endpointPolling whether the endpoint list has to be polled; otherwise it is pushed
      */
     public record Capabilities(
             int maxAttempts,
@@ -106,43 +107,43 @@
             boolean endpointPolling) {}
 
     /**
-     * What things cost, in values of a request.
+     * The costs of operations and faults, as multiples of the value of a request.
      *
-     * @param crossZone an attempt in another zone
-     * @param healthCheck one health check
-     * @param gossip one message to one node
-     * @param staleBuild an answer by a build older than the newest good one
-     * @param harm an answer that a bad build spoils
+     * @param crossZone cost of an attempt in another zone
+     * @param healthCheck cost of one health check
+     * @param gossip cost of one message to one node
+     * @param staleBuild cost of an answer from a build that is older than the newest good one
+     * @param harm cost of an answer that is bad because of a faulty build
      */
     public record Costs(double crossZone, double healthCheck, double gossip, double staleBuild, double harm) {}
 
-    /** What moves a rollout to its next stage. */
+    /** The condition on which a rollout advances to its next stage. */
     public enum PromotionPolicy {
-        /** The first vote. */
+        /** The first vote to promote advances it. */
         FIRST_VOTE,
-        /** Enough votes. */
+        /** A sufficient number of votes advances it. */
         VOTE_COUNT,
-        /** Time alone; votes can hold it. */
+        /** It advances with time; votes can hold it. */
         AUTOMATIC
     }
 
     /**
-     * How builds are rolled out.
+     * The rules by which builds are rolled out.
      *
-     * @param promoteVotes votes that a stage needs to go on
-     * @param rollBackVotes votes that take a build back
-     * @param holdVotes votes that keep a stage; 0 where none do
+     * @param promoteVotes number of votes that advance a rollout to its next stage
+     * @param rollBackVotes number of votes that roll a build back
+     * @param holdVotes number of votes that hold a rollout in its stage; 0 if votes cannot hold it
      * @param voteLifetimeTicks how long a vote counts
-     * @param voteTimeoutTicks the longest wait for the answer to a vote
-     * @param votesPerSecond that the control service takes of all nodes together
-     * @param stageExposureCaps for each stage, the share of requests that the build may get
-     * @param minStageTicks the least time of a stage
-     * @param guardedStages so many stages, from the first, take idempotent requests only
-     * @param stickyKeys whether a key that a build has answered goes to no earlier build during the rollout
-     * @param exposureWindowTicks the span over which exposure is counted
-     * @param exposureAllowance attempts in that span that need no share
-     * @param exposurePerRoute whether exposure is counted for each route by itself
-     * @param statisticsIntervalTicks how often the platform sends {@link Event.BuildStatistics}; 0 for never
+     * @param voteTimeoutTicks maximum wait for the response to a vote
+     * @param votesPerSecond number of votes per second that the control service accepts from all nodes together
+     * @param stageExposureCaps for each stage, the share of the requests that the build may receive, from 0 to 1
+     * @param minStageTicks minimum duration of a stage
+     * @param guardedStages number of stages, from the first, in which the build may receive idempotent requests only
+     * @param stickyKeys whether requests of a key that a build has answered go to no earlier build during the rollout
+     * @param exposureWindowTicks window over which exposure is counted
+     * @param exposureAllowance number of attempts in that window that are allowed in addition to the cap's share
+     * @param exposurePerRoute whether exposure is counted per route
+     * @param statisticsIntervalTicks interval at which the platform sends {@link Event.BuildStatistics}; 0 for never
      * @param complaintShare share of wrong answers that clients report, from 0 to 1
      */
     public record Rollout(
--- a/src/main/java/laurelkeel/api/Ticks.java
+++ b/src/main/java/laurelkeel/api/Ticks.java
@@ -1,6 +1,6 @@
 package laurelkeel.api;
 
-/** The unit of all times in the decisions' interface: one tick is a tenth of a millisecond. */
+/** The time unit of this package and of the deciders: one tick is a tenth of a millisecond. */
 public final class Ticks {
     /** Ticks in one millisecond. */
     public static final long PER_MILLISECOND = 10;
