--- a/src/main/java/laurelkeel/api/Action.java
+++ b/src/main/java/laurelkeel/api/Action.java
@@ -1,6 +1,8 @@
 package laurelkeel.api;
 
-/** An instruction from a {@link Decider} to its front node. Actions take effect at the time of the decision, in order. */
+/**
+ * An instruction from a {@link Decider} to its front node. Actions take effect at the time of the decision, in order.
+ */
 public sealed interface Action {
 
     /** A front node's verdict on a build. */
@@ -54,8 +56,8 @@
     record SendGossip(int toNode, byte[] payload) implements Action {}
 
     /**
-     * Fetches the changes to the endpoint list and subscribes to further ones, or ends the subscription. If the endpoint
-     * list has to be polled, each action is one poll.
+     * Fetches the changes to the endpoint list and subscribes to further ones, or ends the subscription. If the
+     * endpoint list has to be polled, each action is one poll.
      */
     record WatchEndpoints(boolean enabled) implements Action {}
 
--- a/src/main/java/laurelkeel/api/Decider.java
+++ b/src/main/java/laurelkeel/api/Decider.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Makes all decisions of one front node: it receives the events of a point in time and returns the actions to take then.
- * Implementations are deterministic, use no clock or source of randomness of their own, and are called by one thread at
- * a time.
+ * Makes all decisions of one front node: it receives the events of a point in time and returns the actions to take
+ * then. Implementations are deterministic, use no clock or source of randomness of their own, and are called by one
+ * thread at a time.
  */
 public interface Decider {
     /**
--- a/src/main/java/laurelkeel/api/LoadReport.java
+++ b/src/main/java/laurelkeel/api/LoadReport.java
@@ -6,8 +6,8 @@
 /**
  * The load that an endpoint reported about itself along with an answer. Reports are delayed and noisy.
  *
- * @param values reported values by name. The names are those of the simulator's load reports, to which each protocol maps
- *     its own; empty if the endpoint sent none
+ * @param values reported values by name. The names are those of the simulator's load reports, to which each protocol
+ *     maps its own; empty if the endpoint sent none
  */
 public record LoadReport(Map<String, Double> values) {
     /** Represents the report of an endpoint that sent none. */
--- a/src/main/java/laurelkeel/api/Settings.java
+++ b/src/main/java/laurelkeel/api/Settings.java
@@ -49,8 +49,8 @@
      * @param timeoutTicks maximum time that a client waits
      * @param priorityWeight value of an answer relative to that of other routes
      * @param lateValueShare share of the value that an answer after the objective still has, from 0 to 1
-     * @param deduplicationWindowTicks how long repeats are recognized, counted from when the first attempt that may have
-     *     run was sent
+     * @param deduplicationWindowTicks how long repeats are recognized, counted from when the first attempt that may
+     *     have run was sent
      */
     public record Route(
             Idempotency idempotency,
@@ -75,7 +75,8 @@
      * @param warmUpTicks time that an endpoint takes to reach its full capacity after a start
      * @param warmUpInitialShare share of its full capacity that an endpoint has at its start, from 0 to 1
      * @param overloadWindowTicks window over which the work at an endpoint that is warming up is counted
-     * @param overloadMultiple multiple of its current capacity above which an endpoint becomes overloaded, within that window
+     * @param overloadMultiple multiple of its current capacity above which an endpoint becomes overloaded, within that
+     *     window
      * @param maxPollIntervalTicks maximum age of the endpoint list if it is polled
      */
     public record Limits(
--- a/src/main/java/laurelkeel/decision/ActiveRequest.java
+++ b/src/main/java/laurelkeel/decision/ActiveRequest.java
@@ -7,9 +7,12 @@
 import laurelkeel.api.Settings.Route;
 import org.jspecify.annotations.Nullable;
 
-/** A request that this node has received, until it has its final answer and no attempt in flight. */
+/** The state of a received request, until the request has its final answer and no attempt in flight. */
 final class ActiveRequest {
-    /** How long before the client's deadline, or the latency objective, the node acts: the answer has to travel. */
+    /**
+     * The node acts this long before the client's deadline or the latency objective, so that the answer arrives in
+     * time.
+     */
     private static final long ANSWER_MARGIN_TICKS = 150;
 
     private final RequestReceived received;
@@ -35,8 +38,8 @@
     /**
      * Creates the state of a request that has just arrived.
      *
-     * @param keylessFraction a random number from 0 to 1 that stands for the key of a request without one
-     * @param isClientRetry whether its client has sent it before
+     * @param keylessFraction a random number from 0 to 1 that replaces the hash of the key if the request has no key
+     * @param isClientRetry whether the client has sent the request before
      */
     ActiveRequest(RequestReceived received, Route route, double keylessFraction, boolean isClientRetry, long nowTicks) {
         this.received = received;
@@ -51,7 +54,7 @@
         return received.requestId();
     }
 
-    /** Returns the index of its route in the settings. */
+    /** Returns the index of the request's route in the settings. */
     int routeIndex() {
         return received.route();
     }
@@ -65,7 +68,7 @@
         return received.partitionKey();
     }
 
-    /** Returns a random number from 0 to 1 that stands for the key of a request without one. */
+    /** Returns a random number from 0 to 1 that replaces the hash of the key if the request has no key. */
     double keylessFraction() {
         return keylessFraction;
     }
@@ -74,12 +77,12 @@
         return isClientRetry;
     }
 
-    /** Returns when the final answer has to be given, whatever is in flight. */
+    /** Returns when the final answer is required, even if an attempt is still in flight. */
     long answerDueAtTicks() {
         return answerDueAtTicks;
     }
 
-    /** Returns when an attempt in flight is about to miss the latency objective. */
+    /** Returns the time at which an attempt still in flight is about to miss the latency objective. */
     long objectiveCheckAtTicks() {
         return objectiveCheckAtTicks;
     }
@@ -94,28 +97,31 @@
         return attemptInFlight;
     }
 
-    /** Returns the first attempt that has ended and may have run at its endpoint. */
+    /** Returns the first attempt that has ended and may have run at its endpoint, or null if there is none. */
     @Nullable
     Attempt firstPossibleRun() {
         return firstPossibleRun;
     }
 
-    /** Whether an attempt at this endpoint did not complete. */
+    /** Returns whether an attempt of this request at an endpoint ended without completing. */
     boolean hasFailedAt(Endpoint endpoint) {
         return failedEndpoints.contains(endpoint);
     }
 
-    /** Whether its attempts so far do not restrict the endpoints it may go to. */
+    /** Returns whether the previous attempts do not restrict the choice of an endpoint for the next one. */
     boolean mayUseAnyEndpoint() {
         return firstPossibleRun == null && failedEndpoints.isEmpty();
     }
 
-    /** Whether an attempt at the canary build did not complete. */
+    /**
+     * Returns whether an attempt at the canary build ended without completing, so that the next one prefers another
+     * build.
+     */
     boolean avoidsCanary() {
         return avoidsCanary;
     }
 
-    /** Returns the outcomes in which its last counted attempt is a failure, or null where it was none. */
+    /** Returns the outcomes that count the last counted attempt as a failure, or null if that attempt did not fail. */
     @Nullable
     BuildOutcomes failureCountedIn() {
         return failureCountedIn;
@@ -125,7 +131,7 @@
         failureCountedIn = outcomes;
     }
 
-    /** Takes note of an attempt that did not complete. */
+    /** Records an attempt that ended without completing. */
     void attemptFailed(Endpoint endpoint, boolean isCanary) {
         avoidsCanary |= isCanary;
         if (failedEndpoints.isEmpty()) {
@@ -135,9 +141,9 @@
     }
 
     /**
-     * Takes note of the end of an attempt.
+     * Records the end of an attempt.
      *
-     * @return the attempt, or null where it is not the one in flight
+     * @return the attempt, or null if the event is not about the attempt in flight
      */
     @Nullable
     Attempt attemptEnded(AttemptEnded event) {
@@ -153,13 +159,13 @@
         return attempt;
     }
 
-    /** Plans an attempt, to be sent at the end of this decision. */
+    /** Plans an attempt, which is sent at the end of the current decision. */
     void planAttempt(Endpoint endpoint, long timeoutTicks) {
         plannedEndpoint = endpoint;
         plannedTimeoutTicks = timeoutTicks;
     }
 
-    /** Returns where the planned attempt is to go, or null where none is planned. */
+    /** Returns the endpoint of the planned attempt, or null if none is planned. */
     @Nullable
     Endpoint plannedEndpoint() {
         return plannedEndpoint;
@@ -169,7 +175,7 @@
         return plannedTimeoutTicks;
     }
 
-    /** Turns the planned attempt into the one in flight. */
+    /** Records that an attempt was sent and is now in flight. */
     void attemptSent(Attempt attempt) {
         attemptInFlight = attempt;
         attemptCount++;
@@ -179,7 +185,7 @@
         plannedEndpoint = null;
     }
 
-    /** Marks that the node itself is to give the final answer at the end of this decision. */
+    /** Marks that the node itself must give the final answer at the end of the current decision. */
     void requireFinalAnswer() {
         isFinalAnswerDue = true;
     }
@@ -188,22 +194,22 @@
         return isFinalAnswerDue;
     }
 
-    /** Marks that nothing more is owed to the client. */
+    /** Marks that no further answer is required. */
     void finish() {
         isFinished = true;
     }
 
-    /** Whether it has its final answer, or its client has left. */
+    /** Returns whether the request has its final answer or its client has disconnected. */
     boolean isFinished() {
         return isFinished;
     }
 
-    /** Whether nothing is left to do for it. */
+    /** Returns whether the request is finished and has no attempt in flight. */
     boolean isDone() {
         return isFinished && attemptInFlight == null;
     }
 
-    /** Whether the attempt in flight serves nobody any more and is not yet cancelled. */
+    /** Returns whether the result of the attempt in flight is no longer needed and the attempt is not yet cancelled. */
     boolean needsCancellation() {
         return isFinished && attemptInFlight != null && !isCancelRequested;
     }
--- a/src/main/java/laurelkeel/decision/AttemptTimeoutPolicy.java
+++ b/src/main/java/laurelkeel/decision/AttemptTimeoutPolicy.java
@@ -1,16 +1,16 @@
 package laurelkeel.decision;
 
 /**
- * How long to wait for an attempt: until the request's answer is due, or less where another attempt could still answer
- * within the latency objective.
+ * Computes the timeout of an attempt: the time until the request's answer is due, or less if another attempt could
+ * still complete within the latency objective.
  */
 final class AttemptTimeoutPolicy {
-    /** An answer later than so many mean deviations is not expected any more. */
-    private static final double PATIENCE_DEVIATIONS = 6;
+    /** Mean deviations above the expected latency after which an answer is no longer expected. */
+    private static final double TIMEOUT_DEVIATIONS = 6;
 
-    private static final double MIN_PATIENCE_SHARE_OF_OBJECTIVE = 0.35;
+    private static final double MIN_TIMEOUT_SHARE_OF_OBJECTIVE = 0.35;
 
-    /** Retries that the budget must allow before an attempt is cut short for the sake of one. */
+    /** Retries that the budget must allow for an attempt to get a shorter timeout in favor of a retry. */
     private static final int MIN_RETRIES_IN_BUDGET = 2;
 
     private final LatencyModel latency;
@@ -23,21 +23,25 @@
         this.retryBudget = retryBudget;
     }
 
-    /** Returns the time limit in ticks of the next attempt of a request, at an endpoint with so many in flight. */
+    /**
+     * Returns the timeout in ticks of a request's next attempt.
+     *
+     * @param inFlightAtEndpoint this node's attempts in flight at the chosen endpoint
+     */
     long timeoutTicks(ActiveRequest request, int inFlightAtEndpoint, long nowTicks) {
         long untilAnswerDueTicks = request.answerDueAtTicks() - nowTicks;
-        if (!retryPolicy.mayRepeatNext(request) || !retryBudget.allows(MIN_RETRIES_IN_BUDGET)) {
+        if (!retryPolicy.mayRetryNext(request) || !retryBudget.allows(MIN_RETRIES_IN_BUDGET)) {
             return untilAnswerDueTicks;
         }
         RouteLatency routeLatency = latency.route(request.routeIndex());
-        double typicalTicks = routeLatency.expectedOrUnloadedTicks(RouteLatency.concurrencyLevel(inFlightAtEndpoint));
+        double expectedTicks = routeLatency.expectedOrUnloadedTicks(RouteLatency.concurrencyLevel(inFlightAtEndpoint));
         long objectiveTicks = request.route().latencyObjectiveTicks();
-        double patienceTicks = Math.max(
-                typicalTicks * (1 + PATIENCE_DEVIATIONS * routeLatency.relativeDeviation()),
-                MIN_PATIENCE_SHARE_OF_OBJECTIVE * objectiveTicks);
-        if (patienceTicks + typicalTicks > objectiveTicks) {
+        double timeoutTicks = Math.max(
+                expectedTicks * (1 + TIMEOUT_DEVIATIONS * routeLatency.relativeDeviation()),
+                MIN_TIMEOUT_SHARE_OF_OBJECTIVE * objectiveTicks);
+        if (timeoutTicks + expectedTicks > objectiveTicks) {
             return untilAnswerDueTicks;
         }
-        return Math.min(untilAnswerDueTicks, (long) patienceTicks);
+        return Math.min(untilAnswerDueTicks, (long) timeoutTicks);
     }
 }
--- a/src/main/java/laurelkeel/decision/ClientRetryDetector.java
+++ b/src/main/java/laurelkeel/decision/ClientRetryDetector.java
@@ -6,30 +6,30 @@
 import laurelkeel.api.Ticks;
 
 /**
- * Recognizes requests that a client sends again after a rejection or a failure.
+ * Detects requests that a client sends again after a rejection or a failure.
  *
- * <p>They count neither as load nor as outcomes of a build, or a storm of retries would look like more traffic and a
- * worse build.
+ * <p>They count neither as load nor as outcomes of a build. Otherwise a retry storm would look like more traffic and
+ * like a regression of the build.
  */
 final class ClientRetryDetector {
-    private static final long MEMORY_TICKS = 5 * Ticks.PER_SECOND;
+    private static final long RETENTION_TICKS = 5 * Ticks.PER_SECOND;
 
-    /** When a request of the key was last rejected or failed, in ticks. */
-    private final Map<String, Long> unservedAtTicks = new HashMap<>();
+    /** For each partition key, when one of its requests was last rejected or failed. */
+    private final Map<String, Long> unsuccessfulAtTicksByKey = new HashMap<>();
 
-    /** Records that a request of a key was rejected or failed. */
-    void requestUnserved(String partitionKey, long nowTicks) {
-        unservedAtTicks.put(partitionKey, nowTicks);
+    /** Records that a request with the given key was rejected or failed. */
+    void requestUnsuccessful(String partitionKey, long nowTicks) {
+        unsuccessfulAtTicksByKey.put(partitionKey, nowTicks);
     }
 
-    /** Whether the client says so, or another request of its key went unserved a short while ago. */
+    /** Returns whether the client marks the request as a retry, or its key had a recent rejection or failure. */
     boolean isRetry(RequestReceived request) {
         String partitionKey = request.partitionKey();
-        return request.clientRetry() || (partitionKey != null && unservedAtTicks.containsKey(partitionKey));
+        return request.clientRetry() || (partitionKey != null && unsuccessfulAtTicksByKey.containsKey(partitionKey));
     }
 
-    /** Forgets the requests that went unserved too long ago. */
-    void forgetOld(long nowTicks) {
-        unservedAtTicks.values().removeIf(atTicks -> atTicks < nowTicks - MEMORY_TICKS);
+    /** Removes the keys whose last rejection or failure is older than the retention time. */
+    void removeExpired(long nowTicks) {
+        unsuccessfulAtTicksByKey.values().removeIf(atTicks -> atTicks < nowTicks - RETENTION_TICKS);
     }
 }
--- a/src/main/java/laurelkeel/decision/DeadlineQueue.java
+++ b/src/main/java/laurelkeel/decision/DeadlineQueue.java
@@ -5,32 +5,32 @@
 import java.util.TreeMap;
 
 /**
- * Items to look at again at given moments, in order of the moments and, within one, of their arrival.
+ * A queue of items by due time; items with the same due time keep their insertion order.
  *
  * @param <T> the type of the items
  */
 final class DeadlineQueue<T> {
-    /** Returned where the queue is empty. */
+    /** The due time of an empty queue. */
     static final long NEVER = Long.MAX_VALUE;
 
-    private static final int USUAL_ITEMS_PER_MOMENT = 2;
+    private static final int TYPICAL_ITEMS_PER_DUE_TIME = 2;
 
-    private final TreeMap<Long, List<T>> itemsByMoment = new TreeMap<>();
+    private final TreeMap<Long, List<T>> itemsByDueTicks = new TreeMap<>();
 
-    /** Adds an item for a moment. */
-    void add(T item, long atTicks) {
-        itemsByMoment
-                .computeIfAbsent(atTicks, key -> new ArrayList<>(USUAL_ITEMS_PER_MOMENT))
+    /** Adds an item with a due time. */
+    void add(T item, long dueAtTicks) {
+        itemsByDueTicks
+                .computeIfAbsent(dueAtTicks, key -> new ArrayList<>(TYPICAL_ITEMS_PER_DUE_TIME))
                 .add(item);
     }
 
-    /** Returns the earliest moment in ticks, or {@link #NEVER}. */
-    long nextAtTicks() {
-        return itemsByMoment.isEmpty() ? NEVER : itemsByMoment.firstKey();
+    /** Returns the earliest due time in ticks, or {@link #NEVER} if the queue is empty. */
+    long nextDueAtTicks() {
+        return itemsByDueTicks.isEmpty() ? NEVER : itemsByDueTicks.firstKey();
     }
 
-    /** Removes and returns the items of the earliest moment. The queue must not be empty. */
+    /** Removes and returns the items with the earliest due time. The queue must not be empty. */
     List<T> removeNext() {
-        return itemsByMoment.pollFirstEntry().getValue();
+        return itemsByDueTicks.pollFirstEntry().getValue();
     }
 }
--- a/src/main/java/laurelkeel/decision/RequestLifecycle.java
+++ b/src/main/java/laurelkeel/decision/RequestLifecycle.java
@@ -9,10 +9,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Takes each request from its arrival to its one final answer.
+ * Handles each request from its arrival to its single final answer.
  *
- * <p>At each decision it first plans for every request concerned, and then carries the plans out, so that requests of one
- * moment see each other's load.
+ * <p>Each decision first plans for all pending requests and then executes the plans, so that requests of the same
+ * decision take each other's load into account.
  */
 final class RequestLifecycle {
     private static final double NO_FRACTION = -1;
@@ -48,10 +48,8 @@
         timeoutPolicy = new AttemptTimeoutPolicy(latency, retryPolicy, retryBudget);
     }
 
-    // ---- what has happened
-
-    /** Takes on a request. */
-    void received(RequestReceived received, long nowTicks) {
+    /** Registers a new request and schedules its deadlines. */
+    void requestReceived(RequestReceived received, long nowTicks) {
         router.requestReceived(received.route(), nowTicks);
         retryBudget.requestReceived();
         ActiveRequest request = new ActiveRequest(
@@ -62,12 +60,12 @@
                 nowTicks);
         recorder.requestReceived(request, nowTicks);
         requests.add(request);
-        wakeAt(request, request.answerDueAtTicks(), nowTicks);
-        wakeAt(request, request.objectiveCheckAtTicks(), nowTicks);
+        scheduleAt(request, request.answerDueAtTicks(), nowTicks);
+        scheduleAt(request, request.objectiveCheckAtTicks(), nowTicks);
         requests.markPending(request);
     }
 
-    /** Takes note of the end of an attempt; one that is not in flight is ignored. */
+    /** Records the end of an attempt; an attempt that is not in flight is ignored. */
     void attemptEnded(AttemptEnded event, long nowTicks) {
         ActiveRequest request = requests.find(event.requestId());
         Attempt attempt = request == null ? null : request.attemptEnded(event);
@@ -89,7 +87,7 @@
         requests.markPending(request);
     }
 
-    /** Takes note that nothing more is owed for a request. */
+    /** Records that a request needs no further answer because its client has disconnected. */
     void clientDisconnected(String requestId) {
         ActiveRequest request = requests.find(requestId);
         if (request != null) {
@@ -98,20 +96,18 @@
         }
     }
 
-    // ---- what is due
-
-    private void wakeAt(ActiveRequest request, long atTicks, long nowTicks) {
+    private void scheduleAt(ActiveRequest request, long atTicks, long nowTicks) {
         deadlines.add(request, Math.max(atTicks, nowTicks + 1));
     }
 
-    /** Returns when something is due for a request, or {@link DeadlineQueue#NEVER}. */
+    /** Returns the time of the next scheduled check of a request, or {@link DeadlineQueue#NEVER} if there is none. */
     long nextDeadlineTicks() {
-        return deadlines.nextAtTicks();
+        return deadlines.nextDueAtTicks();
     }
 
-    /** Looks again at the requests for which something is due. */
-    void wakeDue(long nowTicks) {
-        while (deadlines.nextAtTicks() <= nowTicks) {
+    /** Marks the requests whose scheduled check is due as pending. */
+    void markDue(long nowTicks) {
+        while (deadlines.nextDueAtTicks() <= nowTicks) {
             for (ActiveRequest request : deadlines.removeNext()) {
                 if (!request.isDone()) {
                     requests.markPending(request);
@@ -120,14 +116,12 @@
         }
     }
 
-    /** Forgets what is too old to matter. */
-    void forgetOld(long nowTicks) {
-        clientRetries.forgetOld(nowTicks);
+    /** Removes expired records of unsuccessful requests. */
+    void removeExpired(long nowTicks) {
+        clientRetries.removeExpired(nowTicks);
     }
 
-    // ---- what is planned
-
-    /** Plans for each request concerned: an attempt, a final answer, or to go on waiting. */
+    /** Plans for each pending request: an attempt, a final answer, or to continue waiting. */
     void plan(long nowTicks) {
         for (ActiveRequest request : requests.pending()) {
             plan(request, nowTicks);
@@ -143,8 +137,7 @@
             request.requireFinalAnswer();
         } else if (attempt == null) {
             planAttempt(request, nowTicks);
-        } else if (nowTicks >= request.objectiveCheckAtTicks()
-                && admission.isToBeAbandoned(request, attempt, nowTicks)) {
+        } else if (nowTicks >= request.objectiveCheckAtTicks() && admission.shouldAbandon(request, attempt, nowTicks)) {
             request.requireFinalAnswer();
         }
     }
@@ -168,8 +161,8 @@
     }
 
     private @Nullable Endpoint chooseEndpoint(ActiveRequest request, boolean isRetry, long nowTicks) {
-        // an attempt that an endpoint rejected counts as well: a full fleet must not be asked by each request
-        // everywhere
+        // retries after an OVERLOADED outcome need budget as well; otherwise each request would try every endpoint of a
+        // fleet that is at capacity
         if (!retryPolicy.mayAttempt(request, nowTicks) || (isRetry && !retryBudget.allows(1))) {
             return null;
         }
@@ -177,17 +170,15 @@
         return endpoint != null && admission.admits(request, endpoint, nowTicks) ? endpoint : null;
     }
 
-    // ---- what is done
-
-    /** Carries out all plans by actions. */
-    void carryOut(List<Action> actions, long nowTicks) {
+    /** Executes the plans of all pending requests by adding actions to a list. */
+    void execute(List<Action> actions, long nowTicks) {
         for (ActiveRequest request : requests.pending()) {
-            carryOut(request, actions, nowTicks);
+            execute(request, actions, nowTicks);
         }
         requests.clearPending();
     }
 
-    private void carryOut(ActiveRequest request, List<Action> actions, long nowTicks) {
+    private void execute(ActiveRequest request, List<Action> actions, long nowTicks) {
         if (request.isFinalAnswerDue() && !request.isFinished()) {
             actions.add(answer(request, nowTicks));
         }
@@ -213,7 +204,7 @@
         request.finish();
         String key = request.partitionKey();
         if (key != null) {
-            clientRetries.requestUnserved(key, nowTicks);
+            clientRetries.requestUnsuccessful(key, nowTicks);
         }
         return mayReject
                 ? new Action.RejectRequest(request.id(), settings.capabilities().maxRetryAfterTicks())
--- a/src/main/java/laurelkeel/decision/RequestTable.java
+++ b/src/main/java/laurelkeel/decision/RequestTable.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 
-/** The active requests of one node, and those of them for which something has to be decided. */
+/** The active requests of one node, and the subset of them that is pending in the current decision. */
 final class RequestTable {
     private final Map<String, ActiveRequest> requestsById = new HashMap<>();
     private final Set<ActiveRequest> pending = new LinkedHashSet<>();
@@ -25,12 +25,12 @@
         requestsById.remove(request.id());
     }
 
-    /** Marks a request to be decided on in this decision. */
+    /** Marks a request as pending in the current decision. */
     void markPending(ActiveRequest request) {
         pending.add(request);
     }
 
-    /** Returns the requests to be decided on, in the order in which they were first marked. */
+    /** Returns the pending requests in the order in which they were first marked. */
     Collection<ActiveRequest> pending() {
         return pending;
     }
--- a/src/main/java/laurelkeel/decision/RetryPolicy.java
+++ b/src/main/java/laurelkeel/decision/RetryPolicy.java
@@ -7,23 +7,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Which requests may be sent again or rejected without taking effect twice.
+ * Decides which requests may be sent again or rejected without the risk that they take effect twice.
  *
- * <p>What provably never ran may always be sent again. What may have run may be sent again where it is idempotent, or
- * where the endpoints that know its first attempt still drop the repeat.
+ * <p>A request that provably never ran may always be sent again. A request that may have run may be sent again if it is
+ * idempotent, or if the endpoints that recognize repeats of its first attempt would still drop the repeat.
  */
 final class RetryPolicy {
-    /** A repeat sent this close to the end of the deduplication window could arrive after it. */
+    /** A repeat sent this close to the end of the deduplication window could arrive after the window. */
     private static final long DEDUPLICATION_MARGIN_TICKS = Ticks.PER_SECOND / 10;
 
     private final int maxAttempts;
 
-    /** @param maxAttempts of one request, with its first */
+    /** @param maxAttempts maximum number of attempts per request, including the first */
     RetryPolicy(int maxAttempts) {
         this.maxAttempts = maxAttempts;
     }
 
-    /** Whether another attempt may be sent, to an endpoint of {@link #knowsFirstAttempt}. */
+    /** Returns whether another attempt may be sent, to an endpoint for which {@link #isSafeForRetry} holds. */
     boolean mayAttempt(ActiveRequest request, long nowTicks) {
         if (request.attemptCount() >= maxAttempts) {
             return false;
@@ -32,17 +32,20 @@
         return first == null
                 || switch (request.route().idempotency()) {
                     case IDEMPOTENT -> true;
-                    case DEDUPLICATED -> isInWindow(first, request.route(), nowTicks);
+                    case DEDUPLICATED -> isWithinDeduplicationWindow(first, request.route(), nowTicks);
                     case NOT_IDEMPOTENT -> false;
                 };
     }
 
-    /** Whether one more attempt may follow the next one, whatever comes of that. */
-    boolean mayRepeatNext(ActiveRequest request) {
+    /** Returns whether another attempt may follow the next one, whatever the outcome of the next one. */
+    boolean mayRetryNext(ActiveRequest request) {
         return request.route().idempotency() != Idempotency.NOT_IDEMPOTENT && request.attemptCount() + 1 < maxAttempts;
     }
 
-    /** Whether a retry at an endpoint does no harm: nothing has run, the route is idempotent, or the endpoint knows repeats. */
+    /**
+     * Returns whether an endpoint is in the deduplication scope of the first attempt that may have run. It always is if
+     * nothing may have run or the route is not deduplicated.
+     */
     boolean isSafeForRetry(ActiveRequest request, Endpoint endpoint) {
         Attempt first = request.firstPossibleRun();
         Route route = request.route();
@@ -56,7 +59,7 @@
         };
     }
 
-    /** Whether the client may be told that the request had no effect, and so may send it again through any node. */
+    /** Returns whether the request may be rejected, which allows the client to send it again through any node. */
     boolean mayReject(ActiveRequest request, long nowTicks) {
         Attempt first = firstPossibleRunOrInFlight(request);
         Route route = request.route();
@@ -65,7 +68,7 @@
         }
         return route.idempotency() == Idempotency.DEDUPLICATED
                 && route.deduplicationScope() == DeduplicationScope.ALL
-                && isInWindow(first, route, nowTicks);
+                && isWithinDeduplicationWindow(first, route, nowTicks);
     }
 
     private static @Nullable Attempt firstPossibleRunOrInFlight(ActiveRequest request) {
@@ -73,7 +76,7 @@
         return first == null ? request.attemptInFlight() : first;
     }
 
-    private static boolean isInWindow(Attempt first, Route route, long nowTicks) {
+    private static boolean isWithinDeduplicationWindow(Attempt first, Route route, long nowTicks) {
         return nowTicks + DEDUPLICATION_MARGIN_TICKS < first.sentAtTicks() + route.deduplicationWindowTicks();
     }
 }
--- a/src/main/java/laurelkeel/decision/RoutingDecider.java
+++ b/src/main/java/laurelkeel/decision/RoutingDecider.java
@@ -18,13 +18,13 @@
 import laurelkeel.api.Ticks;
 
 /**
- * Takes all decisions of one front node: where each request goes, when it is sent again, rejected or failed, and how the
- * node votes on a rollout.
+ * Makes all decisions of one front node: where each request is sent, when it is retried, rejected or failed, and how
+ * the node votes on a rollout.
  *
- * <p>It holds no rule of its own: it hands events to the modules, tells them when something is due, and collects their
- * actions.
+ * <p>This class contains no rules of its own. It passes events to the other classes of this package, triggers their
+ * scheduled work, and collects their actions.
  *
- * <p>Instances share nothing and are not thread-safe; calls must not overlap. The only clock is the caller's.
+ * <p>Instances share no state and are not thread-safe; calls must not overlap. The only time source is the caller.
  */
 public final class RoutingDecider implements Decider {
     private static final long HOUSEKEEPING_INTERVAL_TICKS = Ticks.PER_SECOND / 10;
@@ -49,9 +49,9 @@
     private long timerDueAtTicks = DeadlineQueue.NEVER;
 
     /**
-     * Creates the decider of a node at its start.
+     * Creates the decider of a node that starts.
      *
-     * @param seed of the node's own random draws
+     * @param seed the seed of the random numbers of this node
      */
     public RoutingDecider(Settings settings, long seed) {
         int routeCount = settings.routes().size();
@@ -88,17 +88,17 @@
     public List<Action> decide(long nowTicks, List<Event> events) {
         actions.clear();
         for (Event event : events) {
-            learn(event, nowTicks);
+            handle(event, nowTicks);
         }
         selectBuilds(nowTicks);
-        requests.wakeDue(nowTicks);
+        requests.markDue(nowTicks);
         if (nowTicks >= nextHousekeepingAtTicks) {
             nextHousekeepingAtTicks = nowTicks + HOUSEKEEPING_INTERVAL_TICKS;
             runHousekeeping(nowTicks);
         }
         requests.plan(nowTicks);
         RolloutVoter.Vote vote = voter.nextVote(nowTicks);
-        requests.carryOut(actions, nowTicks);
+        requests.execute(actions, nowTicks);
         if (vote != null) {
             cast(vote);
         }
@@ -109,9 +109,9 @@
         return List.copyOf(actions);
     }
 
-    private void learn(Event event, long nowTicks) {
+    private void handle(Event event, long nowTicks) {
         if (event instanceof RequestReceived received) {
-            requests.received(received, nowTicks);
+            requests.requestReceived(received, nowTicks);
         } else if (event instanceof AttemptEnded ended) {
             requests.attemptEnded(ended, nowTicks);
         } else if (event instanceof ClientDisconnected disconnected) {
@@ -127,7 +127,7 @@
         } else if (event instanceof TimerFired) {
             timerDueAtTicks = DeadlineQueue.NEVER;
         }
-        // started responses, health checks and gossip say nothing that these decisions use
+        // started responses, health checks and gossip are not used by these decisions
     }
 
     private void updateEndpoints(EndpointListUpdate update, long nowTicks) {
@@ -178,16 +178,16 @@
         canaryRamp.observe(rollout.canaryBuild(), endpoints.currentCapacity(rollout.stableBuild(), nowTicks));
     }
 
-    /** Updates what need not be exact at every decision. */
+    /** Runs the periodic updates that are not needed at every decision. */
     private void runHousekeeping(long nowTicks) {
         throughput.update(nowTicks);
         exposure.forgetOld(nowTicks);
         endpoints.updateWarmUpBudgets(nowTicks);
         ownOutcomes.forgetOld(nowTicks);
         allNodesOutcomes.forgetOld(nowTicks);
-        requests.forgetOld(nowTicks);
+        requests.removeExpired(nowTicks);
         endpoints.markErrorOutliers();
-        endpoints.adaptSubsets(latency.inFlight(), admission.areAnswersWaiting(), nowTicks);
+        endpoints.adaptSubsets(latency.inFlight(), admission.areAttemptsQueueing(), nowTicks);
         if (rollout.hasCanary()) {
             canaryRamp.raise(
                     rollout.exposureCap(),
@@ -205,7 +205,7 @@
         }
     }
 
-    /** Asks to be woken when something is due, unless a timer runs that is due no later. */
+    /** Starts a timer for the next scheduled work, unless a running timer is due no later. */
     private void startTimer() {
         long dueAtTicks = Math.min(nextHousekeepingAtTicks, requests.nextDeadlineTicks());
         if (dueAtTicks < timerDueAtTicks) {
--- a/src/test/java/laurelkeel/decision/AdmissionControllerTest.java
+++ b/src/test/java/laurelkeel/decision/AdmissionControllerTest.java
@@ -92,16 +92,16 @@
         ActiveRequest request = request(HIGHEST_VALUE);
         Attempt attempt = send(request, endpoint, NOW_TICKS);
         answersWait(SLACK_TICKS / 2 - 100);
-        assertFalse(admission.isToBeAbandoned(request, attempt, NOW_TICKS));
+        assertFalse(admission.shouldAbandon(request, attempt, NOW_TICKS));
         answersWait(SLACK_TICKS / 2 + 100);
-        assertTrue(admission.isToBeAbandoned(request, attempt, NOW_TICKS));
+        assertTrue(admission.shouldAbandon(request, attempt, NOW_TICKS));
     }
 
     @Test
     void answersCountAsWaitingFromATenthOfTheLeastSlack() {
         answersWait(0.1 * LEAST_SLACK_TICKS - 50);
-        assertFalse(admission.areAnswersWaiting());
+        assertFalse(admission.areAttemptsQueueing());
         answersWait(0.1 * LEAST_SLACK_TICKS + 50);
-        assertTrue(admission.areAnswersWaiting());
+        assertTrue(admission.areAttemptsQueueing());
     }
 }
--- a/src/test/java/laurelkeel/decision/ClientRetryDetectorTest.java
+++ b/src/test/java/laurelkeel/decision/ClientRetryDetectorTest.java
@@ -23,11 +23,11 @@
 
     @Test
     void aKeyThatWentUnservedIsARetryForFiveSeconds() {
-        detector.requestUnserved("a", 0);
-        detector.forgetOld(5 * Ticks.PER_SECOND);
+        detector.requestUnsuccessful("a", 0);
+        detector.removeExpired(5 * Ticks.PER_SECOND);
         assertTrue(detector.isRetry(request("a", false)));
         assertFalse(detector.isRetry(request("b", false)));
-        detector.forgetOld(5 * Ticks.PER_SECOND + 1);
+        detector.removeExpired(5 * Ticks.PER_SECOND + 1);
         assertFalse(detector.isRetry(request("a", false)));
     }
 }
--- a/src/test/java/laurelkeel/decision/DeadlineQueueTest.java
+++ b/src/test/java/laurelkeel/decision/DeadlineQueueTest.java
@@ -12,10 +12,10 @@
         queue.add("late", 30);
         queue.add("first", 10);
         queue.add("second", 10);
-        assertEquals(10, queue.nextAtTicks());
+        assertEquals(10, queue.nextDueAtTicks());
         assertEquals(List.of("first", "second"), queue.removeNext());
-        assertEquals(30, queue.nextAtTicks());
+        assertEquals(30, queue.nextDueAtTicks());
         assertEquals(List.of("late"), queue.removeNext());
-        assertEquals(DeadlineQueue.NEVER, queue.nextAtTicks());
+        assertEquals(DeadlineQueue.NEVER, queue.nextDueAtTicks());
     }
 }
--- a/src/test/java/laurelkeel/decision/RetryPolicyTest.java
+++ b/src/test/java/laurelkeel/decision/RetryPolicyTest.java
@@ -94,11 +94,11 @@
 
     @Test
     void theNextAttemptCanBeRepeatedWhereOneMoreIsAllowed() {
-        assertFalse(policy.mayRepeatNext(request(Idempotency.NOT_IDEMPOTENT)));
+        assertFalse(policy.mayRetryNext(request(Idempotency.NOT_IDEMPOTENT)));
         ActiveRequest request = request(Idempotency.IDEMPOTENT);
         attempt(request, first, AttemptOutcome.FAILED, 0);
-        assertTrue(policy.mayRepeatNext(request));
+        assertTrue(policy.mayRetryNext(request));
         attempt(request, first, AttemptOutcome.FAILED, 0);
-        assertFalse(policy.mayRepeatNext(request));
+        assertFalse(policy.mayRetryNext(request));
     }
 }
