--- a/src/main/java/laurelkeel/decision/Endpoint.java
+++ b/src/main/java/laurelkeel/decision/Endpoint.java
@@ -4,21 +4,21 @@
 import laurelkeel.api.Ticks;
 import org.jspecify.annotations.Nullable;
 
-/** One process of the service, for as long as the endpoint list names it with the same build and start. */
+/** One process of the service: an id in the endpoint list with an unchanged build and start time. */
 final class Endpoint {
-    /** So long after its start, the outcomes of an endpoint do not count for its build. */
+    /** Time after its start during which the outcomes of an endpoint do not count for its build. */
     static final long SETTLING_TICKS = 3 * Ticks.PER_SECOND;
 
-    // a latency ratio beyond these limits is more likely noise than a lasting difference
-    private static final double MIN_WEIGHED_LATENCY_RATIO = 0.4;
-    private static final double MAX_WEIGHED_LATENCY_RATIO = 3;
+    // a latency ratio outside these limits is more likely noise than a lasting difference
+    private static final double MIN_LATENCY_RATIO = 0.4;
+    private static final double MAX_LATENCY_RATIO = 3;
 
     private final String id;
     private final int build;
     private final int zone;
     private final int cell;
     private final long startedAtTicks;
-    private final double crossZoneRequests;
+    private final double crossZonePenaltyRequests;
     private final double ringPosition;
     private final EndpointHealth health = new EndpointHealth();
     private final EndpointLatency latency = new EndpointLatency();
@@ -27,7 +27,7 @@
     private double capacity;
     private boolean isActive;
     private int inFlight;
-    private double otherRequests;
+    private double otherNodesRequests;
 
     private @Nullable BuildEndpoints pool;
     private int poolIndex;
@@ -35,18 +35,20 @@
     private boolean isWeightStable;
     private boolean isInSubset;
 
-    /** @param crossZoneRequests the price of the way to it, as a number of requests that it is taken to serve besides */
-    Endpoint(EndpointEntry entry, double crossZoneRequests) {
+    /**
+     * @param crossZonePenaltyRequests the cost of crossing zones, as a number of requests added to the endpoint's load
+     */
+    Endpoint(EndpointEntry entry, double crossZonePenaltyRequests) {
         id = entry.endpointId();
         build = entry.build();
         zone = entry.zone();
         cell = entry.cell();
         startedAtTicks = entry.startedAtTicks();
         ringPosition = EndpointSubset.ringPosition(id);
-        this.crossZoneRequests = crossZoneRequests;
+        this.crossZonePenaltyRequests = crossZonePenaltyRequests;
     }
 
-    /** Whether an entry of the list means this process. */
+    /** Returns whether an entry of the endpoint list with the same id refers to this process. */
     boolean isSameProcess(EndpointEntry entry) {
         return startedAtTicks == entry.startedAtTicks() && build == entry.build();
     }
@@ -67,14 +69,14 @@
         return cell;
     }
 
-    /** Returns when it started; 0 for long ago. */
+    /** Returns when the endpoint started; 0 if it started long ago. */
     long startedAtTicks() {
         return startedAtTicks;
     }
 
-    /** Whether the way to it costs nothing. */
+    /** Returns whether requests to the endpoint have no cross-zone cost. */
     boolean isLocal() {
-        return crossZoneRequests == 0;
+        return crossZonePenaltyRequests == 0;
     }
 
     double ringPosition() {
@@ -93,7 +95,7 @@
         return warmUpBudget;
     }
 
-    /** Returns its capacity when warm, beside that of other endpoints. */
+    /** Returns the endpoint's capacity when warm, relative to other endpoints. */
     double capacity() {
         return capacity;
     }
@@ -102,7 +104,7 @@
         this.capacity = capacity;
     }
 
-    /** Whether the list names it and new attempts may be sent to it. */
+    /** Returns whether the endpoint is in the endpoint list and new attempts may be sent to it. */
     boolean isActive() {
         return isActive;
     }
@@ -111,54 +113,52 @@
         this.isActive = isActive;
     }
 
-    /** Whether it has run for long enough for its outcomes to count for its build. */
+    /** Returns whether the endpoint has run long enough for its outcomes to count for its build. */
     boolean isSettled(long nowTicks) {
         return startedAtTicks == 0 || nowTicks >= startedAtTicks + SETTLING_TICKS;
     }
 
-    /** Returns this node's attempts in flight. */
+    /** Returns the number of this node's attempts in flight at the endpoint. */
     int inFlight() {
         return inFlight;
     }
 
-    /** Returns the requests that it is known to serve, for this node and for others. */
+    /** Returns the number of requests that the endpoint is known to serve, for this and other nodes. */
     double knownRequests() {
-        return inFlight + otherRequests;
+        return inFlight + otherNodesRequests;
     }
 
     void attemptStarted() {
         inFlight++;
-        publishRequests();
+        updateRotationLoad();
     }
 
     void attemptEnded() {
         inFlight--;
-        publishRequests();
+        updateRotationLoad();
     }
 
-    /** Takes note of how many requests it was serving when it answered, with the one that it answered. */
+    /** Records how many requests the endpoint was serving when it answered, including the answered one. */
     void loadReported(double concurrentRequests) {
-        otherRequests = Math.max(0, concurrentRequests - inFlight - 1);
-        publishRequests();
+        otherNodesRequests = Math.max(0, concurrentRequests - inFlight - 1);
+        updateRotationLoad();
     }
 
-    /** Makes the pool look at it before its next turn, for it may have to be left out. */
+    /** Makes the pool check its endpoints again before the next pick, because this one may no longer be eligible. */
     void eligibilityChanged() {
         if (pool != null) {
             pool.invalidateEligibility();
         }
     }
 
-    // ---- its place in a pool
-
-    /** Moves it to a pool. */
+    /** Assigns the endpoint to a pool, in which it has the given index. */
     void joinPool(BuildEndpoints newPool, int index) {
         pool = newPool;
         poolIndex = index;
         isWeightStable = false;
     }
 
-    /** Returns what it is owed of the turns when it joins a pool, in units of weight. */
+    /** Returns the endpoint's round-robin credit when it joins a pool, in units of weight. */
     double credit() {
         return credit;
     }
@@ -175,26 +175,28 @@
         isInSubset = isMember;
     }
 
-    /** Whether its weight changes with its latency only, and no more with time. */
+    /**
+     * Returns whether the endpoint is warm, so that its weight no longer changes with time but only with its latency.
+     */
     boolean isWeightStable() {
         return isWeightStable;
     }
 
-    /** Sets its weight in the round robin by capacity, warm-up and latency. */
+    /** Updates the endpoint's round-robin weight from its capacity, warm-up and latency. */
     void updateWeight(SlowStart slowStart, long nowTicks) {
         isWeightStable = slowStart.isWarm(startedAtTicks, nowTicks);
         if (pool != null) {
-            double latencyRatio = Math.max(
-                    MIN_WEIGHED_LATENCY_RATIO, Math.min(MAX_WEIGHED_LATENCY_RATIO, latency.meanRatioToExpected()));
+            double latencyRatio =
+                    Math.max(MIN_LATENCY_RATIO, Math.min(MAX_LATENCY_RATIO, latency.meanRatioToExpected()));
             double weight = capacity * slowStart.capacityShare(startedAtTicks, nowTicks) / latencyRatio;
             pool.rotation().setWeight(poolIndex, weight);
         }
-        publishRequests();
+        updateRotationLoad();
     }
 
-    private void publishRequests() {
+    private void updateRotationLoad() {
         if (pool != null) {
-            pool.rotation().setRequests(poolIndex, knownRequests() + crossZoneRequests);
+            pool.rotation().setRequests(poolIndex, knownRequests() + crossZonePenaltyRequests);
         }
     }
 }
--- a/src/main/java/laurelkeel/decision/EndpointHealth.java
+++ b/src/main/java/laurelkeel/decision/EndpointHealth.java
@@ -4,11 +4,12 @@
 import laurelkeel.api.Ticks;
 
 /**
- * Ejects one endpoint from the rotation after outcomes that point to a fault of its own.
+ * The health of one endpoint: ejects the endpoint from the rotation after outcomes that indicate a fault of the
+ * endpoint itself.
  *
- * <p>Two connection failures or timeouts in a row eject it, for a time that doubles with each further one; afterwards it
- * gets one attempt at a time until one completes. An endpoint that {@link OutlierDetector} has found is ejected for a
- * second by each error. One that is at capacity is left out for a moment.
+ * <p>Two consecutive connection failures or timeouts eject it, for a time that doubles with each further failure.
+ * Afterwards it receives one attempt at a time until one completes. An endpoint that {@link OutlierDetector} has marked
+ * is ejected for one second after each error. An endpoint at capacity is excluded for 200 ms.
  */
 final class EndpointHealth {
     /** Weight of one outcome in the error rate. */
@@ -29,10 +30,11 @@
     private long overloadedUntilTicks;
 
     /**
-     * Takes note of the outcome of an attempt.
+     * Records the outcome of an attempt.
      *
-     * @param isAnswerDue whether the request's time was over: then a timeout says nothing of the endpoint
-     * @return whether the endpoint may have to be left out from now on
+     * @param isAnswerDue whether the request's answer was already due, in which case a timeout does not indicate a
+     *     fault of the endpoint
+     * @return whether the endpoint may now have to be excluded
      */
     boolean record(AttemptOutcome outcome, boolean isAnswerDue, long nowTicks) {
         outcomeCount++;
@@ -66,7 +68,7 @@
 
     private boolean recordFailure(long nowTicks) {
         consecutiveFailures++;
-        ejectedUntilTicks = hasFailed() ? nowTicks + ejectionTicks() : 0;
+        ejectedUntilTicks = hasConsecutiveFailures() ? nowTicks + ejectionTicks() : 0;
         return true;
     }
 
@@ -75,32 +77,37 @@
         return Math.min(MAX_EJECTION_TICKS, MIN_EJECTION_TICKS << doublings);
     }
 
-    /** Whether its last attempts failed in a row, without an answer. */
-    private boolean hasFailed() {
+    /** Returns whether enough consecutive attempts failed without an answer. */
+    private boolean hasConsecutiveFailures() {
         return consecutiveFailures >= FAILURES_TO_EJECT;
     }
 
-    /** Whether it has shown a fault of its own since it last served. Its outcomes then count for no build. */
+    /**
+     * Returns whether the endpoint has shown a fault of its own since it last completed an attempt. Outcomes of a
+     * suspect do not count for its build.
+     */
     boolean isSuspect() {
-        return hasFailed() || isErrorOutlier;
+        return hasConsecutiveFailures() || isErrorOutlier;
     }
 
-    /** Whether it is left out of the rotation at the moment; a suspect gets one attempt at a time. */
+    /**
+     * Returns whether the endpoint is currently excluded from the rotation; a suspect receives one attempt at a time.
+     */
     boolean isEjected(int inFlight, long nowTicks) {
         return (isSuspect() && (nowTicks < ejectedUntilTicks || inFlight > 0)) || isOverloaded(nowTicks);
     }
 
-    /** Whether it has said a moment ago that it is at capacity or draining. */
+    /** Returns whether the endpoint reported in the last 200 ms that it is at capacity or draining. */
     boolean isOverloaded(long nowTicks) {
         return nowTicks < overloadedUntilTicks;
     }
 
-    /** Returns how many outcomes it has had. */
+    /** Returns the number of recorded outcomes. */
     int outcomeCount() {
         return outcomeCount;
     }
 
-    /** Returns the share of errors among its answers of late, from 0 to 1. */
+    /** Returns the share of errors among the endpoint's recent answers, from 0 to 1. */
     double errorRate() {
         return errorRate;
     }
--- a/src/main/java/laurelkeel/decision/EndpointLatency.java
+++ b/src/main/java/laurelkeel/decision/EndpointLatency.java
@@ -1,8 +1,8 @@
 package laurelkeel.decision;
 
-/** How fast one endpoint answers beside what is usual, and how long attempts wait there before they are served. */
+/** The latency of one endpoint relative to the expected one, and the wait of attempts there before they are served. */
 final class EndpointLatency {
-    /** Weight of one answer in the mean ratio to the usual latency. */
+    /** Weight of one answer in the mean ratio to the expected latency. */
     private static final double RATIO_SMOOTHING = 0.06;
     /** Weight of one answer in the mean wait and the mean number in flight. */
     private static final double WAIT_SMOOTHING = 0.15;
@@ -10,42 +10,44 @@
     private double meanRatioToExpected = 1;
     private int warmAnswerCount;
     private double waitTicks;
-    private double usualInFlight = 1;
+    private double meanInFlight = 1;
     private long answeredAtTicks;
 
-    /** Takes note of an answer whose latency can be compared with what is usual. */
+    /** Records the latency of an answer as a multiple of the expected one. */
     void recordRatio(double ratio) {
         meanRatioToExpected += (ratio - meanRatioToExpected) * RATIO_SMOOTHING;
     }
 
-    /** Counts an answer that it gave once it had warmed up. */
+    /** Counts an answer that the endpoint gave after it had warmed up. */
     void countWarmAnswer() {
         warmAnswerCount++;
     }
 
-    /** Takes note of how long an attempt waited, and how many were in flight when it was sent. */
+    /** Records how long an attempt waited and how many attempts were in flight when it was sent. */
     void recordWait(double attemptWaitTicks, int inFlight, long nowTicks) {
         waitTicks += (attemptWaitTicks - waitTicks) * WAIT_SMOOTHING;
         answeredAtTicks = nowTicks;
-        usualInFlight += (inFlight - usualInFlight) * WAIT_SMOOTHING;
+        meanInFlight += (inFlight - meanInFlight) * WAIT_SMOOTHING;
     }
 
-    /** Returns the mean latency of its answers of late as a multiple of what is usual for their routes. */
+    /** Returns the mean latency of the recent answers as a multiple of the one expected for their routes. */
     double meanRatioToExpected() {
         return meanRatioToExpected;
     }
 
-    /** Returns how many of its answers since it had warmed up could be compared with what is usual. */
+    /** Returns the number of answers since the warm-up for which an expected latency was known. */
     int warmAnswerCount() {
         return warmAnswerCount;
     }
 
-    /** Returns the wait to expect by its own answers, with so many attempts in flight ahead. */
+    /**
+     * Returns the expected wait behind a number of attempts in flight, derived from the endpoint's own answers only.
+     */
     double expectedWaitTicks(int inFlight) {
-        return Math.max(0, waitTicks) * (inFlight + 1) / Math.max(1, usualInFlight);
+        return Math.max(0, waitTicks) * (inFlight + 1) / Math.max(1, meanInFlight);
     }
 
-    /** Returns when it last completed an attempt; 0 for never. */
+    /** Returns when the endpoint last completed an attempt; 0 for never. */
     long answeredAtTicks() {
         return answeredAtTicks;
     }
--- a/src/main/java/laurelkeel/decision/EndpointPicker.java
+++ b/src/main/java/laurelkeel/decision/EndpointPicker.java
@@ -3,10 +3,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Picks the endpoint of a build for an attempt: the next in turn of those that may take it.
+ * Picks the endpoint of a build for an attempt, by weighted round robin over the endpoints that may receive it.
  *
- * <p>Endpoints that are ejected, or failed this request before, are picked only where there are no others. Never picked
- * are those that would overload while they warm up, and those that could let a request take effect twice.
+ * <p>Endpoints that are ejected or that failed this request before are a fallback, picked only if there are no others.
+ * Endpoints that could be overloaded while they warm up are never picked, nor are those at which a request could take
+ * effect twice.
  */
 final class EndpointPicker {
     private final EndpointRegistry endpoints;
@@ -14,11 +15,11 @@
     private final SlowStart slowStart;
     private final OwnThroughput throughput;
 
-    // indices of the endpoints found by the last classification
-    private int[] usable = new int[0];
-    private int usableCount;
-    private int[] avoided = new int[0];
-    private int avoidedCount;
+    // results of the last classification, as indices in the pool
+    private int[] preferred = new int[0];
+    private int preferredCount;
+    private int[] fallback = new int[0];
+    private int fallbackCount;
 
     EndpointPicker(EndpointRegistry endpoints, RetryPolicy retryPolicy, SlowStart slowStart, OwnThroughput throughput) {
         this.endpoints = endpoints;
@@ -27,7 +28,7 @@
         this.throughput = throughput;
     }
 
-    /** Picks an endpoint of a build; null where none may take the request. */
+    /** Picks an endpoint of a build, or returns null if none may receive the request. */
     @Nullable
     Endpoint pick(int build, ActiveRequest request, long nowTicks) {
         BuildEndpoints pool = endpoints.pool(build);
@@ -39,38 +40,38 @@
             return pool.next(subset, subset.length);
         }
         classify(pool, subset, request, nowTicks);
-        if (2 * usableCount < subset.length && subset.length < pool.size()) {
-            // the few that are left would get all requests of the others
+        if (2 * preferredCount < subset.length && subset.length < pool.size()) {
+            // the few preferred endpoints of the subset would receive the whole traffic of the subset
             classify(pool, pool.all(), request, nowTicks);
         }
-        return usableCount > 0 ? pool.next(usable, usableCount) : pool.next(avoided, avoidedCount);
+        return preferredCount > 0 ? pool.next(preferred, preferredCount) : pool.next(fallback, fallbackCount);
     }
 
-    private void classify(BuildEndpoints pool, int[] from, ActiveRequest request, long nowTicks) {
-        if (usable.length < pool.size()) {
-            usable = new int[pool.size()];
-            avoided = new int[pool.size()];
+    private void classify(BuildEndpoints pool, int[] candidates, ActiveRequest request, long nowTicks) {
+        if (preferred.length < pool.size()) {
+            preferred = new int[pool.size()];
+            fallback = new int[pool.size()];
         }
-        usableCount = 0;
-        avoidedCount = 0;
-        boolean isUnrestricted = true;
-        for (int index : from) {
+        preferredCount = 0;
+        fallbackCount = 0;
+        boolean areAllEligible = true;
+        for (int index : candidates) {
             Endpoint endpoint = pool.endpoint(index);
             if (!endpoint.isWeightStable()) {
                 endpoint.updateWeight(slowStart, nowTicks);
             }
-            isUnrestricted &= isAlwaysEligible(endpoint, nowTicks);
+            areAllEligible &= isAlwaysEligible(endpoint, nowTicks);
             if (slowStart.isBudgetExhausted(endpoint, throughput, nowTicks)
                     || !retryPolicy.isSafeForRetry(request, endpoint)) {
                 continue;
             }
             if (endpoint.health().isEjected(endpoint.inFlight(), nowTicks) || request.hasFailedAt(endpoint)) {
-                avoided[avoidedCount++] = index;
+                fallback[fallbackCount++] = index;
             } else {
-                usable[usableCount++] = index;
+                preferred[preferredCount++] = index;
             }
         }
-        pool.setAllEligible(isUnrestricted);
+        pool.setAllEligible(areAllEligible);
     }
 
     private boolean isAlwaysEligible(Endpoint endpoint, long nowTicks) {
--- a/src/main/java/laurelkeel/decision/EndpointPoller.java
+++ b/src/main/java/laurelkeel/decision/EndpointPoller.java
@@ -3,11 +3,11 @@
 import laurelkeel.api.Event.EndpointListKind;
 import laurelkeel.api.Ticks;
 
-/** Decides when to ask for the endpoint list where it is polled: twice in its longest age, with backoff after failures. */
+/** Decides when to poll the endpoint list: at intervals of half its maximum age, with backoff after failures. */
 final class EndpointPoller {
     private static final long MIN_BACKOFF_TICKS = Ticks.PER_SECOND / 2;
     private static final long MAX_BACKOFF_TICKS = 4 * Ticks.PER_SECOND;
-    /** A poll that has no answer after it is repeated. */
+    /** A poll without a response is repeated after this time. */
     private static final long POLL_TIMEOUT_TICKS = 5 * Ticks.PER_SECOND;
 
     private final boolean isEnabled;
@@ -16,13 +16,18 @@
     private long nextPollAtTicks;
     private long backoffTicks = MIN_BACKOFF_TICKS;
 
-    /** @param maxAgeTicks how old the list may become */
+    /**
+     * Creates a poller.
+     *
+     * @param isEnabled whether the endpoint list has to be polled
+     * @param maxAgeTicks maximum age of the endpoint list
+     */
     EndpointPoller(boolean isEnabled, long maxAgeTicks) {
         this.isEnabled = isEnabled;
         pollIntervalTicks = maxAgeTicks / 2;
     }
 
-    /** Takes note of an update of the list; a cached list answers no poll. */
+    /** Records an update of the endpoint list. A cached endpoint list does not complete a poll. */
     void updateReceived(EndpointListKind kind, long nowTicks) {
         if (kind == EndpointListKind.FAILED) {
             isPollPending = false;
@@ -37,7 +42,7 @@
         }
     }
 
-    /** Whether the list is to be asked for now; a poll then counts as sent. */
+    /** Returns whether to poll the endpoint list now; if so, the poll is recorded as sent. */
     boolean startPoll(long nowTicks) {
         if (!isEnabled || nowTicks < nextPollAtTicks) {
             return false;
--- a/src/main/java/laurelkeel/decision/EndpointRegistry.java
+++ b/src/main/java/laurelkeel/decision/EndpointRegistry.java
@@ -16,12 +16,12 @@
 import laurelkeel.api.Ticks;
 import org.jspecify.annotations.Nullable;
 
-/** The endpoints that the endpoint list names, pooled by build. */
+/** The endpoints of the endpoint list, pooled by build. */
 final class EndpointRegistry implements BuildCapacities {
-    /** Crossing zones at a price of one counts as so many requests that the endpoint serves besides. */
-    private static final double REQUESTS_PER_CROSS_ZONE_COST = 8;
+    /** Requests added to the load of an endpoint in another zone, per unit of the cross-zone cost. */
+    private static final double PENALTY_REQUESTS_PER_CROSS_ZONE_COST = 8;
 
-    /** Bounds the weights in the round robin away from 0. */
+    /** Keeps the round-robin weights above 0. */
     private static final double MIN_CAPACITY = 1e-3;
 
     private static final long SUBSET_INTERVAL_TICKS = Ticks.PER_SECOND;
@@ -43,28 +43,28 @@
         subset = new EndpointSubset(settings.nodeIndex(), settings.nodeCount());
     }
 
-    /** Applies an update of the endpoint list, and builds the pools anew. */
+    /** Applies an update of the endpoint list and rebuilds the pools. */
     void apply(EndpointListUpdate update, long nowTicks) {
-        Set<String> namedIds = new HashSet<>();
+        Set<String> listedIds = new HashSet<>();
         for (EndpointEntry entry : update.entries()) {
-            namedIds.add(entry.endpointId());
+            listedIds.add(entry.endpointId());
             applyEntry(entry, update.entries().size(), nowTicks);
         }
         if (update.kind() != EndpointListKind.DELTA) {
-            endpointsById.values().forEach(e -> e.setActive(e.isActive() && namedIds.contains(e.id())));
+            endpointsById.values().forEach(e -> e.setActive(e.isActive() && listedIds.contains(e.id())));
         }
-        endpointsById.values().removeIf(e -> !e.isActive() && e.inFlight() == 0 && !namedIds.contains(e.id()));
+        endpointsById.values().removeIf(e -> !e.isActive() && e.inFlight() == 0 && !listedIds.contains(e.id()));
         rebuildPools();
     }
 
     private void applyEntry(EndpointEntry entry, int entryCount, long nowTicks) {
         Endpoint endpoint = endpointsById.get(entry.endpointId());
-        // what was learned of an id says nothing of another process that has it now
+        // the statistics of an id do not apply to another process that now has the same id
         if (endpoint == null || !endpoint.isSameProcess(entry)) {
-            endpoint = new Endpoint(entry, crossZoneRequests(entry));
+            endpoint = new Endpoint(entry, crossZonePenaltyRequests(entry));
             endpointsById.put(endpoint.id(), endpoint);
-            endpoint.warmUpBudget().draw(random, settings.limits().overloadWindowTicks(), nowTicks);
-            // nodes that all gave their first turns to the same endpoint would meet there
+            endpoint.warmUpBudget().renewRounding(random, settings.limits().overloadWindowTicks(), nowTicks);
+            // random initial credits, so that the nodes do not all send their first attempts to the same endpoint
             endpoint.setCredit(
                     (random.nextDouble() - 0.5) * entry.weight() * Math.max(endpointsById.size(), entryCount));
         }
@@ -72,10 +72,10 @@
         endpoint.setActive(entry.state() == EndpointState.ACTIVE);
     }
 
-    private double crossZoneRequests(EndpointEntry entry) {
+    private double crossZonePenaltyRequests(EndpointEntry entry) {
         return entry.zone() == settings.zone()
                 ? 0
-                : REQUESTS_PER_CROSS_ZONE_COST * settings.costs().crossZone();
+                : PENALTY_REQUESTS_PER_CROSS_ZONE_COST * settings.costs().crossZone();
     }
 
     private void rebuildPools() {
@@ -103,12 +103,12 @@
     }
 
     /**
-     * Adapts, once a second, how many endpoints of large builds take turns, and replaces suspects among them.
+     * Adapts, once per second, the size of the endpoint subsets of large builds, and replaces suspects in them.
      *
-     * @param inFlight this node's attempts in flight
-     * @param areAnswersWaiting whether attempts wait at endpoints before they are served
+     * @param inFlight number of this node's attempts in flight
+     * @param areAttemptsQueueing whether attempts wait at endpoints before they are served
      */
-    void adaptSubsets(int inFlight, boolean areAnswersWaiting, long nowTicks) {
+    void adaptSubsets(int inFlight, boolean areAttemptsQueueing, long nowTicks) {
         if (nowTicks < nextSubsetUpdateAtTicks) {
             return;
         }
@@ -117,7 +117,7 @@
                 .mapToInt(BuildEndpoints::size)
                 .max()
                 .orElse(0);
-        boolean hasSizeChanged = subset.adapt(inFlight, areAnswersWaiting, largestPool);
+        boolean hasSizeChanged = subset.adapt(inFlight, areAttemptsQueueing, largestPool);
         for (BuildEndpoints pool : poolsByBuild.values()) {
             if (hasSizeChanged || pool.needsReselection()) {
                 pool.reselect(subset);
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Finds the endpoints that answer with errors far more often than others of their build. */
+    /** Marks the endpoints that answer with errors far more often than others of their build. */
     void markErrorOutliers() {
         for (BuildEndpoints pool : poolsByBuild.values()) {
             if (OutlierDetector.markErrorOutliers(pool.endpointHealth())) {
@@ -134,13 +134,13 @@
         }
     }
 
-    /** Draws the roundings of warm-up budgets anew where they are due, and forgets what is out of the window. */
+    /** Renews the expired roundings of the warm-up budgets and removes attempts that have left the window. */
     void updateWarmUpBudgets(long nowTicks) {
         long windowTicks = settings.limits().overloadWindowTicks();
         for (Endpoint endpoint : endpointsById.values()) {
             WarmUpBudget budget = endpoint.warmUpBudget();
-            if (budget.isDrawExpired(nowTicks)) {
-                budget.draw(random, windowTicks, nowTicks);
+            if (budget.isRoundingExpired(nowTicks)) {
+                budget.renewRounding(random, windowTicks, nowTicks);
             }
             budget.removeBefore(nowTicks - windowTicks);
         }
@@ -151,7 +151,7 @@
         return endpointsById.get(endpointId);
     }
 
-    /** Returns the active endpoints of a build, or null where it has none. */
+    /** Returns the active endpoints of a build, or null if it has none. */
     @Nullable
     BuildEndpoints pool(int build) {
         return poolsByBuild.get(build);
@@ -163,7 +163,9 @@
         return pool == null ? List.of() : pool.endpoints();
     }
 
-    /** Returns when the newest active endpoint of a build started; 0 for long ago. */
+    /**
+     * Returns when the most recently started active endpoint of a build started; 0 if that was long ago or it has none.
+     */
     long newestStartTicks(int build) {
         BuildEndpoints pool = poolsByBuild.get(build);
         return pool == null ? 0 : pool.newestStartTicks();
@@ -179,7 +181,7 @@
         return newestBuild;
     }
 
-    /** Returns the capacity of all active endpoints when warm. */
+    /** Returns the total capacity of all active endpoints when warm. */
     double activeCapacity() {
         return activeCapacity;
     }
--- a/src/main/java/laurelkeel/decision/EndpointSubset.java
+++ b/src/main/java/laurelkeel/decision/EndpointSubset.java
@@ -6,29 +6,31 @@
 import java.util.stream.IntStream;
 
 /**
- * Chooses the endpoints of a build that one front node uses where there are far more than its traffic needs.
+ * Selects the endpoints of a build that one front node uses if the build has far more than the node's traffic needs.
  *
- * <p>A connection that carries one request in many seconds costs more than it serves. All nodes see the endpoints on one
- * ring, by a hash of their ids, and each starts at a position of its own, so that the nodes together use all endpoints
- * about equally. Suspected endpoints give their places to others. The subset grows while answers wait at endpoints, if
- * need be to all of them.
+ * <p>A connection that carries one request in many seconds costs more than it is worth. All nodes place the endpoints
+ * on the same ring, by a hash of their ids, and each node starts at a position of its own, so that the nodes together
+ * use all endpoints about equally. Suspect endpoints are replaced by others. The subset grows while attempts queue at
+ * endpoints, up to all endpoints if necessary.
  */
 final class EndpointSubset {
-    /** Number of endpoints of the own zone that are always used, and likewise of other zones. */
+    /** Minimum number of endpoints selected in the node's own zone, and likewise in the other zones together. */
     static final int MIN_SIZE = 64;
 
     private static final int ENDPOINTS_PER_REQUEST_IN_FLIGHT = 8;
-    /** Weight of the last second in the mean number of requests in flight. */
+    /** Weight of the latest sample, taken once per second, in the mean number of requests in flight. */
     private static final double IN_FLIGHT_SMOOTHING = 0.2;
 
     private static final double GROWTH_PER_SECOND = 1.5;
     private static final double SHRINKAGE_PER_SECOND = 0.95;
-    /** Relative change of the size from which the endpoints are selected anew. */
+    /** Relative change of the size above which the endpoints are selected again. */
     private static final double RESELECTION_CHANGE = 0.125;
-    /** Scales the distance of endpoints already used, for connections to them are open. */
+    /**
+     * Factor on the ring distance of endpoints already in use, which are preferred because their connections are open.
+     */
     private static final double MEMBER_DISTANCE_FACTOR = 0.5;
 
-    /** Separates the ring positions from other hashes of the same ids. */
+    /** Makes the ring positions independent of other hashes of the same ids. */
     private static final long RING_SALT = 0x632BE59BD9B4E019L;
 
     private final double startPosition;
@@ -39,8 +41,8 @@
     /**
      * Creates the subset of a front node.
      *
-     * @param nodeIndex the node's number, from 0
-     * @param nodeCount how many front nodes there are
+     * @param nodeIndex the node's index, from 0
+     * @param nodeCount number of front nodes
      */
     EndpointSubset(int nodeIndex, int nodeCount) {
         int nodes = Math.max(1, nodeCount);
@@ -53,18 +55,18 @@
     }
 
     /**
-     * Adapts the size to the traffic; called once a second.
+     * Adapts the size of the subset to the traffic; must be called once per second.
      *
-     * @param inFlight this node's attempts in flight
-     * @param areAnswersWaiting whether attempts wait at endpoints before they are served
+     * @param inFlight number of this node's attempts in flight
+     * @param areAttemptsQueueing whether attempts wait at endpoints before they are served
      * @param largestPool number of endpoints of the largest build
-     * @return whether the endpoints are to be selected anew
+     * @return whether the endpoints must be selected again
      */
-    boolean adapt(int inFlight, boolean areAnswersWaiting, int largestPool) {
+    boolean adapt(int inFlight, boolean areAttemptsQueueing, int largestPool) {
         meanInFlight += (inFlight - meanInFlight) * IN_FLIGHT_SMOOTHING;
-        double needed = Math.max(MIN_SIZE, ENDPOINTS_PER_REQUEST_IN_FLIGHT * meanInFlight);
-        double wanted = areAnswersWaiting ? size * GROWTH_PER_SECOND : size * SHRINKAGE_PER_SECOND;
-        size = Math.max(needed, Math.min(wanted, Math.max(MIN_SIZE, largestPool)));
+        double minSize = Math.max(MIN_SIZE, ENDPOINTS_PER_REQUEST_IN_FLIGHT * meanInFlight);
+        double targetSize = areAttemptsQueueing ? size * GROWTH_PER_SECOND : size * SHRINKAGE_PER_SECOND;
+        size = Math.max(minSize, Math.min(targetSize, Math.max(MIN_SIZE, largestPool)));
         boolean hasChanged = Math.abs(size - selectedSize) > RESELECTION_CHANGE * selectedSize;
         selectedSize = hasChanged ? size : selectedSize;
         return hasChanged;
@@ -73,11 +75,11 @@
     /**
      * Selects the endpoints to use.
      *
-     * @param positions of all endpoints on the ring
-     * @param isLocal whether an endpoint is in the node's zone
-     * @param isSuspect whether an endpoint is used only where there are no others
-     * @param isMember whether an endpoint is in the subset so far
-     * @return indices of the endpoints, ascending
+     * @param positions ring positions of all endpoints
+     * @param isLocal whether each endpoint is in the node's zone
+     * @param isSuspect whether each endpoint is used only if there are no others
+     * @param isMember whether each endpoint is in the current subset
+     * @return indices of the selected endpoints, ascending
      */
     int[] select(double[] positions, boolean[] isLocal, boolean[] isSuspect, boolean[] isMember) {
         int count = (int) selectedSize;
--- a/src/main/java/laurelkeel/decision/LatencyModel.java
+++ b/src/main/java/laurelkeel/decision/LatencyModel.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import laurelkeel.api.Settings.Route;
 
-/** What is known of latency at this node: that of each route, and the wait at the endpoints. */
+/** The latency statistics of this node: the latency of each route and the wait at the endpoints. */
 final class LatencyModel {
     private final List<RouteLatency> routes;
     private final QueueWaitEstimator waits = new QueueWaitEstimator();
 
-    /** @param routes of the settings, in their order */
+    /** @param routes the routes of the settings, in their order */
     LatencyModel(List<Route> routes) {
         this.routes = routes.stream()
                 .map(route -> new RouteLatency(route.latencyObjectiveTicks()))
@@ -24,12 +24,12 @@
         return waits;
     }
 
-    /** Returns this node's attempts in flight, of all routes. */
+    /** Returns the number of this node's attempts in flight on all routes. */
     int inFlight() {
         return routes.stream().mapToInt(RouteLatency::inFlight).sum();
     }
 
-    /** Returns the wait to expect at an endpoint before an attempt is served. */
+    /** Returns the expected wait at an endpoint before an attempt is served. */
     double expectedWaitTicks(Endpoint endpoint, long nowTicks) {
         return waits.expectedWaitTicks(endpoint.latency(), endpoint.inFlight(), nowTicks);
     }
--- a/src/main/java/laurelkeel/decision/OutlierDetector.java
+++ b/src/main/java/laurelkeel/decision/OutlierDetector.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Finds endpoints that answer with errors far more often than the others of their build.
+ * Detects endpoints that answer with errors far more often than the others of their build.
  *
- * <p>Quick errors make an endpoint look idle and draw more requests to it than its answers would. And a single faulty
- * endpoint is no fault of its build.
+ * <p>An endpoint that fails fast looks idle and therefore attracts more requests than one that serves them. Also, the
+ * errors of a single faulty endpoint must not be attributed to its build.
  */
 final class OutlierDetector {
     private static final double MIN_ERROR_RATE = 0.25;
@@ -17,8 +17,8 @@
     /**
      * Marks the outliers among the endpoints of one build.
      *
-     * @param endpoints the health of at least one endpoint
-     * @return whether there is any
+     * @param endpoints the health of each endpoint, at least one
+     * @return whether there is an outlier
      */
     static boolean markErrorOutliers(List<EndpointHealth> endpoints) {
         double[] errorRates = endpoints.stream()
@@ -26,14 +26,14 @@
                 .sorted()
                 .toArray();
         double median = errorRates[(errorRates.length - 1) / 2];
-        boolean isAnyOutlier = false;
+        boolean hasOutlier = false;
         for (EndpointHealth health : endpoints) {
             boolean isOutlier = endpoints.size() > 1
                     && health.errorRate() > MIN_ERROR_RATE
                     && health.errorRate() > MIN_RATIO_TO_MEDIAN * median;
             health.setErrorOutlier(isOutlier);
-            isAnyOutlier |= isOutlier;
+            hasOutlier |= isOutlier;
         }
-        return isAnyOutlier;
+        return hasOutlier;
     }
 }
--- a/src/main/java/laurelkeel/decision/OwnThroughput.java
+++ b/src/main/java/laurelkeel/decision/OwnThroughput.java
@@ -5,21 +5,23 @@
 import laurelkeel.api.Ticks;
 
 /**
- * How many attempts the endpoints completed for this node of late, in all and by unit of their capacity.
+ * The recent throughput of this node: the rate of its completed attempts, in total and in proportion to endpoint
+ * capacity.
  *
- * <p>It counts answers and not requests: under overload the requests say nothing of what an endpoint can do.
+ * <p>It counts answers instead of requests because the request rate under overload does not indicate what an endpoint
+ * can serve.
  */
 final class OwnThroughput {
-    /** Assumed before the first answers where the settings name no quota. */
+    /** Initial rate if the settings contain no quota. */
     private static final double DEFAULT_ANSWERS_PER_SECOND = 1;
 
-    /** Span of the mean at the start: the assumed rate counts as much as that of these seconds. */
+    /** Initial span of the mean: the initial rate has the weight of this many seconds of answers. */
     private static final double INITIAL_SPAN_SECONDS = 3;
 
-    /** A warm-up window alone would be too short: a node with little traffic has too few answers in it. */
+    /** Longer than the overload window, in which a node with little traffic has too few answers. */
     private static final double MAX_SPAN_SECONDS = 10;
 
-    /** Share of a capacity that has left the list which is still counted after one more decision. */
+    /** Factor per decision by which the observed capacity decays after endpoints have left the endpoint list. */
     private static final double CAPACITY_DECAY_PER_DECISION = 0.9999;
 
     private static final double MIN_CAPACITY = 1e-9;
@@ -30,24 +32,24 @@
     private long updatedAtTicks;
     private double capacity;
 
-    /** @param initialAnswersPerSecond assumed until there are answers */
+    /** @param initialAnswersPerSecond the rate assumed until there are answers */
     OwnThroughput(double initialAnswersPerSecond) {
         answersPerSecond = initialAnswersPerSecond;
     }
 
-    /** Returns this node's even share of what all tenants may ask, in answers a second. */
+    /** Returns this node's equal share of the quotas of all tenants, in answers per second, as the initial rate. */
     static double assumedAnswersPerSecond(Settings settings) {
         double quotaPerSecond =
                 settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
         return quotaPerSecond > 0 ? quotaPerSecond / settings.nodeCount() : DEFAULT_ANSWERS_PER_SECOND;
     }
 
-    /** Counts an attempt that has completed. */
+    /** Counts a completed attempt. */
     void attemptCompleted() {
         answersSinceUpdate++;
     }
 
-    /** Brings the rate up to date; called several times a second. */
+    /** Updates the rate; must be called several times per second. */
     void update(long nowTicks) {
         double elapsedSeconds = updatedAtTicks == 0 ? 0 : (nowTicks - updatedAtTicks) / (double) Ticks.PER_SECOND;
         spanSeconds = Math.min(MAX_SPAN_SECONDS, spanSeconds + elapsedSeconds);
@@ -58,8 +60,8 @@
     }
 
     /**
-     * Takes note of the capacity of all active endpoints, at every decision. Where endpoints fall out, what is left
-     * did not answer all that before.
+     * Records the capacity of all active endpoints; must be called at every decision. After a drop the recorded
+     * capacity decays slowly, because the remaining endpoints did not give all of the earlier answers.
      */
     void observeCapacity(double activeCapacity) {
         capacity = Math.max(activeCapacity, capacity * CAPACITY_DECAY_PER_DECISION);
@@ -69,7 +71,10 @@
         return answersPerSecond;
     }
 
-    /** Returns how many answers a warm endpoint of this capacity usually gives this node within a span. */
+    /**
+     * Returns the number of answers that a warm endpoint of the given capacity is expected to give this node in a time
+     * span.
+     */
     double expectedAnswers(double endpointCapacity, long spanTicks) {
         return answersPerSecond * spanTicks / Ticks.PER_SECOND * endpointCapacity / Math.max(capacity, MIN_CAPACITY);
     }
--- a/src/main/java/laurelkeel/decision/SlidingWindow.java
+++ b/src/main/java/laurelkeel/decision/SlidingWindow.java
@@ -2,30 +2,30 @@
 
 import java.util.ArrayDeque;
 
-/** The moments of recent events, counted within a window that only advances. */
+/** The times of recent events, counted within a window whose start only advances. */
 final class SlidingWindow {
-    private final ArrayDeque<Long> momentsTicks = new ArrayDeque<>();
+    private final ArrayDeque<Long> eventTicks = new ArrayDeque<>();
 
-    /** Records an event at a moment that is no earlier than the last one. */
+    /** Records an event, which must not be earlier than the last recorded one. */
     void record(long nowTicks) {
-        momentsTicks.addLast(nowTicks);
+        eventTicks.addLast(nowTicks);
     }
 
-    /** Returns how many events there were at a moment or after it, and forgets the earlier ones. */
+    /** Returns the number of events at or after a time, and removes the earlier ones. */
     int countSince(long fromTicks) {
         removeBefore(fromTicks);
-        return momentsTicks.size();
+        return eventTicks.size();
     }
 
-    /** Forgets the events before a moment. */
+    /** Removes the events before a time. */
     void removeBefore(long beforeTicks) {
-        while (!momentsTicks.isEmpty() && momentsTicks.peekFirst() < beforeTicks) {
-            momentsTicks.pollFirst();
+        while (!eventTicks.isEmpty() && eventTicks.peekFirst() < beforeTicks) {
+            eventTicks.pollFirst();
         }
     }
 
-    /** Whether no event is remembered. */
+    /** Returns whether no events are stored. */
     boolean isEmpty() {
-        return momentsTicks.isEmpty();
+        return eventTicks.isEmpty();
     }
 }
--- a/src/main/java/laurelkeel/decision/SlowStart.java
+++ b/src/main/java/laurelkeel/decision/SlowStart.java
@@ -4,14 +4,14 @@
 import laurelkeel.api.Ticks;
 
 /**
- * Spares endpoints that are warming up: their capacity rises with time, and within the overload window they get no more
- * attempts than a share of what would overload them.
+ * Limits the load on endpoints that are warming up: their assumed capacity rises with time, and within the overload
+ * window they receive no more attempts than a fixed share of what would overload them.
  */
 final class SlowStart {
-    /** A margin, for what is usual for an endpoint is only estimated. */
-    private static final double USED_SHARE_OF_OVERLOAD = 0.7;
+    /** Share of the overload limit that is used, because the expected answers of an endpoint are only an estimate. */
+    private static final double SAFETY_FACTOR = 0.7;
 
-    /** The budget applies a little longer than the warm-up: the moment of the start is not exact. */
+    /** Time for which the budget applies after the warm-up, because the start time is not exact. */
     private static final long BUDGET_EXTENSION_TICKS = Ticks.PER_SECOND;
 
     private final Limits limits;
@@ -21,9 +21,9 @@
     }
 
     /**
-     * Returns the share of its full capacity that an endpoint has, from 0 to 1.
+     * Returns the share of its full capacity that an endpoint currently has, from 0 to 1.
      *
-     * @param startedAtTicks when it started; 0 for long ago
+     * @param startedAtTicks when the endpoint started; 0 if it started long ago
      */
     double capacityShare(long startedAtTicks, long nowTicks) {
         double progress =
@@ -31,24 +31,24 @@
         return limits.warmUpInitialShare() + (1 - limits.warmUpInitialShare()) * Math.max(0, progress);
     }
 
-    /** Whether an endpoint has its full capacity. */
+    /** Returns whether an endpoint has reached its full capacity. */
     boolean isWarm(long startedAtTicks, long nowTicks) {
         return startedAtTicks == 0 || nowTicks - startedAtTicks >= limits.warmUpTicks();
     }
 
-    /** Whether no budget limits the attempts at an endpoint any more. */
+    /** Returns whether attempts at an endpoint are no longer limited by a warm-up budget. */
     boolean isUnlimited(long startedAtTicks, long nowTicks) {
         return startedAtTicks == 0 || nowTicks - startedAtTicks >= limits.warmUpTicks() + BUDGET_EXTENSION_TICKS;
     }
 
-    /** Whether one more attempt could overload an endpoint that is warming up. */
+    /** Returns whether one more attempt could overload an endpoint that is warming up. */
     boolean isBudgetExhausted(Endpoint endpoint, OwnThroughput throughput, long nowTicks) {
         if (isUnlimited(endpoint.startedAtTicks(), nowTicks)) {
             return false;
         }
         long windowTicks = limits.overloadWindowTicks();
         double expectedAnswers = throughput.expectedAnswers(endpoint.capacity(), windowTicks);
-        double limit = USED_SHARE_OF_OVERLOAD
+        double limit = SAFETY_FACTOR
                 * limits.overloadMultiple()
                 * capacityShare(endpoint.startedAtTicks(), nowTicks)
                 * expectedAnswers;
--- a/src/main/java/laurelkeel/decision/WarmUpBudget.java
+++ b/src/main/java/laurelkeel/decision/WarmUpBudget.java
@@ -3,32 +3,32 @@
 /**
  * Counts the attempts at one endpoint within the overload window against a limit.
  *
- * <p>A limit that is no whole number is rounded up or down by a random draw, in proportion. One attempt from each of many
- * nodes, where each may send a fraction of one, would overload an endpoint that is warming up.
+ * <p>A fractional limit is rounded up or down at random, with a probability equal to its fraction. If every node with a
+ * limit below one attempt sent one, many nodes together would overload an endpoint that is warming up.
  */
 final class WarmUpBudget {
     private final SlidingWindow attempts = new SlidingWindow();
-    private double roundingDraw;
-    private long drawExpiresAtTicks;
+    private double roundingOffset;
+    private long roundingExpiresAtTicks;
 
-    /** Draws anew how the limit is rounded, for the length of one window. */
-    void draw(SeededRandom random, long windowTicks, long nowTicks) {
-        roundingDraw = random.nextDouble();
-        drawExpiresAtTicks = nowTicks + windowTicks;
+    /** Chooses at random how the limit is rounded for the duration of one window. */
+    void renewRounding(SeededRandom random, long windowTicks, long nowTicks) {
+        roundingOffset = random.nextDouble();
+        roundingExpiresAtTicks = nowTicks + windowTicks;
     }
 
-    /** Whether the last draw has served its window. */
-    boolean isDrawExpired(long nowTicks) {
-        return nowTicks >= drawExpiresAtTicks;
+    /** Returns whether the window of the last random rounding has ended. */
+    boolean isRoundingExpired(long nowTicks) {
+        return nowTicks >= roundingExpiresAtTicks;
     }
 
     void attemptSent(long nowTicks) {
         attempts.record(nowTicks);
     }
 
-    /** Whether one more attempt would exceed a limit on those sent since a moment. */
+    /** Returns whether one more attempt would exceed a limit on the attempts sent since a time. */
     boolean isExhausted(double limit, long sinceTicks) {
-        return attempts.countSince(sinceTicks) + 1 > Math.floor(limit + roundingDraw);
+        return attempts.countSince(sinceTicks) + 1 > Math.floor(limit + roundingOffset);
     }
 
     void removeBefore(long beforeTicks) {
--- a/src/main/java/laurelkeel/decision/WeightedRoundRobin.java
+++ b/src/main/java/laurelkeel/decision/WeightedRoundRobin.java
@@ -1,37 +1,37 @@
 package laurelkeel.decision;
 
 /**
- * Smooth weighted round robin over numbered endpoints, which passes over those that are busier than others.
+ * Smooth weighted round robin over indexed endpoints that skips endpoints with a higher load than others.
  *
- * <p>Its state lies in arrays by the endpoint's index, and is kept as it changes: a walk over the endpoints themselves
- * would cost more than all else that is decided about a request.
+ * <p>The state is stored in arrays by endpoint index and updated on each change. Iterating over the endpoint objects
+ * for each request would cost more than all other decisions about the request together.
  */
 final class WeightedRoundRobin {
-    /** Returned where there is nothing to choose from. */
+    /** The result if there are no candidates. */
     static final int NONE = -1;
 
-    /** An endpoint is passed over while its load is higher than that of the least loaded by more than this factor. */
+    /** An endpoint is skipped while its load exceeds that of the least loaded candidate by more than this factor. */
     private static final double MAX_LOAD_RATIO = 1.3;
 
     private final double[] weights;
-    /** Requests in flight by unit of weight. */
+    /** Requests in flight per unit of weight. */
     private final double[] loads;
-    /** What each endpoint is owed of the turns so far, in units of weight. */
+    /** Credit of each endpoint: its share of the turns so far minus the turns that it received, in units of weight. */
     private final double[] credits;
 
-    /** @param initialCredits of the endpoints, by index */
+    /** @param initialCredits the initial credit of each endpoint, by index */
     WeightedRoundRobin(double[] initialCredits) {
         credits = initialCredits.clone();
         weights = new double[credits.length];
         loads = new double[credits.length];
     }
 
-    /** Sets an endpoint's share of the turns; {@link #setRequests} has to follow. */
+    /** Sets an endpoint's weight; {@link #setRequests} must be called afterwards. */
     void setWeight(int index, double weight) {
         weights[index] = weight;
     }
 
-    /** Sets how many requests an endpoint has to be taken to serve at present. */
+    /** Sets the number of requests that an endpoint is assumed to serve currently. */
     void setRequests(int index, double requests) {
         loads[index] = requests / weights[index];
     }
@@ -41,10 +41,10 @@
     }
 
     /**
-     * Gives the next turn to one of some endpoints.
+     * Selects the next endpoint from a list of candidates.
      *
-     * @param candidates indices of the endpoints; their first {@code count} entries hold
-     * @return the index of the endpoint, or {@link #NONE}
+     * @param candidates indices of the endpoints; only the first {@code count} entries are used
+     * @return the index of the selected endpoint, or {@link #NONE} if there are no candidates
      */
     int next(int[] candidates, int count) {
         double minLoad = Double.MAX_VALUE;
--- a/src/test/java/laurelkeel/decision/DecisionSimulation.java
+++ b/src/test/java/laurelkeel/decision/DecisionSimulation.java
@@ -306,10 +306,10 @@
             }
         }
         if (update.kind() == Event.EndpointListKind.SNAPSHOT) {
-            Set<String> namedIds = new HashSet<>();
-            update.entries().forEach(entry -> namedIds.add(entry.endpointId()));
+            Set<String> listedIds = new HashSet<>();
+            update.entries().forEach(entry -> listedIds.add(entry.endpointId()));
             endpoints.keySet().stream()
-                    .filter(id -> !namedIds.contains(id))
+                    .filter(id -> !listedIds.contains(id))
                     .forEach(id -> goneSinceTicks.putIfAbsent(id, nowTicks));
         }
     }
@@ -555,7 +555,9 @@
         return !settings.rollout().exposurePerRoute() || route == countedRoute;
     }
 
-    /** Whether a build's answers bind their keys; of a build that was passed over, a node cannot know that it is new. */
+    /**
+     * Whether a build's answers bind their keys; of a build that was passed over, a node cannot know that it is new.
+     */
     private boolean bindsKeys(int build) {
         return !rolledBackBuilds.contains(build) && (announced.containsKey(build) || build > announced.lastKey());
     }
--- a/src/test/java/laurelkeel/decision/WarmUpBudgetTest.java
+++ b/src/test/java/laurelkeel/decision/WarmUpBudgetTest.java
@@ -12,7 +12,7 @@
         int allowed = 0;
         for (int seed = 0; seed < 1_000; seed++) {
             WarmUpBudget budget = new WarmUpBudget();
-            budget.draw(new SeededRandom(seed), 100, 0);
+            budget.renewRounding(new SeededRandom(seed), 100, 0);
             allowed += budget.isExhausted(0.3, 0) ? 0 : 1;
         }
         assertEquals(300, allowed, 50);
@@ -29,9 +29,9 @@
     @Test
     void aDrawServesOneWindow() {
         WarmUpBudget budget = new WarmUpBudget();
-        assertTrue(budget.isDrawExpired(0));
-        budget.draw(new SeededRandom(1), 100, 50);
-        assertFalse(budget.isDrawExpired(149));
-        assertTrue(budget.isDrawExpired(150));
+        assertTrue(budget.isRoundingExpired(0));
+        budget.renewRounding(new SeededRandom(1), 100, 50);
+        assertFalse(budget.isRoundingExpired(149));
+        assertTrue(budget.isRoundingExpired(150));
     }
 }
