--- a/src/test/java/laurelkeel/KnownRedTest.java
+++ b/src/test/java/laurelkeel/KnownRedTest.java
@@ -11,25 +11,25 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** CI passes over the tests that KNOWN-RED.txt names, and over no others. */
+/** Checks that CI skips the tests listed in KNOWN-RED.txt and no others. */
 class KnownRedTest {
-    private static final String ONE = "laurelkeel.KnownRedTest#noFileOrAnEmptyOneExcludesNothing"
-            + " | mvn test, seed 7 | a time-out | issue 26\n";
+    private static final String VALID_ENTRY = "laurelkeel.KnownRedTest#aMissingOrEmptyFileExcludesNothing"
+            + " | mvn test, seed 7 | a timeout | issue 26\n";
 
     @TempDir
     Path folder;
 
-    private record Said(int exit, String out, String err) {}
+    private record Result(int exitCode, String out, String err) {}
 
-    private Said known(String file) throws Exception {
+    private Result runKnownRed(String content) throws Exception {
         Path list = folder.resolve("KNOWN-RED.txt");
-        if (file != null) {
-            Files.writeString(list, file);
+        if (content != null) {
+            Files.writeString(list, content);
         }
-        Process p = new ProcessBuilder("bash", ".ci/known-red", list.toString(), "src/test/java").start();
-        String out = read(p.getInputStream()), err = read(p.getErrorStream());
-        assertTrue(p.waitFor(30, TimeUnit.SECONDS));
-        return new Said(p.exitValue(), out, err);
+        Process process = new ProcessBuilder("bash", ".ci/known-red", list.toString(), "src/test/java").start();
+        String out = read(process.getInputStream()), err = read(process.getErrorStream());
+        assertTrue(process.waitFor(30, TimeUnit.SECONDS));
+        return new Result(process.exitValue(), out, err);
     }
 
     private static String read(java.io.InputStream in) throws IOException {
@@ -37,33 +37,33 @@
     }
 
     @Test
-    void noFileOrAnEmptyOneExcludesNothing() throws Exception {
-        assertEquals(new Said(0, "", ""), known(null));
-        assertEquals(new Said(0, "", ""), known(""));
+    void aMissingOrEmptyFileExcludesNothing() throws Exception {
+        assertEquals(new Result(0, "", ""), runKnownRed(null));
+        assertEquals(new Result(0, "", ""), runKnownRed(""));
     }
 
     @Test
-    void aTestThatIsThereIsExcludedAndPrinted() throws Exception {
-        Said s = known(ONE);
-        assertEquals(0, s.exit);
-        assertEquals("laurelkeel/KnownRedTest.java#noFileOrAnEmptyOneExcludesNothing\n", s.out);
-        assertTrue(s.err.contains(ONE), s.err);
+    void anExistingTestIsExcludedAndPrinted() throws Exception {
+        Result result = runKnownRed(VALID_ENTRY);
+        assertEquals(0, result.exitCode);
+        assertEquals("laurelkeel/KnownRedTest.java#aMissingOrEmptyFileExcludesNothing\n", result.out);
+        assertTrue(result.err.contains(VALID_ENTRY), result.err);
     }
 
     @Test
-    void whatIsNoListOfAtMostThreeTestsIsRefused() throws Exception {
-        for (String bad : new String[] {
-            ONE.repeat(4),
+    void invalidEntriesAndMoreThanThreeEntriesAreRejected() throws Exception {
+        for (String invalid : new String[] {
+            VALID_ENTRY.repeat(4),
             "\n",
-            "laurelkeel.KnownRedTest | mvn test, seed 7 | a time-out | issue 26\n",
-            ONE.replace("mvn test, seed 7", ""),
-            ONE.replace("a time-out", ""),
-            ONE.replace("| issue 26", ""),
-            ONE.replace("| a time-out ", ""),
-            ONE.replace("noFile", "noSuch"),
-            ONE.replace("laurelkeel.", "elsewhere.")
+            "laurelkeel.KnownRedTest | mvn test, seed 7 | a timeout | issue 26\n",
+            VALID_ENTRY.replace("mvn test, seed 7", ""),
+            VALID_ENTRY.replace("a timeout", ""),
+            VALID_ENTRY.replace("| issue 26", ""),
+            VALID_ENTRY.replace("| a timeout ", ""),
+            VALID_ENTRY.replace("aMissing", "noSuch"),
+            VALID_ENTRY.replace("laurelkeel.", "elsewhere.")
         }) {
-            assertEquals(2, known(bad).exit, bad);
+            assertEquals(2, runKnownRed(invalid).exitCode, invalid);
         }
     }
 }
--- a/src/test/java/laurelkeel/PackageDependencyTest.java
+++ b/src/test/java/laurelkeel/PackageDependencyTest.java
@@ -11,13 +11,13 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The arrows between packages, as docs/front.md draws them. */
+/** Checks the dependencies between packages that docs/front.md shows. */
 class PackageDependencyTest {
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .importPackages("laurelkeel");
 
-    /** What each package may use of ours. */
+    /** For each package, the other packages of this project that it may use. */
     private static final Map<String, List<String>> ALLOWED = Map.ofEntries(
             Map.entry("api", List.of()),
             Map.entry("decision", List.of("api")),
@@ -54,8 +54,8 @@
     void packagesDependOnlyOnThoseAllowed() {
         ALLOWED.forEach((from, to) -> {
             String[] others = ALLOWED.keySet().stream()
-                    .filter(p -> !p.equals(from) && !to.contains(p))
-                    .map(p -> "laurelkeel." + p + "..")
+                    .filter(name -> !name.equals(from) && !to.contains(name))
+                    .map(name -> "laurelkeel." + name + "..")
                     .toArray(String[]::new);
             noClasses()
                     .that()
@@ -75,11 +75,11 @@
     }
 
     @Test
-    void decisionPackagesUseNoIoClockOrThread() {
-        for (String p : List.of("api", "decision", "partition", "attribution")) {
+    void decisionPackagesUseNoIoClocksOrThreads() {
+        for (String name : List.of("api", "decision", "partition", "attribution")) {
             classes()
                     .that()
-                    .resideInAPackage("laurelkeel." + p + "..")
+                    .resideInAPackage("laurelkeel." + name + "..")
                     .should()
                     .onlyDependOnClassesThat()
                     .resideInAnyPackage(
@@ -98,7 +98,7 @@
                     .check(CLASSES);
             noClasses()
                     .that()
-                    .resideInAPackage("laurelkeel." + p + "..")
+                    .resideInAPackage("laurelkeel." + name + "..")
                     .should()
                     .dependOnClassesThat()
                     .belongToAnyOf(System.class, Thread.class)
