--- a/src/main/java/laurelkeel/api/Event.java
+++ b/src/main/java/laurelkeel/api/Event.java
@@ -89,7 +89,7 @@
      *
      * @param build number of the build that the endpoint runs; a later build has a higher number
      * @param zone index of its zone
-     * @param cell number of its cell, a small group of endpoints that share their state about partition keys
+     * @param cell number of its cell, a small group of endpoints that share their knowledge of partition keys
      * @param kind index of its endpoint type
      * @param weight its capacity relative to other endpoints, without unit
      * @param startedAtTicks when it last started; 0 if it started long ago
--- a/src/main/java/laurelkeel/decision/RequestLifecycle.java
+++ b/src/main/java/laurelkeel/decision/RequestLifecycle.java
@@ -161,8 +161,9 @@
     }
 
     private @Nullable Endpoint chooseEndpoint(ActiveRequest request, boolean isRetry, long nowTicks) {
-        // retries after an OVERLOADED outcome need budget as well; otherwise each request would try every endpoint of a
-        // fleet that is at capacity
+        // retries after an OVERLOADED outcome need budget as well; otherwise each request would try every endpoint when
+        // all
+        // endpoints are at capacity
         if (!retryPolicy.mayAttempt(request, nowTicks) || (isRetry && !retryBudget.allows(1))) {
             return null;
         }
--- a/src/test/java/laurelkeel/decision/ActiveRequestTest.java
+++ b/src/test/java/laurelkeel/decision/ActiveRequestTest.java
@@ -24,7 +24,7 @@
     private final Endpoint endpoint = endpoint("e");
 
     @Test
-    void itActsFifteenMillisecondsAheadOfDeadlineAndObjective() {
+    void checksAreDueFifteenMillisecondsBeforeDeadlineAndObjective() {
         assertEquals(3 * SECOND - MARGIN_TICKS, request.answerDueAtTicks());
         assertEquals(OBJECTIVE_TICKS - MARGIN_TICKS, request.objectiveCheckAtTicks());
     }
@@ -33,15 +33,16 @@
     void onlyTheAttemptInFlightCanEnd() {
         Attempt first = send(request, endpoint, 0);
         assertSame(first, request.attemptEnded(ended(first, AttemptOutcome.OVERLOADED, false)));
-        assertNull(request.attemptEnded(ended(first, AttemptOutcome.COMPLETED, true)), "it has ended before");
+        assertNull(request.attemptEnded(ended(first, AttemptOutcome.COMPLETED, true)), "it has already ended");
         Attempt second = send(request, endpoint, 0);
-        assertNull(request.attemptEnded(ended(first, AttemptOutcome.COMPLETED, true)), "it is not the last one");
+        assertNull(
+                request.attemptEnded(ended(first, AttemptOutcome.COMPLETED, true)), "it is not the attempt in flight");
         assertSame(second, request.attemptInFlight());
         assertFalse(request.isFinished());
     }
 
     @Test
-    void itRemembersTheFirstAttemptThatMayHaveRun() {
+    void theFirstAttemptThatMayHaveRunIsStored() {
         attempt(request, endpoint, AttemptOutcome.CONNECT_FAILED, 0);
         assertNull(request.firstPossibleRun());
         attempt(request, endpoint, AttemptOutcome.TIMED_OUT, 0);
@@ -51,7 +52,7 @@
     }
 
     @Test
-    void aFailureRestrictsWhereItGoesNext() {
+    void aFailureRestrictsTheNextEndpoint() {
         assertTrue(request.mayUseAnyEndpoint());
         request.attemptFailed(endpoint, false);
         assertFalse(request.mayUseAnyEndpoint());
@@ -63,13 +64,13 @@
     }
 
     @Test
-    void itIsDoneOnceItIsAnsweredAndNothingIsInFlight() {
+    void aRequestIsDoneOnceAnsweredAndWithoutAttemptsInFlight() {
         Attempt attempt = send(request, endpoint, 0);
         request.finish();
         assertFalse(request.isDone());
         assertTrue(request.needsCancellation());
         request.cancellationRequested();
-        assertFalse(request.needsCancellation(), "once is enough");
+        assertFalse(request.needsCancellation(), "cancellation is requested only once");
         request.attemptEnded(ended(attempt, AttemptOutcome.CANCELLED, true));
         assertTrue(request.isDone());
     }
--- a/src/test/java/laurelkeel/decision/AttemptTimeoutPolicyTest.java
+++ b/src/test/java/laurelkeel/decision/AttemptTimeoutPolicyTest.java
@@ -17,7 +17,7 @@
     private final RetryBudget budget = new RetryBudget();
     private final AttemptTimeoutPolicy policy = new AttemptTimeoutPolicy(latency, new RetryPolicy(2), budget);
 
-    private void answers(long durationTicks, double deviation) {
+    private void recordAnswers(long durationTicks, double deviation) {
         for (int i = 0; i < 500; i++) {
             latency.route(0).updateExpected(durationTicks, 0);
             latency.route(0).recordDeviation(1 + deviation);
@@ -29,27 +29,27 @@
     }
 
     @Test
-    void anAttemptIsCutShortAfterSixMeanDeviations() {
-        answers(2_000, 0.2);
+    void anAttemptTimesOutSixMeanDeviationsAfterTheExpectedLatency() {
+        recordAnswers(2_000, 0.2);
         assertEquals(2_000 * (1 + 6 * 0.2), (double) timeoutTicks(request(Idempotency.IDEMPOTENT)), 10);
     }
 
     @Test
-    void itHasAThirdOfTheObjectiveAtLeast() {
-        answers(100, 0.1);
+    void theTimeoutIsAtLeast35PercentOfTheObjective() {
+        recordAnswers(100, 0.1);
         assertEquals(0.35 * OBJECTIVE_TICKS, (double) timeoutTicks(request(Idempotency.IDEMPOTENT)), 1);
     }
 
     @Test
-    void itMayTakeAllTheTimeWhereAnotherWouldMissTheObjective() {
-        answers(2_000, 0.6);
+    void theTimeoutIsNotShortenedIfARetryWouldMissTheObjective() {
+        recordAnswers(2_000, 0.6);
         ActiveRequest request = request(Idempotency.IDEMPOTENT);
         assertEquals(request.answerDueAtTicks(), timeoutTicks(request));
     }
 
     @Test
-    void itMayTakeAllTheTimeWhereNoOtherMayFollow() {
-        answers(2_000, 0.2);
+    void theTimeoutIsNotShortenedIfNoRetryIsAllowed() {
+        recordAnswers(2_000, 0.2);
         ActiveRequest request = request(Idempotency.NOT_IDEMPOTENT);
         assertEquals(request.answerDueAtTicks(), timeoutTicks(request));
         ActiveRequest last = request(Idempotency.IDEMPOTENT);
@@ -58,8 +58,8 @@
     }
 
     @Test
-    void itMayTakeAllTheTimeWhereTheRetryBudgetIsSpent() {
-        answers(2_000, 0.2);
+    void theTimeoutIsNotShortenedIfTheRetryBudgetIsNearlyExhausted() {
+        recordAnswers(2_000, 0.2);
         for (int i = 0; i < 9; i++) {
             budget.spend();
         }
--- a/src/test/java/laurelkeel/decision/ClientRetryDetectorTest.java
+++ b/src/test/java/laurelkeel/decision/ClientRetryDetectorTest.java
@@ -16,13 +16,13 @@
     }
 
     @Test
-    void theClientsWordIsTaken() {
+    void aRequestThatTheClientMarksIsARetry() {
         assertTrue(detector.isRetry(request(null, true)));
         assertFalse(detector.isRetry(request(null, false)));
     }
 
     @Test
-    void aKeyThatWentUnservedIsARetryForFiveSeconds() {
+    void requestsOfAKeyAreRetriesForFiveSecondsAfterAFailure() {
         detector.requestUnsuccessful("a", 0);
         detector.removeExpired(5 * Ticks.PER_SECOND);
         assertTrue(detector.isRetry(request("a", false)));
--- a/src/test/java/laurelkeel/decision/DeadlineQueueTest.java
+++ b/src/test/java/laurelkeel/decision/DeadlineQueueTest.java
@@ -7,7 +7,7 @@
 
 class DeadlineQueueTest {
     @Test
-    void itemsComeInOrderOfTheirMomentsAndThenOfTheirArrival() {
+    void itemsAreOrderedByDueTimeAndThenByInsertion() {
         DeadlineQueue<String> queue = new DeadlineQueue<>();
         queue.add("late", 30);
         queue.add("first", 10);
--- a/src/test/java/laurelkeel/decision/DecisionFixtures.java
+++ b/src/test/java/laurelkeel/decision/DecisionFixtures.java
@@ -12,7 +12,7 @@
 import laurelkeel.api.Ticks;
 import org.jspecify.annotations.Nullable;
 
-/** Requests, attempts and endpoints for the tests of single modules. */
+/** Creates requests, attempts and endpoints for the tests of single classes. */
 final class DecisionFixtures {
     static final long SECOND = Ticks.PER_SECOND;
     static final long OBJECTIVE_TICKS = SECOND;
@@ -28,7 +28,7 @@
         return route(idempotency, DeduplicationScope.ALL);
     }
 
-    /** Returns a request that has arrived at 0 and is due within three seconds. */
+    /** Returns a request that arrived at time 0 and has a deadline of three seconds. */
     static ActiveRequest request(Route route, @Nullable String partitionKey) {
         RequestReceived received = new RequestReceived("r", 0, 0, partitionKey, 3 * SECOND, 0, false);
         return new ActiveRequest(received, route, 0.5, false, 0);
@@ -42,7 +42,7 @@
         return new EndpointEntry(id, build, zone, cell, 0, 1, EndpointState.ACTIVE, startedAtTicks);
     }
 
-    /** Returns an active endpoint of capacity 1 that has run for long. */
+    /** Returns an active endpoint of capacity 1 that started long ago. */
     static Endpoint endpoint(String id, int build, int zone, int cell) {
         return activate(new Endpoint(entry(id, build, zone, cell, 0), 0));
     }
@@ -68,7 +68,7 @@
         return attempt;
     }
 
-    /** Sends an attempt of a request to an endpoint, where it ends at once. */
+    /** Sends an attempt of a request to an endpoint and ends it immediately. */
     static void attempt(ActiveRequest request, Endpoint endpoint, AttemptOutcome outcome, long nowTicks) {
         Attempt attempt = send(request, endpoint, nowTicks);
         request.attemptEnded(ended(attempt, outcome, false));
--- a/src/test/java/laurelkeel/decision/EndpointHealthTest.java
+++ b/src/test/java/laurelkeel/decision/EndpointHealthTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void twoFailuresInARowEjectIt() {
+    void twoConsecutiveFailuresEjectAnEndpoint() {
         assertTrue(record(AttemptOutcome.CONNECTION_LOST, 0));
         assertFalse(health.isSuspect());
         record(AttemptOutcome.TIMED_OUT, 0);
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void afterAnEjectionItGetsOneAttemptAtATime() {
+    void afterAnEjectionAnEndpointReceivesOneAttemptAtATime() {
         record(AttemptOutcome.CONNECT_FAILED, 0);
         record(AttemptOutcome.CONNECT_FAILED, 0);
         assertTrue(health.isEjected(1, SECOND));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aTimeoutAtTheEndOfTheRequestsTimeIsNoFailure() {
+    void aTimeoutWhenTheAnswerIsDueIsNoFailure() {
         for (int i = 0; i < 5; i++) {
             assertFalse(health.record(AttemptOutcome.TIMED_OUT, true, 0));
         }
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void oneAtCapacityIsLeftOutForAMoment() {
+    void anEndpointAtCapacityIsExcludedFor200Milliseconds() {
         assertTrue(record(AttemptOutcome.OVERLOADED, 0));
         assertTrue(health.isEjected(0, SECOND / 5 - 1));
         assertFalse(health.isSuspect());
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void errorsEjectAnOutlierOnly() {
+    void errorsEjectOnlyAnOutlier() {
         assertFalse(record(AttemptOutcome.FAILED, 0));
         assertFalse(health.isEjected(0, 0));
         health.setErrorOutlier(true);
@@ -74,13 +74,13 @@
     }
 
     @Test
-    void theErrorRateFollowsTheLastOutcomes() {
+    void theErrorRateFollowsRecentAnswers() {
         for (int i = 0; i < 50; i++) {
             record(AttemptOutcome.FAILED, 0);
         }
         assertTrue(health.errorRate() > 0.95);
         record(AttemptOutcome.TIMED_OUT, 0);
-        assertTrue(health.errorRate() > 0.95, "no error");
+        assertTrue(health.errorRate() > 0.95, "a timeout is no error answer");
         for (int i = 0; i < 50; i++) {
             record(AttemptOutcome.COMPLETED, 0);
         }
--- a/src/test/java/laurelkeel/decision/EndpointPickerTest.java
+++ b/src/test/java/laurelkeel/decision/EndpointPickerTest.java
@@ -29,11 +29,11 @@
     private final EndpointPicker picker =
             new EndpointPicker(registry, new RetryPolicy(4), slowStart, new OwnThroughput(0));
 
-    private void list(EndpointEntry... entries) {
+    private void applySnapshot(EndpointEntry... entries) {
         registry.apply(new EndpointListUpdate(EndpointListKind.SNAPSHOT, List.of(entries)), NOW_TICKS);
     }
 
-    /** The endpoints that get the turns of equal requests. */
+    /** Returns the ids of the endpoints picked in 30 picks for the same request. */
     private Set<String> picked(ActiveRequest request) {
         Set<String> ids = new TreeSet<>();
         for (int i = 0; i < 30; i++) {
@@ -54,14 +54,14 @@
 
     @Test
     void allHealthyEndpointsTakeTurns() {
-        list(entry("a", 1, 0, 0, 0), entry("b", 1, 0, 0, 0), entry("c", 2, 0, 0, 0));
+        applySnapshot(entry("a", 1, 0, 0, 0), entry("b", 1, 0, 0, 0), entry("c", 2, 0, 0, 0));
         assertEquals(Set.of("a", "b"), picked(request(Idempotency.IDEMPOTENT)));
         assertNull(picker.pick(3, request(Idempotency.IDEMPOTENT), NOW_TICKS), "no such build");
     }
 
     @Test
-    void anEjectedEndpointIsLeftOutWhileThereAreOthers() {
-        list(entry("a", 1, 0, 0, 0), entry("b", 1, 0, 0, 0));
+    void anEjectedEndpointIsExcludedWhileThereAreOthers() {
+        applySnapshot(entry("a", 1, 0, 0, 0), entry("b", 1, 0, 0, 0));
         picked(request(Idempotency.IDEMPOTENT));
         Endpoint failing = find("a");
         for (int i = 0; i < 2; i++) {
@@ -69,13 +69,16 @@
             failing.eligibilityChanged();
         }
         assertEquals(Set.of("b"), picked(request(Idempotency.IDEMPOTENT)));
-        list(entry("a", 1, 0, 0, 0));
-        assertEquals(Set.of("a"), picked(request(Idempotency.IDEMPOTENT)), "suspicion never empties the rotation");
+        applySnapshot(entry("a", 1, 0, 0, 0));
+        assertEquals(
+                Set.of("a"),
+                picked(request(Idempotency.IDEMPOTENT)),
+                "the only endpoint is picked although it is ejected");
     }
 
     @Test
     void aRetryAvoidsTheEndpointsThatFailedIt() {
-        list(entry("a", 1, 0, 0, 0), entry("b", 1, 0, 0, 0));
+        applySnapshot(entry("a", 1, 0, 0, 0), entry("b", 1, 0, 0, 0));
         ActiveRequest request = request(Idempotency.IDEMPOTENT);
         request.attemptFailed(find("a"), false);
         assertEquals(Set.of("b"), picked(request));
@@ -84,18 +87,21 @@
     }
 
     @Test
-    void aRepeatGoesOnlyWhereItsFirstAttemptIsKnown() {
-        list(entry("a", 1, 0, 0, 0), entry("b", 1, 1, 1, 0));
+    void aRepeatGoesOnlyToEndpointsInItsDeduplicationScope() {
+        applySnapshot(entry("a", 1, 0, 0, 0), entry("b", 1, 1, 1, 0));
         ActiveRequest request = request(route(Idempotency.DEDUPLICATED, DeduplicationScope.ZONE), "key");
         attempt(request, find("a"), AttemptOutcome.CONNECTION_LOST, NOW_TICKS);
         assertEquals(Set.of("a"), picked(request));
-        list(entry("b", 1, 1, 1, 0));
+        applySnapshot(entry("b", 1, 1, 1, 0));
         assertEquals(Set.of(), picked(request));
     }
 
     @Test
-    void aColdEndpointIsNotOverloadedEvenWhereItIsTheOnlyOne() {
-        list(entry("a", 1, 0, 0, NOW_TICKS));
-        assertEquals(Set.of(), picked(request(Idempotency.IDEMPOTENT)), "none of its kind has answered so far");
+    void anEndpointThatIsWarmingUpIsNotOverloadedEvenIfItIsTheOnlyOne() {
+        applySnapshot(entry("a", 1, 0, 0, NOW_TICKS));
+        assertEquals(
+                Set.of(),
+                picked(request(Idempotency.IDEMPOTENT)),
+                "there are no answers so far, so its warm-up budget is 0");
     }
 }
--- a/src/test/java/laurelkeel/decision/EndpointPollerTest.java
+++ b/src/test/java/laurelkeel/decision/EndpointPollerTest.java
@@ -13,12 +13,12 @@
     private final EndpointPoller poller = new EndpointPoller(true, MAX_AGE_TICKS);
 
     @Test
-    void aListThatIsPushedIsNotPolled() {
+    void aPushedEndpointListIsNotPolled() {
         assertFalse(new EndpointPoller(false, MAX_AGE_TICKS).startPoll(0));
     }
 
     @Test
-    void theListIsPolledTwiceInItsLongestAge() {
+    void theEndpointListIsPolledAtHalfItsMaximumAge() {
         assertTrue(poller.startPoll(0));
         poller.updateReceived(EndpointListKind.SNAPSHOT, 100);
         assertFalse(poller.startPoll(100 + MAX_AGE_TICKS / 2 - 1));
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aPollWithoutAnAnswerIsRepeated() {
+    void aPollWithoutAResponseIsRepeated() {
         assertTrue(poller.startPoll(0));
         poller.updateReceived(EndpointListKind.CACHED, 1);
         assertFalse(poller.startPoll(5 * Ticks.PER_SECOND - 1));
--- a/src/test/java/laurelkeel/decision/EndpointRegistryTest.java
+++ b/src/test/java/laurelkeel/decision/EndpointRegistryTest.java
@@ -42,14 +42,14 @@
     }
 
     @Test
-    void aDeltaChangesOnlyWhatItNames() {
+    void aDeltaChangesOnlyTheEndpointsThatItContains() {
         update(EndpointListKind.DELTA, entry("a", 1, 0, 0, 0), entry("b", 1, 0, 0, 0));
         update(EndpointListKind.DELTA, new EndpointEntry("b", 1, 0, 0, 0, 1, EndpointState.DRAINING, 0));
         assertEquals(List.of("a"), activeIds(1));
     }
 
     @Test
-    void whatASnapshotDoesNotNameIsNotActive() {
+    void endpointsMissingFromASnapshotAreRemoved() {
         update(EndpointListKind.DELTA, entry("a", 1, 0, 0, 0), entry("b", 1, 0, 0, 0));
         update(EndpointListKind.SNAPSHOT, entry("b", 1, 0, 0, 0));
         assertEquals(List.of("b"), activeIds(1));
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void anEndpointWithAttemptsInFlightIsKeptUntilTheyEnd() {
+    void anEndpointWithAttemptsInFlightIsRetainedUntilTheyEnd() {
         update(EndpointListKind.DELTA, entry("a", 1, 0, 0, 0), entry("b", 1, 0, 0, 0));
         Endpoint endpoint = registry.activeEndpoints(1).get(0);
         endpoint.attemptStarted();
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void anIdThatStartsAnewIsAnotherEndpoint() {
+    void anIdWithANewStartTimeIsAnotherEndpoint() {
         update(EndpointListKind.DELTA, entry("a", 1, 0, 0, 0));
         Endpoint before = registry.find("a");
         update(EndpointListKind.DELTA, entry("a", 1, 0, 0, 0));
--- a/src/test/java/laurelkeel/decision/EndpointSubsetTest.java
+++ b/src/test/java/laurelkeel/decision/EndpointSubsetTest.java
@@ -9,11 +9,11 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Which of many endpoints a front node uses. */
+/** Tests which of many endpoints a front node uses. */
 class EndpointSubsetTest {
     private static final int MANY = 2_400;
 
-    /** For no endpoint. */
+    /** Flags that are set for no endpoint. */
     private static final boolean[] NO_FLAGS = new boolean[MANY + 1];
 
     private static double[] positions(int from, int to) {
@@ -31,14 +31,14 @@
     }
 
     @Test
-    void allOfFewEndpointsAreUsed() {
+    void allEndpointsAreUsedIfThereAreFew() {
         int[] chosen = new EndpointSubset(3, 10)
                 .select(positions(0, EndpointSubset.MIN_SIZE), isLocal(EndpointSubset.MIN_SIZE, 1), NO_FLAGS, NO_FLAGS);
         assertArrayEquals(IntStream.range(0, EndpointSubset.MIN_SIZE).toArray(), chosen);
     }
 
     @Test
-    void ofManyItTakesAsManyLocalAsRemoteOnes() {
+    void equalNumbersOfLocalAndRemoteEndpointsAreUsedIfThereAreMany() {
         boolean[] isLocal = isLocal(MANY, 3);
         int[] chosen = new EndpointSubset(3, 10).select(positions(0, MANY), isLocal, NO_FLAGS, NO_FLAGS);
         assertEquals(2 * EndpointSubset.MIN_SIZE, chosen.length);
@@ -63,20 +63,21 @@
     }
 
     @Test
-    void oneMoreEndpointChangesOneAtMost() {
+    void anAddedEndpointReplacesAtMostOne() {
         EndpointSubset subset = new EndpointSubset(0, 1);
         double[] before = positions(0, MANY);
         double[] after = positions(0, MANY + 1);
-        int[] was = subset.select(before, isLocal(MANY, 1), NO_FLAGS, NO_FLAGS);
-        int[] is = subset.select(after, isLocal(MANY + 1, 1), NO_FLAGS, NO_FLAGS);
-        long kept =
-                Arrays.stream(is).filter(i -> Arrays.binarySearch(was, i) >= 0).count();
+        int[] selectedBefore = subset.select(before, isLocal(MANY, 1), NO_FLAGS, NO_FLAGS);
+        int[] selectedAfter = subset.select(after, isLocal(MANY + 1, 1), NO_FLAGS, NO_FLAGS);
+        long kept = Arrays.stream(selectedAfter)
+                .filter(i -> Arrays.binarySearch(selectedBefore, i) >= 0)
+                .count();
         assertTrue(kept >= EndpointSubset.MIN_SIZE - 1, "kept " + kept);
     }
 
-    /** Connections to them are open. */
+    /** Connections to the members are open, so endpoints added to the build should rarely replace them. */
     @Test
-    void membersStayWhileTheBuildGrows() {
+    void membersAreRetainedWhileTheBuildGrows() {
         EndpointSubset subset = new EndpointSubset(0, 1);
         boolean[] isMember = new boolean[MANY];
         boolean[] wasMember = new boolean[MANY];
@@ -93,7 +94,7 @@
     }
 
     @Test
-    void suspectedEndpointsGiveTheirPlacesToOthersWhileThereAreAny() {
+    void suspectEndpointsAreReplacedWhileThereAreOthers() {
         EndpointSubset subset = new EndpointSubset(0, 1);
         boolean[] isSuspect = new boolean[MANY];
         for (int i : subset.select(positions(0, MANY), isLocal(MANY, 1), isSuspect, NO_FLAGS)) {
@@ -108,7 +109,7 @@
     }
 
     @Test
-    void itGrowsToAllWhileAnswersWaitAndShrinksAfterwards() {
+    void theSubsetGrowsToAllWhileAttemptsQueueAndShrinksAfterwards() {
         EndpointSubset subset = new EndpointSubset(0, 1);
         for (int second = 0; second < 20; second++) {
             subset.adapt(1, true, MANY);
@@ -124,8 +125,8 @@
     @Test
     void aNodeWithMoreRequestsInFlightUsesMoreEndpoints() {
         EndpointSubset subset = new EndpointSubset(0, 1);
-        assertFalse(subset.adapt(EndpointSubset.MIN_SIZE / 8, false, MANY), "enough for these");
-        assertFalse(subset.adapt(EndpointSubset.MIN_SIZE / 4, false, MANY), "for a moment only");
+        assertFalse(subset.adapt(EndpointSubset.MIN_SIZE / 8, false, MANY), "the minimum size is enough");
+        assertFalse(subset.adapt(EndpointSubset.MIN_SIZE / 4, false, MANY), "a short peak does not change the size");
         for (int second = 0; second < 30; second++) {
             subset.adapt(50, false, MANY);
         }
--- a/src/test/java/laurelkeel/decision/OutlierDetectorTest.java
+++ b/src/test/java/laurelkeel/decision/OutlierDetectorTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 class OutlierDetectorTest {
-    /** Endpoints whose outcomes were errors with these probabilities. */
+    /** Returns the health of endpoints whose outcomes are errors with the given probabilities. */
     private static List<EndpointHealth> endpoints(double... errorShares) {
         Random random = new Random(1);
         return DoubleStream.of(errorShares)
@@ -31,26 +31,26 @@
     }
 
     @Test
-    void anEndpointThatErrsAloneIsAnOutlier() {
+    void theOnlyEndpointWithManyErrorsIsAnOutlier() {
         List<EndpointHealth> endpoints = endpoints(0, 0.9, 0, 0.02);
         assertTrue(OutlierDetector.markErrorOutliers(endpoints));
         assertEquals(List.of(false, true, false, false), suspects(endpoints));
     }
 
     @Test
-    void whereMostErrNoneIsAnOutlier() {
+    void noEndpointIsAnOutlierIfMostHaveErrors() {
         List<EndpointHealth> endpoints = endpoints(0.7, 0.9, 0.8, 0);
         assertFalse(OutlierDetector.markErrorOutliers(endpoints));
         assertEquals(List.of(false, false, false, false), suspects(endpoints));
     }
 
     @Test
-    void theOnlyEndpointIsNoOutlier() {
+    void aSingleEndpointIsNoOutlier() {
         assertFalse(OutlierDetector.markErrorOutliers(endpoints(1)));
     }
 
     @Test
-    void anEndpointThatHasRecoveredIsNoOutlierAnyMore() {
+    void aRecoveredEndpointIsNoLongerAnOutlier() {
         List<EndpointHealth> endpoints = endpoints(0, 0.9, 0);
         OutlierDetector.markErrorOutliers(endpoints);
         for (int i = 0; i < 30; i++) {
--- a/src/test/java/laurelkeel/decision/QueueWaitEstimatorTest.java
+++ b/src/test/java/laurelkeel/decision/QueueWaitEstimatorTest.java
@@ -9,47 +9,47 @@
     private final QueueWaitEstimator waits = new QueueWaitEstimator();
     private final EndpointLatency endpoint = new EndpointLatency();
 
-    private void endpointWaits(double waitTicks, int inFlight, long nowTicks) {
+    private void recordEndpointWaits(double waitTicks, int inFlight, long nowTicks) {
         for (int i = 0; i < 200; i++) {
             endpoint.recordWait(waitTicks, inFlight, nowTicks);
         }
     }
 
-    private void allWait(double waitTicks) {
+    private void recordWaits(double waitTicks) {
         for (int i = 0; i < 2_000; i++) {
             waits.recordWait(waitTicks, 100);
         }
     }
 
     @Test
-    void aFreshAnswerSpeaksForItsEndpoint() {
-        allWait(900);
-        endpointWaits(100, 4, SECOND);
+    void afterAFreshAnswerOnlyTheEndpointsOwnWaitCounts() {
+        recordWaits(900);
+        recordEndpointWaits(100, 4, SECOND);
         assertEquals(100, waits.expectedWaitTicks(endpoint, 3, SECOND), 1);
-        assertEquals(200, waits.expectedWaitTicks(endpoint, 7, SECOND), 2, "twice as many are ahead");
+        assertEquals(200, waits.expectedWaitTicks(endpoint, 7, SECOND), 2, "with twice as many attempts ahead");
     }
 
     @Test
-    void withinTwoSecondsTheMeanOfAllTakesItsPlace() {
-        allWait(900);
-        endpointWaits(100, 4, SECOND);
+    void theMeanOverAllEndpointsReplacesTheOwnWaitWithinTwoSeconds() {
+        recordWaits(900);
+        recordEndpointWaits(100, 4, SECOND);
         assertEquals(500, waits.expectedWaitTicks(endpoint, 3, 2 * SECOND), 2);
         assertEquals(900, waits.expectedWaitTicks(endpoint, 3, 3 * SECOND), 1);
         assertEquals(900, waits.expectedWaitTicks(endpoint, 3, 9 * SECOND), 1);
     }
 
     @Test
-    void noWaitIsExpectedWhereAnswersAreFasterThanInCalm() {
-        allWait(-50);
-        endpointWaits(-50, 4, SECOND);
+    void noWaitIsExpectedIfAnswersAreFasterThanUnloaded() {
+        recordWaits(-50);
+        recordEndpointWaits(-50, 4, SECOND);
         assertEquals(0, waits.expectedWaitTicks(endpoint, 3, 2 * SECOND));
     }
 
     @Test
-    void theMeanFollowsFewAnswersFasterThanMany() {
-        QueueWaitEstimator quiet = new QueueWaitEstimator();
-        quiet.recordWait(1_000, 2);
-        assertEquals(200, quiet.meanWaitTicks(), 1e-9);
+    void aSingleAnswerChangesTheMeanMoreAtALowAnswerRate() {
+        QueueWaitEstimator lowRate = new QueueWaitEstimator();
+        lowRate.recordWait(1_000, 2);
+        assertEquals(200, lowRate.meanWaitTicks(), 1e-9);
         waits.recordWait(1_000, 1_000);
         assertEquals(20, waits.meanWaitTicks(), 1e-9);
     }
--- a/src/test/java/laurelkeel/decision/RetryBudgetTest.java
+++ b/src/test/java/laurelkeel/decision/RetryBudgetTest.java
@@ -19,14 +19,14 @@
     }
 
     @Test
-    void itStartsWithTenRetries() {
+    void theBudgetStartsWithTenRetries() {
         assertTrue(budget.allows(10));
         assertFalse(budget.allows(11));
         assertEquals(10, spendAll());
     }
 
     @Test
-    void fiveRequestsPayForOneRetry() {
+    void fiveRequestsAddOneRetry() {
         spendAll();
         for (int i = 0; i < 50; i++) {
             budget.requestReceived();
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void itSavesNoMoreThanItStartsWith() {
+    void theBudgetNeverExceedsItsInitialSize() {
         for (int i = 0; i < 1_000; i++) {
             budget.requestReceived();
         }
--- a/src/test/java/laurelkeel/decision/RetryPolicyTest.java
+++ b/src/test/java/laurelkeel/decision/RetryPolicyTest.java
@@ -26,7 +26,7 @@
 
     @ParameterizedTest
     @EnumSource(Idempotency.class)
-    void whatNeverRanIsRetriedAndMayBeRejected(Idempotency idempotency) {
+    void aRequestThatNeverRanMayBeRetriedAndRejected(Idempotency idempotency) {
         ActiveRequest request = request(idempotency);
         attempt(request, first, AttemptOutcome.OVERLOADED, 0);
         assertTrue(policy.mayAttempt(request, SECOND));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void whatMayHaveRunIsRetriedByIdempotency() {
+    void retryOfARequestThatMayHaveRunDependsOnIdempotency() {
         for (Idempotency idempotency : Idempotency.values()) {
             ActiveRequest request = request(idempotency);
             attempt(request, first, AttemptOutcome.CONNECTION_LOST, 0);
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aDeduplicatedRequestIsRepeatedWellWithinItsWindow() {
+    void aDeduplicatedRequestIsRepeatedWithAMarginBeforeTheEndOfItsWindow() {
         ActiveRequest request = request(Idempotency.DEDUPLICATED);
         attempt(request, first, AttemptOutcome.TIMED_OUT, 0);
         long lastTicks = DEDUPLICATION_WINDOW_TICKS - MARGIN_TICKS - 1;
@@ -67,13 +67,13 @@
     }
 
     @Test
-    void repeatsGoToEndpointsThatKnowTheFirstAttempt() {
+    void repeatsGoToEndpointsInTheDeduplicationScope() {
         Endpoint sameZone = endpoint("zone", 1, 0, 1);
         Endpoint sameCell = endpoint("cell", 1, 0, 0);
         Endpoint elsewhere = endpoint("elsewhere", 1, 1, 2);
         for (DeduplicationScope scope : DeduplicationScope.values()) {
             ActiveRequest request = request(route(Idempotency.DEDUPLICATED, scope), "key");
-            assertTrue(policy.isSafeForRetry(request, elsewhere), "nothing has run");
+            assertTrue(policy.isSafeForRetry(request, elsewhere), "no attempt may have run");
             attempt(request, first, AttemptOutcome.CONNECTION_LOST, 0);
             assertTrue(policy.isSafeForRetry(request, sameCell));
             assertEquals(scope != DeduplicationScope.CELL, policy.isSafeForRetry(request, sameZone), scope.name());
@@ -81,19 +81,19 @@
             assertEquals(
                     scope == DeduplicationScope.ALL,
                     policy.mayReject(request, SECOND),
-                    "the client's repeat may go anywhere: " + scope);
+                    "the client may repeat the request through any node: " + scope);
         }
     }
 
     @Test
-    void anAttemptInFlightMayHaveRunToo() {
+    void anAttemptInFlightCountsAsPossiblyRun() {
         ActiveRequest request = request(Idempotency.NOT_IDEMPOTENT);
         send(request, first, 0);
         assertFalse(policy.mayReject(request, 0));
     }
 
     @Test
-    void theNextAttemptCanBeRepeatedWhereOneMoreIsAllowed() {
+    void theNextAttemptMayBeRetriedIfAnotherOneIsAllowed() {
         assertFalse(policy.mayRetryNext(request(Idempotency.NOT_IDEMPOTENT)));
         ActiveRequest request = request(Idempotency.IDEMPOTENT);
         attempt(request, first, AttemptOutcome.FAILED, 0);
--- a/src/test/java/laurelkeel/decision/RouteLatencyTest.java
+++ b/src/test/java/laurelkeel/decision/RouteLatencyTest.java
@@ -9,7 +9,7 @@
 class RouteLatencyTest {
     private final RouteLatency latency = new RouteLatency(10_000);
 
-    private void learnUsual(long durationTicks, int level, int answers) {
+    private void recordAnswers(long durationTicks, int level, int answers) {
         for (int i = 0; i < answers; i++) {
             latency.updateExpected(durationTicks, level);
         }
@@ -25,48 +25,48 @@
     }
 
     @Test
-    void aLatencyIsComparedAtItsOwnLevel() {
-        learnUsual(100, 0, 8);
-        learnUsual(300, 2, 8);
+    void aLatencyIsComparedAtItsConcurrencyLevel() {
+        recordAnswers(100, 0, 8);
+        recordAnswers(300, 2, 8);
         assertEquals(2, latency.ratioToExpected(200, 0).orElseThrow(), 1e-9);
         assertEquals(1, latency.ratioToExpected(300, 2).orElseThrow(), 1e-9);
     }
 
     @Test
-    void atALevelNotMetLatencyIsExpectedToGrowFromTheNextLowerOne() {
-        learnUsual(100, 1, 8);
+    void latencyAtAnUnknownLevelIsExtrapolatedFromTheNextLowerOne() {
+        recordAnswers(100, 1, 8);
         assertEquals(1, latency.ratioToExpected(200, 4).orElseThrow(), 1e-9);
-        assertTrue(latency.ratioToExpected(200, 0).isEmpty(), "nothing lower is known");
+        assertTrue(latency.ratioToExpected(200, 0).isEmpty(), "no lower level is known");
     }
 
     @Test
-    void fewAnswersTellNothing() {
-        learnUsual(100, 0, 7);
+    void theExpectedLatencyIsUnknownWithFewAnswers() {
+        recordAnswers(100, 0, 7);
         assertFalse(latency.isKnown(0));
         assertTrue(latency.ratioToExpected(100, 0).isEmpty());
         assertEquals(2_000, latency.expectedOrUnloadedTicks(0), "a fifth of the objective is assumed");
-        learnUsual(100, 0, 1);
+        recordAnswers(100, 0, 1);
         assertEquals(100, latency.expectedOrUnloadedTicks(0), 1e-9);
     }
 
     @Test
-    void aSingleRatioIsBounded() {
-        learnUsual(100, 0, 8);
+    void aRatioIsBounded() {
+        recordAnswers(100, 0, 8);
         assertEquals(4, latency.ratioToExpected(100_000, 0).orElseThrow());
     }
 
     @Test
-    void calmIsTheLeastMeanOfAHundredAnswers() {
-        for (int run = 0; run < 3; run++) {
+    void theUnloadedLatencyIsTheSmallestMeanOfAHundredAnswers() {
+        for (int batch = 0; batch < 3; batch++) {
             for (int i = 0; i < 100; i++) {
-                latency.updateUnloaded(run == 1 ? 300 : 500);
+                latency.updateUnloaded(batch == 1 ? 300 : 500);
             }
         }
-        assertEquals(300 * 1.02, latency.unloadedTicks(), 1e-9, "it rises by 2% a run at most");
+        assertEquals(300 * 1.02, latency.unloadedTicks(), 1e-9, "it grows by at most 2% per batch");
     }
 
     @Test
-    void theDeviationFollowsTheDistanceFromTheUsual() {
+    void theDeviationFollowsTheDistanceFromTheExpectedLatency() {
         for (int i = 0; i < 500; i++) {
             latency.recordDeviation(i % 2 == 0 ? 0.8 : 1.2);
         }
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void theRecentMeanFollowsTheLastAnswers() {
+    void theRecentMeanFollowsRecentAnswers() {
         for (int i = 0; i < 100; i++) {
             latency.recordRecent(400);
         }
--- a/src/test/java/laurelkeel/decision/SeededRandomTest.java
+++ b/src/test/java/laurelkeel/decision/SeededRandomTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void numbersAreSpreadEvenlyOverTheUnitInterval() {
+    void numbersAreUniformlyDistributedFromZeroToOne() {
         SeededRandom random = new SeededRandom(1);
         int[] counts = new int[10];
         for (int i = 0; i < 10_000; i++) {
--- a/src/test/java/laurelkeel/decision/SlidingWindowTest.java
+++ b/src/test/java/laurelkeel/decision/SlidingWindowTest.java
@@ -10,7 +10,7 @@
     private final SlidingWindow window = new SlidingWindow();
 
     @Test
-    void itCountsFromAMomentInclusive() {
+    void theStartOfTheWindowIsInclusive() {
         window.record(10);
         window.record(20);
         window.record(20);
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void itIsEmptyOnceAllIsForgotten() {
+    void theWindowIsEmptyOnceAllEventsAreRemoved() {
         assertTrue(window.isEmpty());
         window.record(10);
         window.removeBefore(10);
--- a/src/test/java/laurelkeel/decision/SlowStartTest.java
+++ b/src/test/java/laurelkeel/decision/SlowStartTest.java
@@ -18,16 +18,16 @@
             new SlowStart(new Limits(SECOND, WARM_UP_TICKS, 0.4, WINDOW_TICKS, 3, 10 * SECOND));
 
     @Test
-    void capacityRisesEvenlyFromTheInitialShare() {
+    void capacityRisesLinearlyFromTheInitialShare() {
         assertEquals(0.4, slowStart.capacityShare(STARTED_AT_TICKS, STARTED_AT_TICKS), 1e-9);
         assertEquals(0.7, slowStart.capacityShare(STARTED_AT_TICKS, STARTED_AT_TICKS + WARM_UP_TICKS / 2), 1e-9);
         assertEquals(1, slowStart.capacityShare(STARTED_AT_TICKS, STARTED_AT_TICKS + 2 * WARM_UP_TICKS), 1e-9);
-        assertEquals(1, slowStart.capacityShare(0, 1), "one that started long ago is warm");
-        assertEquals(0.4, slowStart.capacityShare(STARTED_AT_TICKS, 1), 1e-9, "a start ahead of the clock");
+        assertEquals(1, slowStart.capacityShare(0, 1), "an endpoint that started long ago is warm");
+        assertEquals(0.4, slowStart.capacityShare(STARTED_AT_TICKS, 1), 1e-9, "a start time in the future");
     }
 
     @Test
-    void theBudgetOutlastsTheWarmUpByASecond() {
+    void theBudgetAppliesOneSecondLongerThanTheWarmUp() {
         long warmAtTicks = STARTED_AT_TICKS + WARM_UP_TICKS;
         assertFalse(slowStart.isWarm(STARTED_AT_TICKS, warmAtTicks - 1));
         assertTrue(slowStart.isWarm(STARTED_AT_TICKS, warmAtTicks));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void anEndpointGetsAShareOfWhatWouldOverloadItWithinTheWindow() {
+    void anEndpointReceivesAShareOfItsOverloadLimitWithinTheWindow() {
         Endpoint endpoint = endpointStartedAt(STARTED_AT_TICKS);
         OwnThroughput throughput = new OwnThroughput(50);
         throughput.observeCapacity(5);
@@ -47,7 +47,7 @@
             endpoint.warmUpBudget().attemptSent(nowTicks);
             sent++;
         }
-        // 20 answers are usual in the window; 0.7 of three times 0.4 of that
+        // 20 answers are expected in the window; the limit is 0.7 of three times 0.4 of them
         assertEquals(16, sent);
         assertFalse(slowStart.isBudgetExhausted(endpoint, throughput, nowTicks + WINDOW_TICKS + 1));
     }
--- a/src/test/java/laurelkeel/decision/WarmUpBudgetTest.java
+++ b/src/test/java/laurelkeel/decision/WarmUpBudgetTest.java
@@ -8,7 +8,7 @@
 
 class WarmUpBudgetTest {
     @Test
-    void aFractionOfAnAttemptIsAllowedToThatShareOfTheNodes() {
+    void aFractionalLimitAllowsAnAttemptOnThatShareOfTheNodes() {
         int allowed = 0;
         for (int seed = 0; seed < 1_000; seed++) {
             WarmUpBudget budget = new WarmUpBudget();
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aDrawServesOneWindow() {
+    void aRoundingIsValidForOneWindow() {
         WarmUpBudget budget = new WarmUpBudget();
         assertTrue(budget.isRoundingExpired(0));
         budget.renewRounding(new SeededRandom(1), 100, 50);
--- a/src/test/java/laurelkeel/decision/WeightedRoundRobinTest.java
+++ b/src/test/java/laurelkeel/decision/WeightedRoundRobinTest.java
@@ -26,29 +26,29 @@
     }
 
     @Test
-    void turnsAreInProportionToTheWeights() {
+    void turnsAreProportionalToTheWeights() {
         assertArrayEquals(new int[] {100, 200, 100}, turns(rotation(1, 2, 1), ALL, 3));
     }
 
     @Test
-    void onlyCandidatesHaveTurns() {
+    void onlyCandidatesAreSelected() {
         assertArrayEquals(new int[] {0, 200, 200}, turns(rotation(1, 1, 1), new int[] {1, 2, 0}, 2));
         assertEquals(WeightedRoundRobin.NONE, rotation(1, 1, 1).next(ALL, 0));
     }
 
     @Test
-    void busierEndpointsArePassedOver() {
+    void busierEndpointsAreSkipped() {
         WeightedRoundRobin rotation = rotation(1, 2, 1);
         rotation.setRequests(0, 10);
         rotation.setRequests(1, 26);
         rotation.setRequests(2, 14);
         int[] turns = turns(rotation, ALL, 3);
         assertEquals(0, turns[2], "1.4 times the least load");
-        assertEquals(400, turns[0] + turns[1], "1.3 times the least load by its weight");
+        assertEquals(400, turns[0] + turns[1], "1.3 times the least load per unit of weight");
     }
 
     @Test
-    void initialCreditsDecideWhereTurnsBegin() {
+    void initialCreditsDetermineTheFirstEndpoint() {
         WeightedRoundRobin rotation = new WeightedRoundRobin(new double[] {0, 0.5, -0.5});
         for (int i : ALL) {
             rotation.setWeight(i, 1);
