--- a/src/test/java/laurelkeel/decision/RequestRulesTest.java
+++ b/src/test/java/laurelkeel/decision/RequestRulesTest.java
@@ -375,7 +375,7 @@
             String id = simulation.request(0, "k" + i);
             assertTrue(
                     simulation.inFlightOf(id) != null,
-                    "not sent at " + simulation.nowTicks + ": " + simulation.lastActions);
+                    simulation.nowTicks + ": request not sent, last actions: " + simulation.lastActions);
             sentToCanary += simulation.inFlightOf(id) != null
                             && simulation.inFlightOf(id).build() == 2
                     ? 1
