--- a/src/main/java/laurelkeel/decision/AdmissionController.java
+++ b/src/main/java/laurelkeel/decision/AdmissionController.java
@@ -46,7 +46,7 @@
         if (routeLatency.inFlight() < ALWAYS_ADMITTED_IN_FLIGHT) {
             return true;
         }
-        // a route whose answers are late on average only consumes capacity, whatever the cause
+        // a route whose answers are late on average only consumes capacity, regardless of the cause
         boolean isTooLate = routeLatency.recentMeanTicks() > request.route().latencyObjectiveTicks()
                 || latency.expectedWaitTicks(endpoint, nowTicks) > maxWaitTicks(request.routeIndex());
         return !isTooLate;
--- a/src/main/java/laurelkeel/decision/OwnThroughput.java
+++ b/src/main/java/laurelkeel/decision/OwnThroughput.java
@@ -18,7 +18,10 @@
     /** Initial span of the mean: the initial rate has the weight of this many seconds of answers. */
     private static final double INITIAL_SPAN_SECONDS = 3;
 
-    /** Longer than the overload window, in which a node with little traffic has too few answers. */
+    /**
+     * Maximum span of the mean: longer than the overload window, in which a node with little traffic has too few
+     * answers.
+     */
     private static final double MAX_SPAN_SECONDS = 10;
 
     /** Factor per decision by which the observed capacity decays after endpoints have left the endpoint list. */
--- a/src/main/java/laurelkeel/decision/RetryPolicy.java
+++ b/src/main/java/laurelkeel/decision/RetryPolicy.java
@@ -37,7 +37,7 @@
                 };
     }
 
-    /** Returns whether another attempt may follow the next one, whatever the outcome of the next one. */
+    /** Returns whether another attempt may follow the next one, regardless of the outcome of the next one. */
     boolean mayRetryNext(ActiveRequest request) {
         return request.route().idempotency() != Idempotency.NOT_IDEMPOTENT && request.attemptCount() + 1 < maxAttempts;
     }
--- a/src/main/java/laurelkeel/decision/RouteLatency.java
+++ b/src/main/java/laurelkeel/decision/RouteLatency.java
@@ -47,7 +47,7 @@
     private double unloadedTicks;
     private boolean hasCompleteBatch;
     private double batchSumTicks;
-    private int batchCount;
+    private int batchAnswerCount;
     private double recentMeanTicks;
     private int inFlight;
 
@@ -134,8 +134,8 @@
     /** Updates the unloaded latency, which is the smallest mean over a batch of answers. */
     void updateUnloaded(long durationTicks) {
         batchSumTicks += durationTicks;
-        batchCount++;
-        if (batchCount < ANSWERS_PER_BATCH) {
+        batchAnswerCount++;
+        if (batchAnswerCount < ANSWERS_PER_BATCH) {
             return;
         }
         double meanTicks = batchSumTicks / ANSWERS_PER_BATCH;
@@ -143,7 +143,7 @@
                 hasCompleteBatch ? Math.min(unloadedTicks * MAX_UNLOADED_GROWTH_PER_BATCH, meanTicks) : meanTicks;
         hasCompleteBatch = true;
         batchSumTicks = 0;
-        batchCount = 0;
+        batchAnswerCount = 0;
     }
 
     /** Returns the unloaded latency. Any time beyond it counts as time that the attempt has waited. */
