--- a/src/main/java/laurelkeel/decision/LatencyComparison.java
+++ b/src/main/java/laurelkeel/decision/LatencyComparison.java
@@ -56,7 +56,7 @@
                 .filter(e -> e.warmAnswerCount() >= MIN_ANSWERS_PER_ENDPOINT)
                 .toList();
         long slow = measured.stream()
-                .filter(e -> e.ratioToUsual() > MIN_SIGNIFICANT_SLOWDOWN)
+                .filter(e -> e.meanRatioToExpected() > MIN_SIGNIFICANT_SLOWDOWN)
                 .count();
         return slow >= MIN_SLOW_ENDPOINTS
                 && slow * SLOW_ENDPOINTS_DENOMINATOR >= (long) measured.size() * SLOW_ENDPOINTS_NUMERATOR;
--- a/src/main/java/laurelkeel/decision/OutcomeRecorder.java
+++ b/src/main/java/laurelkeel/decision/OutcomeRecorder.java
@@ -71,7 +71,7 @@
         int evaluatedBuild = rollout.evaluatedBuild(nowTicks);
         boolean isOtherBuildAtUnknownLevel = endpoint.build() != evaluatedBuild && !latency.isKnown(level);
         if (evaluatedBuild == RolloutState.NO_BUILD || isOtherBuildAtUnknownLevel) {
-            latency.learnExpected(durationTicks, level);
+            latency.updateExpected(durationTicks, level);
         }
     }
 
@@ -88,7 +88,7 @@
     }
 
     private void recordWait(Attempt attempt, RouteLatency latency, long durationTicks, long nowTicks) {
-        latency.learnCalm(durationTicks);
+        latency.updateUnloaded(durationTicks);
         double waitTicks = durationTicks - latency.unloadedTicks();
         attempt.endpoint().latency().recordWait(waitTicks, attempt.inFlightAtEndpoint(), nowTicks);
         latencies.waits().recordWait(waitTicks, throughput.answersPerSecond());
