--- a/src/main/java/laurelkeel/options/InvalidOptionException.java
+++ b/src/main/java/laurelkeel/options/InvalidOptionException.java
@@ -1,6 +1,6 @@
 package laurelkeel.options;
 
-/** Signals an option whose value cannot be parsed; it names the option and the reason. */
+/** Thrown when the value of an option cannot be parsed; the message names the option and the reason. */
 public final class InvalidOptionException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -8,9 +8,9 @@
     private final String reason;
 
     /**
-     * Creates one.
+     * Creates an exception.
      *
-     * @param path of the option
+     * @param path the path of the option
      * @param reason what is wrong with its value
      */
     public InvalidOptionException(String path, String reason) {
@@ -19,12 +19,12 @@
         this.reason = reason;
     }
 
-    /** The option's path, as services.0.effect. */
+    /** Returns the path of the option, for example {@code services.0.effect}. */
     public String path() {
         return path;
     }
 
-    /** What is wrong with its value. */
+    /** Returns what is wrong with the value. */
     public String reason() {
         return reason;
     }
--- a/src/main/java/laurelkeel/options/Numbers.java
+++ b/src/main/java/laurelkeel/options/Numbers.java
@@ -2,17 +2,17 @@
 
 import laurelkeel.api.Ticks;
 
-/** Parses and converts numbers as the platform writes them; thread-safe. */
+/** Parses and converts numbers in the form that the platform writes. Thread-safe. */
 public final class Numbers {
-    /** What the binary form of a decimal number may lack. */
-    private static final double ROUNDING_TICKS = 1e-6;
+    /** Tolerance for a decimal number whose binary representation is slightly too small. */
+    private static final double ROUNDING_ERROR_TICKS = 1e-6;
 
     private Numbers() {}
 
     /**
      * Parses a finite number.
      *
-     * @throws NumberFormatException where the text is none
+     * @throws NumberFormatException if the text is not a finite number
      */
     public static double parseFinite(String text) {
         double value = Double.parseDouble(text);
@@ -22,8 +22,8 @@
         return value;
     }
 
-    /** Milliseconds as ticks, rounded down: a moment or a limit must never seem later than it is. */
+    /** Converts milliseconds to ticks, rounded down: a moment or a limit must never appear later than it is. */
     public static long millisToTicks(double millis) {
-        return (long) Math.floor(millis * Ticks.PER_MILLISECOND + ROUNDING_TICKS);
+        return (long) Math.floor(millis * Ticks.PER_MILLISECOND + ROUNDING_ERROR_TICKS);
     }
 }
--- a/src/main/java/laurelkeel/options/OptionReader.java
+++ b/src/main/java/laurelkeel/options/OptionReader.java
@@ -11,8 +11,8 @@
 /**
  * Reads typed values of options by their paths.
  *
- * <p>An option that is left out reads as 0, false or an empty list. Every method throws an {@link
- * InvalidOptionException} where the value has another form. Thread-safe where the map is.
+ * <p>An absent option reads as 0, false or an empty list. Every method throws an {@link InvalidOptionException} if the
+ * value is not of its type. Thread-safe if the map is.
  */
 final class OptionReader {
     private static final Map<String, Boolean> BOOLEANS = Map.of("true", true, "1", true, "false", false, "0", false);
@@ -30,7 +30,7 @@
         return parse(path, "0", "number", Numbers::parseFinite);
     }
 
-    /** A time in milliseconds, as ticks. */
+    /** Reads a time in milliseconds and returns it in ticks. */
     long ticks(String path) {
         return Numbers.millisToTicks(number(path));
     }
@@ -44,23 +44,23 @@
     }
 
     /**
-     * A value that is one of a few names.
+     * Reads a value that is one of several names.
      *
-     * @param absent the name where the option is left out
-     * @param what the kind of value, for errors
-     * @param values the value of each name
+     * @param defaultName the name to use if the option is absent
+     * @param typeName what the value is, for error messages
+     * @param values the values by their names
      */
-    <T> T choice(String path, String absent, String what, Map<String, T> values) {
-        return parse(path, absent, what, values::get);
+    <T> T choice(String path, String defaultName, String typeName, Map<String, T> values) {
+        return parse(path, defaultName, typeName, values::get);
     }
 
-    /** A list of plain values, joined by commas. */
-    List<String> texts(String path) {
+    /** Reads a comma-separated list of strings. */
+    List<String> strings(String path) {
         String text = options.getOrDefault(path, "");
         return text.isEmpty() ? List.of() : List.of(SEPARATOR.split(text));
     }
 
-    /** A list of numbers, joined by commas. */
+    /** Reads a comma-separated list of numbers. */
     List<Double> numbers(String path) {
         return parse(
                 path,
@@ -74,33 +74,37 @@
                                 .toList());
     }
 
-    /** The paths of a list's items, each of which has options of its own under it. */
-    List<String> items(String path) {
-        List<String> items = new ArrayList<>();
+    /** Returns the paths of the items of a list of objects; the options of each item are below its path. */
+    List<String> itemPaths(String path) {
+        List<String> itemPaths = new ArrayList<>();
         int length = wholeNumber(path + "." + LENGTH);
         for (int i = 0; i < length; i++) {
-            items.add(path + "." + i);
+            itemPaths.add(path + "." + i);
         }
-        return items;
+        return itemPaths;
     }
 
-    /** The names of a list's items. */
+    /** Reads the names of the items of a list of objects. */
     List<String> names(String path) {
         List<String> names = new ArrayList<>();
-        for (String item : items(path)) {
-            names.add(parse(item + ".name", "", "name", text -> text.isEmpty() ? null : text));
+        for (String itemPath : itemPaths(path)) {
+            names.add(parse(itemPath + ".name", "", "name", text -> text.isEmpty() ? null : text));
         }
         return names;
     }
 
-    /** The parser returns null, or throws, where the text is no value. */
-    private <T> T parse(String path, String absent, String what, Function<String, @Nullable T> parser) {
-        String text = options.getOrDefault(path, absent);
+    /**
+     * Parses the value of an option.
+     *
+     * @param parser returns null or throws if the text is not a valid value
+     */
+    private <T> T parse(String path, String defaultText, String typeName, Function<String, @Nullable T> parser) {
+        String text = options.getOrDefault(path, defaultText);
         T value;
         try {
             value = parser.apply(text);
         } catch (RuntimeException e) {
-            throw new InvalidOptionException(path, "'" + text + "' is no " + what);
+            throw new InvalidOptionException(path, "'" + text + "' is not a valid " + typeName);
         }
         if (value == null) {
             throw new InvalidOptionException(path, "'" + text + "' is unknown");
--- a/src/main/java/laurelkeel/options/OptionsParser.java
+++ b/src/main/java/laurelkeel/options/OptionsParser.java
@@ -14,11 +14,10 @@
 import laurelkeel.api.Settings.Tenant;
 
 /**
- * Parses options, pairs of a path and a value, into settings.
+ * Parses options, which are pairs of a path and a value, into settings.
  *
- * <p>A list of plain values is joined by commas. A list of objects has its length under {@code count} and its items
- * under 0, 1 and so on. An option that is left out reads as 0, off or none; one that is not known is ignored.
- * Thread-safe.
+ * <p>A list of plain values is separated by commas. A list of objects has its length under {@code count} and its items
+ * under 0, 1 and so on. An absent option reads as 0, false or an empty list; an unknown option is ignored. Thread-safe.
  */
 public final class OptionsParser {
     /** The path of the list of routes. */
@@ -56,20 +55,20 @@
     }
 
     /**
-     * Parses the decisions' settings.
+     * Parses the settings of the routing decisions.
      *
      * @param options values by their paths
-     * @throws InvalidOptionException where a value cannot be parsed
+     * @throws InvalidOptionException if a value cannot be parsed
      */
     public static Settings settings(Map<String, String> options) {
         return new OptionsParser(options).parseSettings();
     }
 
     /**
-     * Parses the options that only a front node with sockets needs.
+     * Parses the options that are needed only by a front node with sockets.
      *
      * @param options values by their paths
-     * @throws InvalidOptionException where a value cannot be parsed
+     * @throws InvalidOptionException if a value cannot be parsed
      */
     public static SocketOptions socketOptions(Map<String, String> options) {
         return new OptionsParser(options).parseSocketOptions();
@@ -79,8 +78,8 @@
         return new SocketOptions(
                 options.names(ROUTES),
                 options.names(TENANTS),
-                options.texts("zones"),
-                options.texts("kinds"),
+                options.strings("zones"),
+                options.strings("kinds"),
                 options.flag("callers.marksRetry"),
                 options.ticks(CAPABILITIES + "dialTimeout"),
                 options.ticks(CAPABILITIES + "idleClose"),
@@ -89,9 +88,9 @@
 
     private Settings parseSettings() {
         List<Route> routes =
-                options.items(ROUTES).stream().map(this::parseRoute).toList();
-        List<Tenant> tenants = options.items(TENANTS).stream()
-                .map(item -> new Tenant(options.number(item + ".quotaRps")))
+                options.itemPaths(ROUTES).stream().map(this::parseRoute).toList();
+        List<Tenant> tenants = options.itemPaths(TENANTS).stream()
+                .map(itemPath -> new Tenant(options.number(itemPath + ".quotaRps")))
                 .toList();
         return new Settings(
                 options.wholeNumber("selfIndex"),
@@ -106,15 +105,15 @@
                 options.choice("valueBy", "request", "way", VALUE_BY_WORK));
     }
 
-    private Route parseRoute(String item) {
+    private Route parseRoute(String itemPath) {
         return new Route(
-                options.choice(item + ".effect", "", "effect", IDEMPOTENCY),
-                options.choice(item + ".dedupScope", "all", "group", DEDUPLICATION_SCOPES),
-                options.ticks(item + ".onTime"),
-                options.ticks(item + ".deadline"),
-                options.number(item + ".points"),
-                options.number(item + ".lateValue"),
-                options.ticks(item + ".repeatWindow"));
+                options.choice(itemPath + ".effect", "", "effect", IDEMPOTENCY),
+                options.choice(itemPath + ".dedupScope", "all", "group", DEDUPLICATION_SCOPES),
+                options.ticks(itemPath + ".onTime"),
+                options.ticks(itemPath + ".deadline"),
+                options.number(itemPath + ".points"),
+                options.number(itemPath + ".lateValue"),
+                options.ticks(itemPath + ".repeatWindow"));
     }
 
     private Limits parseLimits() {
--- a/src/test/java/laurelkeel/options/OptionsParserTest.java
+++ b/src/test/java/laurelkeel/options/OptionsParserTest.java
@@ -20,7 +20,7 @@
 import laurelkeel.api.Settings.Tenant;
 import org.junit.jupiter.api.Test;
 
-/** The options' names and units, as the simulator's wire page and the platform's settings give them. */
+/** The names and units of options are those documented for the simulator's protocol and the platform's settings. */
 class OptionsParserTest {
     private static Map<String, String> options(String... pairs) {
         Map<String, String> options = new HashMap<>();
@@ -35,7 +35,7 @@
         return OptionsParser.settings(options(pairs));
     }
 
-    private static InvalidOptionException fault(String... pairs) {
+    private static InvalidOptionException error(String... pairs) {
         return assertThrows(InvalidOptionException.class, () -> parse(pairs));
     }
 
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void routesAndTenantsHaveTheirOptions() {
+    void optionsOfRoutesAndTenantsAreParsed() {
         Settings settings = parse(
                 "selfIndex=3",
                 "balancers=5",
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void limitsCapabilitiesAndCostsHaveTheirOptions() {
+    void optionsOfLimitsCapabilitiesAndCostsAreParsed() {
         Settings settings = parse(
                 "rules.drainGrace=1000",
                 "rules.cold=4000",
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void theRolloutHasItsOptions() {
+    void optionsOfTheRolloutAreParsed() {
         assertEquals(
                 new Rollout(
                         PromotionPolicy.VOTE_COUNT,
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void valuesHaveTheNamesOfTheWire() {
+    void namedValuesAreParsed() {
         for (Map.Entry<String, Idempotency> each : Map.of(
                         "safe", Idempotency.IDEMPOTENT,
                         "keyed", Idempotency.DEDUPLICATED,
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void optionsThatAreLeftOutAreZeroOffOrNone() {
+    void absentOptionsAreZeroFalseOrEmpty() {
         Settings settings = parse();
         assertEquals(List.of(), settings.routes());
         assertEquals(List.of(), settings.tenants());
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void socketOptionsHaveTheirNames() {
+    void socketOptionsAreParsed() {
         assertEquals(
                 new SocketOptions(
                         List.of("look", "pay"),
@@ -198,19 +198,23 @@
     }
 
     @Test
-    void aMalformedOptionIsNamedWithTheReason() {
-        InvalidOptionException unknown = fault("services.count=1", "services.0.effect=odd");
+    void errorsNameTheOptionAndTheReason() {
+        InvalidOptionException unknown = error("services.count=1", "services.0.effect=odd");
         assertEquals("services.0.effect", unknown.path());
         assertEquals("'odd' is unknown", unknown.reason());
         assertEquals("services.0.effect: 'odd' is unknown", unknown.getMessage());
-        assertEquals("rules.cold: 'x' is no number", fault("rules.cold=x").getMessage());
-        assertEquals("rules.cold: 'NaN' is no number", fault("rules.cold=NaN").getMessage());
-        assertEquals("balancers: '' is no whole number", fault("balancers=").getMessage());
         assertEquals(
-                "allowed.cancel: 'yes' is unknown", fault("allowed.cancel=yes").getMessage());
+                "rules.cold: 'x' is not a valid number", error("rules.cold=x").getMessage());
         assertEquals(
-                "familyInfo.stageCap: '0.1,x' is no list of numbers",
-                fault("familyInfo.stageCap=0.1,x").getMessage());
+                "rules.cold: 'NaN' is not a valid number",
+                error("rules.cold=NaN").getMessage());
+        assertEquals(
+                "balancers: '' is not a valid whole number", error("balancers=").getMessage());
+        assertEquals(
+                "allowed.cancel: 'yes' is unknown", error("allowed.cancel=yes").getMessage());
+        assertEquals(
+                "familyInfo.stageCap: '0.1,x' is not a valid list of numbers",
+                error("familyInfo.stageCap=0.1,x").getMessage());
         assertEquals(
                 "services.0.name: '' is unknown",
                 assertThrows(
@@ -220,7 +224,7 @@
     }
 
     @Test
-    void aTimeIsRoundedDownToWholeTicks() {
+    void timesAreRoundedDownToWholeTicks() {
         assertEquals(2_900, Numbers.millisToTicks(290));
         assertEquals(2, Numbers.millisToTicks(0.29));
         assertEquals(3, Numbers.millisToTicks(0.1 + 0.2));
