--- a/src/main/java/laurelkeel/config/IniFile.java
+++ b/src/main/java/laurelkeel/config/IniFile.java
@@ -18,14 +18,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One INI file while it is read. The values come from a library that keeps no line numbers, which are therefore counted
- * here. Readers take what they know through {@link IniSection}; whatever nobody asked for by the time of
- * {@link #throwIfInvalid} is unknown and an error. Not thread-safe.
+ * An INI file that is being read. The values are parsed by a library that does not report line numbers, so this class
+ * finds them itself. Readers request sections here and their keys through {@link IniSection}; every section or key that
+ * was not requested before {@link #throwIfInvalid} is reported as unknown. Not thread-safe.
  */
 public final class IniFile {
     private static final String BYTE_ORDER_MARK = "\uFEFF";
 
-    /** The line of an error of the whole file. */
+    /** The line number of an error that concerns the whole file. */
     private static final int NO_LINE = 0;
 
     private record Problem(int line, String text) {}
@@ -33,7 +33,7 @@
     private final String name;
     private final Map<String, IniSection> sections = new LinkedHashMap<>();
     private final List<Problem> errors = new ArrayList<>();
-    /** What was asked for, as a user would write it. */
+    /** The names of the requested sections, in the form that a user would write. */
     private final TreeSet<String> knownSections = new TreeSet<>();
 
     private IniFile(String name) {
@@ -41,15 +41,15 @@
     }
 
     /**
-     * Reads a file. Errors of form are kept for {@link #throwIfInvalid}.
+     * Reads a file. Syntax errors in single lines are collected for {@link #throwIfInvalid}.
      *
-     * @throws InvalidSettingsException where the file cannot be read at all
+     * @throws InvalidSettingsException if the file cannot be read or is not INI at all
      */
     public static IniFile read(Path file) throws InvalidSettingsException {
         try {
             return parse(file.toString(), Files.readString(file));
         } catch (NoSuchFileException e) {
-            throw new InvalidSettingsException(List.of(file + ": there is no such file"));
+            throw new InvalidSettingsException(List.of(file + ": no such file"));
         } catch (MalformedInputException e) {
             throw new InvalidSettingsException(List.of(file + ": not UTF-8 text; save it as UTF-8"));
         } catch (IOException e) {
@@ -58,10 +58,10 @@
     }
 
     /**
-     * Reads a text. Errors of form are kept for {@link #throwIfInvalid}.
+     * Parses a text. Syntax errors in single lines are collected for {@link #throwIfInvalid}.
      *
-     * @param name of the text in errors
-     * @throws InvalidSettingsException where the text is not INI at all
+     * @param name the name of the text in error messages
+     * @throws InvalidSettingsException if the text is not INI at all
      */
     public static IniFile parse(String name, String text) throws InvalidSettingsException {
         IniFile file = new IniFile(name);
@@ -76,13 +76,13 @@
         try {
             values.read(new StringReader(text.replace(BYTE_ORDER_MARK, "")));
         } catch (ConfigurationException | IOException e) {
-            throw new InvalidSettingsException(List.of(name + ": not INI: " + e.getMessage()));
+            throw new InvalidSettingsException(List.of(name + ": not a valid INI file: " + e.getMessage()));
         }
         for (String sectionName : values.getSections()) {
             IniSection section = sectionName == null ? null : sections.get(sectionName);
             if (section != null) {
                 SubnodeConfiguration sectionValues = values.getSection(sectionName);
-                // the library doubles the dots of a key
+                // the library escapes each dot in a key by doubling it
                 sectionValues
                         .getKeys()
                         .forEachRemaining(key -> section.put(key.replace("..", "."), sectionValues.getString(key)));
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Finds the lines of all sections and keys, and errors of form. */
+    /** Finds the line numbers of all sections and keys, and records syntax errors. */
     private void indexLines(String text) {
         IniSection section = null;
         int number = 0;
@@ -111,14 +111,16 @@
     private @Nullable IniSection indexSection(String line, int number) {
         int end = line.indexOf(']');
         if (end < 2) {
-            addError(number, "'" + line + "' is no section; write [name]");
+            addError(number, "'" + line + "' is not a section header; write [name]");
             return null;
         }
         String sectionName = line.substring(1, end).strip();
-        IniSection known = sections.get(sectionName);
-        if (known != null) {
-            addError(number, "section [" + sectionName + "] stands already on line " + known.line() + "; join the two");
-            return known;
+        IniSection existing = sections.get(sectionName);
+        if (existing != null) {
+            addError(
+                    number,
+                    "section [" + sectionName + "] already exists on line " + existing.line() + "; merge the two");
+            return existing;
         }
         IniSection section = new IniSection(this, sectionName, number, false);
         sections.put(sectionName, section);
@@ -128,12 +130,12 @@
     private void indexKey(@Nullable IniSection section, String line, int number) {
         int separator = line.indexOf('=');
         if (separator < 1) {
-            addError(number, "'" + line + "' is neither a section, a key = value nor a comment (# or ;)");
+            addError(number, "'" + line + "' is not a [section], a key = value pair or a comment (# or ;)");
             return;
         }
         String key = line.substring(0, separator).strip();
         if (section == null) {
-            addError(number, "'" + key + "' stands before any section; put it under one");
+            addError(number, "'" + key + "' is outside of any section; move it below a section header");
         } else {
             section.addKey(key, number);
         }
@@ -143,13 +145,13 @@
         errors.add(new Problem(line, text));
     }
 
-    /** Adds an error of the whole file. */
+    /** Records an error that concerns the whole file. */
     public void addError(String text) {
         addError(NO_LINE, text);
     }
 
     /**
-     * The lines of sections as they stand, for files made from this one.
+     * Returns the text of all sections of some kinds with their keys and values, for files derived from this one.
      *
      * @param kinds the first words of the sections' names
      */
@@ -169,7 +171,7 @@
         return space < 0 ? sectionName : sectionName.substring(0, space);
     }
 
-    /** The section of a name; one that is missing is an error unless it is optional. */
+    /** Returns the section with a name. Unless it is optional, a missing section is recorded as an error. */
     public IniSection section(String sectionName, boolean optional) {
         knownSections.add(sectionName);
         IniSection section = sections.get(sectionName);
@@ -183,12 +185,12 @@
         return section;
     }
 
-    /** Whether a section stands in the file. */
+    /** Returns whether the file contains a section. */
     public boolean hasSection(String sectionName) {
         return sections.containsKey(sectionName);
     }
 
-    /** The sections named "kind NAME", by NAME, in the order of the file. */
+    /** Returns the sections named "kind NAME", keyed by NAME, in the order of the file. */
     public Map<String, IniSection> sectionsOfKind(String kind) {
         knownSections.add(kind + " NAME");
         String prefix = kind + " ";
@@ -203,9 +205,9 @@
     }
 
     /**
-     * Ends the reading: adds an error for whatever nobody asked for.
+     * Ends the reading: records an error for each section and key that was not requested, and throws if there is any error.
      *
-     * @throws InvalidSettingsException where there are errors; it lists all in the order of their lines
+     * @throws InvalidSettingsException if there are errors; it lists all of them in the order of their lines
      */
     public void throwIfInvalid() throws InvalidSettingsException {
         sections.forEach((sectionName, section) -> {
--- a/src/main/java/laurelkeel/config/IniSection.java
+++ b/src/main/java/laurelkeel/config/IniSection.java
@@ -13,12 +13,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One section of an INI file while it is read. Getters take the default as text, in the form that a user would write, or
- * {@link #REQUIRED}. An error is noted and the default, or a harmless value, stands in, so that one reading finds all
- * errors. Not thread-safe.
+ * A section of an INI file that is being read. Getters take the default as text, in the form that a user would write, or
+ * {@link #REQUIRED}. An error is recorded and a placeholder is returned, so that one pass finds all errors. Not
+ * thread-safe.
  */
 public final class IniSection {
-    /** The default of a key that must be given. */
+    /** Passed as the default of a key that must be present. */
     public static final @Nullable String REQUIRED = null;
 
     private static final int MAX_PORT = 65_535;
@@ -35,7 +35,7 @@
     /**
      * Creates a section without keys.
      *
-     * @param missing whether it should stand in the file and does not, so that its keys are no errors of their own
+     * @param missing whether the section is required but absent from the file, so that its absent keys are not reported too
      */
     IniSection(IniFile file, String name, int line, boolean missing) {
         this.file = file;
@@ -59,7 +59,7 @@
     void addKey(String key, int keyLine) {
         Integer firstLine = linesByKey.putIfAbsent(key, keyLine);
         if (firstLine != null) {
-            file.addError(keyLine, "'" + key + "' stands already on line " + firstLine + "; keep one");
+            file.addError(keyLine, "'" + key + "' is already set on line " + firstLine + "; keep only one");
         }
     }
 
@@ -83,12 +83,12 @@
         });
     }
 
-    /** Adds an error at a key, for checks that look at several keys. */
+    /** Records an error at the line of a key, for checks that involve several keys. */
     public void addError(String key, String text) {
         file.addError(linesByKey.getOrDefault(key, line), "'" + key + "' " + text);
     }
 
-    /** Whether a key stands in the section. */
+    /** Returns whether the section contains a key. */
     public boolean has(String key) {
         knownKeys.add(key);
         return values.containsKey(key);
@@ -97,14 +97,14 @@
     /**
      * Reads a value.
      *
-     * @param harmlessValue stands in for one that is missing or wrong
-     * @param form what to write, for errors
-     * @param parser gives null or throws for a wrong value
+     * @param placeholder returned if the value is missing or invalid, after the error is recorded
+     * @param form the expected form, for error messages
+     * @param parser returns null or throws if the value is invalid
      */
     private <T> T read(
             String key,
             @Nullable String defaultText,
-            T harmlessValue,
+            T placeholder,
             String form,
             Function<String, ? extends @Nullable T> parser) {
         knownKeys.add(key);
@@ -112,14 +112,14 @@
         if (text == null || text.isBlank()) {
             if (defaultText == null) {
                 addErrorForMissing(key, form);
-                return harmlessValue;
+                return placeholder;
             }
             text = defaultText;
         }
         T value = parse(text.strip(), parser);
         if (value == null) {
             addError(key, "is '" + text.strip() + "'; write " + form);
-            return harmlessValue;
+            return placeholder;
         }
         return value;
     }
@@ -130,7 +130,7 @@
         }
     }
 
-    /** What matters to the user is the form, not what the parser met: any exception says that it is wrong. */
+    /** Returns null if the parser throws: the error message states the expected form, so the exception is not needed. */
     private static <T> @Nullable T parse(String text, Function<String, ? extends @Nullable T> parser) {
         try {
             return parser.apply(text);
@@ -139,12 +139,12 @@
         }
     }
 
-    /** Reads a text. */
+    /** Reads a string. */
     public String stringValue(String key, @Nullable String defaultText) {
         return read(key, defaultText, "", "some text", text -> text);
     }
 
-    /** Reads a whole number within bounds. */
+    /** Reads a whole number from {@code min} to {@code max}. */
     public long longValue(String key, @Nullable String defaultText, long min, long max) {
         return read(key, defaultText, min, "a whole number from " + min + " to " + max, text -> {
             long value = Long.parseLong(text);
@@ -152,12 +152,12 @@
         });
     }
 
-    /** Reads a whole number within bounds. */
+    /** Reads a whole number from {@code min} to {@code max}. */
     public int intValue(String key, @Nullable String defaultText, int min, int max) {
         return (int) longValue(key, defaultText, min, max);
     }
 
-    /** Reads a number within bounds. */
+    /** Reads a number from {@code min} to {@code max}. */
     public double doubleValue(String key, @Nullable String defaultText, double min, double max) {
         return read(key, defaultText, min, "a number from " + min + " to " + max, text -> {
             double value = Double.parseDouble(text);
@@ -165,7 +165,7 @@
         });
     }
 
-    /** Reads yes or no. */
+    /** Reads a boolean: yes, true or on; no, false or off. */
     public boolean booleanValue(String key, @Nullable String defaultText) {
         return read(key, defaultText, false, "yes or no", text -> switch (text) {
             case "yes", "true", "on" -> true;
@@ -174,7 +174,7 @@
         });
     }
 
-    /** Reads a constant of an enum by its {@link #settingName}. */
+    /** Reads an enum constant by its {@link #settingName}. */
     public <E extends Enum<E>> E choice(String key, @Nullable String defaultText, Class<E> type) {
         Map<String, E> choices = new LinkedHashMap<>();
         for (E constant : type.getEnumConstants()) {
@@ -186,15 +186,15 @@
     /**
      * Reads one of several values.
      *
-     * @param choices by the name that each has in the file, in the order in which an error lists them; the first stands
-     *     in where the file has an error
+     * @param choices the values by their names in the file, in the order in which an error message lists them; the first
+     *     one is the placeholder if the file has an error
      */
     public <T> T choice(String key, @Nullable String defaultText, Map<String, T> choices) {
         String form = "one of " + String.join(", ", choices.keySet());
         return read(key, defaultText, choices.values().iterator().next(), form, choices::get);
     }
 
-    /** The name of an enum's constant in settings: NON_RETRIABLE is non-retriable. */
+    /** Returns the name of an enum constant in settings files: NON_RETRIABLE is non-retriable. */
     public static String settingName(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
@@ -202,8 +202,8 @@
     /**
      * Reads a duration with its unit.
      *
-     * @param min as a user would write it
-     * @param max as a user would write it
+     * @param min the shortest valid duration, in the form that a user would write
+     * @param max the longest valid duration, in the form that a user would write
      * @return ticks of a tenth of a millisecond
      */
     public long durationTicks(String key, @Nullable String defaultText, String min, String max) {
@@ -214,8 +214,8 @@
     /**
      * Reads a size with its unit.
      *
-     * @param min as a user would write it
-     * @param max as a user would write it
+     * @param min the smallest valid size, in the form that a user would write
+     * @param max the largest valid size, in the form that a user would write
      * @return bytes
      */
     public long byteSize(String key, @Nullable String defaultText, String min, String max) {
@@ -238,9 +238,9 @@
         });
     }
 
-    /** Reads numbers within bounds, with commas between. */
+    /** Reads a comma-separated list of numbers, each from {@code min} to {@code max}. */
     public List<Double> doubleList(String key, @Nullable String defaultText, double min, double max) {
-        String form = "numbers from " + min + " to " + max + " with commas between";
+        String form = "numbers from " + min + " to " + max + ", separated by commas";
         return read(key, defaultText, List.of(), form, text -> {
             List<Double> numbers = new ArrayList<>();
             for (String part : splitAtCommas(text)) {
@@ -254,9 +254,9 @@
         });
     }
 
-    /** Reads words with commas between. */
+    /** Reads a comma-separated list of strings; empty ones are dropped. */
     public List<String> stringList(String key, @Nullable String defaultText) {
-        return read(key, defaultText, List.of(), "words with commas between", text -> {
+        return read(key, defaultText, List.of(), "words separated by commas", text -> {
             List<String> words = new ArrayList<>();
             for (String part : splitAtCommas(text)) {
                 if (!part.isBlank()) {
@@ -272,23 +272,23 @@
         return text.split(",", dropTrailingEmptyParts);
     }
 
-    /** Reads host:port; port 0 asks for a free one. */
+    /** Reads an address of the form host:port; port 0 requests any free port. */
     public InetSocketAddress address(String key, @Nullable String defaultText) {
         return read(
                 key,
                 defaultText,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                "host:port, as 127.0.0.1:8080",
+                "host:port, for example 127.0.0.1:8080",
                 IniSection::parseAddress);
     }
 
     /**
-     * Parses host:port and resolves the host.
+     * Parses an address of the form host:port and resolves the host.
      *
-     * @return null where it has no host or no such port; unresolved where the host is not known
-     * @throws NumberFormatException where the port is no number
+     * @return null if the host is missing or the port is out of range; an unresolved address if the host is unknown
+     * @throws NumberFormatException if the port is not a number
      */
-    @SuppressWarnings("AddressSelection") // a setting names one address; which one a host name gives is the resolver's
+    @SuppressWarnings("AddressSelection") // a setting names one address; the resolver selects one if a host has several
     public static @Nullable InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 1) {
@@ -298,7 +298,7 @@
         return port < 0 || port > MAX_PORT ? null : new InetSocketAddress(text.substring(0, colon), port);
     }
 
-    /** The keys that stand in the section, for one whose keys are names of the user's own. */
+    /** Returns the keys of the section, for a section whose keys are chosen by the user. */
     public List<String> keys() {
         knownKeys.addAll(linesByKey.keySet());
         return List.copyOf(linesByKey.keySet());
--- a/src/main/java/laurelkeel/config/InvalidSettingsException.java
+++ b/src/main/java/laurelkeel/config/InvalidSettingsException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Signals a settings file that cannot be used; the message has one line an error. */
+/** Thrown when a settings file is invalid; the message has one line per error. */
 public final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -11,14 +11,14 @@
     /**
      * Creates the exception.
      *
-     * @param errors each with the file, the line where there is one, and the remedy
+     * @param errors each with the file, the line if it is known, and the remedy
      */
     public InvalidSettingsException(List<String> errors) {
         super(String.join("\n", errors));
         this.errors = List.copyOf(errors);
     }
 
-    /** The errors in the order of their lines. */
+    /** Returns the errors in the order of their lines. */
     public List<String> errors() {
         return errors;
     }
--- a/src/main/java/laurelkeel/config/Quantities.java
+++ b/src/main/java/laurelkeel/config/Quantities.java
@@ -2,14 +2,14 @@
 
 import java.util.Map;
 
-/** Parses numbers with a unit, as 2.5 s or 64 KiB. */
+/** Parses numbers with a unit, for example 2.5 s or 64 KiB. */
 final class Quantities {
     private static final Map<String, Long> TICKS_BY_UNIT =
             Map.of("ms", 10L, "s", 10_000L, "min", 600_000L, "h", 36_000_000L);
     private static final Map<String, Long> BYTES_BY_UNIT =
             Map.of("B", 1L, "KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30);
 
-    /** Keeps a decimal fraction that stands for a whole number of ticks or bytes from being rounded down below it. */
+    /** Prevents a decimal fraction that equals a whole number of ticks or bytes from being rounded down below it. */
     private static final double ROUNDING_ERROR = 1e-6;
 
     private Quantities() {}
@@ -18,7 +18,7 @@
      * Parses a duration in ms, s, min or h.
      *
      * @return ticks of a tenth of a millisecond, rounded down
-     * @throws NumberFormatException where it has no number or no unit
+     * @throws NumberFormatException if the number or the unit is missing or invalid
      */
     static long parseTicks(String text) {
         return parse(text, TICKS_BY_UNIT);
@@ -28,7 +28,7 @@
      * Parses a size in B, KiB, MiB or GiB.
      *
      * @return bytes, rounded down
-     * @throws NumberFormatException where it has no number or no unit
+     * @throws NumberFormatException if the number or the unit is missing or invalid
      */
     static long parseBytes(String text) {
         return parse(text, BYTES_BY_UNIT);
--- a/src/main/java/laurelkeel/config/SpellingSuggestion.java
+++ b/src/main/java/laurelkeel/config/SpellingSuggestion.java
@@ -2,33 +2,33 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** Suggests which of the known names was meant by an unknown one. */
+/** Suggests a known name for an unknown one that is probably misspelled. */
 final class SpellingSuggestion {
-    /** So many changed letters may be a slip in any name; in a long one a third of its letters may. */
+    /** The number of edits tolerated in any name; in a longer name a third of its length is tolerated. */
     private static final int MIN_TOLERATED_EDITS = 2;
 
     private SpellingSuggestion() {}
 
-    /** The end of an error message about an unknown name: the likely one, or all that are known. */
+    /** Returns the end of an error message about an unknown name: the most similar known name, or all known names. */
     static String suggest(String unknown, Iterable<String> known) {
         String nearest = nearest(unknown, known);
-        return nearest == null ? "; known are " + String.join(", ", known) : "; did you mean '" + nearest + "'?";
+        return nearest == null ? "; known names: " + String.join(", ", known) : "; did you mean '" + nearest + "'?";
     }
 
     private static @Nullable String nearest(String unknown, Iterable<String> known) {
         String nearest = null;
-        int leastEdits = Math.max(MIN_TOLERATED_EDITS, unknown.length() / 3) + 1;
+        int minEdits = Math.max(MIN_TOLERATED_EDITS, unknown.length() / 3) + 1;
         for (String candidate : known) {
             int edits = editDistance(unknown, candidate);
-            if (edits < leastEdits) {
-                leastEdits = edits;
+            if (edits < minEdits) {
+                minEdits = edits;
                 nearest = candidate;
             }
         }
         return nearest;
     }
 
-    /** The Levenshtein distance of two names, computed row by row. */
+    /** Returns the Levenshtein distance between two names. Only one row of the matrix is stored at a time. */
     static int editDistance(String a, String b) {
         int[] row = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
--- a/src/main/java/laurelkeel/config/package-info.java
+++ b/src/main/java/laurelkeel/config/package-info.java
@@ -1,4 +1,4 @@
-/** Reads settings from INI files and names every error with its line and its remedy. */
+/** Reading of settings from INI files; every error is reported with its line and its remedy. */
 @NullMarked
 package laurelkeel.config;
 
--- a/src/test/java/laurelkeel/config/IniFileTest.java
+++ b/src/test/java/laurelkeel/config/IniFileTest.java
@@ -16,7 +16,7 @@
     @TempDir
     Path directory;
 
-    private static final String GOOD =
+    private static final String VALID =
             """
             [front]
             number = 0
@@ -40,9 +40,9 @@
     }
 
     @Test
-    void aGoodFileIsReadWithItsUnits() throws Exception {
+    void aValidFileIsReadWithItsUnits() throws Exception {
         Path file = directory.resolve("f.ini");
-        Files.writeString(file, GOOD);
+        Files.writeString(file, VALID);
         FrontSettings settings = FrontSettings.read(file);
         assertEquals(3000, settings.decisionSettings().routes().get(0).latencyObjectiveTicks());
         assertEquals(List.of(0.1, 1.0), settings.decisionSettings().rollout().stageExposureCaps());
@@ -61,21 +61,21 @@
             {"effect = retriable", "effect = deduped", "'repeat-window' is missing"},
             {"path = /look", "path = look", "f.ini:6: 'path' is 'look'; write a prefix that begins with /"},
             {"number = 0", "number = 2", "f.ini:2: 'number' is 2 of 2 fronts"},
-            {"number = 0", "number = 0\nnumber = 1", "f.ini:3: 'number' stands already on line 2; keep one"},
+            {"number = 0", "number = 0\nnumber = 1", "f.ini:3: 'number' is already set on line 2; keep only one"},
             {"listen = 127.0.0.1:0", "listen = 8080", "write host:port"},
             {"[rollout]", "[rolout]", "section [rolout] is unknown; did you mean 'rollout'?"},
-            {"[rollout]", "[rollout", "'[rollout' is no section; write [name]"},
+            {"[rollout]", "[rollout", "'[rollout' is not a section header; write [name]"},
             {"stage-caps = 0.1, 1", "stage-caps = 0.1, 7", "write numbers from 0.0 to 1.0"},
-            {"stage-caps = 0.1, 1", "what is this", "neither a section, a key = value nor a comment"}
+            {"stage-caps = 0.1, 1", "what is this", "is not a [section], a key = value pair or a comment"}
         }) {
-            List<String> errors = errorsOf(GOOD.replace(replacement[0], replacement[1]));
+            List<String> errors = errorsOf(VALID.replace(replacement[0], replacement[1]));
             assertTrue(errors.stream().anyMatch(s -> s.contains(replacement[2])), replacement[1] + " -> " + errors);
         }
     }
 
     @Test
-    void allErrorsAreListedAtOnceInTheirOrder() throws Exception {
-        List<String> errors = errorsOf(GOOD.replace("number = 0", "number = x")
+    void allErrorsAreListedInTheOrderOfTheirLines() throws Exception {
+        List<String> errors = errorsOf(VALID.replace("number = 0", "number = x")
                 .replace("retriable", "safe")
                 .replace("0.1, 1", "one"));
         assertEquals(3, errors.size(), errors.toString());
@@ -85,20 +85,20 @@
     }
 
     @Test
-    void shippedScenariosAreValidAndErrorsOfOthersAreNamed() throws Exception {
-        for (String day : Scenario.SHIPPED) {
-            assertTrue(Scenario.find(day).faults().size() > 2);
+    void shippedScenariosAreValidAndErrorsInOthersAreReported() throws Exception {
+        for (String scenario : Scenario.SHIPPED) {
+            assertTrue(Scenario.find(scenario).faults().size() > 2);
         }
         InvalidSettingsException e = assertThrows(
                 InvalidSettingsException.class,
                 () -> Scenario.find(directory.resolve("none.ini").toString()));
-        assertTrue(e.getMessage().contains("there is no such file"));
+        assertTrue(e.getMessage().contains("no such file"));
         e = assertThrows(
                 InvalidSettingsException.class,
                 () -> Scenario.read(
                         IniFile.parse(
                                 "d.ini",
-                                GOOD.replace("[front]", "[day]").replaceAll("number.*\nfronts.*\nlisten.*\n", "")
+                                VALID.replace("[front]", "[day]").replaceAll("number.*\nfronts.*\nlisten.*\n", "")
                                         + "[work]\nlook = 5 ms\n[line]\nshares = 1\n"
                                         + "[event e]\nat = 3 s\nwhat = offer\nbuild = 9\n"),
                         "d"));
--- a/src/test/java/laurelkeel/config/IniSectionTest.java
+++ b/src/test/java/laurelkeel/config/IniSectionTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void valuesAreReadByTheirTypes() throws Exception {
+    void valuesAreReadWithTheirTypes() throws Exception {
         IniFile file = file(
                 """
                 text = some words
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void defaultsStandInForAbsentAndBlankValues() throws Exception {
+    void defaultsReplaceAbsentAndBlankValues() throws Exception {
         IniFile file = file("blank =\n");
         IniSection section = file.section("a", false);
         assertEquals(3, section.intValue("blank", "3", 0, 10));
@@ -54,21 +54,21 @@
     }
 
     @Test
-    void aWrongValueIsAnErrorAndAHarmlessOneStandsIn() throws Exception {
+    void anInvalidValueIsAnErrorAndReadsAsAPlaceholder() throws Exception {
         IniFile file = file("whole = 70\n");
         assertEquals(1, file.section("a", false).intValue("whole", "5", 1, 10));
         assertEquals(List.of("s.ini:2: 'whole' is '70'; write a whole number from 1 to 10"), errors(file));
     }
 
     @Test
-    void aRequiredKeyIsAnErrorWhereItsSectionStandsInTheFile() throws Exception {
+    void aMissingRequiredKeyIsAnErrorIfItsSectionExists() throws Exception {
         IniFile file = file("");
         file.section("a", false).stringValue("key", REQUIRED);
         assertEquals(List.of("s.ini:1: 'key' is missing in [a]; add a line 'key = some text'"), errors(file));
     }
 
     @Test
-    void ofAMissingSectionTheSectionAloneIsAnError() throws Exception {
+    void aMissingSectionIsReportedWithoutItsKeys() throws Exception {
         IniFile file = file("");
         file.section("a", false);
         file.section("b", false).stringValue("key", REQUIRED);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void addressesHaveAHostAndAPort() {
+    void addressesNeedAHostAndAValidPort() {
         assertEquals(8080, IniSection.parseAddress("127.0.0.1:8080").getPort());
         assertNull(IniSection.parseAddress("8080"));
         assertNull(IniSection.parseAddress("127.0.0.1:70000"));
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aNameOfItsOwnKindOfSectionIsFoundByTheName() throws Exception {
+    void sectionsOfAKindAreFoundAndCopied() throws Exception {
         IniFile file = IniFile.parse("s.ini", "[route one]\nk = 1\n[route two]\nk = 2\n[other]\n");
         assertEquals(
                 List.of("one", "two"), List.copyOf(file.sectionsOfKind("route").keySet()));
--- a/src/test/java/laurelkeel/config/QuantitiesTest.java
+++ b/src/test/java/laurelkeel/config/QuantitiesTest.java
@@ -8,7 +8,7 @@
 
 class QuantitiesTest {
     @Test
-    void durationsBecomeTicks() {
+    void durationsAreConvertedToTicks() {
         assertEquals(10, Quantities.parseTicks("1 ms"));
         assertEquals(25_000, Quantities.parseTicks("2.5 s"));
         assertEquals(600_000, Quantities.parseTicks("1min"));
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void sizesBecomeBytes() {
+    void sizesAreConvertedToBytes() {
         assertEquals(7, Quantities.parseBytes("7 B"));
         assertEquals(8 << 10, Quantities.parseBytes("8 KiB"));
         assertEquals(3 << 19, Quantities.parseBytes("1.5 MiB"));
@@ -24,14 +24,14 @@
     }
 
     @Test
-    void fractionsAreRoundedDownButNotBelowAWholeNumber() {
+    void fractionsAreRoundedDownButNotBelowTheWholeNumberTheyEqual() {
         assertEquals(2, Quantities.parseTicks("0.29 ms"));
         assertEquals(3, Quantities.parseTicks("0.3 ms"));
         assertEquals(1_100, Quantities.parseTicks("0.11 s"));
     }
 
     @Test
-    void whatHasNoNumberOrNoUnitIsRefused() {
+    void textWithoutAValidNumberAndUnitIsRejected() {
         for (String text : List.of("", "5", "ms", "-1 ms", "5 sec", "1.2.3 s", "5 KiB")) {
             assertThrows(NumberFormatException.class, () -> Quantities.parseTicks(text), text);
         }
--- a/src/test/java/laurelkeel/config/SpellingSuggestionTest.java
+++ b/src/test/java/laurelkeel/config/SpellingSuggestionTest.java
@@ -7,19 +7,19 @@
 
 class SpellingSuggestionTest {
     @Test
-    void theNearestNameIsSuggested() {
+    void theMostSimilarNameIsSuggested() {
         assertEquals(
                 "; did you mean 'timeout'?",
                 SpellingSuggestion.suggest("timeuot", List.of("objective", "timeout", "time")));
     }
 
     @Test
-    void allKnownNamesAreListedWhereNoneIsNear() {
-        assertEquals("; known are path, effect", SpellingSuggestion.suggest("zzzzz", List.of("path", "effect")));
+    void allKnownNamesAreListedIfNoneIsSimilar() {
+        assertEquals("; known names: path, effect", SpellingSuggestion.suggest("zzzzz", List.of("path", "effect")));
     }
 
     @Test
-    void insertedRemovedAndReplacedLettersCount() {
+    void editDistanceCountsInsertedRemovedAndReplacedLetters() {
         assertEquals(0, SpellingSuggestion.editDistance("path", "path"));
         assertEquals(1, SpellingSuggestion.editDistance("path", "paths"));
         assertEquals(1, SpellingSuggestion.editDistance("path", "pat"));
