--- a/src/main/java/laurelkeel/front/controlplane/ControlPlaneClient.java
+++ b/src/main/java/laurelkeel/front/controlplane/ControlPlaneClient.java
@@ -15,9 +15,9 @@
 import laurelkeel.eventloop.EventLoop;
 import org.jspecify.annotations.Nullable;
 
-/** Makes HTTP calls to one service of the control plane. Thread-safe. */
+/** HTTP client of one control plane service. Thread-safe. */
 public final class ControlPlaneClient {
-    /** A service whose watch ends no line for so long, not even a heartbeat, is taken as dead. */
+    /** A service is treated as down if its watch completes no line, not even a heartbeat, for this long. */
     static final long SILENCE_TIMEOUT_MILLIS = 3_000;
 
     private final HttpClient http;
@@ -28,8 +28,8 @@
     /**
      * Creates a client of the service at an address.
      *
-     * @param timer ends calls that take too long
-     * @param loop gets all results
+     * @param timer cancels calls that exceed their timeout
+     * @param loop receives all results
      */
     public ControlPlaneClient(
             HttpClient http, InetSocketAddress address, ScheduledExecutorService timer, EventLoop loop) {
@@ -47,17 +47,17 @@
      * Opens a watch.
      *
      * @param onLine called on the HTTP client's threads, for one line at a time
-     * @param onEnded called once with the reason, unless the watch is cancelled by its owner
+     * @param onEnded called once with the reason when the watch ends, unless its owner cancels it
      */
     LineWatch openWatch(String path, Consumer<String> onLine, Consumer<String> onEnded) {
         return LineWatch.open(http, URI.create(baseUri + path), timer, loop, onLine, onEnded);
     }
 
     /**
-     * Fetches a text.
+     * Sends a GET request and returns the response with its body as text.
      *
-     * @param headerTimeoutMillis for the beginning of the response
-     * @param totalTimeoutMillis for all of the response
+     * @param headerTimeoutMillis the longest wait for the response headers
+     * @param totalTimeoutMillis the longest wait for the complete response
      */
     CompletableFuture<HttpResponse<String>> get(String path, long headerTimeoutMillis, long totalTimeoutMillis) {
         try {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Posts JSON and reads the response as text, all within a time. */
+    /** Posts JSON and returns the response with its body as text; the timeout covers the complete exchange. */
     CompletableFuture<HttpResponse<String>> post(String path, byte[] json, long timeoutMillis) {
         try {
             return send(postRequest(path, json, timeoutMillis), timeoutMillis);
@@ -76,8 +76,8 @@
         }
     }
 
-    /** Posts JSON; nobody waits for the response. */
-    @SuppressWarnings("FutureReturnValueIgnored") // what is posted so is of no use later, and not worth a repeat
+    /** Posts JSON and ignores the response. */
+    @SuppressWarnings("FutureReturnValueIgnored") // such a message is of no use later and is not worth a retry
     void postWithoutResponse(String path, byte[] json, long timeoutMillis) {
         http.sendAsync(postRequest(path, json, timeoutMillis), HttpResponse.BodyHandlers.discarding());
     }
@@ -95,14 +95,14 @@
 
     private CompletableFuture<HttpResponse<String>> send(HttpRequest request, long totalTimeoutMillis) {
         CompletableFuture<HttpResponse<String>> response = http.sendAsync(request, info -> new TextBodySubscriber());
-        // the timeout of a request ends with the headers: a body may come for ever
+        // the timeout of an HttpRequest covers only the headers: the body may take forever
         ScheduledFuture<?> timeout =
                 timer.schedule(() -> response.cancel(true), totalTimeoutMillis, TimeUnit.MILLISECONDS);
         whenDone(response, (received, failure) -> timeout.cancel(false));
         return response;
     }
 
-    /** Runs an action once a call has ended, with its response or its failure. */
+    /** Runs an action when a call has ended, with its response or its failure. */
     @SuppressWarnings("FutureReturnValueIgnored") // the action reports how the call ended
     static <T> void whenDone(CompletableFuture<T> call, BiConsumer<? super T, ? super @Nullable Throwable> action) {
         call.whenComplete(action);
--- a/src/main/java/laurelkeel/front/controlplane/ControlPlaneTerms.java
+++ b/src/main/java/laurelkeel/front/controlplane/ControlPlaneTerms.java
@@ -11,14 +11,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Maps the names that stand in messages of the control plane and in the stored endpoint list to the terms of the API.
- * Those names are part of the product's interface and stay as they are.
+ * Translates between the names used in control plane messages and in the stored endpoint list and the terms of the API.
+ * The external names are part of the product's interface and must not change.
  */
 public final class ControlPlaneTerms {
-    /** The kind of a line that only shows that the service lives. */
+    /** The kind of a heartbeat line, which carries no data. */
     static final String HEARTBEAT = "beat";
 
-    /** The kind of a line with statistics of a build. */
+    /** The kind of a line with the statistics of a build. */
     static final String STATISTICS = "counts";
 
     private static final Map<String, EndpointListKind> LIST_KINDS =
@@ -53,24 +53,24 @@
     }
 
     /**
-     * Reads the kind of an endpoint list.
+     * Parses the kind of an endpoint list.
      *
-     * @throws InvalidMessageException where the kind is missing or unknown
+     * @throws InvalidMessageException if the kind is missing or unknown
      */
     static EndpointListKind listKind(@Nullable String name) throws InvalidMessageException {
         EndpointListKind kind = name == null ? null : LIST_KINDS.get(name);
         if (kind == null) {
-            throw new InvalidMessageException("kind is '" + name + "'");
+            throw new InvalidMessageException("unknown kind '" + name + "'");
         }
         return kind;
     }
 
-    /** Reads an endpoint's state; null where it is unknown. */
+    /** Parses an endpoint's state, ignoring case; returns null if it is unknown. */
     static @Nullable EndpointState endpointState(String name) {
         return ENDPOINT_STATES.get(normalized(name));
     }
 
-    /** An endpoint's state as messages and the stored list name it. */
+    /** Returns the name of an endpoint's state in messages and in the stored list. */
     static String name(EndpointState state) {
         return switch (state) {
             case ACTIVE -> "live";
@@ -80,29 +80,29 @@
     }
 
     /**
-     * Reads the phase of a rollout.
+     * Parses the phase of a rollout.
      *
-     * @throws InvalidMessageException where the phase is missing or unknown
+     * @throws InvalidMessageException if the phase is missing or unknown
      */
     static RolloutPhase phase(@Nullable String name) throws InvalidMessageException {
         RolloutPhase phase = name == null ? null : PHASES.get(name);
         if (phase == null) {
-            throw new InvalidMessageException("phase is '" + name + "'");
+            throw new InvalidMessageException("unknown phase '" + name + "'");
         }
         return phase;
     }
 
-    /** Reads the answer to a vote; one that is missing or not known counts as failed. */
+    /** Parses the status in the response to a vote; a missing or unknown one counts as failed. */
     static ControlStatus controlStatus(@Nullable String name) {
         return name == null ? ControlStatus.FAILED : CONTROL_STATUSES.getOrDefault(name, ControlStatus.FAILED);
     }
 
-    /** Reads what a build's regression is attributed to; null where the name is unknown. */
+    /** Parses what a build's regression is attributed to, ignoring case; returns null if the name is unknown. */
     static @Nullable Attribution attribution(String name) {
         return ATTRIBUTIONS.get(normalized(name));
     }
 
-    /** The verdict of a vote as it is written in a ballot and in the label of the metric of votes. */
+    /** Returns the name of a verdict in vote messages and in the label of the votes metric. */
     public static String name(Verdict verdict) {
         return switch (verdict) {
             case NONE -> "none";
--- a/src/main/java/laurelkeel/front/controlplane/EndpointDescription.java
+++ b/src/main/java/laurelkeel/front/controlplane/EndpointDescription.java
@@ -3,16 +3,17 @@
 import laurelkeel.api.Event.EndpointState;
 
 /**
- * One endpoint as the endpoint list service describes it.
+ * An endpoint as described by the endpoint list service.
  *
  * @param endpointId its address
  * @param build the build that it runs
- * @param zone a zone's name
- * @param cell a small group of endpoints that share what they know of partition keys
- * @param kind index of its kind of endpoint
- * @param weight its capacity beside that of other endpoints; 0 where the service does not say
- * @param incarnation which start under this address it is
- * @param ageMillis how long ago that start was, when the description was sent; below 0 for long ago
+ * @param zone the name of its zone
+ * @param cell a small group of endpoints that share their knowledge of partition keys
+ * @param kind the index of its kind of endpoint
+ * @param weight its capacity relative to other endpoints; 0 if the service does not specify it
+ * @param incarnation distinguishes successive starts of an endpoint at the same address
+ * @param ageMillis the time since the start of this incarnation when the description was sent; negative if the endpoint
+ *     started long ago
  */
 public record EndpointDescription(
         String endpointId,
--- a/src/main/java/laurelkeel/front/controlplane/EndpointJson.java
+++ b/src/main/java/laurelkeel/front/controlplane/EndpointJson.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The JSON form of an {@link EndpointDescription}, in messages and in the stored list. */
+/** JSON form of an {@link EndpointDescription}, used in messages and in the stored list. */
 @JsonIgnoreProperties(ignoreUnknown = true)
 record EndpointJson(
         @JsonProperty("machine") @Nullable String endpointId,
@@ -24,9 +24,9 @@
     private static final Logger LOG = LoggerFactory.getLogger(EndpointJson.class);
 
     /**
-     * Checks and translates descriptions.
+     * Validates and converts descriptions.
      *
-     * @throws InvalidMessageException where one lacks a field that it must have
+     * @throws InvalidMessageException if one of them is null or lacks a required field
      */
     static List<EndpointDescription> parse(List<@Nullable EndpointJson> endpoints) throws InvalidMessageException {
         List<EndpointDescription> descriptions = new ArrayList<>(endpoints.size());
@@ -60,11 +60,11 @@
         return value;
     }
 
-    /** An endpoint in a state that this version does not know gets nothing new, which is safe in any state. */
+    /** Treats an unknown state as draining: the endpoint gets no new requests, which is safe in any state. */
     private static EndpointState parseState(String endpointId, String name) {
         EndpointState state = ControlPlaneTerms.endpointState(name);
         if (state == null) {
-            LOG.warn("endpoint {} has the unknown state '{}' and is taken as draining", endpointId, name);
+            LOG.warn("endpoint {} has unknown state '{}'; treating it as draining", endpointId, name);
             return EndpointState.DRAINING;
         }
         return state;
--- a/src/main/java/laurelkeel/front/controlplane/EndpointListJson.java
+++ b/src/main/java/laurelkeel/front/controlplane/EndpointListJson.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 
-/** The JSON form of one line of the endpoint list's watch, and of the answer to a fetch of the whole list. */
+/** JSON form of one line of the endpoint list watch, and of the response to a fetch of the whole list. */
 @JsonIgnoreProperties(ignoreUnknown = true)
 record EndpointListJson(
         @Nullable String kind,
@@ -17,24 +17,24 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /**
-     * Reads a line.
+     * Reads a message from its JSON text.
      *
-     * @return null where the line says null
-     * @throws InvalidMessageException where it is no JSON of this form
+     * @return null if the text is the JSON value null
+     * @throws InvalidMessageException if the text is not JSON of this form
      */
     static @Nullable EndpointListJson read(String text) throws InvalidMessageException {
         try {
             return JSON.readValue(text, EndpointListJson.class);
         } catch (JsonProcessingException e) {
-            throw new InvalidMessageException("it could not be read: " + e.getOriginalMessage());
+            throw new InvalidMessageException("invalid JSON: " + e.getOriginalMessage());
         }
     }
 
     /**
-     * Checks and translates the line.
+     * Validates and converts the message.
      *
-     * @return null for a line that only shows that the service lives
-     * @throws InvalidMessageException where a field cannot be followed
+     * @return null for a heartbeat or a message without endpoints
+     * @throws InvalidMessageException if a field is missing or invalid
      */
     @Nullable
     EndpointListMessage parse() throws InvalidMessageException {
--- a/src/main/java/laurelkeel/front/controlplane/EndpointListMessage.java
+++ b/src/main/java/laurelkeel/front/controlplane/EndpointListMessage.java
@@ -4,16 +4,16 @@
 import laurelkeel.api.Event.EndpointListKind;
 
 /**
- * A version of the endpoint list, whole or by its changes.
+ * A version of the endpoint list, complete or as changes to an earlier version.
  *
  * @param kind {@link EndpointListKind#SNAPSHOT} or {@link EndpointListKind#DELTA}
- * @param previousVersion for changes: the version that they change
- * @param endpoints all endpoints, or the changed ones
+ * @param previousVersion for a delta: the version that it applies to
+ * @param endpoints all endpoints of a snapshot, or the changed endpoints of a delta
  */
 public record EndpointListMessage(
         EndpointListKind kind, long version, long previousVersion, List<EndpointDescription> endpoints) {
 
-    /** Whether the message names every endpoint. */
+    /** Returns whether the message contains every endpoint. */
     public boolean isSnapshot() {
         return kind == EndpointListKind.SNAPSHOT;
     }
--- a/src/main/java/laurelkeel/front/controlplane/EndpointListSource.java
+++ b/src/main/java/laurelkeel/front/controlplane/EndpointListSource.java
@@ -7,9 +7,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the endpoint list service. Where the list is pushed, it keeps a watch open from its start on; where it is
- * polled, it makes calls only when asked to and reports when one failed. Changes that do not follow the version at hand
- * are never applied: the whole list is fetched instead. Thread-safe.
+ * Receives the endpoint list from its service. If the list is pushed, the source keeps a watch open from its start on; if
+ * it is polled, the source makes calls only on request and reports failed ones. A delta that does not apply to the current
+ * version is discarded, and the whole list is fetched instead. Thread-safe.
  */
 public final class EndpointListSource {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListSource.class);
@@ -21,16 +21,16 @@
     private static final int OK = 200;
     private static final long NO_VERSION = -1;
 
-    /** Receives what the source learns, on the event loop's thread and ahead of traffic. */
+    /** Receives updates on the event loop's thread, ahead of traffic. */
     public interface Listener {
         /**
-         * A version of the list has come in.
+         * Called when a version of the list has arrived.
          *
-         * @param arrivedAtTicks when its bytes were read
+         * @param arrivedAtTicks when the message was read
          */
         void onList(EndpointListMessage list, long arrivedAtTicks);
 
-        /** A fetch failed, or a watch that is not opened again by itself has ended. */
+        /** Called when a fetch failed, or when a watch ended that is not reopened automatically. */
         void onFailure();
     }
 
@@ -44,10 +44,10 @@
     private boolean closed;
 
     /**
-     * Creates a source that makes no call before its start.
+     * Creates a source that makes no call before {@link #start}.
      *
-     * @param isPushed whether the source keeps a watch open by itself
-     * @param seed of the random part of the backoff
+     * @param isPushed whether the list is pushed: the source then keeps a watch open and reopens it when it ends
+     * @param seed determines the random part of the reconnect backoff
      */
     public EndpointListSource(ControlPlaneClient client, boolean isPushed, long seed, Listener listener) {
         this.client = client;
@@ -60,14 +60,14 @@
                         client, "endpoint list", this::watchPath, this::onWatchLine, this::reportFailure);
     }
 
-    /** Opens the watch of a pushed list. */
+    /** Opens the watch if the list is pushed. */
     public void start() {
         if (isPushed) {
             watch.open();
         }
     }
 
-    /** Ends the watch; no further call is made. */
+    /** Ends the watch; no further calls are made. */
     public void close() {
         synchronized (this) {
             closed = true;
@@ -75,7 +75,7 @@
         watch.close();
     }
 
-    /** Subscribes to changes, of which the missed ones come first, or ends the subscription. */
+    /** Subscribes to changes, starting with those missed since the current version, or ends the subscription. */
     public void watch(boolean enabled) {
         if (enabled) {
             watch.reopen();
@@ -92,7 +92,7 @@
         loop.postPriority(listener::onFailure);
     }
 
-    /** Fetches the whole list once; while a response is awaited, it stands for all calls. */
+    /** Fetches the whole list, unless a fetch is already in progress. */
     public void fetch() {
         synchronized (this) {
             if (closed || isFetching) {
@@ -113,7 +113,7 @@
             return;
         }
         LOG.warn(
-                "the endpoint list could not be fetched: {}",
+                "cannot fetch the endpoint list: {}",
                 response != null ? "status " + response.statusCode() : String.valueOf(failure));
         reportFailure();
     }
@@ -137,17 +137,20 @@
                 apply(list, isFetched, arrivedAtTicks);
             }
         } catch (InvalidMessageException e) {
-            LOG.warn("a line of the endpoint list is passed over: {}", e.getMessage());
+            LOG.warn("ignoring an invalid endpoint list message: {}", e.getMessage());
         }
     }
 
     private synchronized void apply(EndpointListMessage list, boolean isFetched, long arrivedAtTicks) {
         if (isFetched && list.version() < version) {
-            // later changes came by the watch meanwhile
+            // the watch has delivered a later version since the fetch began
             return;
         }
         if (!list.isSnapshot() && list.previousVersion() != version) {
-            LOG.warn("the endpoint list jumped from version {} to {}; fetching all of it", version, list.version());
+            LOG.warn(
+                    "endpoint list version {} is not the base of the delta to version {}; fetching the whole list",
+                    version,
+                    list.version());
             fetch();
             return;
         }
--- a/src/main/java/laurelkeel/front/controlplane/GossipChannel.java
+++ b/src/main/java/laurelkeel/front/controlplane/GossipChannel.java
@@ -14,11 +14,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Exchanges short messages with other nodes: one UDP datagram each, with "LK1", the sender's node index in four bytes,
- * and the payload. Messages may be lost, duplicated or late, and the receiver must bear that.
+ * Exchanges short messages with other nodes. Each message is one UDP datagram that consists of "LK1", the sender's node
+ * index in four bytes, and the payload. Messages may be lost, duplicated or delayed; receivers must tolerate that.
  */
 public final class GossipChannel {
-    /** The longest payload of a message. */
+    /** Maximum size of a message's payload. */
     public static final int MAX_PAYLOAD_BYTES = 256;
 
     private static final Logger LOG = LoggerFactory.getLogger(GossipChannel.class);
@@ -34,11 +34,11 @@
     private final InetSocketAddress address;
 
     /**
-     * Creates a channel that is not open yet.
+     * Creates a channel; {@link #open} opens its socket.
      *
-     * @param address where messages are received
-     * @param peers the addresses of all nodes by node index
-     * @param threads run the socket
+     * @param address the local address to receive messages at
+     * @param peers the addresses of all nodes, keyed by node index
+     * @param threads executor for the socket's I/O
      * @param onMessage called on the event loop's thread with the sender's node index and the payload
      */
     public GossipChannel(
@@ -62,26 +62,26 @@
     /**
      * Opens the socket.
      *
-     * @throws IOException where the address cannot be bound
+     * @throws IOException if the address cannot be bound
      */
     public void open() throws IOException {
         socket.bind(address);
     }
 
-    /** Closes the socket, without waiting for it. */
+    /** Closes the socket without waiting until it is closed. */
     public void close() {
         socket.dispose(false);
     }
 
     /**
-     * Sends a message to one node, or to all others where the receiver's index is below 0.
+     * Sends a message to one node, or to all other nodes if {@code toNode} is negative.
      *
-     * @throws IllegalArgumentException where the payload is over {@link #MAX_PAYLOAD_BYTES}
+     * @throws IllegalArgumentException if the payload exceeds {@link #MAX_PAYLOAD_BYTES}
      */
     public void send(int toNode, byte[] payload) {
         if (payload.length > MAX_PAYLOAD_BYTES) {
             throw new IllegalArgumentException(
-                    "a gossip payload has " + payload.length + " bytes, over " + MAX_PAYLOAD_BYTES);
+                    "gossip payload of " + payload.length + " bytes exceeds " + MAX_PAYLOAD_BYTES);
         }
         peers.forEach((peer, peerAddress) -> {
             if (peer != nodeIndex && (toNode < 0 || toNode == peer)) {
@@ -96,8 +96,8 @@
         try {
             socket.newSession(peerAddress, address).write(datagram);
         } catch (RuntimeException e) {
-            // messages may be lost: to a socket that is not open, or for want of something of this host's
-            LOG.warn("gossip to node {} could not be sent: {}", peer, e.toString());
+            // acceptable because messages may be lost: the socket is not open, or this host is out of some resource
+            LOG.warn("cannot send a gossip message to node {}: {}", peer, e.toString());
         }
     }
 
@@ -123,7 +123,7 @@
 
         @Override
         public void exceptionCaught(IoSession session, Throwable cause) {
-            // a peer that is down answers with a port unreachable, about which nothing can be done here
+            // expected for a peer that is down, whose host replies with ICMP port unreachable; nothing can be done here
         }
     }
 }
--- a/src/main/java/laurelkeel/front/controlplane/LineBodySubscriber.java
+++ b/src/main/java/laurelkeel/front/controlplane/LineBodySubscriber.java
@@ -7,11 +7,11 @@
 import laurelkeel.wire.LineTooLongException;
 
 /**
- * Hands over the lines of a response body as they arrive. The next part is requested only once the executor has come to
- * it, so that a fast source cannot outrun whoever deals with its lines.
+ * Passes on the lines of a response body as they arrive. The next part is requested by a task on the executor, so that a
+ * fast source cannot outrun the consumer of its lines.
  */
 final class LineBodySubscriber extends SequentialBodySubscriber {
-    /** A whole endpoint list is one line: some 150 bytes an endpoint, for a hundred thousand endpoints. */
+    /** A whole endpoint list is one line: about 150 bytes per endpoint, for 100,000 endpoints. */
     static final int MAX_LINE_BYTES = 16 << 20;
 
     private final Consumer<String> onLine;
@@ -22,7 +22,7 @@
      * Creates a subscriber.
      *
      * @param onLine called on the HTTP client's threads, for one line at a time
-     * @param executor runs what requests more, after what the lines so far gave it to run
+     * @param executor requests the next part, after it has run the tasks that the previous lines posted to it
      */
     LineBodySubscriber(Consumer<String> onLine, Executor executor) {
         this.onLine = onLine;
@@ -35,7 +35,7 @@
     }
 
     @Override
-    void whenReady(Runnable requestMore) {
+    void onPartsConsumed(Runnable requestMore) {
         executor.execute(requestMore);
     }
 
--- a/src/main/java/laurelkeel/front/controlplane/LineWatch.java
+++ b/src/main/java/laurelkeel/front/controlplane/LineWatch.java
@@ -13,9 +13,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One long GET whose response is lines. A source that ends no line for a while, not even a heartbeat, is taken as dead:
- * a silent stall must not pass for a list that does not change. Lines are handed over one at a time on the HTTP client's
- * threads, and no further ones are read before the event loop has dealt with them.
+ * A long-lived GET request whose response is a stream of lines. A source that completes no line within a timeout, not even
+ * a heartbeat, is treated as down: otherwise a stalled connection would look like a list that does not change. Lines are
+ * delivered one at a time on the HTTP client's threads, and no more are read until the event loop has processed them.
  */
 final class LineWatch {
     private static final long SILENCE_TIMEOUT_MILLIS = ControlPlaneClient.SILENCE_TIMEOUT_MILLIS;
@@ -33,8 +33,8 @@
             ScheduledExecutorService timer, EventLoop loop, Consumer<String> onLine, Consumer<String> onEnded) {
         this.onLine = onLine;
         this.onEnded = onEnded;
-        // what the lines themselves post goes ahead of the request for more
-        body = new LineBodySubscriber(this::handOver, loop::postPriority);
+        // tasks posted by the lines run before the request for the next part
+        body = new LineBodySubscriber(this::deliverLine, loop::postPriority);
         silenceCheck = timer.scheduleWithFixedDelay(
                 this::checkSilence, SILENCE_CHECK_MILLIS, SILENCE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -42,7 +42,7 @@
     /**
      * Opens a watch.
      *
-     * @param onEnded called once with the reason, unless the watch is cancelled
+     * @param onEnded called once with the reason when the watch ends, unless it is cancelled
      */
     static LineWatch open(
             HttpClient http,
@@ -70,7 +70,7 @@
         } else if (response.statusCode() != OK) {
             end("status " + response.statusCode());
         } else {
-            end("the source closed it");
+            end("the server closed the stream");
         }
     }
 
@@ -81,11 +81,11 @@
 
     private void checkSilence() {
         if (System.nanoTime() - lastLineNanos > TimeUnit.MILLISECONDS.toNanos(SILENCE_TIMEOUT_MILLIS)) {
-            end("silent for " + SILENCE_TIMEOUT_MILLIS + " ms");
+            end("no line received for " + SILENCE_TIMEOUT_MILLIS + " ms");
         }
     }
 
-    /** Ends the watch; nobody is notified. */
+    /** Ends the watch without calling {@code onEnded}. */
     void cancel() {
         finish();
     }
@@ -108,7 +108,7 @@
         return ended;
     }
 
-    private void handOver(String line) {
+    private void deliverLine(String line) {
         lastLineNanos = System.nanoTime();
         if (!hasEnded() && !line.isBlank()) {
             onLine.accept(line);
--- a/src/main/java/laurelkeel/front/controlplane/ReconnectBackoff.java
+++ b/src/main/java/laurelkeel/front/controlplane/ReconnectBackoff.java
@@ -4,62 +4,62 @@
 import java.util.zip.CRC32;
 
 /**
- * The delays before a source that failed is tried again: each twice as long as the one before, up to a bound, of which a
- * random part between half and all is waited. All nodes lose a source at one moment, and must not all come back at one.
- * Thread-safe.
+ * Exponential backoff with jitter for reconnecting to a source that failed. The upper bound of the delay doubles with each
+ * attempt until it reaches a maximum, and the delay is drawn at random between half of the bound and the bound: all nodes
+ * lose a source at the same moment and must not all reconnect at the same moment. Thread-safe.
  */
 public final class ReconnectBackoff {
     private static final long DEFAULT_MIN_MILLIS = 500;
-    /** Longer than it takes to start a service again, and short beside a stage of a rollout. */
+    /** Longer than a service takes to restart, and short compared with a stage of a rollout. */
     private static final long DEFAULT_MAX_MILLIS = 8_000;
 
-    /** Spreads the bits of a checksum over those of a fraction. */
-    private static final long MIXER = 0x9E3779B97F4A7C15L;
+    /** Spreads the 32 bits of a checksum over the bits of a fraction. */
+    private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
     private final long seed;
     private final long minMillis;
     private final long maxMillis;
-    private long draws;
-    private long nextMaxMillis;
+    private long drawCount;
+    private long currentBoundMillis;
 
-    /** Creates the delays of a source over HTTP; nodes are to have different seeds. */
+    /** Creates a backoff with the default delays; each node must use a different seed. */
     ReconnectBackoff(long seed) {
         this(seed, DEFAULT_MIN_MILLIS, DEFAULT_MAX_MILLIS);
     }
 
     /**
-     * Creates delays.
+     * Creates a backoff.
      *
-     * @param seed of the random draws; nodes are to have different ones
-     * @param minMillis bound of the first delay
-     * @param maxMillis bound of all delays
+     * @param seed determines the random part; each node must use a different one
+     * @param minMillis the upper bound of the first delay
+     * @param maxMillis the upper bound of all delays
      */
     public ReconnectBackoff(long seed, long minMillis, long maxMillis) {
         this.seed = seed;
         this.minMillis = minMillis;
         this.maxMillis = maxMillis;
-        nextMaxMillis = minMillis;
+        currentBoundMillis = minMillis;
     }
 
-    /** The source works: the next delay is a short one again. */
+    /** Resets the delay to its minimum; called when the source works. */
     public synchronized void reset() {
-        nextMaxMillis = minMillis;
+        currentBoundMillis = minMillis;
     }
 
-    /** Draws the delay before the next attempt, in milliseconds. */
+    /** Returns the delay before the next attempt, in milliseconds, and doubles the bound for the one after it. */
     public synchronized long nextDelayMillis() {
-        long delayMillis = (long) (nextMaxMillis * (0.5 + 0.5 * nextFraction()));
-        nextMaxMillis = Math.min(maxMillis, nextMaxMillis * 2);
+        long delayMillis = (long) (currentBoundMillis * (0.5 + 0.5 * nextFraction()));
+        currentBoundMillis = Math.min(maxMillis, currentBoundMillis * 2);
         return delayMillis;
     }
 
-    /** Draws a number from 0 to 1 that seed and count alone determine. */
+    /** Returns a pseudorandom number from 0 to 1 that depends only on the seed and the number of draws so far. */
     private double nextFraction() {
         CRC32 checksum = new CRC32();
         checksum.update(ByteBuffer.allocate(2 * Long.BYTES)
                 .putLong(seed)
-                .putLong(draws++)
+                .putLong(drawCount++)
                 .array());
-        return ((checksum.getValue() * MIXER) >>> 11) * 0x1.0p-53;
+        return ((checksum.getValue() * HASH_MULTIPLIER) >>> 11) * 0x1.0p-53;
     }
 }
--- a/src/main/java/laurelkeel/front/controlplane/RolloutJson.java
+++ b/src/main/java/laurelkeel/front/controlplane/RolloutJson.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The JSON form of one line of the rollout's watch, and of the answer to a vote. */
+/** JSON form of one line of the rollout watch, and of the response to a vote. */
 @JsonIgnoreProperties(ignoreUnknown = true)
 record RolloutJson(
         @Nullable String kind,
@@ -32,24 +32,24 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /**
-     * Reads a line or an answer.
+     * Reads a line of the watch or a vote response from its JSON text.
      *
-     * @return null where it says null
-     * @throws InvalidMessageException where it is no JSON of this form
+     * @return null if the text is the JSON value null
+     * @throws InvalidMessageException if the text is not JSON of this form
      */
     static @Nullable RolloutJson read(String text) throws InvalidMessageException {
         try {
             return JSON.readValue(text, RolloutJson.class);
         } catch (JsonProcessingException e) {
-            throw new InvalidMessageException("it could not be read: " + e.getOriginalMessage());
+            throw new InvalidMessageException("invalid JSON: " + e.getOriginalMessage());
         }
     }
 
     /**
-     * Checks and translates a line of the watch.
+     * Validates and converts a line of the watch.
      *
-     * @return null for a line that only shows that the service lives
-     * @throws InvalidMessageException where a field cannot be followed
+     * @return null for a heartbeat
+     * @throws InvalidMessageException if a field is missing or invalid
      */
     @Nullable
     RolloutMessage parse() throws InvalidMessageException {
@@ -64,9 +64,9 @@
     }
 
     /**
-     * Checks and translates the answer to a vote.
+     * Validates and converts the response to a vote.
      *
-     * @throws InvalidMessageException where a field cannot be followed
+     * @throws InvalidMessageException if a field is missing or invalid
      */
     VoteResponse parseVoteResponse() throws InvalidMessageException {
         return new VoteResponse(ControlPlaneTerms.controlStatus(voteStatus), phase == null ? null : parseStatus());
@@ -75,10 +75,10 @@
     private RolloutMessage.Status parseStatus() throws InvalidMessageException {
         RolloutPhase parsedPhase = ControlPlaneTerms.phase(phase);
         if (stage < 0) {
-            throw new InvalidMessageException("stage is " + stage);
+            throw new InvalidMessageException("stage is negative: " + stage);
         }
         if (!(exposureCap >= 0 && exposureCap <= 1)) {
-            throw new InvalidMessageException("cap is " + exposureCap);
+            throw new InvalidMessageException("cap is not between 0 and 1: " + exposureCap);
         }
         return new RolloutMessage.Status(
                 build, stage, exposureCap, parsedPhase, ageMillis, parseActiveBuilds(), parseAttribution());
@@ -91,7 +91,7 @@
         List<Integer> builds = new ArrayList<>(activeBuilds.size());
         for (Integer activeBuild : activeBuilds) {
             if (activeBuild == null) {
-                throw new InvalidMessageException("standing has a build that is null");
+                throw new InvalidMessageException("standing contains null");
             }
             builds.add(activeBuild);
         }
@@ -104,7 +104,7 @@
         }
         Attribution parsed = ControlPlaneTerms.attribution(attribution);
         if (parsed == null) {
-            LOG.warn("the attribution '{}' of build {} is unknown and counts for none", attribution, build);
+            LOG.warn("unknown attribution '{}' of build {}; treating it as none", attribution, build);
             return Attribution.NONE;
         }
         return parsed;
--- a/src/main/java/laurelkeel/front/controlplane/RolloutMessage.java
+++ b/src/main/java/laurelkeel/front/controlplane/RolloutMessage.java
@@ -5,21 +5,21 @@
 import laurelkeel.partition.PartitionedDecider.Attribution;
 import org.jspecify.annotations.Nullable;
 
-/** What the control service says of a build. */
+/** A message of the control service about a build. */
 public sealed interface RolloutMessage {
-    /** The build that the message is about. */
+    /** Returns the build that the message is about. */
     int build();
 
-    /** What a regression of the build is attributed to. */
+    /** Returns what a regression of the build is attributed to. */
     Attribution attribution();
 
     /**
-     * Where the rollout of a build stands.
+     * The state of a build's rollout.
      *
-     * @param stage from 0
-     * @param exposureCap share of the requests that the build may get, from 0 to 1
-     * @param ageMillis how long this had been so when the message was sent
-     * @param activeBuilds all builds that are not rolled back; null where the service knows one rollout only
+     * @param stage the current stage, from 0
+     * @param exposureCap the share of the requests that the build may get, from 0 to 1
+     * @param ageMillis how long the rollout had been in this state when the message was sent
+     * @param activeBuilds all builds that are not rolled back; null if the service supports only one rollout at a time
      */
     record Status(
             int build,
@@ -31,17 +31,17 @@
             Attribution attribution)
             implements RolloutMessage {
 
-        /** The status of a build of which the service no longer speaks: it has been rolled back. */
+        /** Returns the status of this build once the service no longer reports it: it has been rolled back. */
         public Status rolledBack() {
             return new Status(build, stage, 0, RolloutPhase.ROLLED_BACK, 0, null, Attribution.NONE);
         }
     }
 
     /**
-     * What the platform counted of all nodes' attempts at a build over its last period.
+     * The platform's statistics of all nodes' attempts on a build in the last reporting period.
      *
      * @param meanMillis the mean duration of attempts that did not fail
-     * @param ageMillis how long ago the period had ended when the message was sent
+     * @param ageMillis the time between the end of the period and the sending of the message
      */
     record Statistics(
             int build,
--- a/src/main/java/laurelkeel/front/controlplane/RolloutSource.java
+++ b/src/main/java/laurelkeel/front/controlplane/RolloutSource.java
@@ -15,7 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the control service's rollouts over a watch that it keeps open, and sends votes and reports to the service.
+ * Receives the state of rollouts from the control service over a watch that it keeps open, and sends votes and reports to
+ * the service.
  * Thread-safe.
  */
 public final class RolloutSource {
@@ -28,20 +29,20 @@
     private static final long REPORT_TIMEOUT_MILLIS = 2_000;
     private static final int OK = 200;
 
-    /** Receives what the source learns, on the event loop's thread and ahead of traffic. */
+    /** Receives updates on the event loop's thread, ahead of traffic. */
     public interface Listener {
         /**
-         * A message of the watch has come in.
+         * Called when a message of the watch has arrived.
          *
-         * @param arrivedAtTicks when its bytes were read
+         * @param arrivedAtTicks when the message was read
          */
         void onMessage(RolloutMessage message, long arrivedAtTicks);
 
         /**
-         * A vote has ended; each one does once.
+         * Called exactly once for each vote, when it has been answered or has failed.
          *
-         * @param build that the vote was on
-         * @param arrivedAtTicks when the response came or was given up
+         * @param build the build that was voted on
+         * @param arrivedAtTicks when the response arrived or the vote was given up
          */
         void onVoteEnded(int build, VoteResponse response, long arrivedAtTicks);
     }
@@ -53,9 +54,9 @@
     private final WatchSupervisor watch;
 
     /**
-     * Creates a source that makes no call before its start.
+     * Creates a source that makes no call before {@link #start}.
      *
-     * @param seed of the random part of the backoff
+     * @param seed determines the random part of the reconnect backoff
      */
     public RolloutSource(ControlPlaneClient client, int nodeIndex, long seed, Listener listener) {
         this.client = client;
@@ -88,32 +89,32 @@
                 loop.postPriority(() -> listener.onMessage(message, arrivedAtTicks));
             }
         } catch (InvalidMessageException e) {
-            LOG.warn("a line of the rollout is passed over: {}", e.getMessage());
+            LOG.warn("ignoring an invalid rollout message: {}", e.getMessage());
         }
     }
 
-    /** Sends what this node saw in one second; lost where the service does not answer, for the next report says more. */
+    /** Sends this node's report of one second. Not retried if it fails, because the next report says more. */
     public void report(Object report) {
         try {
             client.postWithoutResponse(REPORTS_PATH, JSON.writeValueAsBytes(report), REPORT_TIMEOUT_MILLIS);
         } catch (JsonProcessingException | RuntimeException e) {
-            LOG.warn("a report could not be sent: {}", e.toString());
+            LOG.warn("cannot send a report: {}", e.toString());
         }
     }
 
-    /** Sends a vote; exactly one {@link Listener#onVoteEnded} follows. */
+    /** Sends a vote; exactly one call of {@link Listener#onVoteEnded} follows. */
     public void vote(Action.CastVote vote, long timeoutMillis) {
-        Ballot ballot = new Ballot(nodeIndex, vote.build(), vote.stage(), ControlPlaneTerms.name(vote.verdict()));
-        ControlPlaneClient.whenDone(send(ballot, timeoutMillis), (response, failure) -> {
+        VoteJson json = new VoteJson(nodeIndex, vote.build(), vote.stage(), ControlPlaneTerms.name(vote.verdict()));
+        ControlPlaneClient.whenDone(send(json, timeoutMillis), (response, failure) -> {
             long arrivedAtTicks = loop.clockTicks();
             VoteResponse result = voteResponse(response, failure);
             loop.postPriority(() -> listener.onVoteEnded(vote.build(), result, arrivedAtTicks));
         });
     }
 
-    private CompletableFuture<HttpResponse<String>> send(Ballot ballot, long timeoutMillis) {
+    private CompletableFuture<HttpResponse<String>> send(VoteJson json, long timeoutMillis) {
         try {
-            return client.post(VOTES_PATH, JSON.writeValueAsBytes(ballot), timeoutMillis);
+            return client.post(VOTES_PATH, JSON.writeValueAsBytes(json), timeoutMillis);
         } catch (JsonProcessingException e) {
             return CompletableFuture.failedFuture(e);
         }
@@ -129,15 +130,15 @@
                 if (json != null) {
                     return json.parseVoteResponse();
                 }
-                LOG.warn("the answer to a vote is passed over: it is empty");
+                LOG.warn("ignoring an empty response to a vote");
             } catch (InvalidMessageException e) {
-                LOG.warn("the answer to a vote is passed over: {}", e.getMessage());
+                LOG.warn("ignoring an invalid response to a vote: {}", e.getMessage());
             }
         }
         return new VoteResponse(ControlStatus.FAILED, null);
     }
 
-    /** A call that was given up is cancelled: the timeout of the HTTP client itself ends with the headers. */
+    /** Calls past their total timeout are cancelled, since the HTTP client's own timeout covers only the headers. */
     private static boolean isTimeout(@Nullable Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
         return cause instanceof HttpTimeoutException || cause instanceof CancellationException;
--- a/src/main/java/laurelkeel/front/controlplane/SequentialBodySubscriber.java
+++ b/src/main/java/laurelkeel/front/controlplane/SequentialBodySubscriber.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.Flow;
 import org.jspecify.annotations.Nullable;
 
-/** Consumes a response body part by part and requests the next part only when it is ready for it. */
+/** Consumes a response body part by part and requests the next part only when ready for it. */
 abstract class SequentialBodySubscriber implements HttpResponse.BodySubscriber<String> {
     private final CompletableFuture<String> body = new CompletableFuture<>();
     private volatile Flow.@Nullable Subscription subscription;
@@ -17,14 +17,14 @@
     /**
      * Consumes all bytes of a part.
      *
-     * @throws IOException where the body cannot be accepted; it is cancelled then
+     * @throws IOException if the body is not acceptable; the response is then cancelled
      */
     abstract void consume(ByteBuffer part) throws IOException;
 
-    /** Called when all parts at hand are consumed; to run the request now or later. */
-    abstract void whenReady(Runnable requestMore);
+    /** Called when all received parts are consumed; must run {@code requestMore} now or later. */
+    abstract void onPartsConsumed(Runnable requestMore);
 
-    /** What the body's future gets once all of it is consumed. */
+    /** Returns the value that completes the future of the body after the last part. */
     abstract String result();
 
     @Override
@@ -38,7 +38,7 @@
         newSubscription.request(1);
     }
 
-    /** Stops the response. */
+    /** Cancels the response. */
     void cancel() {
         Flow.Subscription current = subscription;
         if (current != null) {
@@ -59,9 +59,9 @@
             for (ByteBuffer part : parts) {
                 consume(part);
             }
-            whenReady(this::requestMore);
+            onPartsConsumed(this::requestMore);
         } catch (IOException | RuntimeException | Error e) {
-            // the HTTP client would keep it to itself, and the source would be silent for ever
+            // the HTTP client would swallow the exception, and nothing more would ever arrive from the source
             cancel();
             onError(e);
         }
--- a/src/main/java/laurelkeel/front/controlplane/TextBodySubscriber.java
+++ b/src/main/java/laurelkeel/front/controlplane/TextBodySubscriber.java
@@ -5,7 +5,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Gathers a response body as text, up to a bound: a body that never ends would take up all memory. */
+/** Collects a response body as text, up to a maximum size: an endless body would exhaust the memory. */
 final class TextBodySubscriber extends SequentialBodySubscriber {
     private static final int MAX_BODY_BYTES = LineBodySubscriber.MAX_LINE_BYTES;
 
@@ -14,7 +14,7 @@
     @Override
     void consume(ByteBuffer part) throws IOException {
         if (part.remaining() > MAX_BODY_BYTES - bytes.size()) {
-            throw new IOException("a body of over " + MAX_BODY_BYTES + " bytes");
+            throw new IOException("the response body exceeds " + MAX_BODY_BYTES + " bytes");
         }
         byte[] copy = new byte[part.remaining()];
         part.get(copy);
@@ -22,7 +22,7 @@
     }
 
     @Override
-    void whenReady(Runnable requestMore) {
+    void onPartsConsumed(Runnable requestMore) {
         requestMore.run();
     }
 
--- a/src/main/java/laurelkeel/front/controlplane/VoteJson.java
+++ b/src/main/java/laurelkeel/front/controlplane/VoteJson.java
@@ -2,5 +2,5 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** The JSON form of a vote. */
-record Ballot(@JsonProperty("front") int nodeIndex, int build, int stage, String verdict) {}
+/** JSON form of a vote. */
+record VoteJson(@JsonProperty("front") int nodeIndex, int build, int stage, String verdict) {}
--- a/src/main/java/laurelkeel/front/controlplane/VoteResponse.java
+++ b/src/main/java/laurelkeel/front/controlplane/VoteResponse.java
@@ -4,8 +4,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The control service's answer to a vote, or that there was none.
+ * The outcome of a vote: the control service's response, or that there was none.
  *
- * @param rollout where the rollout stands; null where the answer does not say or did not come
+ * @param rollout the state of the rollout; null if the response does not include it or did not arrive
  */
 public record VoteResponse(ControlStatus status, RolloutMessage.@Nullable Status rollout) {}
--- a/src/main/java/laurelkeel/front/controlplane/WatchSupervisor.java
+++ b/src/main/java/laurelkeel/front/controlplane/WatchSupervisor.java
@@ -7,7 +7,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Holds one watch of a service and acts when it ends by itself: either reconnects after a backoff, or notifies its owner.
+ * Manages one watch on a service. When the watch ends without having been cancelled, the supervisor either reopens it after
+ * a backoff or notifies its owner.
  * Thread-safe.
  */
 final class WatchSupervisor {
@@ -38,12 +39,12 @@
     }
 
     /**
-     * Creates a supervisor that opens its watch again whenever it ends.
+     * Creates a supervisor that reopens its watch whenever it ends.
      *
-     * @param name of what is watched, for the log
-     * @param path read anew each time that the watch is opened
+     * @param name the name of the watched resource, for the log
+     * @param path supplies the path each time the watch is opened
      * @param onLine called on the HTTP client's threads, for one line at a time
-     * @param seed of the random part of the backoff
+     * @param seed determines the random part of the reconnect backoff
      */
     static WatchSupervisor reconnecting(
             ControlPlaneClient client, String name, Supplier<String> path, Consumer<String> onLine, long seed) {
@@ -51,9 +52,9 @@
     }
 
     /**
-     * Creates a supervisor that leaves it to its owner to open the watch again.
+     * Creates a supervisor that leaves reopening the watch to its owner.
      *
-     * @param onEnded called each time that the watch has ended by itself
+     * @param onEnded called each time the watch ends without having been cancelled
      */
     static WatchSupervisor notifying(
             ControlPlaneClient client, String name, Supplier<String> path, Consumer<String> onLine, Runnable onEnded) {
@@ -66,19 +67,19 @@
             return;
         }
         try {
-            watch = client.openWatch(path.get(), onLine, this::ended);
+            watch = client.openWatch(path.get(), onLine, this::onWatchEnded);
         } catch (RuntimeException e) {
-            ended(e.toString());
+            onWatchEnded(e.toString());
         }
     }
 
-    /** Opens the watch in place of one that may be open. */
+    /** Cancels the watch if it is open, and opens a new one. */
     synchronized void reopen() {
         cancel();
         open();
     }
 
-    /** Ends the watch where one is open; it may be opened again. */
+    /** Cancels the watch if it is open; it may be reopened. */
     synchronized void cancel() {
         if (watch != null) {
             watch.cancel();
@@ -86,18 +87,18 @@
         }
     }
 
-    /** Ends the watch for good. */
+    /** Cancels the watch; later calls of {@link #open} have no effect. */
     synchronized void close() {
         closed = true;
         cancel();
     }
 
-    /** Notes that the service works, so that the next reconnect comes soon. */
+    /** Resets the backoff because the service works, so that the next reconnect is fast. */
     void resetBackoff() {
         backoff.reset();
     }
 
-    private synchronized void ended(String reason) {
+    private synchronized void onWatchEnded(String reason) {
         watch = null;
         if (!closed) {
             LOG.warn("the watch on the {} ended: {}", name, reason);
--- a/src/main/java/laurelkeel/front/controlplane/package-info.java
+++ b/src/main/java/laurelkeel/front/controlplane/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What a front node exchanges with its control plane: the endpoint list, the rollout's state, votes and reports over
- * HTTP, and gossip with other nodes. Messages are parsed once, here, into the terms of {@link laurelkeel.api}.
+ * Communication of a front node with its control plane: the endpoint list, the state of rollouts, votes and reports over
+ * HTTP, and gossip with other nodes. Messages are translated here, and only here, into the terms of {@link laurelkeel.api}.
  */
 @NullMarked
 package laurelkeel.front.controlplane;
--- a/src/test/java/laurelkeel/front/controlplane/BodySubscriberTest.java
+++ b/src/test/java/laurelkeel/front/controlplane/BodySubscriberTest.java
@@ -15,7 +15,7 @@
 import laurelkeel.wire.LineTooLongException;
 import org.junit.jupiter.api.Test;
 
-/** Response bodies are consumed at the consumer's pace and to a bound. */
+/** Response bodies are consumed at the consumer's pace and up to a maximum size. */
 class BodySubscriberTest {
     private static final int PART_BYTES = 1 << 20;
 
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void linesAreHandedOverAndMoreIsRequestedOnlyOnceTheExecutorGetsToIt() {
+    void linesArePassedOnAndMoreIsRequestedOnlyWhenTheExecutorRunsTheRequest() {
         LineBodySubscriber subscriber = lineSubscriber();
         assertEquals(1, subscription.requested);
         subscriber.onNext(part("one\ntw"));
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aLineWithoutEndCancelsTheResponse() {
+    void aLineOverTheMaximumLengthCancelsTheResponse() {
         LineBodySubscriber subscriber = lineSubscriber();
         String part = "x".repeat(PART_BYTES);
         for (int bytes = 0; bytes < LineBodySubscriber.MAX_LINE_BYTES; bytes += PART_BYTES) {
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void whatTheConsumerOfALineThrowsCancelsTheResponse() {
+    void anExceptionInTheLineConsumerCancelsTheResponse() {
         RuntimeException thrown = new IllegalStateException("thrown by the test");
         LineBodySubscriber subscriber = new LineBodySubscriber(
                 line -> {
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void aTextIsGatheredWhole() {
+    void allPartsOfATextAreCollected() {
         TextBodySubscriber subscriber = new TextBodySubscriber();
         subscriber.onSubscribe(subscription);
         subscriber.onNext(part("one\ntw"));
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void aTextOverTheBoundCancelsTheResponse() {
+    void aTextOverTheMaximumSizeCancelsTheResponse() {
         TextBodySubscriber subscriber = new TextBodySubscriber();
         subscriber.onSubscribe(subscription);
         String part = "x".repeat(PART_BYTES);
--- a/src/test/java/laurelkeel/front/controlplane/ControlPlaneTermsTest.java
+++ b/src/test/java/laurelkeel/front/controlplane/ControlPlaneTermsTest.java
@@ -14,17 +14,17 @@
 import laurelkeel.partition.PartitionedDecider.Attribution;
 import org.junit.jupiter.api.Test;
 
-/** Names in messages of the control plane are those of the pages, whatever the code calls things. */
+/** Names in control plane messages are the documented ones, independent of the names in the code. */
 class ControlPlaneTermsTest {
     @Test
-    void verdictsAreWrittenAsTheControlServiceKnowsThem() {
+    void verdictsAreWrittenWithTheNamesOfTheControlService() {
         assertEquals(
                 List.of("none", "on", "hold", "back"),
                 Arrays.stream(Verdict.values()).map(ControlPlaneTerms::name).toList());
     }
 
     @Test
-    void endpointStatesAreReadInAnyCase() {
+    void endpointStatesAreParsedIgnoringCase() {
         assertEquals(EndpointState.ACTIVE, ControlPlaneTerms.endpointState("live"));
         assertEquals(EndpointState.DRAINING, ControlPlaneTerms.endpointState("Draining"));
         assertEquals(EndpointState.REMOVED, ControlPlaneTerms.endpointState("GONE"));
@@ -32,14 +32,14 @@
     }
 
     @Test
-    void endpointStatesAreWrittenAsTheyAreRead() {
+    void writtenEndpointStatesAreParsedBack() {
         for (EndpointState state : EndpointState.values()) {
             assertEquals(state, ControlPlaneTerms.endpointState(ControlPlaneTerms.name(state)));
         }
     }
 
     @Test
-    void phasesAreReadExactlyAsThePagesNameThem() throws Exception {
+    void onlyTheExactNamesOfPhasesAreParsed() throws Exception {
         assertEquals(RolloutPhase.CANARY, ControlPlaneTerms.phase("trial"));
         assertEquals(RolloutPhase.ROLLING_BACK, ControlPlaneTerms.phase("going-back"));
         assertEquals(RolloutPhase.RELEASED, ControlPlaneTerms.phase("released"));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void listKindsAreRead() throws Exception {
+    void listKindsAreParsed() throws Exception {
         assertEquals(EndpointListKind.SNAPSHOT, ControlPlaneTerms.listKind("full"));
         assertEquals(EndpointListKind.DELTA, ControlPlaneTerms.listKind("changes"));
         assertThrows(InvalidMessageException.class, () -> ControlPlaneTerms.listKind("snapshot"));
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void answersToVotesAreReadAndUnknownOnesFail() {
+    void voteStatusesAreParsedAndUnknownOnesCountAsFailed() {
         assertEquals(ControlStatus.OK, ControlPlaneTerms.controlStatus("ok"));
         assertEquals(ControlStatus.STALE, ControlPlaneTerms.controlStatus("moot"));
         assertEquals(ControlStatus.RATE_LIMITED, ControlPlaneTerms.controlStatus("over-limit"));
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void attributionsAreReadInAnyCase() {
+    void attributionsAreParsedIgnoringCase() {
         assertEquals(Attribution.NONE, ControlPlaneTerms.attribution("none"));
         assertEquals(Attribution.OPEN, ControlPlaneTerms.attribution("open"));
         assertEquals(Attribution.CLEARED, ControlPlaneTerms.attribution("Cleared"));
--- a/src/test/java/laurelkeel/front/controlplane/EndpointListJsonTest.java
+++ b/src/test/java/laurelkeel/front/controlplane/EndpointListJsonTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 class EndpointListJsonTest {
-    private static final String MACHINE = "{\"machine\":\"10.0.0.1:80\",\"build\":4,\"zone\":\"north\",\"cell\":2,"
+    private static final String ENDPOINT = "{\"machine\":\"10.0.0.1:80\",\"build\":4,\"zone\":\"north\",\"cell\":2,"
             + "\"kind\":1,\"size\":1.5,\"state\":\"live\",\"run\":3,\"ageMs\":120.5,\"later\":true}";
 
     private static EndpointListMessage parse(String line) throws InvalidMessageException {
@@ -25,9 +25,9 @@
     }
 
     @Test
-    void changesAreReadByTheNamesOfThePages() throws Exception {
+    void deltasAreParsedByTheirDocumentedNames() throws Exception {
         EndpointListMessage list =
-                parse("{\"kind\":\"changes\",\"version\":8,\"previous\":7,\"machines\":[" + MACHINE + "]}");
+                parse("{\"kind\":\"changes\",\"version\":8,\"previous\":7,\"machines\":[" + ENDPOINT + "]}");
         assertEquals(
                 new EndpointListMessage(
                         EndpointListKind.DELTA,
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void heartbeatsAndLinesWithoutAListHoldNothing() throws Exception {
+    void heartbeatsAndLinesWithoutAListYieldNoMessage() throws Exception {
         assertNull(parse("{\"kind\":\"beat\"}"));
         assertNull(parse("{\"kind\":\"full\",\"version\":8}"));
         assertNull(EndpointListJson.read("null"));
@@ -47,16 +47,16 @@
 
     @Test
     void errorsNameTheFieldAndTheReason() {
-        assertEquals("kind is 'null'", error("{\"version\":3,\"machines\":[]}"));
-        assertEquals("kind is 'some'", error("{\"kind\":\"some\",\"machines\":[]}"));
+        assertEquals("unknown kind 'null'", error("{\"version\":3,\"machines\":[]}"));
+        assertEquals("unknown kind 'some'", error("{\"kind\":\"some\",\"machines\":[]}"));
         assertEquals("an endpoint is null", error("{\"kind\":\"full\",\"machines\":[null]}"));
         assertEquals("an endpoint has no machine", error("{\"kind\":\"full\",\"machines\":[{\"build\":4}]}"));
         assertEquals(
                 "an endpoint has no zone",
-                error("{\"kind\":\"full\",\"machines\":[" + MACHINE.replace("\"north\"", "null") + "]}"));
+                error("{\"kind\":\"full\",\"machines\":[" + ENDPOINT.replace("\"north\"", "null") + "]}"));
         assertEquals(
                 "an endpoint has no state",
-                error("{\"kind\":\"full\",\"machines\":[" + MACHINE.replace("\"live\"", "null") + "]}"));
+                error("{\"kind\":\"full\",\"machines\":[" + ENDPOINT.replace("\"live\"", "null") + "]}"));
         assertThrows(InvalidMessageException.class, () -> EndpointListJson.read("[]"));
         assertThrows(InvalidMessageException.class, () -> EndpointListJson.read("no json"));
     }
@@ -64,7 +64,7 @@
     @Test
     void anEndpointInAnUnknownStateCountsAsDraining() throws Exception {
         EndpointListMessage list =
-                parse("{\"kind\":\"full\",\"machines\":[" + MACHINE.replace("live", "resting") + "]}");
+                parse("{\"kind\":\"full\",\"machines\":[" + ENDPOINT.replace("live", "resting") + "]}");
         assertEquals(EndpointState.DRAINING, list.endpoints().get(0).state());
     }
 }
--- a/src/test/java/laurelkeel/front/controlplane/RolloutJsonTest.java
+++ b/src/test/java/laurelkeel/front/controlplane/RolloutJsonTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void theStatusOfABuildIsReadByTheNamesOfThePages() throws Exception {
+    void statusIsParsedByItsDocumentedNames() throws Exception {
         String line = STATUS.replace("}", ",\"standing\":[8,9],\"blame\":\"set-aside\"}");
         assertEquals(
                 new RolloutMessage.Status(9, 1, 0.4, RolloutPhase.CANARY, 30, List.of(8, 9), Attribution.SET_ASIDE),
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void statisticsOfABuildAreReadByTheNamesOfThePages() throws Exception {
+    void statisticsAreParsedByTheirDocumentedNames() throws Exception {
         assertEquals(
                 new RolloutMessage.Statistics(9, 1, 50, 3, 12.5, 40, Attribution.NONE),
                 read("{\"kind\":\"counts\",\"build\":9,\"route\":1,\"tries\":50,\"errors\":3,\"meanMs\":12.5,"
@@ -49,22 +49,22 @@
     }
 
     @Test
-    void heartbeatsHoldNothing() throws Exception {
+    void heartbeatsYieldNoMessage() throws Exception {
         assertNull(read("{\"kind\":\"beat\"}").parse());
         assertNull(RolloutJson.read("null"));
     }
 
     @Test
     void errorsNameTheFieldAndTheReason() {
-        assertEquals("phase is 'null'", error("{\"kind\":\"news\",\"build\":9}"));
-        assertEquals("phase is 'perhaps'", error(STATUS.replace("trial", "perhaps")));
-        assertEquals("stage is -1", error(STATUS.replace("\"stage\":1", "\"stage\":-1")));
-        assertEquals("cap is 7.0", error(STATUS.replace("0.4", "7")));
-        assertEquals("standing has a build that is null", error(STATUS.replace("}", ",\"standing\":[null]}")));
+        assertEquals("unknown phase 'null'", error("{\"kind\":\"news\",\"build\":9}"));
+        assertEquals("unknown phase 'perhaps'", error(STATUS.replace("trial", "perhaps")));
+        assertEquals("stage is negative: -1", error(STATUS.replace("\"stage\":1", "\"stage\":-1")));
+        assertEquals("cap is not between 0 and 1: 7.0", error(STATUS.replace("0.4", "7")));
+        assertEquals("standing contains null", error(STATUS.replace("}", ",\"standing\":[null]}")));
     }
 
     @Test
-    void anUnknownAttributionCountsForNone() throws Exception {
+    void anUnknownAttributionCountsAsNone() throws Exception {
         RolloutMessage message =
                 read(STATUS.replace("}", ",\"blame\":\"whoever\"}")).parse();
         assertNotNull(message);
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void answersToVotesSayWhereTheRolloutStandsOrNot() throws Exception {
+    void voteResponsesMayIncludeTheStatusOfTheRollout() throws Exception {
         VoteResponse response =
                 read(STATUS.replace("}", ",\"answer\":\"moot\"}")).parseVoteResponse();
         assertEquals(ControlStatus.STALE, response.status());
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aStatusBecomesThatOfABuildWhichWasRolledBack() {
+    void rolledBackReturnsTheStatusOfARolledBackBuild() {
         RolloutMessage.Status canary =
                 new RolloutMessage.Status(9, 1, 0.4, RolloutPhase.CANARY, 30, List.of(9), Attribution.GUILTY);
         assertEquals(
@@ -95,9 +95,10 @@
     }
 
     @Test
-    void ballotsAreWrittenByTheNamesOfThePages() throws Exception {
+    void votesAreWrittenWithTheirDocumentedNames() throws Exception {
         assertEquals(
                 "{\"front\":2,\"build\":9,\"stage\":1,\"verdict\":\"back\"}",
-                new ObjectMapper().writeValueAsString(new Ballot(2, 9, 1, ControlPlaneTerms.name(Verdict.ROLL_BACK))));
+                new ObjectMapper()
+                        .writeValueAsString(new VoteJson(2, 9, 1, ControlPlaneTerms.name(Verdict.ROLL_BACK))));
     }
 }
--- a/src/test/java/laurelkeel/front/controlplane/WatchSupervisorTest.java
+++ b/src/test/java/laurelkeel/front/controlplane/WatchSupervisorTest.java
@@ -24,12 +24,12 @@
 
 class WatchSupervisorTest {
     private static final long TIMEOUT_SECONDS = 10;
-    /** Longer than the first backoff. */
-    private static final long NOTHING_WITHIN_MILLIS = 1_000;
+    /** How long a test waits to see that nothing happens; longer than the first backoff. */
+    private static final long NO_EVENT_MILLIS = 1_000;
 
     private final BlockingQueue<String> requestedUris = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
     private final AtomicInteger opened = new AtomicInteger();
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
     private final EventLoop loop = new EventLoop(() -> System.nanoTime() / 100_000);
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aReconnectingWatchIsOpenedAgainWithItsNextPath() throws Exception {
+    void aReconnectingSupervisorReopensTheWatchWithANewPath() throws Exception {
         WatchSupervisor watch = WatchSupervisor.reconnecting(client, "test", this::path, lines::add, 1);
         watch.open();
         assertEquals("/watch?n=1", requestedUris.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
@@ -76,26 +76,26 @@
     }
 
     @Test
-    void aNotifyingWatchLeavesItToItsOwnerToOpenItAgain() throws Exception {
+    void aNotifyingSupervisorLeavesReopeningToItsOwner() throws Exception {
         WatchSupervisor watch =
-                WatchSupervisor.notifying(client, "test", this::path, lines::add, () -> ends.add("ended"));
+                WatchSupervisor.notifying(client, "test", this::path, lines::add, () -> notifications.add("ended"));
         watch.open();
-        assertNotNull(ends.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        assertNotNull(notifications.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertEquals("/watch?n=1", requestedUris.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
-        assertNull(requestedUris.poll(NOTHING_WITHIN_MILLIS, TimeUnit.MILLISECONDS));
+        assertNull(requestedUris.poll(NO_EVENT_MILLIS, TimeUnit.MILLISECONDS));
         watch.reopen();
         assertEquals("/watch?n=2", requestedUris.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         watch.close();
     }
 
     @Test
-    void aClosedWatchIsNeitherOpenedNorReported() throws Exception {
+    void aClosedSupervisorNeitherOpensTheWatchNorNotifies() throws Exception {
         WatchSupervisor watch =
-                WatchSupervisor.notifying(client, "test", this::path, lines::add, () -> ends.add("ended"));
+                WatchSupervisor.notifying(client, "test", this::path, lines::add, () -> notifications.add("ended"));
         watch.close();
         watch.open();
         watch.reopen();
-        assertNull(requestedUris.poll(NOTHING_WITHIN_MILLIS, TimeUnit.MILLISECONDS));
-        assertNull(ends.poll());
+        assertNull(requestedUris.poll(NO_EVENT_MILLIS, TimeUnit.MILLISECONDS));
+        assertNull(notifications.poll());
     }
 }
