--- a/src/test/java/laurelkeel/config/IniFileTest.java
+++ b/src/test/java/laurelkeel/config/IniFileTest.java
@@ -92,7 +92,7 @@
         InvalidSettingsException e = assertThrows(
                 InvalidSettingsException.class,
                 () -> Scenario.find(directory.resolve("none.ini").toString()));
-        assertTrue(e.getMessage().contains("no such file"));
+        assertTrue(e.getMessage().contains("none.ini: no such file"));
         e = assertThrows(
                 InvalidSettingsException.class,
                 () -> Scenario.read(
