--- a/src/main/java/laurelkeel/front/RequestIntake.java
+++ b/src/main/java/laurelkeel/front/RequestIntake.java
@@ -49,7 +49,7 @@
         long now = loop.nowTicks();
         long deadline = arrivedAtTicks + clientRequest.remainingTicks();
         AcceptedRequest request = requests.create(connection, clientRequest, now, deadline);
-        connection.current(request);
+        connection.setCurrentToken(request);
         if (request.isExpired(now)) {
             responses.rejectExpired(request);
             return;
@@ -62,7 +62,7 @@
 
     /** One id is one request: the answer to the other one must not be this client's too. */
     private void rejectDuplicate(ClientConnection connection, ClientRequest clientRequest) {
-        connection.current(null);
+        connection.setCurrentToken(null);
         components.ingress().releaseBody(clientRequest);
         HttpProtocolException conflict = new HttpProtocolException(409, "a req with this id is open");
         components
@@ -87,7 +87,7 @@
 
     /** Answers a message for the node itself. */
     void answerNodeRequest(ClientConnection connection, HttpRequest message) {
-        connection.current(null);
+        connection.setCurrentToken(null);
         components
                 .ingress()
                 .answer(
--- a/src/main/java/laurelkeel/front/ingress/ClientConnection.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientConnection.java
@@ -247,7 +247,7 @@
     }
 
     /** Sets the token of the request in progress, which comes back with {@link IngressListener#onDisconnect}. */
-    public void current(@Nullable Object token) {
+    public void setCurrentToken(@Nullable Object token) {
         currentToken = token;
     }
 
--- a/src/main/java/laurelkeel/front/ingress/IngressListener.java
+++ b/src/main/java/laurelkeel/front/ingress/IngressListener.java
@@ -18,7 +18,7 @@
     /**
      * Called when a connection with a request in progress is gone.
      *
-     * @param current the token of that request, see {@link GeneratorConnection#current}; null for none
+     * @param current the token of that request, see {@link ClientConnection#setCurrentToken}; null for none
      */
     void onDisconnect(@Nullable Object current);
 
--- a/src/main/java/laurelkeel/front/ingress/RequestPipeline.java
+++ b/src/main/java/laurelkeel/front/ingress/RequestPipeline.java
@@ -98,7 +98,7 @@
     void clientLeft(ClientConnection connection) {
         if (connection.isRequestInProgress() && connection.currentToken() != null) {
             listener.onDisconnect(connection.currentToken());
-            connection.current(null);
+            connection.setCurrentToken(null);
             connection.write(protocol.failed(false, "its client ended the connection; the req may have run"), false);
         }
         for (PipelinedMessage next = connection.pollWaiting(); next != null; next = connection.pollWaiting()) {
--- a/src/main/java/laurelkeel/front/ingress/ResponseSender.java
+++ b/src/main/java/laurelkeel/front/ingress/ResponseSender.java
@@ -72,7 +72,7 @@
     }
 
     private void enqueue(ClientConnection connection, ResponseWrite response) {
-        connection.current(null);
+        connection.setCurrentToken(null);
         pendingWrites.add(() -> write(connection, response));
     }
 
--- a/src/test/java/laurelkeel/front/ingress/RequestPipelineTest.java
+++ b/src/test/java/laurelkeel/front/ingress/RequestPipelineTest.java
@@ -60,7 +60,7 @@
 
         @Override
         public void onRequest(ClientConnection connection, ClientRequest request, long arrivedTicks) {
-            connection.current(request.clientRequestId());
+            connection.setCurrentToken(request.clientRequestId());
             events.add(request.clientRequestId() + " arrived at " + arrivedTicks);
         }
 
