--- a/src/main/java/laurelkeel/front/NodeGauges.java
+++ b/src/main/java/laurelkeel/front/NodeGauges.java
@@ -1,6 +1,5 @@
 package laurelkeel.front;
 
-import java.util.Locale;
 import laurelkeel.admin.ProcessMetrics;
 import laurelkeel.eventloop.EventLoop;
 import laurelkeel.front.ingress.CloseReason;
@@ -36,10 +35,8 @@
         metrics.gauge("laurelkeel_body_bytes_held", status::bodyBytes);
         for (CloseReason reason : CloseReason.values()) {
             metrics.gauge(
-                    "laurelkeel_client_connections_closed",
-                    "reason",
-                    reason.name().toLowerCase(Locale.ROOT),
-                    () -> status.closedConnections().getOrDefault(reason, 0L));
+                    "laurelkeel_client_connections_closed", "reason", reason.label(), () -> status.closedConnections()
+                            .getOrDefault(reason, 0L));
         }
     }
 
--- a/src/main/java/laurelkeel/front/ingress/ClientConnection.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientConnection.java
@@ -144,7 +144,7 @@
     /** Returns the recorded reason; without one, the node itself has ended. */
     CloseReason closeReason() {
         CloseReason reason = closeReason.get();
-        return reason == null ? CloseReason.FRONT_ENDED : reason;
+        return reason == null ? CloseReason.NODE_STOPPED : reason;
     }
 
     boolean isClosePending() {
@@ -193,7 +193,7 @@
     /** Rejects the connection with a response; on the I/O thread. */
     void reject(HttpResponse response) {
         rejected = true;
-        recordCloseReason(CloseReason.NO_PLACE);
+        recordCloseReason(CloseReason.CONNECTION_LIMIT_REACHED);
         session.write(response);
         session.closeOnFlush();
     }
@@ -287,7 +287,7 @@
         WriteFuture written = session.write(message);
         if (last) {
             lastResponseWritten = true;
-            recordCloseReason(CloseReason.LAST_ANSWER);
+            recordCloseReason(CloseReason.LAST_RESPONSE_WRITTEN);
             session.closeOnFlush();
         }
         return written;
--- a/src/main/java/laurelkeel/front/ingress/ClientIoHandler.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientIoHandler.java
@@ -76,7 +76,7 @@
         if (!network) {
             LOG.error("client connection {}: cannot handle its input", session.getId(), cause);
         }
-        recordCloseReason(ClientConnection.of(session), network ? CloseReason.BROKEN : CloseReason.INTERNAL_ERROR);
+        recordCloseReason(ClientConnection.of(session), network ? CloseReason.CONNECTION_ERROR : CloseReason.INTERNAL_ERROR);
         session.closeNow();
     }
 
--- a/src/main/java/laurelkeel/front/ingress/ConnectionAdmission.java
+++ b/src/main/java/laurelkeel/front/ingress/ConnectionAdmission.java
@@ -57,7 +57,7 @@
         if (victim != null) {
             connections.releaseSlot(victim);
             closer.closeIfUnused(
-                    victim, search.victimRequestsRead, CloseReason.ROOM_NEEDED, search.victimRequestsRead == 0);
+                    victim, search.victimRequestsRead, CloseReason.EVICTED, search.victimRequestsRead == 0);
         }
     }
 
--- a/src/main/java/laurelkeel/front/ingress/ConnectionSweeper.java
+++ b/src/main/java/laurelkeel/front/ingress/ConnectionSweeper.java
@@ -51,7 +51,7 @@
     private void sweep(ClientConnection connection, long nowTicks) {
         int requestsRead = connection.requestsRead();
         if (connection.writeStalledTicks(nowTicks) > settings.writeTimeoutTicks()) {
-            connection.recordCloseReason(CloseReason.WRITE_STALLED);
+            connection.recordCloseReason(CloseReason.WRITE_TIMEOUT);
             connection.closeNow();
         } else if (connection.owesNothing() && !connection.isClosePending()) {
             long partialTicks = connection.partialRequestTicks();
@@ -65,22 +65,22 @@
 
     private void checkPartialRequest(ClientConnection connection, int requestsRead, long partialTicks) {
         if (isPast(settings.partialRequestTimeoutTicks(), partialTicks)) {
-            connection.recordCloseReason(CloseReason.REQUEST_UNFINISHED);
+            connection.recordCloseReason(CloseReason.PARTIAL_REQUEST_TIMEOUT);
             connection.write(
                     protocol.badRequest(
                             new HttpProtocolException(REQUEST_TIMEOUT, "the req did not come whole in time"), null),
                     true);
         } else if (partialTicks > settings.idleTimeoutTicks()) {
             // a client that sends a byte of a request now and then would keep its slot for ever
-            closer.closeIfUnused(connection, requestsRead, CloseReason.IDLE, true);
+            closer.closeIfUnused(connection, requestsRead, CloseReason.IDLE_TIMEOUT, true);
         }
     }
 
     private void checkIdle(ClientConnection connection, int requestsRead, long idleTicks) {
         if (requestsRead == 0 && isPast(settings.firstRequestTimeoutTicks(), idleTicks)) {
-            closer.closeIfUnused(connection, requestsRead, CloseReason.FIRST_REQUEST_LATE, false);
+            closer.closeIfUnused(connection, requestsRead, CloseReason.FIRST_REQUEST_TIMEOUT, false);
         } else if (idleTicks > settings.idleTimeoutTicks()) {
-            closer.closeIfUnused(connection, requestsRead, CloseReason.IDLE, false);
+            closer.closeIfUnused(connection, requestsRead, CloseReason.IDLE_TIMEOUT, false);
         }
     }
 
--- a/src/main/java/laurelkeel/front/ingress/Ingress.java
+++ b/src/main/java/laurelkeel/front/ingress/Ingress.java
@@ -121,7 +121,7 @@
 
     /** Closes the connections that have no request in progress or read in part. */
     public void closeIdle() {
-        closer.closeAllIdle(CloseReason.DRAIN);
+        closer.closeAllIdle(CloseReason.DRAINED);
     }
 
     /** Closes all connections once the pending responses are written, or after a second. */
--- a/src/test/java/laurelkeel/front/ingress/ClientConnectionTest.java
+++ b/src/test/java/laurelkeel/front/ingress/ClientConnectionTest.java
@@ -31,10 +31,10 @@
 
     @Test
     void theFirstCloseReasonCounts() {
-        assertEquals(CloseReason.FRONT_ENDED, connection.closeReason());
-        connection.recordCloseReason(CloseReason.IDLE);
-        connection.recordCloseReason(CloseReason.BROKEN);
-        assertEquals(CloseReason.IDLE, connection.closeReason());
+        assertEquals(CloseReason.NODE_STOPPED, connection.closeReason());
+        connection.recordCloseReason(CloseReason.IDLE_TIMEOUT);
+        connection.recordCloseReason(CloseReason.CONNECTION_ERROR);
+        assertEquals(CloseReason.IDLE_TIMEOUT, connection.closeReason());
     }
 
     @Test
