--- a/src/main/java/laurelkeel/front/ingress/ClientAcceptor.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientAcceptor.java
@@ -15,22 +15,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Accepts connections, and differs from MINA's acceptor in three points: an accept that fails for a moment (accept(2) names
- * ECONNABORTED, ENFILE, ENOBUFS and others) delays the next one by milliseconds instead of a second; a limit holds on the
- * connections that have a descriptor, however fast they arrive; and the listener closes only after it has accepted the
- * connections in the backlog, since the close would reset them with the requests that their clients have sent.
+ * Accepts connections from clients. It differs from MINA's acceptor in three points:
+ *
+ * <ul>
+ *   <li>After a transient accept failure (accept(2) lists ECONNABORTED, ENFILE, ENOBUFS and others) it pauses for
+ *       milliseconds instead of a second.
+ *   <li>It limits the number of connections that have a file descriptor, however fast connections arrive.
+ *   <li>Before it closes the listening socket, it accepts the connections in the backlog. Closing would reset them, and the
+ *       requests that their clients have already sent would be lost.
+ * </ul>
  *
  * <p>Threading: {@link #sessionOpened} and {@link #failedAccepts} are thread-safe; the rest runs on the acceptor's thread.
  */
 final class ClientAcceptor extends NioSocketAcceptor {
     private static final Logger LOG = LoggerFactory.getLogger(ClientAcceptor.class);
-    /** The pause after consecutive failures grows by a millisecond from none to this. */
+    /** The pause after a failure starts at 0 and grows by 1 ms with each consecutive failure, up to this limit. */
     private static final int MAX_FAILURE_PAUSE_MILLIS = 10;
 
     private static final long CAPACITY_POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
-    /** After so many polls the listener is served again, since it may have been asked to close. */
+    /** After this number of polls, control returns to MINA's accept loop, because a close may have been requested. */
     private static final int MAX_CAPACITY_POLLS = 200;
-    /** How long a closing listener accepts connections from its backlog. */
+    /** Maximum time for which connections are accepted from the backlog while the listening socket is being closed. */
     private static final long MAX_CLOSE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final SimpleIoProcessorPool<NioSession> processors;
@@ -40,9 +45,9 @@
     private int consecutiveFailures;
 
     /**
-     * Creates an acceptor that does not listen yet.
+     * Creates an acceptor that is not listening yet.
      *
-     * @param maxDescriptors connections that may have a descriptor at a time, in whatever state
+     * @param maxDescriptors maximum number of connections that have a file descriptor at the same time, in any state
      */
     ClientAcceptor(Executor threads, SimpleIoProcessorPool<NioSession> processors, int maxDescriptors) {
         super(threads, processors);
@@ -55,12 +60,12 @@
         unopenedSessions.decrementAndGet();
     }
 
-    /** Returns how many accepts have failed since the start. */
+    /** Returns the number of failed accepts since the start. */
     int failedAccepts() {
         return failedAccepts.get();
     }
 
-    /** Returns null where no connection was accepted. */
+    /** Accepts one connection; returns null if none was accepted. */
     @Override
     protected @Nullable NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle) {
         if (!awaitCapacity()) {
@@ -69,7 +74,7 @@
         try {
             NioSession session = super.accept(processor, handle);
             if (session == null) {
-                // no descriptor is left: MINA has logged that, and waited
+                // the process has no file descriptor left; MINA has already logged this and paused
                 failedAccepts.incrementAndGet();
                 return null;
             }
@@ -83,9 +88,9 @@
     }
 
     /**
-     * Waits until a further connection may have a descriptor; false where that took too long. Clients that connect faster
-     * than a slow core closes would else take all descriptors; now they wait in the kernel's backlog, and the threads that
-     * close connections get their turn.
+     * Waits until the limit on descriptors allows another connection; returns false if that takes too long. On a slow core,
+     * clients can connect faster than connections are closed and would use up all descriptors. With the wait, they stay in
+     * the kernel's backlog, and the threads that close connections get CPU time.
      */
     private boolean awaitCapacity() {
         for (int poll = 0; poll < MAX_CAPACITY_POLLS; poll++) {
@@ -95,7 +100,7 @@
             LockSupport.parkNanos(CAPACITY_POLL_NANOS);
         }
         if (getManagedSessionCount() < maxDescriptors) {
-            // sessions that ended before they were opened are never reported
+            // the count is too high if sessions ended before they were opened, since sessionOpened is not called for those
             unopenedSessions.set(0);
         }
         return false;
@@ -103,7 +108,7 @@
 
     private void acceptFailed(Exception cause) {
         failedAccepts.incrementAndGet();
-        LOG.warn("cannot accept a connection: {}", cause.toString());
+        LOG.warn("failed to accept a connection: {}", cause.toString());
         int pauseMillis = Math.min(MAX_FAILURE_PAUSE_MILLIS, consecutiveFailures++);
         if (pauseMillis > 0) {
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(pauseMillis));
@@ -115,7 +120,7 @@
         try {
             acceptBacklog();
         } catch (Exception e) {
-            LOG.warn("cannot accept all connections in the backlog: {}", e.toString());
+            LOG.warn("failed to accept the remaining connections in the backlog: {}", e.toString());
         } finally {
             super.close(handle);
         }
@@ -125,7 +130,7 @@
         boolean more = true;
         long deadlineNanos = System.nanoTime() + MAX_CLOSE_NANOS;
         while (more && System.nanoTime() < deadlineNanos) {
-            // woken ahead, so that the select does not wait
+            // wakeup() makes the following select() return immediately
             wakeup();
             more = select() > 0;
             for (Iterator<ServerSocketChannel> ready = selectedHandles(); ready.hasNext(); ) {
--- a/src/main/java/laurelkeel/front/ingress/ClientConnection.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientConnection.java
@@ -12,11 +12,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One connection of a client. Its requests are answered in their order, one in progress at a time; the others wait in the
- * connection's queue, and while too many wait the connection is not read.
+ * A connection from a client. Pipelined requests are answered in the order in which they arrived, and one is in progress at
+ * a time. The others wait in the connection's queue; while too many wait, reading from the connection is suspended.
  *
- * <p>Threading: the queue, the request in progress and {@link #write} belong to the event loop's thread; methods that say so
- * are called on the connection's I/O thread; all others are thread-safe.
+ * <p>Threading: the queue, the request in progress and {@link #write} are confined to the event loop's thread. Methods whose
+ * documentation says so are called on the connection's I/O thread. All others are thread-safe.
  */
 public final class ClientConnection {
     private static final AttributeKey CONNECTION = new AttributeKey(ClientConnection.class, "connection");
@@ -25,22 +25,22 @@
     private final IoSession session;
     private final int maxPipelinedRequests;
 
-    /** Requests read off the connection, complete or invalid; counted before they are counted as unanswered. */
+    /** Number of requests read, including invalid ones; incremented before {@link #unansweredRequests}. */
     private final AtomicInteger requestsRead = new AtomicInteger();
-    /** Counted up by the I/O thread as a request is read, and down as its response is handed over. */
+    /** Incremented by the I/O thread when a request is read, decremented when its response is passed to the session. */
     private final AtomicInteger unansweredRequests = new AtomicInteger();
 
     private final AtomicBoolean occupiesSlot = new AtomicBoolean(true);
     private final AtomicReference<@Nullable CloseReason> closeReason = new AtomicReference<>();
-    /** Set while reading is suspended until the I/O thread has decided whether the connection may be closed. */
+    /** Whether reading is suspended until the I/O thread has decided whether the connection may be closed. */
     private volatile boolean closePending;
 
     private volatile boolean lastResponseWritten;
     private volatile long idleSinceTicks;
-    /** Set and read by the I/O thread alone. */
+    /** Accessed only by the I/O thread. */
     private boolean rejected;
 
-    // the event loop's thread alone
+    // the following fields are accessed only by the event loop's thread
     private final ArrayDeque<PipelinedMessage> waiting = new ArrayDeque<>();
     private boolean requestInProgress;
     private boolean closed;
@@ -49,9 +49,9 @@
     private final WriteStallDetector writeStall = new WriteStallDetector();
 
     /**
-     * Creates the connection of a session and attaches it to that.
+     * Creates the connection of a session, without attaching it to the session.
      *
-     * @param openedTicks when the connection opened
+     * @param openedTicks time when the connection opened
      */
     ClientConnection(IoSession session, int maxPipelinedRequests, long openedTicks) {
         this.session = session;
@@ -59,44 +59,44 @@
         this.idleSinceTicks = openedTicks;
     }
 
+    /** Returns the connection attached to a session; null if there is none. */
     static @Nullable ClientConnection of(IoSession session) {
         return session.getAttribute(CONNECTION) instanceof ClientConnection connection ? connection : null;
     }
 
+    /** Attaches the connection to its session, where {@link #of} finds it. */
     void attach() {
         session.setAttribute(CONNECTION, this);
     }
 
-    /** Returns its number, which names it in logs. */
+    /** Returns the id that identifies the connection in log lines. */
     public long id() {
         return session.getId();
     }
 
-    // ---- reading and backpressure
-
-    /** Counts a request that was read, and stops reading while too many wait; on the I/O thread. */
+    /** Counts a request that was read, and suspends reading if too many are unanswered; called on the I/O thread. */
     void requestRead() {
         requestsRead.incrementAndGet();
-        // counted here and not by the event loop: while that is busy, a client that floods must be slowed down too
+        // counted on the I/O thread, so that a client that floods is slowed down even while the event loop is busy
         if (unansweredRequests.incrementAndGet() > maxPipelinedRequests) {
             session.suspendRead();
             resumeReading();
         }
     }
 
-    /** Counts a response that was handed over, and reads on once few requests wait. */
+    /** Counts a response that was passed to the session, and resumes reading when few enough requests are unanswered. */
     void requestAnswered() {
         if (unansweredRequests.decrementAndGet() <= maxPipelinedRequests / 2 + 1) {
             resumeReading();
         }
     }
 
-    /** Records that all requests read so far have their response. */
+    /** Records that all requests read so far have been answered. */
     void allRequestsAnswered() {
         unansweredRequests.set(0);
     }
 
-    /** Reads on, unless too many requests wait or a close is pending. */
+    /** Resumes reading, unless too many requests are unanswered or a close is pending. */
     void resumeReading() {
         if (unansweredRequests.get() <= maxPipelinedRequests && !closePending && session.isReadSuspended()) {
             session.resumeRead();
@@ -111,11 +111,12 @@
         return unansweredRequests.get();
     }
 
-    boolean owesNothing() {
+    /** Whether all requests read so far are answered and further ones are accepted. */
+    boolean awaitsNextRequest() {
         return unansweredRequests.get() == 0 && !lastResponseWritten;
     }
 
-    /** Returns how long a request has been read in part; 0 where none is. */
+    /** Returns the time since the first byte of a partially read request; 0 if there is none. */
     long partialRequestTicks() {
         long sinceNanos = HttpCodec.partialMessageSinceNanos(session);
         return sinceNanos == 0 ? 0 : Math.max(1, (System.nanoTime() - sinceNanos) / NANOS_PER_TICK);
@@ -125,23 +126,21 @@
         return HttpCodec.partialMessageSinceNanos(session) != 0;
     }
 
-    /** Returns when the connection opened or its last response was handed over. */
+    /** Returns the time when the connection opened or its most recent response was passed to the session. */
     long idleSinceTicks() {
         return idleSinceTicks;
     }
 
-    void idleSince(long ticks) {
+    void setIdleSinceTicks(long ticks) {
         idleSinceTicks = ticks;
     }
 
-    // ---- closing
-
-    /** Records why the connection ends; the first reason counts. */
+    /** Records why the connection ends; only the first reason is kept. */
     void recordCloseReason(CloseReason reason) {
         closeReason.compareAndSet(null, reason);
     }
 
-    /** Returns the recorded reason; without one, the node itself has ended. */
+    /** Returns the recorded reason; if there is none, the node itself has closed the connection by stopping. */
     CloseReason closeReason() {
         CloseReason reason = closeReason.get();
         return reason == null ? CloseReason.NODE_STOPPED : reason;
@@ -152,9 +151,9 @@
     }
 
     /**
-     * Stops reading, and runs a task on the I/O thread once that has handled what it had read before.
+     * Suspends reading, and runs a task on the I/O thread after it has handled all input that it had already read.
      *
-     * @param decision decides whether the connection is closed or read on
+     * @param decision decides whether to close the connection or to resume reading
      */
     void suspendReadingThen(Runnable decision) {
         closePending = true;
@@ -162,18 +161,18 @@
         session.write(HttpCodec.FlushMarker.INSTANCE).addListener(written -> decision.run());
     }
 
-    /** Reads on after a pending close was given up. */
-    void abandonClose() {
+    /** Clears the pending close; does not resume reading. */
+    void cancelPendingClose() {
         closePending = false;
     }
 
-    /** Gives up its slot; returns false where it has none. */
-    boolean leaveSlot() {
+    /** Marks the connection's slot as released; returns false if it does not occupy one. */
+    boolean markSlotReleased() {
         return occupiesSlot.compareAndSet(true, false);
     }
 
-    /** Takes a slot again; returns false where it has one. */
-    boolean retakeSlot() {
+    /** Marks a slot as occupied again; returns false if the connection already occupies one. */
+    boolean markSlotOccupied() {
         return occupiesSlot.compareAndSet(false, true);
     }
 
@@ -185,12 +184,12 @@
         session.closeNow();
     }
 
-    /** Closes it once the pending responses are written. */
+    /** Closes the connection after the pending responses are written. */
     void closeOnFlush() {
         session.closeOnFlush();
     }
 
-    /** Rejects the connection with a response; on the I/O thread. */
+    /** Rejects the connection with a response and closes it; called on the I/O thread. */
     void reject(HttpResponse response) {
         rejected = true;
         recordCloseReason(CloseReason.CONNECTION_LIMIT_REACHED);
@@ -198,18 +197,17 @@
         session.closeOnFlush();
     }
 
-    /** Whether it was rejected as it opened, so that no request on it may be accepted; on the I/O thread. */
+    /** Whether the connection was rejected on opening and its requests are discarded; called on the I/O thread. */
     boolean isRejected() {
         return rejected;
     }
 
-    // ---- on the event loop's thread
-
+    /** Appends a message to the queue. */
     void enqueue(PipelinedMessage message) {
         waiting.add(message);
     }
 
-    /** Removes and returns the next message; null for none. */
+    /** Removes and returns the next queued message; null if the queue is empty. */
     @Nullable
     PipelinedMessage pollWaiting() {
         return waiting.poll();
@@ -219,12 +217,12 @@
         return !waiting.isEmpty();
     }
 
-    /** Whether the next message may be handled now. */
+    /** Whether a message is queued and may be handled now. */
     boolean isReadyForNext() {
         return !requestInProgress && !closed && !lastResponseWritten && !waiting.isEmpty();
     }
 
-    /** Whether messages are discarded since no response can be written any more. */
+    /** Whether new messages are discarded because no further response can be written. */
     boolean discardsInput() {
         return closed || lastResponseWritten;
     }
@@ -237,7 +235,7 @@
         requestInProgress = inProgress;
     }
 
-    /** Records whether the request that is answered next is a HEAD request. */
+    /** Sets whether the request to be answered next is a HEAD request. */
     void setHeadRequest(boolean head) {
         headRequest = head;
     }
@@ -246,7 +244,7 @@
         return headRequest;
     }
 
-    /** Sets the token of the request in progress, which comes back with {@link IngressListener#onDisconnect}. */
+    /** Sets the token of the request in progress, which is passed to {@link IngressListener#onDisconnect}. */
     public void setCurrentToken(@Nullable Object token) {
         currentToken = token;
     }
@@ -256,8 +254,8 @@
         return currentToken;
     }
 
-    /** Whether the connection has ended, or takes no further response. */
-    public boolean gone() {
+    /** Whether the connection has ended or accepts no further response. */
+    public boolean isClosed() {
         return closed;
     }
 
@@ -265,15 +263,15 @@
         closed = true;
     }
 
-    /** Returns how long pending responses have made no progress; 0 where none is pending. */
+    /** Returns the time for which no byte of the pending responses was written; 0 if no response is pending. */
     long writeStalledTicks(long nowTicks) {
         return writeStall.stalledTicks(session.getWrittenBytes(), session.getScheduledWriteMessages() > 0, nowTicks);
     }
 
     /**
-     * Writes a response, without its body if the request was a HEAD request.
+     * Writes a response; omits its body if the request was a HEAD request.
      *
-     * @param last whether to close the connection behind it
+     * @param last whether to close the connection after this response
      */
     WriteFuture write(HttpResponse response, boolean last) {
         HttpResponse message = headRequest
@@ -282,7 +280,7 @@
         return write((Object) message, last);
     }
 
-    /** Writes a message, and closes the connection behind it if it is the last. */
+    /** Writes a message; if it is the last one, closes the connection after it. */
     WriteFuture write(Object message, boolean last) {
         WriteFuture written = session.write(message);
         if (last) {
--- a/src/main/java/laurelkeel/front/ingress/ClientConnectionTable.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientConnectionTable.java
@@ -8,11 +8,15 @@
 import java.util.function.Consumer;
 import org.apache.mina.core.session.IoSession;
 
-/** The open connections of clients, the slots that they occupy, and how many have ended for which reason. Thread-safe. */
+/**
+ * The open connections from clients, the number of slots they occupy, and the number of ended connections by reason.
+ *
+ * <p>Thread-safe.
+ */
 final class ClientConnectionTable {
     private final ClientAcceptor acceptor;
     private final AtomicInteger occupiedSlots = new AtomicInteger();
-    /** Has all reasons from the start, and is not changed after that. */
+    /** Filled with all reasons by the constructor and not modified afterwards, so that it can be read without a lock. */
     private final Map<CloseReason, AtomicLong> closedByReason = new EnumMap<>(CloseReason.class);
 
     ClientConnectionTable(ClientAcceptor acceptor) {
@@ -22,7 +26,7 @@
         }
     }
 
-    /** Calls an action with each open connection. */
+    /** Performs an action for each open connection. */
     void forEach(Consumer<ClientConnection> action) {
         for (IoSession session : acceptor.getManagedSessions().values()) {
             ClientConnection connection = ClientConnection.of(session);
@@ -32,7 +36,7 @@
         }
     }
 
-    /** Returns how many connections have read a request in part. */
+    /** Returns the number of connections with a partially read request. */
     int partialRequests() {
         AtomicInteger partial = new AtomicInteger();
         forEach(connection -> partial.addAndGet(connection.hasPartialRequest() ? 1 : 0));
@@ -43,32 +47,32 @@
         return occupiedSlots.get();
     }
 
-    /** Counts the slot of a connection that opens; returns the number of slots that are then occupied. */
+    /** Counts a slot for a new connection; returns the number of occupied slots, including this one. */
     int occupySlot() {
         return occupiedSlots.incrementAndGet();
     }
 
-    /** Releases the slot of a connection, once. */
+    /** Releases the slot of a connection; has no effect if it was already released. */
     void releaseSlot(ClientConnection connection) {
-        if (connection.leaveSlot()) {
+        if (connection.markSlotReleased()) {
             occupiedSlots.decrementAndGet();
         }
     }
 
-    /** Gives a connection its slot back if it was released. */
+    /** Counts a slot for a connection again if its slot was released. */
     void reclaimSlot(ClientConnection connection) {
-        if (connection.retakeSlot()) {
+        if (connection.markSlotOccupied()) {
             occupiedSlots.incrementAndGet();
         }
     }
 
-    /** Releases the slot of a connection that has ended, and counts its reason. */
+    /** Releases the slot of an ended connection and counts its close reason. */
     void recordClosed(ClientConnection connection) {
         releaseSlot(connection);
         Objects.requireNonNull(closedByReason.get(connection.closeReason())).incrementAndGet();
     }
 
-    /** Returns how many connections have ended since the start, by reason; without the reasons that none had. */
+    /** Returns the number of connections that have ended since the start, by reason; reasons that never occurred are omitted. */
     Map<CloseReason, Long> closedConnections() {
         Map<CloseReason, Long> counts = new EnumMap<>(CloseReason.class);
         closedByReason.forEach((reason, count) -> {
--- a/src/main/java/laurelkeel/front/ingress/ClientIoHandler.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientIoHandler.java
@@ -11,7 +11,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Handles what happens on the connections of clients, and posts it to the event loop.
+ * Handles the I/O events of client connections and posts the resulting work to the event loop.
  *
  * <p>Thread-safe; called on the I/O threads of the connections.
  */
@@ -62,7 +62,7 @@
             post(connection, reader.read(connection, request, arrivedTicks));
         } else if (message instanceof HttpProtocolException failure) {
             connection.requestRead();
-            post(connection, reader.unreadable(failure));
+            post(connection, reader.rejectUnreadable(failure));
         }
     }
 
@@ -74,9 +74,10 @@
     public void exceptionCaught(IoSession session, Throwable cause) {
         boolean network = cause instanceof IOException;
         if (!network) {
-            LOG.error("client connection {}: cannot handle its input", session.getId(), cause);
+            LOG.error("client connection {}: error while handling its input", session.getId(), cause);
         }
-        recordCloseReason(ClientConnection.of(session), network ? CloseReason.CONNECTION_ERROR : CloseReason.INTERNAL_ERROR);
+        recordCloseReason(
+                ClientConnection.of(session), network ? CloseReason.CONNECTION_ERROR : CloseReason.INTERNAL_ERROR);
         session.closeNow();
     }
 
@@ -84,20 +85,20 @@
     public void inputClosed(IoSession session) {
         ClientConnection connection = ClientConnection.of(session);
         recordCloseReason(connection, CloseReason.CLIENT_CLOSED);
-        // otherwise the end of input would be read again and again
+        // otherwise the selector would report the end of input repeatedly
         session.suspendRead();
         if (connection != null && connection.unansweredRequests() > 0) {
-            loop.post(() -> clientLeft(connection));
+            loop.post(() -> clientClosedOutput(connection));
         } else {
             session.closeOnFlush();
         }
     }
 
-    private void clientLeft(ClientConnection connection) {
-        if (!connection.gone()) {
-            // a response of this turn may not be written yet, and counts as the one in progress
+    private void clientClosedOutput(ClientConnection connection) {
+        if (!connection.isClosed()) {
+            // a response from this turn of the event loop may still be unwritten; until then its request is in progress
             responses.flush();
-            pipeline.clientLeft(connection);
+            pipeline.clientClosedOutput(connection);
         }
     }
 
@@ -108,7 +109,7 @@
         int unanswered = connection.unansweredRequests();
         if (unanswered > 0) {
             LOG.info(
-                    "client connection {} ended: {}, {} requests on it unanswered",
+                    "client connection {} ended: {}, {} requests unanswered",
                     connection.id(),
                     connection.closeReason(),
                     unanswered);
--- a/src/main/java/laurelkeel/front/ingress/ClientProtocol.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientProtocol.java
@@ -5,39 +5,39 @@
 import laurelkeel.wire.HttpResponse;
 import org.jspecify.annotations.Nullable;
 
-/** Interprets the requests of one protocol's clients and builds the responses they get. Thread-safe; called on any thread. */
+/** Interprets the requests of a client protocol and builds the responses to them. Thread-safe; called on any thread. */
 public interface ClientProtocol {
-    /** Whether a request is for the node itself and names no route. */
+    /** Whether a request is addressed to the node itself, not to a route. */
     boolean isNodeRequest(HttpRequest request);
 
     /**
      * Interprets a request.
      *
-     * @throws HttpProtocolException with the status and text of the response where the request is invalid
+     * @throws HttpProtocolException with the status and text of the response if the request is invalid
      */
     ClientRequest parseRequest(HttpRequest request) throws HttpProtocolException;
 
     /**
      * Returns the response to an invalid request.
      *
-     * @param request null where it could not be read
+     * @param request null if it could not be parsed
      */
     HttpResponse badRequest(HttpProtocolException failure, @Nullable HttpRequest request);
 
-    /** Returns the response to a request that was rejected before any decision about it. */
+    /** Returns the response to a request that was rejected before any routing decision. */
     HttpResponse notAccepted(String reason);
 
     /**
-     * Returns the response to a request that was shed; a retry is harmless.
+     * Returns the response to a request that was shed; it is safe to retry.
      *
-     * @param retryAfterTicks the advised wait; 0 for no advice
+     * @param retryAfterTicks the advised delay before a retry; 0 for no advice
      */
     HttpResponse rejected(long retryAfterTicks, String reason);
 
     /**
-     * Returns the response to a request that failed; it may have been executed.
+     * Returns the response to a request that failed and may have been executed.
      *
-     * @param timedOut whether it failed because its time was up
+     * @param timedOut whether it failed because its deadline passed
      */
     HttpResponse failed(boolean timedOut, String reason);
 }
--- a/src/main/java/laurelkeel/front/ingress/ClientRequest.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientRequest.java
@@ -13,18 +13,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A client's request as its headers describe it, interpreted on the I/O thread that read it.
+ * A client's request with the properties that its headers specify. It is created on the I/O thread that read it.
  *
- * @param clientRequestId the client's own id, unique among the requests in flight; null where the protocol has none
- * @param forwarded the part that goes to endpoints
- * @param headRequest whether the response has no body on the wire
- * @param closesConnection whether the client wants the connection closed after the response
- * @param route number of the route
- * @param tenant number of the tenant
+ * @param clientRequestId the id assigned by the client, unique among the requests in flight; null if the protocol has none
+ * @param forwarded the part of the request that is sent to endpoints
+ * @param headRequest whether this is a HEAD request, whose response has no body on the wire
+ * @param closesConnection whether the client asked for the connection to be closed after the response
+ * @param route index of the route
+ * @param tenant index of the tenant
  * @param partitionKey null for none
- * @param remainingTicks how long the client still waits, at most the route's timeout
+ * @param remainingTicks time for which the client keeps waiting, at most the route's timeout
  * @param expectedWorkMillis the client's estimate of the work; 0 for none
- * @param clientRetry whether the client says that it retries an earlier request
+ * @param clientRetry whether the client marked this as a retry of an earlier request
  */
 public record ClientRequest(
         @Nullable String clientRequestId,
@@ -37,7 +37,7 @@
         long remainingTicks,
         double expectedWorkMillis,
         boolean clientRetry) {
-    /** Headers that only a front node sets. */
+    /** Headers that a front node sets itself; a client's values are not forwarded. */
     private static final Collection<String> NOT_FORWARDED =
             HopByHop.names(HeaderNames.REMAINING, HeaderNames.ATTEMPT, HeaderNames.FRONT);
 
@@ -49,8 +49,8 @@
     /**
      * Interprets a request.
      *
-     * @param timeoutTicks timeouts by number of the route
-     * @throws HttpProtocolException with a 4xx status and a text that says which header is wrong and what it should hold
+     * @param timeoutTicks returns the timeout of a route by its index
+     * @throws HttpProtocolException with a 4xx status and a message that names the invalid header and its expected value
      */
     public static ClientRequest read(HttpRequest http, RouteTable table, IntToLongFunction timeoutTicks)
             throws HttpProtocolException {
@@ -111,7 +111,7 @@
 
     private static long readRemainingTicks(HttpRequest http, long timeoutTicks) throws HttpProtocolException {
         double remainingMillis = readMillis(http, HeaderNames.REMAINING, timeoutTicks / (double) TICKS_PER_MILLI);
-        // rounded down: a response must never come later than the client waits
+        // rounded down, so that a response never arrives after the client has stopped waiting
         return Math.min(timeoutTicks, (long) Math.floor(remainingMillis * TICKS_PER_MILLI));
     }
 
@@ -126,12 +126,12 @@
                 return millis;
             }
         } catch (NumberFormatException ignored) {
-            // reported below with the other invalid values
+            // reported below, as other invalid values are
         }
         throw new HttpProtocolException(400, header + " must be a number of milliseconds, as 2500 or 80.5");
     }
 
-    /** Returns the bytes of the body to the budget that they were reserved from. */
+    /** Releases the bytes of the body to the budget from which they were reserved. */
     void releaseBody(ByteBudget budget) {
         budget.release(forwarded.body().length);
     }
--- a/src/main/java/laurelkeel/front/ingress/ConnectionAdmission.java
+++ b/src/main/java/laurelkeel/front/ingress/ConnectionAdmission.java
@@ -5,11 +5,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Admits new connections while slots are free. Once all are occupied, it closes an idle connection for each new one, and
- * rejects those that even the spare slots cannot take.
+ * Admits new connections while slots are free. When all slots are occupied, it closes one idle connection for each new one,
+ * and rejects new connections that exceed the spare slots as well.
  *
- * <p>Thread-safe; called on the I/O thread that opens the connection, since a burst would be over before another thread has
- * made room.
+ * <p>Thread-safe; called on the I/O thread that opens the connection, because another thread could not free slots quickly
+ * enough during a burst of new connections.
  */
 final class ConnectionAdmission {
     private static final int MAX_UNOPENED_CONNECTIONS = 16;
@@ -32,25 +32,25 @@
         this.connections = connections;
         this.closer = closer;
         this.rejections = rejections;
-        // a part of the spare slots is for connections that are accepted and not opened yet, or being closed
+        // some spare slots are reserved for connections that are accepted but not opened yet, or that are being closed
         int unopened = Math.min(MAX_UNOPENED_CONNECTIONS, settings.spareConnections() / 4);
         maxAdmitted = settings.maxConnections() + settings.spareConnections() - unopened;
     }
 
-    /** Makes a new session a client's connection, and gives it a slot or rejects it. */
+    /** Creates the connection of a new session, and assigns a slot to it or rejects it. */
     void admit(IoSession session) {
         ClientConnection connection =
                 new ClientConnection(session, settings.maxPipelinedRequests(), clockTicks.getAsLong());
         connection.attach();
         if (connections.occupySlot() > settings.maxConnections() && settings.minIdleTicks() > 0) {
-            makeRoom(connection);
+            evictIdleConnection(connection);
         }
         if (connections.occupiedSlots() > maxAdmitted) {
             connection.reject(rejections.reject("every connection is in use", true));
         }
     }
 
-    private void makeRoom(ClientConnection newest) {
+    private void evictIdleConnection(ClientConnection newest) {
         VictimSearch search = new VictimSearch(newest);
         connections.forEach(search::consider);
         ClientConnection victim = search.victim;
@@ -61,27 +61,30 @@
         }
     }
 
-    /** Finds the connection to close: the oldest one without a request, or else the one that has been idle longest. */
+    /** Finds the connection to close: the oldest one without any request; if there is none, the one idle for longest. */
     private final class VictimSearch {
         private final ClientConnection newest;
         private @Nullable ClientConnection victim;
-        /** As it was when the victim was found. */
+        /** The number of requests read from the victim at the time when it was selected. */
         private int victimRequestsRead;
 
         VictimSearch(ClientConnection newest) {
             this.newest = newest;
         }
 
+        /** Selects a connection if it may be closed and is preferable to the one selected so far. */
         void consider(ClientConnection connection) {
             int requestsRead = connection.requestsRead();
-            if (connection != newest && mayBeClosed(connection, requestsRead) && isBetter(connection, requestsRead)) {
+            if (connection != newest
+                    && mayBeClosed(connection, requestsRead)
+                    && isPreferred(connection, requestsRead)) {
                 victim = connection;
                 victimRequestsRead = requestsRead;
             }
         }
 
         private boolean mayBeClosed(ClientConnection connection, int requestsRead) {
-            if (!connection.owesNothing() || connection.isClosePending() || connection.isClosing()) {
+            if (!connection.awaitsNextRequest() || connection.isClosePending() || connection.isClosing()) {
                 return false;
             }
             long idleTicks = clockTicks.getAsLong() - connection.idleSinceTicks();
@@ -89,7 +92,7 @@
             return idle || requestsRead == 0;
         }
 
-        private boolean isBetter(ClientConnection connection, int requestsRead) {
+        private boolean isPreferred(ClientConnection connection, int requestsRead) {
             if (victim == null) {
                 return true;
             }
--- a/src/main/java/laurelkeel/front/ingress/ConnectionSweeper.java
+++ b/src/main/java/laurelkeel/front/ingress/ConnectionSweeper.java
@@ -4,9 +4,9 @@
 import laurelkeel.wire.HttpProtocolException;
 
 /**
- * Closes connections that are past one of their timeouts: idle, first request, partial request or stalled write. It measures
- * them by the event loop's monotonic clock; MINA's own timeouts go by the wall clock, and a step of that would close
- * connections with requests in progress.
+ * Periodically closes connections that have exceeded a timeout: idle, first request, partial request or stalled write. The
+ * timeouts are measured by the event loop's monotonic clock. MINA's own timeouts use the wall clock, and a step of the wall
+ * clock would close connections with requests in progress.
  *
  * <p>Not thread-safe; called on the event loop's thread.
  */
@@ -41,7 +41,7 @@
         loop.schedule(loop.nowTicks() + SWEEP_INTERVAL_TICKS, this::sweep);
     }
 
-    /** Checks all connections, and schedules the next sweep. */
+    /** Checks all connections and schedules the next sweep. */
     void sweep() {
         scheduleNext();
         long nowTicks = loop.nowTicks();
@@ -53,7 +53,7 @@
         if (connection.writeStalledTicks(nowTicks) > settings.writeTimeoutTicks()) {
             connection.recordCloseReason(CloseReason.WRITE_TIMEOUT);
             connection.closeNow();
-        } else if (connection.owesNothing() && !connection.isClosePending()) {
+        } else if (connection.awaitsNextRequest() && !connection.isClosePending()) {
             long partialTicks = connection.partialRequestTicks();
             if (partialTicks > 0) {
                 checkPartialRequest(connection, requestsRead, partialTicks);
@@ -71,7 +71,7 @@
                             new HttpProtocolException(REQUEST_TIMEOUT, "the req did not come whole in time"), null),
                     true);
         } else if (partialTicks > settings.idleTimeoutTicks()) {
-            // a client that sends a byte of a request now and then would keep its slot for ever
+            // otherwise a client that sends single bytes of a request now and then could occupy a slot indefinitely
             closer.closeIfUnused(connection, requestsRead, CloseReason.IDLE_TIMEOUT, true);
         }
     }
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Whether a timeout is set, and passed. */
+    /** Whether a timeout is set and has expired. */
     private static boolean isPast(long timeoutTicks, long elapsedTicks) {
         return timeoutTicks > 0 && elapsedTicks > timeoutTicks;
     }
--- a/src/main/java/laurelkeel/front/ingress/EarlyRejections.java
+++ b/src/main/java/laurelkeel/front/ingress/EarlyRejections.java
@@ -3,7 +3,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import laurelkeel.wire.HttpResponse;
 
-/** Builds and counts the responses to requests and connections that are rejected before any decision. Thread-safe. */
+/**
+ * Builds and counts the responses to requests and connections that are rejected before any routing decision.
+ *
+ * <p>Thread-safe.
+ */
 final class EarlyRejections {
     private final ClientProtocol protocol;
     private final AtomicInteger count = new AtomicInteger();
@@ -22,6 +26,7 @@
         return response;
     }
 
+    /** Returns the number of rejections since the start. */
     int count() {
         return count.get();
     }
--- a/src/main/java/laurelkeel/front/ingress/IdleConnectionCloser.java
+++ b/src/main/java/laurelkeel/front/ingress/IdleConnectionCloser.java
@@ -1,8 +1,9 @@
 package laurelkeel.front.ingress;
 
 /**
- * Closes connections that seem to owe nothing. Such a connection is no longer read, and then checked by its I/O thread: a
- * request that was read meanwhile would be lost with the close, while one that stays unread is retried elsewhere by its client.
+ * Closes connections that appear to be unused, without losing a request. It suspends reading first and then lets the I/O thread
+ * check whether a request has been read in the meantime: the close would lose such a request, whereas a client retries a
+ * request that was never read on another connection.
  *
  * <p>Thread-safe.
  */
@@ -14,34 +15,34 @@
     }
 
     /**
-     * Closes a connection unless a request was read on it since the reason was seen, answered by now or not; then it is in
-     * use, and is read on.
+     * Closes a connection, unless a request has been read from it since the reason to close it was found. In that case the
+     * connection is in use, whether the request is answered already or not, and reading resumes.
      *
-     * @param requestsRead how many requests had been read when the reason was seen
-     * @param evenWithPartialRequest whether to close it although a request has been read in part
+     * @param requestsRead number of requests that had been read when the reason was found
+     * @param evenWithPartialRequest whether to close the connection even if a request has been read partially
      */
     void closeIfUnused(
             ClientConnection connection, int requestsRead, CloseReason reason, boolean evenWithPartialRequest) {
         connection.suspendReadingThen(() -> {
-            boolean unused = connection.owesNothing()
+            boolean unused = connection.awaitsNextRequest()
                     && connection.requestsRead() == requestsRead
                     && (evenWithPartialRequest || !connection.hasPartialRequest());
             if (unused) {
                 connection.recordCloseReason(reason);
                 connection.closeOnFlush();
             } else {
-                connection.abandonClose();
+                connection.cancelPendingClose();
                 connections.reclaimSlot(connection);
                 connection.resumeReading();
             }
         });
     }
 
-    /** Closes all connections that have no request in progress or read in part. */
+    /** Closes all connections that have neither a request in progress nor a partially read one. */
     void closeAllIdle(CloseReason reason) {
         connections.forEach(connection -> {
             int requestsRead = connection.requestsRead();
-            if (connection.owesNothing() && !connection.isClosePending()) {
+            if (connection.awaitsNextRequest() && !connection.isClosePending()) {
                 closeIfUnused(connection, requestsRead, reason, false);
             }
         });
--- a/src/main/java/laurelkeel/front/ingress/Ingress.java
+++ b/src/main/java/laurelkeel/front/ingress/Ingress.java
@@ -17,7 +17,8 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * Accepts connections from clients, hands each request to its listener when its turn has come, and writes the responses.
+ * Accepts connections from clients, passes each request to the listener when it is the next one on its connection, and writes
+ * the responses.
  *
  * <p>Threading: {@link #startSweeps}, {@link #answer}, {@link #forward} and {@link #flush} are called on the event loop's
  * thread; all other methods are thread-safe.
@@ -41,10 +42,10 @@
     private final ResponseSender responses;
 
     /**
-     * Creates an ingress that does not listen yet.
+     * Creates an ingress that is not listening yet.
      *
-     * @param threads run the acceptor
-     * @param processors run the I/O of the connections; disposed of at {@link #close}
+     * @param threads runs the acceptor
+     * @param processors run the I/O of the connections; disposed of by {@link #close}
      */
     public Ingress(
             IngressSettings settings,
@@ -82,22 +83,23 @@
                 new ClientAcceptor(threads, processors, settings.maxConnections() + settings.spareConnections() + 1);
         acceptor.setReuseAddress(true);
         acceptor.setBacklog(LISTEN_BACKLOG);
-        // a drain closes the port first, and still answers requests on open connections
+        // a drain closes the listening socket first, and still answers requests on open connections
         acceptor.setCloseOnDeactivation(false);
         acceptor.getSessionConfig().setTcpNoDelay(true);
         acceptor.getSessionConfig().setReadBufferSize(READ_BUFFER_BYTES);
         acceptor.getSessionConfig().setMaxReadBufferSize(MAX_READ_BUFFER_BYTES);
-        // off: MINA measures it by the wall clock, which may be stepped; the sweeper bounds writes
+        // disabled: MINA measures it by the wall clock, which may be stepped; ConnectionSweeper enforces the write
+        // timeout
         acceptor.getSessionConfig().setWriteTimeout(0);
         acceptor.getFilterChain().addLast("http", HttpCodec.server(settings.httpLimits(), bodyBudget));
         return acceptor;
     }
 
     /**
-     * Starts to listen.
+     * Starts listening.
      *
-     * @return the address with its actual port
-     * @throws IOException where the address cannot be bound
+     * @return the bound address, with the actual port
+     * @throws IOException if the address cannot be bound
      */
     public InetSocketAddress bind() throws IOException {
         acceptor.bind(settings.listenAddress());
@@ -109,29 +111,29 @@
         acceptor.unbind();
     }
 
-    /** Starts closing connections that are past their timeouts. */
+    /** Starts the periodic check that closes connections whose timeouts have expired. */
     public void startSweeps() {
         sweeper.start();
     }
 
-    /** Sweeps now, and schedules the next sweep; on the event loop's thread. */
+    /** Closes connections whose timeouts have expired, and schedules the next check; called on the event loop's thread. */
     void sweep() {
         sweeper.sweep();
     }
 
-    /** Closes the connections that have no request in progress or read in part. */
+    /** Closes all connections that have neither a request in progress nor a partially read one. */
     public void closeIdle() {
         closer.closeAllIdle(CloseReason.DRAINED);
     }
 
-    /** Closes all connections once the pending responses are written, or after a second. */
+    /** Closes all connections when the pending responses are written, or after one second at the latest. */
     public void close() {
         long deadlineNanos = System.nanoTime() + CLOSE_FLUSH_NANOS;
         while (System.nanoTime() < deadlineNanos && hasPendingWrites()) {
             LockSupport.parkNanos(CLOSE_POLL_NANOS);
         }
         acceptor.dispose(false);
-        // waits for its threads, without end where one of them died
+        // on another thread: dispose() waits for the processors' threads, and never returns if one of them has died
         threads.execute(processors::dispose);
     }
 
@@ -145,9 +147,10 @@
     }
 
     /**
-     * Sends the final response to the request in progress on a connection; the next one there begins once this is written.
+     * Sends the final response to the request in progress on a connection. The next request there starts when the response
+     * is written.
      *
-     * @param last whether to close the connection behind it
+     * @param last whether to close the connection after the response
      */
     public void answer(ClientConnection connection, boolean last, HttpResponse response) {
         responses.answer(connection, last, response);
@@ -156,9 +159,9 @@
     /**
      * Sends an endpoint's response as the final response to the request in progress on a connection.
      *
-     * @param last whether to close the connection behind it
-     * @param ownHeaders header lines of this node, which follow those of the endpoint
-     * @param onDone run once the response is written or never will be, on any thread
+     * @param last whether to close the connection after the response
+     * @param ownHeaders header lines added by this node, which follow those of the endpoint
+     * @param onDone run on any thread when the response is written or can no longer be written
      */
     public void forward(
             ClientConnection connection,
@@ -169,7 +172,7 @@
         responses.forward(connection, last, response, ownHeaders, onDone);
     }
 
-    /** Writes the responses of this turn of the event loop. */
+    /** Writes the responses that were collected in this turn of the event loop. */
     public void flush() {
         responses.flush();
     }
@@ -179,32 +182,32 @@
         return connections.occupiedSlots();
     }
 
-    /** Returns how many connections have ended since the start, by reason. */
+    /** Returns the number of connections that have ended since the start, by reason. */
     public Map<CloseReason, Long> closedConnections() {
         return connections.closedConnections();
     }
 
-    /** Returns how many accepts have failed since the start. */
+    /** Returns the number of failed accepts since the start. */
     public int failedAccepts() {
         return acceptor.failedAccepts();
     }
 
-    /** Returns how many requests and connections were rejected since the start before any decision about them. */
+    /** Returns the number of requests and connections rejected before any routing decision, since the start. */
     public int rejectedBeforeDecision() {
         return rejections.count();
     }
 
-    /** Returns the bytes reserved for the bodies of requests, complete or partial. */
+    /** Returns the number of bytes reserved for complete and partial request bodies. */
     public long bodyBytes() {
         return bodyBudget.reservedBytes();
     }
 
-    /** Releases the body of a request that has ended. */
+    /** Releases the memory reserved for the body of a request that has ended. */
     public void releaseBody(ClientRequest request) {
         request.releaseBody(bodyBudget);
     }
 
-    /** Returns how many connections have read a request in part. */
+    /** Returns the number of connections with a partially read request. */
     int partialRequests() {
         return connections.partialRequests();
     }
--- a/src/main/java/laurelkeel/front/ingress/IngressListener.java
+++ b/src/main/java/laurelkeel/front/ingress/IngressListener.java
@@ -3,31 +3,34 @@
 import laurelkeel.wire.HttpRequest;
 import org.jspecify.annotations.Nullable;
 
-/** Receives requests from the {@link Ingress}, and tells it whether more are welcome; called on the event loop's thread. */
+/**
+ * Handles the requests that an {@link Ingress} receives, and provides the state by which the ingress decides whether to accept
+ * more. Called on the event loop's thread.
+ */
 public interface IngressListener {
     /**
-     * Called when a request's turn on its connection has come.
+     * Called when a request is the next one to handle on its connection.
      *
-     * @param arrivedTicks when its last byte was read
+     * @param arrivedTicks time when its last byte was read
      */
     void onRequest(ClientConnection connection, ClientRequest request, long arrivedTicks);
 
-    /** Called when the turn of a request to the node itself has come. */
+    /** Called when a request to the node itself is the next one to handle on its connection. */
     void onNodeRequest(ClientConnection connection, HttpRequest request);
 
     /**
-     * Called when a connection with a request in progress is gone.
+     * Called when a connection with a request in progress has ended.
      *
-     * @param current the token of that request, see {@link ClientConnection#setCurrentToken}; null for none
+     * @param token the token of that request, see {@link ClientConnection#setCurrentToken}; null for none
      */
-    void onDisconnect(@Nullable Object current);
+    void onDisconnect(@Nullable Object token);
 
     /** Returns the number of requests in flight. */
     int activeRequests();
 
-    /** Whether the node is shutting down so far that each response closes its connection; not yet in its lame-duck period. */
+    /** Whether each response closes its connection because the node is shutting down; false during the lame-duck period. */
     boolean isClosingConnections();
 
-    /** Whether the node makes no decisions any more, so that all further requests are rejected. */
+    /** Whether the node has stopped making decisions, so that all further requests are rejected. */
     boolean hasEnded();
 }
--- a/src/main/java/laurelkeel/front/ingress/IngressSettings.java
+++ b/src/main/java/laurelkeel/front/ingress/IngressSettings.java
@@ -6,23 +6,23 @@
 /**
  * Limits and timeouts of the connections from clients.
  *
- * @param listenAddress port 0 for any free one
+ * @param listenAddress address to listen on; port 0 selects any free port
  * @param httpLimits limits on each request
- * @param maxConnections slots for connections
- * @param spareConnections connections that may be open beyond those while others are closed to make room
- * @param maxOpenRequests requests in flight; further ones are rejected
- * @param maxQueuedTasks tasks waiting for the event loop; while there are more, new requests are rejected
- * @param maxPipelinedRequests requests of one connection that may wait behind the one in progress; with more, the
- *     connection is not read
- * @param idleTimeoutTicks how long a connection may be idle before it is closed
- * @param writeTimeoutTicks how long a pending response may make no progress before its connection is closed
- * @param threads I/O threads
- * @param maxDrainTicks how long a node that was told to stop waits for its requests in flight
- * @param lameDuckTicks how long a node that was told to stop goes on accepting requests
- * @param firstRequestTimeoutTicks how long a new connection may take to its first complete request; 0 for the idle timeout
- * @param partialRequestTimeoutTicks how long a request may take from its first byte to its last; 0 for the idle timeout
- * @param minIdleTicks how long a connection is kept after a response even where a newer one needs its slot; 0 to reject
- *     new connections instead of closing idle ones
+ * @param maxConnections number of slots for connections
+ * @param spareConnections number of connections that may be open in addition while idle ones are being closed to free slots
+ * @param maxOpenRequests maximum number of requests in flight; further ones are rejected
+ * @param maxQueuedTasks maximum number of tasks waiting for the event loop; when it is reached, new requests are rejected
+ * @param maxPipelinedRequests number of unanswered requests per connection above which reading from it is suspended
+ * @param idleTimeoutTicks time after which an idle connection is closed
+ * @param writeTimeoutTicks time after which a connection is closed if no byte of its pending responses can be written
+ * @param threads number of I/O threads
+ * @param maxDrainTicks maximum time for which a stopping node waits for its requests in flight
+ * @param lameDuckTicks time for which a stopping node continues to accept requests
+ * @param firstRequestTimeoutTicks maximum time from the opening of a connection to its first complete request; 0 to apply
+ *     the idle timeout
+ * @param partialRequestTimeoutTicks maximum time from the first byte of a request to its last; 0 to apply the idle timeout
+ * @param minIdleTicks time for which a connection stays open after a response even if a newer connection needs its slot; 0
+ *     to reject new connections instead of closing idle ones
  */
 public record IngressSettings(
         InetSocketAddress listenAddress,
--- a/src/main/java/laurelkeel/front/ingress/RequestPipeline.java
+++ b/src/main/java/laurelkeel/front/ingress/RequestPipeline.java
@@ -5,7 +5,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Handles the messages of each connection in their order, one request in progress at a time.
+ * Handles the messages of each connection in the order in which they arrived, with one request in progress at a time.
  *
  * <p>Not thread-safe; called on the event loop's thread.
  */
@@ -32,7 +32,7 @@
         this.bodyBudget = bodyBudget;
     }
 
-    /** Queues a message of a connection, and handles it if its turn has come. */
+    /** Queues a message from a connection, and handles it if no earlier request there is in progress. */
     void received(ClientConnection connection, PipelinedMessage message) {
         if (connection.discardsInput()) {
             discard(message);
@@ -42,7 +42,7 @@
         startNext(connection);
     }
 
-    /** Handles the messages of a connection until one of them is a request in progress. */
+    /** Handles the queued messages of a connection until a request is in progress there or the queue is empty. */
     void startNext(ClientConnection connection) {
         while (connection.isReadyForNext()) {
             PipelinedMessage next = connection.pollWaiting();
@@ -54,11 +54,11 @@
 
     private void start(ClientConnection connection, PipelinedMessage message) {
         connection.setHeadRequest(false);
-        if (message instanceof PipelinedMessage.Routed routed) {
+        if (message instanceof PipelinedMessage.RoutedRequest routed) {
             startRequest(connection, routed);
-        } else if (message instanceof PipelinedMessage.ForNode forNode) {
+        } else if (message instanceof PipelinedMessage.NodeRequest nodeRequest) {
             connection.setRequestInProgress(true);
-            listener.onNodeRequest(connection, forNode.request());
+            listener.onNodeRequest(connection, nodeRequest.request());
         } else if (message instanceof PipelinedMessage.Rejected rejected) {
             connection.setHeadRequest(rejected.headRequest());
             connection.write(rejected.response(), rejected.closesConnection());
@@ -66,7 +66,7 @@
         }
     }
 
-    private void startRequest(ClientConnection connection, PipelinedMessage.Routed message) {
+    private void startRequest(ClientConnection connection, PipelinedMessage.RoutedRequest message) {
         ClientRequest request = message.request();
         connection.setHeadRequest(request.headRequest());
         String rejection = findReasonToReject();
@@ -78,7 +78,7 @@
             return;
         }
         connection.setRequestInProgress(true);
-        // its client has also waited while it waited for its turn
+        // the time of arrival, not the current time: the client was already waiting while the request was queued
         listener.onRequest(connection, request, message.arrivedTicks());
     }
 
@@ -92,10 +92,11 @@
     }
 
     /**
-     * Answers all that was read from a client that has ended its output, and closes its connection. Such a client cannot be
-     * told from one that has left, so that nothing more is begun for it; but it may still read.
+     * Answers all requests read from a client that has closed its side of the connection, and closes the connection. Such a
+     * client cannot be distinguished from one that has disconnected, so none of its queued requests is started; but it may
+     * still read the responses.
      */
-    void clientLeft(ClientConnection connection) {
+    void clientClosedOutput(ClientConnection connection) {
         if (connection.isRequestInProgress() && connection.currentToken() != null) {
             listener.onDisconnect(connection.currentToken());
             connection.setCurrentToken(null);
@@ -110,12 +111,12 @@
             discard(next);
         }
         connection.allRequestsAnswered();
-        // what was read and is not yet queued finds the connection closed
+        // messages that were read but are not queued yet are discarded once the connection is marked as closed
         connection.markClosed();
         connection.closeOnFlush();
     }
 
-    /** Discards the messages of a connection that has ended. */
+    /** Discards the queued messages of a connection that has ended, and reports its request in progress to the listener. */
     void connectionClosed(ClientConnection connection) {
         connection.markClosed();
         for (PipelinedMessage next = connection.pollWaiting(); next != null; next = connection.pollWaiting()) {
@@ -127,7 +128,7 @@
     }
 
     private void discard(PipelinedMessage message) {
-        if (message instanceof PipelinedMessage.Routed routed) {
+        if (message instanceof PipelinedMessage.RoutedRequest routed) {
             routed.request().releaseBody(bodyBudget);
         }
     }
--- a/src/main/java/laurelkeel/front/ingress/RequestReader.java
+++ b/src/main/java/laurelkeel/front/ingress/RequestReader.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Interprets what the codec has read from clients. Thread-safe; called on the I/O threads, so that the event loop's thread
- * need not parse headers.
+ * Interprets the requests that the codec has read from clients. Thread-safe; called on the I/O threads, so that the event
+ * loop's thread does not spend time on parsing headers.
  */
 final class RequestReader {
     private static final Logger LOG = LoggerFactory.getLogger(RequestReader.class);
@@ -25,10 +25,10 @@
         this.bodyBudget = bodyBudget;
     }
 
-    /** Interprets a request, and releases its body unless it is one for a route. */
+    /** Interprets a request, and releases its body unless the request is for a route. */
     PipelinedMessage read(ClientConnection connection, HttpRequest request, long arrivedTicks) {
         PipelinedMessage message = interpret(connection, request, arrivedTicks);
-        if (!(message instanceof PipelinedMessage.Routed)) {
+        if (!(message instanceof PipelinedMessage.RoutedRequest)) {
             discard(request);
         }
         return message;
@@ -42,23 +42,23 @@
     private PipelinedMessage interpret(ClientConnection connection, HttpRequest request, long arrivedTicks) {
         try {
             return protocol.isNodeRequest(request)
-                    ? new PipelinedMessage.ForNode(request)
-                    : new PipelinedMessage.Routed(protocol.parseRequest(request), arrivedTicks);
+                    ? new PipelinedMessage.NodeRequest(request)
+                    : new PipelinedMessage.RoutedRequest(protocol.parseRequest(request), arrivedTicks);
         } catch (HttpProtocolException e) {
-            return rejected(e, request);
+            return reject(e, request);
         } catch (RuntimeException e) {
-            // it was read, so that its client is owed a response
-            LOG.error("client connection {}: cannot interpret a request", connection.id(), e);
-            return rejected(new HttpProtocolException(500, "an error of this front; nothing was done"), request);
+            // the request was read, so its client must get a response
+            LOG.error("client connection {}: internal error while interpreting a request", connection.id(), e);
+            return reject(new HttpProtocolException(500, "an error of this front; nothing was done"), request);
         }
     }
 
-    /** Returns the response to input that is not a valid request, after which the connection cannot be read on. */
-    PipelinedMessage unreadable(HttpProtocolException failure) {
-        return rejected(failure, null);
+    /** Rejects input that cannot be parsed as a request; nothing after it on the connection can be read. */
+    PipelinedMessage rejectUnreadable(HttpProtocolException failure) {
+        return reject(failure, null);
     }
 
-    private PipelinedMessage.Rejected rejected(HttpProtocolException failure, @Nullable HttpRequest request) {
+    private PipelinedMessage.Rejected reject(HttpProtocolException failure, @Nullable HttpRequest request) {
         if (failure.status() == SERVICE_UNAVAILABLE) {
             return new PipelinedMessage.Rejected(
                     rejections.reject("this front has no room for more bodies", true), false, true);
--- a/src/main/java/laurelkeel/front/ingress/ResponseSender.java
+++ b/src/main/java/laurelkeel/front/ingress/ResponseSender.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Collects the responses of a turn of the event loop, and writes them together at its end: each first write wakes the I/O
- * thread of its connection, which is a system call, and those that follow closely find that thread awake.
+ * Collects the responses of one turn of the event loop and writes them together at its end. The first write to an I/O thread
+ * wakes it, which costs a system call; writes that follow closely find the thread awake.
  *
  * <p>Not thread-safe; called on the event loop's thread.
  */
@@ -38,7 +38,7 @@
         if (closes) {
             response.headers().add("Connection", "close");
         }
-        enqueue(connection, () -> connection.gone() ? null : connection.write(response, closes));
+        enqueue(connection, () -> connection.isClosed() ? null : connection.write(response, closes));
     }
 
     /** See {@link Ingress#forward}. */
@@ -54,7 +54,7 @@
         }
         byte[] bytes = response.assemble(ownHeaders, !connection.isHeadRequest());
         enqueue(connection, () -> {
-            if (connection.gone()) {
+            if (connection.isClosed()) {
                 onDone.run();
                 return null;
             }
@@ -66,7 +66,7 @@
 
     /** Writes the final response of the request in progress. */
     private interface ResponseWrite {
-        /** Returns null where the connection is gone. */
+        /** Writes the response; returns null if the connection has ended. */
         @Nullable
         WriteFuture write();
     }
@@ -76,14 +76,14 @@
         pendingWrites.add(() -> write(connection, response));
     }
 
-    /** Writes the collected responses. */
+    /** Writes the collected responses and those that these writes lead to. */
     void flush() {
-        // by index: a write may lead to a further response
+        // by index, because a write may add a further response to the list
         for (int i = 0; i < pendingWrites.size(); i++) {
             try {
                 pendingWrites.get(i).run();
             } catch (RuntimeException e) {
-                LOG.error("cannot write a response", e);
+                LOG.error("failed to write a response", e);
             }
         }
         pendingWrites.clear();
@@ -91,12 +91,13 @@
 
     private void write(ClientConnection connection, ResponseWrite response) {
         WriteFuture written = response.write();
-        connection.idleSince(loop.nowTicks());
+        connection.setIdleSinceTicks(loop.nowTicks());
         connection.requestAnswered();
         if (written == null || !connection.hasWaiting()) {
             connection.setRequestInProgress(false);
         } else {
-            // the next request begins once this is written: a client that reads slowly is served slowly
+            // the next request starts only when this response is written, so that a client that reads slowly is served
+            // slowly
             written.addListener(done -> loop.post(() -> {
                 connection.setRequestInProgress(false);
                 pipeline.startNext(connection);
--- a/src/main/java/laurelkeel/front/ingress/RouteTable.java
+++ b/src/main/java/laurelkeel/front/ingress/RouteTable.java
@@ -7,12 +7,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Maps methods and paths to routes, by the longest prefix that ends at a path segment, and names to tenants. Immutable.
+ * Maps methods and paths to routes by the longest matching path prefix, and tenant names to indexes. A prefix matches only whole
+ * path segments. Immutable.
  */
 public final class RouteTable {
-    /** Result of {@link #route}: no route has the path. */
+    /** Result of {@link #route}: no route matches the path. */
     static final int UNKNOWN_PATH = -1;
-    /** Result of {@link #route}: only routes with other methods have the path. */
+    /** Result of {@link #route}: routes match the path, but none has the method. */
     static final int METHOD_NOT_ALLOWED = -2;
     /** Result of {@link #tenant}: no tenant has the name. */
     static final int UNKNOWN_TENANT = -1;
@@ -20,11 +21,11 @@
     /**
      * One route.
      *
-     * @param prefix of the paths that belong to it
-     * @param requiresIdempotencyKey whether its requests must carry an idempotency key
+     * @param prefix the prefix that all its paths have in common
+     * @param requiresIdempotencyKey whether its requests must have an idempotency key
      */
     public record Entry(String name, String method, String prefix, boolean requiresIdempotencyKey) {
-        private boolean hasPath(String path) {
+        private boolean matches(String path) {
             return path.startsWith(prefix)
                     && (path.length() == prefix.length()
                             || prefix.endsWith("/")
@@ -36,9 +37,9 @@
     private final Map<String, Integer> tenants = new HashMap<>();
 
     /**
-     * Creates a table; routes and tenants are numbered by their order.
+     * Creates a table. The index of a route or tenant is its position in the list.
      *
-     * @param tenants empty where requests name no tenant
+     * @param tenants names of the tenants; empty if requests do not name a tenant
      */
     public RouteTable(List<Entry> entries, List<String> tenants) {
         this.entries = List.copyOf(entries);
@@ -47,18 +48,18 @@
         }
     }
 
-    /** Returns the routes by their number. */
+    /** Returns the routes by index. */
     public List<Entry> entries() {
         return entries;
     }
 
-    /** Returns the number of the route; -1 for an unknown path, -2 for a known path with another method. */
+    /** Returns the index of a route, {@link #UNKNOWN_PATH} or {@link #METHOD_NOT_ALLOWED}. */
     public int route(String method, String path) {
         int best = UNKNOWN_PATH;
         boolean knownPath = false;
         for (int i = 0; i < entries.size(); i++) {
             Entry entry = entries.get(i);
-            if (entry.hasPath(path)) {
+            if (entry.matches(path)) {
                 knownPath = true;
                 boolean longer = best < 0
                         || entry.prefix.length() > entries.get(best).prefix.length();
@@ -70,11 +71,11 @@
         return best < 0 && knownPath ? METHOD_NOT_ALLOWED : best;
     }
 
-    /** Returns the methods that a path accepts, with commas between. */
+    /** Returns the methods that are allowed for a path, separated by commas. */
     public String allowedMethods(String path) {
         List<String> methods = new ArrayList<>();
         for (Entry entry : entries) {
-            if (entry.hasPath(path) && !methods.contains(entry.method)) {
+            if (entry.matches(path) && !methods.contains(entry.method)) {
                 methods.add(entry.method);
             }
         }
@@ -82,9 +83,9 @@
     }
 
     /**
-     * Returns the number of a tenant: -1 for an unknown one, and always 0 where the table has none.
+     * Returns the index of a tenant or {@link #UNKNOWN_TENANT}; always 0 if the table has no tenants.
      *
-     * @param name null where the request names none
+     * @param name null if the request names no tenant
      */
     public int tenant(@Nullable String name) {
         if (tenants.isEmpty()) {
--- a/src/main/java/laurelkeel/front/ingress/WriteStallDetector.java
+++ b/src/main/java/laurelkeel/front/ingress/WriteStallDetector.java
@@ -1,7 +1,8 @@
 package laurelkeel.front.ingress;
 
 /**
- * Measures how long the pending writes of a connection have made no progress, as seen by its calls.
+ * Measures the time for which the pending writes of a connection have made no progress. The resolution is the interval between
+ * calls.
  *
  * <p>Not thread-safe; called on the event loop's thread.
  */
@@ -10,10 +11,10 @@
     private long lastProgressTicks;
 
     /**
-     * Returns the time without progress, in ticks; 0 where no write is pending.
+     * Returns the time without progress; 0 if no write is pending.
      *
-     * @param writtenBytes written on the connection since it opened
-     * @param writesPending whether any write waits to be completed
+     * @param writtenBytes number of bytes written on the connection since it opened
+     * @param writesPending whether any write is incomplete
      */
     long stalledTicks(long writtenBytes, boolean writesPending, long nowTicks) {
         if (!writesPending || writtenBytes != lastWrittenBytes) {
--- a/src/main/java/laurelkeel/front/ingress/package-info.java
+++ b/src/main/java/laurelkeel/front/ingress/package-info.java
@@ -1,4 +1,4 @@
-/** Connections from clients: HTTP/1.1 requests in, named by route, tenant and partition key, and final responses out. */
+/** Client connections: reads HTTP/1.1 requests, determines their route, tenant and partition key, and writes responses. */
 @NullMarked
 package laurelkeel.front.ingress;
 
--- a/src/test/java/laurelkeel/front/ingress/ClientConnectionTest.java
+++ b/src/test/java/laurelkeel/front/ingress/ClientConnectionTest.java
@@ -39,10 +39,10 @@
 
     @Test
     void aSlotIsLeftAndRetakenOnce() {
-        assertTrue(connection.leaveSlot());
-        assertFalse(connection.leaveSlot());
-        assertTrue(connection.retakeSlot());
-        assertFalse(connection.retakeSlot());
+        assertTrue(connection.markSlotReleased());
+        assertFalse(connection.markSlotReleased());
+        assertTrue(connection.markSlotOccupied());
+        assertFalse(connection.markSlotOccupied());
     }
 
     @Test
--- a/src/test/java/laurelkeel/front/ingress/RequestPipelineTest.java
+++ b/src/test/java/laurelkeel/front/ingress/RequestPipelineTest.java
@@ -133,7 +133,7 @@
     private static PipelinedMessage routed(String id) {
         ClientRequest request =
                 new ClientRequest(id, new ForwardedMessage(new byte[0], BODY), false, false, 0, 0, null, 100, 0, false);
-        return new PipelinedMessage.Routed(request, 5);
+        return new PipelinedMessage.RoutedRequest(request, 5);
     }
 
     @Test
@@ -185,12 +185,12 @@
     void allRequestsOfAClientThatHasLeftAreAnsweredAndNoneIsBegun() {
         receive("a");
         receive("b");
-        pipeline.clientLeft(connection);
+        pipeline.clientClosedOutput(connection);
         assertEquals(List.of("a arrived at 5", "disconnected under a"), listener.events);
         assertEquals(List.of("its client ended the connection"), protocol.rejections);
         assertEquals(0, connection.unansweredRequests());
         assertEquals(0, rejections.count(), "it was not rejected for lack of capacity");
         assertFalse(connection.hasWaiting());
-        assertTrue(connection.gone());
+        assertTrue(connection.isClosed());
     }
 }
