--- a/src/main/java/laurelkeel/front/ingress/ClientAcceptor.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientAcceptor.java
@@ -100,7 +100,7 @@
             LockSupport.parkNanos(CAPACITY_POLL_NANOS);
         }
         if (getManagedSessionCount() < maxDescriptors) {
-            // the count is too high if sessions ended before they were opened, since sessionOpened is not called for those
+            // too high if sessions ended before they were opened: sessionOpened is not called for those
             unopenedSessions.set(0);
         }
         return false;
--- a/src/test/java/laurelkeel/front/ingress/ClientConnectionTest.java
+++ b/src/test/java/laurelkeel/front/ingress/ClientConnectionTest.java
@@ -14,7 +14,7 @@
     private final ClientConnection connection = new ClientConnection(session, MAX_PIPELINED_REQUESTS, 0);
 
     @Test
-    void readingStopsWhileTooManyRequestsWaitAndGoesOnOnceFewDo() {
+    void readingIsSuspendedWhileTooManyRequestsAreUnanswered() {
         for (int i = 0; i < MAX_PIPELINED_REQUESTS; i++) {
             connection.requestRead();
         }
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void theFirstCloseReasonCounts() {
+    void firstCloseReasonIsKept() {
         assertEquals(CloseReason.NODE_STOPPED, connection.closeReason());
         connection.recordCloseReason(CloseReason.IDLE_TIMEOUT);
         connection.recordCloseReason(CloseReason.CONNECTION_ERROR);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aSlotIsLeftAndRetakenOnce() {
+    void slotIsReleasedAndReclaimedOnlyOnce() {
         assertTrue(connection.markSlotReleased());
         assertFalse(connection.markSlotReleased());
         assertTrue(connection.markSlotOccupied());
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void oneRequestIsInProgressAtATime() {
+    void onlyOneRequestIsInProgressAtATime() {
         assertFalse(connection.isReadyForNext());
         connection.enqueue(new PipelinedMessage.Rejected(null, false, false));
         assertTrue(connection.isReadyForNext());
--- a/src/test/java/laurelkeel/front/ingress/ClientRequestTest.java
+++ b/src/test/java/laurelkeel/front/ingress/ClientRequestTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void theRemainingTimeIsRoundedDownAndAtMostTheTimeout() throws Exception {
+    void remainingTimeIsRoundedDownAndLimitedToTheTimeout() throws Exception {
         assertEquals(
                 12,
                 read("GET", "/read", "Laurelkeel-Customer", "first", "Laurelkeel-Remaining-Ms", "1.29")
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void headersThatOnlyNodesSetAreNotForwarded() throws Exception {
+    void headersThatNodesSetAreNotForwarded() throws Exception {
         ClientRequest request =
                 read("GET", "/read", "Laurelkeel-Customer", "first", "Laurelkeel-Try", "3", "Laurelkeel-Repeat", "1");
         String head = new String(request.forwarded().head(), StandardCharsets.ISO_8859_1);
--- a/src/test/java/laurelkeel/front/ingress/ConnectionCloseTest.java
+++ b/src/test/java/laurelkeel/front/ingress/ConnectionCloseTest.java
@@ -19,7 +19,6 @@
 import laurelkeel.front.FrontTestRig;
 import laurelkeel.wire.Headers;
 import laurelkeel.wire.HttpLimits;
-import laurelkeel.wire.HttpProtocolException;
 import laurelkeel.wire.HttpRequest;
 import laurelkeel.wire.HttpResponse;
 import org.apache.mina.core.filterchain.IoFilterAdapter;
@@ -32,7 +31,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Whatever closes a client's connection, each request that was read on it gets its response. */
+/** Each request that was read from a client's connection is answered, for whatever reason the connection is closed. */
 class ConnectionCloseTest {
     private static final String REQUEST = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
 
@@ -42,7 +41,7 @@
     private final List<Socket> clients = new ArrayList<>();
     private Ingress ingress;
     private Socket clientBeingRead;
-    private ClientProtocol protocol = new NodeRequestProtocol();
+    private ClientProtocol protocol = new StubClientProtocol(true);
     private int port;
 
     private void createIngress(int connections, long idleTimeoutTicks) {
@@ -103,40 +102,7 @@
         ingress.close();
     }
 
-    /** Takes each request for one to the node itself. */
-    private static class NodeRequestProtocol implements ClientProtocol {
-        @Override
-        public boolean isNodeRequest(HttpRequest request) {
-            return true;
-        }
-
-        @Override
-        public ClientRequest parseRequest(HttpRequest request) {
-            throw new AssertionError("all requests are for the node");
-        }
-
-        @Override
-        public HttpResponse badRequest(HttpProtocolException failure, HttpRequest request) {
-            return new HttpResponse(failure.status(), new Headers(), new byte[0]);
-        }
-
-        @Override
-        public HttpResponse notAccepted(String reason) {
-            return new HttpResponse(503, new Headers(), new byte[0]);
-        }
-
-        @Override
-        public HttpResponse rejected(long retryAfterTicks, String reason) {
-            return notAccepted(reason);
-        }
-
-        @Override
-        public HttpResponse failed(boolean timedOut, String reason) {
-            return new HttpResponse(502, new Headers(), new byte[0]);
-        }
-    }
-
-    /** Answers each request at once. */
+    /** Answers each request to the node immediately. */
     private final class ImmediateResponder implements IngressListener {
         @Override
         public void onRequest(ClientConnection connection, ClientRequest request, long arrivedTicks) {}
@@ -147,7 +113,7 @@
         }
 
         @Override
-        public void onDisconnect(Object current) {}
+        public void onDisconnect(Object token) {}
 
         @Override
         public int activeRequests() {
@@ -165,38 +131,42 @@
         }
     }
 
-    /** Blocks the I/O thread between reading a request and handling it. */
+    /** Blocks the I/O thread after it has read a request and before it handles it. */
     private static final class BlockingFilter extends IoFilterAdapter {
         final CountDownLatch reached = new CountDownLatch(1);
         final CountDownLatch released = new CountDownLatch(1);
-        /** Blocks it again after that until the response is handed over, behind the writes that were pending before. */
+        /** Whether to block the I/O thread again after the handling, until the response is queued for writing. */
         volatile boolean blockUntilAnswered;
 
         @Override
         public void messageReceived(NextFilter next, IoSession session, Object message) throws Exception {
             reached.countDown();
             released.await();
-            int before = session.getScheduledWriteMessages();
+            int pendingWrites = session.getScheduledWriteMessages();
             next.messageReceived(session, message);
             if (blockUntilAnswered) {
                 blockUntilAnswered = false;
-                FrontTestRig.await("it is answered", () -> session.getScheduledWriteMessages() > before);
+                FrontTestRig.await(
+                        "the request is answered", () -> session.getScheduledWriteMessages() > pendingWrites);
             }
         }
     }
 
-    /** The loop closes connections that seem idle while the I/O thread is about to handle a request of one. */
-    private void assertAnsweredThoughClosedWhileRead(long elapsedTicks, Runnable close) throws Exception {
-        assertAnsweredThoughClosedWhileRead(new BlockingFilter(), elapsedTicks, close);
+    /**
+     * Asserts that a request is answered, and its connection stays open, if the event loop closes connections that seem idle
+     * while the I/O thread has read the request and not handled it yet.
+     */
+    private void assertAnsweredIfClosedWhileReading(long elapsedTicks, Runnable close) throws Exception {
+        assertAnsweredIfClosedWhileReading(new BlockingFilter(), elapsedTicks, close);
         assertConnectionStaysOpen();
     }
 
     private void assertConnectionStaysOpen() throws IOException {
         FrontTestPeers.say(clientBeingRead, REQUEST);
-        assertTrue(readsResponse(clientBeingRead), "the connection is read on");
+        assertTrue(readsResponse(clientBeingRead), "reading continues");
     }
 
-    private void assertAnsweredThoughClosedWhileRead(BlockingFilter filter, long elapsedTicks, Runnable close)
+    private void assertAnsweredIfClosedWhileReading(BlockingFilter filter, long elapsedTicks, Runnable close)
             throws Exception {
         ingress.acceptor().getFilterChain().addFirst("block", filter);
         Socket client = connect();
@@ -213,13 +183,13 @@
         assertTrue(readsResponse(client), "the request that was read is answered");
     }
 
-    /** An error of this program is no reason to leave a client without a response. */
+    /** An internal error while a request is interpreted must not leave the client without a response. */
     @Test
-    void aRequestThatCannotBeInterpretedIsAnsweredAndItsConnectionStaysOpen() throws Exception {
-        protocol = new NodeRequestProtocol() {
+    void requestIsAnsweredAndConnectionStaysOpenAfterInternalError() throws Exception {
+        protocol = new StubClientProtocol(true) {
             @Override
             public boolean isNodeRequest(HttpRequest request) {
-                throw new IllegalStateException("made");
+                throw new IllegalStateException("thrown by the test");
             }
         };
         openIngress(10, 600_000);
@@ -232,49 +202,49 @@
     }
 
     /**
-     * The response is handed over after the close of its connection was requested, and before the I/O thread checks whether
-     * it may close it: the response is written, and the connection is no longer idle.
+     * If a response is queued after the close of its connection was requested and before the I/O thread checks whether it may
+     * close the connection, the response is written, and the connection counts as in use and stays open.
      */
     @Test
-    void aConnectionAnsweredBeforeTheCheckOfItsCloseIsReadOn() throws Exception {
+    void connectionStaysOpenIfAnsweredBeforeItsCloseIsChecked() throws Exception {
         openIngress(10, 600_000);
         BlockingFilter filter = new BlockingFilter();
         filter.blockUntilAnswered = true;
-        assertAnsweredThoughClosedWhileRead(filter, 30_000, ingress::sweep);
+        assertAnsweredIfClosedWhileReading(filter, 30_000, ingress::sweep);
         assertConnectionStaysOpen();
     }
 
     @Test
-    void aDrainClosesNoConnectionWhoseRequestIsBeingRead() throws Exception {
+    void drainDoesNotCloseConnectionWhoseRequestIsBeingRead() throws Exception {
         openIngress(10, 600_000);
-        assertAnsweredThoughClosedWhileRead(0, ingress::closeIdle);
+        assertAnsweredIfClosedWhileReading(0, ingress::closeIdle);
     }
 
     @Test
-    void aFirstRequestThatIsBeingReadDoesNotTimeOut() throws Exception {
+    void firstRequestDoesNotTimeOutWhileItIsBeingRead() throws Exception {
         openIngress(10, 600_000);
-        assertAnsweredThoughClosedWhileRead(30_000, ingress::sweep);
+        assertAnsweredIfClosedWhileReading(30_000, ingress::sweep);
     }
 
     @Test
-    void anIdleConnectionIsClosedAtOnceByADrain() throws Exception {
+    void drainClosesIdleConnectionImmediately() throws Exception {
         openIngress(10, 600_000);
         Socket c = connect();
-        Socket half = connect();
+        Socket partial = connect();
         startLoop();
         FrontTestPeers.say(c, REQUEST);
         assertTrue(readsResponse(c));
-        FrontTestPeers.say(half, REQUEST.substring(0, 9));
-        FrontTestRig.await("the request is read in part", () -> ingress.partialRequests() == 1);
-        // in a later turn than the response: its client may have read it before the loop has counted it
+        FrontTestPeers.say(partial, REQUEST.substring(0, 9));
+        FrontTestRig.await("a part of the request is read", () -> ingress.partialRequests() == 1);
+        // in a later turn of the event loop: the client may read the response before the loop has counted it
         runOnLoop(ingress::closeIdle);
         assertEquals("<end>", FrontTestPeers.hear(c));
-        FrontTestPeers.say(half, REQUEST.substring(9));
-        assertTrue(readsResponse(half));
+        FrontTestPeers.say(partial, REQUEST.substring(9));
+        assertTrue(readsResponse(partial));
     }
 
     @Test
-    void noConnectionWhoseRequestWaitsForTheLoopIsClosedToMakeRoom() throws Exception {
+    void connectionWhoseRequestIsQueuedForTheEventLoopIsNotEvicted() throws Exception {
         openIngress(2, 600_000);
         Socket a = connect();
         Socket b = connect();
@@ -284,46 +254,49 @@
             assertTrue(readsResponse(s));
             clock.addAndGet(10);
         }
-        // the loop is blocked from here on, and both have been idle for long
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+        // blocks the event loop; both connections have been idle for longer than the minimum by then
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch unblock = new CountDownLatch(1);
         loop.post(() -> {
-            held.countDown();
+            blocked.countDown();
             try {
-                go.await();
+                unblock.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        held.await();
+        blocked.await();
         clock.addAndGet(30_000);
         FrontTestPeers.say(a, REQUEST);
-        FrontTestRig.await("read", () -> loop.queuedTasks() >= 1);
+        FrontTestRig.await("the request is read", () -> loop.queuedTasks() >= 1);
         connect();
-        assertEquals("<end>", FrontTestPeers.hear(b), "the other one is closed, though it has been idle for less time");
-        go.countDown();
+        assertEquals(
+                "<end>",
+                FrontTestPeers.hear(b),
+                "the other connection is closed, although it has been idle for less time");
+        unblock.countDown();
         assertTrue(readsResponse(a));
     }
 
     @Test
-    void anIdleConnectionWhoseRequestIsBeingReadIsAnswered() throws Exception {
+    void idleConnectionIsAnsweredIfItsRequestIsBeingRead() throws Exception {
         openIngress(10, 20_000);
-        assertAnsweredThoughClosedWhileRead(20_001, ingress::sweep);
+        assertAnsweredIfClosedWhileReading(20_001, ingress::sweep);
     }
 
     @Test
-    void anIdleConnectionIsClosedAtItsTimeoutAndNotBefore() throws Exception {
+    void idleConnectionIsClosedAfterItsTimeoutAndNotBefore() throws Exception {
         openIngress(10, 20_000);
         Socket c = connect();
         FrontTestPeers.say(c, REQUEST);
-        FrontTestRig.await("read", () -> loop.queuedTasks() > 0);
+        FrontTestRig.await("the request is read", () -> loop.queuedTasks() > 0);
         startLoop();
         assertTrue(readsResponse(c));
         for (int i = 0; i < 3; i++) {
             clock.addAndGet(20_000);
             sweepOnLoop();
             FrontTestPeers.say(c, REQUEST);
-            assertTrue(readsResponse(c), "still open");
+            assertTrue(readsResponse(c), "the connection is still open");
         }
         clock.addAndGet(20_001);
         sweepOnLoop();
@@ -347,9 +320,9 @@
         }
     }
 
-    /** MINA's own timeouts go by the wall clock, which may be stepped. */
+    /** MINA's own timeouts are measured by the wall clock, which may be stepped. */
     @Test
-    void noTimeoutGoesByTheWallClock() throws Exception {
+    void noTimeoutIsMeasuredByTheWallClock() throws Exception {
         openIngress(10, 20_000);
         assertEquals(0, ingress.acceptor().getSessionConfig().getWriteTimeout());
         for (IdleStatus kind : List.of(IdleStatus.BOTH_IDLE, IdleStatus.READER_IDLE, IdleStatus.WRITER_IDLE)) {
@@ -357,7 +330,7 @@
         }
     }
 
-    /** Blocks the acceptor's thread at each connection that it accepts. */
+    /** Blocks the acceptor's thread on each connection that it accepts. */
     private static final class BlockingSessionFactory extends DefaultIoSessionDataStructureFactory {
         final CountDownLatch reached = new CountDownLatch(1);
         final CountDownLatch released = new CountDownLatch(1);
@@ -388,7 +361,7 @@
         Thread unbind = new Thread(ingress::unbind);
         unbind.start();
         FrontTestRig.await(
-                "it waits to be unbound",
+                "unbind waits for the acceptor",
                 () -> unbind.getState() == Thread.State.WAITING || unbind.getState() == Thread.State.TIMED_WAITING);
         factory.released.countDown();
         unbind.join();
--- a/src/test/java/laurelkeel/front/ingress/RequestPipelineTest.java
+++ b/src/test/java/laurelkeel/front/ingress/RequestPipelineTest.java
@@ -11,11 +11,8 @@
 import laurelkeel.eventloop.EventLoop;
 import laurelkeel.wire.ByteBudget;
 import laurelkeel.wire.ForwardedMessage;
-import laurelkeel.wire.Headers;
 import laurelkeel.wire.HttpLimits;
-import laurelkeel.wire.HttpProtocolException;
 import laurelkeel.wire.HttpRequest;
-import laurelkeel.wire.HttpResponse;
 import org.apache.mina.core.session.DummySession;
 import org.junit.jupiter.api.Test;
 
@@ -23,10 +20,10 @@
     private static final int MAX_OPEN_REQUESTS = 2;
     private static final byte[] BODY = new byte[7];
 
-    private final Listener listener = new Listener();
-    private final Protocol protocol = new Protocol();
+    private final RecordingListener listener = new RecordingListener();
+    private final StubClientProtocol protocol = new StubClientProtocol(false);
     private final EarlyRejections rejections = new EarlyRejections(protocol);
-    /** Nothing is reserved here, so that it counts what is released below 0. */
+    /** The tests reserve nothing, so that released bytes show as a negative reservation. */
     private final ByteBudget budget = new ByteBudget(0);
 
     private final RequestPipeline pipeline = new RequestPipeline(
@@ -53,10 +50,10 @@
             budget);
     private final ClientConnection connection = new ClientConnection(new DummySession(), 16, 0);
 
-    private static final class Listener implements IngressListener {
+    private static final class RecordingListener implements IngressListener {
         private final List<String> events = new ArrayList<>();
         private int activeRequests;
-        private boolean draining;
+        private boolean closingConnections;
 
         @Override
         public void onRequest(ClientConnection connection, ClientRequest request, long arrivedTicks) {
@@ -70,8 +67,8 @@
         }
 
         @Override
-        public void onDisconnect(Object current) {
-            events.add("disconnected under " + current);
+        public void onDisconnect(Object token) {
+            events.add("disconnected: " + token);
         }
 
         @Override
@@ -81,7 +78,7 @@
 
         @Override
         public boolean isClosingConnections() {
-            return draining;
+            return closingConnections;
         }
 
         @Override
@@ -90,41 +87,6 @@
         }
     }
 
-    private static final class Protocol implements ClientProtocol {
-        private final List<String> rejections = new ArrayList<>();
-
-        @Override
-        public boolean isNodeRequest(HttpRequest request) {
-            return false;
-        }
-
-        @Override
-        public ClientRequest parseRequest(HttpRequest request) {
-            throw new AssertionError("requests are interpreted before they are queued");
-        }
-
-        @Override
-        public HttpResponse badRequest(HttpProtocolException failure, HttpRequest request) {
-            return new HttpResponse(failure.status(), new Headers(), new byte[0]);
-        }
-
-        @Override
-        public HttpResponse notAccepted(String reason) {
-            rejections.add(reason);
-            return new HttpResponse(503, new Headers(), new byte[0]);
-        }
-
-        @Override
-        public HttpResponse rejected(long retryAfterTicks, String reason) {
-            return notAccepted(reason);
-        }
-
-        @Override
-        public HttpResponse failed(boolean timedOut, String reason) {
-            return new HttpResponse(502, new Headers(), new byte[0]);
-        }
-    }
-
     private void receive(String id) {
         connection.requestRead();
         pipeline.received(connection, routed(id));
@@ -137,7 +99,7 @@
     }
 
     @Test
-    void aRequestBeginsOnceTheOneBeforeItOnItsConnectionIsDone() {
+    void requestStartsWhenThePreviousOneOnItsConnectionIsDone() {
         receive("a");
         receive("b");
         assertEquals(List.of("a arrived at 5"), listener.events);
@@ -153,41 +115,41 @@
         receive("a");
         receive("b");
         assertEquals(List.of(), listener.events);
-        assertEquals(List.of("this front is full", "this front is full"), protocol.rejections);
+        assertEquals(List.of("this front is full", "this front is full"), protocol.rejectionReasons);
         assertEquals(2, rejections.count());
         assertEquals(0, connection.unansweredRequests());
         assertEquals(-2L * BODY.length, budget.reservedBytes(), "both bodies are released");
     }
 
     @Test
-    void aDrainingNodeRejectsARequestAndClosesItsConnection() {
-        listener.draining = true;
+    void stoppingNodeRejectsRequestAndClosesItsConnection() {
+        listener.closingConnections = true;
         receive("a");
         receive("b");
-        assertEquals(List.of("this front is stopping"), protocol.rejections);
+        assertEquals(List.of("this front is stopping"), protocol.rejectionReasons);
         assertTrue(connection.discardsInput());
         assertTrue(connection.isClosing());
         assertEquals(-2L * BODY.length, budget.reservedBytes());
     }
 
     @Test
-    void aConnectionThatClosesDiscardsWhatWaitsAndReportsTheRequestInProgress() {
+    void closedConnectionDiscardsQueuedRequestsAndReportsTheOneInProgress() {
         receive("a");
         receive("b");
         pipeline.connectionClosed(connection);
-        assertEquals(List.of("a arrived at 5", "disconnected under a"), listener.events);
-        assertEquals(-BODY.length, budget.reservedBytes(), "the body of b; that of a is the listener's");
+        assertEquals(List.of("a arrived at 5", "disconnected: a"), listener.events);
+        assertEquals(-BODY.length, budget.reservedBytes(), "the body of b; the listener releases that of a");
         receive("c");
         assertEquals(-2L * BODY.length, budget.reservedBytes());
     }
 
     @Test
-    void allRequestsOfAClientThatHasLeftAreAnsweredAndNoneIsBegun() {
+    void requestsOfClientThatClosedItsOutputAreAnsweredAndNoneIsStarted() {
         receive("a");
         receive("b");
         pipeline.clientClosedOutput(connection);
-        assertEquals(List.of("a arrived at 5", "disconnected under a"), listener.events);
-        assertEquals(List.of("its client ended the connection"), protocol.rejections);
+        assertEquals(List.of("a arrived at 5", "disconnected: a"), listener.events);
+        assertEquals(List.of("its client ended the connection"), protocol.rejectionReasons);
         assertEquals(0, connection.unansweredRequests());
         assertEquals(0, rejections.count(), "it was not rejected for lack of capacity");
         assertFalse(connection.hasWaiting());
--- a/src/test/java/laurelkeel/front/ingress/RouteTableTest.java
+++ b/src/test/java/laurelkeel/front/ingress/RouteTableTest.java
@@ -15,14 +15,14 @@
             List.of("first", "second"));
 
     @Test
-    void theLongestPrefixWithTheMethodWins() {
+    void longestPrefixWithTheMethodWins() {
         assertEquals(0, TABLE.route("GET", "/a"));
         assertEquals(1, TABLE.route("GET", "/a/b/x"));
         assertEquals(2, TABLE.route("POST", "/a/b"));
     }
 
     @Test
-    void aPrefixEndsAtAPathSegment() {
+    void prefixMatchesOnlyWholePathSegments() {
         assertEquals(0, TABLE.route("GET", "/a/bc"));
         assertEquals(RouteTable.UNKNOWN_PATH, TABLE.route("GET", "/ab"));
         assertEquals(3, TABLE.route("GET", "/c/x"));
@@ -30,13 +30,13 @@
     }
 
     @Test
-    void aKnownPathWithAnotherMethodIsNotAllowed() {
+    void knownPathWithAnotherMethodIsNotAllowed() {
         assertEquals(RouteTable.METHOD_NOT_ALLOWED, TABLE.route("POST", "/a"));
         assertEquals("GET, POST", TABLE.allowedMethods("/a/b"));
     }
 
     @Test
-    void tenantsAreNumberedByTheirOrder() {
+    void tenantIndexIsItsPositionInTheList() {
         assertEquals(1, TABLE.tenant("second"));
         assertEquals(RouteTable.UNKNOWN_TENANT, TABLE.tenant("third"));
         assertEquals(RouteTable.UNKNOWN_TENANT, TABLE.tenant(null));
--- a/src/test/java/laurelkeel/front/ingress/WriteStallDetectorTest.java
+++ b/src/test/java/laurelkeel/front/ingress/WriteStallDetectorTest.java
@@ -8,7 +8,7 @@
     private final WriteStallDetector detector = new WriteStallDetector();
 
     @Test
-    void aConnectionWithoutPendingWritesIsNotStalled() {
+    void connectionWithoutPendingWritesIsNotStalled() {
         assertEquals(0, detector.stalledTicks(10, false, 100));
         assertEquals(0, detector.stalledTicks(10, false, 900));
     }
