--- a/src/main/java/laurelkeel/wire/BodyBuffer.java
+++ b/src/main/java/laurelkeel/wire/BodyBuffer.java
@@ -6,8 +6,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Collects the body of the message that is being read, within its limit and the budget of all bodies; or passes its parts on
- * as they arrive. Not thread-safe.
+ * Collects the body of the message being read, subject to a size limit and to a memory budget shared by all bodies; or passes
+ * the parts of the body on as they arrive. Not thread-safe.
  */
 final class BodyBuffer {
     private static final byte[] EMPTY = new byte[0];
@@ -15,7 +15,7 @@
 
     private final int maxBytes;
     private final ByteBudget budget;
-    /** Receives the parts of a body; null where bodies are collected. */
+    /** Receives the parts of a body as they arrive; null if bodies are collected. */
     private final @Nullable Consumer<byte[]> parts;
 
     private byte[] bytes = EMPTY;
@@ -27,7 +27,7 @@
         this.parts = parts;
     }
 
-    /** Begins the body of the next message. */
+    /** Starts the body of the next message. */
     void begin() {
         length = 0;
     }
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Checks that a number of bytes may follow those collected.
+     * Checks that a number of further bytes is within the limit.
      *
-     * @throws HttpProtocolException where the body would be over its limit
+     * @throws HttpProtocolException if the body would exceed its limit
      */
     void checkLimit(long moreBytes) throws HttpProtocolException {
         if (length + moreBytes > maxBytes) {
@@ -48,9 +48,10 @@
     }
 
     /**
-     * Takes bytes of the body. Memory is reserved as bytes arrive: a length alone, stated on many connections, takes none.
+     * Appends bytes to the body. Memory is reserved only as bytes arrive, so that clients cannot exhaust the budget just by
+     * sending large Content-Length values on many connections.
      *
-     * @throws HttpProtocolException where the body is over its limit or the budget
+     * @throws HttpProtocolException if the body exceeds its limit or the budget
      */
     void append(ByteBuffer in, int count) throws HttpProtocolException {
         if (parts != null) {
@@ -75,7 +76,7 @@
         bytes = Arrays.copyOf(bytes, capacity);
     }
 
-    /** Returns the body, whose bytes stay reserved until whoever handles the message releases them. */
+    /** Returns the body; its bytes stay reserved until the handler of the message releases them. */
     byte[] take() {
         byte[] body = length == bytes.length ? bytes : Arrays.copyOf(bytes, length);
         budget.release(bytes.length - length);
@@ -83,7 +84,7 @@
         return body;
     }
 
-    /** Releases what was collected. */
+    /** Discards the collected bytes and releases their memory. */
     void discard() {
         budget.release(bytes.length);
         bytes = EMPTY;
--- a/src/main/java/laurelkeel/wire/BoundedLineReader.java
+++ b/src/main/java/laurelkeel/wire/BoundedLineReader.java
@@ -7,8 +7,8 @@
 /**
  * Splits UTF-8 bytes that arrive in arbitrary pieces into lines of bounded length.
  *
- * <p>A line ends with LF; one CR before it is dropped. A peer that never ends its line cannot use up the memory: a line
- * may hold a fixed number of bytes, a CR included. Not thread-safe.
+ * <p>A line ends with LF; one CR before the LF is dropped. The length of a line, including a CR, is limited, so that a peer
+ * that never ends a line cannot exhaust memory. Not thread-safe.
  */
 public final class BoundedLineReader {
     private final int maxLineBytes;
@@ -17,29 +17,29 @@
     /**
      * Receives each complete line.
      *
-     * @param <E> what it may throw; it passes through {@link #read}
+     * @param <E> the exception that it may throw, which {@link #read} propagates
      */
     @FunctionalInterface
     public interface LineConsumer<E extends Exception> {
         /**
          * Receives one line.
          *
-         * @param line without its line end; may be empty
+         * @param line the line without its terminator; may be empty
          */
         void accept(String line) throws E;
     }
 
-    /** @param maxLineBytes how many bytes a line may have before its LF */
+    /** @param maxLineBytes maximum number of bytes in a line before its LF */
     public BoundedLineReader(int maxLineBytes) {
         this.maxLineBytes = maxLineBytes;
     }
 
     /**
-     * Reads all remaining bytes of a buffer and hands over each line that they complete, in order.
+     * Reads all remaining bytes of a buffer and passes each line that they complete to the consumer, in order.
      *
-     * @throws LineTooLongException where a line exceeds the bound; the lines before it have been handed over, and the
-     *     reader is of no further use
-     * @throws E where the consumer throws it; the rest of the buffer is not read
+     * @throws LineTooLongException if a line exceeds the limit; the lines before it have been passed on, and the reader must
+     *     not be used again
+     * @throws E if the consumer throws it; the rest of the buffer is not read
      */
     public <E extends Exception> void read(ByteBuffer bytes, LineConsumer<? extends E> consumer)
             throws LineTooLongException, E {
@@ -54,12 +54,12 @@
         }
     }
 
-    /** What has been read of the line that is not complete yet; empty where there is none. */
+    /** Returns the part of an incomplete line that has been read so far; empty if there is none. */
     public String incompleteLine() {
         return line.toString(StandardCharsets.UTF_8);
     }
 
-    /** The number of bytes before the next LF, or all that remain where there is none. */
+    /** Returns the number of bytes before the next LF, or the number of remaining bytes if there is no LF. */
     private static int lengthUpToLineEnd(ByteBuffer bytes) {
         int length = 0;
         while (length < bytes.remaining() && bytes.get(bytes.position() + length) != '\n') {
--- a/src/main/java/laurelkeel/wire/ByteBudget.java
+++ b/src/main/java/laurelkeel/wire/ByteBudget.java
@@ -3,8 +3,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The bytes that all bodies of one side may occupy together, complete or partial. Limits on single messages do not bound a
- * process: some thousand connections, each with a body within its limit, exceed any heap.
+ * A limit on the total size of all message bodies on one side (clients or endpoints), complete or partial. The limit on single
+ * messages does not bound the memory of the process: a few thousand connections, each with a body within that limit, exceed any
+ * heap.
  *
  * <p>Thread-safe.
  */
@@ -14,20 +15,21 @@
     private final long maxBytes;
     private final AtomicLong reservedBytes = new AtomicLong();
 
-    /** Creates a budget of {@code maxBytes}. */
+    /** Creates a budget of {@code maxBytes} bytes. */
     public ByteBudget(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
     /**
-     * Returns an eighth of the heap, for each of two sides: a body exists twice while it is forwarded, as it was read and as
-     * it is written, and half of the heap must stay for the rest.
+     * Returns a budget of an eighth of the heap, intended for each of the two sides. While a body is forwarded, it exists
+     * twice, as read and as written; so both sides use at most half of the heap, and the other half is left for everything
+     * else.
      */
     public static ByteBudget eighthOfHeap() {
         return new ByteBudget(Runtime.getRuntime().maxMemory() / HEAP_SHARE);
     }
 
-    /** Reserves bytes; returns false, and reserves none, where they are over the budget. */
+    /** Reserves bytes; returns false, without reserving any, if they exceed the budget. */
     boolean tryReserve(int bytes) {
         if (reservedBytes.addAndGet(bytes) > maxBytes) {
             reservedBytes.addAndGet(-bytes);
@@ -36,12 +38,12 @@
         return true;
     }
 
-    /** Releases reserved bytes; called once for each body by whoever handled it. */
+    /** Releases reserved bytes; called once for each body by the component that handled it. */
     public void release(int bytes) {
         reservedBytes.addAndGet(-bytes);
     }
 
-    /** Returns the bytes that are reserved now. */
+    /** Returns the number of bytes that are currently reserved. */
     public long reservedBytes() {
         return reservedBytes.get();
     }
--- a/src/main/java/laurelkeel/wire/ForwardedMessage.java
+++ b/src/main/java/laurelkeel/wire/ForwardedMessage.java
@@ -3,13 +3,13 @@
 import java.util.Collection;
 
 /**
- * The part of a message that is forwarded from one connection to another. The I/O thread that read the message encodes it; the
- * event loop's thread only adds this hop's own header lines.
+ * The encoded part of a message that is forwarded from one connection to another. The I/O thread that read the message encodes
+ * it, so that the event loop's thread only has to add the header lines of this hop.
  *
- * @param head the start line, the forwarded headers and the length of the body, without the empty line
- * @param body not copied, and not to be changed
+ * @param head the start line, the forwarded headers and the Content-Length header, without the empty line
+ * @param body not copied; must not be modified
  */
-// copies would cost the request path; forwarded messages are not compared
+// copying the arrays would slow down every request; forwarded messages are not compared
 @SuppressWarnings("ArrayRecordComponent")
 public record ForwardedMessage(byte[] head, byte[] body) {
     private static final int NO_CONTENT = 204;
@@ -17,7 +17,7 @@
     /**
      * Encodes a request.
      *
-     * @param excluded header names that are not forwarded, beside those that never are
+     * @param excluded names of headers that are not forwarded, in addition to the hop-by-hop headers
      */
     public static ForwardedMessage of(HttpRequest request, Collection<String> excluded) {
         MessageBuilder head = new MessageBuilder()
@@ -32,7 +32,7 @@
     /**
      * Encodes a response.
      *
-     * @param excluded header names that are not forwarded, beside those that never are
+     * @param excluded names of headers that are not forwarded, in addition to the hop-by-hop headers
      */
     public static ForwardedMessage of(HttpResponse response, Collection<String> excluded) {
         MessageBuilder head = new MessageBuilder().appendText(HttpWriter.statusLine(response.status()));
@@ -48,9 +48,9 @@
     }
 
     /**
-     * Returns the bytes of the whole message.
+     * Returns the bytes of the complete message.
      *
-     * @param ownHeaders header lines of this hop, each with its end, which follow the forwarded ones
+     * @param ownHeaders header lines of this hop, each with its CRLF, which follow the forwarded ones
      * @param withBody false for the response to a HEAD request
      */
     public byte[] assemble(MessageBuilder ownHeaders, boolean withBody) {
--- a/src/main/java/laurelkeel/wire/HeaderBlock.java
+++ b/src/main/java/laurelkeel/wire/HeaderBlock.java
@@ -1,6 +1,6 @@
 package laurelkeel.wire;
 
-/** The header lines of the message that is being read, within their limits. Not thread-safe. */
+/** Collects the header lines of the message being read and enforces the limits on them. Not thread-safe. */
 final class HeaderBlock {
     private static final int LINE_END_BYTES = 2;
 
@@ -12,7 +12,7 @@
         this.limits = limits;
     }
 
-    /** Begins the headers of the next message. */
+    /** Starts the headers of the next message. */
     void begin() {
         headers = new Headers();
         bytes = 0;
@@ -22,19 +22,19 @@
         return headers;
     }
 
-    /** Adds a header line. */
+    /** Parses a header line and adds it. */
     void add(String line) throws HttpProtocolException {
         add(line, headers);
     }
 
-    /** Checks the line of a trailer, which counts against the limit on header bytes and is dropped. */
+    /** Parses a trailer line and drops it; its bytes count towards the limit on header bytes. */
     void checkTrailer(String line) throws HttpProtocolException {
         add(line, new Headers());
     }
 
-    private void add(String line, Headers into) throws HttpProtocolException {
+    private void add(String line, Headers target) throws HttpProtocolException {
         bytes += line.length() + LINE_END_BYTES;
-        if (bytes > limits.maxHeaderBytes() || into.size() >= limits.maxHeaders()) {
+        if (bytes > limits.maxHeaderBytes() || target.size() >= limits.maxHeaders()) {
             throw new HttpProtocolException(
                     431,
                     "more than " + limits.maxHeaders() + " header lines or " + limits.maxHeaderBytes()
@@ -47,7 +47,7 @@
         }
         String value = line.substring(colon + 1).strip();
         checkValue(name, value);
-        into.add(name, value);
+        target.add(name, value);
     }
 
     private static void checkValue(String name, String value) throws HttpProtocolException {
--- a/src/main/java/laurelkeel/wire/Headers.java
+++ b/src/main/java/laurelkeel/wire/Headers.java
@@ -5,14 +5,18 @@
 import java.util.Locale;
 import org.jspecify.annotations.Nullable;
 
-/** Header lines in the order they came; names compare without case. Not thread-safe while it changes. */
+/**
+ * The header lines of a message in their original order. Names are case-insensitive.
+ *
+ * <p>Not thread-safe; may be read by several threads once it is no longer modified.
+ */
 public final class Headers {
     private static final int EXPECTED_LINES = 8;
 
     private final List<String> names = new ArrayList<>(EXPECTED_LINES);
     private final List<String> values = new ArrayList<>(EXPECTED_LINES);
 
-    /** Returns headers from names and values in turn. */
+    /** Creates headers from alternating names and values. */
     public static Headers of(String... namesAndValues) {
         Headers headers = new Headers();
         for (int i = 0; i < namesAndValues.length; i += 2) {
@@ -21,7 +25,7 @@
         return headers;
     }
 
-    /** Adds a line; one of the same name stays. */
+    /** Adds a line; existing lines with the same name are kept. */
     public Headers add(String name, String value) {
         names.add(name);
         values.add(value);
@@ -33,17 +37,17 @@
         return names.size();
     }
 
-    /** Returns the name in the line at an index. */
+    /** Returns the name of the line at an index. */
     public String name(int index) {
         return names.get(index);
     }
 
-    /** Returns the value in the line at an index. */
+    /** Returns the value of the line at an index. */
     public String value(int index) {
         return values.get(index);
     }
 
-    /** Returns the first value of a name; null for none. */
+    /** Returns the value of the first line with a name; null if there is none. */
     public @Nullable String get(String name) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
@@ -53,7 +57,7 @@
         return null;
     }
 
-    /** Returns the number of lines with a name; more than one is an error for names that frame a message. */
+    /** Returns the number of lines with a name; more than one is an error for headers that delimit a message. */
     public int count(String name) {
         int count = 0;
         for (String each : names) {
@@ -63,9 +67,9 @@
     }
 
     /**
-     * Whether the comma-separated list of a name, over all its lines, contains a token.
+     * Whether the comma-separated values of all lines with a name contain a token.
      *
-     * @param token in lower case
+     * @param token must be in lower case; the values are compared with it without regard to case
      */
     public boolean has(String name, String token) {
         for (int i = 0; i < names.size(); i++) {
--- a/src/main/java/laurelkeel/wire/HttpCodec.java
+++ b/src/main/java/laurelkeel/wire/HttpCodec.java
@@ -9,21 +9,21 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The parser and the writer as a filter of MINA's chain. Handlers receive each {@link HttpMessage}, or once an
- * {@link HttpProtocolException} where the input is invalid, after which the rest of the input is skipped.
+ * The HTTP parser and writer as a filter in MINA's filter chain. Handlers receive each complete {@link HttpMessage}. If the
+ * input is invalid, they receive a single {@link HttpProtocolException}, and the rest of the input is skipped.
  *
  * <p>Thread-safe.
  */
 public final class HttpCodec implements ProtocolCodecFactory {
 
-    /** Bytes that are written as they are, for test peers that misbehave. */
-    // a record only by form: never compared
+    /** Bytes that are written unchanged: interim responses, and the output of test peers that simulate faults. */
+    // never compared, so equality by array identity does no harm
     @SuppressWarnings("ArrayRecordComponent")
     public record Raw(byte[] bytes) {}
 
-    /** A message without bytes: its write completes on the I/O thread once all writes before it have. */
+    /** A message without bytes, whose write completes on the I/O thread after all earlier writes have completed. */
     public enum FlushMarker {
-        /** The marker. */
+        /** The only marker. */
         INSTANCE
     }
 
@@ -47,7 +47,7 @@
         this.oneRequestAtATime = oneRequestAtATime;
     }
 
-    /** Returns the filter for connections that receive requests. */
+    /** Returns the filter for connections that receive requests, without a budget for bodies. */
     public static ProtocolCodecFilter server(HttpLimits limits) {
         return server(limits, new ByteBudget(Long.MAX_VALUE));
     }
@@ -55,22 +55,23 @@
     /**
      * Returns the filter for connections that receive requests.
      *
-     * @param bodyBudget for the bodies of all requests; whoever handles a request releases its body
+     * @param bodyBudget budget for the bodies of all requests; the handler of a request releases its body
      */
     public static ProtocolCodecFilter server(HttpLimits limits, ByteBudget bodyBudget) {
         return new ProtocolCodecFilter(new HttpCodec(HttpParser.MessageKind.REQUEST, limits, bodyBudget, false));
     }
 
-    /** Returns the filter for connections that receive responses. */
+    /** Returns the filter for connections that receive responses, without a budget for bodies. */
     public static ProtocolCodecFilter client(HttpLimits limits) {
         return client(limits, new ByteBudget(Long.MAX_VALUE), false);
     }
 
     /**
-     * Returns the filter for connections that carry one request at a time, each announced with {@link #announceRequest};
-     * input that belongs to none closes the connection. It needs an {@link UnexpectedInputProcessor}.
+     * Returns the filter for connections that have one request at a time in progress, each announced with
+     * {@link #announceRequest}. Input that does not belong to a request closes the connection. The filter requires an
+     * {@link UnexpectedInputProcessor}.
      *
-     * @param bodyBudget for the bodies of all responses; whoever handles a response releases its body
+     * @param bodyBudget budget for the bodies of all responses; the handler of a response releases its body
      */
     public static ProtocolCodecFilter client(HttpLimits limits, ByteBudget bodyBudget) {
         return client(limits, bodyBudget, true);
@@ -81,51 +82,51 @@
                 new HttpCodec(HttpParser.MessageKind.RESPONSE, limits, bodyBudget, oneRequestAtATime));
     }
 
-    /** Tells, before a request is written, that it is the next one on a connection with one request at a time. */
+    /** Announces that a request is about to be written; for connections with one request at a time. */
     public static void announceRequest(IoSession session) {
         session.setAttribute(REQUEST_ANNOUNCED, true);
     }
 
-    /** Returns true once for each announced request, which is then about to be written. */
+    /** Removes the announcement of a request that is about to be written; returns false if there was none. */
     static boolean takeAnnouncedRequest(IoSession session) {
         return session.removeAttribute(REQUEST_ANNOUNCED) != null;
     }
 
-    /** Tells that input from now on belongs to a response; on the I/O thread. */
+    /** Records that the following input belongs to a response; called on the I/O thread. */
     static void expectResponse(IoSession session) {
         session.setAttribute(RESPONSE_EXPECTED, true);
     }
 
-    /** Returns true once for each response that is expected. */
+    /** Removes the record of an expected response; returns false if there was none. */
     static boolean takeExpectedResponse(IoSession session) {
         return session.removeAttribute(RESPONSE_EXPECTED) != null;
     }
 
-    /** Tells, before a HEAD request is written, that the next response has no body; with one request at a time. */
+    /** Announces, before a HEAD request is written, that the next response has no body; for one request at a time. */
     public static void expectHeadResponse(IoSession session) {
         session.setAttribute(HEAD_RESPONSE_EXPECTED, true);
     }
 
-    /** Returns true once for each response to a HEAD request that is expected. */
+    /** Removes the announcement of a response to a HEAD request; returns false if there was none. */
     static boolean takeExpectedHeadResponse(IoSession session) {
         return session.containsAttribute(HEAD_RESPONSE_EXPECTED)
                 && session.removeAttribute(HEAD_RESPONSE_EXPECTED) != null;
     }
 
-    /** Returns since when a message has been read in part, by {@link System#nanoTime}; 0 where none is. */
+    /** Returns the {@link System#nanoTime} at which a partially read message started; 0 if there is none. */
     public static long partialMessageSinceNanos(IoSession session) {
         HttpMessageDecoder decoder = decoder(session);
         return decoder == null ? 0 : decoder.partialSinceNanos();
     }
 
-    /** Returns the decoder of a session; null where nothing was read on it. */
+    /** Returns the decoder of a session; null if nothing has been read from the session. */
     static @Nullable HttpMessageDecoder decoder(IoSession session) {
         return session.getAttribute(DECODER) instanceof HttpMessageDecoder decoder ? decoder : null;
     }
 
     @Override
     public ProtocolDecoder getDecoder(IoSession session) {
-        // MINA calls this at every read; a message that was read in part is kept in the decoder
+        // MINA calls this on every read; the decoder keeps the state of a partially read message between reads
         HttpMessageDecoder decoder = decoder(session);
         if (decoder == null) {
             decoder = new HttpMessageDecoder(new HttpParser(kind, limits, bodyBudget), oneRequestAtATime);
@@ -139,7 +140,7 @@
         return ENCODER;
     }
 
-    /** Completes a response without a length where the server ends its output in order, and only there. */
+    /** Completes a response without a length only if the server closes its output in an orderly way. */
     private static final class ResponseFilter extends ProtocolCodecFilter {
         ResponseFilter(HttpCodec codec) {
             super(codec);
--- a/src/main/java/laurelkeel/wire/HttpLineReader.java
+++ b/src/main/java/laurelkeel/wire/HttpLineReader.java
@@ -6,8 +6,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads lines of a message from bytes that arrive in any pieces, and rejects what two readers could read differently: a bare
- * CR, and in requests a bare LF. In responses a bare LF ends a line (RFC 9112, section 2.2).
+ * Reads the lines of a message from bytes that arrive in arbitrary pieces. It rejects input that other HTTP implementations
+ * could interpret differently: a bare CR and, in requests, a bare LF. In responses a bare LF ends a line (RFC 9112, section 2.2).
  *
  * <p>Not thread-safe.
  */
@@ -23,7 +23,7 @@
         this.acceptsBareLineFeed = acceptsBareLineFeed;
     }
 
-    /** Whether no byte of a line has been read. */
+    /** Whether no byte of the next line has been read. */
     boolean isAtLineStart() {
         return length == 0 && !sawCarriageReturn;
     }
@@ -31,8 +31,8 @@
     /**
      * Reads up to the end of a line.
      *
-     * @param tooLongStatus the status of the error where the line is over {@code maxBytes}
-     * @return the line without its end, or null where the input ends before that
+     * @param tooLongStatus the status of the error if the line exceeds {@code maxBytes}
+     * @return the line without its terminator, or null if the input ends before the line does
      */
     @Nullable
     String read(ByteBuffer in, int maxBytes, int tooLongStatus) throws HttpProtocolException {
--- a/src/main/java/laurelkeel/wire/HttpMessage.java
+++ b/src/main/java/laurelkeel/wire/HttpMessage.java
@@ -5,13 +5,13 @@
     /** Returns the minor version of HTTP/1.x: 0 or 1. */
     int minorVersion();
 
-    /** Returns the header lines in the order they came. */
+    /** Returns the header lines in their original order. */
     Headers headers();
 
-    /** Returns the body, which is not copied and must not be changed; empty for none. */
+    /** Returns the body, which is not copied and must not be modified; empty if there is none. */
     byte[] body();
 
-    /** Whether the sender wants the connection closed after this message, or after the response to it. */
+    /** Whether the sender asks for the connection to be closed after this response, or after the response to this request. */
     default boolean closesConnection() {
         return minorVersion() == 0
                 ? !headers().has("Connection", "keep-alive")
--- a/src/main/java/laurelkeel/wire/HttpMessageDecoder.java
+++ b/src/main/java/laurelkeel/wire/HttpMessageDecoder.java
@@ -18,7 +18,7 @@
 
     private final HttpParser parser;
     private final boolean oneRequestAtATime;
-    /** Set where no further input may be read: it was invalid, or more came than was requested. */
+    /** Whether all further input is skipped, because it was invalid or exceeded the expected response. */
     private boolean broken;
 
     private boolean responseExpected;
@@ -29,12 +29,12 @@
         this.oneRequestAtATime = oneRequestAtATime;
     }
 
-    /** Returns since when a message has been read in part, by {@link System#nanoTime}; 0 where none is. Thread-safe. */
+    /** Returns the {@link System#nanoTime} at which a partially read message started; 0 if there is none. Thread-safe. */
     long partialSinceNanos() {
         return partialSinceNanos;
     }
 
-    /** Returns the message that the orderly end of the other side's output completes; null for none. */
+    /** Returns the message that is completed by the peer's orderly end of output; null if there is none. */
     @Nullable
     HttpMessage inputClosed() {
         return broken ? null : parser.finish();
@@ -52,8 +52,8 @@
         }
         try {
             boolean wasInBody = readMessages(session, bytes, out);
-            if (partialSinceNanos == 0 && !parser.idle()) {
-                // never 0, which means none
+            if (partialSinceNanos == 0 && !parser.isIdle()) {
+                // the lowest bit is set because 0 means that there is none
                 partialSinceNanos = System.nanoTime() | 1;
             }
             if (parser.wantsContinue() && !wasInBody) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Returns whether the message that is read in part now was in its body before these bytes. */
+    /** Reads messages; returns whether the message that is now partially read was already in its body before these bytes. */
     private boolean readMessages(IoSession session, ByteBuffer bytes, ProtocolDecoderOutput out)
             throws HttpProtocolException {
         boolean wasInBody = parser.inBody();
@@ -78,7 +78,7 @@
                 partialSinceNanos = 0;
                 responseExpected = false;
                 if (oneRequestAtATime && bytes.hasRemaining() && message instanceof HttpResponse) {
-                    // surplus input would be taken for the next response, so that this must be the last one here
+                    // surplus input could be mistaken for the next response, so the connection is not reused
                     message.headers().add("Connection", "close");
                     broken = true;
                     skip(bytes);
@@ -94,7 +94,7 @@
         if (oneRequestAtATime && !responseExpected) {
             responseExpected = HttpCodec.takeExpectedResponse(session);
             if (!responseExpected) {
-                throw new HttpProtocolException(502, "bytes that nothing asked for");
+                throw new HttpProtocolException(502, "received bytes although no request is in progress");
             }
         }
     }
@@ -104,8 +104,9 @@
     }
 
     /**
-     * Releases what was read in part. MINA calls this whatever has ended the session, a reset, a timeout and a close of ours
-     * among them, none of which completes a response; it does not dispose of decoders that it doesn't keep itself.
+     * Releases a partially read message. MINA calls this method for every end of a session, including a reset, a timeout and a
+     * close by this side, none of which completes a response. MINA does not call {@link #dispose} on decoders that it does
+     * not store itself.
      */
     @Override
     public void finishDecode(IoSession session, ProtocolDecoderOutput out) {
--- a/src/main/java/laurelkeel/wire/HttpParser.java
+++ b/src/main/java/laurelkeel/wire/HttpParser.java
@@ -5,16 +5,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Parses HTTP/1.x messages from bytes that arrive in any pieces (RFC 9112). It is strict where two readers could disagree on
- * where a message ends, since a connection shared by many clients would then get out of step: no bare CR, no folded lines, no
- * space before a colon, at most one Content-Length and never one beside Transfer-Encoding, and no encoding but chunked.
+ * Parses HTTP/1.x messages from bytes that arrive in arbitrary pieces (RFC 9112). It is strict in all points in which HTTP
+ * implementations could disagree about the end of a message, because responses on a connection shared by many clients would then
+ * be assigned to the wrong requests. It rejects a bare CR, folded lines, a space before the colon, more than one Content-Length,
+ * Content-Length together with Transfer-Encoding, and any transfer encoding other than chunked.
  *
  * <p>Not thread-safe.
  */
 public final class HttpParser {
     private static final int MAX_CHUNK_LINE_BYTES = 256;
 
-    /** The messages that a parser reads. */
+    /** The kind of messages that a parser reads. */
     public enum MessageKind {
         /** Requests. */
         REQUEST,
@@ -22,7 +23,7 @@
         RESPONSE
     }
 
-    /** What the parser reads next. */
+    /** The part of a message that the parser reads next. */
     private enum State {
         START_LINE,
         HEADERS,
@@ -32,7 +33,7 @@
         CHUNK_END,
         TRAILERS,
         BODY_UNTIL_CLOSE,
-        /** Nothing: the input was invalid, or the connection has ended. */
+        /** Input is skipped because earlier input was invalid or the connection has ended. */
         BROKEN
     }
 
@@ -45,7 +46,7 @@
     private final BodyBuffer body;
 
     private State state = State.START_LINE;
-    /** Of the body or of the chunk that is being read. */
+    /** Number of bytes still to be read of the current body or chunk. */
     private long remainingBytes;
     /** Whether the next response answers a HEAD request. */
     private boolean expectsHeadResponse;
@@ -58,7 +59,7 @@
     /**
      * Creates a parser.
      *
-     * @param bodyBudget for the bodies of all messages; whoever handles a message releases its body
+     * @param bodyBudget budget for the bodies of all messages; the handler of a message releases its body
      */
     public HttpParser(MessageKind kind, HttpLimits limits, ByteBudget bodyBudget) {
         this(kind, limits, bodyBudget, null);
@@ -74,37 +75,37 @@
     }
 
     /**
-     * Returns a parser for a response that never ends.
+     * Returns a parser for a streamed response of unlimited length, whose body is not collected.
      *
-     * @param limits the limit on the body holds for each chunk
+     * @param limits the limit on the body applies to each chunk
      * @param bodyParts receives the parts of the body as they arrive
      */
     public static HttpParser streamed(HttpLimits limits, Consumer<byte[]> bodyParts) {
         return new HttpParser(MessageKind.RESPONSE, limits, new ByteBudget(0), bodyParts);
     }
 
-    /** Returns the status of the response that is being read, once its first line has been. */
+    /** Returns the status of the response being read; valid once its status line has been read. */
     public int status() {
         return startLine.status();
     }
 
-    /** Releases what was read in part, since the connection has ended; later input is skipped. */
+    /** Releases a partially read message when the connection has ended; later input is skipped. */
     public void close() {
         body.discard();
         state = State.BROKEN;
     }
 
-    /** Tells that the next response answers a HEAD request: it has no body, whatever its headers say. */
+    /** Records that the next response answers a HEAD request, so that it has no body regardless of its headers. */
     public void expectHeadResponse() {
         expectsHeadResponse = true;
     }
 
-    /** Whether the input read so far ends between two messages. */
-    public boolean idle() {
+    /** Whether no part of a further message has been read. */
+    public boolean isIdle() {
         return state == State.START_LINE && lines.isAtLineStart();
     }
 
-    /** Whether the headers of a message are complete and its body is not. */
+    /** Whether the headers of the current message are complete and its body is not. */
     public boolean inBody() {
         return switch (state) {
             case START_LINE, HEADERS, BROKEN -> false;
@@ -112,7 +113,7 @@
         };
     }
 
-    /** Whether the client waits for an interim response before it sends the body. */
+    /** Whether the client waits for a 100 (Continue) response before it sends the body. */
     public boolean wantsContinue() {
         return kind == MessageKind.REQUEST
                 && inBody()
@@ -122,10 +123,10 @@
     }
 
     /**
-     * Reads until a message is complete.
+     * Reads until a message is complete. Must be called again while input remains.
      *
-     * @return the message, or null where the input ends before it does; called again while input remains
-     * @throws HttpProtocolException where the input is invalid; all later input is skipped
+     * @return the message, or null if the input ends before the message does
+     * @throws HttpProtocolException if the input is invalid; all later input is skipped
      */
     public @Nullable HttpMessage read(ByteBuffer in) throws HttpProtocolException {
         try {
@@ -142,7 +143,7 @@
         }
     }
 
-    /** Returns the response that the orderly end of the input completes; null for none. */
+    /** Returns the response that is completed by the orderly end of the input; null if there is none. */
     public @Nullable HttpMessage finish() {
         return state == State.BODY_UNTIL_CLOSE ? complete() : null;
     }
@@ -171,7 +172,7 @@
                 return line == null ? null : handleLine(line);
             }
         }
-        throw new IllegalStateException("no such state: " + state);
+        throw new IllegalStateException("unexpected state: " + state);
     }
 
     private void readBodyBytes(ByteBuffer in) throws HttpProtocolException {
--- a/src/main/java/laurelkeel/wire/HttpProtocolException.java
+++ b/src/main/java/laurelkeel/wire/HttpProtocolException.java
@@ -1,6 +1,9 @@
 package laurelkeel.wire;
 
-/** Input that cannot be accepted as HTTP, with the status to answer; its connection cannot be read on. */
+/**
+ * Signals input that is not acceptable as HTTP, or an invalid request, with the status of the response. After one that the parser
+ * has thrown, no further input of the connection can be read.
+ */
 public final class HttpProtocolException extends Exception {
     private static final long serialVersionUID = 1L;
     private static final int SERVICE_UNAVAILABLE = 503;
@@ -10,20 +13,20 @@
     /**
      * Creates an exception without a stack trace.
      *
-     * @param status of the response
-     * @param message says what is wrong; a part of the response
+     * @param status the status of the response
+     * @param message the cause, which becomes part of the response
      */
     public HttpProtocolException(int status, String message) {
         super(message, null, false, false);
         this.status = status;
     }
 
-    /** Returns the exception for a valid message whose body finds no free budget. */
+    /** Returns the exception for a valid message whose body exceeds the remaining memory budget. */
     public static HttpProtocolException bodyBudgetExhausted() {
         return new HttpProtocolException(SERVICE_UNAVAILABLE, "no room for this body now");
     }
 
-    /** Returns the status to answer. */
+    /** Returns the status of the response. */
     public int status() {
         return status;
     }
--- a/src/main/java/laurelkeel/wire/HttpRequest.java
+++ b/src/main/java/laurelkeel/wire/HttpRequest.java
@@ -3,11 +3,11 @@
 /**
  * A complete HTTP/1.x request.
  *
- * @param target the path with its query
+ * @param target the path, including the query
  * @param minorVersion 0 or 1
- * @param body not copied, and not to be changed
+ * @param body not copied; must not be modified
  */
-// a copy of each body would cost the request path; requests are not compared
+// copying each body would slow down every request; requests are not compared
 @SuppressWarnings("ArrayRecordComponent")
 public record HttpRequest(String method, String target, int minorVersion, Headers headers, byte[] body)
         implements HttpMessage {
--- a/src/main/java/laurelkeel/wire/HttpResponse.java
+++ b/src/main/java/laurelkeel/wire/HttpResponse.java
@@ -4,10 +4,10 @@
  * A complete HTTP/1.x response.
  *
  * @param minorVersion 0 or 1
- * @param body not copied, and not to be changed
- * @param answersHead whether it answers a HEAD request: the body is left out on the wire, though its length is stated
+ * @param body not copied; must not be modified
+ * @param answersHead whether this is the response to a HEAD request, which has the length of the body but not the body itself
  */
-// a copy of each body would cost the request path; responses are not compared
+// copying each body would slow down every request; responses are not compared
 @SuppressWarnings("ArrayRecordComponent")
 public record HttpResponse(int status, int minorVersion, Headers headers, byte[] body, boolean answersHead)
         implements HttpMessage {
--- a/src/main/java/laurelkeel/wire/HttpSyntax.java
+++ b/src/main/java/laurelkeel/wire/HttpSyntax.java
@@ -1,6 +1,6 @@
 package laurelkeel.wire;
 
-/** Syntax that the parts of the parser share (RFC 9110, section 5.6, and RFC 9112). */
+/** Syntax elements shared by the parts of the parser (RFC 9110, section 5.6, and RFC 9112). */
 final class HttpSyntax {
     private static final String TOKEN_PUNCTUATION = "!#$%&'*+-.^_`|~";
     private static final int MAX_QUOTED_CHARS = 60;
@@ -23,7 +23,7 @@
         return !text.isEmpty();
     }
 
-    /** Returns input for an error message: cut, and with a question mark for each character that is not printable. */
+    /** Returns input in a form for error messages: truncated, and with each non-printable character replaced by {@code ?}. */
     static String quote(String text) {
         String cut = text.length() > MAX_QUOTED_CHARS ? text.substring(0, MAX_QUOTED_CHARS) + "..." : text;
         return cut.replaceAll("[^ -~]", "?");
@@ -38,14 +38,14 @@
                 text.startsWith("HTTP/") ? 505 : 400, "'" + quote(text) + "' is not HTTP/1.0 or 1.1");
     }
 
-    /** Returns the size in a chunk's first line, whose extensions are ignored. */
+    /** Returns the chunk size from the first line of a chunk; chunk extensions are ignored. */
     static long parseChunkSize(String line) throws HttpProtocolException {
         int extensions = line.indexOf(';');
         String digits = (extensions < 0 ? line : line.substring(0, extensions)).strip();
         boolean valid = !digits.isEmpty() && digits.length() <= MAX_CHUNK_SIZE_DIGITS;
         long size = 0;
         for (int i = 0; valid && i < digits.length(); i++) {
-            // Character.digit takes digits of other scripts too
+            // the limit to ASCII is needed because Character.digit also accepts digits of other scripts
             int digit = digits.charAt(i) < 128 ? Character.digit(digits.charAt(i), HEXADECIMAL) : -1;
             valid = digit >= 0;
             size = size * HEXADECIMAL + digit;
--- a/src/main/java/laurelkeel/wire/HttpWriter.java
+++ b/src/main/java/laurelkeel/wire/HttpWriter.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.apache.mina.core.buffer.IoBuffer;
 
-/** Encodes complete messages as HTTP/1.1; the length is always stated, so that the connection can be used again. */
+/** Encodes complete messages as HTTP/1.1. The end of a message never depends on a close, so the connection can be reused. */
 public final class HttpWriter {
     private static final int INITIAL_HEAD_CHARS = 256;
     private static final int NO_CONTENT = 204;
@@ -38,7 +38,7 @@
         return encode(head, request, hasContentLength(request), true);
     }
 
-    /** Encodes a response; one to a HEAD request states the length of its body and leaves it out. */
+    /** Encodes a response; the response to a HEAD request has the length of the body but omits the body. */
     public static IoBuffer write(HttpResponse response) {
         StringBuilder head = new StringBuilder(INITIAL_HEAD_CHARS);
         head.append(statusLine(response.status()));
@@ -73,7 +73,7 @@
 
     private static void appendHeaders(StringBuilder head, Headers headers) {
         for (int i = 0; i < headers.size(); i++) {
-            // the framing of the message that was read does not hold for the one that is written
+            // the framing headers of a message that was read do not apply to the message being written
             if (!isFramingHeader(headers.name(i))) {
                 head.append(headers.name(i))
                         .append(": ")
--- a/src/main/java/laurelkeel/wire/LineTooLongException.java
+++ b/src/main/java/laurelkeel/wire/LineTooLongException.java
@@ -2,19 +2,19 @@
 
 import java.io.IOException;
 
-/** Signals that a peer sent more bytes without a line end than a line may have. */
+/** Signals that a peer sent a line that exceeds the limit on its length. */
 public final class LineTooLongException extends IOException {
     private static final long serialVersionUID = 1L;
 
     private final int maxLineBytes;
 
-    /** @param maxLineBytes how many bytes a line may have */
+    /** @param maxLineBytes maximum length of a line in bytes */
     public LineTooLongException(int maxLineBytes) {
-        super("a line of over " + maxLineBytes + " bytes");
+        super("a line exceeds " + maxLineBytes + " bytes");
         this.maxLineBytes = maxLineBytes;
     }
 
-    /** How many bytes a line may have. */
+    /** Returns the maximum length of a line in bytes. */
     public int maxLineBytes() {
         return maxLineBytes;
     }
--- a/src/main/java/laurelkeel/wire/MessageBuilder.java
+++ b/src/main/java/laurelkeel/wire/MessageBuilder.java
@@ -2,15 +2,15 @@
 
 import java.util.Arrays;
 
-/** Builds the bytes of a message piece by piece. Not thread-safe. */
+/** Builds the bytes of a message incrementally. Not thread-safe. */
 public final class MessageBuilder {
     private static final int INITIAL_BYTES = 256;
 
     private byte[] bytes = new byte[INITIAL_BYTES];
     private int length;
 
-    /** Appends text as ISO-8859-1, which is how the parser reads it. */
-    // the one copy of low bytes that makes no array in between
+    /** Appends text in ISO-8859-1, the charset with which the parser reads it. */
+    // this deprecated method is the only one that copies the low bytes of a string without an intermediate array
     @SuppressWarnings("deprecation")
     public MessageBuilder appendText(String text) {
         ensureCapacity(text.length());
@@ -19,7 +19,7 @@
         return this;
     }
 
-    /** Appends bytes as they are. */
+    /** Appends bytes unchanged. */
     public MessageBuilder appendBytes(byte[] appended) {
         ensureCapacity(appended.length);
         System.arraycopy(appended, 0, bytes, length, appended.length);
@@ -27,12 +27,12 @@
         return this;
     }
 
-    /** Appends a header line with its end. */
+    /** Appends a header line, including its CRLF. */
     public MessageBuilder appendHeader(String name, String value) {
         return appendText(name).appendText(": ").appendText(value).appendText("\r\n");
     }
 
-    /** Returns all that was appended, and begins anew. */
+    /** Returns the appended bytes and clears the builder. */
     public byte[] takeBytes() {
         byte[] taken = Arrays.copyOf(bytes, length);
         length = 0;
--- a/src/main/java/laurelkeel/wire/MessageFraming.java
+++ b/src/main/java/laurelkeel/wire/MessageFraming.java
@@ -4,18 +4,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Determines from the headers of a message where its body ends (RFC 9112, section 6). It rejects what two readers could read
- * differently: more than one Content-Length, one beside Transfer-Encoding, and encodings other than chunked. Reused from
- * message to message, and not thread-safe.
+ * Determines from the headers of a message where its body ends (RFC 9112, section 6). It rejects headers that HTTP
+ * implementations could interpret differently: more than one Content-Length, Content-Length together with Transfer-Encoding, and
+ * transfer encodings other than chunked. Reused for all messages of a connection; not thread-safe.
  */
 final class MessageFraming {
     /** What ends the body of a message. */
     enum BodyEnd {
-        /** Its length, {@link MessageFraming#contentLength}. */
+        /** The length given by {@link MessageFraming#contentLength}. */
         LENGTH,
-        /** Its last chunk. */
+        /** The last chunk. */
         LAST_CHUNK,
-        /** The headers say nothing: a request has no body, and a response ends with its connection. */
+        /** The headers do not specify an end: a request has no body, and a response ends when its connection is closed. */
         UNSPECIFIED
     }
 
@@ -25,7 +25,7 @@
 
     private long contentLength;
 
-    /** Reads the headers of a message. */
+    /** Determines the end of the body from the headers of a message. */
     BodyEnd read(Headers headers, int minorVersion) throws HttpProtocolException {
         boolean hasEncoding = headers.count(TRANSFER_ENCODING) > 0;
         int lengths = headers.count(CONTENT_LENGTH);
@@ -46,7 +46,7 @@
         return length == null ? BodyEnd.UNSPECIFIED : BodyEnd.LENGTH;
     }
 
-    /** Returns the length that the headers read last state, in bytes; 0 where they state none. */
+    /** Returns the Content-Length of the most recent message, in bytes; 0 if it has none. */
     long contentLength() {
         return contentLength;
     }
--- a/src/main/java/laurelkeel/wire/StartLine.java
+++ b/src/main/java/laurelkeel/wire/StartLine.java
@@ -1,8 +1,8 @@
 package laurelkeel.wire;
 
 /**
- * The request line or status line of the message that is being read (RFC 9112, sections 3 and 4). It is reused from message to
- * message, and not thread-safe.
+ * The request line or status line of the message being read (RFC 9112, sections 3 and 4). Reused for all messages of a
+ * connection; not thread-safe.
  */
 final class StartLine {
     private static final int STATUS_DIGITS = 3;
@@ -30,7 +30,7 @@
         return minorVersion;
     }
 
-    /** Whether it is the status line of an interim response, which the final one follows. */
+    /** Whether this is the status line of an interim (1xx) response, which is followed by the final response. */
     boolean isInterimResponse() {
         return status / 100 == 1;
     }
@@ -60,16 +60,16 @@
     void parseStatusLine(String line) throws HttpProtocolException {
         String[] parts = line.split(" ", 3);
         if (parts.length < 2 || parts[1].length() != STATUS_DIGITS) {
-            throw new HttpProtocolException(502, "no status line: '" + HttpSyntax.quote(line) + "'");
+            throw new HttpProtocolException(502, "invalid status line: '" + HttpSyntax.quote(line) + "'");
         }
         minorVersion = HttpSyntax.parseMinorVersion(parts[0]);
         try {
             status = Integer.parseInt(parts[1]);
         } catch (NumberFormatException e) {
-            throw new HttpProtocolException(502, "no status: '" + HttpSyntax.quote(parts[1]) + "'");
+            throw new HttpProtocolException(502, "invalid status: '" + HttpSyntax.quote(parts[1]) + "'");
         }
         if (status < MIN_STATUS || status > MAX_STATUS) {
-            throw new HttpProtocolException(502, "no status: " + status);
+            throw new HttpProtocolException(502, "invalid status: " + status);
         }
     }
 }
--- a/src/main/java/laurelkeel/wire/UnexpectedInputProcessor.java
+++ b/src/main/java/laurelkeel/wire/UnexpectedInputProcessor.java
@@ -7,14 +7,15 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * An I/O thread that checks for unexpected input right before it writes a request that was announced with
- * {@link HttpCodec#announceRequest}. On a slow core it may not have read input that arrived long ago: a late second response
- * would be taken for the one to this request, and a connection that the other side has closed would swallow the request.
+ * An I/O processor that checks for unexpected input immediately before it writes a request announced with
+ * {@link HttpCodec#announceRequest}. On a slow core, the I/O thread may not yet have read input that arrived long ago. Without
+ * the check, a late surplus response could be mistaken for the response to the new request, and a request could be lost on a
+ * connection that the peer has already closed.
  */
 public final class UnexpectedInputProcessor extends NioProcessor {
     private final IoBuffer probe = IoBuffer.allocate(1);
 
-    /** Creates a processor; called by MINA, by reflection. */
+    /** Creates a processor; called by MINA through reflection. */
     public UnexpectedInputProcessor(Executor threads) {
         super(threads);
     }
@@ -31,7 +32,7 @@
         return super.write(session, bytes, length);
     }
 
-    /** Returns 0 where there is no input, 1 where there is, and -1 where the other side has ended its output. */
+    /** Reads at most one byte; returns 0 if there is no input, 1 if there is, and -1 if the peer has closed its output. */
     private int readByte(NioSession session) throws IOException {
         probe.clear();
         try {
--- a/src/main/java/laurelkeel/wire/package-info.java
+++ b/src/main/java/laurelkeel/wire/package-info.java
@@ -1,6 +1,6 @@
 /**
- * HTTP/1.1 messages on Apache MINA's filter chain: an incremental parser with limits, a writer, and the codec filter that joins
- * them. It knows the form of messages, not what they mean.
+ * HTTP/1.1 messages for Apache MINA's filter chain: an incremental parser with limits, a writer, and the codec filter that
+ * combines them. The package handles only the syntax and framing of messages, not the meaning of their headers and bodies.
  */
 @NullMarked
 package laurelkeel.wire;
--- a/src/test/java/laurelkeel/wire/BodyBufferTest.java
+++ b/src/test/java/laurelkeel/wire/BodyBufferTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void theBytesOfABodyStayReservedUntilTheyAreReleased() throws Exception {
+    void bytesOfBodyStayReservedUntilReleased() throws Exception {
         ByteBudget budget = new ByteBudget(10_000);
         BodyBuffer body = new BodyBuffer(5_000, budget, null);
         append(body, 700);
@@ -33,22 +33,22 @@
     }
 
     @Test
-    void aBodyOverItsLimitOrTheBudgetIsRejected() throws Exception {
+    void bodyOverItsLimitOrTheBudgetIsRejected() throws Exception {
         BodyBuffer limited = new BodyBuffer(10, new ByteBudget(100), null);
         append(limited, 10);
         assertEquals(
                 413,
                 assertThrows(HttpProtocolException.class, () -> append(limited, 1))
                         .status());
-        BodyBuffer unbudgeted = new BodyBuffer(10, new ByteBudget(9), null);
+        BodyBuffer overBudget = new BodyBuffer(10, new ByteBudget(9), null);
         assertEquals(
                 503,
-                assertThrows(HttpProtocolException.class, () -> append(unbudgeted, 10))
+                assertThrows(HttpProtocolException.class, () -> append(overBudget, 10))
                         .status());
     }
 
     @Test
-    void aStreamedBodyIsPassedOnInParts() throws Exception {
+    void streamedBodyIsPassedOnInParts() throws Exception {
         List<byte[]> parts = new ArrayList<>();
         BodyBuffer body = new BodyBuffer(10, new ByteBudget(0), parts::add);
         body.append(ByteBuffer.wrap(new byte[] {1, 2, 3}), 2);
--- a/src/test/java/laurelkeel/wire/BoundedLineReaderTest.java
+++ b/src/test/java/laurelkeel/wire/BoundedLineReaderTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void linesAreCompleteHoweverTheirBytesArrive() throws Exception {
+    void linesAreReadFromArbitraryPieces() throws Exception {
         byte[] bytes = "a\u00e9\r\n\nlast\n".getBytes(StandardCharsets.UTF_8);
         for (byte each : bytes) {
             read(new byte[] {each});
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void anIncompleteLineIsKeptUntilItsEndArrives() throws Exception {
+    void incompleteLineIsKeptUntilItsEndArrives() throws Exception {
         read("one\ntw");
         assertEquals(List.of("one"), lines);
         assertEquals("tw", reader.incompleteLine());
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aLineOfTheGreatestLengthIsRead() throws Exception {
+    void lineOfMaximumLengthIsRead() throws Exception {
         read("12345678\n");
         read("1234");
         read("5678\n");
@@ -59,24 +59,24 @@
     }
 
     @Test
-    void aLongerLineIsRefusedAfterTheLinesBeforeIt() {
+    void tooLongLineIsRejectedAfterTheLinesBeforeIt() {
         LineTooLongException tooLong = assertThrows(LineTooLongException.class, () -> read("good\n123456789\n"));
         assertEquals(MAX_LINE_BYTES, tooLong.maxLineBytes());
         assertEquals(List.of("good"), lines);
     }
 
     @Test
-    void aLineThatNeverEndsIsRefusedOnceItIsTooLong() throws Exception {
+    void unterminatedLineIsRejectedWhenItIsTooLong() throws Exception {
         read("12345678");
         assertThrows(LineTooLongException.class, () -> read("9"));
     }
 
     @Test
-    void whatTheConsumerThrowsPassesThrough() {
+    void exceptionOfTheConsumerIsPropagated() {
         assertThrows(
                 IOException.class,
                 () -> reader.<IOException>read(ByteBuffer.wrap(new byte[] {'a', '\n'}), line -> {
-                    throw new IOException("thrown for the test");
+                    throw new IOException("thrown by the test");
                 }));
     }
 }
--- a/src/test/java/laurelkeel/wire/ForwardedMessageTest.java
+++ b/src/test/java/laurelkeel/wire/ForwardedMessageTest.java
@@ -14,7 +14,7 @@
     }
 
     @Test
-    void headersOfTheConnectionAndExcludedOnesAreNotForwarded() {
+    void hopByHopAndExcludedHeadersAreNotForwarded() {
         Headers headers = Headers.of(
                 "Host", "h", "Connection", "close, X-Hop", "X-Hop", "1", "TE", "x", "A", "\u00e9", "Secret", "s");
         HttpRequest request = new HttpRequest("POST", "/p", 1, headers, BODY);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void aResponseToHeadStatesTheLengthOfTheBodyThatItLeavesOut() {
+    void responseToHeadHasTheLengthOfTheOmittedBody() {
         HttpResponse response = new HttpResponse(200, new Headers(), BODY);
         assertEquals(
                 "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nOwn: 1\r\n\r\n",
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void messagesThatNeedNoLengthStateNone() {
+    void messagesWithoutNeedForContentLengthHaveNone() {
         HttpRequest get = new HttpRequest("GET", "/", 1, new Headers(), new byte[0]);
         assertTrue(assemble(ForwardedMessage.of(get, HopByHop.names()), true).startsWith("GET / HTTP/1.1\r\nOwn"));
         HttpResponse noContent = new HttpResponse(204, new Headers(), new byte[0]);
--- a/src/test/java/laurelkeel/wire/HttpLineReaderTest.java
+++ b/src/test/java/laurelkeel/wire/HttpLineReaderTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void aLineMayArriveInPieces() throws Exception {
+    void lineMayArriveInPieces() throws Exception {
         HttpLineReader reader = new HttpLineReader(false);
         assertTrue(reader.isAtLineStart());
         assertNull(read(reader, "ab"));
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aBareLineFeedEndsALineOnlyWhereItIsAccepted() throws Exception {
+    void bareLineFeedEndsLineOnlyIfAccepted() throws Exception {
         assertEquals("ab", read(new HttpLineReader(true), "ab\n"));
         assertRejected(400, "ab\n");
     }
--- a/src/test/java/laurelkeel/wire/HttpParserTest.java
+++ b/src/test/java/laurelkeel/wire/HttpParserTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void responsesReadTheSameInAnyPieces() throws Exception {
+    void responsesAreParsedFromArbitraryPieces() throws Exception {
         byte[] body = new byte[200];
         body[0] = 'r';
         HttpResponse response = new HttpResponse(200, Headers.of("X", "1"), body);
@@ -57,17 +57,17 @@
         byte[] both = Arrays.copyOf(one, one.length * 2);
         System.arraycopy(one, 0, both, one.length, one.length);
         for (int cut = 0; cut < both.length; cut++) {
-            List<Object> got =
+            List<Object> parsed =
                     readAll(new HttpParser(HttpParser.MessageKind.RESPONSE, HttpLimits.DEFAULT), both, cut, cut + 64);
-            assertEquals(2, got.size(), "cut at " + cut);
-            assertArrayEquals(body, ((HttpResponse) got.get(1)).body());
+            assertEquals(2, parsed.size(), "cut at " + cut);
+            assertArrayEquals(body, ((HttpResponse) parsed.get(1)).body());
         }
     }
 
-    record Message(String text, HttpRequest expected) {}
+    record EncodedRequest(String text, HttpRequest expected) {}
 
     @Provide
-    Arbitrary<Message> messages() {
+    Arbitrary<EncodedRequest> encodedRequests() {
         Arbitrary<String> value =
                 Arbitraries.strings().withCharRange(' ', '~').ofMaxLength(20).map(String::strip);
         Arbitrary<byte[]> body = Arbitraries.bytes().array(byte[].class).ofMaxSize(60);
@@ -87,30 +87,36 @@
             } else {
                 s.append("Content-Length: ").append(b.length).append("\r\n\r\n").append(raw);
             }
-            return new Message(s.toString(), new HttpRequest("POST", "/a/b?x=1", 1, Headers.of("V", v), b));
+            return new EncodedRequest(s.toString(), new HttpRequest("POST", "/a/b?x=1", 1, Headers.of("V", v), b));
         });
     }
 
     @Property(tries = 300)
-    void pipelinedRequestsReadTheSameInAnyPieces(
-            @ForAll("messages") Message a, @ForAll("messages") Message b, @ForAll int cut, @ForAll int second)
+    void pipelinedRequestsAreParsedFromArbitraryPieces(
+            @ForAll("encodedRequests") EncodedRequest a,
+            @ForAll("encodedRequests") EncodedRequest b,
+            @ForAll int cut,
+            @ForAll int second)
             throws HttpProtocolException {
         byte[] all = bytes(a.text + "\r\n" + b.text);
         int c = Math.floorMod(cut, all.length);
-        List<Object> got = readAll(requestParser(), all, c, c + Math.floorMod(second, 40));
-        assertEquals(2, got.size());
+        List<Object> parsed = readAll(requestParser(), all, c, c + Math.floorMod(second, 40));
+        assertEquals(2, parsed.size());
         for (int i = 0; i < 2; i++) {
-            HttpRequest want = (i == 0 ? a : b).expected;
-            HttpRequest is = (HttpRequest) got.get(i);
-            assertArrayEquals(want.body(), is.body());
-            assertEquals(want.headers().get("V"), is.headers().get("V"));
-            assertEquals("/a/b", is.path());
+            HttpRequest expected = (i == 0 ? a : b).expected;
+            HttpRequest actual = (HttpRequest) parsed.get(i);
+            assertArrayEquals(expected.body(), actual.body());
+            assertEquals(expected.headers().get("V"), actual.headers().get("V"));
+            assertEquals("/a/b", actual.path());
         }
     }
 
     @Property(tries = 2000)
-    void noInputCrashesTheParserOrIsReadAfterAnError(
-            @ForAll byte[] noise, @ForAll("messages") Message message, @ForAll int at, @ForAll boolean responses) {
+    void corruptInputNeitherCrashesTheParserNorIsReadAfterAnError(
+            @ForAll byte[] noise,
+            @ForAll("encodedRequests") EncodedRequest message,
+            @ForAll int at,
+            @ForAll boolean responses) {
         byte[] all = bytes(message.text);
         for (int i = 0; i < noise.length && i < 6; i++) {
             all[Math.floorMod(at + i * 3, all.length)] = noise[i];
@@ -125,13 +131,13 @@
             try {
                 assertEquals(null, parser.read(more));
             } catch (HttpProtocolException again) {
-                throw new AssertionError("a broken connection was read on", again);
+                throw new AssertionError("reading continued after an error", again);
             }
         }
     }
 
     @Test
-    void messagesThatTwoReadersCouldReadDifferentlyAreRejected() {
+    void ambiguousInvalidAndOversizedRequestsAreRejected() {
         String head = "POST / HTTP/1.1\r\nHost: h\r\n";
         String[][] bad = {
             {head + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", "400"},
@@ -167,15 +173,15 @@
     }
 
     @Test
-    void responsesEndByLengthByStatusOrByTheEndOfInput() throws Exception {
+    void responsesEndByLengthStatusOrEndOfInput() throws Exception {
         HttpParser parser = new HttpParser(HttpParser.MessageKind.RESPONSE, SMALL);
-        List<Object> got = readAll(
+        List<Object> parsed = readAll(
                 parser,
                 bytes("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"
                         + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.0 200 OK\r\n\r\nto the end"));
         assertEquals(
                 List.of(204, 200),
-                got.stream().map(a -> ((HttpResponse) a).status()).toList());
+                parsed.stream().map(a -> ((HttpResponse) a).status()).toList());
         assertEquals("to the end", new String(((HttpResponse) parser.finish()).body(), UTF_8));
         HttpParser head = new HttpParser(HttpParser.MessageKind.RESPONSE, SMALL);
         head.expectHeadResponse();
@@ -183,6 +189,6 @@
                 1,
                 readAll(head, bytes("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n"))
                         .size());
-        assertTrue(head.idle());
+        assertTrue(head.isIdle());
     }
 }
--- a/src/test/java/laurelkeel/wire/MessageFramingTest.java
+++ b/src/test/java/laurelkeel/wire/MessageFramingTest.java
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void theHeadersSayWhereTheBodyEnds() throws Exception {
+    void headersDetermineTheEndOfTheBody() throws Exception {
         assertEquals(MessageFraming.BodyEnd.LENGTH, framing.read(Headers.of("content-length", "12"), 1));
         assertEquals(12, framing.contentLength());
         assertEquals(MessageFraming.BodyEnd.UNSPECIFIED, framing.read(Headers.of("X-A", "b"), 1));
--- a/src/test/java/laurelkeel/wire/RecordingHandler.java
+++ b/src/test/java/laurelkeel/wire/RecordingHandler.java
@@ -5,7 +5,10 @@
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
 
-/** Records the messages of a connection and then CLOSED; closes it where the other side has ended its output or on an error. */
+/**
+ * Records the messages received on a connection, followed by {@link #CLOSED}. Closes the connection when the peer has closed its
+ * output, or after an error.
+ */
 class RecordingHandler extends IoHandlerAdapter {
     static final Object CLOSED = "closed";
 
--- a/src/test/java/laurelkeel/wire/RequestEndTest.java
+++ b/src/test/java/laurelkeel/wire/RequestEndTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A request is complete only once its last byte has arrived, however its client ends the connection before (RFC 9112, 6.3 and 8). */
+/**
+ * Checks that a request is complete only when its last byte has arrived, regardless of how the client ends the connection before
+ * that (RFC 9112, sections 6.3 and 8).
+ */
 class RequestEndTest {
     private static final List<String> REQUESTS = List.of(
             "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -45,13 +48,13 @@
         acceptor.dispose();
     }
 
-    /** Returns how many requests were read of one that is cut after a number of bytes. */
+    /** Sends the first {@code at} bytes of a request, ends the connection, and returns the number of requests received. */
     private int completeRequests(String request, int at, Ending ending) throws Exception {
         try (Socket client = new Socket(
                 InetAddress.getLoopbackAddress(), acceptor.getLocalAddress().getPort())) {
             IoSession session = handler.opened.poll(10, TimeUnit.SECONDS);
             client.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII), 0, at);
-            // what was sent before a reset may be thrown away with it: it has to be read first
+            // waits until the bytes are read, because a reset may discard bytes that were sent before it
             while (session.getReadBytes() < at) {
                 Thread.onSpinWait();
             }
@@ -70,14 +73,14 @@
         for (Object next = handler.events.poll(10, TimeUnit.SECONDS);
                 next != RecordingHandler.CLOSED;
                 next = handler.events.poll(10, TimeUnit.SECONDS)) {
-            assertTrue(next instanceof HttpRequest, "read " + next);
+            assertTrue(next instanceof HttpRequest, "received " + next);
             requests++;
         }
         return requests;
     }
 
     @Test
-    void aRequestIsCompleteAtItsLastByteAndNotBefore() throws Exception {
+    void requestIsCompleteAtItsLastByteAndNotBefore() throws Exception {
         for (String request : REQUESTS) {
             for (int at = 1; at <= request.length(); at++) {
                 for (Ending ending : Ending.values()) {
--- a/src/test/java/laurelkeel/wire/ResponseEndTest.java
+++ b/src/test/java/laurelkeel/wire/ResponseEndTest.java
@@ -20,27 +20,30 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A response is complete only where the server itself ended it, whichever way its body ends (RFC 9112, 6.3 and 8). */
+/**
+ * Checks that a response is complete only if the server has ended it, for each way in which the end of a body is determined (RFC
+ * 9112, sections 6.3 and 8).
+ */
 class ResponseEndTest {
     private static final String UNTIL_CLOSE = "HTTP/1.1 200 OK\r\nX-A: b\r\n\r\nall of it";
     private static final String LENGTH = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nall of it";
     private static final String CHUNKED =
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nall of it\r\n0\r\n\r\n";
     private static final String INTERIM = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
-    /** Responses to HEAD: the head of a response whose body does not follow. */
+    /** Responses to HEAD requests: the head of a response without the body. */
     private static final List<String> HEAD_RESPONSES = List.of(
             "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
             "HTTP/1.1 200 OK\r\nX-A: b\r\n\r\n");
-    /** Statuses whose responses have no body, whatever their head says. */
+    /** Responses whose status excludes a body, regardless of their headers. */
     private static final List<String> WITHOUT_BODY =
             List.of("HTTP/1.1 204 No Content\r\n\r\n", "HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n");
 
-    /** How a server ends its connection, or this side does. */
+    /** How the server, or this side, ends the connection. */
     private enum Ending {
         IN_ORDER,
         RESET,
-        OURS
+        CLOSED_LOCALLY
     }
 
     private final RecordingHandler handler = new RecordingHandler();
@@ -60,7 +63,7 @@
         server.close();
     }
 
-    /** Returns what was read of a response that is cut after a number of bytes, up to the end of its connection. */
+    /** Returns the messages received if the connection ends after the first {@code at} bytes of a response. */
     private List<Object> readCut(String response, int at, Ending ending) throws Exception {
         return readCut(response, at, ending, false);
     }
@@ -77,12 +80,12 @@
             session.write(IoBuffer.wrap("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
             Peer.readRequest(peer);
             peer.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII), 0, at);
-            // what was sent before a reset may be thrown away with it: it has to be read first
+            // waits until the bytes are read, because a reset may discard bytes that were sent before it
             while (session.getReadBytes() < at) {
                 Thread.onSpinWait();
             }
-            if (ending == Ending.OURS) {
-                // an orderly end of the server must not come before it
+            if (ending == Ending.CLOSED_LOCALLY) {
+                // closes this side before the server does, so that the server's orderly end has no effect
                 session.closeNow().awaitUninterruptibly();
             } else if (ending == Ending.RESET) {
                 peer.setSoLinger(true, 0);
@@ -103,16 +106,16 @@
     }
 
     @Test
-    void aResponseWithoutALengthIsCompleteOnlyWhereTheServerEndsItInOrder() throws Exception {
+    void responseWithoutLengthIsCompleteOnlyIfTheServerEndsItInOrder() throws Exception {
         int head = UNTIL_CLOSE.indexOf("\r\n\r\n") + 4;
         for (int at = 1; at <= UNTIL_CLOSE.length(); at++) {
             assertFalse(isComplete(readCut(UNTIL_CLOSE, at, Ending.RESET)), "reset after " + at);
-            assertFalse(isComplete(readCut(UNTIL_CLOSE, at, Ending.OURS)), "closed here after " + at);
+            assertFalse(isComplete(readCut(UNTIL_CLOSE, at, Ending.CLOSED_LOCALLY)), "closed here after " + at);
             assertEquals(at >= head, isComplete(readCut(UNTIL_CLOSE, at, Ending.IN_ORDER)), "ended after " + at);
         }
     }
 
-    /** However its connection ends, and after whatever byte. */
+    /** Asserts that a response is complete at its last byte and not before, regardless of how its connection ends. */
     private void assertCompleteAtItsLastByte(String response, boolean headRequest) throws Exception {
         for (int at = 1; at <= response.length(); at++) {
             for (Ending ending : Ending.values()) {
@@ -125,20 +128,20 @@
     }
 
     @Test
-    void aResponseWithALengthOrChunksIsCompleteAtItsLastByteHoweverItsConnectionEnds() throws Exception {
+    void responseWithLengthOrChunksIsCompleteAtItsLastByte() throws Exception {
         assertCompleteAtItsLastByte(LENGTH, false);
         assertCompleteAtItsLastByte(CHUNKED, false);
     }
 
     @Test
-    void aResponseToHeadIsCompleteAtTheEndOfItsHead() throws Exception {
+    void responseToHeadIsCompleteAtTheEndOfItsHead() throws Exception {
         for (String response : HEAD_RESPONSES) {
             assertCompleteAtItsLastByte(response, true);
         }
     }
 
     @Test
-    void aResponseWhoseStatusHasNoBodyIsCompleteAtTheEndOfItsHead() throws Exception {
+    void responseWhoseStatusExcludesBodyIsCompleteAtTheEndOfItsHead() throws Exception {
         for (String response : WITHOUT_BODY) {
             assertCompleteAtItsLastByte(response, false);
         }
