--- a/src/main/java/laurelkeel/front/ingress/ClientIoHandler.java
+++ b/src/main/java/laurelkeel/front/ingress/ClientIoHandler.java
@@ -72,12 +72,13 @@
 
     @Override
     public void exceptionCaught(IoSession session, Throwable cause) {
-        boolean network = cause instanceof IOException;
-        if (!network) {
+        boolean connectionFailed = cause instanceof IOException;
+        if (!connectionFailed) {
             LOG.error("client connection {}: error while handling its input", session.getId(), cause);
         }
         recordCloseReason(
-                ClientConnection.of(session), network ? CloseReason.CONNECTION_ERROR : CloseReason.INTERNAL_ERROR);
+                ClientConnection.of(session),
+                connectionFailed ? CloseReason.CONNECTION_ERROR : CloseReason.INTERNAL_ERROR);
         session.closeNow();
     }
 
--- a/src/main/java/laurelkeel/wire/HttpMessageDecoder.java
+++ b/src/main/java/laurelkeel/wire/HttpMessageDecoder.java
@@ -19,7 +19,7 @@
     private final HttpParser parser;
     private final boolean oneRequestAtATime;
     /** Whether all further input is skipped, because it was invalid or exceeded the expected response. */
-    private boolean broken;
+    private boolean skipsInput;
 
     private boolean responseExpected;
     private volatile long partialSinceNanos;
@@ -37,13 +37,13 @@
     /** Returns the message that is completed by the peer's orderly end of output; null if there is none. */
     @Nullable
     HttpMessage inputClosed() {
-        return broken ? null : parser.finish();
+        return skipsInput ? null : parser.finish();
     }
 
     @Override
     public void decode(IoSession session, IoBuffer in, ProtocolDecoderOutput out) {
         ByteBuffer bytes = in.buf();
-        if (broken) {
+        if (skipsInput) {
             skip(bytes);
             return;
         }
@@ -60,7 +60,7 @@
                 session.write(new HttpCodec.Raw(CONTINUE));
             }
         } catch (HttpProtocolException e) {
-            broken = true;
+            skipsInput = true;
             parser.close();
             skip(bytes);
             out.write(e);
@@ -80,7 +80,7 @@
                 if (oneRequestAtATime && bytes.hasRemaining() && message instanceof HttpResponse) {
                     // surplus input could be mistaken for the next response, so the connection is not reused
                     message.headers().add("Connection", "close");
-                    broken = true;
+                    skipsInput = true;
                     skip(bytes);
                 }
                 out.write(message);
--- a/src/main/java/laurelkeel/wire/HttpParser.java
+++ b/src/main/java/laurelkeel/wire/HttpParser.java
@@ -34,7 +34,7 @@
         TRAILERS,
         BODY_UNTIL_CLOSE,
         /** Input is skipped because earlier input was invalid or the connection has ended. */
-        BROKEN
+        SKIPPING
     }
 
     private final MessageKind kind;
@@ -92,7 +92,7 @@
     /** Releases a partially read message when the connection has ended; later input is skipped. */
     public void close() {
         body.discard();
-        state = State.BROKEN;
+        state = State.SKIPPING;
     }
 
     /** Records that the next response answers a HEAD request, so that it has no body regardless of its headers. */
@@ -108,7 +108,7 @@
     /** Whether the headers of the current message are complete and its body is not. */
     public boolean inBody() {
         return switch (state) {
-            case START_LINE, HEADERS, BROKEN -> false;
+            case START_LINE, HEADERS, SKIPPING -> false;
             case BODY, CHUNK_SIZE, CHUNK_DATA, CHUNK_END, TRAILERS, BODY_UNTIL_CLOSE -> true;
         };
     }
@@ -138,7 +138,7 @@
             }
             return null;
         } catch (HttpProtocolException e) {
-            state = State.BROKEN;
+            state = State.SKIPPING;
             throw e;
         }
     }
@@ -163,7 +163,7 @@
                 body.append(in, in.remaining());
                 return null;
             }
-            case BROKEN -> {
+            case SKIPPING -> {
                 in.position(in.limit());
                 return null;
             }
