--- a/src/test/java/laurelkeel/front/ingress/ClientConnectionTest.java
+++ b/src/test/java/laurelkeel/front/ingress/ClientConnectionTest.java
@@ -14,7 +14,7 @@
     private final ClientConnection connection = new ClientConnection(session, MAX_PIPELINED_REQUESTS, 0);
 
     @Test
-    void readingStopsWhileTooManyRequestsWaitAndGoesOnOnceFewDo() {
+    void readingIsSuspendedWhileTooManyRequestsAreUnanswered() {
         for (int i = 0; i < MAX_PIPELINED_REQUESTS; i++) {
             connection.requestRead();
         }
@@ -30,23 +30,23 @@
     }
 
     @Test
-    void theFirstCloseReasonCounts() {
-        assertEquals(CloseReason.FRONT_ENDED, connection.closeReason());
-        connection.recordCloseReason(CloseReason.IDLE);
-        connection.recordCloseReason(CloseReason.BROKEN);
-        assertEquals(CloseReason.IDLE, connection.closeReason());
+    void firstCloseReasonIsKept() {
+        assertEquals(CloseReason.NODE_STOPPED, connection.closeReason());
+        connection.recordCloseReason(CloseReason.IDLE_TIMEOUT);
+        connection.recordCloseReason(CloseReason.CONNECTION_ERROR);
+        assertEquals(CloseReason.IDLE_TIMEOUT, connection.closeReason());
     }
 
     @Test
-    void aSlotIsLeftAndRetakenOnce() {
-        assertTrue(connection.leaveSlot());
-        assertFalse(connection.leaveSlot());
-        assertTrue(connection.retakeSlot());
-        assertFalse(connection.retakeSlot());
+    void slotIsReleasedAndReclaimedOnlyOnce() {
+        assertTrue(connection.markSlotReleased());
+        assertFalse(connection.markSlotReleased());
+        assertTrue(connection.markSlotOccupied());
+        assertFalse(connection.markSlotOccupied());
     }
 
     @Test
-    void oneRequestIsInProgressAtATime() {
+    void onlyOneRequestIsInProgressAtATime() {
         assertFalse(connection.isReadyForNext());
         connection.enqueue(new PipelinedMessage.Rejected(null, false, false));
         assertTrue(connection.isReadyForNext());
