--- a/src/main/java/laurelkeel/front/NodeGauges.java
+++ b/src/main/java/laurelkeel/front/NodeGauges.java
@@ -24,7 +24,7 @@
         metrics.gauge("laurelkeel_loop_failures", loop::failedTasks);
         metrics.gauge("laurelkeel_records_lost", recorder::lostRecords);
         metrics.gauge("laurelkeel_report_cells_left_out", reporter::leftOut);
-        metrics.gauge("laurelkeel_log_lines_left_out", RateLimitedAsyncAppender::leftOut);
+        metrics.gauge("laurelkeel_log_lines_left_out", RateLimitedAsyncAppender::suppressedLines);
         registerProcess(metrics);
     }
 
--- a/src/main/java/laurelkeel/logging/RateLimitedAsyncAppender.java
+++ b/src/main/java/laurelkeel/logging/RateLimitedAsyncAppender.java
@@ -45,7 +45,7 @@
     private volatile boolean writing;
 
     /** Returns how many lines were not written since the start of the process. */
-    public static long leftOut() {
+    public static long suppressedLines() {
         return TOTAL_SUPPRESSED.get();
     }
 
--- a/src/test/java/laurelkeel/logging/RateLimitedAsyncAppenderTest.java
+++ b/src/test/java/laurelkeel/logging/RateLimitedAsyncAppenderTest.java
@@ -55,7 +55,7 @@
     @Test
     void aFewOfSimilarLinesAreWrittenAndTheOthersAreCounted() throws Exception {
         start(false);
-        long before = RateLimitedAsyncAppender.leftOut();
+        long before = RateLimitedAsyncAppender.suppressedLines();
         for (int i = 0; i < 1000; i++) {
             log.error("req {} had no decision in its time", i);
             log.info("{}", "build 7 stage 0 TRIAL, pace " + i / 7.0);
@@ -70,7 +70,7 @@
                 .filter(w -> w.contains(" more lines like "))
                 .mapToLong(w -> Long.parseLong(w.substring(0, w.indexOf(' '))))
                 .sum();
-        assertEquals(RateLimitedAsyncAppender.leftOut() - before, reported, "all suppressed lines are reported");
+        assertEquals(RateLimitedAsyncAppender.suppressedLines() - before, reported, "all suppressed lines are reported");
     }
 
     @Test
