--- a/src/main/java/laurelkeel/logging/RateLimitedAsyncAppender.java
+++ b/src/main/java/laurelkeel/logging/RateLimitedAsyncAppender.java
@@ -17,15 +17,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Passes log lines to another appender on a thread of its own, and never blocks a caller: a standard error that nobody reads
- * would otherwise stop the event loop. Of similar lines a few a second are written; the others, and those that the queue cannot
- * hold, are counted, and the counts are logged and stand in the metrics.
+ * An appender that passes log lines to another appender on its own thread and never blocks a caller. Otherwise a standard error
+ * stream that is not read would block the event loop. A few similar lines per second are written. Further ones, and lines that
+ * do not fit in the queue, are dropped and counted; the counts are logged and exported as a metric.
  *
  * <p>Thread-safe.
  */
 public final class RateLimitedAsyncAppender extends UnsynchronizedAppenderBase<ILoggingEvent>
         implements AppenderAttachable<ILoggingEvent> {
-    /** A second of many different lines, at some hundred bytes each. */
+    /** Enough for the lines of a second in which many different ones are logged, at a few hundred bytes each. */
     private static final int QUEUE_CAPACITY = 2048;
 
     private static final long PERIOD_NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -33,26 +33,26 @@
     private static final long FLUSH_POLL_NANOS = 1_000_000;
 
     private static final AtomicLong TOTAL_SUPPRESSED = new AtomicLong();
-    /** The appender that was started last, which {@link #flush} waits for. */
+    /** The most recently started appender, which {@link #flush} waits for. */
     private static volatile @Nullable RateLimitedAsyncAppender started;
 
     private final AppenderAttachableImpl<ILoggingEvent> target = new AppenderAttachableImpl<>();
     private final ArrayBlockingQueue<ILoggingEvent> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     private final SimilarLineLimiter limiter = new SimilarLineLimiter();
-    /** Lines since the last report that the queue could not hold. */
+    /** Number of lines dropped since the last report because the queue was full. */
     private final AtomicLong overflowed = new AtomicLong();
 
     private volatile boolean writing;
 
-    /** Returns how many lines were not written since the start of the process. */
+    /** Returns the number of lines that were suppressed or dropped since the start of the process. */
     public static long suppressedLines() {
         return TOTAL_SUPPRESSED.get();
     }
 
     /**
-     * Waits until what was logged is written; called at the end of a process.
+     * Waits until all queued lines are written; called before the process exits.
      *
-     * @param maxMillis how long to wait at most
+     * @param maxMillis the maximum time to wait
      */
     public static void flush(long maxMillis) {
         RateLimitedAsyncAppender appender = started;
@@ -88,7 +88,10 @@
         }
     }
 
-    /** Lines of one statement are similar; those whose whole text is an argument are if they differ in numbers only. */
+    /**
+     * Returns the kind of a line; lines of the same kind count as similar. The kind is the logger and the message format, or, if
+     * the format is only a placeholder, the text with its numbers masked.
+     */
     private static String kind(ILoggingEvent event) {
         String format = event.getMessage();
         String text = "{}".equals(format) ? event.getFormattedMessage().replaceAll("[0-9.]+", "#") : format;
@@ -120,11 +123,11 @@
 
     private void reportSuppressed() {
         for (SimilarLineLimiter.Suppressed suppressed : limiter.endPeriod()) {
-            report(suppressed.lines() + " more lines like '" + suppressed.kind() + "'");
+            report(suppressed.lines() + " more lines of kind '" + suppressed.kind() + "' were suppressed");
         }
         long lines = overflowed.getAndSet(0);
         if (lines > 0) {
-            report(lines + " lines were left out: they came faster than they were read");
+            report(lines + " lines were dropped: they were logged faster than they could be written");
         }
     }
 
--- a/src/main/java/laurelkeel/logging/SimilarLineLimiter.java
+++ b/src/main/java/laurelkeel/logging/SimilarLineLimiter.java
@@ -7,21 +7,21 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Lets a few log lines of each kind through in a period, and counts the others. Thread-safe. */
+/** Limits the number of log lines of each kind in a period, and counts the suppressed ones. Thread-safe. */
 final class SimilarLineLimiter {
-    /** Enough to see that something happens again and again, and to whom. */
+    /** Enough to see that an event recurs, and what it affects. */
     static final int MAX_LINES_PER_KIND = 5;
-    /** Kinds that are told apart in a period; the lines of further ones count as one kind. */
+    /** Maximum kinds that are counted separately in a period; lines of all others are counted as one kind. */
     static final int MAX_KINDS = 256;
 
-    static final String FURTHER_KINDS = "of further kinds";
+    static final String OTHER_KINDS = "other";
 
-    /** How many lines of a kind were suppressed. */
+    /** The number of lines of a kind that were suppressed in a period. */
     record Suppressed(String kind, int lines) {}
 
     private final Map<String, AtomicInteger> linesByKind = new ConcurrentHashMap<>();
 
-    /** Counts a line; returns whether it may be written. */
+    /** Counts a line of the given kind; returns whether it may be written. */
     boolean tryAcquire(String kind) {
         return counter(kind).incrementAndGet() <= MAX_LINES_PER_KIND;
     }
@@ -31,17 +31,17 @@
             return linesByKind.computeIfAbsent(kind, added -> new AtomicInteger());
         }
         AtomicInteger known = linesByKind.get(kind);
-        return known != null ? known : linesByKind.computeIfAbsent(FURTHER_KINDS, added -> new AtomicInteger());
+        return known != null ? known : linesByKind.computeIfAbsent(OTHER_KINDS, added -> new AtomicInteger());
     }
 
-    /** Ends the period, and returns what was suppressed in it. */
+    /** Ends the period and returns the lines that were suppressed in it, by kind. */
     List<Suppressed> endPeriod() {
         List<Suppressed> suppressed = new ArrayList<>();
         for (Iterator<Map.Entry<String, AtomicInteger>> kinds =
                         linesByKind.entrySet().iterator();
                 kinds.hasNext(); ) {
             Map.Entry<String, AtomicInteger> kind = kinds.next();
-            // read after the removal, so that no line counted until then is missed
+            // read the count after the removal, so that lines counted up to then are included
             kinds.remove();
             int lines = kind.getValue().get() - MAX_LINES_PER_KIND;
             if (lines > 0) {
--- a/src/main/java/laurelkeel/logging/package-info.java
+++ b/src/main/java/laurelkeel/logging/package-info.java
@@ -1,4 +1,4 @@
-/** Log output that never delays the threads that log. */
+/** Log output that never blocks the logging threads. */
 @NullMarked
 package laurelkeel.logging;
 
--- a/src/test/java/laurelkeel/logging/RateLimitedAsyncAppenderTest.java
+++ b/src/test/java/laurelkeel/logging/RateLimitedAsyncAppenderTest.java
@@ -57,20 +57,21 @@
         start(false);
         long before = RateLimitedAsyncAppender.suppressedLines();
         for (int i = 0; i < 1000; i++) {
-            log.error("req {} had no decision in its time", i);
+            log.error("request {} timed out", i);
             log.info("{}", "build 7 stage 0 TRIAL, pace " + i / 7.0);
         }
         log.warn("something else");
         await("something else");
-        await("\\d+ more lines like 'front: req \\{} had no decision in its time'");
-        await("\\d+ more lines like 'front: build # stage # TRIAL, pace #'");
-        long shown = written.stream().filter(w -> w.endsWith("in its time")).count();
+        await("\\d+ more lines of kind 'front: request \\{} timed out' were suppressed");
+        await("\\d+ more lines of kind 'front: build # stage # TRIAL, pace #' were suppressed");
+        long shown = written.stream().filter(w -> w.endsWith("timed out")).count();
         assertTrue(shown >= 5 && shown < 100, "shown " + shown);
         long reported = written.stream()
-                .filter(w -> w.contains(" more lines like "))
+                .filter(w -> w.contains(" more lines of kind "))
                 .mapToLong(w -> Long.parseLong(w.substring(0, w.indexOf(' '))))
                 .sum();
-        assertEquals(RateLimitedAsyncAppender.suppressedLines() - before, reported, "all suppressed lines are reported");
+        assertEquals(
+                RateLimitedAsyncAppender.suppressedLines() - before, reported, "all suppressed lines are reported");
     }
 
     @Test
@@ -81,6 +82,6 @@
             log.info("line " + (char) ('a' + i % 26) + (char) ('a' + i / 26 % 26) + i);
         }
         released.countDown();
-        await("\\d+ lines were left out: .*|\\d+ more lines like 'of further kinds'");
+        await("\\d+ lines were dropped: .*|\\d+ more lines of kind 'other' were suppressed");
     }
 }
--- a/src/test/java/laurelkeel/logging/SimilarLineLimiterTest.java
+++ b/src/test/java/laurelkeel/logging/SimilarLineLimiterTest.java
@@ -34,6 +34,6 @@
         assertFalse(limiter.tryAcquire("one more"));
         assertTrue(limiter.tryAcquire("kind 0"), "a known kind has its own count");
         assertEquals(
-                List.of(new SimilarLineLimiter.Suppressed(SimilarLineLimiter.FURTHER_KINDS, 1)), limiter.endPeriod());
+                List.of(new SimilarLineLimiter.Suppressed(SimilarLineLimiter.OTHER_KINDS, 1)), limiter.endPeriod());
     }
 }
