--- a/src/main/java/laurelkeel/admin/AdminServer.java
+++ b/src/main/java/laurelkeel/admin/AdminServer.java
@@ -19,16 +19,16 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * Serves {@code /health} and {@code /metrics} to operators. A slow or silent caller delays no other.
+ * An HTTP server that serves {@code /health} and {@code /metrics} to operators. A slow or silent caller does not delay others.
  *
- * <p>Thread-safe; the suppliers are called on the I/O thread.
+ * <p>Thread-safe. The suppliers are called on the I/O thread.
  */
 public final class AdminServer {
-    /** Enough for scrapers, health checks of load balancers and operators. */
+    /** Enough for metrics scrapers, health checks of load balancers, and operators. */
     private static final int MAX_CONNECTIONS = 64;
-    /** Longer than any check waits for its response; then the caller's slot is freed. */
+    /** Time after which a connection is closed to free its slot; longer than any health check waits for its response. */
     private static final int CALLER_TIMEOUT_SECONDS = 5;
-    /** A request line and some headers; no bodies. */
+    /** Allows a request line and some headers, but no body. */
     private static final HttpLimits LIMITS = new HttpLimits(1 << 10, 8 << 10, 50, 0);
 
     private static final String HEALTHY = "ok";
@@ -43,10 +43,10 @@
     /**
      * Creates a server that does not listen yet.
      *
-     * @param threads run its sockets
-     * @param address to listen on; port 0 for any free one
-     * @param health returns {@code ok}, or what is wrong
-     * @param metrics returns the metrics in the text format of Prometheus
+     * @param threads runs the acceptor and the I/O of its connections
+     * @param address the address to listen on; port 0 selects any free port
+     * @param health returns {@code ok}, or a description of the problem
+     * @param metrics returns the metrics in the Prometheus text format
      */
     public AdminServer(Executor threads, InetSocketAddress address, Supplier<String> health, Supplier<String> metrics) {
         this.threads = threads;
@@ -56,22 +56,23 @@
         processor = new SimpleIoProcessorPool<>(NioProcessor.class, threads, 1, null);
         acceptor = new NioSocketAcceptor(threads, processor);
         acceptor.setReuseAddress(true);
-        // by what is written: a caller that sends a byte now and then would stay for ever
+        // the writer's idle time, since by the reader's a caller that sends a byte now and then would stay connected
+        // forever
         acceptor.getSessionConfig().setWriterIdleTime(CALLER_TIMEOUT_SECONDS);
         acceptor.getSessionConfig().setWriteTimeout(CALLER_TIMEOUT_SECONDS);
         acceptor.getFilterChain().addLast("http", HttpCodec.server(LIMITS));
         acceptor.setHandler(new Handler());
     }
 
-    /** Returns the address, with its actual port once the server is started. */
+    /** Returns the address to listen on, with the actual port once the server has started. */
     public InetSocketAddress address() {
         return acceptor.isActive() ? acceptor.getLocalAddress() : address;
     }
 
     /**
-     * Starts to listen.
+     * Starts listening.
      *
-     * @throws IOException where the address cannot be bound
+     * @throws IOException if the address cannot be bound
      */
     public void start() throws IOException {
         acceptor.bind(address);
@@ -80,7 +81,7 @@
     /** Closes the listener and all connections. */
     public void close() {
         acceptor.dispose(false);
-        // waits for its thread, without end where that died
+        // runs on another thread: dispose() waits for the processor's thread, and forever if it has died
         threads.execute(processor::dispose);
     }
 
--- a/src/main/java/laurelkeel/admin/package-info.java
+++ b/src/main/java/laurelkeel/admin/package-info.java
@@ -1,4 +1,4 @@
-/** A small HTTP server for operators: health, metrics, and what the process has used. */
+/** An HTTP server for operators with health and metrics, and the resource usage of the process. */
 @NullMarked
 package laurelkeel.admin;
 
--- a/src/main/java/laurelkeel/eventloop/EventLoop.java
+++ b/src/main/java/laurelkeel/eventloop/EventLoop.java
@@ -10,18 +10,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A single-threaded event loop that owns all state of its user. Each turn runs priority tasks, then ordinary tasks, then the
- * scheduled tasks that are due, and calls the end-of-turn hook if any of them ran.
+ * A single-threaded event loop; all state of its user is accessed on the loop's thread only. Each turn (iteration) runs priority
+ * tasks, then ordinary tasks, then the scheduled tasks that are due, and calls the end-of-turn hook if any task ran.
  *
- * <p>A task that throws a {@code RuntimeException} is logged and counted, and the loop continues: ending it would fail all
- * other work in flight as well. An {@code Error}, and whatever the end-of-turn hook throws, ends the loop.
+ * <p>If a task throws a {@code RuntimeException}, the exception is logged and counted, and the loop continues, since ending it
+ * would also fail all other work in flight. An {@code Error} from a task, or anything that the end-of-turn hook throws, ends
+ * the loop.
  *
- * <p>Threading: {@link #schedule}, {@link #nowTicks} and {@link #runRemaining} are called on the loop's thread, which is the
- * one that calls {@link #run}; {@link #schedule} may also be called before the loop starts. All other methods are thread-safe.
+ * <p>Threading: {@link #schedule}, {@link #nowTicks} and {@link #runRemaining} must be called on the loop's thread, which is
+ * the one that calls {@link #run}; {@link #schedule} may also be called before the loop starts. All other methods are
+ * thread-safe.
  */
 public final class EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
-    /** Bounds each queue's share of a turn, so that no source starves the others. */
+    /** Maximum tasks to run from each queue in a turn, so that one queue cannot starve the other or the scheduled tasks. */
     private static final int MAX_TASKS_PER_TURN = 512;
 
     private static final int TASK_QUEUE_CHUNK = 1024;
@@ -31,7 +33,7 @@
 
     /** A task that runs at a given time unless it is cancelled. */
     public interface ScheduledTask {
-        /** Cancels the task if it has not run yet; on the loop's thread. */
+        /** Cancels the task if it has not run yet. Must be called on the loop's thread. */
         void cancel();
     }
 
@@ -44,26 +46,26 @@
     private volatile boolean sleeping;
     private volatile boolean stopped;
     private volatile @Nullable Throwable failure;
-    /** Set before {@code sleeping} is, and read only after that. */
+    /** The thread of {@link #run}; written before the volatile {@code sleeping} is set, and read only after it was seen set. */
     private @Nullable Thread thread;
 
     /**
      * Creates a loop that is not running yet.
      *
-     * @param clock the monotonic time in ticks, of a tenth of a millisecond
+     * @param clock returns the monotonic time in ticks of a tenth of a millisecond
      */
     public EventLoop(LongSupplier clock) {
         this.clock = clock;
         this.nowTicks = clock.getAsLong();
     }
 
-    /** Runs a task in one of the next turns, in the order of posting. */
+    /** Queues an ordinary task, to run in one of the next turns; ordinary tasks run in the order in which they are posted. */
     public void post(Runnable task) {
         tasks.offer(task);
         wake();
     }
 
-    /** Runs a task ahead of all ordinary tasks: a backlog of traffic never delays updates of endpoints and rollouts. */
+    /** Queues a task to run before all ordinary tasks, so that updates of endpoints and rollouts do not wait behind traffic. */
     public void postPriority(Runnable task) {
         priorityTasks.offer(task);
         wake();
@@ -75,17 +77,17 @@
         }
     }
 
-    /** Returns how many ordinary tasks wait; the queue has no bound of its own, so that sources of load check this. */
+    /** Returns the number of queued ordinary tasks. The queue is unbounded, so sources of load check this number. */
     public int queuedTasks() {
         return tasks.size();
     }
 
-    /** Returns the time of the current turn in ticks. */
+    /** Returns the time in ticks at which the current turn started. */
     public long nowTicks() {
         return nowTicks;
     }
 
-    /** Returns the time of the clock in ticks, which runs on within a turn. */
+    /** Returns the current time of the clock in ticks, which, unlike {@link #nowTicks}, advances during a turn. */
     public long clockTicks() {
         return clock.getAsLong();
     }
@@ -93,19 +95,19 @@
     /**
      * Schedules a task.
      *
-     * @param dueTicks when to run it; a time that has passed means in this turn or the next
+     * @param dueTicks the time to run it; a task whose time has passed runs in this turn or the next
      */
     public ScheduledTask schedule(long dueTicks, Runnable task) {
         return scheduler.schedule(dueTicks, task);
     }
 
-    /** Ends the loop after the task that is running. */
+    /** Requests the end of the loop; it ends after the current turn at the latest. */
     public void stop() {
         stopped = true;
         wake();
     }
 
-    /** Ends the loop with an error that {@link #run} then throws; the first one given counts. */
+    /** Ends the loop and makes {@link #run} throw {@code cause}; if it is called several times, the first cause is thrown. */
     public void fail(Throwable cause) {
         if (failure == null) {
             failure = cause;
@@ -114,10 +116,10 @@
     }
 
     /**
-     * Runs until the loop is stopped.
+     * Runs the loop until it is stopped or fails.
      *
-     * @param endOfTurn called at the end of each turn in which any task ran, and again for as long as it returns true
-     * @throws IllegalStateException where the loop failed with a checked exception; unchecked ones and errors are rethrown
+     * @param endOfTurn called at the end of each turn in which any task ran, and repeatedly as long as it returns true
+     * @throws IllegalStateException if the loop failed with a checked exception; unchecked exceptions and errors are rethrown
      */
     public void run(BooleanSupplier endOfTurn) {
         thread = Thread.currentThread();
@@ -138,15 +140,15 @@
     }
 
     /**
-     * Runs the posted tasks that had no turn, once {@link #run} has ended: they may release what others wait for. The
-     * end-of-turn hook isn't called.
+     * Runs the posted tasks that are still queued after {@link #run} has ended, since they may release resources that other
+     * threads wait for. The end-of-turn hook is not called.
      */
     public void runRemaining() {
         drain(priorityTasks, Integer.MAX_VALUE);
         drain(tasks, Integer.MAX_VALUE);
     }
 
-    /** Returns how many tasks have failed since the start. */
+    /** Returns the number of tasks that have thrown a {@code RuntimeException} since the start. */
     public int failedTasks() {
         return failedTasks.get();
     }
@@ -184,7 +186,7 @@
 
     private void sleepUntilNextTask() {
         sleeping = true;
-        // checked again after the flag is set: a task posted in between would not wake the loop
+        // check again after setting the flag: a task posted before that did not wake the loop
         if (tasks.isEmpty() && priorityTasks.isEmpty() && !stopped) {
             long dueTicks = scheduler.nextDueTicks();
             if (dueTicks == Long.MAX_VALUE) {
--- a/src/main/java/laurelkeel/eventloop/LoopThreads.java
+++ b/src/main/java/laurelkeel/eventloop/LoopThreads.java
@@ -10,16 +10,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Executors whose threads fail the event loop when they die unexpectedly, as for lack of memory. Without that, the loop's user
- * would go on without its sockets or its updates and still report itself healthy. All threads are daemons.
+ * Creates executors whose threads fail an event loop if they die unexpectedly, for example from an {@code OutOfMemoryError}.
+ * Otherwise the process would continue without its sockets or its updates and still report itself healthy. All threads are
+ * daemon threads.
  */
 public final class LoopThreads {
     private LoopThreads() {}
 
     /**
-     * Returns an executor with as many threads as it has tasks at a time.
+     * Returns an executor that creates threads as needed, one for each concurrent task.
      *
-     * @param loop fails when a thread dies
+     * @param loop the loop to fail if a thread dies
      * @param name the name of its threads
      */
     public static ExecutorService cachedPool(EventLoop loop, String name) {
@@ -29,7 +30,7 @@
     /**
      * Returns an executor with a fixed number of threads.
      *
-     * @param loop fails when a thread dies
+     * @param loop the loop to fail if a thread dies
      * @param name the name of its threads
      */
     public static ExecutorService fixedPool(EventLoop loop, String name, int threads) {
@@ -37,16 +38,17 @@
     }
 
     /**
-     * Returns a timer with one thread; what a timed task throws fails the loop as well.
+     * Returns a scheduled executor with one thread; a task that throws fails the loop as well.
      *
-     * @param loop fails when the thread dies or a task throws
+     * @param loop the loop to fail if the thread dies or a task throws
      * @param name the name of its thread
      */
     public static ScheduledExecutorService timer(EventLoop loop, String name) {
         return new ScheduledThreadPoolExecutor(1, threadFactory(loop, name)) {
             @Override
             protected void afterExecute(Runnable task, @Nullable Throwable thrown) {
-                // the executor keeps an exception in the task's future, and silently drops a repeated task
+                // the executor only stores an exception in the task's future, and silently cancels a periodic task that
+                // threw
                 if (task instanceof Future<?> future && future.isDone() && !future.isCancelled()) {
                     failLoopIfFailed(loop, future);
                 }
@@ -69,7 +71,7 @@
         return task -> {
             Thread thread = new Thread(task, name);
             thread.setDaemon(true);
-            thread.setUncaughtExceptionHandler((dead, cause) -> loop.fail(cause));
+            thread.setUncaughtExceptionHandler((thrower, cause) -> loop.fail(cause));
             return thread;
         };
     }
--- a/src/main/java/laurelkeel/eventloop/TaskScheduler.java
+++ b/src/main/java/laurelkeel/eventloop/TaskScheduler.java
@@ -4,12 +4,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Tasks that become due at a given time, in the order of that time and then of their scheduling.
+ * A queue of tasks ordered by due time; tasks with the same due time run in the order in which they were scheduled.
  *
  * <p>Not thread-safe; called on the event loop's thread.
  */
 final class TaskScheduler {
-    /** Cancelled tasks that may stay in the queue before it is worth searching for them. */
+    /** Up to this number of cancelled tasks, scanning the queue to remove them is not worth its cost. */
     private static final int COMPACTION_THRESHOLD = 1024;
 
     private final PriorityQueue<Task> tasks = new PriorityQueue<>();
@@ -19,7 +19,7 @@
     /**
      * Adds a task.
      *
-     * @param dueTicks when it becomes due
+     * @param dueTicks the time at which it becomes due
      */
     EventLoop.ScheduledTask schedule(long dueTicks, Runnable action) {
         compactIfMostlyCancelled();
@@ -28,7 +28,7 @@
         return task;
     }
 
-    /** Removes the next task that is due by {@code nowTicks} and returns its action; null where none is due. */
+    /** Removes the next task that is due by {@code nowTicks} and returns its action; null if none is due. */
     @Nullable
     Runnable pollDue(long nowTicks) {
         for (Task next = tasks.peek(); next != null && next.dueTicks <= nowTicks; next = tasks.peek()) {
@@ -42,18 +42,18 @@
         return null;
     }
 
-    /** Returns when the first task in the queue, cancelled or not, becomes due; {@code Long.MAX_VALUE} for none. */
+    /** Returns the due time of the first task in the queue, cancelled or not; {@code Long.MAX_VALUE} if the queue is empty. */
     long nextDueTicks() {
         Task next = tasks.peek();
         return next == null ? Long.MAX_VALUE : next.dueTicks;
     }
 
-    /** Tasks in the queue, with the cancelled ones that are still in it. */
+    /** Returns the number of tasks in the queue, including cancelled ones that have not been removed yet. */
     int size() {
         return tasks.size();
     }
 
-    /** Most requests end long before their timeouts: the cancelled ones must not fill the heap. */
+    /** Removes cancelled tasks. Most requests end long before their timeouts, whose tasks would otherwise fill the heap. */
     private void compactIfMostlyCancelled() {
         if (cancelledTasks > COMPACTION_THRESHOLD && cancelledTasks > tasks.size() / 2) {
             tasks.removeIf(task -> task.action == null);
--- a/src/main/java/laurelkeel/eventloop/package-info.java
+++ b/src/main/java/laurelkeel/eventloop/package-info.java
@@ -1,4 +1,4 @@
-/** A single-threaded event loop with scheduled tasks, and the threads that run beside it. */
+/** A single-threaded event loop with scheduled tasks, and executors whose failures end the loop. */
 @NullMarked
 package laurelkeel.eventloop;
 
