--- a/src/main/java/laurelkeel/front/upstream/ConnectAttempt.java
+++ b/src/main/java/laurelkeel/front/upstream/ConnectAttempt.java
@@ -14,21 +14,25 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * Opens one connection within a timeout that goes by the event loop's monotonic clock. MINA's own timeout goes by the wall
- * clock: a step forward would end all pending connects at once, and a step back would end none in time.
+ * An attempt to open one connection, with a timeout that is measured by the event loop's monotonic clock. MINA measures its
+ * own connect timeout by the wall clock: a step forward would expire all pending connects immediately, and a step back would
+ * delay their timeouts.
  *
- * <p>A timed-out connect is not cancelled through MINA's future: if it completes at that moment, MINA 2.2.5 counts its
- * socket as gone twice, believes that it has none left and stops watching the others.
+ * <p>A timed-out connect is not cancelled through MINA's future. If the connect completes at the same moment, MINA 2.2.5
+ * counts the removal of its socket twice, concludes that no sockets are left and stops polling the others.
  *
  * <p>Not thread-safe; called on the event loop's thread.
  */
 public final class ConnectAttempt {
-    /** For MINA's own connect timeout, in milliseconds: longer than any step of the wall clock that should do no harm. */
+    /**
+     * Value for MINA's own connect timeout, in milliseconds. Steps of the wall clock that are shorter than this cannot expire
+     * pending connects.
+     */
     public static final long MINA_TIMEOUT_MS = 7L * 24 * 3600 * 1000;
 
     private static final AttributeKey ATTEMPT = new AttributeKey(ConnectAttempt.class, "attempt");
 
-    /** Receives the result, once, on the event loop's thread but never from within {@link ConnectAttempt#start}. */
+    /** Receives the result exactly once, on the event loop's thread but never from within {@link ConnectAttempt#start}. */
     public interface Listener {
         /** Called when the connection is open. */
         void connected(IoSession session);
@@ -36,7 +40,7 @@
         /** Called when the connection could not be opened. */
         void failed(Throwable cause);
 
-        /** Called when the connection did not open in time; if it still opens, it is closed. */
+        /** Called when the connection did not open within the timeout; if it opens later, it is closed. */
         void timedOut();
     }
 
@@ -50,11 +54,11 @@
     /**
      * Starts an attempt.
      *
-     * @param loop measures the timeout
-     * @param post posts the result to that loop, as an ordinary or a priority task
-     * @param timeoutTicks how long the connection may take to open
-     * @param prepare run on the new session before anything is read from it
-     * @throws RuntimeException where nothing was started; the listener is not called then
+     * @param loop schedules the timeout
+     * @param post posts the result to {@code loop}, as an ordinary or a priority task
+     * @param timeoutTicks the maximum time for the connection to open
+     * @param prepare initializes the new session; called before anything is read from it
+     * @throws RuntimeException if the connect could not be started; the listener is not called in this case
      */
     public static void start(
             NioSocketConnector connector,
@@ -109,14 +113,14 @@
             try {
                 socket.close();
             } catch (IOException ignored) {
-                // it is given up either way
+                // the attempt has timed out, so that a failed close changes nothing
             }
         }
     }
 
-    /** Base of the handlers for connections that were opened by an attempt. */
+    /** Base class of the I/O handlers for connections that are opened by a {@link ConnectAttempt}. */
     public abstract static class Handler extends IoHandlerAdapter {
-        /** Closes a connection that opened in the moment in which its attempt timed out: nobody uses it. */
+        /** Closes a connection that opened just as its attempt timed out, since nothing will use it. */
         @Override
         public final void sessionOpened(IoSession session) {
             if (session.getAttribute(ATTEMPT) instanceof ConnectAttempt attempt && attempt.timedOut) {
@@ -124,7 +128,7 @@
             }
         }
 
-        /** Closes the connection: a server that has ended its output in order sends no further response. */
+        /** Closes the connection: a server that has shut down its output sends no further response. */
         @Override
         public final void inputClosed(IoSession session) {
             session.closeNow();
--- a/src/main/java/laurelkeel/front/upstream/ConnectionLimiter.java
+++ b/src/main/java/laurelkeel/front/upstream/ConnectionLimiter.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Counts the connections to all endpoints against their common limit, and queues the pools that wait for it.
+ * Limits the total number of connections to all endpoints, and queues the pools that wait for the limit.
  *
  * <p>Not thread-safe; called on the event loop's thread.
  */
@@ -44,7 +44,7 @@
         openConnections--;
     }
 
-    /** Queues a pool that waits until a connection to another endpoint is closed. */
+    /** Queues a pool that needs a connection until one to another endpoint is closed; no effect if it is queued already. */
     void addStarved(EndpointConnectionPool pool) {
         starvedPools.add(pool);
     }
@@ -57,7 +57,7 @@
         return !starvedPools.isEmpty();
     }
 
-    /** Removes the pool that has waited longest; null for none. */
+    /** Removes and returns the pool that has waited longest; null if none waits. */
     @Nullable
     EndpointConnectionPool pollStarved() {
         Iterator<EndpointConnectionPool> pools = starvedPools.iterator();
--- a/src/main/java/laurelkeel/front/upstream/ConnectionOpener.java
+++ b/src/main/java/laurelkeel/front/upstream/ConnectionOpener.java
@@ -12,20 +12,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Opens connections for exchanges that wait, within the limits of each endpoint and of all together.
+ * Opens connections for waiting exchanges, within the limit for each endpoint and the limit for all endpoints together.
  *
  * <p>Not thread-safe; called on the event loop's thread.
  */
 final class ConnectionOpener {
     private static final Logger LOG = LoggerFactory.getLogger(ConnectionOpener.class);
     /**
-     * A connect may take longer than one exchange waits for it: both sides have paid for the connection, and it serves the
-     * next exchange.
+     * Timeout of a connect, as a multiple of the time that an exchange waits for a connection. A connect that completes after
+     * its exchange has given up is still of use: both sides have borne its cost, and it serves the next exchange.
      */
     private static final int CONNECT_TIMEOUT_FACTOR = 2;
 
     private static final long MIN_CONNECT_TIMEOUT_TICKS = 10;
-    /** A shortage on this host (descriptors, ports, buffers) is mostly over after a moment. */
+
+    /** Delay before a connect that failed locally is retried: a shortage of descriptors, ports or buffers is usually brief. */
     private static final long LOCAL_FAILURE_RETRY_DELAY_TICKS = 200;
 
     private final EventLoop loop;
@@ -33,10 +34,14 @@
     private final EndpointPoolRegistry pools;
     private final ConnectionLimiter limiter;
     private final long connectTimeoutTicks;
-    private final long restAfterResponseTicks;
+    private final long reuseDelayTicks;
     private final Consumer<EndpointConnection> onConnected;
 
-    /** Creates an opener; each new connection goes to {@code onConnected}. */
+    /**
+     * Creates an opener.
+     *
+     * @param onConnected receives each new connection
+     */
     ConnectionOpener(
             UpstreamSettings settings,
             EventLoop loop,
@@ -50,11 +55,11 @@
         this.limiter = limiter;
         this.connectTimeoutTicks =
                 Math.max(MIN_CONNECT_TIMEOUT_TICKS, settings.connectTimeoutTicks() * CONNECT_TIMEOUT_FACTOR);
-        this.restAfterResponseTicks = settings.restAfterResponseTicks();
+        this.reuseDelayTicks = settings.reuseDelayTicks();
         this.onConnected = onConnected;
     }
 
-    /** Starts opening as many connections as the pool's waiting exchanges need and the limits allow. */
+    /** Starts as many connects as the pool's waiting exchanges need and the limits allow. */
     void openFor(EndpointConnectionPool pool) {
         while (pool.needsConnection()) {
             if (limiter.isFull()) {
@@ -66,14 +71,14 @@
             try {
                 connect(pool);
             } catch (RuntimeException e) {
-                LOG.error("cannot start a connection to {}", pool.address().socketAddress(), e);
+                LOG.error("cannot start connecting to {}", pool.address().socketAddress(), e);
                 loop.post(() -> connectFailed(pool, false));
                 return;
             }
         }
     }
 
-    /** Opens connections for the pool that has waited longest for the common limit. */
+    /** Opens connections for the pool that has waited longest for the limit on all connections. */
     void openForStarvedPool() {
         EndpointConnectionPool starved = limiter.pollStarved();
         if (starved != null) {
@@ -87,7 +92,7 @@
                 loop,
                 loop::post,
                 connectTimeoutTicks,
-                Objects.requireNonNull(pool.address().socketAddress(), "an endpoint without an address"),
+                Objects.requireNonNull(pool.address().socketAddress(), "endpoint has no socket address"),
                 session -> {},
                 new PoolConnectListener(pool));
     }
@@ -123,11 +128,11 @@
             return;
         }
         pool.connectionOpened();
-        // no response came on it, so it needs no rest
-        onConnected.accept(EndpointConnection.attach(pool, session, loop.nowTicks() - restAfterResponseTicks));
+        // a new connection has carried no response, so that it can be used without the reuse delay
+        onConnected.accept(EndpointConnection.attach(pool, session, loop.nowTicks() - reuseDelayTicks));
     }
 
-    /** The waiting exchanges have timeouts of their own, and mostly began to wait after this connect did. */
+    /** Ends no exchange: the waiting ones have their own timeouts, and most began to wait after this connect started. */
     private void connectTimedOut(EndpointConnectionPool pool) {
         pool.connectEnded();
         openFor(pool);
@@ -149,7 +154,10 @@
         openForStarvedPool();
     }
 
-    /** Refused and unreachable are the endpoint's failures; a lack of descriptors, ports or buffers is this host's. */
+    /**
+     * Returns whether the endpoint caused a failed connect, by refusing it or being unreachable. Other causes, such as a lack of
+     * descriptors, ports or buffers, are local to this host.
+     */
     private static boolean isEndpointFailure(Throwable cause) {
         return cause instanceof ConnectException || cause instanceof NoRouteToHostException;
     }
--- a/src/main/java/laurelkeel/front/upstream/ConnectionPools.java
+++ b/src/main/java/laurelkeel/front/upstream/ConnectionPools.java
@@ -13,8 +13,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Connections to all endpoints. An exchange of which no byte was handed to the network provably never ran; one whose
- * connection ends after that may have run, even on a connection that was idle before.
+ * Connection pools for all endpoints. If no byte of a request was written to the network, the endpoint cannot have executed it.
+ * If the connection ends after that, the request may have been executed, even if the connection had been idle before.
  *
  * <p>Not thread-safe; called on the event loop's thread, except for {@link #bodyBytes} and {@link #releaseBody}.
  */
@@ -35,8 +35,8 @@
     /**
      * Creates pools without connections.
      *
-     * @param threads run the connector
-     * @param processors run the I/O of the connections; disposed of at {@link #close}
+     * @param threads runs the connector
+     * @param processors run the I/O of the connections; disposed of by {@link #close}
      */
     public ConnectionPools(
             UpstreamSettings settings,
@@ -63,7 +63,7 @@
         NioSocketConnector connector = new NioSocketConnector(threads, processors);
         connector.setConnectTimeoutMillis(ConnectAttempt.MINA_TIMEOUT_MS);
         connector.getSessionConfig().setTcpNoDelay(true);
-        // off: MINA measures it by the wall clock, which may be stepped; each attempt has a timeout of its own
+        // disabled: MINA measures it by the wall clock, which may be stepped, and each attempt has its own timeout
         connector.getSessionConfig().setWriteTimeout(0);
         connector.getSessionConfig().setReadBufferSize(READ_BUFFER_BYTES);
         connector.getSessionConfig().setMaxReadBufferSize(MAX_READ_BUFFER_BYTES);
@@ -71,7 +71,7 @@
         return connector;
     }
 
-    /** Starts closing connections that have been idle past their timeout. */
+    /** Starts the periodic closing of connections whose idle timeout has expired. */
     public void startSweeps() {
         reaper.start();
     }
@@ -79,17 +79,17 @@
     /** Closes all connections and releases the processors. */
     public void close() {
         connector.dispose(false);
-        // waits for its threads, without end where one of them died
+        // runs on another thread: dispose() waits for the processors' threads, and forever if one of them has died
         threads.execute(processors::dispose);
     }
 
     /**
      * Sends a request to an endpoint, on an idle connection or a new one.
      *
-     * @param message returns the bytes of the request; called when they are sent, which may be long after, and returns null
-     *     where the request may not be sent any more
+     * @param message returns the bytes of the request, or null if it may no longer be sent; called when a connection is
+     *     available, possibly long after this call
      * @param headRequest whether the response has no body
-     * @param listener called with the end of the exchange
+     * @param listener receives the result of the exchange
      */
     public Exchange startExchange(
             EndpointAddress address,
@@ -109,18 +109,22 @@
     /**
      * Closes the idle connections to one endpoint.
      *
-     * @param key of its {@link EndpointAddress}
+     * @param key the key of its {@link EndpointAddress}
      */
     public void closeIdle(String key) {
         pools.closeIdle(key);
     }
 
-    /** Returns the bytes reserved for the bodies of responses, complete or partial; thread-safe. */
+    /** Returns the number of bytes reserved for complete and partial response bodies. Thread-safe. */
     public long bodyBytes() {
         return bodyBudget.reservedBytes();
     }
 
-    /** Releases the body of a response that was forwarded or is not needed; null for none; thread-safe. */
+    /**
+     * Releases the body of a response that has been forwarded or is not needed. Thread-safe.
+     *
+     * @param response null if there is none
+     */
     public void releaseBody(@Nullable EndpointResponse response) {
         if (response != null) {
             response.releaseBody(bodyBudget);
@@ -128,9 +132,10 @@
     }
 
     /**
-     * Describes the pools for logs.
+     * Describes the state of the pools for log output.
      *
-     * @return by address key: connections open, idle and being opened, and exchanges waiting, with slashes between
+     * @return by address key: the numbers of open connections, idle connections, pending connects and waiting exchanges,
+     *     separated by slashes
      */
     public Map<String, String> describe() {
         return pools.describe();
--- a/src/main/java/laurelkeel/front/upstream/EndpointAddress.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointAddress.java
@@ -4,9 +4,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Where an endpoint is reached.
+ * The address of an endpoint and the key of its connection pool.
  *
- * @param key names its connection pool: endpoints with different keys never share a connection
- * @param socketAddress null where the endpoint cannot be reached
+ * @param key identifies its connection pool; endpoints with different keys never share a connection
+ * @param socketAddress null if the endpoint cannot be reached
  */
 public record EndpointAddress(String key, @Nullable InetSocketAddress socketAddress) {}
--- a/src/main/java/laurelkeel/front/upstream/EndpointConnection.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointConnection.java
@@ -7,7 +7,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One connection to an endpoint, which carries one exchange at a time.
+ * A connection to an endpoint, which carries one exchange at a time.
  *
  * <p>Not thread-safe; called on the event loop's thread.
  */
@@ -31,19 +31,19 @@
         this.idleSinceTicks = idleSinceTicks;
     }
 
-    /** Makes a new session a connection of a pool. */
+    /** Creates the connection for a new session and assigns it to a pool. */
     static EndpointConnection attach(EndpointConnectionPool pool, IoSession session, long idleSinceTicks) {
         EndpointConnection connection = new EndpointConnection(pool, session, idleSinceTicks);
         session.setAttribute(CONNECTION, connection);
         return connection;
     }
 
-    /** Returns the connection of a session; null where it was never attached to a pool. */
+    /** Returns the connection of a session; null if the session has not been attached to a pool. */
     static @Nullable EndpointConnection of(IoSession session) {
         return session.getAttribute(CONNECTION) instanceof EndpointConnection connection ? connection : null;
     }
 
-    /** Records that a session was closed before it was attached. */
+    /** Records that a session was closed before it was attached to a pool. */
     static void markClosedUnattached(IoSession session) {
         session.setAttribute(CLOSED_UNATTACHED, true);
     }
@@ -60,11 +60,11 @@
         return idleSinceTicks;
     }
 
-    void idleSince(long ticks) {
+    void setIdleSince(long ticks) {
         idleSinceTicks = ticks;
     }
 
-    /** Whether it ever carried an exchange. */
+    /** Returns whether an exchange was ever sent on it. */
     boolean wasUsed() {
         return used;
     }
@@ -73,19 +73,19 @@
         return !closed && !session.isClosing();
     }
 
-    /** Records that the connection has ended; returns false where that was known. */
+    /** Records that the connection has closed; returns false if this was recorded before. */
     boolean markClosed() {
         boolean first = !closed;
         closed = true;
         return first;
     }
 
-    /** Closes it now; the pool learns of that once the session has ended. */
+    /** Closes the session immediately; the pool is notified when the session has closed. */
     void close() {
         session.closeNow();
     }
 
-    /** Sends the message of an exchange, which then holds this connection. */
+    /** Sends the request of an exchange, which occupies this connection until {@link #takeExchange}. */
     void send(Exchange next, byte[] message, long nowTicks) {
         exchange = next;
         used = true;
@@ -98,12 +98,12 @@
         session.write(IoBuffer.wrap(message));
     }
 
-    /** Whether a byte was written since the last exchange was sent. */
+    /** Returns whether any byte was written since the last exchange was sent. */
     boolean hasWrittenExchange() {
         return session.getWrittenBytes() != writtenBytesBeforeExchange;
     }
 
-    /** Returns the exchange that is on it, which is then no longer; null for none. */
+    /** Removes and returns the exchange in progress; null if there is none. */
     @Nullable
     Exchange takeExchange() {
         Exchange taken = exchange;
--- a/src/main/java/laurelkeel/front/upstream/EndpointConnectionPool.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointConnectionPool.java
@@ -14,7 +14,7 @@
     private final EndpointAddress address;
     private final UpstreamSettings settings;
     private final ConnectionLimiter limiter;
-    /** The most recently used first, so that the others age and are closed. */
+    /** Ordered from most to least recently used, so that surplus connections reach their idle timeout and are closed. */
     private final ArrayDeque<EndpointConnection> idle = new ArrayDeque<>();
 
     private final ArrayDeque<Exchange> waiting = new ArrayDeque<>();
@@ -31,9 +31,7 @@
         return address;
     }
 
-    // ---- connections
-
-    /** Whether an exchange waits that no connection is being opened for, and the endpoint's limit allows one. */
+    /** Returns whether there are more waiting exchanges than pending connects, and the endpoint's limit allows a connection. */
     boolean needsConnection() {
         return pendingConnects < waiting.size()
                 && openConnections + pendingConnects < settings.maxConnectionsPerEndpoint();
@@ -60,22 +58,20 @@
         idle.remove(connection);
     }
 
-    // ---- idle connections
-
     void addIdle(EndpointConnection connection) {
         idle.addFirst(connection);
     }
 
-    /** Takes a connection out of the idle ones; false where it is not among them. */
+    /** Removes a connection from the idle ones; returns false if it is not idle. */
     boolean removeIdle(EndpointConnection connection) {
         return idle.remove(connection);
     }
 
     /**
-     * Removes and returns the most recently used connection that can carry an exchange, and drops those that are closing.
+     * Removes and returns the most recently used idle connection that can carry an exchange, and drops those that are closing.
      *
-     * @param latestIdleSinceTicks connections that became idle after this are passed over
-     * @return null for none
+     * @param latestIdleSinceTicks connections that became idle after this time are skipped
+     * @return null if there is none
      */
     @Nullable
     EndpointConnection pollIdle(long latestIdleSinceTicks) {
@@ -91,7 +87,7 @@
         return null;
     }
 
-    /** Returns the connection that has been idle longest, which stays in the pool; null for none. */
+    /** Returns the connection that has been idle longest without removing it; null if there is none. */
     @Nullable
     EndpointConnection longestIdle() {
         return idle.peekLast();
@@ -107,9 +103,7 @@
         }
     }
 
-    // ---- waiting exchanges
-
-    /** Whether a further exchange finds an idle connection or may wait for one. */
+    /** Returns whether another exchange may wait, or an idle connection may be available for it. */
     boolean acceptsExchange() {
         return waiting.size() < settings.maxWaitingPerEndpoint() || !idle.isEmpty();
     }
@@ -126,21 +120,21 @@
         return !waiting.isEmpty();
     }
 
-    /** Returns the exchange that has waited longest, which goes on waiting; null for none. */
+    /** Returns the exchange that has waited longest without removing it; null if none waits. */
     @Nullable
     Exchange peekWaiting() {
         return waiting.peekFirst();
     }
 
-    /** Removes and returns the exchange that has waited longest; null for none. */
+    /** Removes and returns the exchange that has waited longest; null if none waits. */
     @Nullable
     Exchange pollWaiting() {
         return waiting.pollFirst();
     }
 
     /**
-     * Counts a connection that closed before it carried anything against the exchange that has waited longest: an endpoint
-     * that accepts connections and closes them at once would be connected to again and again without pause.
+     * Counts a connection that closed before it carried an exchange as a failure of the exchange that has waited longest.
+     * Otherwise an endpoint that accepts connections and immediately closes them would be reconnected to in an endless loop.
      */
     void unusedConnectionClosed() {
         Exchange first = waiting.peekFirst();
@@ -150,13 +144,11 @@
         }
     }
 
-    // ---- the pool
-
     boolean isUnused() {
         return openConnections == 0 && pendingConnects == 0 && waiting.isEmpty();
     }
 
-    /** Connections open, idle and being opened, and exchanges waiting, with slashes between; for logs. */
+    /** Returns the state of the pool for log output, in the format of {@link ConnectionPools#describe}. */
     String describe() {
         return openConnections + "/" + idle.size() + "/" + pendingConnects + "/" + waiting.size();
     }
--- a/src/main/java/laurelkeel/front/upstream/EndpointIoHandler.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointIoHandler.java
@@ -11,7 +11,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Interprets what is read from endpoints, and posts it to the event loop.
+ * I/O handler for the connections to endpoints. Parses responses and posts them, and other session events, to the event loop.
  *
  * <p>Thread-safe; called on the I/O threads of the connections.
  */
@@ -59,7 +59,7 @@
         if (connection == null) {
             session.closeNow();
         } else {
-            // a response that this node had no memory for is no failure of the endpoint
+            // 503: this node had no memory for the response body, which is not a failure of the endpoint
             dispatcher.responseUnreadable(
                     connection,
                     failure.status() == SERVICE_UNAVAILABLE ? AttemptOutcome.CANCELLED : protocol.unreadableOutcome());
@@ -81,7 +81,7 @@
     @Override
     public void exceptionCaught(IoSession session, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            LOG.error("cannot handle the input from {}", session.getRemoteAddress(), cause);
+            LOG.error("cannot process input from {}", session.getRemoteAddress(), cause);
         }
         session.closeNow();
     }
--- a/src/main/java/laurelkeel/front/upstream/EndpointPoolRegistry.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointPoolRegistry.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The pools of all endpoints by the key of their address.
+ * The connection pools of all endpoints, by the key of their address.
  *
  * <p>Not thread-safe; called on the event loop's thread.
  */
@@ -24,7 +24,7 @@
         return pools.computeIfAbsent(address.key(), key -> new EndpointConnectionPool(address, settings, limiter));
     }
 
-    /** Closes all idle connections of one pool. */
+    /** Closes all idle connections of one pool; no effect if there is no such pool. */
     void closeIdle(String key) {
         EndpointConnectionPool pool = pools.get(key);
         if (pool != null) {
@@ -32,14 +32,14 @@
         }
     }
 
-    /** Closes the connections of all pools that became idle before the given time. */
+    /** Closes the connections in all pools that became idle before the given time. */
     void closeIdleSinceBefore(long ticks) {
         for (EndpointConnectionPool pool : pools.values()) {
             pool.closeIdleSinceBefore(ticks);
         }
     }
 
-    /** Closes the connection that has been idle longest, whichever pool it is in. */
+    /** Closes the connection that has been idle longest across all pools. */
     void closeLongestIdle() {
         EndpointConnection longest = findLongestIdle();
         if (longest != null) {
@@ -63,7 +63,7 @@
         pools.values().removeIf(EndpointConnectionPool::isUnused);
     }
 
-    /** Describes each pool, sorted by key; see {@link BuildEndpoints#describe}. */
+    /** Describes each pool, sorted by key; see {@link ConnectionPools#describe}. */
     Map<String, String> describe() {
         Map<String, String> descriptions = new TreeMap<>();
         pools.forEach((key, pool) -> descriptions.put(key, pool.describe()));
--- a/src/main/java/laurelkeel/front/upstream/EndpointProtocol.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointProtocol.java
@@ -3,9 +3,9 @@
 import laurelkeel.api.Event.AttemptOutcome;
 import laurelkeel.wire.HttpResponse;
 
-/** Interprets the responses of one protocol's endpoints. Thread-safe; called on I/O threads. */
+/** Interprets endpoint responses for one protocol. Thread-safe; called on I/O threads. */
 public interface EndpointProtocol {
-    /** Interprets a complete response. */
+    /** Converts a complete HTTP response to an endpoint response. */
     EndpointResponse parseResponse(HttpResponse response);
 
     /** Returns the outcome of an attempt whose response is not valid HTTP or is too large. */
--- a/src/main/java/laurelkeel/front/upstream/EndpointResponse.java
+++ b/src/main/java/laurelkeel/front/upstream/EndpointResponse.java
@@ -13,16 +13,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A complete response of an endpoint, interpreted on the I/O thread that read it.
+ * A complete response from an endpoint, parsed on the I/O thread that read it.
  *
- * @param outcome how the attempt ended
- * @param forwarded the part that goes to the client; null unless the attempt completed
+ * @param outcome the outcome of the attempt
+ * @param forwarded the part that is forwarded to the client; null unless the attempt completed
  * @param loadReport the load that the endpoint reported
- * @param closesConnection whether the endpoint closes the connection after it
+ * @param closesConnection whether the endpoint closes the connection after this response
  */
 public record EndpointResponse(
         AttemptOutcome outcome, @Nullable ForwardedMessage forwarded, LoadReport loadReport, boolean closesConnection) {
-    /** Headers that only a front node sets, and the load report, which is for the front node alone. */
+    /** Headers that only a front node may set, and the load report, which is intended only for the front node. */
     private static final Collection<String> NOT_FORWARDED = HopByHop.names(
             HeaderNames.LOAD_REPORT,
             HeaderNames.RESULT,
@@ -32,7 +32,7 @@
             HeaderNames.RESPONSE_REFERENCE,
             HeaderNames.EXECUTED);
 
-    /** Interprets a response by its status and this project's own headers. */
+    /** Creates a response from its HTTP status and Laurelkeel's own headers. */
     public static EndpointResponse of(HttpResponse response) {
         AttemptOutcome outcome = outcomeOf(response);
         return new EndpointResponse(
@@ -64,13 +64,13 @@
                             Double.parseDouble(pair.substring(equals + 1).strip()));
                 }
             } catch (NumberFormatException ignored) {
-                // the other values still count
+                // skip a malformed value and use the others
             }
         }
         return new LoadReport(values);
     }
 
-    /** Returns the bytes of the forwarded body, if there is one, to the budget that they were reserved from. */
+    /** Releases the bytes of the forwarded body, if any, to the budget from which they were reserved. */
     void releaseBody(ByteBudget budget) {
         if (forwarded != null) {
             budget.release(forwarded.body().length);
--- a/src/main/java/laurelkeel/front/upstream/Exchange.java
+++ b/src/main/java/laurelkeel/front/upstream/Exchange.java
@@ -8,20 +8,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One request to an endpoint and its response: waiting for a connection, sent on one, or ended.
+ * A request to an endpoint and its response. It waits for a connection, has been sent on one, or has ended.
  *
  * <p>Not thread-safe; called on the event loop's thread.
  */
 public final class Exchange {
     private static final Logger LOG = LoggerFactory.getLogger(Exchange.class);
-    /** Connections that may fail before they carry a byte of the exchange, until it is given up. */
+    /** The exchange fails after this number of connections failed before any byte of it was written. */
     private static final int MAX_UNSENT_FAILURES = 3;
 
-    /** Receives the end of an exchange. */
+    /** Receives the result of an exchange. */
     public interface Listener {
         /**
-         * Called once, on the event loop's thread, but never from within {@link ConnectionPools#startExchange} or
-         * {@link #cancel}.
+         * Called when the exchange has ended: once, on the event loop's thread, but never from within
+         * {@link ConnectionPools#startExchange} or {@link #cancel}.
          *
          * @param response null unless a complete response was read
          */
@@ -32,7 +32,7 @@
     private final Supplier<byte @Nullable []> message;
     private final boolean headRequest;
     private final Listener listener;
-    /** Null unless the request was handed to a connection. */
+    /** The connection that the request was sent on; null before that and after the exchange is detached from it. */
     private @Nullable EndpointConnection connection;
 
     private EventLoop.@Nullable ScheduledTask connectTimeout;
@@ -43,8 +43,8 @@
     /**
      * Creates an exchange that is not dispatched yet.
      *
-     * @param message see {@link ConnectionPools#startExchange}
-     * @param headRequest whether its response has no body
+     * @param message returns the bytes of the request; see {@link ConnectionPools#startExchange}
+     * @param headRequest whether this is a HEAD request, whose response has no body
      */
     Exchange(EndpointConnectionPool pool, Supplier<byte @Nullable []> message, boolean headRequest, Listener listener) {
         this.pool = pool;
@@ -54,11 +54,11 @@
     }
 
     /**
-     * Ends the exchange without a call of the listener. If it was sent, its connection is closed, since the response may
-     * still arrive on it.
+     * Ends the exchange without calling the listener. If the request was sent, its connection is closed, since the response
+     * may still arrive on it.
      *
      * @param outcomeIfSent the outcome if the request may have been executed
-     * @return that, or the outcome that holds where no byte of the request was handed to a connection
+     * @return {@code outcomeIfSent}, or the outcome for a request that was never sent on a connection
      */
     public AttemptOutcome cancel(AttemptOutcome outcomeIfSent) {
         ended = true;
@@ -72,7 +72,8 @@
         sentOn.takeExchange();
         sentOn.close();
         if (outcomeIfSent == AttemptOutcome.TIMED_OUT) {
-            // an endpoint that vanished silently leaves all its connections like this one: each would cost a timeout
+            // if the endpoint disappeared without closing its connections, each idle one would cost another exchange
+            // its timeout
             pool.closeIdleSinceBefore(sentAtTicks);
         }
         return outcomeIfSent;
@@ -90,12 +91,12 @@
         return ended;
     }
 
-    /** Returns the bytes to send now; null where the request may not be sent any more or cannot be built. */
+    /** Returns the bytes of the request; null if it may no longer be sent or cannot be built. */
     byte @Nullable [] createMessage() {
         try {
             return message.get();
         } catch (RuntimeException e) {
-            LOG.error("cannot build the request to {}", pool.address().key(), e);
+            LOG.error("cannot build the request to endpoint {}", pool.address().key(), e);
             return null;
         }
     }
@@ -115,24 +116,24 @@
         }
     }
 
-    /** Records that the request is handed to a connection. */
+    /** Records that the request is sent on a connection. */
     void sentOn(EndpointConnection connection, long nowTicks) {
         cancelConnectTimeout();
         this.connection = connection;
         sentAtTicks = nowTicks;
     }
 
-    /** Records that its connection has ended or is done with it. */
+    /** Removes the reference to the connection, which has closed or no longer carries this exchange. */
     void detachFromConnection() {
         connection = null;
     }
 
-    /** Counts a connection that failed before it carried a byte of this exchange, and returns whether another may be tried. */
+    /** Counts a connection that failed before any byte of this exchange was written; returns whether to try another. */
     boolean countUnsentFailure() {
         return ++unsentFailures < MAX_UNSENT_FAILURES;
     }
 
-    /** Ends the exchange and calls its listener, unless it has ended before. */
+    /** Ends the exchange and calls its listener; no effect if it has already ended. */
     void end(AttemptOutcome outcome, @Nullable EndpointResponse response) {
         if (!ended) {
             ended = true;
--- a/src/main/java/laurelkeel/front/upstream/ExchangeDispatcher.java
+++ b/src/main/java/laurelkeel/front/upstream/ExchangeDispatcher.java
@@ -7,7 +7,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Assigns exchanges to connections and ends them with what happens on these.
+ * Assigns exchanges to connections, and ends exchanges according to the events on their connections.
  *
  * <p>Not thread-safe; called on the event loop's thread.
  */
@@ -17,7 +17,7 @@
     private final ByteBudget bodyBudget;
     private final ConnectionOpener opener;
     private final long connectTimeoutTicks;
-    private final long restAfterResponseTicks;
+    private final long reuseDelayTicks;
 
     ExchangeDispatcher(
             UpstreamSettings settings,
@@ -30,14 +30,14 @@
         this.limiter = limiter;
         this.bodyBudget = bodyBudget;
         this.connectTimeoutTicks = settings.connectTimeoutTicks();
-        this.restAfterResponseTicks = settings.restAfterResponseTicks();
+        this.reuseDelayTicks = settings.reuseDelayTicks();
         this.opener = new ConnectionOpener(settings, loop, connector, pools, limiter, this::connectionAvailable);
     }
 
-    /** Sends an exchange on an idle connection, or queues it for a new one. */
+    /** Sends an exchange on an idle connection, or queues it until a connection is available. */
     void dispatch(Exchange exchange) {
         EndpointConnectionPool pool = exchange.pool();
-        EndpointConnection idle = pool.pollIdle(loop.nowTicks() - restAfterResponseTicks);
+        EndpointConnection idle = pool.pollIdle(loop.nowTicks() - reuseDelayTicks);
         if (idle != null) {
             if (!send(idle, exchange)) {
                 connectionAvailable(idle);
@@ -55,11 +55,11 @@
     private void connectTimedOut(Exchange exchange) {
         EndpointConnectionPool pool = exchange.pool();
         pool.removeWaiting(exchange);
-        // a pool that waits for the common limit says nothing about its endpoint
+        // while the pool waits for the limit on all connections, the timeout does not indicate a fault of its endpoint
         exchange.end(limiter.isStarved(pool) ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED, null);
     }
 
-    /** Returns false where the exchange may not be sent any more; its listener is called later. */
+    /** Returns false if the exchange may no longer be sent or cannot be built; its listener is called in a later task. */
     private boolean send(EndpointConnection connection, Exchange exchange) {
         byte[] message = exchange.createMessage();
         if (message == null) {
@@ -70,7 +70,7 @@
         return true;
     }
 
-    /** Gives a connection that carries nothing to the next waiting exchange, or makes it idle. */
+    /** Uses a free connection for the next waiting exchange, closes it if another pool needs the capacity, or makes it idle. */
     private void connectionAvailable(EndpointConnection connection) {
         if (!connection.isUsable()) {
             return;
@@ -88,11 +88,11 @@
         pool.addIdle(connection);
     }
 
-    /** Ends the exchange on a connection with its response, and lets the connection rest. */
+    /** Ends the exchange on a connection with its response, and makes the connection available after the reuse delay. */
     void responseReceived(EndpointConnection connection, EndpointResponse response) {
         Exchange exchange = connection.takeExchange();
         if (exchange == null) {
-            // responses are out of step with requests on this connection
+            // no exchange is in progress: this response belongs to no request
             response.releaseBody(bodyBudget);
             connection.close();
             return;
@@ -101,7 +101,7 @@
         if (response.closesConnection()) {
             connection.close();
         } else {
-            rest(connection);
+            delayReuse(connection);
         }
         if (exchange.hasEnded()) {
             response.releaseBody(bodyBudget);
@@ -109,17 +109,17 @@
         exchange.end(response.outcome(), response);
     }
 
-    /** Surplus bytes may follow a response, and must not meet another exchange. */
-    private void rest(EndpointConnection connection) {
-        connection.idleSince(loop.nowTicks());
-        if (restAfterResponseTicks == 0) {
+    /** Keeps a connection idle for the reuse delay: surplus bytes after a response must not be read as the next response. */
+    private void delayReuse(EndpointConnection connection) {
+        connection.setIdleSince(loop.nowTicks());
+        if (reuseDelayTicks == 0) {
             connectionAvailable(connection);
             return;
         }
         EndpointConnectionPool pool = connection.pool();
         pool.addIdle(connection);
         if (pool.hasWaiting() || limiter.hasStarvedPools()) {
-            loop.schedule(loop.nowTicks() + restAfterResponseTicks, () -> {
+            loop.schedule(loop.nowTicks() + reuseDelayTicks, () -> {
                 if (pool.removeIdle(connection)) {
                     connectionAvailable(connection);
                 }
@@ -127,7 +127,7 @@
         }
     }
 
-    /** Ends the exchange on a connection whose input cannot be read on. */
+    /** Ends the exchange on a connection whose input is invalid, and closes the connection. */
     void responseUnreadable(EndpointConnection connection, AttemptOutcome outcome) {
         Exchange exchange = connection.takeExchange();
         connection.close();
@@ -137,7 +137,7 @@
         }
     }
 
-    /** Ends or dispatches again the exchange on a connection that has closed, and uses the capacity that it leaves. */
+    /** Ends or redispatches the exchange on a connection that has closed, and uses the freed capacity for waiting exchanges. */
     void connectionClosed(EndpointConnection connection) {
         if (!connection.markClosed()) {
             return;
--- a/src/main/java/laurelkeel/front/upstream/IdleConnectionReaper.java
+++ b/src/main/java/laurelkeel/front/upstream/IdleConnectionReaper.java
@@ -3,7 +3,7 @@
 import laurelkeel.eventloop.EventLoop;
 
 /**
- * Closes connections that have been idle past their timeout, and drops pools that nothing uses.
+ * Periodically closes connections whose idle timeout has expired, and removes unused pools.
  *
  * <p>Not thread-safe; called on the event loop's thread.
  */
--- a/src/main/java/laurelkeel/front/upstream/UpstreamSettings.java
+++ b/src/main/java/laurelkeel/front/upstream/UpstreamSettings.java
@@ -6,16 +6,17 @@
  * Limits and timeouts of the connections to endpoints.
  *
  * @param httpLimits limits on each response
- * @param maxConnectionsPerEndpoint connections to one endpoint, open or being opened
- * @param maxConnections connections to all endpoints, open or being opened; at the limit idle ones are closed
- * @param maxWaitingPerEndpoint exchanges that may wait for a connection to one endpoint; further ones fail at once
- * @param connectTimeoutTicks how long an exchange waits for a connection
- * @param idleTimeoutTicks how long a connection may be idle before it is closed
- * @param threads I/O threads
- * @param healthCheckPath path of a health check
- * @param healthCheckTimeoutTicks how long a health check may take
- * @param restAfterResponseTicks how long a connection stays unused after a response, so that surplus bytes behind that
- *     response are not taken for the next one
+ * @param maxConnectionsPerEndpoint maximum connections to one endpoint, including those being opened
+ * @param maxConnections maximum connections to all endpoints, including those being opened; when it is reached,
+ *     idle connections are closed to free capacity
+ * @param maxWaitingPerEndpoint maximum exchanges that wait for a connection to one endpoint; further ones fail immediately
+ * @param connectTimeoutTicks maximum time that an exchange waits for a connection
+ * @param idleTimeoutTicks time after which an idle connection is closed
+ * @param threads number of I/O threads
+ * @param healthCheckPath request path of health checks
+ * @param healthCheckTimeoutTicks timeout of a health check
+ * @param reuseDelayTicks minimum time between a response and the next request on its connection, so that surplus bytes after
+ *     the response are not read as the next response
  */
 public record UpstreamSettings(
         HttpLimits httpLimits,
@@ -27,4 +28,4 @@
         int threads,
         String healthCheckPath,
         long healthCheckTimeoutTicks,
-        long restAfterResponseTicks) {}
+        long reuseDelayTicks) {}
