--- a/src/main/java/laurelkeel/eventloop/EventLoop.java
+++ b/src/main/java/laurelkeel/eventloop/EventLoop.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A single-threaded event loop; all state of its user is accessed on the loop's thread only. Each turn (iteration) runs priority
- * tasks, then ordinary tasks, then the scheduled tasks that are due, and calls the end-of-turn hook if any task ran.
+ * A single-threaded event loop; all state of its user is accessed on the loop's thread only. Each turn (iteration) runs
+ * priority tasks, then ordinary tasks, then the scheduled tasks that are due, and calls the end-of-turn hook if any task ran.
  *
  * <p>If a task throws a {@code RuntimeException}, the exception is logged and counted, and the loop continues, since ending it
  * would also fail all other work in flight. An {@code Error} from a task, or anything that the end-of-turn hook throws, ends
--- a/src/main/java/laurelkeel/front/upstream/ConnectionOpener.java
+++ b/src/main/java/laurelkeel/front/upstream/ConnectionOpener.java
@@ -155,8 +155,8 @@
     }
 
     /**
-     * Returns whether the endpoint caused a failed connect, by refusing it or being unreachable. Other causes, such as a lack of
-     * descriptors, ports or buffers, are local to this host.
+     * Returns whether the endpoint caused a failed connect, by refusing it or being unreachable. Other causes, such as a lack
+     * of descriptors, ports or buffers, are local to this host.
      */
     private static boolean isEndpointFailure(Throwable cause) {
         return cause instanceof ConnectException || cause instanceof NoRouteToHostException;
--- a/src/main/java/laurelkeel/logging/RateLimitedAsyncAppender.java
+++ b/src/main/java/laurelkeel/logging/RateLimitedAsyncAppender.java
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Returns the kind of a line; lines of the same kind count as similar. The kind is the logger and the message format, or, if
-     * the format is only a placeholder, the text with its numbers masked.
+     * Returns the kind of a line; lines of the same kind count as similar. The kind is the logger and the message format, or,
+     * if the format is only a placeholder, the text with its numbers masked.
      */
     private static String kind(ILoggingEvent event) {
         String format = event.getMessage();
--- a/src/test/java/laurelkeel/admin/AdminServerTest.java
+++ b/src/test/java/laurelkeel/admin/AdminServerTest.java
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void metricsAreTheSuppliersText() throws Exception {
+    void metricsReturnTheTextOfTheSupplier() throws Exception {
         assertEquals("200 a_metric 1\n", call("GET", "/metrics"));
     }
 
--- a/src/test/java/laurelkeel/eventloop/EventLoopTest.java
+++ b/src/test/java/laurelkeel/eventloop/EventLoopTest.java
@@ -18,7 +18,7 @@
 
     private final EventLoop loop = new EventLoop(() -> System.nanoTime() / 100_000);
 
-    /** Completes with what the loop threw, or null where it was stopped. */
+    /** Starts the loop; the future completes with the exception that the loop threw, or null if it was stopped. */
     private CompletableFuture<Throwable> startLoop() {
         CompletableFuture<Throwable> ended = new CompletableFuture<>();
         Thread thread = new Thread(() -> {
@@ -39,15 +39,15 @@
     }
 
     private static void await(CountDownLatch latch) throws InterruptedException {
-        assertTrue(latch.await(WAIT_SECONDS, TimeUnit.SECONDS), "not run: " + latch.getCount());
+        assertTrue(latch.await(WAIT_SECONDS, TimeUnit.SECONDS), "tasks not run: " + latch.getCount());
     }
 
     private static void fail() {
-        throw new IllegalStateException("made");
+        throw new IllegalStateException("test exception");
     }
 
     @Test
-    void priorityTasksWithoutEndStarveNeitherOrdinaryNorScheduledTasks() throws Exception {
+    void endlessPriorityTasksStarveNeitherOrdinaryNorScheduledTasks() throws Exception {
         CountDownLatch both = new CountDownLatch(2);
         loop.postPriority(new Runnable() {
             @Override
@@ -89,29 +89,32 @@
     }
 
     @Test
-    void anErrorOnASocketThreadEndsTheLoop() throws Exception {
-        assertErrorEndsLoop((l, task) -> LoopThreads.cachedPool(l, "test").execute(task));
+    void anErrorOnACachedPoolThreadEndsTheLoop() throws Exception {
+        assertErrorEndsLoop(
+                (eventLoop, task) -> LoopThreads.cachedPool(eventLoop, "test").execute(task));
     }
 
     @Test
-    void anErrorOnAWorkerThreadEndsTheLoop() throws Exception {
-        assertErrorEndsLoop((l, task) -> LoopThreads.fixedPool(l, "test", 1).execute(task));
+    void anErrorOnAFixedPoolThreadEndsTheLoop() throws Exception {
+        assertErrorEndsLoop(
+                (eventLoop, task) -> LoopThreads.fixedPool(eventLoop, "test", 1).execute(task));
     }
 
     @Test
-    void anErrorInATimedTaskEndsTheLoop() throws Exception {
+    void anErrorInAPeriodicTaskEndsTheLoop() throws Exception {
         ScheduledExecutorService timer = LoopThreads.timer(loop, "test");
-        AtomicReference<Future<?>> repeated = new AtomicReference<>();
-        assertErrorEndsLoop((l, task) -> repeated.set(timer.scheduleWithFixedDelay(task, 0, 1, TimeUnit.MILLISECONDS)));
-        assertTrue(repeated.get().isDone());
+        AtomicReference<Future<?>> periodicTask = new AtomicReference<>();
+        assertErrorEndsLoop(
+                (eventLoop, task) -> periodicTask.set(timer.scheduleWithFixedDelay(task, 0, 1, TimeUnit.MILLISECONDS)));
+        assertTrue(periodicTask.get().isDone());
     }
 
     private void assertErrorEndsLoop(BiConsumer<EventLoop, Runnable> executor) throws Exception {
-        Error made = new OutOfMemoryError("made");
+        Error error = new OutOfMemoryError("test error");
         CompletableFuture<Throwable> ended = startLoop();
         executor.accept(loop, () -> {
-            throw made;
+            throw error;
         });
-        assertSame(made, await(ended));
+        assertSame(error, await(ended));
     }
 }
--- a/src/test/java/laurelkeel/eventloop/TaskSchedulerTest.java
+++ b/src/test/java/laurelkeel/eventloop/TaskSchedulerTest.java
@@ -50,18 +50,18 @@
     }
 
     @Test
-    void cancelledTasksAreDroppedOnceTheyAreMostOfTheQueue() {
+    void cancelledTasksAreRemovedOnceTheyAreMostOfTheQueue() {
         for (int i = 0; i < 100_000; i++) {
             scheduler.schedule(1_000_000 + i, () -> ran.add("timeout")).cancel();
             assertTrue(scheduler.size() <= 1_100, "tasks in the queue: " + scheduler.size());
         }
-        scheduler.schedule(10, () -> ran.add("kept"));
+        scheduler.schedule(10, () -> ran.add("not cancelled"));
         runDue(10);
-        assertEquals(List.of("kept"), ran);
+        assertEquals(List.of("not cancelled"), ran);
     }
 
     @Test
-    void cancellingATaskThatHasRunIsNotCountedAsOneInTheQueue() {
+    void cancellingATaskThatHasRunDoesNotCountAsACancelledTaskInTheQueue() {
         List<EventLoop.ScheduledTask> done = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
             done.add(scheduler.schedule(10, () -> ran.add("done")));
--- a/src/test/java/laurelkeel/front/upstream/ConnectAttemptTest.java
+++ b/src/test/java/laurelkeel/front/upstream/ConnectAttemptTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Attempts time out by the event loop's clock, which the tests advance, and harm no other attempt. */
+/** Checks that connect attempts time out by the event loop's clock, which the tests advance, without affecting each other. */
 class ConnectAttemptTest {
     private static final String TIMED_OUT = "timed out";
     private static final int TIMEOUT_TICKS = 1_000;
@@ -45,7 +45,7 @@
         connector.dispose();
     }
 
-    /** Starts an attempt before it returns, so that the clock may be advanced. */
+    /** Starts an attempt and waits until it has started, so that the caller may then advance the clock. */
     private void connect(InetSocketAddress address) throws InterruptedException {
         CountDownLatch started = new CountDownLatch(1);
         loop.post(() -> startAttempt(address));
@@ -78,20 +78,20 @@
     }
 
     @Test
-    void anAttemptThatNeverConnectsTimesOutAtItsTimeoutAndNotBefore() throws Exception {
+    void anAttemptThatDoesNotConnectTimesOutAtItsTimeoutAndNotBefore() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            // its backlog holds two connections, and the kernel drops further ones
+            // a backlog of 1 accepts two connections; the kernel drops further ones
             List<Socket> fill = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
                 fill.add(new Socket(InetAddress.getLoopbackAddress(), full.getLocalPort()));
             }
             connect(address(full));
             clock.addAndGet(TIMEOUT_TICKS - 1);
-            loop.post(() -> results.add("a turn"));
-            FrontTestRig.await("a turn", () -> results.size() == 1);
-            assertEquals(List.of("a turn"), results);
+            loop.post(() -> results.add("task ran"));
+            FrontTestRig.await("the posted task ran", () -> results.size() == 1);
+            assertEquals(List.of("task ran"), results);
             clock.addAndGet(2);
-            FrontTestRig.await("it times out", () -> results.size() == 2);
+            FrontTestRig.await("the attempt times out", () -> results.size() == 2);
             assertEquals(TIMED_OUT, results.get(1));
             for (Socket each : fill) {
                 each.close();
@@ -99,16 +99,19 @@
         }
     }
 
-    /** The first attempt times out in the very moment in which it connects: the next one must connect all the same. */
+    /**
+     * Guards against a connector that stops polling its other connects after one has timed out while it was connecting: the
+     * second attempt must still connect.
+     */
     @Test
-    void anAttemptThatConnectsAsItTimesOutHarmsNoOther() throws Exception {
+    void anAttemptThatConnectsAsItTimesOutDoesNotAffectTheNext() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 500, InetAddress.getLoopbackAddress())) {
             for (int i = 0; i < ROUNDS; i++) {
                 int before = results.size();
                 connect(address(server));
                 clock.addAndGet(TIMEOUT_TICKS + 1);
                 connect(address(server));
-                FrontTestRig.await("both have a result", () -> results.size() >= before + 2);
+                FrontTestRig.await("both attempts have a result", () -> results.size() >= before + 2);
                 server.accept().close();
             }
         }
--- a/src/test/java/laurelkeel/front/upstream/ConnectionLimiterTest.java
+++ b/src/test/java/laurelkeel/front/upstream/ConnectionLimiterTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void starvedPoolsAreServedInTheOrderInWhichTheyBeganToWait() {
+    void starvedPoolsAreServedInTheOrderInWhichTheyWereQueued() {
         EndpointConnectionPool first = pool("first");
         EndpointConnectionPool second = pool("second");
         limiter.addStarved(first);
--- a/src/test/java/laurelkeel/front/upstream/ConnectionPoolsTest.java
+++ b/src/test/java/laurelkeel/front/upstream/ConnectionPoolsTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Connections in the moments in which one exchange could meet bytes of another, or a connection that has ended. */
+/** Checks races in which an exchange could read the response to another, or be sent on a connection that has closed. */
 class ConnectionPoolsTest {
     private static final EndpointProtocol PROTOCOL = new EndpointProtocol() {
         @Override
@@ -50,7 +50,7 @@
 
     private final EventLoop loop = new EventLoop(NodeRuntime.monotonicClock());
     private final ExecutorService threads = LoopThreads.cachedPool(loop, "test-sockets");
-    /** The connect timeout is far longer than a test. */
+    /** The connect timeout is far longer than a test, so that it never ends an exchange here. */
     private final ConnectionPools pools = new ConnectionPools(
             new UpstreamSettings(
                     new HttpLimits(1024, 8192, 64, 1024), 8, 8, 8, 600_000, 600_000, 1, "/load", 2_500, 100),
@@ -104,14 +104,17 @@
         void run(Socket connection) throws IOException;
     }
 
-    /** The server acts on a connection while its I/O thread is blocked, and the loop sends the next request meanwhile. */
-    private void assertNextRequestIsSentElsewhereAfter(ServerAction action) throws Exception {
-        CountDownLatch released = new CountDownLatch(1);
+    /**
+     * Applies a server action to an idle connection while the node's I/O thread is blocked, starts the next exchange before
+     * that thread can detect the action, and checks that this exchange completes on a new connection.
+     */
+    private void assertNextRequestUsesNewConnectionAfter(ServerAction action) throws Exception {
+        CountDownLatch unblocked = new CountDownLatch(1);
         pools.connector().getFilterChain().addFirst("block", new IoFilterAdapter() {
             @Override
             public void messageReceived(NextFilter next, IoSession session, Object message) throws Exception {
                 next.messageReceived(session, message);
-                released.await();
+                unblocked.await();
             }
         });
         CompletableFuture<Ended> first = startExchange();
@@ -120,14 +123,14 @@
         respond(firstConnection, "first");
         assertEquals(new Ended(AttemptOutcome.COMPLETED, "first"), await(first));
         action.run(firstConnection);
-        CountDownLatch rested = new CountDownLatch(1);
-        loop.post(() -> loop.schedule(loop.nowTicks() + 200, rested::countDown));
-        rested.await();
+        CountDownLatch reuseDelayPassed = new CountDownLatch(1);
+        loop.post(() -> loop.schedule(loop.nowTicks() + 200, reuseDelayPassed::countDown));
+        reuseDelayPassed.await();
         CompletableFuture<Ended> second = startExchange();
-        CountDownLatch handedOver = new CountDownLatch(1);
-        loop.post(handedOver::countDown);
-        handedOver.await();
-        released.countDown();
+        CountDownLatch dispatched = new CountDownLatch(1);
+        loop.post(dispatched::countDown);
+        dispatched.await();
+        unblocked.countDown();
         Socket secondConnection = server.accept();
         FrontTestPeers.hear(secondConnection);
         respond(secondConnection, "second");
@@ -135,20 +138,20 @@
     }
 
     @Test
-    void anUnreadSecondResponseIsNotTakenForTheNextRequests() throws Exception {
-        assertNextRequestIsSentElsewhereAfter(connection -> respond(connection, "wrong"));
+    void anUnreadSurplusResponseIsNotUsedForTheNextRequest() throws Exception {
+        assertNextRequestUsesNewConnectionAfter(connection -> respond(connection, "wrong"));
     }
 
-    /** Provably no byte of the request was sent on it. */
+    /** The request can be sent again on a new connection, since no byte of it was written to the closed one. */
     @Test
-    void aConnectionThatTheEndpointClosedUnnoticedCarriesNoRequest() throws Exception {
-        assertNextRequestIsSentElsewhereAfter(Socket::close);
+    void aRequestIsNotWrittenToAConnectionWhoseCloseIsNotYetDetected() throws Exception {
+        assertNextRequestUsesNewConnectionAfter(Socket::close);
     }
 
     @Test
-    void anEndpointThatClosesEachNewConnectionIsConnectedToThreeTimesForAnExchange() throws Exception {
+    void anExchangeFailsAfterThreeNewConnectionsWereClosed() throws Exception {
         AtomicInteger connects = new AtomicInteger();
-        pools.connector().getFilterChain().addFirst("ends", new IoFilterAdapter() {
+        pools.connector().getFilterChain().addFirst("close", new IoFilterAdapter() {
             @Override
             public void sessionCreated(NextFilter next, IoSession session) throws Exception {
                 connects.incrementAndGet();
--- a/src/test/java/laurelkeel/front/upstream/EndpointConnectionPoolTest.java
+++ b/src/test/java/laurelkeel/front/upstream/EndpointConnectionPoolTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 class EndpointConnectionPoolTest {
-    /** Two connections and one waiting exchange an endpoint. */
+    /** Allows two connections and one waiting exchange per endpoint. */
     static final UpstreamSettings SETTINGS =
             new UpstreamSettings(HttpLimits.DEFAULT, 2, 10, 1, 100, 100, 1, "/health", 100, 0);
 
@@ -20,7 +20,7 @@
     private final EndpointConnectionPool pool =
             new EndpointConnectionPool(new EndpointAddress("e", null), SETTINGS, limiter);
 
-    private EndpointConnection idleSince(long ticks) {
+    private EndpointConnection addIdleSince(long ticks) {
         EndpointConnection connection = EndpointConnection.attach(pool, new DummySession(), ticks);
         pool.connectionOpened();
         pool.addIdle(connection);
@@ -32,28 +32,28 @@
     }
 
     @Test
-    void theMostRecentlyUsedConnectionThatHasRestedIsTaken() {
-        EndpointConnection oldest = idleSince(10);
-        EndpointConnection rested = idleSince(20);
-        EndpointConnection resting = idleSince(30);
-        assertSame(rested, pool.pollIdle(25));
+    void theMostRecentlyUsedConnectionPastTheReuseDelayIsTaken() {
+        EndpointConnection oldest = addIdleSince(10);
+        EndpointConnection reusable = addIdleSince(20);
+        EndpointConnection usedRecently = addIdleSince(30);
+        assertSame(reusable, pool.pollIdle(25));
         assertSame(oldest, pool.pollIdle(25));
         assertNull(pool.pollIdle(25));
-        assertSame(resting, pool.pollIdle(30));
+        assertSame(usedRecently, pool.pollIdle(30));
     }
 
     @Test
     void aConnectionThatIsClosingIsNotTaken() {
-        EndpointConnection usable = idleSince(10);
-        idleSince(20).close();
+        EndpointConnection usable = addIdleSince(10);
+        addIdleSince(20).close();
         assertSame(usable, pool.pollIdle(30));
         assertNull(pool.longestIdle());
     }
 
     @Test
     void connectionsIdleSinceBeforeATimeAreClosed() {
-        EndpointConnection old = idleSince(10);
-        EndpointConnection recent = idleSince(20);
+        EndpointConnection old = addIdleSince(10);
+        EndpointConnection recent = addIdleSince(20);
         pool.closeIdleSinceBefore(20);
         assertFalse(old.isUsable());
         assertTrue(recent.isUsable());
@@ -66,7 +66,7 @@
         pool.addWaiting(exchange());
         assertTrue(pool.needsConnection());
         pool.connectStarted();
-        assertFalse(pool.needsConnection(), "one is being opened");
+        assertFalse(pool.needsConnection(), "a connection is being opened");
         pool.addWaiting(exchange());
         assertTrue(pool.needsConnection());
         pool.connectStarted();
@@ -76,16 +76,16 @@
     }
 
     @Test
-    void anExchangeIsAcceptedWhileOneMayWaitOrAConnectionIsIdle() {
+    void anExchangeIsAcceptedIfItMayWaitOrAConnectionIsIdle() {
         assertTrue(pool.acceptsExchange());
         pool.addWaiting(exchange());
         assertFalse(pool.acceptsExchange());
-        idleSince(10);
+        addIdleSince(10);
         assertTrue(pool.acceptsExchange());
     }
 
     @Test
-    void aCancelledExchangeThatWaitsWasNeverSent() {
+    void cancellingAWaitingExchangeReportsThatItWasNotSent() {
         Exchange first = exchange();
         pool.addWaiting(first);
         assertEquals(AttemptOutcome.NOT_SENT, first.cancel(AttemptOutcome.CANCELLED));
@@ -97,10 +97,10 @@
     }
 
     @Test
-    void cancellingASentExchangeThatTimedOutClosesConnectionsThatWereIdleAtItsStart() {
+    void aTimeoutOfASentExchangeClosesConnectionsIdleSinceBeforeItWasSent() {
         EndpointConnection carrier = EndpointConnection.attach(pool, new DummySession(), 0);
-        EndpointConnection before = idleSince(10);
-        EndpointConnection after = idleSince(30);
+        EndpointConnection before = addIdleSince(10);
+        EndpointConnection after = addIdleSince(30);
         Exchange exchange = exchange();
         carrier.send(exchange, new byte[1], 20);
         assertEquals(AttemptOutcome.TIMED_OUT, exchange.cancel(AttemptOutcome.TIMED_OUT));
--- a/src/test/java/laurelkeel/front/upstream/EndpointResponseTest.java
+++ b/src/test/java/laurelkeel/front/upstream/EndpointResponseTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void theStatusDecidesTheOutcome() {
+    void theOutcomeFollowsTheStatus() {
         assertEquals(AttemptOutcome.COMPLETED, response(200).outcome());
         assertEquals(AttemptOutcome.COMPLETED, response(404).outcome());
         assertEquals(AttemptOutcome.COMPLETED, response(429).outcome());
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void onlyAnEndpointThatSaysItDidNotExecuteIsOverloaded() {
+    void onlyARejectionThatStatesNonExecutionIsAnOverload() {
         assertEquals(
                 AttemptOutcome.OVERLOADED, response(503, "Laurelkeel-Ran", "no").outcome());
         assertEquals(
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void onlyACompletedResponseIsForwardedAndWithoutTheNodesOwnHeaders() {
+    void onlyACompletedResponseIsForwardedAndWithoutHeadersReservedForTheNode() {
         assertNull(response(500).forwarded());
         var forwarded = response(200, "Laurelkeel-Answer", "shed", "X-A", "b").forwarded();
         assertNotNull(forwarded);
--- a/src/test/java/laurelkeel/logging/RateLimitedAsyncAppenderTest.java
+++ b/src/test/java/laurelkeel/logging/RateLimitedAsyncAppenderTest.java
@@ -16,7 +16,7 @@
 
 class RateLimitedAsyncAppenderTest {
     private final List<String> written = new CopyOnWriteArrayList<>();
-    private final CountDownLatch released = new CountDownLatch(1);
+    private final CountDownLatch unblocked = new CountDownLatch(1);
     private final LoggerContext context = new LoggerContext();
     private final Logger log = context.getLogger("front");
 
@@ -26,7 +26,7 @@
             protected void append(ILoggingEvent event) {
                 try {
                     if (blocked) {
-                        released.await();
+                        unblocked.await();
                     }
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
@@ -44,16 +44,16 @@
         log.addAppender(appender);
     }
 
-    private void await(String what) throws InterruptedException {
+    private void await(String regex) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (written.stream().noneMatch(w -> w.matches(what))) {
-            assertTrue(System.nanoTime() < end, what + " not in " + written);
+        while (written.stream().noneMatch(w -> w.matches(regex))) {
+            assertTrue(System.nanoTime() < end, regex + " not in " + written);
             Thread.sleep(5);
         }
     }
 
     @Test
-    void aFewOfSimilarLinesAreWrittenAndTheOthersAreCounted() throws Exception {
+    void aFewSimilarLinesAreWrittenAndTheOthersAreCounted() throws Exception {
         start(false);
         long before = RateLimitedAsyncAppender.suppressedLines();
         for (int i = 0; i < 1000; i++) {
@@ -64,8 +64,9 @@
         await("something else");
         await("\\d+ more lines of kind 'front: request \\{} timed out' were suppressed");
         await("\\d+ more lines of kind 'front: build # stage # TRIAL, pace #' were suppressed");
-        long shown = written.stream().filter(w -> w.endsWith("timed out")).count();
-        assertTrue(shown >= 5 && shown < 100, "shown " + shown);
+        long writtenLines =
+                written.stream().filter(w -> w.endsWith("timed out")).count();
+        assertTrue(writtenLines >= 5 && writtenLines < 100, "lines written: " + writtenLines);
         long reported = written.stream()
                 .filter(w -> w.contains(" more lines of kind "))
                 .mapToLong(w -> Long.parseLong(w.substring(0, w.indexOf(' '))))
@@ -75,13 +76,13 @@
     }
 
     @Test
-    void loggingNeverWaitsForAReaderAndLostLinesAreReported() throws Exception {
+    void loggingDoesNotBlockOnASlowTargetAndDroppedLinesAreReported() throws Exception {
         start(true);
         for (int i = 0; i < 100_000; i++) {
-            // no two of one kind
+            // every line is of a different kind
             log.info("line " + (char) ('a' + i % 26) + (char) ('a' + i / 26 % 26) + i);
         }
-        released.countDown();
+        unblocked.countDown();
         await("\\d+ lines were dropped: .*|\\d+ more lines of kind 'other' were suppressed");
     }
 }
--- a/src/test/java/laurelkeel/logging/SimilarLineLimiterTest.java
+++ b/src/test/java/laurelkeel/logging/SimilarLineLimiterTest.java
@@ -24,12 +24,12 @@
     }
 
     @Test
-    void furtherKindsCountAsOne() {
+    void kindsBeyondTheMaximumCountAsOne() {
         for (int i = 0; i < SimilarLineLimiter.MAX_KINDS; i++) {
             assertTrue(limiter.tryAcquire("kind " + i));
         }
         for (int i = 0; i < SimilarLineLimiter.MAX_LINES_PER_KIND; i++) {
-            assertTrue(limiter.tryAcquire("further " + i));
+            assertTrue(limiter.tryAcquire("other " + i));
         }
         assertFalse(limiter.tryAcquire("one more"));
         assertTrue(limiter.tryAcquire("kind 0"), "a known kind has its own count");
