--- a/src/test/java/laurelkeel/front/ControlPlaneTest.java
+++ b/src/test/java/laurelkeel/front/ControlPlaneTest.java
@@ -176,9 +176,9 @@
             peers.firstEvent(Event.EndpointListUpdate.class);
             assertTrue(requestedUris.stream().noneMatch(a -> a.startsWith("/list")));
             linesByPath.get("/list").add("no");
-            FrontTestPeers.say(client, FrontTestPeers.lookRequest("Laurelkeel-Repeat: 1\r\n"));
+            FrontTestPeers.send(client, FrontTestPeers.lookRequest("Laurelkeel-Repeat: 1\r\n"));
             FrontTestRig.await("a failure", () -> listUpdates(peers).size() == 2);
-            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
             linesByPath.get("/list/watch").add("{\"kind\":\"full\",\"version\":1,\"machines\":[]}");
             FrontTestRig.await("an answer", () -> listUpdates(peers).size() == 3);
             linesByPath.get("/list/watch").add("cut");
@@ -236,8 +236,8 @@
                                             : "{\"answer\":\"" + answer + "\",\"build\":9,"
                                                     + "\"stage\":1,\"cap\":0.4,\"phase\":\"trial\",\"ageMs\":1}");
                 }
-                FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
-                FrontTestPeers.hear(client);
+                FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
+                FrontTestPeers.receive(client);
                 int expectedUpdates = statuses.size() + 2;
                 FrontTestRig.await(
                         "answer " + answer,
@@ -330,7 +330,7 @@
                                         new Action.FailRequest(request.requestId()))
                                 : List.of());
                 Socket client = peers.connectClient()) {
-            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
             assertEquals(
                     Event.ControlStatus.TIMED_OUT,
                     peers.firstEvent(Event.RolloutUpdate.class).status());
--- a/src/test/java/laurelkeel/front/FrontChildProcess.java
+++ b/src/test/java/laurelkeel/front/FrontChildProcess.java
@@ -102,9 +102,9 @@
 
     private void answer(Socket socket) {
         try {
-            while (!FrontTestPeers.hear(socket).endsWith("<end>")) {
+            while (!FrontTestPeers.receive(socket).endsWith("<end>")) {
                 if (!isSilent) {
-                    FrontTestPeers.say(socket, OK);
+                    FrontTestPeers.send(socket, OK);
                 }
             }
         } catch (IOException e) {
@@ -125,8 +125,8 @@
 
     /** Reads one of its metrics over a connection to its admin address. */
     static double metric(Socket admin, String name) throws IOException {
-        FrontTestPeers.say(admin, "GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n");
-        String text = FrontTestPeers.hear(admin);
+        FrontTestPeers.send(admin, "GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n");
+        String text = FrontTestPeers.receive(admin);
         Matcher m = Pattern.compile("(?m)^" + Pattern.quote(name) + " (\\S+)").matcher(text);
         return m.find() ? Double.parseDouble(m.group(1)) : 0;
     }
@@ -148,8 +148,8 @@
     boolean completesRequest() {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(5_000);
-            FrontTestPeers.say(socket, FrontTestPeers.lookRequest(""));
-            return FrontTestPeers.hear(socket).contains("Laurelkeel-Answer: completed");
+            FrontTestPeers.send(socket, FrontTestPeers.lookRequest(""));
+            return FrontTestPeers.receive(socket).contains("Laurelkeel-Answer: completed");
         } catch (IOException e) {
             return false;
         }
--- a/src/test/java/laurelkeel/front/FrontNodeTest.java
+++ b/src/test/java/laurelkeel/front/FrontNodeTest.java
@@ -35,10 +35,10 @@
     private AttemptOutcome outcome(String said, boolean reset) throws Exception {
         try (FrontTestPeers peers = peersThatSendOnce();
                 Socket client = peers.connectClient()) {
-            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
             Socket endpoint = peers.nextEndpointConnection();
-            FrontTestPeers.hear(endpoint);
-            FrontTestPeers.say(endpoint, said);
+            FrontTestPeers.receive(endpoint);
+            FrontTestPeers.send(endpoint, said);
             if (reset) {
                 endpoint.setSoLinger(true, 0);
             }
@@ -47,7 +47,7 @@
             }
             Event.AttemptEnded attempt = peers.firstEvent(Event.AttemptEnded.class);
             assertEquals(attempt.outcome() == AttemptOutcome.COMPLETED, attempt.requestEnded());
-            String answer = FrontTestPeers.hear(client);
+            String answer = FrontTestPeers.receive(client);
             assertTrue(
                     answer.contains(
                             attempt.requestEnded() ? "Laurelkeel-Answer: completed" : "Laurelkeel-Answer: errored"),
@@ -80,11 +80,11 @@
         try (FrontTestPeers peers = peersThatSendOnce();
                 Socket client = peers.connectClient()) {
             peers.endpointServer.close();
-            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
             assertEquals(
                     AttemptOutcome.CONNECT_FAILED,
                     peers.firstEvent(Event.AttemptEnded.class).outcome());
-            FrontTestPeers.hear(client);
+            FrontTestPeers.receive(client);
         }
     }
 
@@ -92,13 +92,13 @@
     void aReusedConnectionThatIsLostUnderARequestMayHaveRunIt() throws Exception {
         try (FrontTestPeers peers = peersThatSendOnce();
                 Socket client = peers.connectClient()) {
-            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
             Socket endpoint = peers.nextEndpointConnection();
-            FrontTestPeers.hear(endpoint);
-            FrontTestPeers.say(endpoint, OK);
-            assertTrue(FrontTestPeers.hear(client).endsWith("hi"));
-            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
-            FrontTestPeers.hear(endpoint);
+            FrontTestPeers.receive(endpoint);
+            FrontTestPeers.send(endpoint, OK);
+            assertTrue(FrontTestPeers.receive(client).endsWith("hi"));
+            FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.receive(endpoint);
             endpoint.close();
             FrontTestRig.await(
                     "two ends",
@@ -111,13 +111,13 @@
                     .toList()
                     .get(1);
             assertEquals(AttemptOutcome.CONNECTION_LOST, attempt.outcome());
-            FrontTestPeers.hear(client);
+            FrontTestPeers.receive(client);
             // the next one gets a new connection
-            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
             Socket again = peers.nextEndpointConnection();
-            FrontTestPeers.hear(again);
-            FrontTestPeers.say(again, OK);
-            assertTrue(FrontTestPeers.hear(client).endsWith("hi"));
+            FrontTestPeers.receive(again);
+            FrontTestPeers.send(again, OK);
+            assertTrue(FrontTestPeers.receive(client).endsWith("hi"));
         }
     }
 
@@ -138,14 +138,14 @@
                                         ? List.of(new Action.RejectRequest(attempt.requestId(), 1230))
                                         : List.of());
                 Socket client = peers.connectClient()) {
-            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
             Socket endpoint = peers.nextEndpointConnection();
-            FrontTestPeers.hear(endpoint);
-            FrontTestPeers.say(endpoint, OK);
-            assertTrue(FrontTestPeers.hear(client).startsWith("HTTP/1.1 200 "));
-            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
-            FrontTestPeers.hear(endpoint);
-            String shed = FrontTestPeers.hear(client);
+            FrontTestPeers.receive(endpoint);
+            FrontTestPeers.send(endpoint, OK);
+            assertTrue(FrontTestPeers.receive(client).startsWith("HTTP/1.1 200 "));
+            FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.receive(endpoint);
+            String shed = FrontTestPeers.receive(client);
             assertEquals(
                     List.of(AttemptOutcome.COMPLETED, AttemptOutcome.TIMED_OUT),
                     peers.events.stream()
@@ -161,13 +161,13 @@
                 assertTrue(shed.contains(s), s + " in " + shed);
             }
             try {
-                FrontTestPeers.say(endpoint, OK);
+                FrontTestPeers.send(endpoint, OK);
             } catch (SocketException e) {
                 // closed from the node's side, as it should be
             }
-            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
-            FrontTestPeers.hear(peers.nextEndpointConnection());
-            assertTrue(FrontTestPeers.hear(client).contains("shed"), "a late answer was given to another req");
+            FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.receive(peers.nextEndpointConnection());
+            assertTrue(FrontTestPeers.receive(client).contains("shed"), "a late answer was given to another req");
         }
     }
 
@@ -182,9 +182,9 @@
                                 ? List.of(new Action.SendAttempt(request.requestId(), self.endpointId(), 0))
                                 : List.of())) {
             Socket client = peers.connectClient();
-            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
             Socket endpoint = peers.nextEndpointConnection();
-            FrontTestPeers.hear(endpoint);
+            FrontTestPeers.receive(endpoint);
             client.close();
             peers.firstEvent(Event.ClientDisconnected.class);
             Event.AttemptEnded attempt = peers.firstEvent(Event.AttemptEnded.class);
@@ -199,8 +199,8 @@
     void overdueRequestsAreFailedBeforeTheirDeadline() throws Exception {
         try (FrontTestPeers peers = new FrontTestPeers(directory, "", (self, e) -> List.of());
                 Socket client = peers.connectClient()) {
-            FrontTestPeers.say(client, FrontTestPeers.lookRequest("Laurelkeel-Remaining-Ms: 200\r\n"));
-            String answer = FrontTestPeers.hear(client);
+            FrontTestPeers.send(client, FrontTestPeers.lookRequest("Laurelkeel-Remaining-Ms: 200\r\n"));
+            String answer = FrontTestPeers.receive(client);
             assertTrue(answer.startsWith("HTTP/1.1 504") && answer.contains("errored"), answer);
             peers.firstEvent(Event.ClientDisconnected.class);
         }
@@ -220,13 +220,14 @@
                                         new Action.SendAttempt(request.requestId(), self.endpointId(), 0))
                                 : List.of());
                 Socket client = peers.connectClient()) {
-            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
-            assertTrue(FrontTestPeers.hear(client).startsWith("HTTP/1.1 502"));
+            FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
+            assertTrue(FrontTestPeers.receive(client).startsWith("HTTP/1.1 502"));
             assertEquals(
                     AttemptOutcome.NOT_SENT,
                     peers.firstEvent(Event.AttemptEnded.class).outcome());
-            FrontTestPeers.say(client, "GET /nowhere HTTP/1.1\r\nHost: f\r\n\r\n");
-            assertTrue(FrontTestPeers.hear(client).startsWith("HTTP/1.1 404"), "bytes of a second answer came first");
+            FrontTestPeers.send(client, "GET /nowhere HTTP/1.1\r\nHost: f\r\n\r\n");
+            assertTrue(
+                    FrontTestPeers.receive(client).startsWith("HTTP/1.1 404"), "bytes of a second answer came first");
         }
     }
 
@@ -239,12 +240,12 @@
             return FrontTestPeers.sendOnce(self, e);
         });
         Socket first = peers.connectClient();
-        FrontTestPeers.say(first, FrontTestPeers.lookRequest(""));
-        FrontTestPeers.hear(peers.nextEndpointConnection());
+        FrontTestPeers.send(first, FrontTestPeers.lookRequest(""));
+        FrontTestPeers.receive(peers.nextEndpointConnection());
         Socket second = peers.connectClient();
-        FrontTestPeers.say(second, FrontTestPeers.lookRequest("Laurelkeel-Key: k\r\n"));
-        assertTrue(FrontTestPeers.hear(first).startsWith("HTTP/1.1 502"));
-        assertTrue(FrontTestPeers.hear(second).startsWith("HTTP/1.1 502"));
+        FrontTestPeers.send(second, FrontTestPeers.lookRequest("Laurelkeel-Key: k\r\n"));
+        assertTrue(FrontTestPeers.receive(first).startsWith("HTTP/1.1 502"));
+        assertTrue(FrontTestPeers.receive(second).startsWith("HTTP/1.1 502"));
         assertEquals("made to fail", peers.front.termination().get().getMessage());
         peers.close();
     }
@@ -253,27 +254,28 @@
     void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
         try (FrontTestPeers peers = peersThatSendOnce();
                 Socket client = peers.connectClient()) {
-            FrontTestPeers.say(
+            FrontTestPeers.send(
                     client,
                     "POST /pay/1 HTTP/1.1\r\nHost: f\r\nIdempotency-Key: a\r\nTransfer-Encoding: chunked\r\n\r\n"
                             + "3\r\nabc\r\n0\r\n\r\n" + FrontTestPeers.lookRequest("X: 2\r\n")
                             + "GET /pay HTTP/1.1\r\nHost: f\r\n\r\n"
                             + FrontTestPeers.lookRequest("X: 4\r\n") + "rubbish\r\n");
             Socket endpoint = peers.nextEndpointConnection();
-            String first = FrontTestPeers.hear(endpoint);
+            String first = FrontTestPeers.receive(endpoint);
             assertTrue(first.endsWith("abc") && first.contains("Content-Length: 3"), first);
             assertFalse(first.toLowerCase(Locale.ROOT).contains("transfer-encoding"), first);
-            FrontTestPeers.say(endpoint, OK);
-            assertTrue(FrontTestPeers.hear(client).endsWith("hi"));
-            assertTrue(FrontTestPeers.hear(endpoint).contains("X: 2"));
-            FrontTestPeers.say(endpoint, "HTTP/1.1 201 Made\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nyo\r\n0\r\n\r\n");
-            assertTrue(FrontTestPeers.hear(client).endsWith("yo"));
-            String no = FrontTestPeers.hear(client);
+            FrontTestPeers.send(endpoint, OK);
+            assertTrue(FrontTestPeers.receive(client).endsWith("hi"));
+            assertTrue(FrontTestPeers.receive(endpoint).contains("X: 2"));
+            FrontTestPeers.send(
+                    endpoint, "HTTP/1.1 201 Made\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nyo\r\n0\r\n\r\n");
+            assertTrue(FrontTestPeers.receive(client).endsWith("yo"));
+            String no = FrontTestPeers.receive(client);
             assertTrue(no.startsWith("HTTP/1.1 405") && no.contains("Allow: POST"), no);
-            assertTrue(FrontTestPeers.hear(endpoint).contains("X: 4"));
-            FrontTestPeers.say(endpoint, OK);
-            assertTrue(FrontTestPeers.hear(client).endsWith("hi"));
-            assertTrue(FrontTestPeers.hear(client).startsWith("HTTP/1.1 400"));
+            assertTrue(FrontTestPeers.receive(endpoint).contains("X: 4"));
+            FrontTestPeers.send(endpoint, OK);
+            assertTrue(FrontTestPeers.receive(client).endsWith("hi"));
+            assertTrue(FrontTestPeers.receive(client).startsWith("HTTP/1.1 400"));
             assertEquals(-1, client.getInputStream().read(), "a broken connection goes on");
         }
     }
@@ -291,8 +293,8 @@
                 {FrontTestPeers.lookRequest(mill + "Laurelkeel-Key: \r\n"), "1 to 256"},
                 {"POST /pay HTTP/1.1\r\nHost: f\r\n" + mill + "Content-Length: 0\r\n\r\n", "Idempotency-Key"}
             }) {
-                FrontTestPeers.say(client, x[0]);
-                String a = FrontTestPeers.hear(client);
+                FrontTestPeers.send(client, x[0]);
+                String a = FrontTestPeers.receive(client);
                 assertTrue(a.startsWith("HTTP/1.1 400") && a.contains(x[1]), a);
             }
             assertTrue(peers.events.stream().noneMatch(e -> e instanceof Event.RequestReceived));
@@ -304,7 +306,7 @@
         try (FrontTestPeers peers =
                 new FrontTestPeers(directory, "[clients]\nopen-reqs = 2\nconnections = 4\n", (self, e) -> List.of())) {
             for (int i = 0; i < 2; i++) {
-                FrontTestPeers.say(peers.connectClient(), FrontTestPeers.lookRequest(""));
+                FrontTestPeers.send(peers.connectClient(), FrontTestPeers.lookRequest(""));
             }
             FrontTestRig.await(
                     "two active requests",
@@ -313,14 +315,14 @@
                                     .count()
                             == 2);
             Socket third = peers.connectClient();
-            FrontTestPeers.say(third, FrontTestPeers.lookRequest(""));
-            String a = FrontTestPeers.hear(third);
+            FrontTestPeers.send(third, FrontTestPeers.lookRequest(""));
+            String a = FrontTestPeers.receive(third);
             assertTrue(a.contains("harmless") && a.contains("Laurelkeel-Taken: no") && a.contains("full"), a);
             // its answer shows that its connection was counted before the next one
             Socket fourth = peers.connectClient();
-            FrontTestPeers.say(fourth, FrontTestPeers.lookRequest(""));
-            FrontTestPeers.hear(fourth);
-            assertTrue(FrontTestPeers.hear(peers.connectClient()).contains("every connection is in use"));
+            FrontTestPeers.send(fourth, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.receive(fourth);
+            assertTrue(FrontTestPeers.receive(peers.connectClient()).contains("every connection is in use"));
         }
     }
 
@@ -329,13 +331,13 @@
         try (FrontTestPeers peers = peersThatSendOnce();
                 Socket client = peers.connectClient()) {
             client.setReceiveBufferSize(16 << 10);
-            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
             Socket endpoint = peers.nextEndpointConnection();
-            FrontTestPeers.hear(endpoint);
+            FrontTestPeers.receive(endpoint);
             String big = "x".repeat(400 << 10);
-            FrontTestPeers.say(endpoint, "HTTP/1.1 200 OK\r\nContent-Length: " + big.length() + "\r\n\r\n" + big);
+            FrontTestPeers.send(endpoint, "HTTP/1.1 200 OK\r\nContent-Length: " + big.length() + "\r\n\r\n" + big);
             peers.firstEvent(Event.AttemptEnded.class);
-            assertTrue(FrontTestPeers.hear(client).endsWith("\r\n\r\n" + big));
+            assertTrue(FrontTestPeers.receive(client).endsWith("\r\n\r\n" + big));
         }
     }
 
@@ -353,11 +355,11 @@
                     return out;
                 });
                 Socket client = peers.connectClient()) {
-            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
             Socket endpoint = peers.nextEndpointConnection();
-            FrontTestPeers.hear(endpoint);
-            FrontTestPeers.say(endpoint, OK);
-            String a = FrontTestPeers.hear(client);
+            FrontTestPeers.receive(endpoint);
+            FrontTestPeers.send(endpoint, OK);
+            String a = FrontTestPeers.receive(client);
             ref[0] = a.replaceAll("(?s).*Laurelkeel-Ref: (\\S+).*", "$1");
             assertEquals(
                     3.0, peers.firstEvent(Event.AttemptEnded.class).loadReport().concurrentRequests());
@@ -365,15 +367,15 @@
             assertEquals(-1, endpoint.getInputStream().read(), "the idle connection stays");
             String complaint = "POST /.laurelkeel/complaints HTTP/1.1\r\nHost: f\r\nContent-Length: " + ref[0].length()
                     + "\r\n\r\n" + ref[0];
-            FrontTestPeers.say(client, complaint + complaint);
-            assertTrue(FrontTestPeers.hear(client).startsWith("HTTP/1.1 202"));
-            assertTrue(FrontTestPeers.hear(client).startsWith("HTTP/1.1 404"), "one answer is complained of once");
+            FrontTestPeers.send(client, complaint + complaint);
+            assertTrue(FrontTestPeers.receive(client).startsWith("HTTP/1.1 202"));
+            assertTrue(FrontTestPeers.receive(client).startsWith("HTTP/1.1 404"), "one answer is complained of once");
             assertEquals(
                     peers.endpointId(),
                     peers.firstEvent(Event.ComplaintReceived.class).endpointId());
             Socket probe = peers.nextEndpointConnection();
-            assertTrue(FrontTestPeers.hear(probe).startsWith("GET /health"));
-            FrontTestPeers.say(probe, OK);
+            assertTrue(FrontTestPeers.receive(probe).startsWith("GET /health"));
+            FrontTestPeers.send(probe, OK);
             Event.HealthCheckEnded probed = peers.firstEvent(Event.HealthCheckEnded.class);
             assertEquals(AttemptOutcome.COMPLETED, probed.outcome());
             assertEquals(3.0, probed.loadReport().concurrentRequests());
@@ -393,10 +395,10 @@
                 all.add(peers.connectClient());
             }
             for (Socket s : all) {
-                FrontTestPeers.say(s, FrontTestPeers.lookRequest(""));
+                FrontTestPeers.send(s, FrontTestPeers.lookRequest(""));
             }
             for (Socket s : all) {
-                assertTrue(FrontTestPeers.hear(s).contains("shed"));
+                assertTrue(FrontTestPeers.receive(s).contains("shed"));
                 s.close();
             }
             assertNotNull(peers.firstEvent(Event.RequestReceived.class));
--- a/src/test/java/laurelkeel/front/FrontRulesTest.java
+++ b/src/test/java/laurelkeel/front/FrontRulesTest.java
@@ -96,13 +96,13 @@
         private void serve(Socket s, Random chance) {
             try (s) {
                 while (true) {
-                    String req = FrontTestPeers.hear(s);
+                    String req = FrontTestPeers.receive(s);
                     if (req.endsWith("<end>")) {
                         return;
                     }
                     int what = chance.nextInt(12);
                     if (what == 0) {
-                        FrontTestPeers.say(s, "HTTP/1.1 503 No\r\nLaurelkeel-Ran: no\r\nContent-Length: 0\r\n\r\n");
+                        FrontTestPeers.send(s, "HTTP/1.1 503 No\r\nLaurelkeel-Ran: no\r\nContent-Length: 0\r\n\r\n");
                         continue;
                     }
                     String id = req.replaceAll("(?s).*X-Request-Id: (\\S+).*", "$1");
@@ -111,16 +111,16 @@
                     if (what == 1) {
                         return;
                     } else if (what == 2) {
-                        FrontTestPeers.say(s, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
+                        FrontTestPeers.send(s, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
                         return;
                     } else if (what == 3) {
-                        FrontTestPeers.say(s, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+                        FrontTestPeers.send(s, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
                     } else if (what == 4) {
                         // silent: the other side must end it
                         s.getInputStream().read();
                         return;
                     } else {
-                        FrontTestPeers.say(s, "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id);
+                        FrontTestPeers.send(s, "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id);
                         if (what == 5) {
                             // closes what the node takes for idle
                             return;
@@ -158,14 +158,14 @@
                         .append(waits)
                         .append(route.equals("look") ? "\r\n\r\n" : "\r\nContent-Length: 2\r\n\r\nhi");
             }
-            FrontTestPeers.say(s, all.toString());
+            FrontTestPeers.send(s, all.toString());
             if (chance.nextInt(8) == 0) {
                 s.close();
                 return;
             }
             for (SentRequest a : asked) {
                 try {
-                    answered(a, FrontTestPeers.hear(s));
+                    answered(a, FrontTestPeers.receive(s));
                 } catch (SocketTimeoutException e) {
                     broken.add("rule 1: no answer to " + a);
                     return;
--- a/src/test/java/laurelkeel/front/FrontShutdownTest.java
+++ b/src/test/java/laurelkeel/front/FrontShutdownTest.java
@@ -41,19 +41,19 @@
     void requestsThatAreReadWhileTheDeciderFailsAreRejected() throws Exception {
         try (FrontTestPeers peers = new FrontTestPeers(directory, "", (p, event) -> fail(event))) {
             Socket first = peers.connectClient();
-            FrontTestPeers.say(first, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.send(first, FrontTestPeers.lookRequest(""));
             assertTrue(entered.await(10, TimeUnit.SECONDS));
             Socket other = peers.connectClient();
-            FrontTestPeers.say(other, FrontTestPeers.lookRequest(""));
-            FrontTestPeers.say(first, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.send(other, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.send(first, FrontTestPeers.lookRequest(""));
             FrontTestRig.await("both are read", () -> peers.front.loop().queuedTasks() >= 2);
             go.countDown();
-            String errored = FrontTestPeers.hear(first);
+            String errored = FrontTestPeers.receive(first);
             assertTrue(errored.startsWith("HTTP/1.1 502 "), "it may have run, for all that is known");
             assertTrue(errored.contains("Connection: close"), "which says that what was sent behind it is not begun");
-            assertEquals("<end>", FrontTestPeers.hear(first));
-            assertTrue(FrontTestPeers.hear(other).startsWith("HTTP/1.1 503 "), "it was read and not begun");
-            assertEquals("<end>", FrontTestPeers.hear(other));
+            assertEquals("<end>", FrontTestPeers.receive(first));
+            assertTrue(FrontTestPeers.receive(other).startsWith("HTTP/1.1 503 "), "it was read and not begun");
+            assertEquals("<end>", FrontTestPeers.receive(other));
             assertEquals(
                     "made to fail",
                     peers.front.termination().get(10, TimeUnit.SECONDS).getMessage());
--- a/src/test/java/laurelkeel/front/FrontTestPeers.java
+++ b/src/test/java/laurelkeel/front/FrontTestPeers.java
@@ -121,7 +121,7 @@
         return socket;
     }
 
-    public static void say(Socket socket, String text) throws IOException {
+    public static void send(Socket socket, String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         socket.getOutputStream().flush();
     }
@@ -138,11 +138,11 @@
     }
 
     /** Reads one message: its head, and as much body as its length says. */
-    public static String hear(Socket socket) throws IOException {
-        return hear(socket.getInputStream());
+    public static String receive(Socket socket) throws IOException {
+        return receive(socket.getInputStream());
     }
 
-    public static String hear(InputStream in) throws IOException {
+    public static String receive(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int b = in.read();
--- a/src/test/java/laurelkeel/front/MisbehavingPeersTest.java
+++ b/src/test/java/laurelkeel/front/MisbehavingPeersTest.java
@@ -37,7 +37,7 @@
         socket.setSoTimeout(200);
         for (int i = 0; i < 100; i++) {
             try {
-                FrontTestPeers.say(socket, text.substring(i % text.length(), i % text.length() + 1));
+                FrontTestPeers.send(socket, text.substring(i % text.length(), i % text.length() + 1));
                 if (socket.getInputStream().read() < 0) {
                     return true;
                 }
@@ -58,17 +58,17 @@
             List<Socket> halves = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 Socket socket = new Socket(InetAddress.getLoopbackAddress(), admin);
-                FrontTestPeers.say(socket, "GET /met");
+                FrontTestPeers.send(socket, "GET /met");
                 halves.add(socket);
             }
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), admin)) {
                 socket.setSoTimeout(5_000);
-                FrontTestPeers.say(
+                FrontTestPeers.send(
                         socket, "GET /health HTTP/1.1\r\nHost: a\r\n\r\nGET /metrics HTTP/1.1\r\nHost: a\r\n\r\n");
-                assertTrue(FrontTestPeers.hear(socket).endsWith("ok\n"));
-                assertTrue(FrontTestPeers.hear(socket).contains("laurelkeel_reqs_held"));
+                assertTrue(FrontTestPeers.receive(socket).endsWith("ok\n"));
+                assertTrue(FrontTestPeers.receive(socket).contains("laurelkeel_reqs_held"));
             }
-            FrontTestPeers.say(halves.get(0), "rics HTTP/1.1\r\nHost: a\r\n");
+            FrontTestPeers.send(halves.get(0), "rics HTTP/1.1\r\nHost: a\r\n");
             assertTrue(closedOnTrickle(halves.get(0), "X-Y: z\r\n"), "a place is kept for ever");
             assertFalse(peers.front.termination().isDone());
         }
@@ -79,7 +79,7 @@
         try (FrontTestPeers peers =
                 new FrontTestPeers(directory, "[clients]\nidle-close = 1 s\n", FrontTestPeers::sendOnce)) {
             Socket client = peers.connectClient();
-            FrontTestPeers.say(client, "GET /look HTTP/1.1\r\nHost: f\r\n");
+            FrontTestPeers.send(client, "GET /look HTTP/1.1\r\nHost: f\r\n");
             assertTrue(closedOnTrickle(client, "X-Y: z\r\n"));
         }
     }
@@ -89,9 +89,9 @@
         try (FrontTestPeers peers =
                         new FrontTestPeers(directory, "[clients]\nidle-close = 1 s\n", FrontTestPeers::sendOnce);
                 Socket client = peers.connectClient()) {
-            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
             Socket endpoint = peers.nextEndpointConnection();
-            FrontTestPeers.hear(endpoint);
+            FrontTestPeers.receive(endpoint);
             // longer than a connection may be idle, and less than the route's timeout
             assertFalse(closedOnTrickle(client, "\r\n".repeat(1))
                     && peers.events.stream().noneMatch(e -> e instanceof Event.AttemptEnded));
@@ -107,18 +107,18 @@
                         ? List.of(new Action.FailRequest(request.requestId()))
                         : List.of())) {
             Socket in = peers.connectClient();
-            FrontTestPeers.say(in, FrontTestPeers.lookRequest(""));
-            FrontTestPeers.hear(in);
+            FrontTestPeers.send(in, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.receive(in);
             for (int i = 0; i < 300; i++) {
                 try (Socket client = peers.connectClient()) {
-                    FrontTestPeers.say(client, FrontTestPeers.lookRequest("X: " + i + "\r\n"));
-                    assertTrue(FrontTestPeers.hear(client).contains("Laurelkeel-Taken: no"));
+                    FrontTestPeers.send(client, FrontTestPeers.lookRequest("X: " + i + "\r\n"));
+                    assertTrue(FrontTestPeers.receive(client).contains("Laurelkeel-Taken: no"));
                 } catch (IOException e) {
                     // closed with what it sent unread: it has no answer, and may not have been accepted either
                 }
             }
-            FrontTestPeers.say(in, FrontTestPeers.lookRequest(""));
-            FrontTestPeers.hear(in);
+            FrontTestPeers.send(in, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.receive(in);
             assertEquals(
                     2,
                     peers.events.stream()
@@ -148,7 +148,7 @@
                                     : List.of();
                         });
                 Socket watch = new Socket(InetAddress.getLoopbackAddress(), admin)) {
-            FrontTestPeers.say(peers.connectClient(), FrontTestPeers.lookRequest("Laurelkeel-Key: stall\r\n"));
+            FrontTestPeers.send(peers.connectClient(), FrontTestPeers.lookRequest("Laurelkeel-Key: stall\r\n"));
             assertTrue(stalled.await(10, TimeUnit.SECONDS));
             Socket client = peers.connectClient();
             String many = FrontTestPeers.lookRequest("").repeat(1000);
@@ -156,7 +156,7 @@
                 int n = 0;
                 try {
                     for (; n < 300; n++) {
-                        FrontTestPeers.say(client, many);
+                        FrontTestPeers.send(client, many);
                     }
                 } catch (IOException e) {
                     // the test is over
@@ -179,7 +179,7 @@
                                             / FrontTestPeers.lookRequest("").length(),
                     "waiting for the loop: " + backlog);
             for (int i = 0; i < 1000; i++) {
-                assertTrue(FrontTestPeers.hear(client).contains("shed"), "answer " + i);
+                assertTrue(FrontTestPeers.receive(client).contains("shed"), "answer " + i);
             }
         }
     }
@@ -198,22 +198,22 @@
             List<Socket> machine = new ArrayList<>();
             for (int i = 0; i < 5; i++) {
                 clients.add(peers.connectClient());
-                FrontTestPeers.say(clients.get(i), FrontTestPeers.lookRequest(""));
+                FrontTestPeers.send(clients.get(i), FrontTestPeers.lookRequest(""));
                 machine.add(peers.nextEndpointConnection());
-                FrontTestPeers.hear(machine.get(i));
+                FrontTestPeers.receive(machine.get(i));
             }
             for (int i = 0; i < 5; i++) {
-                FrontTestPeers.say(machine.get(i), OK);
-                FrontTestPeers.hear(clients.get(i));
+                FrontTestPeers.send(machine.get(i), OK);
+                FrontTestPeers.receive(clients.get(i));
             }
             // five are idle; from here on the endpoint sends nothing on any of them
-            FrontTestPeers.say(clients.get(0), FrontTestPeers.lookRequest(""));
-            assertTrue(FrontTestPeers.hear(clients.get(0)).startsWith("HTTP/1.1 502"));
-            FrontTestPeers.say(clients.get(1), FrontTestPeers.lookRequest(""));
+            FrontTestPeers.send(clients.get(0), FrontTestPeers.lookRequest(""));
+            assertTrue(FrontTestPeers.receive(clients.get(0)).startsWith("HTTP/1.1 502"));
+            FrontTestPeers.send(clients.get(1), FrontTestPeers.lookRequest(""));
             Socket fresh = peers.nextEndpointConnection();
-            FrontTestPeers.hear(fresh);
-            FrontTestPeers.say(fresh, OK);
-            assertTrue(FrontTestPeers.hear(clients.get(1)).endsWith("hi"), "an old connection was used");
+            FrontTestPeers.receive(fresh);
+            FrontTestPeers.send(fresh, OK);
+            assertTrue(FrontTestPeers.receive(clients.get(1)).endsWith("hi"), "an old connection was used");
             assertEquals(
                     1,
                     peers.events.stream()
@@ -250,7 +250,7 @@
         Ingress in = new Ingress(set.ingress(), words, loop, base.socketThreads(), base.processors(1), null);
         InetSocketAddress at = in.bind();
         try (Socket client = new Socket(at.getAddress(), at.getPort())) {
-            FrontTestPeers.say(client, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
             assertSame(made, ended.get(10, TimeUnit.SECONDS));
         } finally {
             in.close();
--- a/src/test/java/laurelkeel/front/ResourceExhaustionTest.java
+++ b/src/test/java/laurelkeel/front/ResourceExhaustionTest.java
@@ -41,11 +41,11 @@
             List<Socket> asking = new ArrayList<>(crowd.subList(0, 20));
             asking.add(first);
             for (Socket socket : asking) {
-                FrontTestPeers.say(socket, FrontTestPeers.lookRequest("Laurelkeel-Remaining-Ms: 1500\r\n"));
+                FrontTestPeers.send(socket, FrontTestPeers.lookRequest("Laurelkeel-Remaining-Ms: 1500\r\n"));
             }
             int harmless = 0;
             for (Socket socket : asking) {
-                harmless += FrontTestPeers.hear(socket).contains("harmless") ? 1 : 0;
+                harmless += FrontTestPeers.receive(socket).contains("harmless") ? 1 : 0;
             }
             assertTrue(harmless >= 10, "where nothing left the front, asking again is harmless: " + harmless);
             assertEquals(
@@ -90,11 +90,11 @@
             List<Socket> crowd = crowd(child);
             awaitNoDescriptorLeft();
             for (Socket socket : crowd.subList(0, 20)) {
-                FrontTestPeers.say(socket, FrontTestPeers.lookRequest("Laurelkeel-Remaining-Ms: 1500\r\n"));
+                FrontTestPeers.send(socket, FrontTestPeers.lookRequest("Laurelkeel-Remaining-Ms: 1500\r\n"));
             }
             for (Socket socket : crowd.subList(0, 20)) {
                 assertTrue(
-                        FrontTestPeers.hear(socket).contains("Laurelkeel-Answer: "),
+                        FrontTestPeers.receive(socket).contains("Laurelkeel-Answer: "),
                         Files.readString(directory.resolve("log")));
             }
             for (Socket socket : crowd) {
@@ -129,7 +129,7 @@
                 pouring.add(socket);
                 try {
                     // all but the last byte: a body that is held
-                    FrontTestPeers.say(socket, head + "x".repeat(999_999));
+                    FrontTestPeers.send(socket, head + "x".repeat(999_999));
                 } catch (IOException e) {
                     // rejected and closed while it was still sending
                 }
@@ -144,8 +144,8 @@
             FrontTestRig.await(
                     "all is given back", () -> child.metricUnchecked(admin, "laurelkeel_body_bytes_held") == 0);
             Socket socket = child.connectClient();
-            FrontTestPeers.say(socket, head + "x".repeat(1_000_000));
-            assertTrue(FrontTestPeers.hear(socket).contains("Laurelkeel-Answer: completed"));
+            FrontTestPeers.send(socket, head + "x".repeat(1_000_000));
+            assertTrue(FrontTestPeers.receive(socket).contains("Laurelkeel-Answer: completed"));
             FrontTestRig.await("this one too", () -> child.metricUnchecked(admin, "laurelkeel_body_bytes_held") == 0);
             child.terminate();
         }
--- a/src/test/java/laurelkeel/front/ingress/ConnectionCloseTest.java
+++ b/src/test/java/laurelkeel/front/ingress/ConnectionCloseTest.java
@@ -91,7 +91,7 @@
     }
 
     private static boolean readsResponse(Socket client) throws IOException {
-        return FrontTestPeers.hear(client).startsWith("HTTP/1.1 200 ");
+        return FrontTestPeers.receive(client).startsWith("HTTP/1.1 200 ");
     }
 
     @AfterEach
@@ -192,7 +192,7 @@
     }
 
     private void assertConnectionStaysOpen() throws IOException {
-        FrontTestPeers.say(clientBeingRead, REQUEST);
+        FrontTestPeers.send(clientBeingRead, REQUEST);
         assertTrue(readsResponse(clientBeingRead), "the connection is read on");
     }
 
@@ -201,7 +201,7 @@
         ingress.acceptor().getFilterChain().addFirst("block", filter);
         Socket client = connect();
         clientBeingRead = client;
-        FrontTestPeers.say(client, REQUEST);
+        FrontTestPeers.send(client, REQUEST);
         assertTrue(filter.reached.await(10, TimeUnit.SECONDS));
         clock.addAndGet(elapsedTicks);
         close.run();
@@ -226,8 +226,8 @@
         startLoop();
         Socket c = connect();
         for (int i = 0; i < 2; i++) {
-            FrontTestPeers.say(c, REQUEST);
-            assertTrue(FrontTestPeers.hear(c).startsWith("HTTP/1.1 500 "));
+            FrontTestPeers.send(c, REQUEST);
+            assertTrue(FrontTestPeers.receive(c).startsWith("HTTP/1.1 500 "));
         }
     }
 
@@ -262,14 +262,14 @@
         Socket c = connect();
         Socket half = connect();
         startLoop();
-        FrontTestPeers.say(c, REQUEST);
+        FrontTestPeers.send(c, REQUEST);
         assertTrue(readsResponse(c));
-        FrontTestPeers.say(half, REQUEST.substring(0, 9));
+        FrontTestPeers.send(half, REQUEST.substring(0, 9));
         FrontTestRig.await("the request is read in part", () -> ingress.partialRequests() == 1);
         // in a later turn than the response: its client may have read it before the loop has counted it
         runOnLoop(ingress::closeIdle);
-        assertEquals("<end>", FrontTestPeers.hear(c));
-        FrontTestPeers.say(half, REQUEST.substring(9));
+        assertEquals("<end>", FrontTestPeers.receive(c));
+        FrontTestPeers.send(half, REQUEST.substring(9));
         assertTrue(readsResponse(half));
     }
 
@@ -280,7 +280,7 @@
         Socket b = connect();
         startLoop();
         for (Socket s : List.of(a, b)) {
-            FrontTestPeers.say(s, REQUEST);
+            FrontTestPeers.send(s, REQUEST);
             assertTrue(readsResponse(s));
             clock.addAndGet(10);
         }
@@ -297,10 +297,11 @@
         });
         held.await();
         clock.addAndGet(30_000);
-        FrontTestPeers.say(a, REQUEST);
+        FrontTestPeers.send(a, REQUEST);
         FrontTestRig.await("read", () -> loop.queuedTasks() >= 1);
         connect();
-        assertEquals("<end>", FrontTestPeers.hear(b), "the other one is closed, though it has been idle for less time");
+        assertEquals(
+                "<end>", FrontTestPeers.receive(b), "the other one is closed, though it has been idle for less time");
         go.countDown();
         assertTrue(readsResponse(a));
     }
@@ -315,19 +316,19 @@
     void anIdleConnectionIsClosedAtItsTimeoutAndNotBefore() throws Exception {
         openIngress(10, 20_000);
         Socket c = connect();
-        FrontTestPeers.say(c, REQUEST);
+        FrontTestPeers.send(c, REQUEST);
         FrontTestRig.await("read", () -> loop.queuedTasks() > 0);
         startLoop();
         assertTrue(readsResponse(c));
         for (int i = 0; i < 3; i++) {
             clock.addAndGet(20_000);
             sweepOnLoop();
-            FrontTestPeers.say(c, REQUEST);
+            FrontTestPeers.send(c, REQUEST);
             assertTrue(readsResponse(c), "still open");
         }
         clock.addAndGet(20_001);
         sweepOnLoop();
-        assertEquals("<end>", FrontTestPeers.hear(c));
+        assertEquals("<end>", FrontTestPeers.receive(c));
     }
 
     private void sweepOnLoop() {
@@ -382,7 +383,7 @@
         List<Socket> inBacklog = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             Socket s = connect();
-            FrontTestPeers.say(s, REQUEST);
+            FrontTestPeers.send(s, REQUEST);
             inBacklog.add(s);
         }
         Thread unbind = new Thread(ingress::unbind);
@@ -395,7 +396,7 @@
         for (Socket s : inBacklog) {
             assertTrue(readsResponse(s));
         }
-        FrontTestPeers.say(accepted, REQUEST);
+        FrontTestPeers.send(accepted, REQUEST);
         assertTrue(readsResponse(accepted));
     }
 }
--- a/src/test/java/laurelkeel/front/upstream/ConnectionPoolsTest.java
+++ b/src/test/java/laurelkeel/front/upstream/ConnectionPoolsTest.java
@@ -97,7 +97,7 @@
     }
 
     private static void respond(Socket connection, String body) throws IOException {
-        FrontTestPeers.say(connection, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+        FrontTestPeers.send(connection, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
     private interface ServerAction {
@@ -116,7 +116,7 @@
         });
         CompletableFuture<Ended> first = startExchange();
         Socket firstConnection = server.accept();
-        FrontTestPeers.hear(firstConnection);
+        FrontTestPeers.receive(firstConnection);
         respond(firstConnection, "first");
         assertEquals(new Ended(AttemptOutcome.COMPLETED, "first"), await(first));
         action.run(firstConnection);
@@ -129,7 +129,7 @@
         handedOver.await();
         released.countDown();
         Socket secondConnection = server.accept();
-        FrontTestPeers.hear(secondConnection);
+        FrontTestPeers.receive(secondConnection);
         respond(secondConnection, "second");
         assertEquals(new Ended(AttemptOutcome.COMPLETED, "second"), await(second));
     }
--- a/src/test/java/laurelkeel/platform/PlatformTestBed.java
+++ b/src/test/java/laurelkeel/platform/PlatformTestBed.java
@@ -220,7 +220,7 @@
     }
 
     static void send(Socket socket, String text) throws IOException {
-        FrontTestPeers.say(socket, text);
+        FrontTestPeers.send(socket, text);
     }
 
     /** Accepts the watch on discovery, and sends the response's head and these lines. */
@@ -240,7 +240,7 @@
 
     /** Receives one message; the text is &lt;end&gt; where the connection has ended or was reset. */
     static String receive(Socket socket) throws IOException {
-        return FrontTestPeers.hear(new FilterInputStream(socket.getInputStream()) {
+        return FrontTestPeers.receive(new FilterInputStream(socket.getInputStream()) {
             @Override
             public int read() throws IOException {
                 try {
