--- a/src/main/java/laurelkeel/front/AcceptedRequest.java
+++ b/src/main/java/laurelkeel/front/AcceptedRequest.java
@@ -8,8 +8,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A request from its acceptance until it has its final answer and all its attempts have ended. Not thread-safe; used on
- * the event loop's thread.
+ * A request that was accepted and is not finished: it has no final answer yet, or some of its attempts have not ended.
+ * Not thread-safe; used on the event loop's thread.
  */
 final class AcceptedRequest {
     private final String id;
@@ -25,9 +25,9 @@
     /**
      * Creates a request without attempts.
      *
-     * @param id names the request among those of all incarnations of all nodes
-     * @param number of the request among those of this incarnation, from 0
-     * @param deadlineTicks when the client gives the request up
+     * @param id unique among the requests of all incarnations of all nodes
+     * @param number sequence number of the request within this incarnation, from 0
+     * @param deadlineTicks when the client stops waiting for the answer
      */
     AcceptedRequest(
             String id,
@@ -68,12 +68,12 @@
         return deadlineTicks;
     }
 
-    /** The attempts in the order of their numbers. */
+    /** Returns the attempts in the order of their numbers. */
     List<DispatchedAttempt> attempts() {
         return attempts;
     }
 
-    /** Adds the next attempt, which is numbered by the ones before it. */
+    /** Adds an attempt; its number is the count of earlier attempts. */
     DispatchedAttempt addAttempt(String endpointId, long nowTicks) {
         DispatchedAttempt attempt = new DispatchedAttempt(attempts.size(), endpointId, nowTicks);
         attempts.add(attempt);
@@ -88,7 +88,7 @@
         return answered;
     }
 
-    /** Notes that the client has its final answer, or is gone and needs none. */
+    /** Marks the request as answered: the final answer was written, or the client has disconnected and needs none. */
     void markAnswered() {
         answered = true;
     }
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Whether the request is answered and none of its attempts goes on. */
+    /** Returns whether the request is answered and all its attempts have ended. */
     boolean isFinished() {
         return answered && attempts.stream().allMatch(DispatchedAttempt::isEnded);
     }
--- a/src/main/java/laurelkeel/front/AcceptedRequestTable.java
+++ b/src/main/java/laurelkeel/front/AcceptedRequestTable.java
@@ -10,7 +10,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The active requests of a front node, by their id, and the ids that clients gave them. Not thread-safe; used on the
+ * The active requests of a front node by id, and the request ids that their clients set. Not thread-safe; used on the
  * event loop's thread.
  */
 final class AcceptedRequestTable {
@@ -26,21 +26,21 @@
     }
 
     /**
-     * Reserves the id that the client gave a request.
+     * Reserves the request id that the client set, if it set one.
      *
-     * @return false where another active request has the same one
+     * @return false if another active request has the same id
      */
     boolean reserveClientRequestId(ClientRequest request) {
         String id = request.clientRequestId();
         return id == null || clientRequestIds.add(id);
     }
 
-    /** Makes the id that the client gave a request available again. */
+    /** Releases the request id that the client set, so that a later request may use it. */
     void releaseClientRequestId(ClientRequest request) {
         clientRequestIds.remove(request.clientRequestId());
     }
 
-    /** Creates a request with the next id, without adding it. */
+    /** Creates a request with the next id, without adding it to the table. */
     AcceptedRequest create(ClientConnection connection, ClientRequest request, long nowTicks, long deadlineTicks) {
         long number = nextNumber++;
         return new AcceptedRequest(requestId(number), number, connection, request, nowTicks, deadlineTicks);
@@ -51,9 +51,9 @@
     }
 
     /**
-     * Reads the number of a request of this incarnation out of its id.
+     * Parses the number of a request out of its id.
      *
-     * @return the number, or -1 for an id of another incarnation or none at all
+     * @return the number, or -1 if the text is not an id of this incarnation
      */
     static long requestNumber(String requestId, String incarnation) {
         String prefix = incarnation + "-";
@@ -71,7 +71,7 @@
         requests.put(request.id(), request);
     }
 
-    /** Removes a request and releases its client's id; false where it is not in the table. */
+    /** Removes a request and releases its client's request id; returns false if it is not in the table. */
     boolean remove(AcceptedRequest request) {
         if (requests.remove(request.id()) == null) {
             return false;
@@ -89,7 +89,7 @@
         return requests.size();
     }
 
-    /** The requests at this moment, for callers that may add or remove some. */
+    /** Returns a copy of the present requests, for callers that add or remove requests while iterating. */
     List<AcceptedRequest> snapshot() {
         return List.copyOf(requests.values());
     }
--- a/src/main/java/laurelkeel/front/ActionExecutor.java
+++ b/src/main/java/laurelkeel/front/ActionExecutor.java
@@ -11,7 +11,9 @@
     private static final Logger LOG = LoggerFactory.getLogger(ActionExecutor.class);
     private static final Logger DECISION_LOG = LoggerFactory.getLogger("laurelkeel.decisions");
 
-    /** A timer is never due in the turn that started it, or a decider could keep the loop in that turn. */
+    /**
+     * A timer is never due in the turn that started it; otherwise a decider could keep the loop in that turn for ever.
+     */
     private static final long MIN_TIMER_TICKS = 1;
 
     private final NodeComponents components;
@@ -38,15 +40,15 @@
     }
 
     /**
-     * Carries out an action. What it meets outside (a socket, a source, a name that cannot be resolved) is no failure of
-     * the decider and must not end the node: each part reports it as an outcome or an event. This is the last resort for
-     * one that does not; a request that it leaves without an answer gets the guard's.
+     * Carries out an action. An external fault (of a socket, a control-plane source or a name resolution) is no failure
+     * of the decider and must not end the node: each component reports it as an outcome or an event. The catch clause
+     * is the last resort for a component that throws instead; the {@link FinalAnswerGuard} then answers the request.
      */
     void execute(Action action) {
         try {
             dispatch(action);
         } catch (RuntimeException e) {
-            LOG.error("an action could not be carried out: {}", action, e);
+            LOG.error("action could not be carried out: {}", action, e);
         }
     }
 
@@ -76,19 +78,19 @@
         } else if (action instanceof Action.WriteLog log) {
             DECISION_LOG.info("{}", log.message());
         } else {
-            throw new IllegalStateException("an action that is not carried out: " + action);
+            throw new IllegalStateException("unsupported action: " + action);
         }
     }
 
     private void reject(Action.RejectRequest action) {
-        boolean advises = components.settings().capabilities().retryAfter();
+        boolean sendsRetryAfter = components.settings().capabilities().retryAfter();
         responses.answer(
                 requests.get(action.requestId()),
                 RequestOutcome.REJECTED,
                 components
                         .protocol()
                         .rejected(
-                                advises ? action.retryAfterTicks() : 0,
+                                sendsRetryAfter ? action.retryAfterTicks() : 0,
                                 "shed: nothing was done, or a repeat does no harm"));
     }
 
@@ -105,12 +107,12 @@
                 () -> components.inbox().add(new Event.TimerFired(action.timerId())));
     }
 
-    /** A vote that cannot even be sent has failed like one that could not connect. */
+    /** A vote that cannot be sent is reported as failed, like one whose connection failed. */
     private void castVote(Action.CastVote vote) {
         try {
             services.castVote(vote);
         } catch (RuntimeException e) {
-            LOG.error("a vote on build {} could not be sent", vote.build(), e);
+            LOG.error("vote on build {} could not be sent", vote.build(), e);
             components.inbox().add(RolloutUpdates.voteFailed(0));
         }
     }
--- a/src/main/java/laurelkeel/front/AttemptDispatcher.java
+++ b/src/main/java/laurelkeel/front/AttemptDispatcher.java
@@ -13,7 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends and cancels attempts, and reports how each one ended. Not thread-safe; called on the event loop's thread.
+ * Sends and cancels attempts, and reports the outcome of each to the decider. Not thread-safe; called on the event
+ * loop's thread.
  */
 final class AttemptDispatcher {
     private static final Logger LOG = LoggerFactory.getLogger(AttemptDispatcher.class);
@@ -39,11 +40,11 @@
         loop = components.loop();
     }
 
-    /** Carries out {@link Action.SendAttempt}; an attempt that may not or cannot begin ends as not sent. */
+    /** Carries out {@link Action.SendAttempt}; an attempt that is not permitted or cannot start ends as NOT_SENT. */
     void send(Action.SendAttempt action) {
         AcceptedRequest request = requests.get(action.requestId());
         if (request == null) {
-            LOG.error("the decider sends an attempt of request {}, which is not active", action.requestId());
+            LOG.error("the decider sent an attempt of request {}, which is not active", action.requestId());
             return;
         }
         DispatchedAttempt attempt = request.addAttempt(action.endpointId(), loop.nowTicks());
@@ -75,7 +76,7 @@
                             (outcome, response) -> onEnded(request, attempt, outcome, response));
             attempt.setExchange(exchange);
         } catch (RuntimeException e) {
-            // no byte of it has left: handing it to a connection is the last thing that the pools do
+            // no byte has been sent: passing the message to a connection is the last step of startExchange
             LOG.error(
                     "request {} attempt {} at {} could not be started",
                     request.id(),
@@ -95,9 +96,10 @@
     }
 
     /**
-     * Puts the message for the endpoint together at the moment it is written, for it says how much time is left.
+     * Assembles the message for the endpoint when it is about to be written, since its headers state the remaining
+     * time.
      *
-     * @return null where the attempt had to wait for a connection and may not be written any more
+     * @return null if the attempt had to wait for a connection and must not be sent any more
      */
     private byte @Nullable [] assembleMessage(
             AcceptedRequest request, DispatchedAttempt attempt, long attemptDeadlineTicks) {
@@ -123,7 +125,7 @@
                 && components.services().mayStillSend(attempt.endpointId(), attempt.startedAtTicks());
     }
 
-    /** Carries out {@link Action.CancelAttempt}; one that is unknown or has ended is ignored. */
+    /** Carries out {@link Action.CancelAttempt}; ignored if the attempt is unknown or has ended. */
     void cancel(Action.CancelAttempt action) {
         AcceptedRequest request = requests.get(action.requestId());
         if (request == null || action.attempt() >= request.attempts().size()) {
--- a/src/main/java/laurelkeel/front/AttributionReport.java
+++ b/src/main/java/laurelkeel/front/AttributionReport.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * The JSON form of what a node saw of each build in one second.
+ * The JSON form of a node's counts for each build in one second.
  *
- * @param second on the node's own clock, by when attempts were sent
- * @param ageMillis since the second's end
+ * @param second number of the second on the node's own clock in which the attempts were sent
+ * @param ageMillis time since the end of that second
  */
 record AttributionReport(
         @JsonProperty("front") int nodeIndex,
@@ -17,14 +17,14 @@
         List<Cell> cells) {
 
     /**
-     * The attempts at one endpoint for one route and tenant.
+     * The counts of the attempts at one endpoint for one route and tenant.
      *
-     * @param failures attempts that were answered with an error
-     * @param silent attempts that ended without an answer
-     * @param complaints answers that clients complained of
-     * @param durations attempts whose duration counts: they completed, at an endpoint that was warm
-     * @param sumOfLogs of the natural logarithms of these durations in milliseconds
-     * @param sumOfSquaredLogs of the squares of these logarithms
+     * @param failures number of attempts that were answered with an error
+     * @param silent number of attempts that ended without an answer
+     * @param complaints number of responses that clients complained about
+     * @param durations number of attempts whose duration is measured: they completed at an endpoint that was warmed up
+     * @param sumOfLogs sum of the natural logarithms of these durations in milliseconds
+     * @param sumOfSquaredLogs sum of the squares of these logarithms
      */
     record Cell(
             int build,
--- a/src/main/java/laurelkeel/front/AttributionReporter.java
+++ b/src/main/java/laurelkeel/front/AttributionReporter.java
@@ -16,15 +16,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reports to the control service what this node saw of each build, by the second in which attempts were sent, for the
- * attribution of regressions. A second is reported once most of its attempts have ended. Cells of a second and endpoints
- * are bounded. Not thread-safe; used on the event loop's thread, but for {@link #leftOut}.
+ * Counts the outcomes of attempts for each build and reports them to the control service, which attributes regressions
+ * by them. Attempts are grouped by the second in which they were sent; a second is reported once most of its attempts
+ * have ended. The number of cells of a second and the number of endpoints are bounded. Not thread-safe; used on the
+ * event loop's thread, except {@link #uncounted}.
  */
 final class AttributionReporter {
-    /** Attempts that end so many seconds after the second in which they were sent are still reported. */
+    /** Attempts that end at most this long after the second in which they were sent are still reported. */
     private static final long GRACE_SECONDS = 2;
 
-    /** More than any list has; endpoints that were removed stay known while their last attempts end. */
+    /** More than any endpoint list has; removed endpoints stay known, since their last attempts are still ending. */
     private static final int MAX_ENDPOINTS = 20_000;
 
     private record CellKey(int build, int route, String endpointId, int tenant) {}
@@ -34,7 +35,7 @@
     private final Consumer<AttributionReport> onReport;
     private final Map<String, EndpointEntry> endpoints = new HashMap<>();
     private final TreeMap<Long, Map<CellKey, AttemptSummary>> seconds = new TreeMap<>();
-    private final AtomicLong leftOut = new AtomicLong();
+    private final AtomicLong uncounted = new AtomicLong();
     private long lastReportedSecond = -1;
 
     AttributionReporter(Settings settings, String incarnation, Consumer<AttributionReport> onReport) {
@@ -43,12 +44,12 @@
         this.onReport = onReport;
     }
 
-    /** Attempts and complaints that could not be counted; on any thread. */
-    long leftOut() {
-        return leftOut.get();
+    /** Returns the number of attempts and complaints that could not be counted. Thread-safe. */
+    long uncounted() {
+        return uncounted.get();
     }
 
-    /** Takes note of which build each endpoint runs. */
+    /** Records which build each endpoint runs. */
     void onEndpoints(Event.EndpointListUpdate update) {
         for (EndpointEntry endpoint : update.entries()) {
             if (endpoints.size() > MAX_ENDPOINTS) {
@@ -58,7 +59,7 @@
         }
     }
 
-    /** Counts an attempt that has ended, where its outcome says something of the build. */
+    /** Counts an attempt that has ended, if its outcome carries information about the build. */
     void onAttemptEnded(ResponseReferences.Origin attempt, long nowTicks, AttemptOutcome outcome) {
         boolean isSilent = isSilent(outcome);
         if (!isSilent && outcome != AttemptOutcome.COMPLETED && outcome != AttemptOutcome.FAILED) {
@@ -101,7 +102,7 @@
     private @Nullable AttemptSummary summary(@Nullable EndpointEntry endpoint, ResponseReferences.Origin attempt) {
         long second = attempt.sentAtTicks() / Ticks.PER_SECOND;
         if (endpoint == null || second <= lastReportedSecond) {
-            leftOut.incrementAndGet();
+            uncounted.incrementAndGet();
             return null;
         }
         Map<CellKey, AttemptSummary> cells = seconds.computeIfAbsent(second, key -> new HashMap<>());
@@ -111,7 +112,7 @@
             return known;
         }
         if (cells.size() >= NodeReport.MAX_CELLS) {
-            leftOut.incrementAndGet();
+            uncounted.incrementAndGet();
             return null;
         }
         AttemptSummary summary = new AttemptSummary();
@@ -119,7 +120,7 @@
         return summary;
     }
 
-    /** Reports all seconds that are old enough; called about once a second. */
+    /** Reports all seconds whose grace period is over; called twice a second. */
     void report(long nowTicks) {
         while (!seconds.isEmpty() && seconds.firstKey() + GRACE_SECONDS < nowTicks / Ticks.PER_SECOND) {
             Map.Entry<Long, Map<CellKey, AttemptSummary>> oldest = seconds.pollFirstEntry();
@@ -141,9 +142,9 @@
         return cells;
     }
 
-    /** The attempts of one cell of a second. */
+    /** The counts of one cell of a second. */
     private static final class AttemptSummary {
-        /** Shorter durations count as this one, for the logarithm of nothing is none. */
+        /** Shorter durations count as this one, since zero has no logarithm. */
         private static final double MIN_DURATION_MILLIS = 0.1;
 
         private int attempts;
--- a/src/main/java/laurelkeel/front/BuildAttributions.java
+++ b/src/main/java/laurelkeel/front/BuildAttributions.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Hands the partitions what regressions of builds are attributed to, and logs and counts changes. Not thread-safe; used on
- * the event loop's thread.
+ * Passes the control service's attribution of each build's regression to the partitions, and logs and counts its
+ * changes. Not thread-safe; used on the event loop's thread.
  */
 final class BuildAttributions {
     private static final Logger LOG = LoggerFactory.getLogger(BuildAttributions.class);
@@ -23,11 +23,11 @@
         this.metrics = metrics;
     }
 
-    /** Takes note of what the control service says of a build. */
+    /** Updates a build's attribution as the control service reported it. */
     void update(int build, Attribution attribution) {
         if (attribution != attributions.getOrDefault(build, Attribution.NONE)) {
             attributions.put(build, attribution);
-            LOG.info("regression of build {} is attributed: {}", build, attribution);
+            LOG.info("attribution of a regression to build {} changed: {}", build, attribution);
             metrics.attributionChanged(attribution);
         }
         partitions.attribute(build, attribution);
--- a/src/main/java/laurelkeel/front/ClassPreloader.java
+++ b/src/main/java/laurelkeel/front/ClassPreloader.java
@@ -11,13 +11,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes classes loadable at any later time. The virtual machine opens a file of the class path when it first looks into
- * it; with no file descriptor left that fails, the class counts as missing for good, and the thread that needed it ends
- * with a {@link NoClassDefFoundError}.
+ * Ensures that classes can be loaded later without a free file descriptor. The virtual machine opens an archive of the
+ * class path when it first searches it; if no file descriptor is free, the class is treated as missing for good, and
+ * the thread that needed it ends with a {@link NoClassDefFoundError}.
  */
 final class ClassPreloader {
     private static final Logger LOG = LoggerFactory.getLogger(ClassPreloader.class);
-    /** A resource that is found nowhere, so that every archive on the class path is looked into. */
+    /** A resource that does not exist, so that a search for it opens every archive on the class path. */
     private static final String ABSENT_RESOURCE = "laurelkeel/front/absent";
 
     private static final String CLASS_FILE_SUFFIX = ".class";
@@ -27,8 +27,9 @@
     private ClassPreloader() {}
 
     /**
-     * Opens every archive on the class path, which the class loader then holds open. Where this program is a directory of
-     * classes and no archive, as in development, it loads all of them. Acts once in a process.
+     * Opens every archive on the class path, which the class loader then keeps open. If this program runs from a
+     * directory of classes instead of an archive, as in development, it loads all of them. Only the first call has an
+     * effect.
      */
     static synchronized void preload() {
         if (done) {
@@ -44,7 +45,7 @@
                 loadAll(program, loader);
             }
         } catch (IOException | URISyntaxException e) {
-            LOG.warn("not all classes could be loaded ahead: {}", e.toString());
+            LOG.warn("not all classes could be preloaded: {}", e.toString());
         }
     }
 
@@ -67,7 +68,7 @@
         try {
             Class.forName(name, false, loader);
         } catch (ClassNotFoundException | LinkageError e) {
-            LOG.debug("{} is of no use here: {}", name, e.toString());
+            LOG.debug("class {} cannot be loaded: {}", name, e.toString());
         }
     }
 }
--- a/src/main/java/laurelkeel/front/ComplaintHandler.java
+++ b/src/main/java/laurelkeel/front/ComplaintHandler.java
@@ -8,11 +8,11 @@
 import laurelkeel.wire.HttpResponse;
 
 /**
- * Takes the complaints of clients about completed responses, by the reference that each response carries. Not thread-safe;
- * used on the event loop's thread.
+ * Handles complaints of clients about completed responses, which they identify by the reference in the response's
+ * headers. Not thread-safe; used on the event loop's thread.
  */
 final class ComplaintHandler {
-    /** How many of the last responses can be complained of. */
+    /** Number of most recent responses about which clients can complain. */
     private static final int MAX_REFERENCES = 1 << 16;
 
     private final String incarnation;
@@ -30,12 +30,12 @@
         inbox = runtime.inbox();
     }
 
-    /** Notes a response that may be complained of from now on. */
+    /** Records the origin of a response, so that the client can complain about it. */
     void onCompleted(long requestNumber, ResponseReferences.Origin origin) {
         references.put(requestNumber, origin);
     }
 
-    /** Answers a complaint, whose body is the reference. */
+    /** Answers a complaint, whose body is the response's reference. */
     HttpResponse answer(HttpRequest complaint) {
         String reference = new String(complaint.body(), StandardCharsets.UTF_8).strip();
         ResponseReferences.Origin origin = references.take(AcceptedRequestTable.requestNumber(reference, incarnation));
--- a/src/main/java/laurelkeel/front/ConnectionSettingsReader.java
+++ b/src/main/java/laurelkeel/front/ConnectionSettingsReader.java
@@ -7,14 +7,14 @@
 import laurelkeel.wire.HttpLimits;
 
 /**
- * Reads the bounds of a standalone front node's client and endpoint connections. Keys, defaults and bounds:
+ * Reads the limits of a standalone front node's client and endpoint connections. Keys, defaults and bounds:
  * docs/front.md.
  */
 final class ConnectionSettingsReader {
-    /** The longest status or header line of an endpoint's answer. */
+    /** Maximum length of a status or header line of an endpoint's response. */
     private static final int MAX_RESPONSE_LINE_BYTES = 8 << 10;
 
-    /** For bounds that a standalone node does without. */
+    /** Value of the limits that a standalone node does not have. */
     private static final int NONE = 0;
 
     private ConnectionSettingsReader() {}
--- a/src/main/java/laurelkeel/front/ControlPlaneRecorder.java
+++ b/src/main/java/laurelkeel/front/ControlPlaneRecorder.java
@@ -16,7 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Records what a front node learned from its control plane and when, for the audit; without a file it records nothing.
+ * Records the updates that a front node received from its control plane, with their times, for the audit. Without a
+ * record file it records nothing.
  */
 final class ControlPlaneRecorder {
     private static final Logger LOG = LoggerFactory.getLogger(ControlPlaneRecorder.class);
@@ -27,10 +28,10 @@
     private final EventLoop loop;
 
     /**
-     * Opens the record file and records that the node is up.
+     * Opens the record file and records that the node has started.
      *
-     * @param file null for no records
-     * @throws IOException where the file's path cannot be used
+     * @param file null to record nothing
+     * @throws IOException if the file cannot be opened
      */
     ControlPlaneRecorder(@Nullable Path file, int nodeIndex, String incarnation, EventLoop loop) throws IOException {
         this.nodeIndex = nodeIndex;
@@ -63,7 +64,7 @@
                 hostTime(arrivedAtTicks), nodeIndex, incarnation, WireTerms.recorded(kind), entries));
     }
 
-    /** Records where the rollout of a build stands. */
+    /** Records the status of a build's rollout. */
     void recordRollout(RolloutMessage.Status rollout, long arrivedAtTicks) {
         record(new TrafficRecord.RolloutUpdateReceived(
                 hostTime(arrivedAtTicks),
@@ -75,17 +76,17 @@
                 WireTerms.recorded(rollout.phase())));
     }
 
-    /** The clock of all records at a moment of the node's clock. */
+    /** Converts a time of the node's clock to the host's clock, which all records use. */
     private long hostTime(long ticks) {
         return RecordClock.nowTicks() - (loop.clockTicks() - ticks);
     }
 
-    /** How many records the disk did not take; on any thread. */
+    /** Returns the number of records that could not be written to disk. Thread-safe. */
     long lostRecords() {
         return recorder == null ? 0 : recorder.lostRecords();
     }
 
-    /** Records that the node is down and closes the file. */
+    /** Records that the node has stopped and closes the file. */
     void close() {
         record(new TrafficRecord.NodeStopped(RecordClock.nowTicks(), nodeIndex, false));
         if (recorder == null) {
@@ -94,7 +95,7 @@
         try {
             recorder.close();
         } catch (IOException e) {
-            LOG.warn("the records could not be closed: {}", e.getMessage());
+            LOG.warn("the record file could not be closed: {}", e.getMessage());
         }
     }
 }
--- a/src/main/java/laurelkeel/front/DispatchedAttempt.java
+++ b/src/main/java/laurelkeel/front/DispatchedAttempt.java
@@ -16,9 +16,9 @@
     private boolean ended;
 
     /**
-     * Creates an attempt that has not reached its endpoint yet.
+     * Creates an attempt that has not been sent yet.
      *
-     * @param number among the attempts of its request, from 0
+     * @param number position among the attempts of its request, from 0
      */
     DispatchedAttempt(int number, String endpointId, long startedAtTicks) {
         this.number = number;
@@ -51,16 +51,16 @@
     }
 
     /**
-     * Ends the exchange with the endpoint from this side.
+     * Cancels the exchange with the endpoint.
      *
-     * @param outcome how the attempt counts if it may have run
-     * @return that outcome, or how it ended in truth where no byte of it was handed to a connection
+     * @param outcome the outcome of the attempt if it may have run
+     * @return that outcome, or the actual one if no byte of the attempt was passed to a connection
      */
     AttemptOutcome cancel(AttemptOutcome outcome) {
         return Objects.requireNonNull(exchange, "the attempt has no exchange").cancel(outcome);
     }
 
-    /** Ends the exchange with the endpoint where one is going on; nobody is notified. */
+    /** Cancels the exchange with the endpoint if one is active, without reporting its outcome. */
     void abandon() {
         if (!ended && exchange != null) {
             exchange.cancel(AttemptOutcome.CANCELLED);
--- a/src/main/java/laurelkeel/front/DrainController.java
+++ b/src/main/java/laurelkeel/front/DrainController.java
@@ -9,15 +9,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Shuts a front node down gracefully: active requests are answered in their time, and new ones are taken only for the
- * lame-duck period, in which clients still learn that the node is leaving. No connection ends within that period;
- * after it idle ones do, and what still arrives on others is served as their last request. Apart from {@link #drain()}
- * it runs on the event loop's thread.
+ * Shuts a front node down gracefully: active requests are answered before their deadlines, and new ones are accepted
+ * only during the lame-duck period, in which clients learn that the node is shutting down. No connection is closed in
+ * that period. After it idle connections are closed, and the next request on any other one is its last. Used on the
+ * event loop's thread, except {@link #drain()}.
  */
 final class DrainController {
     private static final Logger LOG = LoggerFactory.getLogger(DrainController.class);
 
-    /** The node ends once nothing has been left to do for so long: a connection may still be in the backlog. */
+    /** The node ends after being idle for this long, since a connection may still wait in the listener's backlog. */
     private static final long QUIET_PERIOD_TICKS = 200 * Ticks.PER_MILLISECOND;
 
     private static final long QUIET_CHECK_INTERVAL_TICKS = 10 * Ticks.PER_MILLISECOND;
@@ -46,7 +46,9 @@
         lameDuckTicks = settings.lameDuckTicks();
     }
 
-    /** Starts the drain once the node serves; from any thread, also before the node's start. */
+    /**
+     * Starts the drain, or does so once the node serves requests. Thread-safe; may be called before the node's start.
+     */
     void drain() {
         loop.post(() -> {
             if (lifecycle.state() == NodeState.SERVING) {
@@ -69,7 +71,7 @@
 
     private void stopAccepting() {
         lifecycle.startClosingConnections();
-        // off the loop, for it may have to wait for the thread that accepts
+        // not on the event loop's thread, since it may have to wait for the thread that accepts connections
         components.runtime().timer().execute(this::closeListener);
         loop.schedule(loop.nowTicks() + Math.max(longestRouteTimeoutTicks(), maxDrainTicks), loop::stop);
         if (lameDuckTicks > 0) {
@@ -94,17 +96,20 @@
                 .orElse(0);
     }
 
-    /** Connections also become idle without an answer that ends them, as after one that crossed with the drain. */
+    /**
+     * Closes idle connections at an interval. A connection can become idle after a response that did not close it, for
+     * example one that was written as the drain began.
+     */
     private void closeIdleRepeatedly() {
         loop.schedule(loop.nowTicks() + CLOSE_IDLE_INTERVAL_TICKS, this::closeIdleRepeatedly);
         ingress.closeIdle();
     }
 
     /**
-     * Stops the loop after the quiet period, in which a connection that waited in the backlog may still arrive and
-     * written responses leave.
+     * Stops the loop after the quiet period. Within it, connections that waited in the backlog may still be accepted,
+     * and responses that were written are sent.
      *
-     * @param lastBusyTicks the last moment at which something was left to do
+     * @param lastBusyTicks the last time at which the node was not idle
      */
     private void awaitQuiet(long lastBusyTicks) {
         long now = loop.nowTicks();
--- a/src/main/java/laurelkeel/front/EndpointAddressResolver.java
+++ b/src/main/java/laurelkeel/front/EndpointAddressResolver.java
@@ -8,16 +8,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Resolves the ids of endpoints, which are addresses, once while their connections are in use. Not thread-safe; used on
- * the event loop's thread.
+ * Resolves the ids of endpoints, which are addresses, and caches the results, so that an endpoint keeps one address
+ * while its connections are in use. Not thread-safe; used on the event loop's thread.
  */
 final class EndpointAddressResolver {
-    /** More than any list has; a list of ever new names must not fill the heap. */
+    /** More than any endpoint list has; bounds the heap used if the list names new endpoints all the time. */
     private static final int MAX_ADDRESSES = 20_000;
 
     private final Map<String, EndpointAddress> addresses = new HashMap<>();
 
-    /** The address of an endpoint, without a socket address where the id is none that can be resolved. */
+    /** Returns the address of an endpoint; it has no socket address if the id cannot be resolved. */
     EndpointAddress addressOf(String endpointId) {
         EndpointAddress known = addresses.get(endpointId);
         if (known != null) {
--- a/src/main/java/laurelkeel/front/EndpointListCache.java
+++ b/src/main/java/laurelkeel/front/EndpointListCache.java
@@ -17,10 +17,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The last endpoint list on disk, which is all that a front node keeps over a restart. It is written to a second file and
- * renamed, so that a kill leaves the list before or the new one whole. Ages in it stay as they were: how long ago it was
- * written only the wall clock says, which may have been stepped since, and an endpoint taken for warm too soon is worse
- * than one taken for cold. Thread-safe.
+ * The last endpoint list on disk, which is the only state that a front node keeps over a restart. It is written to a
+ * second file and renamed, so that a killed process leaves either the previous list or the new one intact. Ages are
+ * read as they were written: only the wall clock tells how long ago that was, and it may have been stepped since.
+ * Treating an endpoint as warmed up too early is worse than treating it as warming up. Thread-safe.
  */
 final class EndpointListCache {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListCache.class);
@@ -28,19 +28,21 @@
     private static final String FILE_NAME = "list.json";
     private static final String NEW_FILE_NAME = "list.json.new";
 
-    /** Short enough to lose little, and long enough to cost nothing while a disk is full. */
+    /**
+     * Short enough that a restart rarely finds an outdated list, and long enough to cost little while a disk is full.
+     */
     private static final long RETRY_MILLIS = 1_000;
 
     private final Path file;
     private final Path newFile;
     private final ScheduledExecutorService writer;
-    /** The list to be written next; null while none is. */
+    /** The list to be written next; null if none is pending. */
     private final AtomicReference<@Nullable List<EndpointDescription>> pending = new AtomicReference<>();
 
     /**
-     * Creates the cache in a directory, which is made when the first list is written.
+     * Creates the cache in a directory, which is created when the first list is written.
      *
-     * @param writer writes the file
+     * @param writer runs the tasks that write the file
      */
     EndpointListCache(Path directory, ScheduledExecutorService writer) {
         this.writer = writer;
@@ -48,7 +50,7 @@
         newFile = directory.resolve(NEW_FILE_NAME);
     }
 
-    /** The list on disk, with ages as of when it was written; empty where there is none or it cannot be read. */
+    /** Returns the list on disk, with ages as of when it was written; empty if there is none or it cannot be read. */
     List<EndpointDescription> read() {
         if (!Files.exists(file)) {
             return List.of();
@@ -56,15 +58,15 @@
         try {
             return EndpointListFile.read(file);
         } catch (InvalidMessageException e) {
-            LOG.warn("{} cannot be followed; starting without a list: {}", file, e.getMessage());
+            LOG.warn("{} is malformed; starting without an endpoint list: {}", file, e.getMessage());
         } catch (IOException e) {
-            LOG.warn("{} cannot be read; starting without a list: {}", file, e.getMessage());
+            LOG.warn("{} cannot be read; starting without an endpoint list: {}", file, e.getMessage());
         }
         return List.of();
     }
 
-    /** Writes a list soon; of several in a row only the last is written. */
-    void keep(Collection<EndpointDescription> endpoints) {
+    /** Schedules a list to be written, in place of one that is still pending. */
+    void store(Collection<EndpointDescription> endpoints) {
         if (pending.getAndSet(List.copyOf(endpoints)) == null) {
             writer.execute(this::write);
         }
@@ -80,15 +82,15 @@
             EndpointListFile.write(newFile, endpoints);
             Files.move(newFile, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException | RuntimeException e) {
-            LOG.warn("the endpoint list could not be kept in {}: {}", file, e.getMessage());
-            // a list may not change for hours: once there is room, a restart must find this one
+            LOG.warn("the endpoint list could not be written to {}: {}", file, e.getMessage());
+            // the list may not change for hours: once the disk has space, a restart must find this one
             if (pending.compareAndSet(null, endpoints)) {
                 retryLater();
             }
         }
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // write reports its failures itself
+    @SuppressWarnings("FutureReturnValueIgnored") // write logs its own failures
     private void retryLater() {
         writer.schedule(this::write, RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/laurelkeel/front/EndpointListTranslator.java
+++ b/src/main/java/laurelkeel/front/EndpointListTranslator.java
@@ -65,7 +65,7 @@
                 endpoints.put(endpoint.endpointId(), endpoint);
             }
         }
-        cache.keep(endpoints.values());
+        cache.store(endpoints.values());
         return translate(list.kind(), list.endpoints(), arrivedAtTicks);
     }
 
--- a/src/main/java/laurelkeel/front/FrontMetrics.java
+++ b/src/main/java/laurelkeel/front/FrontMetrics.java
@@ -20,8 +20,8 @@
 
 /**
  * The metrics of a standalone front node, in Prometheus' text form. Names: docs/front.md. Counters of each request are
- * registered ahead, so that counting allocates nothing. Counting is not thread-safe and runs on the event loop's thread;
- * the text may be read on any thread.
+ * registered ahead, so that counting allocates nothing. Counting is not thread-safe and runs on the event loop's
+ * thread; the text may be read on any thread.
  */
 final class FrontMetrics {
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
--- a/src/main/java/laurelkeel/front/FrontNode.java
+++ b/src/main/java/laurelkeel/front/FrontNode.java
@@ -33,8 +33,8 @@
  * decider does, each request that was accepted gets one final answer before its deadline, and nothing is sent for it
  * afterwards.
  *
- * <p>A node is complete when constructed, starts once and ends once. {@link #fail}, {@link #drain}, {@link #termination}
- * and the status may be called on any thread and at any time.
+ * <p>A node is complete when constructed, starts once and ends once. {@link #fail}, {@link #drain},
+ * {@link #termination} and the status may be called on any thread and at any time.
  */
 public final class FrontNode implements FrontStatus {
     /** Set in the environment for a log line a second of what is in flight. */
@@ -73,8 +73,8 @@
      * Creates a node that is set by an INI file.
      *
      * @param clock ticks that only advance
-     * @param guarded false leaves out the node's own guard of final answers and the partitions, so that the audit can be
-     *     proved on a decider that breaks the rules
+     * @param guarded false leaves out the node's own guard of final answers and the partitions, so that the audit can
+     *     be proved on a decider that breaks the rules
      */
     FrontNode(FrontSettings settings, Decider.Factory deciders, LongSupplier clock, boolean guarded)
             throws IOException {
@@ -149,8 +149,8 @@
     }
 
     /**
-     * Starts the node, once, in the order in which its parts need each other: the sources, the listener, and last the one
-     * thread that acts on what both bring. Whatever is asked of the node before (a drain, a failure) waits for that
+     * Starts the node, once, in the order in which its parts need each other: the sources, the listener, and last the
+     * one thread that acts on what both bring. Whatever is asked of the node before (a drain, a failure) waits for that
      * thread.
      *
      * @return the address that clients reach
--- a/src/main/java/laurelkeel/front/NodeGauges.java
+++ b/src/main/java/laurelkeel/front/NodeGauges.java
@@ -7,7 +7,7 @@
 import laurelkeel.logging.RateLimitedAsyncAppender;
 import laurelkeel.partition.PartitionedDecider;
 
-/** Registers the gauges of a standalone front node, whose values are read when the metrics are. */
+/** Registers the gauges of a standalone front node; their values are read at each scrape. */
 final class NodeGauges {
     private NodeGauges() {}
 
@@ -23,7 +23,7 @@
         metrics.gauge("laurelkeel_loop_backlog", loop::queuedTasks);
         metrics.gauge("laurelkeel_loop_failures", loop::failedTasks);
         metrics.gauge("laurelkeel_records_lost", recorder::lostRecords);
-        metrics.gauge("laurelkeel_report_cells_left_out", reporter::leftOut);
+        metrics.gauge("laurelkeel_report_cells_left_out", reporter::uncounted);
         metrics.gauge("laurelkeel_log_lines_left_out", RateLimitedAsyncAppender::leftOut);
         registerProcess(metrics);
     }
--- a/src/main/java/laurelkeel/front/NodeLifecycle.java
+++ b/src/main/java/laurelkeel/front/NodeLifecycle.java
@@ -42,7 +42,10 @@
         return state.isShuttingDown() ? "draining" : "ok";
     }
 
-    /** From now on each response closes its connection; where there was no lame-duck period, new requests are rejected too. */
+    /**
+     * From now on each response closes its connection; where there was no lame-duck period, new requests are rejected
+     * too.
+     */
     void startClosingConnections() {
         isClosingConnections = true;
     }
--- a/src/main/java/laurelkeel/front/NodeServices.java
+++ b/src/main/java/laurelkeel/front/NodeServices.java
@@ -11,9 +11,9 @@
 import laurelkeel.wire.HttpResponse;
 
 /**
- * What a front node is given from outside: a protocol, a decider, sources of the control plane, and observers of what the
- * node does. Services are complete when constructed: whatever the decider asks for may be asked at once, also before
- * their start. They are called on the event loop's thread unless said otherwise, and add what they learn to the
+ * What a front node is given from outside: a protocol, a decider, sources of the control plane, and observers of what
+ * the node does. Services are complete when constructed: whatever the decider asks for may be asked at once, also
+ * before their start. They are called on the event loop's thread unless said otherwise, and add what they learn to the
  * {@link EventInbox} of the node's {@link NodeRuntime}.
  */
 public interface NodeServices {
--- a/src/main/java/laurelkeel/front/RequestIntake.java
+++ b/src/main/java/laurelkeel/front/RequestIntake.java
@@ -8,8 +8,8 @@
 import laurelkeel.wire.HttpRequest;
 
 /**
- * Accepts the requests that clients send: each becomes active, or is answered at once. Not thread-safe; used on the event
- * loop's thread.
+ * Accepts the requests that clients send: each becomes active, or is answered at once. Not thread-safe; used on the
+ * event loop's thread.
  */
 final class RequestIntake {
     private final NodeComponents components;
--- a/src/main/java/laurelkeel/front/StandaloneProtocol.java
+++ b/src/main/java/laurelkeel/front/StandaloneProtocol.java
@@ -15,7 +15,9 @@
 import laurelkeel.wire.MessageBuilder;
 import org.jspecify.annotations.Nullable;
 
-/** The protocol of a standalone front node, with the header names of {@link HeaderNames}; docs/front.md explains each. */
+/**
+ * The protocol of a standalone front node, with the header names of {@link HeaderNames}; docs/front.md explains each.
+ */
 final class StandaloneProtocol implements Protocol {
     /** Where clients complain of a response; a path of the node's own. */
     static final String COMPLAINTS_PATH = "/.laurelkeel/complaints";
--- a/src/main/java/laurelkeel/front/TraceLogger.java
+++ b/src/main/java/laurelkeel/front/TraceLogger.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs once a second what is in flight: the attempts that the decider has at each endpoint beside what the sockets there
- * have, which must agree.
+ * Logs once a second what is in flight: the attempts that the decider has at each endpoint beside what the sockets
+ * there have, which must agree.
  */
 final class TraceLogger {
     private static final Logger LOG = LoggerFactory.getLogger(TraceLogger.class);
--- a/src/test/java/laurelkeel/front/AttributionReporterTest.java
+++ b/src/test/java/laurelkeel/front/AttributionReporterTest.java
@@ -112,7 +112,7 @@
         reporter.report(8 * SECOND_TICKS);
         end(5 * SECOND_TICKS + 1, AttemptOutcome.COMPLETED);
         reporter.onAttemptEnded(attempt("10.0.0.9:80", 9 * SECOND_TICKS), 9 * SECOND_TICKS, AttemptOutcome.COMPLETED);
-        assertEquals(2, reporter.leftOut());
+        assertEquals(2, reporter.uncounted());
     }
 
     @Test
@@ -123,7 +123,7 @@
         }
         reporter.report(8 * SECOND_TICKS);
         assertEquals(0, reports.size());
-        assertEquals(0, reporter.leftOut());
+        assertEquals(0, reporter.uncounted());
     }
 
     @Test
--- a/src/test/java/laurelkeel/front/EndpointListCacheTest.java
+++ b/src/test/java/laurelkeel/front/EndpointListCacheTest.java
@@ -49,7 +49,7 @@
 
     @Test
     void aFileIsWrittenInTheSameForm() throws Exception {
-        cache().keep(ENDPOINTS);
+        cache().store(ENDPOINTS);
         writer.shutdown();
         assertTrue(writer.awaitTermination(10, TimeUnit.SECONDS));
         assertEquals(STORED, Files.readString(directory.resolve("list.json")));
--- a/src/test/java/laurelkeel/front/FrontNodeTest.java
+++ b/src/test/java/laurelkeel/front/FrontNodeTest.java
@@ -122,8 +122,8 @@
     }
 
     /**
-     * The first request opens the connection that the second one's short timeout is spent on: making a connection within
-     * it is not what is shown.
+     * The first request opens the connection that the second one's short timeout is spent on: making a connection
+     * within it is not what is shown.
      */
     @Test
     void anAttemptPastItsTimeoutEndsAndItsLateAnswerReachesNobody() throws Exception {
--- a/src/test/java/laurelkeel/front/MisbehavingPeersTest.java
+++ b/src/test/java/laurelkeel/front/MisbehavingPeersTest.java
@@ -25,7 +25,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Peers that stop midway, trickle, flood or vanish: no other peer waits for them, and no connection is kept for ever. */
+/**
+ * Peers that stop midway, trickle, flood or vanish: no other peer waits for them, and no connection is kept for ever.
+ */
 class MisbehavingPeersTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
 
--- a/src/test/java/laurelkeel/front/ResourceExhaustionTest.java
+++ b/src/test/java/laurelkeel/front/ResourceExhaustionTest.java
@@ -82,7 +82,9 @@
         return crowd;
     }
 
-    /** A class that is first needed with no descriptor left cannot be read from its file: these are the first requests. */
+    /**
+     * A class that is first needed with no descriptor left cannot be read from its file: these are the first requests.
+     */
     @Test
     void theFirstRequestsAreAnsweredWithNoDescriptorLeft() throws Exception {
         try (FrontChildProcess child =
