--- a/src/main/java/laurelkeel/front/EndpointListTranslator.java
+++ b/src/main/java/laurelkeel/front/EndpointListTranslator.java
@@ -16,17 +16,18 @@
 import laurelkeel.front.controlplane.EndpointListMessage;
 
 /**
- * Translates the endpoint list into events and keeps its last version on disk. The list gives starts as ages, for the
- * clocks of hosts differ; the moment of a start is computed once and stays, or jitter would pass for a new start.
- * Not thread-safe; used on the event loop's thread.
+ * Translates the endpoint list into events and stores its last version on disk. The list gives the start of an endpoint
+ * as an age, since the clocks of hosts differ. The start time is computed once per start; computing it for each update
+ * would let it vary with the delay of the message, and each variation would look like a new start. Not thread-safe;
+ * used on the event loop's thread.
  */
 final class EndpointListTranslator {
-    /** An endpoint that started longer ago counts as started long ago. */
+    /** A start longer ago than this is reported as {@link #STARTED_LONG_AGO_TICKS}. */
     private static final long MAX_KNOWN_AGE_TICKS = 3_600 * Ticks.PER_SECOND;
 
-    private static final long LONG_AGO = 0;
+    private static final long STARTED_LONG_AGO_TICKS = 0;
 
-    /** One start of an endpoint. */
+    /** The last known start of an endpoint. */
     private record Start(long incarnation, long atTicks) {}
 
     private final EventLoop loop;
@@ -34,7 +35,7 @@
     private final ControlPlaneRecorder recorder;
     private final Map<String, Start> starts = new HashMap<>();
     private final Map<String, EndpointDescription> endpoints = new LinkedHashMap<>();
-    /** Names of zones by index: those of the settings first, then others as they are met. */
+    /** Names of zones by index: those of the settings first, then others in the order in which the list names them. */
     private final List<String> zones;
 
     EndpointListTranslator(List<String> zones, EventLoop loop, EndpointListCache cache, ControlPlaneRecorder recorder) {
@@ -44,19 +45,19 @@
         this.recorder = recorder;
     }
 
-    /** The list that the incarnation before this one kept. */
+    /** Reads the list that the previous incarnation of the node stored. */
     Event.EndpointListUpdate cachedList() {
         Event.EndpointListUpdate update = translate(EndpointListKind.CACHED, cache.read(), loop.clockTicks());
-        // ages in the first list of the service are better than those of the cached one
+        // the first list of the service has current ages; those of the cached list are outdated
         starts.clear();
         return update;
     }
 
-    /** Translates a version of the list and keeps it. */
+    /** Translates a version of the list and stores the resulting list on disk. */
     Event.EndpointListUpdate translate(EndpointListMessage list, long arrivedAtTicks) {
         if (list.isSnapshot()) {
             endpoints.clear();
-            forgetStartsExcept(list.endpoints());
+            retainStartsOf(list.endpoints());
         }
         for (EndpointDescription endpoint : list.endpoints()) {
             if (endpoint.state() == EndpointState.REMOVED) {
@@ -69,8 +70,11 @@
         return translate(list.kind(), list.endpoints(), arrivedAtTicks);
     }
 
-    /** An endpoint that was removed while the watch was away is named by no line: its start would stay for ever. */
-    private void forgetStartsExcept(List<EndpointDescription> listed) {
+    /**
+     * Forgets the starts of endpoints that a snapshot does not name. An endpoint that was removed while the watch was
+     * interrupted is named by no update, so its start would never be forgotten otherwise.
+     */
+    private void retainStartsOf(List<EndpointDescription> listed) {
         Set<String> endpointIds = new HashSet<>();
         listed.forEach(endpoint -> endpointIds.add(endpoint.endpointId()));
         starts.keySet().retainAll(endpointIds);
@@ -113,10 +117,12 @@
 
     private static long startedAtTicks(double ageMillis, long arrivedAtTicks) {
         if (ageMillis < 0) {
-            return LONG_AGO;
+            return STARTED_LONG_AGO_TICKS;
         }
         long ageTicks = (long) Math.ceil(ageMillis * Ticks.PER_MILLISECOND);
-        return ageTicks > MAX_KNOWN_AGE_TICKS ? LONG_AGO : Math.max(LONG_AGO + 1, arrivedAtTicks - ageTicks);
+        return ageTicks > MAX_KNOWN_AGE_TICKS
+                ? STARTED_LONG_AGO_TICKS
+                : Math.max(STARTED_LONG_AGO_TICKS + 1, arrivedAtTicks - ageTicks);
     }
 
     private int zoneIndex(String name) {
--- a/src/main/java/laurelkeel/front/EventInbox.java
+++ b/src/main/java/laurelkeel/front/EventInbox.java
@@ -5,20 +5,20 @@
 import laurelkeel.api.Event;
 
 /**
- * What has been learned since the last turn and the decider has not seen. It exists before the node and before all
- * sources, so none of them can report to something that is not there yet. Not thread-safe; used on the event loop's
- * thread, or before that thread has started.
+ * The events and retired addresses that the decider gets at the end of the present turn of the event loop. It is
+ * created before the node and all event sources, so that each of them can add events from its start. Not thread-safe;
+ * used on the event loop's thread, or before that thread has started.
  */
 public final class EventInbox {
     private List<Event> events = new ArrayList<>();
     private List<String> retiredAddresses = new ArrayList<>();
 
-    /** Hands an event to the decider in the present turn. */
+    /** Adds an event, which the decider gets at the end of the present turn. */
     public void add(Event event) {
         events.add(event);
     }
 
-    /** Closes idle connections to an address in the present turn: its endpoint is not there any more. */
+    /** Closes the idle connections to an address at the end of the present turn, since its endpoint is gone. */
     public void retireAddress(String address) {
         retiredAddresses.add(address);
     }
@@ -27,14 +27,14 @@
         return events.isEmpty() && retiredAddresses.isEmpty();
     }
 
-    /** Takes the events out, in their order. */
+    /** Removes and returns the events, in the order in which they were added. */
     List<Event> takeEvents() {
         List<Event> taken = events;
         events = new ArrayList<>();
         return taken;
     }
 
-    /** Takes the retired addresses out, in their order. */
+    /** Removes and returns the retired addresses, in the order in which they were added. */
     List<String> takeRetiredAddresses() {
         List<String> taken = retiredAddresses;
         retiredAddresses = new ArrayList<>();
--- a/src/main/java/laurelkeel/front/FinalAnswerGuard.java
+++ b/src/main/java/laurelkeel/front/FinalAnswerGuard.java
@@ -3,8 +3,8 @@
 import laurelkeel.eventloop.EventLoop;
 
 /**
- * Enforces, whatever the decider does, that each request gets one final answer before its deadline and that nothing is
- * sent for it afterwards. Not thread-safe; used on the event loop's thread.
+ * Enforces that each request gets exactly one final answer before its deadline and that no attempt is sent for it
+ * afterwards, whatever the decider does. Not thread-safe; used on the event loop's thread.
  */
 final class FinalAnswerGuard {
     /** An overdue request is answered this long before its deadline, so that the answer still arrives in time. */
@@ -16,7 +16,7 @@
     /**
      * Creates the guard.
      *
-     * @param enabled false lets a decider break the rules, which proves that the audit notices it
+     * @param enabled false lets a decider break these rules, for tests that the audit detects it
      */
     FinalAnswerGuard(EventLoop loop, boolean enabled) {
         this.loop = loop;
@@ -31,7 +31,7 @@
         return !enabled || !request.isAnswered();
     }
 
-    /** Runs an action shortly before the deadline of a request, unless the request's timer is cancelled earlier. */
+    /** Schedules a task shortly before the deadline of a request; answering the request cancels it. */
     void watch(AcceptedRequest request, Runnable onOverdue) {
         if (enabled) {
             request.setOverdueTimer(loop.schedule(request.deadlineTicks() - GUARD_MARGIN_TICKS, onOverdue));
--- a/src/main/java/laurelkeel/front/FleetSettings.java
+++ b/src/main/java/laurelkeel/front/FleetSettings.java
@@ -21,13 +21,13 @@
         Settings.Costs costs,
         Settings.Rollout rollout) {
 
-    /** The kinds of sections that hold these settings, for files made from another one. */
+    /** The kinds of sections that contain these settings, for files that are generated from another one. */
     public static final List<String> SECTIONS =
             List.of("route", "customer", "limits", "allowed", "prices", "rollout", "clients", "machines");
 
     /**
-     * Reads the shared settings, and checks the sections of both connection sides, which differ between nodes only in
-     * their addresses. Errors are added to the file.
+     * Reads the shared settings. Also checks the sections for client and endpoint connections, which differ between
+     * nodes only in their addresses. Errors are added to the file.
      *
      * @param endpointPolling whether the endpoint list is polled rather than pushed
      */
--- a/src/main/java/laurelkeel/front/FleetSettingsReader.java
+++ b/src/main/java/laurelkeel/front/FleetSettingsReader.java
@@ -13,7 +13,7 @@
 
 /** Reads the sections that all front nodes of a fleet share. Keys, defaults and bounds: docs/front.md. */
 final class FleetSettingsReader {
-    /** Stands in for the listener's address where only the bounds of the section are checked. */
+    /** A placeholder for the listener's address while the section is only checked. */
     private static final InetSocketAddress ANY_ADDRESS = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
     private FleetSettingsReader() {}
--- a/src/main/java/laurelkeel/front/FrontMetrics.java
+++ b/src/main/java/laurelkeel/front/FrontMetrics.java
@@ -19,13 +19,13 @@
 import laurelkeel.partition.PartitionedDecider.Attribution;
 
 /**
- * The metrics of a standalone front node, in Prometheus' text form. Names: docs/front.md. Counters of each request are
- * registered ahead, so that counting allocates nothing. Counting is not thread-safe and runs on the event loop's
- * thread; the text may be read on any thread.
+ * The metrics of a standalone front node, in the Prometheus text format. Names: docs/front.md. Counters that each
+ * request increments are registered at construction, so that counting allocates nothing. Counting is not thread-safe
+ * and runs on the event loop's thread; the text may be read on any thread.
  */
 final class FrontMetrics {
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    /** Counters of rare events by name and label, registered when first counted. */
+    /** Counters of rare events by name and label, registered when first incremented. */
     private final Map<String, Counter> rareCounters = new HashMap<>();
 
     private final List<Counter> attemptsByRoute = new ArrayList<>();
@@ -41,7 +41,7 @@
             .register(registry);
 
     /**
-     * Registers the counters.
+     * Registers the counters that each request increments.
      *
      * @param routes names of the routes by route index
      */
@@ -81,7 +81,7 @@
         Objects.requireNonNull(attemptOutcomes.get(outcome)).increment();
     }
 
-    /** Counts a final answer and how long after the request's acceptance it was given. */
+    /** Counts a final answer and records the time from the request's acceptance to it. */
     void answered(RequestOutcome outcome, long durationTicks) {
         Objects.requireNonNull(requestOutcomes.get(outcome)).increment();
         answerMillis.record(durationTicks / (double) Ticks.PER_MILLISECOND);
@@ -115,7 +115,7 @@
         Gauge.builder(name, value).tag(tag, tagValue).register(registry);
     }
 
-    /** All metrics in Prometheus' text form; on any thread. */
+    /** Returns all metrics in the Prometheus text format. Thread-safe. */
     String text() {
         return registry.scrape();
     }
--- a/src/main/java/laurelkeel/front/FrontNode.java
+++ b/src/main/java/laurelkeel/front/FrontNode.java
@@ -28,16 +28,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A running front node. Everything that happens becomes events of one decider, which gets all events of a turn of the
- * event loop with one moment; its actions are carried out in order. The node answers for its sockets: whatever the
- * decider does, each request that was accepted gets one final answer before its deadline, and nothing is sent for it
+ * A front node. What happens on sockets and in the control plane becomes events of one decider, which gets all events
+ * of a turn of the event loop with one timestamp; its actions are carried out in order. Whatever the decider does, the
+ * node gives each accepted request exactly one final answer before its deadline, and sends no attempt for it
  * afterwards.
  *
- * <p>A node is complete when constructed, starts once and ends once. {@link #fail}, {@link #drain},
- * {@link #termination} and the status may be called on any thread and at any time.
+ * <p>A node is ready to use once constructed, starts once and ends once. {@link #fail}, {@link #drain},
+ * {@link #termination} and the methods of {@link FrontStatus} may be called on any thread at any time.
  */
 public final class FrontNode implements FrontStatus {
-    /** Set in the environment for a log line a second of what is in flight. */
+    /** Whether the environment asks for one log line a second about requests and attempts in flight. */
     public static final boolean TRACE = System.getenv("LAURELKEEL_TRACE") != null;
 
     private static final Logger LOG = LoggerFactory.getLogger(FrontNode.class);
@@ -61,20 +61,20 @@
     private final NodeShutdown shutdown;
 
     /**
-     * Creates a node that is set by an INI file.
+     * Creates a standalone node, with the settings of an INI file.
      *
-     * @throws IOException where the record file of the settings cannot be opened
+     * @throws IOException if the record file of the settings cannot be opened
      */
     public FrontNode(FrontSettings settings, Decider.Factory deciders) throws IOException {
         this(settings, deciders, NodeRuntime.monotonicClock(), true);
     }
 
     /**
-     * Creates a node that is set by an INI file.
+     * Creates a standalone node, with the settings of an INI file.
      *
-     * @param clock ticks that only advance
-     * @param guarded false leaves out the node's own guard of final answers and the partitions, so that the audit can
-     *     be proved on a decider that breaks the rules
+     * @param clock a monotonic clock in ticks
+     * @param guarded false disables the guard of final answers and omits the partitions, for tests that the audit
+     *     detects a decider that breaks the rules
      */
     FrontNode(FrontSettings settings, Decider.Factory deciders, LongSupplier clock, boolean guarded)
             throws IOException {
@@ -93,9 +93,9 @@
     }
 
     /**
-     * Creates a node with the protocol, the decider and the sources of the given services.
+     * Creates a node with the protocol, the decider and the control-plane sources of the given services.
      *
-     * @param runtime ended with the node
+     * @param runtime shut down with the node
      */
     public FrontNode(
             Settings settings,
@@ -149,19 +149,19 @@
     }
 
     /**
-     * Starts the node, once, in the order in which its parts need each other: the sources, the listener, and last the
-     * one thread that acts on what both bring. Whatever is asked of the node before (a drain, a failure) waits for that
-     * thread.
+     * Starts the node, once. Its parts start in the order of their dependencies: the control-plane sources, the
+     * listener, and last the event loop's thread, which handles the events of both. A drain or failure requested
+     * earlier takes effect once that thread runs.
      *
-     * @return the address that clients reach
-     * @throws IOException where a source or the listener cannot be opened; everything is closed then
-     * @throws IllegalStateException where the node was started before
+     * @return the address of the listener
+     * @throws IOException if a source or the listener cannot be opened; everything is closed then
+     * @throws IllegalStateException if the node was started before
      */
     public InetSocketAddress start() throws IOException {
         if (lifecycle.state() != NodeState.CREATED) {
-            throw new IllegalStateException("a node starts once; this one is " + lifecycle.state());
+            throw new IllegalStateException("a node can be started only once; this one is " + lifecycle.state());
         }
-        lifecycle.enter(NodeState.STARTING, "started");
+        lifecycle.enter(NodeState.STARTING, "start requested");
         ClassPreloader.preload();
         loop.post(pools::startSweeps);
         loop.post(ingress::startSweeps);
@@ -184,7 +184,10 @@
         return address;
     }
 
-    /** Another process that is ending may still have the address, and the system may lack something for a moment. */
+    /**
+     * Opens the listener, with retries: a process that is shutting down may still use the address, and the system may
+     * be short of a resource for a moment.
+     */
     private InetSocketAddress bind() throws IOException {
         long deadline = System.nanoTime() + BIND_TIMEOUT_NANOS;
         while (true) {
@@ -206,15 +209,15 @@
             loop.run(this::decide);
         } catch (RuntimeException | Error e) {
             failure = e;
-            LOG.error("the node failed; it fails its active requests and ends", e);
+            LOG.error("the node failed; it fails its active requests and shuts down", e);
         }
         shutdown.run(failure);
     }
 
     /**
-     * Ends a turn: hands all its events to the decider at once and carries out its actions in order.
+     * Ends a turn: passes all its events to the decider in one call and carries out its actions in order.
      *
-     * @return whether the actions have caused events already
+     * @return whether the actions have caused further events
      */
     private boolean decide() {
         if (inbox.isEmpty()) {
@@ -231,17 +234,17 @@
         return !inbox.isEmpty();
     }
 
-    /** Fails the node: it fails its active requests and ends, as when its decider throws. From any thread. */
+    /** Fails the node, as when its decider throws: it fails its active requests and shuts down. Thread-safe. */
     public void fail(Throwable cause) {
         loop.fail(cause);
     }
 
-    /** Drains the node: it answers its active requests in their time, accepts no new ones and ends. From any thread. */
+    /** Drains the node: it completes its active requests, accepts no new ones and shuts down. Thread-safe. */
     public void drain() {
         drain.drain();
     }
 
-    /** Completed with null after a drain, or with what the node failed of. */
+    /** Returns the future that is completed with null after a drain, or with the cause of the node's failure. */
     public CompletableFuture<@Nullable Throwable> termination() {
         return lifecycle.termination();
     }
@@ -285,7 +288,7 @@
         return ingress.bodyBytes() + pools.bodyBytes();
     }
 
-    /** What the ingress reports, which it does only once the node has started. */
+    /** Handles the events of the ingress, which occur only once the node has started. */
     private final class ClientEvents implements IngressListener {
         @Override
         public void onRequest(ClientConnection connection, ClientRequest request, long arrivedAtTicks) {
--- a/src/main/java/laurelkeel/front/FrontSettings.java
+++ b/src/main/java/laurelkeel/front/FrontSettings.java
@@ -14,18 +14,18 @@
 /**
  * All settings of one standalone front node.
  *
- * @param decisionSettings what the decider is given
- * @param seed of the node's random draws
+ * @param decisionSettings the settings of the decider
+ * @param seed seed of the node's random numbers
  * @param zones names of the zones; their order gives their indices
  * @param routes maps methods and paths to routes
- * @param ingress bounds and addresses of the client side
- * @param upstream bounds of the endpoint side
- * @param adminAddress where health and metrics are served; null for nowhere
- * @param endpointListAddress where the endpoint list is served; null for none
- * @param rolloutServiceAddress where the control service answers; null for none
- * @param gossipAddress where gossip of other nodes is received; null for no gossip
+ * @param ingress limits and address of the client side
+ * @param upstream limits of the endpoint side
+ * @param adminAddress the address that serves health and metrics; null to serve none
+ * @param endpointListAddress the address of the service of the endpoint list; null for none
+ * @param rolloutServiceAddress the address of the control service; null for none
+ * @param gossipAddress the address that receives the gossip of other nodes; null for no gossip
  * @param gossipPeers the gossip addresses of all nodes by node index
- * @param stateDirectory the directory that keeps the last endpoint list over a restart
+ * @param stateDirectory the directory that stores the last endpoint list over a restart
  * @param recordFile the file for records of control-plane updates; null for none
  */
 public record FrontSettings(
@@ -46,7 +46,7 @@
     /**
      * Reads and checks the settings file of a front node.
      *
-     * @throws InvalidSettingsException where the file cannot be used; it lists all errors at once
+     * @throws InvalidSettingsException if the file is invalid; it lists all errors
      */
     public static FrontSettings read(Path file) throws InvalidSettingsException {
         return FrontSettingsReader.read(file);
--- a/src/main/java/laurelkeel/front/FrontSettingsReader.java
+++ b/src/main/java/laurelkeel/front/FrontSettingsReader.java
@@ -15,27 +15,27 @@
 
 /** Reads the INI file of one standalone front node. Keys, defaults and bounds: docs/front.md. */
 final class FrontSettingsReader {
-    /** The zone of a node whose file names none. */
+    /** The zone of a node whose settings name none. */
     private static final String DEFAULT_ZONE = "here";
 
     private static final String DEFAULT_STATE_DIRECTORY = "state";
 
-    /** Keys of the peers' section are node indices, of up to five digits. */
+    /** The keys of the section of gossip peers: node indices of up to five digits. */
     private static final String NODE_INDEX_PATTERN = "\\d{1,5}";
 
-    /** How the endpoint list is followed. */
+    /** How the node gets the endpoint list. */
     enum EndpointListMode {
-        /** Changes are pushed over a watch that the node keeps open. */
+        /** The node keeps a watch open, over which changes are pushed. */
         PUSH,
-        /** The decider asks for the list and its watch. */
+        /** The decider requests each fetch of the list and the watch. */
         POLL
     }
 
-    /** What the value of an answer grows with. */
+    /** What the value of an answer is proportional to. */
     enum ValueBasis {
-        /** Each request counts alike. */
+        /** All requests have the same weight. */
         REQUEST,
-        /** A request counts by the work it needs. */
+        /** A request is weighted by the work it needs. */
         WORK
     }
 
@@ -96,7 +96,7 @@
     private int readNodeIndex(int nodeCount) {
         int nodeIndex = front.intValue("number", REQUIRED, 0, 99_999);
         if (nodeIndex >= nodeCount) {
-            front.addError("number", "is " + nodeIndex + " of " + nodeCount + " fronts; numbers begin at 0");
+            front.addError("number", "is " + nodeIndex + ", but fronts is " + nodeCount + "; numbers begin at 0");
         }
         return nodeIndex;
     }
@@ -104,7 +104,7 @@
     private int readZone(List<String> zones) {
         String zone = front.stringValue("zone", zones.isEmpty() ? DEFAULT_ZONE : zones.get(0));
         if (!zones.contains(zone)) {
-            front.addError("zone", "is '" + zone + "'; zones names " + String.join(", ", zones));
+            front.addError("zone", "is '" + zone + "'; zones lists " + String.join(", ", zones));
         }
         return Math.max(0, zones.indexOf(zone));
     }
@@ -115,7 +115,7 @@
             if (key.matches(NODE_INDEX_PATTERN)) {
                 peers.put(Integer.parseInt(key), section.address(key, REQUIRED));
             } else {
-                section.addError(key, "is no front's number; write as '1 = 127.0.0.1:9101'");
+                section.addError(key, "is not the number of a front node; write the entry as '1 = 127.0.0.1:9101'");
             }
         }
         return peers;
--- a/src/main/java/laurelkeel/front/FrontStatus.java
+++ b/src/main/java/laurelkeel/front/FrontStatus.java
@@ -3,26 +3,26 @@
 import java.util.Map;
 import laurelkeel.front.ingress.CloseReason;
 
-/** What a front node reports of itself, for health checks and metrics. Thread-safe. */
+/** The status of a front node, for health checks and metrics. Thread-safe. */
 public interface FrontStatus {
-    /** The node's health: ok, draining or failed. */
+    /** Returns the node's health: ok, draining or failed. */
     String health();
 
-    /** Requests that were accepted and are not finished yet. */
+    /** Returns the number of requests that were accepted and are not finished yet. */
     int activeRequests();
 
-    /** Open connections of clients. */
+    /** Returns the number of open client connections. */
     int clientConnections();
 
-    /** Connections of clients that have ended since the start, by reason. */
+    /** Returns the number of client connections closed since the start, by reason. */
     Map<CloseReason, Long> closedConnections();
 
-    /** Open connections to endpoints. */
+    /** Returns the number of open connections to endpoints. */
     int endpointConnections();
 
-    /** Requests and connections that were rejected before the decider saw them. */
+    /** Returns the number of requests and connections that were rejected without an event to the decider. */
     int rejectedBeforeDecision();
 
-    /** Bytes of message bodies that are held on both sides. */
+    /** Returns the number of bytes of message bodies in memory, of the client and the endpoint side. */
     long bodyBytes();
 }
--- a/src/main/java/laurelkeel/front/HealthChecker.java
+++ b/src/main/java/laurelkeel/front/HealthChecker.java
@@ -20,7 +20,7 @@
         loop = components.loop();
     }
 
-    /** Checks an endpoint; exactly one {@link Event.HealthCheckEnded} follows. */
+    /** Starts a health check of an endpoint; exactly one {@link Event.HealthCheckEnded} follows. */
     void check(String endpointId) {
         HealthCheck check = new HealthCheck(endpointId, loop.nowTicks());
         Exchange exchange = components
--- a/src/main/java/laurelkeel/front/NodeComponents.java
+++ b/src/main/java/laurelkeel/front/NodeComponents.java
@@ -7,9 +7,9 @@
 import laurelkeel.wire.MessageBuilder;
 
 /**
- * What all parts of a front node share.
+ * The components that all parts of a front node share.
  *
- * @param messageBuilder for messages put together on the event loop's thread, each of which is taken out at once
+ * @param messageBuilder for messages assembled on the event loop's thread; each is taken out before the next is begun
  */
 record NodeComponents(
         Settings settings,
--- a/src/main/java/laurelkeel/front/NodeLifecycle.java
+++ b/src/main/java/laurelkeel/front/NodeLifecycle.java
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The state of a front node from its construction to its end. State, health and termination may be read on any thread;
- * whether the node rejects requests or has stopped deciding is written and read on the event loop's thread only.
+ * The state of a front node from its construction to its end. State, health and termination may be read on any thread.
+ * Whether the node is closing connections or has stopped deciding is written and read on the event loop's thread only.
  */
 final class NodeLifecycle {
     private static final Logger LOG = LoggerFactory.getLogger(NodeLifecycle.class);
@@ -28,13 +28,13 @@
         return state;
     }
 
-    /** Moves on to another state and logs why. */
+    /** Enters another state and logs the reason. */
     void enter(NodeState next, String reason) {
         LOG.info("node {} incarnation {}: {} -> {}, {}", nodeIndex, incarnation, state, next, reason);
         state = next;
     }
 
-    /** The node's health as {@link FrontStatus#health()} reports it. */
+    /** Returns the node's health, in the form of {@link FrontStatus#health()}. */
     String health() {
         if (termination.getNow(null) != null) {
             return "failed";
@@ -43,8 +43,7 @@
     }
 
     /**
-     * From now on each response closes its connection; where there was no lame-duck period, new requests are rejected
-     * too.
+     * From now on each response closes its connection. If there was no lame-duck period, new requests are rejected too.
      */
     void startClosingConnections() {
         isClosingConnections = true;
@@ -54,7 +53,7 @@
         return isClosingConnections;
     }
 
-    /** No further event reaches the decider: what still arrives is rejected at once. */
+    /** From now on no event reaches the decider, and requests that still arrive are rejected immediately. */
     void stopDeciding() {
         isClosingConnections = true;
         hasStoppedDeciding = true;
@@ -65,16 +64,16 @@
     }
 
     /**
-     * Completes the termination.
+     * Completes the termination, if it is not completed yet.
      *
-     * @param failure what the node failed of; null after a drain
-     * @return whether it had not been completed before
+     * @param failure the cause of the node's failure; null after a drain
+     * @return whether this call completed it
      */
     boolean terminate(@Nullable Throwable failure) {
         return termination.complete(failure);
     }
 
-    /** Completed once with null after a drain, or with what the node failed of. */
+    /** Returns the future that is completed with null after a drain, or with the cause of the node's failure. */
     CompletableFuture<@Nullable Throwable> termination() {
         return termination;
     }
--- a/src/main/java/laurelkeel/front/NodeRuntime.java
+++ b/src/main/java/laurelkeel/front/NodeRuntime.java
@@ -12,11 +12,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The event loop and the threads that a front node and its services share; the node ends them.
+ * The event loop and the threads that a front node and its services share; the node shuts them down.
  *
- * @param incarnation names this start of the node among all its starts
- * @param inbox what the node's sources have learned
- * @param sharedProcessors run the sockets of all sides; null where each side has threads of its own
+ * @param incarnation identifies this process of the node among all its restarts
+ * @param inbox receives the events of all sources
+ * @param sharedProcessors process the sockets of both sides; null if each side has socket threads of its own
  */
 public record NodeRuntime(
         String incarnation,
@@ -25,16 +25,16 @@
         ExecutorService socketThreads,
         ScheduledExecutorService timer,
         @Nullable SimpleIoProcessorPool<NioSession> sharedProcessors) {
-    /** Where the node's clock begins: what began up to an hour before the node did still has a moment above 0. */
+    /** The start of the node's clock: a time up to an hour before the node's start is still above 0. */
     private static final long CLOCK_ORIGIN_TICKS = 36_000_000;
 
     private static final long NANOS_PER_TICK = 100_000;
     private static final int NAME_RADIX = 36;
 
-    /** How many random names there are of a start within one millisecond; all have one length. */
-    private static final int RANDOM_NAMES = NAME_RADIX * NAME_RADIX * NAME_RADIX;
+    /** Number of random suffixes of incarnations that start in the same millisecond; all have the same length. */
+    private static final int RANDOM_SUFFIXES = NAME_RADIX * NAME_RADIX * NAME_RADIX;
 
-    /** Creates a runtime in which each side has socket threads of its own. */
+    /** Creates a runtime in which the client side and the endpoint side have socket threads of their own. */
     public static NodeRuntime create(LongSupplier clock) {
         EventLoop loop = new EventLoop(clock);
         return new NodeRuntime(
@@ -46,7 +46,7 @@
                 null);
     }
 
-    /** Creates a runtime for a host with one core or less: one thread has all sockets. */
+    /** Creates a runtime for a host with one core or less: one thread serves the sockets of both sides. */
     public static NodeRuntime forSingleCore(LongSupplier clock) {
         NodeRuntime runtime = create(clock);
         return new NodeRuntime(
@@ -58,20 +58,25 @@
                 runtime.processors(1));
     }
 
-    /** Two starts differ also where the wall clock was stepped back between them. */
+    /**
+     * Generates a name from the wall clock and a random suffix, since the clock may be stepped back between two starts.
+     */
     private static String newIncarnation() {
-        int random = RANDOM_NAMES + ThreadLocalRandom.current().nextInt(RANDOM_NAMES);
+        int random = RANDOM_SUFFIXES + ThreadLocalRandom.current().nextInt(RANDOM_SUFFIXES);
         return Long.toString(System.currentTimeMillis(), NAME_RADIX) + Integer.toString(random, NAME_RADIX);
     }
 
-    /** The processors for the sockets of one side: a number of its own, or those that all sides share. */
+    /**
+     * Returns the processors for the sockets of one side: the shared ones, or new ones with the given number of
+     * threads.
+     */
     public SimpleIoProcessorPool<NioSession> processors(int threads) {
         return sharedProcessors != null
                 ? sharedProcessors
                 : new SimpleIoProcessorPool<>(UnexpectedInputProcessor.class, socketThreads, threads, null);
     }
 
-    /** A clock in ticks that only advances. */
+    /** Returns a monotonic clock in ticks. */
     public static LongSupplier monotonicClock() {
         long startNanos = System.nanoTime();
         return () -> CLOCK_ORIGIN_TICKS + (System.nanoTime() - startNanos) / NANOS_PER_TICK;
--- a/src/main/java/laurelkeel/front/NodeServices.java
+++ b/src/main/java/laurelkeel/front/NodeServices.java
@@ -11,34 +11,34 @@
 import laurelkeel.wire.HttpResponse;
 
 /**
- * What a front node is given from outside: a protocol, a decider, sources of the control plane, and observers of what
- * the node does. Services are complete when constructed: whatever the decider asks for may be asked at once, also
- * before their start. They are called on the event loop's thread unless said otherwise, and add what they learn to the
+ * The services that a front node depends on: a protocol, a decider, control-plane sources, and observers of the node's
+ * operation. Services are usable once constructed: any action of the decider may be passed to them, also before their
+ * start. They are called on the event loop's thread unless stated otherwise, and add their events to the
  * {@link EventInbox} of the node's {@link NodeRuntime}.
  */
 public interface NodeServices {
-    /** The protocol of both sides. */
+    /** Returns the protocol of the client side and the endpoint side. */
     Protocol protocol();
 
-    /** The decider of the node. */
+    /** Returns the decider of the node. */
     Decider decider();
 
     /**
-     * Opens the sources, once; on the thread that starts the node, before the event loop's thread runs.
+     * Opens the sources. Called once, on the thread that starts the node, before the event loop's thread runs.
      *
-     * @param status of the node, for health checks and metrics
-     * @throws IOException where a source cannot be opened; the close tasks are run then
+     * @param status the node's status, for health checks and metrics
+     * @throws IOException if a source cannot be opened; the close tasks are run then
      */
     void start(FrontStatus status) throws IOException;
 
-    /** What ends the sources and threads, each to be run once the node has ended. */
+    /** Returns the tasks that close the sources and shut down the threads, each to be run once the node has ended. */
     List<Runnable> closeTasks();
 
-    /** Where an endpoint of the list is reached. */
+    /** Returns the address of an endpoint of the endpoint list. */
     EndpointAddress addressOf(String endpointId);
 
     /**
-     * Whether an attempt that had to wait for its connection may still be written.
+     * Returns whether an attempt that had to wait for its connection may still be sent.
      *
      * @param startedAtTicks when the attempt was started
      */
@@ -47,9 +47,9 @@
     }
 
     /**
-     * The answer to a message for the node itself.
+     * Returns the answer to a message that is addressed to the node itself.
      *
-     * @param health as {@link FrontStatus#health()} reports it
+     * @param health the node's health, in the form of {@link FrontStatus#health()}
      */
     HttpResponse answerNodeRequest(HttpRequest message, String health);
 
@@ -66,34 +66,34 @@
     void sendGossip(int toNode, byte[] payload);
 
     /**
-     * Called before a turn's events are handed to the decider.
+     * Called before a turn's events are passed to the decider.
      *
-     * @param events how many there are
+     * @param events the number of events
      */
     default void onTurn(int events) {}
 
     /** Called when an attempt is about to be started. */
     default void onAttemptStarted(int route) {}
 
-    /** Called when an attempt has ended that was started at a moment. */
+    /** Called when an attempt has ended. */
     default void onAttemptEnded(
             String endpointId, long startedAtTicks, ClientRequest request, AttemptOutcome outcome) {}
 
     /**
      * Called when an endpoint's response is about to be forwarded.
      *
-     * @param requestNumber of the request among those of this incarnation, of which its id is made
+     * @param requestNumber the request's number within this incarnation, from which its id is derived
      * @param startedAtTicks when the attempt was started
      */
     default void onCompleted(long requestNumber, String endpointId, long startedAtTicks, ClientRequest request) {}
 
     /**
-     * Called when a request gets its final answer, or its client is gone.
+     * Called when a request gets its final answer, or its client has disconnected.
      *
-     * @param durationTicks since the request was accepted
+     * @param durationTicks time since the request was accepted
      */
     default void onAnswered(RequestOutcome outcome, long durationTicks) {}
 
-    /** Called when a request had no decision before its deadline. */
+    /** Called when the decider made no decision on a request before its deadline. */
     default void onOverdue(int route) {}
 }
--- a/src/main/java/laurelkeel/front/NodeShutdown.java
+++ b/src/main/java/laurelkeel/front/NodeShutdown.java
@@ -12,16 +12,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Closes everything that a front node opened, once, also where its start stopped half way. Runs on the event loop's
- * thread after the loop has ended, or on the starting thread before the loop's has begun.
+ * Closes everything that a front node opened, once, also if its start failed half way. Runs on the event loop's thread
+ * after the loop has ended, or on the starting thread before the loop's thread is started.
  */
 final class NodeShutdown {
     private static final Logger LOG = LoggerFactory.getLogger(NodeShutdown.class);
 
-    /** What has not closed by then is left to the end of the process. */
+    /** Parts that have not closed after this time are left to the exit of the process. */
     private static final long CLOSE_TIMEOUT_MILLIS = 10_000;
 
-    /** Connections have so long to take their last answers before the rest is closed as it is. */
+    /** Clients have this long to read their last answers; then the remaining connections are closed. */
     private static final long FLUSH_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
     private static final long FLUSH_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
@@ -47,47 +47,45 @@
     /**
      * Closes the node and completes its termination.
      *
-     * @param cause what the node failed of; null after a drain
+     * @param cause the cause of the node's failure; null after a drain
      */
     void run(@Nullable Throwable cause) {
-        lifecycle.enter(
-                NodeState.CLOSING,
-                cause != null ? "it failed: " + cause : "it has drained or its time for that is over");
+        lifecycle.enter(NodeState.CLOSING, cause != null ? "failed: " + cause : "drained, or the drain timed out");
         totalsLogger.log();
         CompletableFuture.delayedExecutor(CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
-                .execute(() -> giveUp(cause));
+                .execute(() -> onCloseTimeout(cause));
         Throwable failure = cause;
         for (Runnable task : closeTasks()) {
             try {
                 task.run();
             } catch (RuntimeException | Error e) {
-                // where memory has run out a task may fail too: the others and the exit must not wait for it
+                // if memory is exhausted, a task may fail too; the other tasks and the exit must still follow
                 failure = failure == null ? e : failure;
             }
         }
-        lifecycle.enter(NodeState.ENDED, "all of it is closed");
+        lifecycle.enter(NodeState.ENDED, "everything is closed");
         lifecycle.terminate(failure);
     }
 
     private List<Runnable> closeTasks() {
         List<Runnable> tasks =
                 new ArrayList<>(List.of(this::failActiveRequests, ingress::close, components.pools()::close));
-        // the threads of sockets still close those, and end when nothing is left to do
+        // socket threads are not shut down here: they still close their sockets and end when idle
         tasks.addAll(components.services().closeTasks());
         tasks.add(components.runtime().timer()::shutdown);
         return tasks;
     }
 
-    /** Whoever waits for the end of the node must not wait for a part that never closes. */
-    private void giveUp(@Nullable Throwable cause) {
+    /** Terminates the node although parts are still open, so that a part that never closes does not block its exit. */
+    private void onCloseTimeout(@Nullable Throwable cause) {
         TimeoutException timeout =
-                new TimeoutException("not all of the node was closed within " + CLOSE_TIMEOUT_MILLIS + " ms");
+                new TimeoutException("not all parts of the node were closed within " + CLOSE_TIMEOUT_MILLIS + " ms");
         if (lifecycle.terminate(cause == null ? timeout : cause)) {
-            LOG.error("the node ends with parts of it still open", timeout);
+            LOG.error("the node ends with some parts still open", timeout);
         }
     }
 
-    /** The node is never half alive: active requests fail at once, and no new one is accepted. */
+    /** Fails all active requests immediately and accepts no new ones, so that the node never keeps serving in part. */
     private void failActiveRequests() {
         lifecycle.stopDeciding();
         for (AcceptedRequest request : requests.snapshot()) {
@@ -101,12 +99,15 @@
             }
         }
         ingress.flush();
-        // after that, for it may have to wait for the thread that accepts
+        // after the flush, since it may have to wait for the thread that accepts connections
         ingress.unbind();
         rejectQueuedRequests();
     }
 
-    /** Rejects requests that were read and not begun; connections that owe nothing end before more is read off them. */
+    /**
+     * Rejects requests that were read but not begun. Connections without pending answers are closed before more is
+     * read.
+     */
     private void rejectQueuedRequests() {
         long deadline = System.nanoTime() + FLUSH_TIMEOUT_NANOS;
         do {
--- a/src/main/java/laurelkeel/front/NodeState.java
+++ b/src/main/java/laurelkeel/front/NodeState.java
@@ -1,21 +1,21 @@
 package laurelkeel.front;
 
-/** The state of a front node's lifecycle; it only moves forward. */
+/** The state of a front node in its lifecycle; it only advances. */
 enum NodeState {
-    /** Constructed and not started. */
+    /** The node is constructed and not started. */
     CREATED,
-    /** Its sources and its listener are being opened. */
+    /** The node is opening its control-plane sources and its listener. */
     STARTING,
-    /** It takes requests. */
+    /** The node accepts requests. */
     SERVING,
-    /** It was asked to end and completes its active requests. */
+    /** The node is to shut down and completes its active requests. */
     DRAINING,
-    /** It closes its sockets and sources. */
+    /** The node is closing its sockets and sources. */
     CLOSING,
     /** Everything is closed. */
     ENDED;
 
-    /** Whether the node is on its way out, so that health checks are to take it out of rotation. */
+    /** Returns whether the node is shutting down, so that health checks should take it out of rotation. */
     boolean isShuttingDown() {
         return compareTo(DRAINING) >= 0;
     }
--- a/src/main/java/laurelkeel/front/RequestIntake.java
+++ b/src/main/java/laurelkeel/front/RequestIntake.java
@@ -8,7 +8,7 @@
 import laurelkeel.wire.HttpRequest;
 
 /**
- * Accepts the requests that clients send: each becomes active, or is answered at once. Not thread-safe; used on the
+ * Accepts the requests of clients: each becomes active or is answered immediately. Not thread-safe; used on the
  * event loop's thread.
  */
 final class RequestIntake {
@@ -37,9 +37,9 @@
     }
 
     /**
-     * Accepts a request whose turn on its connection has come.
+     * Accepts a request, once the earlier requests on its connection are answered.
      *
-     * @param arrivedAtTicks when its last byte was read, from which its client's time counts
+     * @param arrivedAtTicks when its last byte was read; the client's remaining time counts from then
      */
     void accept(ClientConnection connection, ClientRequest clientRequest, long arrivedAtTicks) {
         if (!requests.reserveClientRequestId(clientRequest)) {
@@ -60,7 +60,9 @@
         components.inbox().add(receivedEvent(request));
     }
 
-    /** One id is one request: the answer to the other one must not be this client's too. */
+    /**
+     * Rejects a request whose id an active request has, since ids are unique and the answer to one must not serve both.
+     */
     private void rejectDuplicate(ClientConnection connection, ClientRequest clientRequest) {
         connection.current(null);
         components.ingress().releaseBody(clientRequest);
@@ -85,7 +87,7 @@
                 clientRequest.clientRetry());
     }
 
-    /** Answers a message for the node itself. */
+    /** Answers a message that is addressed to the node itself. */
     void answerNodeRequest(ClientConnection connection, HttpRequest message) {
         connection.current(null);
         components
--- a/src/main/java/laurelkeel/front/RequestOutcome.java
+++ b/src/main/java/laurelkeel/front/RequestOutcome.java
@@ -1,13 +1,13 @@
 package laurelkeel.front;
 
-/** How a request ended, as its front node sees it. */
+/** How a request ended, from the front node's view. */
 public enum RequestOutcome {
     /** An endpoint's response was forwarded. */
     COMPLETED,
-    /** The request was rejected; it provably had no effect, or a repeat does no harm. */
+    /** The request was rejected; it had no effect for certain, or a retry does no harm. */
     REJECTED,
     /** The request failed; it may have had an effect. */
     FAILED,
-    /** The client was gone before there was an answer. */
+    /** The client disconnected before its request was answered. */
     CLIENT_DISCONNECTED
 }
--- a/src/main/java/laurelkeel/front/RequestTotals.java
+++ b/src/main/java/laurelkeel/front/RequestTotals.java
@@ -4,7 +4,9 @@
 import java.util.Map;
 import laurelkeel.api.Event.AttemptOutcome;
 
-/** Counts requests and attempts since the start, for the log. Not thread-safe; used on the event loop's thread. */
+/**
+ * Counts requests and attempts since the node's start, for the log. Not thread-safe; used on the event loop's thread.
+ */
 final class RequestTotals {
     private final Map<RequestOutcome, Long> answers = new EnumMap<>(RequestOutcome.class);
     private final Map<AttemptOutcome, Long> attempts = new EnumMap<>(AttemptOutcome.class);
--- a/src/main/java/laurelkeel/front/ResponseReferences.java
+++ b/src/main/java/laurelkeel/front/ResponseReferences.java
@@ -3,19 +3,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The origins of the last completed responses, by the numbers of their requests, in a ring of fixed size. Not
+ * The origins of the most recent completed responses by request number, in a ring buffer of fixed size. Not
  * thread-safe; used on the event loop's thread.
  */
 final class ResponseReferences {
     /**
-     * Where a response came from.
+     * The endpoint and attempt that a response came from.
      *
-     * @param sentAtTicks when the attempt that it answers was sent
+     * @param sentAtTicks when the attempt was sent
      */
     record Origin(String endpointId, long sentAtTicks, int route, int tenant) {}
 
     private final int mask;
-    // one array a field: an object a response, kept this long, would be work for the garbage collector
+    // one array for each field, since long-lived objects for each response would burden the garbage collector
     private final long[] requestNumbers;
     private final @Nullable String[] endpointIds;
     private final long[] sentAtTicks;
@@ -23,7 +23,7 @@
     private final int[] tenants;
 
     /**
-     * Creates a ring.
+     * Creates a ring buffer.
      *
      * @param capacity a power of two
      */
@@ -40,7 +40,7 @@
         return (int) (requestNumber & mask);
     }
 
-    /** Keeps the origin of a response in place of an older one. */
+    /** Stores the origin of a response; it overwrites an older one. */
     void put(long requestNumber, Origin origin) {
         int slot = slot(requestNumber);
         requestNumbers[slot] = requestNumber;
@@ -51,9 +51,9 @@
     }
 
     /**
-     * Takes the origin of a response out.
+     * Removes and returns the origin of a response.
      *
-     * @return null where it is unknown, too old or taken already
+     * @return null if it is unknown, was overwritten or was taken before
      */
     @Nullable
     Origin take(long requestNumber) {
--- a/src/main/java/laurelkeel/front/ResponseWriter.java
+++ b/src/main/java/laurelkeel/front/ResponseWriter.java
@@ -13,7 +13,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Gives requests their final answers, counts them and removes finished requests. Not thread-safe; called on the event
+ * Writes and counts the final answers of requests, and removes finished requests. Not thread-safe; called on the event
  * loop's thread.
  */
 final class ResponseWriter {
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Writes a final answer of the node's own.
+     * Writes a final answer that the node itself generates.
      *
-     * @param request null for one that is not active any more, which gets no answer
+     * @param request null if the request is not active any more; nothing is written then
      */
     void answer(@Nullable AcceptedRequest request, RequestOutcome outcome, HttpResponse response) {
         if (request == null || !guard.permitsAnswer(request)) {
@@ -60,7 +60,7 @@
         return (components.loop().nowTicks() - request.acceptedAtTicks()) / (double) Ticks.PER_MILLISECOND;
     }
 
-    /** Forwards the response of an attempt that completed as the final answer. */
+    /** Forwards the response of a completed attempt as the final answer. */
     void forward(AcceptedRequest request, EndpointResponse response) {
         ForwardedMessage message = Objects.requireNonNull(response.forwarded(), "a completed response is forwarded");
         close(request, RequestOutcome.COMPLETED);
@@ -88,12 +88,12 @@
                 components.protocol().rejected(0, "its time was up before its turn came"));
     }
 
-    /** Fails a request for which no decision came before its deadline. */
+    /** Fails a request on which the decider made no decision before its deadline. */
     void failOverdue(AcceptedRequest request) {
         if (request.isAnswered()) {
             return;
         }
-        LOG.error("request {} had no decision in its time; the node fails it", request.id());
+        LOG.error("no decision on request {} before its deadline; the node fails it", request.id());
         components.services().onOverdue(request.clientRequest().route());
         answer(
                 request,
@@ -102,7 +102,7 @@
         components.inbox().add(new Event.ClientDisconnected(request.id()));
     }
 
-    /** Notes that the client of a request is gone, so that nothing more is owed for it. */
+    /** Closes a request whose client has disconnected, so that no answer is pending any more. */
     void clientDisconnected(AcceptedRequest request) {
         if (request.isAnswered()) {
             return;
--- a/src/main/java/laurelkeel/front/RolloutTranslator.java
+++ b/src/main/java/laurelkeel/front/RolloutTranslator.java
@@ -12,11 +12,11 @@
 import laurelkeel.front.controlplane.RolloutMessage;
 import laurelkeel.front.controlplane.VoteResponse;
 
-/** Translates what the control service says into events. Not thread-safe; used on the event loop's thread. */
+/** Translates messages of the control service into events. Not thread-safe; used on the event loop's thread. */
 final class RolloutTranslator {
     private final EventLoop loop;
     private final ControlPlaneRecorder recorder;
-    /** The last status of each build that is a canary, in the order in which they became one. */
+    /** The last status of each canary by build, in the order in which the builds became canaries. */
     private final Map<Integer, RolloutMessage.Status> canaries = new LinkedHashMap<>();
 
     RolloutTranslator(EventLoop loop, ControlPlaneRecorder recorder) {
@@ -24,7 +24,7 @@
         this.recorder = recorder;
     }
 
-    /** The events of a message; first the ends of the rollouts that it shows to be over. */
+    /** Translates a message; the ends of rollouts that it implies precede its own event. */
     List<Event> translate(RolloutMessage message, long arrivedAtTicks) {
         if (message instanceof RolloutMessage.Statistics statistics) {
             return List.of(translate(statistics, arrivedAtTicks));
@@ -40,7 +40,9 @@
         return events;
     }
 
-    /** A watch that was away may have missed the end of a canary. */
+    /**
+     * Returns whether a message implies that a canary has ended, since an interrupted watch may have missed the end.
+     */
     private static boolean hasEnded(RolloutMessage.Status canary, RolloutMessage.Status latest) {
         if (canary.build() == latest.build()) {
             return false;
@@ -60,7 +62,7 @@
                 ageTicks(statistics.ageMillis(), arrivedAtTicks));
     }
 
-    /** The event of a vote that has ended. */
+    /** Translates the result of a vote. */
     Event translate(int build, VoteResponse response, long arrivedAtTicks) {
         RolloutMessage.Status rollout = response.rollout();
         if (rollout != null) {
@@ -90,7 +92,7 @@
                 answersVote);
     }
 
-    /** The age now: it has grown since the message arrived, however long the event loop took to get to it. */
+    /** Returns the age at present, which includes the time that the message waited for the event loop. */
     private long ageTicks(double ageMillis, long arrivedAtTicks) {
         long ageAtArrival = Math.max(0, (long) Math.floor(ageMillis * Ticks.PER_MILLISECOND));
         return ageAtArrival + Math.max(0, loop.nowTicks() - arrivedAtTicks);
--- a/src/main/java/laurelkeel/front/StandaloneControlPlane.java
+++ b/src/main/java/laurelkeel/front/StandaloneControlPlane.java
@@ -23,16 +23,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What a standalone front node exchanges with its control plane and with other nodes: endpoint list, rollouts, votes,
- * reports and gossip. What the settings do not name is left out. Not thread-safe; used on the event loop's thread once
- * the node has started.
+ * The connections of a standalone front node to its control plane and to other nodes: endpoint list, rollouts, votes,
+ * reports and gossip. Services that the settings do not name are omitted. Not thread-safe; used on the event loop's
+ * thread once the node has started.
  */
 final class StandaloneControlPlane {
     private static final int HTTP_THREADS = 2;
     private static final Duration HTTP_CONNECT_TIMEOUT = Duration.ofSeconds(2);
     private static final long REPORT_INTERVAL_TICKS = 500 * Ticks.PER_MILLISECOND;
 
-    /** Keeps the backoffs of nodes apart that are set to one seed. */
+    /** Makes the random backoffs of nodes differ even if they are configured with the same seed. */
     private static final long SEED_STRIDE = 100_003;
 
     private final FrontSettings settings;
@@ -53,7 +53,7 @@
     /**
      * Creates the parts, opens the record file and adds the cached endpoint list to the inbox.
      *
-     * @throws IOException where the record file cannot be opened
+     * @throws IOException if the record file cannot be opened
      */
     StandaloneControlPlane(FrontSettings settings, NodeRuntime runtime, BuildAttributions attributions)
             throws IOException {
@@ -78,7 +78,7 @@
         reporter = new AttributionReporter(decisionSettings, runtime.incarnation(), this::sendReport);
         endpointListSource = createEndpointListSource(http);
         gossip = createGossipChannel();
-        // the list that the last incarnation kept is known from the first turn on
+        // the decider gets the list that the previous incarnation stored in the first turn
         onEndpointList(endpointLists.cachedList());
     }
 
@@ -158,20 +158,20 @@
         reporter.report(loop.nowTicks());
     }
 
-    /** Reports to the control service what this node sees of builds. */
+    /** Returns the reporter of each build's outcomes to the control service. */
     AttributionReporter reporter() {
         return reporter;
     }
 
-    /** Records what arrives. */
+    /** Returns the recorder of control-plane updates. */
     ControlPlaneRecorder recorder() {
         return recorder;
     }
 
     /**
-     * Starts the reports and opens the gossip's socket; on the thread that starts the node.
+     * Starts the reports and opens the gossip socket. Called on the thread that starts the node.
      *
-     * @throws IOException where the gossip's address cannot be bound
+     * @throws IOException if the gossip address cannot be bound
      */
     void startReportsAndGossip() throws IOException {
         loop.post(this::reportRepeatedly);
@@ -180,7 +180,7 @@
         }
     }
 
-    /** Opens the watches; on the thread that starts the node. */
+    /** Opens the watches. Called on the thread that starts the node. */
     void startWatches() {
         if (endpointListSource != null) {
             endpointListSource.start();
@@ -190,7 +190,7 @@
         }
     }
 
-    /** What ends the watches and the gossip. */
+    /** Returns the tasks that close the watches and the gossip socket. */
     List<Runnable> closeTasks() {
         List<Runnable> tasks = new ArrayList<>();
         if (endpointListSource != null) {
@@ -205,12 +205,14 @@
         return tasks;
     }
 
-    /** What ends the threads and the records, after all that uses them. */
+    /**
+     * Returns the tasks that shut down the threads and close the record file; run after the tasks of all their users.
+     */
     List<Runnable> finalCloseTasks() {
         return List.of(httpThreads::shutdown, recorder::close);
     }
 
-    /** Carries out {@link Action.CastVote}; without a control service the vote has failed. */
+    /** Carries out {@link Action.CastVote}; without a control service the vote fails. */
     void castVote(Action.CastVote vote) {
         if (rolloutSource == null) {
             inbox.add(RolloutUpdates.voteFailed(0));
@@ -237,7 +239,7 @@
     /**
      * Carries out {@link Action.SendGossip}.
      *
-     * @return whether gossip is allowed and has an address
+     * @return whether gossip is enabled and has an address
      */
     boolean sendGossip(int toNode, byte[] payload) {
         if (gossip == null || !decisionSettings.capabilities().gossip()) {
--- a/src/main/java/laurelkeel/front/StandaloneProtocol.java
+++ b/src/main/java/laurelkeel/front/StandaloneProtocol.java
@@ -15,14 +15,12 @@
 import laurelkeel.wire.MessageBuilder;
 import org.jspecify.annotations.Nullable;
 
-/**
- * The protocol of a standalone front node, with the header names of {@link HeaderNames}; docs/front.md explains each.
- */
+/** The protocol of a standalone front node, with the headers of {@link HeaderNames}, which docs/front.md describes. */
 final class StandaloneProtocol implements Protocol {
-    /** Where clients complain of a response; a path of the node's own. */
+    /** The path to which clients post complaints about a response; the node itself serves it. */
     static final String COMPLAINTS_PATH = "/.laurelkeel/complaints";
 
-    /** How long a client is asked to stay away that was rejected before any decision. */
+    /** The retry delay that is advised to clients whose request was rejected without a decision. */
     private static final long NOT_ACCEPTED_RETRY_AFTER_TICKS = 100 * Ticks.PER_MILLISECOND;
 
     private static final int METHOD_NOT_ALLOWED = 405;
@@ -38,8 +36,8 @@
     /**
      * Creates the protocol.
      *
-     * @param timeoutTicks by route index
-     * @param senderName names the node and its incarnation to endpoints
+     * @param timeoutTicks maps a route index to the route's timeout
+     * @param senderName identifies the node and its incarnation to endpoints
      */
     StandaloneProtocol(RouteTable routes, IntToLongFunction timeoutTicks, String senderName, String healthCheckPath) {
         this.routes = routes;
@@ -74,7 +72,7 @@
         return response;
     }
 
-    /** 503 and the statement that a retry does no harm. */
+    /** Returns a 503 response with a header stating that a retry does no harm. */
     @Override
     public HttpResponse rejected(long retryAfterTicks, String reason) {
         HttpResponse response = plain(SERVICE_UNAVAILABLE, reason);
@@ -90,7 +88,7 @@
         return Long.toString((ticks + ticksPerUnit - 1) / ticksPerUnit);
     }
 
-    /** 502 or 504, which promise nothing of what ran. */
+    /** Returns a 502 or 504 response, after which the request may or may not have run. */
     @Override
     public HttpResponse failed(boolean late, String reason) {
         HttpResponse response = plain(late ? GATEWAY_TIMEOUT : BAD_GATEWAY, reason);
@@ -98,7 +96,7 @@
         return response;
     }
 
-    /** A response with a line of text. */
+    /** Returns a response whose body is one line of text. */
     static HttpResponse plain(int status, String text) {
         return new HttpResponse(
                 status,
--- a/src/main/java/laurelkeel/front/StandaloneServices.java
+++ b/src/main/java/laurelkeel/front/StandaloneServices.java
@@ -18,8 +18,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The services of a front node that is set by an INI file: its own protocol, control plane, partitions, complaints,
- * metrics and admin address.
+ * The services of a standalone front node, which an INI file configures: protocol, control plane, partitions,
+ * complaints, metrics and admin server.
  */
 final class StandaloneServices implements NodeServices {
     private final FrontSettings settings;
@@ -32,14 +32,14 @@
     private final StandaloneControlPlane controlPlane;
     private final ComplaintHandler complaints;
     private final EndpointAddressResolver addresses = new EndpointAddressResolver();
-    /** Made when the node starts, whose status it serves; null before and where there is no admin address. */
+    /** Created at the node's start; null before that and if there is no admin address. */
     private @Nullable AdminServer adminServer;
 
     /**
-     * Creates the services; nothing is opened but the record file.
+     * Creates the services; only the record file is opened.
      *
-     * @param guarded false leaves out the partitions
-     * @throws IOException where the record file cannot be opened
+     * @param guarded false omits the partitions
+     * @throws IOException if the record file cannot be opened
      */
     StandaloneServices(FrontSettings settings, Decider.Factory deciders, NodeRuntime runtime, boolean guarded)
             throws IOException {
--- a/src/main/java/laurelkeel/front/TotalsLogger.java
+++ b/src/main/java/laurelkeel/front/TotalsLogger.java
@@ -5,7 +5,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs a front node's totals once a minute and at its end. */
+/** Logs a front node's totals once a minute and at its shutdown. */
 final class TotalsLogger {
     private static final Logger LOG = LoggerFactory.getLogger(TotalsLogger.class);
     private static final long INTERVAL_TICKS = 60 * Ticks.PER_SECOND;
@@ -20,7 +20,7 @@
         loop = components.loop();
     }
 
-    /** Logs from one interval after the loop's first turn on; from any thread. */
+    /** Starts logging; the first line follows one interval after the loop's first turn. Thread-safe. */
     void start() {
         loop.post(this::schedule);
     }
@@ -34,7 +34,7 @@
         log();
     }
 
-    /** Logs the totals since the start. */
+    /** Logs the totals since the node's start. */
     void log() {
         LOG.info(
                 "totals: {}, client connections {}, closed {}, failed accepts {}, endpoint connections {}, "
--- a/src/main/java/laurelkeel/front/TraceLogger.java
+++ b/src/main/java/laurelkeel/front/TraceLogger.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs once a second what is in flight: the attempts that the decider has at each endpoint beside what the sockets
- * there have, which must agree.
+ * Logs the work in flight once a second: the active attempts at each endpoint next to those on its connections. The two
+ * must agree.
  */
 final class TraceLogger {
     private static final Logger LOG = LoggerFactory.getLogger(TraceLogger.class);
@@ -25,7 +25,7 @@
         loop = components.loop();
     }
 
-    /** Logs from the loop's first turn on; from any thread. */
+    /** Starts logging with the loop's first turn. Thread-safe. */
     void start() {
         loop.post(this::logRepeatedly);
     }
--- a/src/main/java/laurelkeel/front/WireTerms.java
+++ b/src/main/java/laurelkeel/front/WireTerms.java
@@ -15,41 +15,41 @@
 import laurelkeel.records.RecordTerms;
 
 /**
- * Maps the names that stand in settings files, in records and in metric labels to the terms of the API. Those names are
- * part of the product's interface and stay as they are. Names in messages of the control plane:
+ * Maps the names used in settings files, records and metric labels to the terms of the API. Those names are part of the
+ * product's external interface and must not change. Names in messages of the control plane:
  * {@link laurelkeel.front.controlplane.ControlPlaneTerms}.
  */
 public final class WireTerms {
-    /** Values of {@code effect} in a route's section, in the order in which errors list them. */
-    static final Map<String, Idempotency> IDEMPOTENCY = inOrder(
+    /** Values of {@code effect} in a route's section, in the order in which error messages list them. */
+    static final Map<String, Idempotency> IDEMPOTENCY = orderedMap(
             Map.entry("retriable", Idempotency.IDEMPOTENT),
             Map.entry("deduped", Idempotency.DEDUPLICATED),
             Map.entry("non-retriable", Idempotency.NOT_IDEMPOTENT));
 
     /** Values of {@code group} in a route's section. */
-    static final Map<String, DeduplicationScope> DEDUPLICATION_SCOPE = inOrder(
+    static final Map<String, DeduplicationScope> DEDUPLICATION_SCOPE = orderedMap(
             Map.entry("all", DeduplicationScope.ALL),
             Map.entry("zone", DeduplicationScope.ZONE),
             Map.entry("cell", DeduplicationScope.CELL));
 
     /** Values of {@code control} in the rollout's section. */
-    static final Map<String, PromotionPolicy> PROMOTION_POLICY = inOrder(
+    static final Map<String, PromotionPolicy> PROMOTION_POLICY = orderedMap(
             Map.entry("any", PromotionPolicy.FIRST_VOTE),
             Map.entry("count", PromotionPolicy.VOTE_COUNT),
             Map.entry("clock", PromotionPolicy.AUTOMATIC));
 
     /** Values of {@code mode} in the endpoint list's section. */
     static final Map<String, EndpointListMode> ENDPOINT_LIST_MODE =
-            inOrder(Map.entry("push", EndpointListMode.PUSH), Map.entry("ask", EndpointListMode.POLL));
+            orderedMap(Map.entry("push", EndpointListMode.PUSH), Map.entry("ask", EndpointListMode.POLL));
 
     /** Values of {@code earnings-by} in the front node's section. */
     static final Map<String, ValueBasis> VALUE_BASIS =
-            inOrder(Map.entry("req", ValueBasis.REQUEST), Map.entry("work", ValueBasis.WORK));
+            orderedMap(Map.entry("req", ValueBasis.REQUEST), Map.entry("work", ValueBasis.WORK));
 
     private WireTerms() {}
 
     @SafeVarargs
-    private static <T> Map<String, T> inOrder(Map.Entry<String, T>... entries) {
+    private static <T> Map<String, T> orderedMap(Map.Entry<String, T>... entries) {
         Map<String, T> map = new LinkedHashMap<>();
         for (Map.Entry<String, T> entry : entries) {
             map.put(entry.getKey(), entry.getValue());
@@ -57,7 +57,7 @@
         return map;
     }
 
-    /** The label of an attempt's outcome in {@code laurelkeel_outcomes_total}. */
+    /** Returns the label of an attempt's outcome in {@code laurelkeel_outcomes_total}. */
     static String metricLabel(AttemptOutcome outcome) {
         return switch (outcome) {
             case COMPLETED -> "completed";
@@ -71,7 +71,7 @@
         };
     }
 
-    /** The label of a request's outcome in {@code laurelkeel_answers_total}. */
+    /** Returns the label of a request's outcome in {@code laurelkeel_answers_total}. */
     static String metricLabel(RequestOutcome outcome) {
         return switch (outcome) {
             case COMPLETED -> "completed";
@@ -81,7 +81,7 @@
         };
     }
 
-    /** The label of an attribution in {@code laurelkeel_blame_total}. */
+    /** Returns the label of an attribution in {@code laurelkeel_blame_total}. */
     static String metricLabel(Attribution attribution) {
         return switch (attribution) {
             case NONE -> "none";
@@ -92,7 +92,7 @@
         };
     }
 
-    /** An endpoint's state as records keep it. */
+    /** Returns the recorded form of an endpoint's state. */
     static RecordTerms.EndpointState recorded(EndpointState state) {
         return switch (state) {
             case ACTIVE -> RecordTerms.EndpointState.ACTIVE;
@@ -102,20 +102,20 @@
     }
 
     /**
-     * The kind of an endpoint list as records keep it.
+     * Returns the recorded form of an endpoint list's kind.
      *
-     * @throws IllegalArgumentException for a failed call, which brings no list to record
+     * @throws IllegalArgumentException for a failed fetch, which has no list to record
      */
     static RecordTerms.EndpointListKind recorded(EndpointListKind kind) {
         return switch (kind) {
             case DELTA -> RecordTerms.EndpointListKind.DELTA;
             case SNAPSHOT -> RecordTerms.EndpointListKind.SNAPSHOT;
             case CACHED -> RecordTerms.EndpointListKind.CACHED;
-            case FAILED -> throw new IllegalArgumentException("a failed call brings no list to record");
+            case FAILED -> throw new IllegalArgumentException("a failed fetch has no list to record");
         };
     }
 
-    /** A rollout's phase as records keep it. */
+    /** Returns the recorded form of a rollout's phase. */
     static RecordTerms.RolloutPhase recorded(RolloutPhase phase) {
         return switch (phase) {
             case CANARY -> RecordTerms.RolloutPhase.CANARY;
@@ -125,7 +125,7 @@
         };
     }
 
-    /** A route's idempotency as records keep it. */
+    /** Returns the recorded form of a route's idempotency. */
     public static RecordTerms.Idempotency recorded(Idempotency idempotency) {
         return switch (idempotency) {
             case IDEMPOTENT -> RecordTerms.Idempotency.IDEMPOTENT;
@@ -134,7 +134,7 @@
         };
     }
 
-    /** The scope of a route's deduplication as records keep it. */
+    /** Returns the recorded form of the scope of a route's deduplication. */
     public static RecordTerms.DeduplicationScope recorded(DeduplicationScope scope) {
         return switch (scope) {
             case ALL -> RecordTerms.DeduplicationScope.ALL;
--- a/src/main/java/laurelkeel/front/package-info.java
+++ b/src/main/java/laurelkeel/front/package-info.java
@@ -1,6 +1,7 @@
 /**
- * A front node: it hosts one decider, turns what happens on sockets and in the control plane into events, and carries
- * out the decider's actions. It decides nothing. docs/front.md says how each event and action is carried.
+ * A front node: it hosts one decider, translates what happens on sockets and in the control plane into events, and
+ * carries out the decider's actions. It makes no decisions itself. docs/front.md describes how each event and action is
+ * mapped.
  */
 @NullMarked
 package laurelkeel.front;
