--- a/src/test/java/laurelkeel/front/AcceptedRequestTableTest.java
+++ b/src/test/java/laurelkeel/front/AcceptedRequestTableTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void idsNameTheIncarnationAndCountUp() {
+    void idsConsistOfTheIncarnationAndASequenceNumber() {
         assertEquals("life-0", create(null).id());
         for (int i = 1; i < 36; i++) {
             create(null);
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void theNumberIsReadOutOfTheId() {
+    void theNumberIsParsedOutOfTheId() {
         assertEquals(36, AcceptedRequestTable.requestNumber("life-10", "life"));
         assertEquals(-1, AcceptedRequestTable.requestNumber("other-10", "life"));
         assertEquals(-1, AcceptedRequestTable.requestNumber("life-?", "life"));
@@ -42,21 +42,21 @@
     }
 
     @Test
-    void aClientsIdIsTakenUntilItsRequestIsRemoved() {
+    void aClientRequestIdIsReservedUntilItsRequestIsRemoved() {
         AcceptedRequest request = create("a");
         assertTrue(table.reserveClientRequestId(request.clientRequest()));
         table.add(request);
         assertFalse(table.reserveClientRequestId(clientRequest("a")));
         assertTrue(table.reserveClientRequestId(clientRequest("b")));
         assertTrue(table.reserveClientRequestId(clientRequest(null)));
-        assertTrue(table.reserveClientRequestId(clientRequest(null)), "none is not an id");
+        assertTrue(table.reserveClientRequestId(clientRequest(null)), "requests without an id do not conflict");
         assertTrue(table.remove(request));
         assertFalse(table.remove(request));
         assertTrue(table.reserveClientRequestId(clientRequest("a")));
     }
 
     @Test
-    void requestsAreFoundByTheirIdAndCountAsUnansweredUntilTheyAreAnswered() {
+    void requestsAreFoundByIdAndCountAsUnansweredUntilMarkedAnswered() {
         AcceptedRequest request = create(null);
         assertFalse(table.hasUnanswered());
         table.add(request);
--- a/src/test/java/laurelkeel/front/AttributionReporterTest.java
+++ b/src/test/java/laurelkeel/front/AttributionReporterTest.java
@@ -42,21 +42,21 @@
         return new ResponseReferences.Origin(endpointId, sentAtTicks, 1, 0);
     }
 
-    private void end(long sentAtTicks, AttemptOutcome outcome) {
+    private void endAttempt(long sentAtTicks, AttemptOutcome outcome) {
         reporter.onAttemptEnded(attempt(ENDPOINT, sentAtTicks), sentAtTicks + 100, outcome);
     }
 
-    /** The report in the form in which it goes over the wire. */
+    /** Returns the report in its JSON form. */
     private JsonNode json(AttributionReport report) throws Exception {
         ObjectMapper mapper = new ObjectMapper();
         return mapper.readTree(mapper.writeValueAsString(report));
     }
 
     @Test
-    void aReportGoesOverTheWireByTheNamesOfThePages() throws Exception {
-        end(5 * SECOND_TICKS, AttemptOutcome.COMPLETED);
-        end(5 * SECOND_TICKS + 1, AttemptOutcome.FAILED);
-        end(5 * SECOND_TICKS + 2, AttemptOutcome.TIMED_OUT);
+    void aReportHasTheDocumentedJsonFieldNames() throws Exception {
+        endAttempt(5 * SECOND_TICKS, AttemptOutcome.COMPLETED);
+        endAttempt(5 * SECOND_TICKS + 1, AttemptOutcome.FAILED);
+        endAttempt(5 * SECOND_TICKS + 2, AttemptOutcome.TIMED_OUT);
         reporter.onComplaint(attempt(ENDPOINT, 5 * SECOND_TICKS));
         reporter.report(8 * SECOND_TICKS);
         JsonNode report = json(reports.get(0));
@@ -97,8 +97,8 @@
     }
 
     @Test
-    void aSecondIsReportedOnceItsAttemptsHadTimeToEnd() {
-        end(5 * SECOND_TICKS, AttemptOutcome.COMPLETED);
+    void aSecondIsReportedOnceItsGracePeriodIsOver() {
+        endAttempt(5 * SECOND_TICKS, AttemptOutcome.COMPLETED);
         reporter.report(8 * SECOND_TICKS - 1);
         assertEquals(0, reports.size());
         reporter.report(8 * SECOND_TICKS);
@@ -107,19 +107,19 @@
     }
 
     @Test
-    void whatComesTooLateOrFromAnUnknownEndpointIsLeftOut() {
-        end(5 * SECOND_TICKS, AttemptOutcome.COMPLETED);
+    void lateAttemptsAndAttemptsAtUnknownEndpointsAreNotReported() {
+        endAttempt(5 * SECOND_TICKS, AttemptOutcome.COMPLETED);
         reporter.report(8 * SECOND_TICKS);
-        end(5 * SECOND_TICKS + 1, AttemptOutcome.COMPLETED);
+        endAttempt(5 * SECOND_TICKS + 1, AttemptOutcome.COMPLETED);
         reporter.onAttemptEnded(attempt("10.0.0.9:80", 9 * SECOND_TICKS), 9 * SECOND_TICKS, AttemptOutcome.COMPLETED);
         assertEquals(2, reporter.uncounted());
     }
 
     @Test
-    void outcomesThatSayNothingOfABuildAreNotCounted() {
+    void outcomesWithoutInformationAboutTheBuildAreIgnored() {
         for (AttemptOutcome outcome :
                 List.of(AttemptOutcome.OVERLOADED, AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT)) {
-            end(5 * SECOND_TICKS, outcome);
+            endAttempt(5 * SECOND_TICKS, outcome);
         }
         reporter.report(8 * SECOND_TICKS);
         assertEquals(0, reports.size());
@@ -128,7 +128,7 @@
 
     @Test
     void complaintsNeverExceedAttempts() {
-        end(5 * SECOND_TICKS, AttemptOutcome.COMPLETED);
+        endAttempt(5 * SECOND_TICKS, AttemptOutcome.COMPLETED);
         reporter.onComplaint(attempt(ENDPOINT, 5 * SECOND_TICKS));
         reporter.onComplaint(attempt(ENDPOINT, 5 * SECOND_TICKS));
         reporter.report(8 * SECOND_TICKS);
--- a/src/test/java/laurelkeel/front/ControlPlaneTest.java
+++ b/src/test/java/laurelkeel/front/ControlPlaneTest.java
@@ -46,7 +46,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a node makes of each line that a scripted control plane sends. */
+/** A node's handling of the messages of a scripted control plane. */
 class ControlPlaneTest {
     private static final String ACTIVE_ENDPOINT =
             "{\"machine\":\"127.0.0.1:9\",\"build\":4,\"zone\":\"here\",\"state\":\"live\","
@@ -85,14 +85,16 @@
         try {
             if (path.endsWith("watch")) {
                 exchange.sendResponseHeaders(200, 0);
-                for (String s = "{\"kind\":\"beat\"}"; !"cut".equals(s); s = lines.poll(20, TimeUnit.SECONDS)) {
-                    exchange.getResponseBody().write((s + "\n").getBytes(StandardCharsets.UTF_8));
+                for (String line = "{\"kind\":\"beat\"}";
+                        !"cut".equals(line);
+                        line = lines.poll(20, TimeUnit.SECONDS)) {
+                    exchange.getResponseBody().write((line + "\n").getBytes(StandardCharsets.UTF_8));
                     exchange.getResponseBody().flush();
                 }
             } else {
-                String s = lines.poll(20, TimeUnit.SECONDS);
-                byte[] body = s.getBytes(StandardCharsets.UTF_8);
-                exchange.sendResponseHeaders(s.equals("no") ? 500 : 200, body.length);
+                String line = lines.poll(20, TimeUnit.SECONDS);
+                byte[] body = line.getBytes(StandardCharsets.UTF_8);
+                exchange.sendResponseHeaders(line.equals("no") ? 500 : 200, body.length);
                 exchange.getResponseBody().write(body);
             }
         } catch (InterruptedException e) {
@@ -120,8 +122,8 @@
     }
 
     @Test
-    void aListIsFollowedGapsAreFetchedAndARestartReadsTheCachedOne() throws Exception {
-        try (FrontTestPeers peers = new FrontTestPeers(directory, sourceSections("push"), (exchange, e) -> List.of())) {
+    void listUpdatesApplyAGapIsFetchedAndARestartReadsTheCachedList() throws Exception {
+        try (FrontTestPeers peers = new FrontTestPeers(directory, sourceSections("push"), (self, e) -> List.of())) {
             BlockingQueue<String> watch = linesByPath.get("/list/watch");
             watch.add("{\"kind\":\"full\",\"version\":7,\"machines\":[" + ACTIVE_ENDPOINT.formatted(1, "500") + "]}");
             watch.add("no json");
@@ -131,7 +133,7 @@
             linesByPath
                     .get("/list")
                     .add("{\"kind\":\"full\",\"version\":12,\"machines\":[" + ACTIVE_ENDPOINT.formatted(2, "0") + "]}");
-            FrontTestRig.await("four lists", () -> listUpdates(peers).size() == 4);
+            FrontTestRig.await("four list updates", () -> listUpdates(peers).size() == 4);
             List<Event.EndpointListUpdate> updates = listUpdates(peers);
             assertEquals(
                     List.of(
@@ -144,16 +146,19 @@
             Event.EndpointEntry first = updates.get(1).entries().get(0);
             assertEquals(EndpointState.DRAINING, updates.get(2).entries().get(0).state());
             assertEquals(
-                    first.startedAtTicks(), updates.get(2).entries().get(0).startedAtTicks(), "one start, two moments");
+                    first.startedAtTicks(),
+                    updates.get(2).entries().get(0).startedAtTicks(),
+                    "two ages of the same start");
             assertTrue(
                     updates.get(3).entries().get(0).startedAtTicks() > first.startedAtTicks(),
-                    "a new run is a new start");
+                    "a new incarnation is a new start");
             watch.add("cut");
             FrontTestRig.await(
-                    "it subscribes again from what it has", () -> requestedUris.contains("/list/watch?after=12"));
-            FrontTestRig.await("the list is kept", () -> Files.exists(directory.resolve("state/list.json")));
+                    "the watch is reopened after the last version",
+                    () -> requestedUris.contains("/list/watch?after=12"));
+            FrontTestRig.await("the list is stored", () -> Files.exists(directory.resolve("state/list.json")));
         }
-        try (FrontTestPeers peers = new FrontTestPeers(directory, "", (exchange, e) -> List.of())) {
+        try (FrontTestPeers peers = new FrontTestPeers(directory, "", (self, e) -> List.of())) {
             Event.EndpointListUpdate cached = peers.firstEvent(Event.EndpointListUpdate.class);
             assertEquals(EndpointListKind.CACHED, cached.kind());
             assertEquals("127.0.0.1:9", cached.entries().get(0).endpointId());
@@ -165,7 +170,7 @@
         try (FrontTestPeers peers = new FrontTestPeers(
                         directory,
                         sourceSections("ask"),
-                        (exchange, e) -> e instanceof Event.RequestReceived request
+                        (self, e) -> e instanceof Event.RequestReceived request
                                 ? List.of(
                                         request.clientRetry()
                                                 ? new Action.FetchEndpoints()
@@ -177,13 +182,14 @@
             assertTrue(requestedUris.stream().noneMatch(a -> a.startsWith("/list")));
             linesByPath.get("/list").add("no");
             FrontTestPeers.send(client, FrontTestPeers.lookRequest("Laurelkeel-Repeat: 1\r\n"));
-            FrontTestRig.await("a failure", () -> listUpdates(peers).size() == 2);
+            FrontTestRig.await(
+                    "the failed fetch is reported", () -> listUpdates(peers).size() == 2);
             FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
             linesByPath.get("/list/watch").add("{\"kind\":\"full\",\"version\":1,\"machines\":[]}");
-            FrontTestRig.await("an answer", () -> listUpdates(peers).size() == 3);
+            FrontTestRig.await("the list arrives", () -> listUpdates(peers).size() == 3);
             linesByPath.get("/list/watch").add("cut");
             FrontTestRig.await(
-                    "the broken watch is told", () -> listUpdates(peers).size() == 4);
+                    "the broken watch is reported", () -> listUpdates(peers).size() == 4);
             assertEquals(
                     List.of(
                             EndpointListKind.CACHED,
@@ -197,11 +203,11 @@
     }
 
     @Test
-    void rolloutUpdatesStatisticsAndEveryAnswerToAVoteBecomeEvents() throws Exception {
+    void rolloutUpdatesStatisticsAndVoteResponsesBecomeEvents() throws Exception {
         try (FrontTestPeers peers = new FrontTestPeers(
                         directory,
                         sourceSections("push"),
-                        (exchange, e) -> e instanceof Event.RequestReceived request
+                        (self, e) -> e instanceof Event.RequestReceived request
                                 ? List.of(
                                         new Action.CastVote(9, 1, Verdict.ROLL_BACK),
                                         new Action.FailRequest(request.requestId()))
@@ -240,15 +246,15 @@
                 FrontTestPeers.receive(client);
                 int expectedUpdates = statuses.size() + 2;
                 FrontTestRig.await(
-                        "answer " + answer,
+                        "vote response " + answer,
                         () -> peers.events.stream()
                                         .filter(e -> e instanceof Event.RolloutUpdate)
                                         .count()
                                 == expectedUpdates);
                 statuses.add(peers.events.stream()
-                        .filter(e -> e instanceof Event.RolloutUpdate request && request.answersVote())
+                        .filter(e -> e instanceof Event.RolloutUpdate rollout && rollout.answersVote())
                         .map(e -> ((Event.RolloutUpdate) e).status())
-                        .reduce((exchange, y) -> y)
+                        .reduce((first, second) -> second)
                         .orElseThrow());
             }
             assertEquals(
@@ -264,8 +270,8 @@
     }
 
     @Test
-    void invalidLinesAreSkippedAndEndNothing() throws Exception {
-        try (FrontTestPeers peers = new FrontTestPeers(directory, sourceSections("push"), (exchange, e) -> List.of())) {
+    void invalidLinesAreSkippedAndTheWatchContinues() throws Exception {
+        try (FrontTestPeers peers = new FrontTestPeers(directory, sourceSections("push"), (self, e) -> List.of())) {
             BlockingQueue<String> list = linesByPath.get("/list/watch");
             list.add("null");
             list.add("[]");
@@ -273,24 +279,25 @@
             list.add("{\"version\":3,\"machines\":[]}");
             list.add("{\"kind\":\"full\",\"version\":3,\"machines\":[{\"build\":4}]}");
             list.add("{\"kind\":\"full\",\"version\":7,\"machines\":[" + ACTIVE_ENDPOINT.formatted(1, "500") + "]}");
-            BlockingQueue<String> line = linesByPath.get("/release/watch");
-            line.add("null");
-            line.add("{\"kind\":\"news\",\"build\":9,\"stage\":0,\"cap\":0.4}");
-            line.add("{\"kind\":\"news\",\"build\":9,\"stage\":0,\"cap\":0.4,\"phase\":\"perhaps\"}");
-            line.add("{\"kind\":\"news\",\"build\":9,\"stage\":-1,\"cap\":0.4,\"phase\":\"trial\"}");
-            line.add("{\"kind\":\"news\",\"build\":9,\"stage\":0,\"cap\":7,\"phase\":\"trial\"}");
-            line.add("{\"kind\":\"news\",\"build\":9,\"phase\":\"trial\",\"standing\":[null]}");
-            line.add("{\"kind\":\"news\",\"build\":9,\"stage\":1,\"cap\":0.4,\"phase\":\"trial\"}");
+            BlockingQueue<String> rollout = linesByPath.get("/release/watch");
+            rollout.add("null");
+            rollout.add("{\"kind\":\"news\",\"build\":9,\"stage\":0,\"cap\":0.4}");
+            rollout.add("{\"kind\":\"news\",\"build\":9,\"stage\":0,\"cap\":0.4,\"phase\":\"perhaps\"}");
+            rollout.add("{\"kind\":\"news\",\"build\":9,\"stage\":-1,\"cap\":0.4,\"phase\":\"trial\"}");
+            rollout.add("{\"kind\":\"news\",\"build\":9,\"stage\":0,\"cap\":7,\"phase\":\"trial\"}");
+            rollout.add("{\"kind\":\"news\",\"build\":9,\"phase\":\"trial\",\"standing\":[null]}");
+            rollout.add("{\"kind\":\"news\",\"build\":9,\"stage\":1,\"cap\":0.4,\"phase\":\"trial\"}");
             assertEquals(1, peers.firstEvent(Event.RolloutUpdate.class).stage());
-            FrontTestRig.await("the list", () -> listUpdates(peers).size() == 2);
+            FrontTestRig.await(
+                    "the valid list arrives", () -> listUpdates(peers).size() == 2);
             assertEquals(4, listUpdates(peers).get(1).entries().get(0).build());
             assertTrue(!peers.front.termination().isDone());
         }
     }
 
     @Test
-    void aListThatJumpsAtEachLineIsFetchedOnceAtATime() throws Exception {
-        try (FrontTestPeers peers = new FrontTestPeers(directory, sourceSections("push"), (exchange, e) -> List.of())) {
+    void aListWithAGapInEachUpdateIsFetchedOnceAtATime() throws Exception {
+        try (FrontTestPeers peers = new FrontTestPeers(directory, sourceSections("push"), (self, e) -> List.of())) {
             BlockingQueue<String> watch = linesByPath.get("/list/watch");
             for (int i = 0; i < 500; i++) {
                 watch.add("{\"kind\":\"changes\",\"version\":" + (100 + 2 * i) + ",\"previous\":" + (99 + 2 * i)
@@ -298,15 +305,18 @@
             }
             FrontTestRig.await("all lines are read", watch::isEmpty);
             watch.add("{\"kind\":\"full\",\"version\":5000,\"machines\":[]}");
-            FrontTestRig.await("the list that follows", () -> listUpdates(peers).size() == 2);
+            FrontTestRig.await(
+                    "the snapshot that follows", () -> listUpdates(peers).size() == 2);
             assertEquals(
-                    1, requestedUris.stream().filter(a -> a.equals("/list")).count(), "while none is answered");
+                    1,
+                    requestedUris.stream().filter(a -> a.equals("/list")).count(),
+                    "no second fetch while the first is pending");
             linesByPath.get("/list").add("no");
         }
     }
 
     @Test
-    void aVoteWhoseAnswerNeverEndsTimesOut() throws Exception {
+    void aVoteWhoseResponseNeverEndsTimesOut() throws Exception {
         server.removeContext("/release/votes");
         server.createContext("/release/votes", exchange -> {
             exchange.sendResponseHeaders(200, 0);
@@ -317,14 +327,14 @@
                     Thread.sleep(10);
                 }
             } catch (IOException | InterruptedException e) {
-                // cut off, as it should be
+                // expected: the node cancels the vote's request
             }
             exchange.close();
         });
         try (FrontTestPeers peers = new FrontTestPeers(
                         directory,
                         sourceSections("push"),
-                        (exchange, e) -> e instanceof Event.RequestReceived request
+                        (self, e) -> e instanceof Event.RequestReceived request
                                 ? List.of(
                                         new Action.CastVote(9, 1, Verdict.ROLL_BACK),
                                         new Action.FailRequest(request.requestId()))
@@ -338,17 +348,17 @@
     }
 
     @Test
-    void aWatchThatGoesSilentIsReopened() throws Exception {
-        try (FrontTestPeers peers = new FrontTestPeers(directory, sourceSections("push"), (exchange, e) -> List.of())) {
-            // each sends one heartbeat and nothing more
+    void aWatchWithoutHeartbeatsIsReopened() throws Exception {
+        try (FrontTestPeers peers = new FrontTestPeers(directory, sourceSections("push"), (self, e) -> List.of())) {
+            // each watch sends one heartbeat and nothing more
             FrontTestRig.await(
-                    "the endpoint list is watched again",
+                    "the watch of the endpoint list is reopened",
                     () -> requestedUris.stream()
                                     .filter(a -> a.startsWith("/list/watch"))
                                     .count()
                             > 1);
             FrontTestRig.await(
-                    "the rollout too",
+                    "the watch of rollouts is reopened",
                     () -> requestedUris.stream()
                                     .filter(a -> a.startsWith("/release/watch"))
                                     .count()
@@ -358,10 +368,10 @@
     }
 
     @Test
-    void aLineWithoutAnEndIsCutOff() throws Exception {
+    void aWatchWithAnEndlessLineIsClosed() throws Exception {
         byte[] chunk = "x".repeat(1 << 20).getBytes(StandardCharsets.US_ASCII);
         AtomicLong sentBytes = new AtomicLong();
-        CountDownLatch cutOff = new CountDownLatch(1);
+        CountDownLatch closed = new CountDownLatch(1);
         server.removeContext("/list/watch");
         server.createContext("/list/watch", exchange -> {
             try {
@@ -371,19 +381,19 @@
                     sentBytes.addAndGet(chunk.length);
                 }
             } catch (IOException e) {
-                cutOff.countDown();
+                closed.countDown();
             }
             exchange.close();
         });
-        try (FrontTestPeers peers = new FrontTestPeers(directory, sourceSections("push"), (exchange, e) -> List.of())) {
-            assertTrue(cutOff.await(20, TimeUnit.SECONDS), "poured " + sentBytes);
-            assertTrue(sentBytes.get() < 64 << 20, "poured " + sentBytes);
+        try (FrontTestPeers peers = new FrontTestPeers(directory, sourceSections("push"), (self, e) -> List.of())) {
+            assertTrue(closed.await(20, TimeUnit.SECONDS), "bytes sent: " + sentBytes);
+            assertTrue(sentBytes.get() < 64 << 20, "bytes sent: " + sentBytes);
             assertFalse(peers.front.termination().isDone());
         }
     }
 
     @Test
-    void gossipReachesTheOtherNodeAndNothingElseDoes() throws Exception {
+    void gossipReachesTheOtherNodeAndOtherPacketsAreIgnored() throws Exception {
         InetAddress loopback = InetAddress.getLoopbackAddress();
         InetSocketAddress firstAddress = new InetSocketAddress(loopback, PortAllocator.allocate());
         InetSocketAddress secondAddress = new InetSocketAddress(loopback, PortAllocator.allocate());
@@ -426,14 +436,14 @@
     }
 
     @Test
-    void nodesWithClocksApartKeepTheRulesThroughARollout() throws Exception {
+    void nodesWhoseClocksDifferKeepTheRulesDuringARollout() throws Exception {
         LongSupplier clock = NodeRuntime.monotonicClock();
         try (FrontTestRig rig = new FrontTestRig(
                 directory, "", 2, 5, RoutingDecider::new, true, clock, () -> clock.getAsLong() + 99_999_999_999L)) {
             rig.startLoad();
             rig.applyFault("what = offer\nbuild = 2\n");
             FrontTestRig.await(
-                    "released",
+                    "build 2 is released",
                     () -> rig.count(
                                     TrafficRecord.RolloutStageChanged.class,
                                     s -> s.build() == 2 && s.phase() == RecordTerms.RolloutPhase.RELEASED)
--- a/src/test/java/laurelkeel/front/EndpointAddressResolverTest.java
+++ b/src/test/java/laurelkeel/front/EndpointAddressResolverTest.java
@@ -19,14 +19,14 @@
     }
 
     @Test
-    void anIdThatIsNoAddressHasNoSocketAddress() {
+    void anIdThatIsNotAnAddressHasNoSocketAddress() {
         for (String id : new String[] {"", "nowhere", "127.0.0.1:http", "127.0.0.1:70000"}) {
             assertNull(resolver.addressOf(id).socketAddress(), id);
         }
     }
 
     @Test
-    void everNewEndpointsAreResolvedWithoutEnd() {
+    void moreEndpointsThanTheCacheHoldsAreResolved() {
         for (int i = 0; i < 45_000; i++) {
             String id = "127.0." + i / 200 + "." + (1 + i % 200) + ":80";
             assertEquals(id, resolver.addressOf(id).key());
--- a/src/test/java/laurelkeel/front/EndpointListCacheTest.java
+++ b/src/test/java/laurelkeel/front/EndpointListCacheTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The stored list keeps the form in which earlier versions wrote it and will read it. */
+/** The file format stays compatible: files of earlier versions can be read, and are written in the same form. */
 class EndpointListCacheTest {
     private static final String STORED =
             "[{\"machine\":\"10.0.0.1:80\",\"build\":4,\"zone\":\"north\",\"cell\":2,\"kind\":1,\"size\":1.5,"
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aFileIsWrittenInTheSameForm() throws Exception {
+    void aFileIsWrittenInTheFormOfEarlierVersions() throws Exception {
         cache().store(ENDPOINTS);
         writer.shutdown();
         assertTrue(writer.awaitTermination(10, TimeUnit.SECONDS));
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void theListIsEmptyWhereTheFileIsMissingOrCannotBeFollowed() throws Exception {
+    void theListIsEmptyIfTheFileIsMissingOrMalformed() throws Exception {
         assertEquals(List.of(), cache().read());
         for (String content : List.of("", "null", "[null]", "{}", "[{\"machine\":\"10.0.0.1:80\"}]", "[" + STORED)) {
             Files.writeString(directory.resolve("list.json"), content);
--- a/src/test/java/laurelkeel/front/EndpointListTranslatorTest.java
+++ b/src/test/java/laurelkeel/front/EndpointListTranslatorTest.java
@@ -39,7 +39,7 @@
                 new ControlPlaneRecorder(null, 0, "incarnation", loop));
     }
 
-    /** It writes into the directory that is deleted next. */
+    /** Waits for the writer, since it writes into the directory that JUnit deletes next. */
     @AfterEach
     void stopWriter() throws InterruptedException {
         writer.shutdown();
@@ -67,24 +67,24 @@
     }
 
     @Test
-    void theMomentOfAStartIsComputedOnceFromItsAge() {
+    void theStartTimeIsComputedOnceFromTheAge() {
         assertEquals(NOW_TICKS - 5_000, translate(started(1, 500), NOW_TICKS).startedAtTicks());
         assertEquals(NOW_TICKS - 5_000, translate(started(1, 700), NOW_TICKS).startedAtTicks());
         assertEquals(NOW_TICKS - 100, translate(started(2, 10), NOW_TICKS).startedAtTicks(), "a new start");
     }
 
     @Test
-    void aStartOfOverAnHourAgoWasLongAgo() {
+    void aStartMoreThanAnHourAgoIsReportedAsLongAgo() {
         assertEquals(0, translate(started(1, -1), NOW_TICKS).startedAtTicks());
         assertEquals(0, translate(started(2, 3_600_001), NOW_TICKS).startedAtTicks());
         assertEquals(
                 NOW_TICKS - 36_000_000,
                 translate(started(3, 3_600_000), NOW_TICKS).startedAtTicks());
-        assertEquals(1, translate(started(4, 3_600_000), 1_000).startedAtTicks(), "0 is for long ago alone");
+        assertEquals(1, translate(started(4, 3_600_000), 1_000).startedAtTicks(), "0 is reserved for starts long ago");
     }
 
     @Test
-    void aRemovedEndpointThatReturnsHasStartedAnew() {
+    void aRemovedEndpointThatReturnsHasANewStart() {
         translate(started(1, 500), NOW_TICKS);
         translate(endpoint("north", 1, EndpointState.REMOVED, 1, 600), NOW_TICKS);
         assertEquals(NOW_TICKS - 100, translate(started(1, 10), NOW_TICKS).startedAtTicks());
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void zonesHaveTheOrderOfTheSettingsAndThenThatInWhichTheyAreMet() {
+    void zonesAreNumberedBySettingsAndThenByFirstAppearance() {
         assertEquals(
                 1,
                 translate(endpoint("south", 1, EndpointState.ACTIVE, 1, 0), NOW_TICKS)
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void anEndpointWithoutWeightCountsAsOne() {
+    void anEndpointWithoutWeightHasWeightOne() {
         assertEquals(
                 1,
                 translate(endpoint("north", 0, EndpointState.ACTIVE, 1, 0), NOW_TICKS)
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void theCachedListIsKnownAtOnceAndItsAgesGiveWayToLaterOnes() {
+    void theCachedListIsReadAndItsAgesAreReplacedByLaterOnes() {
         assertEquals(EndpointListKind.CACHED, translator.cachedList().kind());
         assertEquals(NOW_TICKS - 5_000, translate(started(1, 500), NOW_TICKS).startedAtTicks());
     }
--- a/src/test/java/laurelkeel/front/FinalAnswerGuardTest.java
+++ b/src/test/java/laurelkeel/front/FinalAnswerGuardTest.java
@@ -25,7 +25,7 @@
         return new AcceptedRequest("life-0", 0, null, clientRequest, 10, DEADLINE_TICKS);
     }
 
-    /** Runs the loop at a moment until nothing is due. */
+    /** Runs the loop at a given time until no task is due. */
     private void runAt(long ticks) {
         nowTicks = ticks;
         loop.schedule(ticks, () -> {});
@@ -54,30 +54,30 @@
     }
 
     @Test
-    void anOverdueRequestIsNoticedAMillisecondBeforeItsDeadline() {
-        List<Long> noticed = new ArrayList<>();
-        new FinalAnswerGuard(loop, true).watch(request, () -> noticed.add(loop.nowTicks()));
+    void anOverdueRequestIsReportedAMillisecondBeforeItsDeadline() {
+        List<Long> reportedAtTicks = new ArrayList<>();
+        new FinalAnswerGuard(loop, true).watch(request, () -> reportedAtTicks.add(loop.nowTicks()));
         runAt(DEADLINE_TICKS - 10);
-        assertEquals(List.of(DEADLINE_TICKS - 10), noticed);
+        assertEquals(List.of(DEADLINE_TICKS - 10), reportedAtTicks);
     }
 
     @Test
-    void aCancelledWatchNoticesNothing() {
-        List<Long> noticed = new ArrayList<>();
-        new FinalAnswerGuard(loop, true).watch(request, () -> noticed.add(loop.nowTicks()));
+    void aCancelledTimerReportsNothing() {
+        List<Long> reportedAtTicks = new ArrayList<>();
+        new FinalAnswerGuard(loop, true).watch(request, () -> reportedAtTicks.add(loop.nowTicks()));
         request.cancelOverdueTimer();
         runAt(DEADLINE_TICKS);
-        assertEquals(List.of(), noticed);
+        assertEquals(List.of(), reportedAtTicks);
     }
 
     @Test
     void aDisabledGuardPermitsEverything() {
         FinalAnswerGuard guard = new FinalAnswerGuard(loop, false);
-        List<Long> noticed = new ArrayList<>();
-        guard.watch(request, () -> noticed.add(loop.nowTicks()));
+        List<Long> reportedAtTicks = new ArrayList<>();
+        guard.watch(request, () -> reportedAtTicks.add(loop.nowTicks()));
         request.markAnswered();
         runAt(DEADLINE_TICKS);
-        assertEquals(List.of(), noticed);
+        assertEquals(List.of(), reportedAtTicks);
         assertTrue(guard.permitsAnswer(request));
         assertTrue(guard.permitsAttempt(request));
     }
--- a/src/test/java/laurelkeel/front/FrontChildProcess.java
+++ b/src/test/java/laurelkeel/front/FrontChildProcess.java
@@ -15,8 +15,8 @@
 import laurelkeel.testbed.PortAllocator;
 
 /**
- * A node in a process of its own that lacks something: descriptors, memory, disk, or a reader of its log. It is between
- * one endpoint that answers every request, known from the cached list, and clients that are plain sockets.
+ * A front node in its own process, under limited resources: file descriptors, memory, disk space, or a log pipe without
+ * a reader. Its clients are plain sockets; its only endpoint, known from the cached list, answers every request.
  */
 final class FrontChildProcess implements AutoCloseable {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
@@ -25,12 +25,12 @@
     final int port = PortAllocator.allocate(), adminPort = PortAllocator.allocate();
     private final ServerSocket endpointServer = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
     private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
-    volatile boolean isSilent;
+    volatile boolean ignoresRequests;
 
     /**
-     * @param limits shell commands that run ahead of it, as "ulimit -n 100"
+     * @param limits shell commands to run before the node, such as "ulimit -n 100"
      * @param java arguments for the virtual machine
-     * @param log where standard error goes; null for a pipe that nobody reads
+     * @param log file for standard error; null for a pipe that is never read
      */
     FrontChildProcess(Path folder, String limits, List<String> java, String extra, Path log) throws IOException {
         Thread thread = new Thread(this::serve);
@@ -74,12 +74,12 @@
             builder.redirectError(log.toFile());
         }
         process = builder.start();
-        FrontTestRig.await("the child takes connections", () -> {
+        FrontTestRig.await("the child process accepts connections", () -> {
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 return socket.isConnected();
             } catch (IOException e) {
                 if (!process.isAlive()) {
-                    throw new IllegalStateException("the child ended with " + process.exitValue());
+                    throw new IllegalStateException("the child process exited with status " + process.exitValue());
                 }
                 return false;
             }
@@ -96,19 +96,19 @@
                 thread.start();
             }
         } catch (IOException e) {
-            // the test is over
+            // the test has ended
         }
     }
 
     private void answer(Socket socket) {
         try {
             while (!FrontTestPeers.receive(socket).endsWith("<end>")) {
-                if (!isSilent) {
+                if (!ignoresRequests) {
                     FrontTestPeers.send(socket, OK);
                 }
             }
         } catch (IOException e) {
-            // the node closed it
+            // the node closed the connection
         }
     }
 
@@ -116,14 +116,14 @@
         return connect(port);
     }
 
-    Socket connect(int at) throws IOException {
-        Socket socket = new Socket(InetAddress.getLoopbackAddress(), at);
+    Socket connect(int toPort) throws IOException {
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), toPort);
         socket.setSoTimeout(20_000);
         openSockets.add(socket);
         return socket;
     }
 
-    /** Reads one of its metrics over a connection to its admin address. */
+    /** Reads a metric of the node over a connection to its admin address; 0 if there is no such metric. */
     static double metric(Socket admin, String name) throws IOException {
         FrontTestPeers.send(admin, "GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n");
         String text = FrontTestPeers.receive(admin);
@@ -131,7 +131,7 @@
         return m.find() ? Double.parseDouble(m.group(1)) : 0;
     }
 
-    /** Reads a metric within a condition. */
+    /** Reads a metric like {@link #metric}, for use in a condition, which cannot throw checked exceptions. */
     double metricUnchecked(Socket admin, String name) {
         try {
             return metric(admin, name);
@@ -144,7 +144,7 @@
         return "127.0.0.1:" + endpointServer.getLocalPort();
     }
 
-    /** Whether the request of a new client is completed. */
+    /** Returns whether a request of a new client is completed. */
     boolean completesRequest() {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(5_000);
@@ -158,7 +158,7 @@
     void terminate() throws InterruptedException {
         process.destroy();
         if (!process.waitFor(20, TimeUnit.SECONDS)) {
-            throw new AssertionError("SIGTERM did not end it");
+            throw new AssertionError("the process did not exit on SIGTERM");
         }
     }
 
--- a/src/test/java/laurelkeel/front/FrontFailureTest.java
+++ b/src/test/java/laurelkeel/front/FrontFailureTest.java
@@ -20,17 +20,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Nodes that break the rules prove the audit: it names the rule, the request and the moment, and no other rule. */
+/**
+ * The audit detects nodes that break a rule: it reports the rule, the request and the time, and violations of no other
+ * rule.
+ */
 class FrontFailureTest {
     @TempDir
     Path directory;
 
     private FrontTestRig startRig(String extra, Supplier<Decider> decider) throws Exception {
-        return new FrontTestRig(directory, extra, 1, 4, (set, seed) -> decider.get(), false);
+        return new FrontTestRig(directory, extra, 1, 4, (settings, seed) -> decider.get(), false);
     }
 
-    private static void awaitAnswers(FrontTestRig rig, int n) {
-        FrontTestRig.await(n + " answers", () -> rig.count(TrafficRecord.ResponseReceived.class, a -> true) >= n);
+    private static void awaitAnswers(FrontTestRig rig, int count) {
+        FrontTestRig.await(
+                count + " answers", () -> rig.count(TrafficRecord.ResponseReceived.class, a -> true) >= count);
     }
 
     private static List<RuleViolation> assertOnlyRuleViolated(FrontTestRig rig, int ruleNumber, String text)
@@ -39,7 +43,7 @@
         List<RuleViolation> violations = report.violations().stream()
                 .filter(violation -> violation.ruleNumber() == ruleNumber)
                 .toList();
-        assertFalse(violations.isEmpty(), "rule " + ruleNumber + " was broken unseen");
+        assertFalse(violations.isEmpty(), "rule " + ruleNumber + " was broken, but no violation was reported");
         assertTrue(
                 violations.stream()
                         .anyMatch(violation -> violation.description().contains(text)),
@@ -61,7 +65,7 @@
         assertTrue(
                 violations.stream()
                         .allMatch(violation -> requestIds.contains(violation.requestId()) && violation.timeTicks() > 0),
-                "no req or moment named");
+                "a violation without request or time");
         return violations;
     }
 
@@ -95,7 +99,7 @@
     }
 
     @Test
-    void noAnswerAtAllIsAViolation() throws Exception {
+    void aMissingAnswerIsAViolation() throws Exception {
         try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
             void onRequest(Event.RequestReceived r) {
@@ -155,7 +159,7 @@
             awaitAnswers(rig, 100);
             rig.applyFault("what = drain\n");
             FrontTestRig.await(
-                    "it is gone",
+                    "the endpoint has stopped",
                     () -> rig.count(
                                     TrafficRecord.ServerStopped.class,
                                     m -> m.reason() == RecordTerms.StopReason.DRAINED)
@@ -165,20 +169,20 @@
     }
 
     @Test
-    void overloadingAnEndpointThatWarmsUpIsAViolation() throws Exception {
+    void overloadingAnEndpointThatIsWarmingUpIsAViolation() throws Exception {
         try (FrontTestRig rig = startRig("[fleet]\ncores = 1\n", () -> new RuleBreakingDecider() {
             @Override
             boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
-                boolean cold = endpoints.values().stream()
+                boolean isAnyWarmingUp = endpoints.values().stream()
                         .anyMatch(o -> o.startedAtTicks() > 0 && o.state() == Event.EndpointState.ACTIVE);
-                return super.mayUse(m, r) && (!cold || m.startedAtTicks() > 0);
+                return super.mayUse(m, r) && (!isAnyWarmingUp || m.startedAtTicks() > 0);
             }
         })) {
             rig.startLoad();
             awaitAnswers(rig, 100);
             rig.applyFault("what = crash\nback-after = 100 ms\n");
             FrontTestRig.await(
-                    "it tips",
+                    "the endpoint stops of overload",
                     () -> rig.count(
                                     TrafficRecord.ServerStopped.class,
                                     m -> m.reason() == RecordTerms.StopReason.OVERLOADED)
@@ -187,14 +191,14 @@
         }
     }
 
-    private static RuleBreakingDecider canaryForOneIn(int trialOneIn) {
+    private static RuleBreakingDecider sendOneInToCanary(int interval) {
         return new RuleBreakingDecider() {
             @Override
             boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
-                boolean trial = r.route() == 0
-                        && sentAttempts % trialOneIn == 0
+                boolean toCanary = r.route() == 0
+                        && sentAttempts % interval == 0
                         && endpoints.values().stream().anyMatch(o -> o.build() == 2);
-                return m.state() == Event.EndpointState.ACTIVE && m.build() == (trial ? 2 : 1);
+                return m.state() == Event.EndpointState.ACTIVE && m.build() == (toCanary ? 2 : 1);
             }
         };
     }
@@ -204,20 +208,20 @@
         awaitAnswers(rig, 50);
         rig.applyFault("what = offer\nbuild = 2\n");
         FrontTestRig.await(
-                "the trial gets traffic",
+                "the canary gets traffic",
                 () -> rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 2) > 120);
     }
 
     @Test
     void exposureOverTheCapIsAViolation() throws Exception {
-        // all keys, always to the same build, and idempotent requests only in the guarded stage
+        // each key always goes to the same build, and only idempotent requests to the canary in its guarded stage
         try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
             boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
-                boolean trial =
+                boolean toCanary =
                         r.partitionKey() != null && endpoints.values().stream().anyMatch(o -> o.build() == 2);
                 return m.state() == Event.EndpointState.ACTIVE
-                        && (trial ? m.build() == 2 && r.route() == 0 : m.build() == 1);
+                        && (toCanary ? m.build() == 2 && r.route() == 0 : m.build() == 1);
             }
         })) {
             awaitCanaryTraffic(rig);
@@ -226,17 +230,17 @@
     }
 
     @Test
-    void exposureOfTheSecondCanaryAloneOverItsCapIsAViolation() throws Exception {
-        // of two canaries the first has a sixteenth of a route's keys, the second most of them; the cap is a fifth
+    void exposureOfOnlyTheSecondCanaryOverItsCapIsAViolation() throws Exception {
+        // the first canary gets a sixteenth of a route's keys and the second most of them; the cap is a fifth
         try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
             boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
-                int slice = r.partitionKey() == null || r.route() != 0
+                int keyGroup = r.partitionKey() == null || r.route() != 0
                         ? 0
                         : Math.floorMod(r.partitionKey().hashCode(), 16);
-                int wanted = slice == 1 ? 2 : slice > 1 ? 3 : 1;
-                boolean there = endpoints.values().stream().anyMatch(o -> o.build() == wanted);
-                return m.state() == Event.EndpointState.ACTIVE && m.build() == (there ? wanted : 1);
+                int build = keyGroup == 1 ? 2 : keyGroup > 1 ? 3 : 1;
+                boolean exists = endpoints.values().stream().anyMatch(o -> o.build() == build);
+                return m.state() == Event.EndpointState.ACTIVE && m.build() == (exists ? build : 1);
             }
         })) {
             rig.startLoad();
@@ -244,38 +248,39 @@
             rig.applyFault("what = offer\nbuild = 2\n");
             rig.applyFault("what = offer\nbuild = 3\n");
             FrontTestRig.await(
-                    "both have traffic",
+                    "both canaries get traffic",
                     () -> rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 2) > 5
                             && rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 3) > 120);
             assertTrue(assertOnlyRuleViolated(rig, 5, "tries at build 3").stream()
-                    .noneMatch(b -> b.description().contains("tries at build 2")));
+                    .noneMatch(violation -> violation.description().contains("tries at build 2")));
         }
     }
 
     @Test
-    void aStickyKeyAtAnEarlierBuildIsAViolation() throws Exception {
-        try (FrontTestRig rig = startRig("", () -> canaryForOneIn(8))) {
+    void aStickyKeySentBackToAnEarlierBuildIsAViolation() throws Exception {
+        try (FrontTestRig rig = startRig("", () -> sendOneInToCanary(8))) {
             awaitCanaryTraffic(rig);
             assertOnlyRuleViolated(rig, 5, "was not sent back");
         }
     }
 
     @Test
-    void anEffectInAGuardedStageIsAViolation() throws Exception {
+    void aRequestThatIsNotIdempotentInAGuardedStageIsAViolation() throws Exception {
         try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
             boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
-                boolean trial = r.partitionKey() == null
+                boolean toCanary = r.partitionKey() == null
                         && sentAttempts % 12 == 0
                         && endpoints.values().stream().anyMatch(o -> o.build() == 2);
-                return m.state() == Event.EndpointState.ACTIVE && m.build() == (trial ? 2 : 1);
+                return m.state() == Event.EndpointState.ACTIVE && m.build() == (toCanary ? 2 : 1);
             }
         })) {
             rig.startLoad();
             awaitAnswers(rig, 50);
             rig.applyFault("what = offer\nbuild = 2\n");
             FrontTestRig.await(
-                    "a guarded one", () -> rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 2) > 8);
+                    "requests reach the canary in the guarded stage",
+                    () -> rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 2) > 8);
             assertOnlyRuleViolated(rig, 5, "in guarded stage");
         }
     }
--- a/src/test/java/laurelkeel/front/FrontNodeTest.java
+++ b/src/test/java/laurelkeel/front/FrontNodeTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One node between clients and an endpoint whose bytes the test writes. */
+/** One front node between clients and an endpoint whose bytes the test writes. */
 class FrontNodeTest {
     private static final String OK =
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nLaurelkeel-Load: concurrent=3, x=y\r\n\r\nhi";
@@ -31,18 +31,18 @@
         return new FrontTestPeers(directory, "", FrontTestPeers::sendOnce);
     }
 
-    /** The outcome that the decider gets of an attempt which the endpoint answers so. */
-    private AttemptOutcome outcome(String said, boolean reset) throws Exception {
+    /** Returns the outcome that the decider gets for an attempt if the endpoint sends a given response. */
+    private AttemptOutcome outcome(String response, boolean reset) throws Exception {
         try (FrontTestPeers peers = peersThatSendOnce();
                 Socket client = peers.connectClient()) {
             FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
             Socket endpoint = peers.nextEndpointConnection();
             FrontTestPeers.receive(endpoint);
-            FrontTestPeers.send(endpoint, said);
+            FrontTestPeers.send(endpoint, response);
             if (reset) {
                 endpoint.setSoLinger(true, 0);
             }
-            if (reset || said.isEmpty()) {
+            if (reset || response.isEmpty()) {
                 endpoint.close();
             }
             Event.AttemptEnded attempt = peers.firstEvent(Event.AttemptEnded.class);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void outcomesFollowFromWhatTheEndpointSaidAndWhatWasSent() throws Exception {
+    void outcomesDependOnTheResponseOfTheEndpoint() throws Exception {
         assertEquals(AttemptOutcome.COMPLETED, outcome(OK, false));
         assertEquals(AttemptOutcome.COMPLETED, outcome("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n", false));
         assertEquals(AttemptOutcome.FAILED, outcome("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", false));
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aRefusedConnectionProvesThatNothingRan() throws Exception {
+    void aRefusedConnectionIsReportedAsConnectFailed() throws Exception {
         try (FrontTestPeers peers = peersThatSendOnce();
                 Socket client = peers.connectClient()) {
             peers.endpointServer.close();
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void aReusedConnectionThatIsLostUnderARequestMayHaveRunIt() throws Exception {
+    void aReusedConnectionLostDuringARequestIsReportedAsLost() throws Exception {
         try (FrontTestPeers peers = peersThatSendOnce();
                 Socket client = peers.connectClient()) {
             FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
@@ -101,7 +101,7 @@
             FrontTestPeers.receive(endpoint);
             endpoint.close();
             FrontTestRig.await(
-                    "two ends",
+                    "both attempts have ended",
                     () -> peers.events.stream()
                                     .filter(e -> e instanceof Event.AttemptEnded)
                                     .count()
@@ -112,21 +112,21 @@
                     .get(1);
             assertEquals(AttemptOutcome.CONNECTION_LOST, attempt.outcome());
             FrontTestPeers.receive(client);
-            // the next one gets a new connection
+            // the next request gets a new connection
             FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
-            Socket again = peers.nextEndpointConnection();
-            FrontTestPeers.receive(again);
-            FrontTestPeers.send(again, OK);
+            Socket newConnection = peers.nextEndpointConnection();
+            FrontTestPeers.receive(newConnection);
+            FrontTestPeers.send(newConnection, OK);
             assertTrue(FrontTestPeers.receive(client).endsWith("hi"));
         }
     }
 
     /**
-     * The first request opens the connection that the second one's short timeout is spent on: making a connection
-     * within it is not what is shown.
+     * The first request opens the connection that the second one uses, since the second one's short timeout should not
+     * have to cover the connect.
      */
     @Test
-    void anAttemptPastItsTimeoutEndsAndItsLateAnswerReachesNobody() throws Exception {
+    void anAttemptPastItsTimeoutEndsAndItsLateResponseIsDropped() throws Exception {
         Iterator<Long> timeoutsTicks = List.of(100_000L, 500L, 20_000L).iterator();
         try (FrontTestPeers peers = new FrontTestPeers(
                         directory,
@@ -163,11 +163,13 @@
             try {
                 FrontTestPeers.send(endpoint, OK);
             } catch (SocketException e) {
-                // closed from the node's side, as it should be
+                // expected: the node has closed the connection
             }
             FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
             FrontTestPeers.receive(peers.nextEndpointConnection());
-            assertTrue(FrontTestPeers.receive(client).contains("shed"), "a late answer was given to another req");
+            assertTrue(
+                    FrontTestPeers.receive(client).contains("shed"),
+                    "a late response was forwarded to another request");
         }
     }
 
@@ -176,8 +178,8 @@
         try (FrontTestPeers peers = new FrontTestPeers(
                 directory,
                 "",
-                (self, e) -> e instanceof Event.ClientDisconnected l
-                        ? List.of(new Action.CancelAttempt(l.requestId(), 0))
+                (self, e) -> e instanceof Event.ClientDisconnected disconnect
+                        ? List.of(new Action.CancelAttempt(disconnect.requestId(), 0))
                         : e instanceof Event.RequestReceived request
                                 ? List.of(new Action.SendAttempt(request.requestId(), self.endpointId(), 0))
                                 : List.of())) {
@@ -191,7 +193,7 @@
             assertEquals(AttemptOutcome.CANCELLED, attempt.outcome());
             assertTrue(attempt.requestEnded());
             endpoint.setSoTimeout(10_000);
-            assertEquals(-1, endpoint.getInputStream().read(), "the machine is not told");
+            assertEquals(-1, endpoint.getInputStream().read(), "the connection to the endpoint is still open");
         }
     }
 
@@ -207,7 +209,7 @@
     }
 
     @Test
-    void twoAnswersOfTheDeciderReachTheClientAsOne() throws Exception {
+    void onlyTheFirstOfSeveralAnswersReachesTheClient() throws Exception {
         try (FrontTestPeers peers = new FrontTestPeers(
                         directory,
                         "",
@@ -226,8 +228,7 @@
                     AttemptOutcome.NOT_SENT,
                     peers.firstEvent(Event.AttemptEnded.class).outcome());
             FrontTestPeers.send(client, "GET /nowhere HTTP/1.1\r\nHost: f\r\n\r\n");
-            assertTrue(
-                    FrontTestPeers.receive(client).startsWith("HTTP/1.1 404"), "bytes of a second answer came first");
+            assertTrue(FrontTestPeers.receive(client).startsWith("HTTP/1.1 404"), "bytes of a second answer were sent");
         }
     }
 
@@ -235,7 +236,7 @@
     void aDeciderThatThrowsEndsTheNodeAndFailsAllActiveRequests() throws Exception {
         FrontTestPeers peers = new FrontTestPeers(directory, "", (self, e) -> {
             if (e instanceof Event.RequestReceived request && request.partitionKey() != null) {
-                throw new IllegalStateException("made to fail");
+                throw new IllegalStateException("thrown by the test");
             }
             return FrontTestPeers.sendOnce(self, e);
         });
@@ -246,12 +247,12 @@
         FrontTestPeers.send(second, FrontTestPeers.lookRequest("Laurelkeel-Key: k\r\n"));
         assertTrue(FrontTestPeers.receive(first).startsWith("HTTP/1.1 502"));
         assertTrue(FrontTestPeers.receive(second).startsWith("HTTP/1.1 502"));
-        assertEquals("made to fail", peers.front.termination().get().getMessage());
+        assertEquals("thrown by the test", peers.front.termination().get().getMessage());
         peers.close();
     }
 
     @Test
-    void pipelinedRequestsAreAnsweredInTheirOrder() throws Exception {
+    void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         try (FrontTestPeers peers = peersThatSendOnce();
                 Socket client = peers.connectClient()) {
             FrontTestPeers.send(
@@ -270,39 +271,44 @@
             FrontTestPeers.send(
                     endpoint, "HTTP/1.1 201 Made\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nyo\r\n0\r\n\r\n");
             assertTrue(FrontTestPeers.receive(client).endsWith("yo"));
-            String no = FrontTestPeers.receive(client);
-            assertTrue(no.startsWith("HTTP/1.1 405") && no.contains("Allow: POST"), no);
+            String methodNotAllowed = FrontTestPeers.receive(client);
+            assertTrue(
+                    methodNotAllowed.startsWith("HTTP/1.1 405") && methodNotAllowed.contains("Allow: POST"),
+                    methodNotAllowed);
             assertTrue(FrontTestPeers.receive(endpoint).contains("X: 4"));
             FrontTestPeers.send(endpoint, OK);
             assertTrue(FrontTestPeers.receive(client).endsWith("hi"));
             assertTrue(FrontTestPeers.receive(client).startsWith("HTTP/1.1 400"));
-            assertEquals(-1, client.getInputStream().read(), "a broken connection goes on");
+            assertEquals(-1, client.getInputStream().read(), "the connection is still open after a malformed request");
         }
     }
 
     @Test
-    void invalidHeadersGetClearAnswersAndTheConnectionGoesOn() throws Exception {
+    void invalidHeadersGetA400ThatNamesThemAndTheConnectionStaysOpen() throws Exception {
         try (FrontTestPeers peers =
                         new FrontTestPeers(directory, "[customer mill]\nquota = 5\n", FrontTestPeers::sendOnce);
                 Socket client = peers.connectClient()) {
-            String mill = "Laurelkeel-Customer: mill\r\n";
-            for (String[] x : new String[][] {
+            String tenantHeader = "Laurelkeel-Customer: mill\r\n";
+            for (String[] requestAndError : new String[][] {
                 {FrontTestPeers.lookRequest(""), "Laurelkeel-Customer"},
                 {FrontTestPeers.lookRequest("Laurelkeel-Customer: nobody\r\n"), "Laurelkeel-Customer"},
-                {FrontTestPeers.lookRequest(mill + "Laurelkeel-Remaining-Ms: soon\r\n"), "number of milliseconds"},
-                {FrontTestPeers.lookRequest(mill + "Laurelkeel-Key: \r\n"), "1 to 256"},
-                {"POST /pay HTTP/1.1\r\nHost: f\r\n" + mill + "Content-Length: 0\r\n\r\n", "Idempotency-Key"}
+                {
+                    FrontTestPeers.lookRequest(tenantHeader + "Laurelkeel-Remaining-Ms: soon\r\n"),
+                    "number of milliseconds"
+                },
+                {FrontTestPeers.lookRequest(tenantHeader + "Laurelkeel-Key: \r\n"), "1 to 256"},
+                {"POST /pay HTTP/1.1\r\nHost: f\r\n" + tenantHeader + "Content-Length: 0\r\n\r\n", "Idempotency-Key"}
             }) {
-                FrontTestPeers.send(client, x[0]);
+                FrontTestPeers.send(client, requestAndError[0]);
                 String a = FrontTestPeers.receive(client);
-                assertTrue(a.startsWith("HTTP/1.1 400") && a.contains(x[1]), a);
+                assertTrue(a.startsWith("HTTP/1.1 400") && a.contains(requestAndError[1]), a);
             }
             assertTrue(peers.events.stream().noneMatch(e -> e instanceof Event.RequestReceived));
         }
     }
 
     @Test
-    void aNodeAtCapacityRejectsBeforeTheDecision() throws Exception {
+    void aNodeAtCapacityRejectsWithoutADecision() throws Exception {
         try (FrontTestPeers peers =
                 new FrontTestPeers(directory, "[clients]\nopen-reqs = 2\nconnections = 4\n", (self, e) -> List.of())) {
             for (int i = 0; i < 2; i++) {
@@ -318,7 +324,7 @@
             FrontTestPeers.send(third, FrontTestPeers.lookRequest(""));
             String a = FrontTestPeers.receive(third);
             assertTrue(a.contains("harmless") && a.contains("Laurelkeel-Taken: no") && a.contains("full"), a);
-            // its answer shows that its connection was counted before the next one
+            // receiving its answer ensures that its connection is counted before the next one is opened
             Socket fourth = peers.connectClient();
             FrontTestPeers.send(fourth, FrontTestPeers.lookRequest(""));
             FrontTestPeers.receive(fourth);
@@ -327,28 +333,28 @@
     }
 
     @Test
-    void anAnswerLargerThanAnyBufferReachesASlowClientWhole() throws Exception {
+    void aResponseLargerThanAnyBufferReachesASlowClientWhole() throws Exception {
         try (FrontTestPeers peers = peersThatSendOnce();
                 Socket client = peers.connectClient()) {
             client.setReceiveBufferSize(16 << 10);
             FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
             Socket endpoint = peers.nextEndpointConnection();
             FrontTestPeers.receive(endpoint);
-            String big = "x".repeat(400 << 10);
-            FrontTestPeers.send(endpoint, "HTTP/1.1 200 OK\r\nContent-Length: " + big.length() + "\r\n\r\n" + big);
+            String body = "x".repeat(400 << 10);
+            FrontTestPeers.send(endpoint, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             peers.firstEvent(Event.AttemptEnded.class);
-            assertTrue(FrontTestPeers.receive(client).endsWith("\r\n\r\n" + big));
+            assertTrue(FrontTestPeers.receive(client).endsWith("\r\n\r\n" + body));
         }
     }
 
     @Test
-    void healthChecksIdleClosesAndComplaintsAreCarriedOut() throws Exception {
-        String[] ref = new String[1];
+    void healthChecksClosingOfIdleConnectionsAndComplaintsWork() throws Exception {
+        String[] reference = new String[1];
         try (FrontTestPeers peers = new FrontTestPeers(directory, "", (self, e) -> {
                     List<Action> out = new ArrayList<>(FrontTestPeers.sendOnce(self, e));
                     if (e instanceof Event.AttemptEnded attempt) {
                         out.add(new Action.CloseIdleConnections(attempt.endpointId()));
-                        out.add(new Action.WriteLog("closing idle ones"));
+                        out.add(new Action.WriteLog("closing idle connections"));
                     } else if (e instanceof Event.ComplaintReceived) {
                         out.add(new Action.SendHealthCheck(self.endpointId()));
                     }
@@ -360,30 +366,32 @@
             FrontTestPeers.receive(endpoint);
             FrontTestPeers.send(endpoint, OK);
             String a = FrontTestPeers.receive(client);
-            ref[0] = a.replaceAll("(?s).*Laurelkeel-Ref: (\\S+).*", "$1");
+            reference[0] = a.replaceAll("(?s).*Laurelkeel-Ref: (\\S+).*", "$1");
             assertEquals(
                     3.0, peers.firstEvent(Event.AttemptEnded.class).loadReport().concurrentRequests());
-            assertFalse(a.contains("Laurelkeel-Load"), "a machine's load is not the client's matter");
-            assertEquals(-1, endpoint.getInputStream().read(), "the idle connection stays");
-            String complaint = "POST /.laurelkeel/complaints HTTP/1.1\r\nHost: f\r\nContent-Length: " + ref[0].length()
-                    + "\r\n\r\n" + ref[0];
+            assertFalse(a.contains("Laurelkeel-Load"), "the endpoint's load report was forwarded to the client");
+            assertEquals(-1, endpoint.getInputStream().read(), "the idle connection is still open");
+            String complaint = "POST /.laurelkeel/complaints HTTP/1.1\r\nHost: f\r\nContent-Length: "
+                    + reference[0].length() + "\r\n\r\n" + reference[0];
             FrontTestPeers.send(client, complaint + complaint);
             assertTrue(FrontTestPeers.receive(client).startsWith("HTTP/1.1 202"));
-            assertTrue(FrontTestPeers.receive(client).startsWith("HTTP/1.1 404"), "one answer is complained of once");
+            assertTrue(
+                    FrontTestPeers.receive(client).startsWith("HTTP/1.1 404"),
+                    "a second complaint about the same response is rejected");
             assertEquals(
                     peers.endpointId(),
                     peers.firstEvent(Event.ComplaintReceived.class).endpointId());
             Socket probe = peers.nextEndpointConnection();
             assertTrue(FrontTestPeers.receive(probe).startsWith("GET /health"));
             FrontTestPeers.send(probe, OK);
-            Event.HealthCheckEnded probed = peers.firstEvent(Event.HealthCheckEnded.class);
-            assertEquals(AttemptOutcome.COMPLETED, probed.outcome());
-            assertEquals(3.0, probed.loadReport().concurrentRequests());
+            Event.HealthCheckEnded healthCheck = peers.firstEvent(Event.HealthCheckEnded.class);
+            assertEquals(AttemptOutcome.COMPLETED, healthCheck.outcome());
+            assertEquals(3.0, healthCheck.loadReport().concurrentRequests());
         }
     }
 
     @Test
-    void manyConnectionsAtOnceAreAcceptedAndReleased() throws Exception {
+    void manySimultaneousConnectionsAreAcceptedAndReleased() throws Exception {
         try (FrontTestPeers peers = new FrontTestPeers(
                 directory,
                 "",
--- a/src/test/java/laurelkeel/front/FrontRulesTest.java
+++ b/src/test/java/laurelkeel/front/FrontRulesTest.java
@@ -24,38 +24,38 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Rules 1 and 2 on sockets: a node with the real decider between endpoints that misbehave by a seed and clients that
- * pipeline, disconnect and have short deadlines. The oracle is what the sockets saw: endpoints record each request that
- * they ran.
+ * Rules 1 and 2 over real sockets: a node with the production decider between endpoints that misbehave at random and
+ * clients that pipeline, disconnect and have short deadlines. The rules are checked against the responses that clients
+ * received and the requests that endpoints recorded as run.
  */
 class FrontRulesTest {
-    /** A request of one client, which expects answers in the order of its requests. */
+    /** A request of one client, which expects responses in the order of its requests. */
     private record SentRequest(String id, String route) {}
 
     private static final class NodeWithEndpoints implements AutoCloseable {
         final Path folder;
         final long seed;
-        final List<ServerSocket> machines = new ArrayList<>();
-        final List<Socket> open = new CopyOnWriteArrayList<>();
-        /** When each request ran, by its id, in nanoseconds. */
-        final Map<String, List<Long>> ran = new ConcurrentHashMap<>();
+        final List<ServerSocket> endpointServers = new ArrayList<>();
+        final List<Socket> openSockets = new CopyOnWriteArrayList<>();
+        /** The times at which endpoints ran each request, by its id, in nanoseconds. */
+        final Map<String, List<Long>> runTimesNanos = new ConcurrentHashMap<>();
 
-        final Map<String, String> routes = new ConcurrentHashMap<>();
-        final List<String> broken = Collections.synchronizedList(new ArrayList<>());
+        final Map<String, String> routesById = new ConcurrentHashMap<>();
+        final List<String> violations = Collections.synchronizedList(new ArrayList<>());
         final FrontNode front;
-        final InetSocketAddress at;
+        final InetSocketAddress address;
 
         NodeWithEndpoints(long seed) throws Exception {
             this.seed = seed;
             folder = Files.createTempDirectory("front-rules");
             StringBuilder list = new StringBuilder();
             for (int i = 0; i < 3; i++) {
-                ServerSocket m = new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
-                machines.add(m);
+                ServerSocket server = new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
+                endpointServers.add(server);
                 int number = i;
-                start(() -> accept(m, number));
+                start(() -> accept(server, number));
                 list.append(i == 0 ? "[" : ",")
-                        .append(FrontTestPeers.endpointJson("127.0.0.1:" + m.getLocalPort(), "live"));
+                        .append(FrontTestPeers.endpointJson("127.0.0.1:" + server.getLocalPort(), "live"));
             }
             Files.createDirectories(folder.resolve("state"));
             Files.writeString(folder.resolve("state/list.json"), list + "]");
@@ -71,82 +71,83 @@
                     timeout = 5 s
                     """);
             front = new FrontNode(FrontSettings.read(folder.resolve("f.ini")), RoutingDecider::new);
-            at = front.start();
+            address = front.start();
         }
 
-        static void start(Runnable r) {
-            Thread t = new Thread(r);
-            t.setDaemon(true);
-            t.start();
+        static void start(Runnable task) {
+            Thread thread = new Thread(task);
+            thread.setDaemon(true);
+            thread.start();
         }
 
-        private void accept(ServerSocket m, int number) {
+        private void accept(ServerSocket server, int number) {
             try {
                 for (int n = 0; ; n++) {
-                    Socket s = m.accept();
-                    open.add(s);
-                    long mine = seed * 31 + number * 1000L + n;
-                    start(() -> serve(s, new Random(mine)));
+                    Socket s = server.accept();
+                    openSockets.add(s);
+                    long connectionSeed = seed * 31 + number * 1000L + n;
+                    start(() -> serve(s, new Random(connectionSeed)));
                 }
             } catch (IOException e) {
-                // the test is over
+                // the test has ended
             }
         }
 
-        private void serve(Socket s, Random chance) {
+        private void serve(Socket s, Random random) {
             try (s) {
                 while (true) {
-                    String req = FrontTestPeers.receive(s);
-                    if (req.endsWith("<end>")) {
+                    String request = FrontTestPeers.receive(s);
+                    if (request.endsWith("<end>")) {
                         return;
                     }
-                    int what = chance.nextInt(12);
-                    if (what == 0) {
+                    int behaviour = random.nextInt(12);
+                    if (behaviour == 0) {
                         FrontTestPeers.send(s, "HTTP/1.1 503 No\r\nLaurelkeel-Ran: no\r\nContent-Length: 0\r\n\r\n");
                         continue;
                     }
-                    String id = req.replaceAll("(?s).*X-Request-Id: (\\S+).*", "$1");
-                    ran.computeIfAbsent(id, k -> Collections.synchronizedList(new ArrayList<>()))
+                    String id = request.replaceAll("(?s).*X-Request-Id: (\\S+).*", "$1");
+                    runTimesNanos
+                            .computeIfAbsent(id, k -> Collections.synchronizedList(new ArrayList<>()))
                             .add(System.nanoTime());
-                    if (what == 1) {
+                    if (behaviour == 1) {
                         return;
-                    } else if (what == 2) {
+                    } else if (behaviour == 2) {
                         FrontTestPeers.send(s, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
                         return;
-                    } else if (what == 3) {
+                    } else if (behaviour == 3) {
                         FrontTestPeers.send(s, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-                    } else if (what == 4) {
-                        // silent: the other side must end it
+                    } else if (behaviour == 4) {
+                        // sends no response: the node must close the connection
                         s.getInputStream().read();
                         return;
                     } else {
                         FrontTestPeers.send(s, "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id);
-                        if (what == 5) {
-                            // closes what the node takes for idle
+                        if (behaviour == 5) {
+                            // closes a connection that the node treats as idle
                             return;
                         }
                     }
                 }
             } catch (IOException e) {
-                // the node closed it
+                // the node closed the connection
             }
         }
 
-        /** Plays one client: some requests at once, then all their answers. */
-        private void client(int number, Random chance) throws IOException {
-            Socket s = new Socket(at.getAddress(), at.getPort());
-            open.add(s);
+        /** Runs one client: sends some pipelined requests, then reads all their responses. */
+        private void runClient(int number, Random random) throws IOException {
+            Socket s = new Socket(address.getAddress(), address.getPort());
+            openSockets.add(s);
             s.setSoTimeout(8_000);
-            List<SentRequest> asked = new ArrayList<>();
-            StringBuilder all = new StringBuilder();
-            int n = 1 + chance.nextInt(4);
+            List<SentRequest> sentRequests = new ArrayList<>();
+            StringBuilder text = new StringBuilder();
+            int n = 1 + random.nextInt(4);
             for (int i = 0; i < n; i++) {
                 String id = "c" + number + "-" + i;
-                String route = new String[] {"look", "pay", "put"}[chance.nextInt(3)];
-                long waits = 60L + chance.nextInt(900);
-                routes.put(id, route);
-                asked.add(new SentRequest(id, route));
-                all.append(route.equals("look") ? "GET" : "POST")
+                String route = new String[] {"look", "pay", "put"}[random.nextInt(3)];
+                long remainingMillis = 60L + random.nextInt(900);
+                routesById.put(id, route);
+                sentRequests.add(new SentRequest(id, route));
+                text.append(route.equals("look") ? "GET" : "POST")
                         .append(" /")
                         .append(route)
                         .append(" HTTP/1.1\r\nHost: f\r\n")
@@ -155,43 +156,43 @@
                         .append("\r\nIdempotency-Key: ")
                         .append(id)
                         .append("\r\nLaurelkeel-Remaining-Ms: ")
-                        .append(waits)
+                        .append(remainingMillis)
                         .append(route.equals("look") ? "\r\n\r\n" : "\r\nContent-Length: 2\r\n\r\nhi");
             }
-            FrontTestPeers.send(s, all.toString());
-            if (chance.nextInt(8) == 0) {
+            FrontTestPeers.send(s, text.toString());
+            if (random.nextInt(8) == 0) {
                 s.close();
                 return;
             }
-            for (SentRequest a : asked) {
+            for (SentRequest sent : sentRequests) {
                 try {
-                    answered(a, FrontTestPeers.receive(s));
+                    checkResponse(sent, FrontTestPeers.receive(s));
                 } catch (SocketTimeoutException e) {
-                    broken.add("rule 1: no answer to " + a);
+                    violations.add("rule 1: no response to " + sent);
                     return;
                 }
             }
             s.setSoTimeout(30);
             try {
                 if (s.getInputStream().read() >= 0) {
-                    broken.add("rule 1: more answers than reqs on " + asked);
+                    violations.add("rule 1: more responses than requests: " + sentRequests);
                 }
             } catch (SocketTimeoutException e) {
-                // as it should be
+                // expected: no further response
             }
             s.close();
         }
 
-        private void answered(SentRequest a, String answer) {
-            List<Long> times = ran.getOrDefault(a.id, List.of());
-            boolean completed = answer.contains("Laurelkeel-Answer: completed");
-            boolean shed = answer.contains("Laurelkeel-Retry: harmless");
-            if (!completed && !shed && !answer.contains("Laurelkeel-Answer: errored")) {
-                broken.add("rule 1: " + a + " was answered with " + answer);
-            } else if (completed && !answer.endsWith(a.id)) {
-                broken.add("rule 1: " + a + " got another's answer: " + answer);
-            } else if (shed && a.route.equals("put") && !times.isEmpty()) {
-                broken.add("rule 2: shed as harmless, and it ran: " + a);
+        private void checkResponse(SentRequest sent, String response) {
+            List<Long> times = runTimesNanos.getOrDefault(sent.id, List.of());
+            boolean completed = response.contains("Laurelkeel-Answer: completed");
+            boolean rejected = response.contains("Laurelkeel-Retry: harmless");
+            if (!completed && !rejected && !response.contains("Laurelkeel-Answer: errored")) {
+                violations.add("rule 1: " + sent + " got an invalid response: " + response);
+            } else if (completed && !response.endsWith(sent.id)) {
+                violations.add("rule 1: " + sent + " got the response to another request: " + response);
+            } else if (rejected && sent.route.equals("put") && !times.isEmpty()) {
+                violations.add("rule 2: rejected as harmless to retry, but it ran: " + sent);
             }
         }
 
@@ -199,16 +200,16 @@
         public void close() throws IOException {
             front.drain();
             front.termination().join();
-            for (ServerSocket m : machines) {
-                m.close();
+            for (ServerSocket server : endpointServers) {
+                server.close();
             }
-            for (Socket s : open) {
+            for (Socket s : openSockets) {
                 s.close();
             }
         }
     }
 
-    /** Plays clients in parallel and returns the violations of a rule. */
+    /** Runs clients in parallel and returns the violations of a rule. */
     private static List<String> violationsOf(long seed, int rule) throws Exception {
         try (NodeWithEndpoints node = new NodeWithEndpoints(seed)) {
             List<Thread> threads = new ArrayList<>();
@@ -216,9 +217,9 @@
                 int number = i;
                 Thread thread = new Thread(() -> {
                     try {
-                        node.client(number, new Random(seed + number));
+                        node.runClient(number, new Random(seed + number));
                     } catch (IOException e) {
-                        node.broken.add("rule 1: a connection broke before its answers: " + e);
+                        node.violations.add("rule 1: a connection was lost before its responses: " + e);
                     }
                 });
                 threads.add(thread);
@@ -227,30 +228,30 @@
             for (Thread thread : threads) {
                 thread.join();
             }
-            assertTrue(node.ran.size() > 30, "ran " + node.ran.size());
-            node.ran.forEach((id, times) -> {
-                if (times.size() > 1 && node.routes.get(id).equals("put")) {
-                    node.broken.add("rule 2: a non-retriable req ran " + times.size() + " times: " + id);
+            assertTrue(node.runTimesNanos.size() > 30, "requests that ran: " + node.runTimesNanos.size());
+            node.runTimesNanos.forEach((id, times) -> {
+                if (times.size() > 1 && node.routesById.get(id).equals("put")) {
+                    node.violations.add("rule 2: a non-retriable request ran " + times.size() + " times: " + id);
                 }
                 if (times.size() > 1
-                        && node.routes.get(id).equals("pay")
+                        && node.routesById.get(id).equals("pay")
                         && times.get(times.size() - 1) - times.get(0) > 1_000_000_000L) {
-                    node.broken.add("rule 2: a deduped req ran again after its window: " + id);
+                    node.violations.add("rule 2: a deduplicated request ran again after its window: " + id);
                 }
             });
-            return node.broken.stream()
-                    .filter(b -> b.startsWith("rule " + rule))
+            return node.violations.stream()
+                    .filter(violation -> violation.startsWith("rule " + rule))
                     .toList();
         }
     }
 
     @Property(tries = 4, seed = "1", shrinking = ShrinkingMode.OFF)
-    void rule1EachRequestOnSocketsHasItsOneAnswer(@ForAll long seed) throws Exception {
+    void rule1EachRequestGetsExactlyOneResponse(@ForAll long seed) throws Exception {
         assertEquals(List.of(), violationsOf(seed, 1));
     }
 
     @Property(tries = 4, seed = "2", shrinking = ShrinkingMode.OFF)
-    void rule2NothingOnSocketsRunsTwiceAndRejectionsAreHarmless(@ForAll long seed) throws Exception {
+    void rule2NoRequestRunsTwiceAndRejectionsAreHarmless(@ForAll long seed) throws Exception {
         assertEquals(List.of(), violationsOf(seed, 2));
     }
 }
--- a/src/test/java/laurelkeel/front/FrontTestPeers.java
+++ b/src/test/java/laurelkeel/front/FrontTestPeers.java
@@ -21,9 +21,9 @@
 import laurelkeel.api.Decider;
 import laurelkeel.api.Event;
 
-/** A node between an endpoint whose every byte a test writes and clients that are plain sockets. */
+/** A front node between plain client sockets and an endpoint socket; the test reads and writes the bytes of both. */
 public final class FrontTestPeers implements AutoCloseable {
-    /** The settings of a node, with a place for further lines of its first section. */
+    /** The settings of a node; the placeholder takes additional lines of the first section. */
     static final String SETTINGS =
             """
             [front]
@@ -55,7 +55,7 @@
     final InetSocketAddress address;
     private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
 
-    /** @param decide what to do at one event; the actions of all events of a turn are joined */
+    /** @param decide returns the actions for one event; the actions for all events of a turn are concatenated */
     FrontTestPeers(Path folder, String extra, BiFunction<FrontTestPeers, Event, List<Action>> decide)
             throws IOException {
         this(folder, extra, List.of(), decide);
@@ -72,23 +72,23 @@
                     endpointConnections.add(socket);
                 }
             } catch (IOException e) {
-                // the test is over
+                // the test has ended
             }
         });
         thread.setDaemon(true);
         thread.start();
         Path file = folder.resolve("front.ini");
         Files.writeString(file, SETTINGS.formatted(String.join("\n", frontLines)) + extra);
-        Decider d = decider(events, e -> decide.apply(this, e));
+        Decider decider = decider(events, e -> decide.apply(this, e));
         try {
-            front = new FrontNode(FrontSettings.read(file), (set, seed) -> d);
+            front = new FrontNode(FrontSettings.read(file), (settings, seed) -> decider);
         } catch (laurelkeel.config.InvalidSettingsException e) {
             throw new IOException(e);
         }
         address = front.start();
     }
 
-    /** A decider that keeps all events and joins the actions for each. */
+    /** Returns a decider that records all events and concatenates the actions for each. */
     public static Decider decider(List<Event> events, Function<Event, List<Action>> decide) {
         return (now, batch) -> {
             List<Action> out = new ArrayList<>();
@@ -104,13 +104,13 @@
         return "127.0.0.1:" + endpointServer.getLocalPort();
     }
 
-    /** Sends one attempt of each request and fails the request if that fails. */
-    static List<Action> sendOnce(FrontTestPeers p, Event e) {
+    /** Sends one attempt for each request, and fails the request if the attempt fails. */
+    static List<Action> sendOnce(FrontTestPeers peers, Event e) {
         if (e instanceof Event.RequestReceived request) {
-            return List.of(new Action.SendAttempt(request.requestId(), p.endpointId(), 0));
+            return List.of(new Action.SendAttempt(request.requestId(), peers.endpointId(), 0));
         }
-        return e instanceof Event.AttemptEnded thread && !thread.requestEnded()
-                ? List.of(new Action.FailRequest(thread.requestId()))
+        return e instanceof Event.AttemptEnded attempt && !attempt.requestEnded()
+                ? List.of(new Action.FailRequest(attempt.requestId()))
                 : List.of();
     }
 
@@ -126,18 +126,18 @@
         socket.getOutputStream().flush();
     }
 
-    /** An endpoint of build 1 as the endpoint list has it. */
-    static String endpointJson(String machine, String state) {
-        return "{\"machine\":\"" + machine
+    /** Returns the entry of an endpoint of build 1 in the endpoint list. */
+    static String endpointJson(String endpointId, String state) {
+        return "{\"machine\":\"" + endpointId
                 + "\",\"build\":1,\"zone\":\"here\",\"cell\":0,\"kind\":0,\"size\":1,\"state\":\"" + state
                 + "\",\"run\":1,\"ageMs\":-1}";
     }
 
-    static String lookRequest(String more) {
-        return "GET /look HTTP/1.1\r\nHost: f\r\n" + more + "\r\n";
+    static String lookRequest(String headers) {
+        return "GET /look HTTP/1.1\r\nHost: f\r\n" + headers + "\r\n";
     }
 
-    /** Reads one message: its head, and as much body as its length says. */
+    /** Reads one message: its head, and the body whose length the head states. */
     public static String receive(Socket socket) throws IOException {
         return receive(socket.getInputStream());
     }
@@ -157,11 +157,11 @@
         return head + new String(body, StandardCharsets.ISO_8859_1);
     }
 
-    /** The next connection that the node opens to the endpoint. */
+    /** Waits for the next connection that the node opens to the endpoint. */
     Socket nextEndpointConnection() throws InterruptedException {
         Socket socket = endpointConnections.poll(10, TimeUnit.SECONDS);
         if (socket == null) {
-            throw new AssertionError("the node did not connect");
+            throw new AssertionError("the node opened no connection to the endpoint");
         }
         return socket;
     }
--- a/src/test/java/laurelkeel/front/FrontTestRig.java
+++ b/src/test/java/laurelkeel/front/FrontTestRig.java
@@ -24,7 +24,7 @@
 import laurelkeel.scenario.ScenarioEnvironment;
 import laurelkeel.scenario.ScenarioFault;
 
-/** Nodes of this process between simulated clients, endpoints and control plane, for end-to-end tests. */
+/** Front nodes in this process with simulated clients, endpoints and control plane, for end-to-end tests. */
 public final class FrontTestRig implements AutoCloseable {
     static final String COMMON =
             """
@@ -92,32 +92,33 @@
             Path folder,
             String extra,
             int count,
-            int machines,
-            Decider.Factory maker,
+            int endpointCount,
+            Decider.Factory deciders,
             boolean guarded,
             LongSupplier... clocks)
             throws Exception {
         this.folder = folder;
-        Scenario plan = Scenario.read(IniFile.parse("rig.ini", COMMON.formatted(count, machines) + extra), "rig");
-        environment = new ScenarioEnvironment(plan, 7, records::add);
+        Scenario scenario =
+                Scenario.read(IniFile.parse("rig.ini", COMMON.formatted(count, endpointCount) + extra), "rig");
+        environment = new ScenarioEnvironment(scenario, 7, records::add);
         environment.start();
         for (int i = 0; i < count; i++) {
             Path file = folder.resolve("front-" + i + ".ini");
             Files.writeString(
                     file,
                     "[front]\nnumber = " + i + "\nfronts = " + count + "\nlisten = 127.0.0.1:0\n"
-                            + "state = state-" + i + "\nrecords = front-" + i + ".jsonl\n" + plan.nodeSections()
+                            + "state = state-" + i + "\nrecords = front-" + i + ".jsonl\n" + scenario.nodeSections()
                             + "[list]\naddress = 127.0.0.1:"
                             + environment.endpointListAddress().getPort()
                             + "\n[release]\naddress = 127.0.0.1:"
                             + environment.rolloutServiceAddress().getPort() + "\n");
-            FrontNode f = new FrontNode(
+            FrontNode front = new FrontNode(
                     FrontSettings.read(file),
-                    maker,
+                    deciders,
                     i < clocks.length ? clocks[i] : NodeRuntime.monotonicClock(),
                     guarded);
-            fronts.add(f);
-            addresses.add(f.start());
+            fronts.add(front);
+            addresses.add(front.start());
         }
     }
 
@@ -126,11 +127,11 @@
     }
 
     void applyFault(String event) throws Exception {
-        Scenario p = Scenario.read(
+        Scenario scenario = Scenario.read(
                 IniFile.parse("event.ini", COMMON.formatted(fronts.size(), 1) + "[event e]\nat = 0 ms\n" + event),
                 "event");
-        ScenarioFault t = p.faults().get(0);
-        environment.apply(t);
+        ScenarioFault fault = scenario.faults().get(0);
+        environment.apply(fault);
     }
 
     <T extends TrafficRecord> long count(Class<T> kind, Predicate<T> matches) {
@@ -141,29 +142,29 @@
                 .count();
     }
 
-    /** Runs a loop on a thread of its own, until it is stopped. */
+    /** Runs an event loop on a new thread until the loop is stopped. */
     public static void run(EventLoop loop) {
-        Thread runs = new Thread(() -> loop.run(() -> false));
-        runs.setDaemon(true);
-        runs.start();
+        Thread thread = new Thread(() -> loop.run(() -> false));
+        thread.setDaemon(true);
+        thread.start();
     }
 
-    /** Waits for a condition, 30 s at the most; a test that reaches that fails. */
-    public static void await(String what, BooleanSupplier held) {
+    /** Waits at most 30 s for a condition; otherwise the test fails. */
+    public static void await(String description, BooleanSupplier condition) {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
-        while (!held.getAsBoolean()) {
+        while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("not within 30 s: " + what);
+                throw new AssertionError("not within 30 s: " + description);
             }
             LockSupport.parkNanos(5_000_000);
         }
     }
 
-    /** Ends the load, waits for the answers that are owed, and audits all records. */
+    /** Stops the load, waits for pending answers, drains the nodes, and audits all records. */
     AuditReport audit() throws IOException {
         environment.runOnLoop(() -> environment.loadGenerator().stop());
         await(
-                "clients are done",
+                "no client request is pending",
                 () -> environment.callOnLoop(() -> environment.loadGenerator().openRequests()) == 0);
         List<TrafficRecord> all = new ArrayList<>(records);
         fronts.forEach(FrontNode::drain);
--- a/src/test/java/laurelkeel/front/MisbehavingPeersTest.java
+++ b/src/test/java/laurelkeel/front/MisbehavingPeersTest.java
@@ -26,7 +26,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Peers that stop midway, trickle, flood or vanish: no other peer waits for them, and no connection is kept for ever.
+ * Peers that stop midway, trickle, flood or vanish: they block no other peer, and their connections are closed in the
+ * end.
  */
 class MisbehavingPeersTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
@@ -34,7 +35,7 @@
     @TempDir
     Path directory;
 
-    /** Sends a byte at a time without end; true once the other side has closed. */
+    /** Sends a text byte by byte, repeatedly; returns whether the other side closed the connection. */
     private static boolean closedOnTrickle(Socket socket, String text) throws Exception {
         socket.setSoTimeout(200);
         for (int i = 0; i < 100; i++) {
@@ -53,15 +54,15 @@
     }
 
     @Test
-    void aPartialRequestAtTheAdminAddressKeepsNobodyFromHealth() throws Exception {
+    void aPartialRequestAtTheAdminAddressBlocksNoHealthCheck() throws Exception {
         int admin = PortAllocator.allocate();
         try (FrontTestPeers peers =
                 new FrontTestPeers(directory, "", List.of("admin = 127.0.0.1:" + admin), FrontTestPeers::sendOnce)) {
-            List<Socket> halves = new ArrayList<>();
+            List<Socket> partialRequests = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 Socket socket = new Socket(InetAddress.getLoopbackAddress(), admin);
                 FrontTestPeers.send(socket, "GET /met");
-                halves.add(socket);
+                partialRequests.add(socket);
             }
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), admin)) {
                 socket.setSoTimeout(5_000);
@@ -70,8 +71,10 @@
                 assertTrue(FrontTestPeers.receive(socket).endsWith("ok\n"));
                 assertTrue(FrontTestPeers.receive(socket).contains("laurelkeel_reqs_held"));
             }
-            FrontTestPeers.send(halves.get(0), "rics HTTP/1.1\r\nHost: a\r\n");
-            assertTrue(closedOnTrickle(halves.get(0), "X-Y: z\r\n"), "a place is kept for ever");
+            FrontTestPeers.send(partialRequests.get(0), "rics HTTP/1.1\r\nHost: a\r\n");
+            assertTrue(
+                    closedOnTrickle(partialRequests.get(0), "X-Y: z\r\n"),
+                    "the connection of a partial request is still open");
             assertFalse(peers.front.termination().isDone());
         }
     }
@@ -94,7 +97,8 @@
             FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
             Socket endpoint = peers.nextEndpointConnection();
             FrontTestPeers.receive(endpoint);
-            // longer than a connection may be idle, and less than the route's timeout
+            // the idle timeout passes meanwhile; the connection must stay open until the route's timeout ends the
+            // attempt
             assertFalse(closedOnTrickle(client, "\r\n".repeat(1))
                     && peers.events.stream().noneMatch(e -> e instanceof Event.AttemptEnded));
         }
@@ -108,25 +112,25 @@
                 (self, e) -> e instanceof Event.RequestReceived request
                         ? List.of(new Action.FailRequest(request.requestId()))
                         : List.of())) {
-            Socket in = peers.connectClient();
-            FrontTestPeers.send(in, FrontTestPeers.lookRequest(""));
-            FrontTestPeers.receive(in);
+            Socket accepted = peers.connectClient();
+            FrontTestPeers.send(accepted, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.receive(accepted);
             for (int i = 0; i < 300; i++) {
                 try (Socket client = peers.connectClient()) {
                     FrontTestPeers.send(client, FrontTestPeers.lookRequest("X: " + i + "\r\n"));
                     assertTrue(FrontTestPeers.receive(client).contains("Laurelkeel-Taken: no"));
                 } catch (IOException e) {
-                    // closed with what it sent unread: it has no answer, and may not have been accepted either
+                    // the connection was closed with the request unread: it got no answer and must not be accepted
                 }
             }
-            FrontTestPeers.send(in, FrontTestPeers.lookRequest(""));
-            FrontTestPeers.receive(in);
+            FrontTestPeers.send(accepted, FrontTestPeers.lookRequest(""));
+            FrontTestPeers.receive(accepted);
             assertEquals(
                     2,
                     peers.events.stream()
                             .filter(e -> e instanceof Event.RequestReceived)
                             .count(),
-                    "told: not taken");
+                    "a request that was answered as not accepted reached the decider");
         }
     }
 
@@ -187,7 +191,7 @@
     }
 
     @Test
-    void anEndpointThatVanishesCostsOneTimeoutAndNotOneAConnection() throws Exception {
+    void anEndpointThatVanishesCausesOneTimeoutAndNotOnePerConnection() throws Exception {
         try (FrontTestPeers peers = new FrontTestPeers(
                 directory,
                 "",
@@ -197,25 +201,26 @@
                                 ? List.of(new Action.FailRequest(attempt.requestId()))
                                 : List.of())) {
             List<Socket> clients = new ArrayList<>();
-            List<Socket> machine = new ArrayList<>();
+            List<Socket> endpointConnections = new ArrayList<>();
             for (int i = 0; i < 5; i++) {
                 clients.add(peers.connectClient());
                 FrontTestPeers.send(clients.get(i), FrontTestPeers.lookRequest(""));
-                machine.add(peers.nextEndpointConnection());
-                FrontTestPeers.receive(machine.get(i));
+                endpointConnections.add(peers.nextEndpointConnection());
+                FrontTestPeers.receive(endpointConnections.get(i));
             }
             for (int i = 0; i < 5; i++) {
-                FrontTestPeers.send(machine.get(i), OK);
+                FrontTestPeers.send(endpointConnections.get(i), OK);
                 FrontTestPeers.receive(clients.get(i));
             }
-            // five are idle; from here on the endpoint sends nothing on any of them
+            // the node has five idle connections; from here on the endpoint sends nothing on any of them
             FrontTestPeers.send(clients.get(0), FrontTestPeers.lookRequest(""));
             assertTrue(FrontTestPeers.receive(clients.get(0)).startsWith("HTTP/1.1 502"));
             FrontTestPeers.send(clients.get(1), FrontTestPeers.lookRequest(""));
-            Socket fresh = peers.nextEndpointConnection();
-            FrontTestPeers.receive(fresh);
-            FrontTestPeers.send(fresh, OK);
-            assertTrue(FrontTestPeers.receive(clients.get(1)).endsWith("hi"), "an old connection was used");
+            Socket newConnection = peers.nextEndpointConnection();
+            FrontTestPeers.receive(newConnection);
+            FrontTestPeers.send(newConnection, OK);
+            assertTrue(
+                    FrontTestPeers.receive(clients.get(1)).endsWith("hi"), "the request was sent on an old connection");
             assertEquals(
                     1,
                     peers.events.stream()
@@ -226,10 +231,10 @@
     }
 
     @Test
-    void anErrorThatEndsASocketThreadEndsTheLoop() throws Exception {
-        Error made = new StackOverflowError("made");
-        NodeRuntime base = NodeRuntime.create(NodeRuntime.monotonicClock());
-        EventLoop loop = base.loop();
+    void anErrorOnASocketThreadEndsTheLoop() throws Exception {
+        Error error = new StackOverflowError("thrown by the test");
+        NodeRuntime runtime = NodeRuntime.create(NodeRuntime.monotonicClock());
+        EventLoop loop = runtime.loop();
         CompletableFuture<Throwable> ended = new CompletableFuture<>();
         Thread loopThread = new Thread(() -> {
             try {
@@ -241,21 +246,22 @@
         loopThread.setDaemon(true);
         loopThread.start();
         java.nio.file.Files.writeString(directory.resolve("f.ini"), FrontTestPeers.SETTINGS.formatted(""));
-        FrontSettings set = FrontSettings.read(directory.resolve("f.ini"));
-        StandaloneProtocol words = new StandaloneProtocol(
-                new RouteTable(set.routes().entries(), List.of()),
+        FrontSettings settings = FrontSettings.read(directory.resolve("f.ini"));
+        StandaloneProtocol protocol = new StandaloneProtocol(
+                new RouteTable(settings.routes().entries(), List.of()),
                 request -> {
-                    throw made;
+                    throw error;
                 },
                 "0/a",
                 "/health");
-        Ingress in = new Ingress(set.ingress(), words, loop, base.socketThreads(), base.processors(1), null);
-        InetSocketAddress at = in.bind();
-        try (Socket client = new Socket(at.getAddress(), at.getPort())) {
+        Ingress ingress =
+                new Ingress(settings.ingress(), protocol, loop, runtime.socketThreads(), runtime.processors(1), null);
+        InetSocketAddress address = ingress.bind();
+        try (Socket client = new Socket(address.getAddress(), address.getPort())) {
             FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
-            assertSame(made, ended.get(10, TimeUnit.SECONDS));
+            assertSame(error, ended.get(10, TimeUnit.SECONDS));
         } finally {
-            in.close();
+            ingress.close();
         }
     }
 }
--- a/src/test/java/laurelkeel/front/NodeLifecycleTest.java
+++ b/src/test/java/laurelkeel/front/NodeLifecycleTest.java
@@ -12,7 +12,7 @@
     private final NodeLifecycle lifecycle = new NodeLifecycle(0, "life");
 
     @Test
-    void healthSaysWhetherTheNodeIsToGetRequests() {
+    void healthReportsWhetherTheNodeShouldGetRequests() {
         assertEquals("ok", lifecycle.health());
         lifecycle.enter(NodeState.SERVING, "test");
         assertEquals("ok", lifecycle.health());
@@ -27,7 +27,7 @@
     void aNodeThatFailedIsNotHealthy() {
         Throwable failure = new IllegalStateException("thrown by the test");
         assertTrue(lifecycle.terminate(failure));
-        assertFalse(lifecycle.terminate(null), "it ends once");
+        assertFalse(lifecycle.terminate(null), "a node terminates only once");
         assertEquals("failed", lifecycle.health());
         assertSame(failure, lifecycle.termination().join());
     }
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aNodeThatDecidesNoMoreRejectsRequestsToo() {
+    void aNodeThatHasStoppedDecidingIsClosingConnectionsToo() {
         lifecycle.startClosingConnections();
         assertTrue(lifecycle.isClosingConnections());
         assertFalse(lifecycle.hasStoppedDeciding());
--- a/src/test/java/laurelkeel/front/ResourceExhaustionTest.java
+++ b/src/test/java/laurelkeel/front/ResourceExhaustionTest.java
@@ -22,50 +22,53 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A node that runs out of a resource goes on with what it has, says so, and recovers once there is more. */
+/**
+ * A node that runs out of a resource keeps serving with the rest, reports it, and recovers once the resource is free.
+ */
 class ResourceExhaustionTest {
     @TempDir
     Path directory;
 
     @Test
-    void aConnectThatFailsForWantOfDescriptorsDoesNotCountAgainstTheEndpoint() throws Exception {
+    void aConnectWithoutFreeDescriptorsDoesNotCountAgainstTheEndpoint() throws Exception {
         try (FrontChildProcess child =
                 new FrontChildProcess(directory, "ulimit -n 160", List.of(), "", directory.resolve("log"))) {
             Socket admin = child.connect(child.adminPort);
             assertTrue(child.completesRequest(), Files.readString(directory.resolve("log")));
             FrontChildProcess.metric(admin, "");
             Socket first = child.connectClient();
-            List<Socket> crowd = crowd(child);
+            List<Socket> clients = connectClients(child);
             awaitNoDescriptorLeft();
-            child.isSilent = true;
-            List<Socket> asking = new ArrayList<>(crowd.subList(0, 20));
-            asking.add(first);
-            for (Socket socket : asking) {
+            child.ignoresRequests = true;
+            List<Socket> requesting = new ArrayList<>(clients.subList(0, 20));
+            requesting.add(first);
+            for (Socket socket : requesting) {
                 FrontTestPeers.send(socket, FrontTestPeers.lookRequest("Laurelkeel-Remaining-Ms: 1500\r\n"));
             }
-            int harmless = 0;
-            for (Socket socket : asking) {
-                harmless += FrontTestPeers.receive(socket).contains("harmless") ? 1 : 0;
+            int harmlessCount = 0;
+            for (Socket socket : requesting) {
+                harmlessCount += FrontTestPeers.receive(socket).contains("harmless") ? 1 : 0;
             }
-            assertTrue(harmless >= 10, "where nothing left the front, asking again is harmless: " + harmless);
+            assertTrue(
+                    harmlessCount >= 10, "rejections of requests that were not sent to the endpoint: " + harmlessCount);
             assertEquals(
                     0,
                     FrontChildProcess.metric(admin, "laurelkeel_outcomes_total{outcome=\"no_connection\"}"),
-                    "held against the machine");
+                    "the failed connects counted against the endpoint");
             assertTrue(
                     FrontChildProcess.metric(admin, "laurelkeel_outcomes_total{outcome=\"not_sent\"}") > 0,
-                    "as never sent");
-            child.isSilent = false;
-            for (Socket socket : crowd) {
+                    "the attempts did not count as not sent");
+            child.ignoresRequests = false;
+            for (Socket socket : clients) {
                 socket.close();
             }
-            FrontTestRig.await("with room it is well again", child::completesRequest);
+            FrontTestRig.await("the node recovers once descriptors are free", child::completesRequest);
         }
     }
 
-    /** The clients have taken all descriptors once the node logs that it lacks some. */
+    /** Waits until the node logs that it has no free file descriptor. */
     private void awaitNoDescriptorLeft() {
-        FrontTestRig.await("no descriptor is left", () -> {
+        FrontTestRig.await("no file descriptor is free", () -> {
             try {
                 return Files.readString(directory.resolve("log")).contains("Too many open files");
             } catch (IOException e) {
@@ -74,45 +77,46 @@
         });
     }
 
-    private static List<Socket> crowd(FrontChildProcess child) throws IOException {
-        List<Socket> crowd = new ArrayList<>();
+    private static List<Socket> connectClients(FrontChildProcess child) throws IOException {
+        List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            crowd.add(child.connectClient());
+            clients.add(child.connectClient());
         }
-        return crowd;
+        return clients;
     }
 
     /**
-     * A class that is first needed with no descriptor left cannot be read from its file: these are the first requests.
+     * A class that is first needed while no file descriptor is free cannot be loaded from its file. These are the
+     * node's first requests, so the classes that serve requests are needed for the first time.
      */
     @Test
-    void theFirstRequestsAreAnsweredWithNoDescriptorLeft() throws Exception {
+    void theFirstRequestsAreAnsweredWithoutFreeDescriptors() throws Exception {
         try (FrontChildProcess child =
                 new FrontChildProcess(directory, "ulimit -n 160", List.of(), "", directory.resolve("log"))) {
-            List<Socket> crowd = crowd(child);
+            List<Socket> clients = connectClients(child);
             awaitNoDescriptorLeft();
-            for (Socket socket : crowd.subList(0, 20)) {
+            for (Socket socket : clients.subList(0, 20)) {
                 FrontTestPeers.send(socket, FrontTestPeers.lookRequest("Laurelkeel-Remaining-Ms: 1500\r\n"));
             }
-            for (Socket socket : crowd.subList(0, 20)) {
+            for (Socket socket : clients.subList(0, 20)) {
                 assertTrue(
                         FrontTestPeers.receive(socket).contains("Laurelkeel-Answer: "),
                         Files.readString(directory.resolve("log")));
             }
-            for (Socket socket : crowd) {
+            for (Socket socket : clients) {
                 socket.close();
             }
-            FrontTestRig.await("with room it is well", child::completesRequest);
+            FrontTestRig.await("the node recovers once descriptors are free", child::completesRequest);
             child.terminate();
         }
     }
 
-    /** Connections that wait in the backlog and cannot be accepted are no reason to stay. */
+    /** Connections that wait in the backlog and cannot be accepted must not keep the process running. */
     @Test
-    void aSignalEndsTheProcessWithNoDescriptorLeft() throws Exception {
+    void aSignalEndsTheProcessWithoutFreeDescriptors() throws Exception {
         try (FrontChildProcess child =
                 new FrontChildProcess(directory, "ulimit -n 160", List.of(), "", directory.resolve("log"))) {
-            crowd(child);
+            connectClients(child);
             awaitNoDescriptorLeft();
             child.terminate();
         }
@@ -125,131 +129,136 @@
             Socket admin = child.connect(child.adminPort);
             assertTrue(child.completesRequest());
             String head = "POST /put HTTP/1.1\r\nHost: f\r\nContent-Length: 1000000\r\n\r\n";
-            List<Socket> pouring = new ArrayList<>();
+            List<Socket> uploading = new ArrayList<>();
             for (int i = 0; i < 120; i++) {
                 Socket socket = child.connectClient();
-                pouring.add(socket);
+                uploading.add(socket);
                 try {
-                    // all but the last byte: a body that is held
+                    // all but the last byte, so that the node buffers the body
                     FrontTestPeers.send(socket, head + "x".repeat(999_999));
                 } catch (IOException e) {
-                    // rejected and closed while it was still sending
+                    // the node rejected the request and closed the connection during the upload
                 }
             }
-            assertTrue(child.completesRequest(), "a req without a body has its answer beside them");
+            assertTrue(child.completesRequest(), "a request without a body is answered meanwhile");
             assertTrue(FrontChildProcess.metric(admin, "laurelkeel_turned_away") > 60);
-            double held = FrontChildProcess.metric(admin, "laurelkeel_body_bytes_held");
-            assertTrue(held > 1_000_000 && held <= 8 << 20, "held " + held);
-            for (Socket socket : pouring) {
+            double bodyBytes = FrontChildProcess.metric(admin, "laurelkeel_body_bytes_held");
+            assertTrue(bodyBytes > 1_000_000 && bodyBytes <= 8 << 20, "body bytes in memory: " + bodyBytes);
+            for (Socket socket : uploading) {
                 socket.close();
             }
             FrontTestRig.await(
-                    "all is given back", () -> child.metricUnchecked(admin, "laurelkeel_body_bytes_held") == 0);
+                    "all body bytes are released",
+                    () -> child.metricUnchecked(admin, "laurelkeel_body_bytes_held") == 0);
             Socket socket = child.connectClient();
             FrontTestPeers.send(socket, head + "x".repeat(1_000_000));
             assertTrue(FrontTestPeers.receive(socket).contains("Laurelkeel-Answer: completed"));
-            FrontTestRig.await("this one too", () -> child.metricUnchecked(admin, "laurelkeel_body_bytes_held") == 0);
+            FrontTestRig.await(
+                    "its body bytes are released too",
+                    () -> child.metricUnchecked(admin, "laurelkeel_body_bytes_held") == 0);
             child.terminate();
         }
     }
 
-    /** An endpoint list service whose watch sends the lines it is given, and repeats the last one on a reconnect. */
-    private HttpServer list(BlockingQueue<String> lines) throws IOException {
+    /**
+     * Starts an endpoint list service whose watch sends the lines of a queue, with heartbeats while the queue is empty.
+     */
+    private HttpServer startListService(BlockingQueue<String> lines) throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10);
-        server.setExecutor(Executors.newCachedThreadPool(r -> {
-            Thread t = new Thread(r);
-            t.setDaemon(true);
-            return t;
+        server.setExecutor(Executors.newCachedThreadPool(task -> {
+            Thread thread = new Thread(task);
+            thread.setDaemon(true);
+            return thread;
         }));
-        server.createContext("/list/watch", x -> {
-            x.sendResponseHeaders(200, 0);
+        server.createContext("/list/watch", exchange -> {
+            exchange.sendResponseHeaders(200, 0);
             try {
-                for (String socket = "{\"kind\":\"beat\"}"; ; socket = lines.poll(500, TimeUnit.MILLISECONDS)) {
-                    x.getResponseBody()
-                            .write(((socket == null ? "{\"kind\":\"beat\"}" : socket) + "\n").getBytes(UTF_8));
-                    x.getResponseBody().flush();
+                for (String line = "{\"kind\":\"beat\"}"; ; line = lines.poll(500, TimeUnit.MILLISECONDS)) {
+                    exchange.getResponseBody()
+                            .write(((line == null ? "{\"kind\":\"beat\"}" : line) + "\n").getBytes(UTF_8));
+                    exchange.getResponseBody().flush();
                 }
             } catch (IOException | InterruptedException e) {
-                x.close();
+                exchange.close();
             }
         });
         server.start();
         return server;
     }
 
-    private static String listed(int version, String first, int others, String state) {
-        StringBuilder socket = new StringBuilder("{\"kind\":\"full\",\"version\":" + version + ",\"machines\":["
+    private static String snapshotJson(int version, String first, int others, String state) {
+        StringBuilder json = new StringBuilder("{\"kind\":\"full\",\"version\":" + version + ",\"machines\":["
                 + FrontTestPeers.endpointJson(first, "live"));
         for (int i = 0; i < others; i++) {
-            socket.append(',').append(FrontTestPeers.endpointJson("127.0.0.1:" + (i + 1), state));
+            json.append(',').append(FrontTestPeers.endpointJson("127.0.0.1:" + (i + 1), state));
         }
-        return socket.append("]}").toString();
+        return json.append("]}").toString();
     }
 
     @Test
-    void aStandardErrorThatNobodyReadsBlocksNothing() throws Exception {
+    void aStandardErrorPipeWithoutAReaderBlocksNothing() throws Exception {
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
-        HttpServer list = list(lines);
+        HttpServer listService = startListService(lines);
         try (FrontChildProcess child = new FrontChildProcess(
                 directory,
                 ":",
                 List.of(),
-                "[list]\naddress = 127.0.0.1:" + list.getAddress().getPort() + "\n",
+                "[list]\naddress = 127.0.0.1:" + listService.getAddress().getPort() + "\n",
                 null)) {
             Socket admin = child.connect(child.adminPort);
             assertTrue(child.completesRequest());
-            // each of these logs a warning for each endpoint: far more than a pipe holds
+            // the node logs a warning for each endpoint of each list, far more than a pipe buffers
             for (int i = 0; i < 60; i++) {
-                lines.add(listed(i + 1, child.endpointId(), 50, "resting"));
+                lines.add(snapshotJson(i + 1, child.endpointId(), 50, "resting"));
             }
             FrontTestRig.await("the lines are read", lines::isEmpty);
             for (int i = 0; i < 20; i++) {
-                assertTrue(child.completesRequest(), "req " + i);
+                assertTrue(child.completesRequest(), "request " + i);
             }
             assertTrue(
                     FrontChildProcess.metric(admin, "laurelkeel_log_lines_left_out") > 1000,
-                    "what is left out is counted");
+                    "dropped log lines are counted");
             child.terminate();
         } finally {
-            list.stop(0);
+            listService.stop(0);
         }
     }
 
     @Test
-    void aFullDiskEndsNothingAndOnceThereIsRoomAllIsWrittenAgain() throws Exception {
+    void aFullDiskStopsNothingAndWritesResumeOnceItHasSpace() throws Exception {
         BlockingQueue<String> lines = new LinkedBlockingQueue<>();
-        HttpServer list = list(lines);
-        // 64 KiB a file: one list of so many endpoints is more
+        HttpServer listService = startListService(lines);
+        // files are limited to 64 KiB, and a list of 900 endpoints is larger
         try (FrontChildProcess child = new FrontChildProcess(
                 directory,
                 "ulimit -S -f 64",
                 List.of("-XX:-UsePerfData"),
-                "[list]\naddress = 127.0.0.1:" + list.getAddress().getPort() + "\n",
+                "[list]\naddress = 127.0.0.1:" + listService.getAddress().getPort() + "\n",
                 directory.resolve("log"))) {
             Socket admin = child.connect(child.adminPort);
             for (int i = 0; i < 5; i++) {
-                lines.add(listed(i + 1, child.endpointId(), 900, "draining"));
+                lines.add(snapshotJson(i + 1, child.endpointId(), 900, "draining"));
             }
             FrontTestRig.await("the disk is full", () -> child.metricUnchecked(admin, "laurelkeel_records_lost") > 0);
             for (int i = 0; i < 20; i++) {
-                assertTrue(child.completesRequest(), "req " + i);
+                assertTrue(child.completesRequest(), "request " + i);
             }
-            Path kept = directory.resolve("state/list.json");
-            assertTrue(Files.size(kept) < 64 << 10, "what was kept before stands");
+            Path storedList = directory.resolve("state/list.json");
+            assertTrue(Files.size(storedList) < 64 << 10, "the list stored before is intact");
             assertEquals(
                     0,
                     new ProcessBuilder("prlimit", "--pid", Long.toString(child.process.pid()), "--fsize=unlimited")
                             .start()
                             .waitFor());
-            FrontTestRig.await("with room the list is kept, though none came since", () -> {
+            FrontTestRig.await("the last list is stored once the disk has space, without a new one", () -> {
                 try {
-                    return Files.size(kept) > 64 << 10;
+                    return Files.size(storedList) > 64 << 10;
                 } catch (IOException e) {
                     return false;
                 }
             });
-            lines.add(listed(9, child.endpointId(), 1, "draining"));
-            FrontTestRig.await("and records are", () -> {
+            lines.add(snapshotJson(9, child.endpointId(), 1, "draining"));
+            FrontTestRig.await("records are written again", () -> {
                 try {
                     return RecordReader.readAll(directory).stream()
                             .anyMatch(r -> r instanceof TrafficRecord.EndpointListReceived l
@@ -262,7 +271,7 @@
                     .anyMatch(r -> r instanceof TrafficRecord.RecordsLost l && l.count() > 0));
             child.terminate();
         } finally {
-            list.stop(0);
+            listService.stop(0);
         }
     }
 }
--- a/src/test/java/laurelkeel/front/ResponseReferencesTest.java
+++ b/src/test/java/laurelkeel/front/ResponseReferencesTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void aLaterResponseTakesTheSlotOfAnOlderOne() {
+    void aLaterResponseOverwritesAnOlderOne() {
         references.put(1, origin(1));
         references.put(5, origin(2));
         assertNull(references.take(1));
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void whatWasNeverPutIsUnknown() {
+    void aResponseThatWasNeverStoredIsUnknown() {
         assertNull(references.take(0));
         assertNull(references.take(-1));
         assertNull(references.take(3));
--- a/src/test/java/laurelkeel/front/RolloutTranslatorTest.java
+++ b/src/test/java/laurelkeel/front/RolloutTranslatorTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void anAgeGrowsByTheTimeThatTheMessageWaited() {
+    void anAgeIncludesTheTimeThatTheMessageWaited() {
         assertEquals(
                 List.of(update(5, 0.4, 1_000, RolloutPhase.CANARY)),
                 translator.translate(status(5, RolloutPhase.CANARY, null), NOW_TICKS));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aCanaryThatIsActiveNoMoreHasBeenRolledBack() {
+    void aCanaryThatIsNoLongerActiveHasBeenRolledBack() {
         translator.translate(status(5, RolloutPhase.CANARY, List.of(5)), NOW_TICKS);
         translator.translate(status(6, RolloutPhase.CANARY, List.of(5, 6)), NOW_TICKS);
         assertEquals(
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void whereTheServiceKnowsOneRolloutALaterBuildEndsThatOfAnEarlierOne() {
+    void withoutActiveBuildsALaterBuildEndsTheRolloutOfAnEarlierOne() {
         translator.translate(status(5, RolloutPhase.CANARY, null), NOW_TICKS);
         assertEquals(
                 List.of(update(5, 0, 0, RolloutPhase.ROLLED_BACK), update(6, 0.4, 1_000, RolloutPhase.CANARY)),
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void anAnswerToAVoteCarriesTheStatusWhereItHasOne() {
+    void aVoteResponseCarriesTheRolloutStatusIfItHasOne() {
         assertEquals(
                 new Event.RolloutUpdate(ControlStatus.STALE, 1, 0.4, 1_000, RolloutPhase.CANARY, 9, true),
                 translator.translate(
@@ -94,7 +94,7 @@
         assertEquals(
                 RolloutUpdates.voteFailed(9),
                 translator.translate(9, new VoteResponse(ControlStatus.OK, null), NOW_TICKS),
-                "accepted, but of what the answer does not say");
+                "accepted, but without a rollout status");
     }
 
     @Test
--- a/src/test/java/laurelkeel/front/RuleBreakingDecider.java
+++ b/src/test/java/laurelkeel/front/RuleBreakingDecider.java
@@ -10,7 +10,7 @@
 import laurelkeel.api.Event;
 import laurelkeel.api.Event.EndpointEntry;
 
-/** A simple decider that keeps the rules; each can be broken by overriding a method. */
+/** A simple decider that keeps the rules; tests override a method to break one of them. */
 class RuleBreakingDecider implements Decider {
     final Map<String, EndpointEntry> endpoints = new TreeMap<>();
     final Map<String, Event.RequestReceived> activeRequests = new HashMap<>();
@@ -49,7 +49,7 @@
         actions.add(new Action.FailRequest(request.requestId()));
     }
 
-    /** Whether it may send a request to an endpoint. */
+    /** Returns whether a request may be sent to an endpoint. */
     boolean mayUse(EndpointEntry endpoint, Event.RequestReceived request) {
         return endpoint.state() == Event.EndpointState.ACTIVE && endpoint.build() == 1;
     }
--- a/src/test/java/laurelkeel/front/WireTermsTest.java
+++ b/src/test/java/laurelkeel/front/WireTermsTest.java
@@ -14,10 +14,10 @@
 import laurelkeel.records.RecordTerms;
 import org.junit.jupiter.api.Test;
 
-/** Names in settings, records and metrics are those of the pages, whatever the code calls things. */
+/** Names in settings, records and metrics stay as documented when identifiers in the code are renamed. */
 class WireTermsTest {
     @Test
-    void metricLabelsAreThoseOfThePages() {
+    void attemptOutcomesKeepTheirMetricLabels() {
         assertEquals(
                 List.of("completed", "error", "full", "timeout", "no_connection", "broken", "stopped", "not_sent"),
                 Arrays.stream(AttemptOutcome.values())
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void recordsKeepTheNamesThatStoredFilesHave() {
+    void recordsKeepTheNamesInStoredFiles() {
         assertEquals(
                 List.of(
                         RecordTerms.EndpointState.ACTIVE,
