--- a/src/main/java/laurelkeel/front/AttributionReport.java
+++ b/src/main/java/laurelkeel/front/AttributionReport.java
@@ -20,7 +20,7 @@
      * The counts of the attempts at one endpoint for one route and tenant.
      *
      * @param failures number of attempts that were answered with an error
-     * @param silent number of attempts that ended without an answer
+     * @param unanswered number of attempts that ended without an answer
      * @param complaints number of responses that clients complained about
      * @param durations number of attempts whose duration is measured: they completed at an endpoint that was warmed up
      * @param sumOfLogs sum of the natural logarithms of these durations in milliseconds
@@ -33,7 +33,7 @@
             @JsonProperty("customer") int tenant,
             @JsonProperty("tries") int attempts,
             @JsonProperty("fails") int failures,
-            int silent,
+            @JsonProperty("silent") int unanswered,
             @JsonProperty("wrongs") int complaints,
             @JsonProperty("rated") int durations,
             @JsonProperty("logTime") double sumOfLogs,
--- a/src/main/java/laurelkeel/front/AttributionReporter.java
+++ b/src/main/java/laurelkeel/front/AttributionReporter.java
@@ -61,8 +61,8 @@
 
     /** Counts an attempt that has ended, if its outcome carries information about the build. */
     void onAttemptEnded(ResponseReferences.Origin attempt, long nowTicks, AttemptOutcome outcome) {
-        boolean isSilent = isSilent(outcome);
-        if (!isSilent && outcome != AttemptOutcome.COMPLETED && outcome != AttemptOutcome.FAILED) {
+        boolean isUnanswered = isUnanswered(outcome);
+        if (!isUnanswered && outcome != AttemptOutcome.COMPLETED && outcome != AttemptOutcome.FAILED) {
             return;
         }
         EndpointEntry endpoint = endpoints.get(attempt.endpointId());
@@ -71,8 +71,8 @@
             return;
         }
         summary.attempts++;
-        if (isSilent) {
-            summary.silent++;
+        if (isUnanswered) {
+            summary.unanswered++;
         } else if (outcome == AttemptOutcome.FAILED) {
             summary.failures++;
         } else if (isWarm(endpoint, attempt.sentAtTicks())) {
@@ -80,7 +80,7 @@
         }
     }
 
-    private static boolean isSilent(AttemptOutcome outcome) {
+    private static boolean isUnanswered(AttemptOutcome outcome) {
         return outcome == AttemptOutcome.TIMED_OUT
                 || outcome == AttemptOutcome.CONNECTION_LOST
                 || outcome == AttemptOutcome.CONNECT_FAILED;
@@ -149,7 +149,7 @@
 
         private int attempts;
         private int failures;
-        private int silent;
+        private int unanswered;
         private int complaints;
         private int durations;
         private double sumOfLogs;
@@ -170,7 +170,7 @@
                     key.tenant,
                     attempts,
                     failures,
-                    silent,
+                    unanswered,
                     complaints,
                     durations,
                     sumOfLogs,
--- a/src/test/java/laurelkeel/front/FrontFailureTest.java
+++ b/src/test/java/laurelkeel/front/FrontFailureTest.java
@@ -84,11 +84,11 @@
     void twoAnswersToOneRequestAreAViolation() throws Exception {
         try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
-            void onRequest(Event.RequestReceived r) {
-                super.onRequest(r);
+            void onRequest(Event.RequestReceived request) {
+                super.onRequest(request);
                 if (sentAttempts % 20 == 0) {
-                    actions.add(new Action.FailRequest(r.requestId()));
-                    actions.add(new Action.FailRequest(r.requestId()));
+                    actions.add(new Action.FailRequest(request.requestId()));
+                    actions.add(new Action.FailRequest(request.requestId()));
                 }
             }
         })) {
@@ -102,9 +102,9 @@
     void aMissingAnswerIsAViolation() throws Exception {
         try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
-            void onRequest(Event.RequestReceived r) {
+            void onRequest(Event.RequestReceived request) {
                 if (++seenRequests % 50 != 0) {
-                    send(r);
+                    send(request);
                 }
             }
         })) {
@@ -118,11 +118,11 @@
     void aNonIdempotentRequestSentTwiceIsAViolation() throws Exception {
         try (FrontTestRig rig = startRig("[build 1]\nfailing-pay = 0.3\n", () -> new RuleBreakingDecider() {
             @Override
-            void onAttemptFailed(Event.RequestReceived r, Event.AttemptEnded t) {
-                if (r.route() == 1 && t.attempt() == 0) {
-                    send(r);
+            void onAttemptFailed(Event.RequestReceived request, Event.AttemptEnded attempt) {
+                if (request.route() == 1 && attempt.attempt() == 0) {
+                    send(request);
                 } else {
-                    super.onAttemptFailed(r, t);
+                    super.onAttemptFailed(request, attempt);
                 }
             }
         })) {
@@ -136,9 +136,9 @@
     void aRejectionOfARequestThatMayHaveRunIsAViolation() throws Exception {
         try (FrontTestRig rig = startRig("[build 1]\nfailing-pay = 0.3\n", () -> new RuleBreakingDecider() {
             @Override
-            void onAttemptFailed(Event.RequestReceived r, Event.AttemptEnded t) {
-                activeRequests.remove(r.requestId());
-                actions.add(new Action.RejectRequest(r.requestId(), 0));
+            void onAttemptFailed(Event.RequestReceived request, Event.AttemptEnded attempt) {
+                activeRequests.remove(request.requestId());
+                actions.add(new Action.RejectRequest(request.requestId(), 0));
             }
         })) {
             rig.startLoad();
@@ -151,8 +151,8 @@
     void attemptsAtADrainingEndpointAreAViolation() throws Exception {
         try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
-            boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
-                return m.state() != Event.EndpointState.REMOVED && m.build() == 1;
+            boolean mayUse(EndpointEntry endpoint, Event.RequestReceived request) {
+                return endpoint.state() != Event.EndpointState.REMOVED && endpoint.build() == 1;
             }
         })) {
             rig.startLoad();
@@ -162,7 +162,7 @@
                     "the endpoint has stopped",
                     () -> rig.count(
                                     TrafficRecord.ServerStopped.class,
-                                    m -> m.reason() == RecordTerms.StopReason.DRAINED)
+                                    stopped -> stopped.reason() == RecordTerms.StopReason.DRAINED)
                             > 0);
             assertOnlyRuleViolated(rig, 3, "after it was told that it drains");
         }
@@ -172,10 +172,10 @@
     void overloadingAnEndpointThatIsWarmingUpIsAViolation() throws Exception {
         try (FrontTestRig rig = startRig("[fleet]\ncores = 1\n", () -> new RuleBreakingDecider() {
             @Override
-            boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
+            boolean mayUse(EndpointEntry endpoint, Event.RequestReceived request) {
                 boolean isAnyWarmingUp = endpoints.values().stream()
                         .anyMatch(o -> o.startedAtTicks() > 0 && o.state() == Event.EndpointState.ACTIVE);
-                return super.mayUse(m, r) && (!isAnyWarmingUp || m.startedAtTicks() > 0);
+                return super.mayUse(endpoint, request) && (!isAnyWarmingUp || endpoint.startedAtTicks() > 0);
             }
         })) {
             rig.startLoad();
@@ -185,7 +185,7 @@
                     "the endpoint stops of overload",
                     () -> rig.count(
                                     TrafficRecord.ServerStopped.class,
-                                    m -> m.reason() == RecordTerms.StopReason.OVERLOADED)
+                                    stopped -> stopped.reason() == RecordTerms.StopReason.OVERLOADED)
                             > 0);
             assertOnlyRuleViolated(rig, 4, "was pushed over");
         }
@@ -194,11 +194,11 @@
     private static RuleBreakingDecider sendOneInToCanary(int interval) {
         return new RuleBreakingDecider() {
             @Override
-            boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
-                boolean toCanary = r.route() == 0
+            boolean mayUse(EndpointEntry endpoint, Event.RequestReceived request) {
+                boolean toCanary = request.route() == 0
                         && sentAttempts % interval == 0
                         && endpoints.values().stream().anyMatch(o -> o.build() == 2);
-                return m.state() == Event.EndpointState.ACTIVE && m.build() == (toCanary ? 2 : 1);
+                return endpoint.state() == Event.EndpointState.ACTIVE && endpoint.build() == (toCanary ? 2 : 1);
             }
         };
     }
@@ -217,11 +217,11 @@
         // each key always goes to the same build, and only idempotent requests to the canary in its guarded stage
         try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
-            boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
-                boolean toCanary =
-                        r.partitionKey() != null && endpoints.values().stream().anyMatch(o -> o.build() == 2);
-                return m.state() == Event.EndpointState.ACTIVE
-                        && (toCanary ? m.build() == 2 && r.route() == 0 : m.build() == 1);
+            boolean mayUse(EndpointEntry endpoint, Event.RequestReceived request) {
+                boolean toCanary = request.partitionKey() != null
+                        && endpoints.values().stream().anyMatch(o -> o.build() == 2);
+                return endpoint.state() == Event.EndpointState.ACTIVE
+                        && (toCanary ? endpoint.build() == 2 && request.route() == 0 : endpoint.build() == 1);
             }
         })) {
             awaitCanaryTraffic(rig);
@@ -234,13 +234,13 @@
         // the first canary gets a sixteenth of a route's keys and the second most of them; the cap is a fifth
         try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
-            boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
-                int keyGroup = r.partitionKey() == null || r.route() != 0
+            boolean mayUse(EndpointEntry endpoint, Event.RequestReceived request) {
+                int keyGroup = request.partitionKey() == null || request.route() != 0
                         ? 0
-                        : Math.floorMod(r.partitionKey().hashCode(), 16);
+                        : Math.floorMod(request.partitionKey().hashCode(), 16);
                 int build = keyGroup == 1 ? 2 : keyGroup > 1 ? 3 : 1;
                 boolean exists = endpoints.values().stream().anyMatch(o -> o.build() == build);
-                return m.state() == Event.EndpointState.ACTIVE && m.build() == (exists ? build : 1);
+                return endpoint.state() == Event.EndpointState.ACTIVE && endpoint.build() == (exists ? build : 1);
             }
         })) {
             rig.startLoad();
@@ -268,11 +268,11 @@
     void aRequestThatIsNotIdempotentInAGuardedStageIsAViolation() throws Exception {
         try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
-            boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
-                boolean toCanary = r.partitionKey() == null
+            boolean mayUse(EndpointEntry endpoint, Event.RequestReceived request) {
+                boolean toCanary = request.partitionKey() == null
                         && sentAttempts % 12 == 0
                         && endpoints.values().stream().anyMatch(o -> o.build() == 2);
-                return m.state() == Event.EndpointState.ACTIVE && m.build() == (toCanary ? 2 : 1);
+                return endpoint.state() == Event.EndpointState.ACTIVE && endpoint.build() == (toCanary ? 2 : 1);
             }
         })) {
             rig.startLoad();
--- a/src/test/java/laurelkeel/front/FrontNodeTest.java
+++ b/src/test/java/laurelkeel/front/FrontNodeTest.java
@@ -145,20 +145,20 @@
             assertTrue(FrontTestPeers.receive(client).startsWith("HTTP/1.1 200 "));
             FrontTestPeers.send(client, FrontTestPeers.lookRequest(""));
             FrontTestPeers.receive(endpoint);
-            String shed = FrontTestPeers.receive(client);
+            String rejection = FrontTestPeers.receive(client);
             assertEquals(
                     List.of(AttemptOutcome.COMPLETED, AttemptOutcome.TIMED_OUT),
                     peers.events.stream()
                             .filter(Event.AttemptEnded.class::isInstance)
                             .map(ended -> ((Event.AttemptEnded) ended).outcome())
                             .toList());
-            for (String s : List.of(
+            for (String header : List.of(
                     "HTTP/1.1 503",
                     "Laurelkeel-Answer: shed",
                     "Laurelkeel-Retry: harmless",
                     "Retry-After: 1\r",
                     "Laurelkeel-Retry-After-Ms: 123\r")) {
-                assertTrue(shed.contains(s), s + " in " + shed);
+                assertTrue(rejection.contains(header), header + " in " + rejection);
             }
             try {
                 FrontTestPeers.send(endpoint, OK);
@@ -300,8 +300,8 @@
                 {"POST /pay HTTP/1.1\r\nHost: f\r\n" + tenantHeader + "Content-Length: 0\r\n\r\n", "Idempotency-Key"}
             }) {
                 FrontTestPeers.send(client, requestAndError[0]);
-                String a = FrontTestPeers.receive(client);
-                assertTrue(a.startsWith("HTTP/1.1 400") && a.contains(requestAndError[1]), a);
+                String answer = FrontTestPeers.receive(client);
+                assertTrue(answer.startsWith("HTTP/1.1 400") && answer.contains(requestAndError[1]), answer);
             }
             assertTrue(peers.events.stream().noneMatch(e -> e instanceof Event.RequestReceived));
         }
@@ -322,8 +322,10 @@
                             == 2);
             Socket third = peers.connectClient();
             FrontTestPeers.send(third, FrontTestPeers.lookRequest(""));
-            String a = FrontTestPeers.receive(third);
-            assertTrue(a.contains("harmless") && a.contains("Laurelkeel-Taken: no") && a.contains("full"), a);
+            String answer = FrontTestPeers.receive(third);
+            assertTrue(
+                    answer.contains("harmless") && answer.contains("Laurelkeel-Taken: no") && answer.contains("full"),
+                    answer);
             // receiving its answer ensures that its connection is counted before the next one is opened
             Socket fourth = peers.connectClient();
             FrontTestPeers.send(fourth, FrontTestPeers.lookRequest(""));
@@ -365,11 +367,11 @@
             Socket endpoint = peers.nextEndpointConnection();
             FrontTestPeers.receive(endpoint);
             FrontTestPeers.send(endpoint, OK);
-            String a = FrontTestPeers.receive(client);
-            reference[0] = a.replaceAll("(?s).*Laurelkeel-Ref: (\\S+).*", "$1");
+            String answer = FrontTestPeers.receive(client);
+            reference[0] = answer.replaceAll("(?s).*Laurelkeel-Ref: (\\S+).*", "$1");
             assertEquals(
                     3.0, peers.firstEvent(Event.AttemptEnded.class).loadReport().concurrentRequests());
-            assertFalse(a.contains("Laurelkeel-Load"), "the endpoint's load report was forwarded to the client");
+            assertFalse(answer.contains("Laurelkeel-Load"), "the endpoint's load report was forwarded to the client");
             assertEquals(-1, endpoint.getInputStream().read(), "the idle connection is still open");
             String complaint = "POST /.laurelkeel/complaints HTTP/1.1\r\nHost: f\r\nContent-Length: "
                     + reference[0].length() + "\r\n\r\n" + reference[0];
@@ -398,16 +400,16 @@
                 (self, e) -> e instanceof Event.RequestReceived request
                         ? List.of(new Action.RejectRequest(request.requestId(), 0))
                         : List.of())) {
-            List<Socket> all = new ArrayList<>();
+            List<Socket> clients = new ArrayList<>();
             for (int i = 0; i < 5000; i++) {
-                all.add(peers.connectClient());
+                clients.add(peers.connectClient());
             }
-            for (Socket s : all) {
-                FrontTestPeers.send(s, FrontTestPeers.lookRequest(""));
+            for (Socket socket : clients) {
+                FrontTestPeers.send(socket, FrontTestPeers.lookRequest(""));
             }
-            for (Socket s : all) {
-                assertTrue(FrontTestPeers.receive(s).contains("shed"));
-                s.close();
+            for (Socket socket : clients) {
+                assertTrue(FrontTestPeers.receive(socket).contains("shed"));
+                socket.close();
             }
             assertNotNull(peers.firstEvent(Event.RequestReceived.class));
         }
--- a/src/test/java/laurelkeel/front/FrontRulesTest.java
+++ b/src/test/java/laurelkeel/front/FrontRulesTest.java
@@ -83,26 +83,27 @@
         private void accept(ServerSocket server, int number) {
             try {
                 for (int n = 0; ; n++) {
-                    Socket s = server.accept();
-                    openSockets.add(s);
+                    Socket socket = server.accept();
+                    openSockets.add(socket);
                     long connectionSeed = seed * 31 + number * 1000L + n;
-                    start(() -> serve(s, new Random(connectionSeed)));
+                    start(() -> serve(socket, new Random(connectionSeed)));
                 }
             } catch (IOException e) {
                 // the test has ended
             }
         }
 
-        private void serve(Socket s, Random random) {
-            try (s) {
+        private void serve(Socket socket, Random random) {
+            try (socket) {
                 while (true) {
-                    String request = FrontTestPeers.receive(s);
+                    String request = FrontTestPeers.receive(socket);
                     if (request.endsWith("<end>")) {
                         return;
                     }
                     int behaviour = random.nextInt(12);
                     if (behaviour == 0) {
-                        FrontTestPeers.send(s, "HTTP/1.1 503 No\r\nLaurelkeel-Ran: no\r\nContent-Length: 0\r\n\r\n");
+                        FrontTestPeers.send(
+                                socket, "HTTP/1.1 503 No\r\nLaurelkeel-Ran: no\r\nContent-Length: 0\r\n\r\n");
                         continue;
                     }
                     String id = request.replaceAll("(?s).*X-Request-Id: (\\S+).*", "$1");
@@ -112,16 +113,17 @@
                     if (behaviour == 1) {
                         return;
                     } else if (behaviour == 2) {
-                        FrontTestPeers.send(s, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
+                        FrontTestPeers.send(socket, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
                         return;
                     } else if (behaviour == 3) {
-                        FrontTestPeers.send(s, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+                        FrontTestPeers.send(socket, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
                     } else if (behaviour == 4) {
                         // sends no response: the node must close the connection
-                        s.getInputStream().read();
+                        socket.getInputStream().read();
                         return;
                     } else {
-                        FrontTestPeers.send(s, "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id);
+                        FrontTestPeers.send(
+                                socket, "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id);
                         if (behaviour == 5) {
                             // closes a connection that the node treats as idle
                             return;
@@ -135,9 +137,9 @@
 
         /** Runs one client: sends some pipelined requests, then reads all their responses. */
         private void runClient(int number, Random random) throws IOException {
-            Socket s = new Socket(address.getAddress(), address.getPort());
-            openSockets.add(s);
-            s.setSoTimeout(8_000);
+            Socket socket = new Socket(address.getAddress(), address.getPort());
+            openSockets.add(socket);
+            socket.setSoTimeout(8_000);
             List<SentRequest> sentRequests = new ArrayList<>();
             StringBuilder text = new StringBuilder();
             int n = 1 + random.nextInt(4);
@@ -159,28 +161,28 @@
                         .append(remainingMillis)
                         .append(route.equals("look") ? "\r\n\r\n" : "\r\nContent-Length: 2\r\n\r\nhi");
             }
-            FrontTestPeers.send(s, text.toString());
+            FrontTestPeers.send(socket, text.toString());
             if (random.nextInt(8) == 0) {
-                s.close();
+                socket.close();
                 return;
             }
             for (SentRequest sent : sentRequests) {
                 try {
-                    checkResponse(sent, FrontTestPeers.receive(s));
+                    checkResponse(sent, FrontTestPeers.receive(socket));
                 } catch (SocketTimeoutException e) {
                     violations.add("rule 1: no response to " + sent);
                     return;
                 }
             }
-            s.setSoTimeout(30);
+            socket.setSoTimeout(30);
             try {
-                if (s.getInputStream().read() >= 0) {
+                if (socket.getInputStream().read() >= 0) {
                     violations.add("rule 1: more responses than requests: " + sentRequests);
                 }
             } catch (SocketTimeoutException e) {
                 // expected: no further response
             }
-            s.close();
+            socket.close();
         }
 
         private void checkResponse(SentRequest sent, String response) {
@@ -203,8 +205,8 @@
             for (ServerSocket server : endpointServers) {
                 server.close();
             }
-            for (Socket s : openSockets) {
-                s.close();
+            for (Socket socket : openSockets) {
+                socket.close();
             }
         }
     }
--- a/src/test/java/laurelkeel/front/FrontTestRig.java
+++ b/src/test/java/laurelkeel/front/FrontTestRig.java
@@ -91,7 +91,7 @@
     FrontTestRig(
             Path folder,
             String extra,
-            int count,
+            int nodeCount,
             int endpointCount,
             Decider.Factory deciders,
             boolean guarded,
@@ -99,14 +99,14 @@
             throws Exception {
         this.folder = folder;
         Scenario scenario =
-                Scenario.read(IniFile.parse("rig.ini", COMMON.formatted(count, endpointCount) + extra), "rig");
+                Scenario.read(IniFile.parse("rig.ini", COMMON.formatted(nodeCount, endpointCount) + extra), "rig");
         environment = new ScenarioEnvironment(scenario, 7, records::add);
         environment.start();
-        for (int i = 0; i < count; i++) {
+        for (int i = 0; i < nodeCount; i++) {
             Path file = folder.resolve("front-" + i + ".ini");
             Files.writeString(
                     file,
-                    "[front]\nnumber = " + i + "\nfronts = " + count + "\nlisten = 127.0.0.1:0\n"
+                    "[front]\nnumber = " + i + "\nfronts = " + nodeCount + "\nlisten = 127.0.0.1:0\n"
                             + "state = state-" + i + "\nrecords = front-" + i + ".jsonl\n" + scenario.nodeSections()
                             + "[list]\naddress = 127.0.0.1:"
                             + environment.endpointListAddress().getPort()
