--- a/src/test/java/laurelkeel/front/ingress/ConnectionCloseTest.java
+++ b/src/test/java/laurelkeel/front/ingress/ConnectionCloseTest.java
@@ -90,7 +90,7 @@
     }
 
     private static boolean readsResponse(Socket client) throws IOException {
-        return FrontTestPeers.hear(client).startsWith("HTTP/1.1 200 ");
+        return FrontTestPeers.receive(client).startsWith("HTTP/1.1 200 ");
     }
 
     @AfterEach
@@ -162,7 +162,7 @@
     }
 
     private void assertConnectionStaysOpen() throws IOException {
-        FrontTestPeers.say(clientBeingRead, REQUEST);
+        FrontTestPeers.send(clientBeingRead, REQUEST);
         assertTrue(readsResponse(clientBeingRead), "reading continues");
     }
 
@@ -171,7 +171,7 @@
         ingress.acceptor().getFilterChain().addFirst("block", filter);
         Socket client = connect();
         clientBeingRead = client;
-        FrontTestPeers.say(client, REQUEST);
+        FrontTestPeers.send(client, REQUEST);
         assertTrue(filter.reached.await(10, TimeUnit.SECONDS));
         clock.addAndGet(elapsedTicks);
         close.run();
@@ -196,8 +196,8 @@
         startLoop();
         Socket c = connect();
         for (int i = 0; i < 2; i++) {
-            FrontTestPeers.say(c, REQUEST);
-            assertTrue(FrontTestPeers.hear(c).startsWith("HTTP/1.1 500 "));
+            FrontTestPeers.send(c, REQUEST);
+            assertTrue(FrontTestPeers.receive(c).startsWith("HTTP/1.1 500 "));
         }
     }
 
@@ -232,14 +232,14 @@
         Socket c = connect();
         Socket partial = connect();
         startLoop();
-        FrontTestPeers.say(c, REQUEST);
+        FrontTestPeers.send(c, REQUEST);
         assertTrue(readsResponse(c));
-        FrontTestPeers.say(partial, REQUEST.substring(0, 9));
+        FrontTestPeers.send(partial, REQUEST.substring(0, 9));
         FrontTestRig.await("a part of the request is read", () -> ingress.partialRequests() == 1);
         // in a later turn of the event loop: the client may read the response before the loop has counted it
         runOnLoop(ingress::closeIdle);
-        assertEquals("<end>", FrontTestPeers.hear(c));
-        FrontTestPeers.say(partial, REQUEST.substring(9));
+        assertEquals("<end>", FrontTestPeers.receive(c));
+        FrontTestPeers.send(partial, REQUEST.substring(9));
         assertTrue(readsResponse(partial));
     }
 
@@ -250,7 +250,7 @@
         Socket b = connect();
         startLoop();
         for (Socket s : List.of(a, b)) {
-            FrontTestPeers.say(s, REQUEST);
+            FrontTestPeers.send(s, REQUEST);
             assertTrue(readsResponse(s));
             clock.addAndGet(10);
         }
@@ -267,12 +267,12 @@
         });
         blocked.await();
         clock.addAndGet(30_000);
-        FrontTestPeers.say(a, REQUEST);
+        FrontTestPeers.send(a, REQUEST);
         FrontTestRig.await("the request is read", () -> loop.queuedTasks() >= 1);
         connect();
         assertEquals(
                 "<end>",
-                FrontTestPeers.hear(b),
+                FrontTestPeers.receive(b),
                 "the other connection is closed, although it has been idle for less time");
         unblock.countDown();
         assertTrue(readsResponse(a));
@@ -288,19 +288,19 @@
     void idleConnectionIsClosedAfterItsTimeoutAndNotBefore() throws Exception {
         openIngress(10, 20_000);
         Socket c = connect();
-        FrontTestPeers.say(c, REQUEST);
+        FrontTestPeers.send(c, REQUEST);
         FrontTestRig.await("the request is read", () -> loop.queuedTasks() > 0);
         startLoop();
         assertTrue(readsResponse(c));
         for (int i = 0; i < 3; i++) {
             clock.addAndGet(20_000);
             sweepOnLoop();
-            FrontTestPeers.say(c, REQUEST);
+            FrontTestPeers.send(c, REQUEST);
             assertTrue(readsResponse(c), "the connection is still open");
         }
         clock.addAndGet(20_001);
         sweepOnLoop();
-        assertEquals("<end>", FrontTestPeers.hear(c));
+        assertEquals("<end>", FrontTestPeers.receive(c));
     }
 
     private void sweepOnLoop() {
@@ -355,7 +355,7 @@
         List<Socket> inBacklog = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             Socket s = connect();
-            FrontTestPeers.say(s, REQUEST);
+            FrontTestPeers.send(s, REQUEST);
             inBacklog.add(s);
         }
         Thread unbind = new Thread(ingress::unbind);
@@ -368,7 +368,7 @@
         for (Socket s : inBacklog) {
             assertTrue(readsResponse(s));
         }
-        FrontTestPeers.say(accepted, REQUEST);
+        FrontTestPeers.send(accepted, REQUEST);
         assertTrue(readsResponse(accepted));
     }
 }
