--- a/src/main/java/laurelkeel/front/ControlPlaneRecorder.java
+++ b/src/main/java/laurelkeel/front/ControlPlaneRecorder.java
@@ -31,7 +31,7 @@
      * Opens the record file and records that the node has started.
      *
      * @param file null to record nothing
-     * @throws IOException if the file cannot be opened
+     * @throws IOException if the file's path cannot be used
      */
     ControlPlaneRecorder(@Nullable Path file, int nodeIndex, String incarnation, EventLoop loop) throws IOException {
         this.nodeIndex = nodeIndex;
--- a/src/main/java/laurelkeel/front/EventInbox.java
+++ b/src/main/java/laurelkeel/front/EventInbox.java
@@ -5,9 +5,9 @@
 import laurelkeel.api.Event;
 
 /**
- * The events and retired addresses that the decider gets at the end of the present turn of the event loop. It is
- * created before the node and all event sources, so that each of them can add events from its start. Not thread-safe;
- * used on the event loop's thread, or before that thread has started.
+ * The events for the decider and the addresses whose connections are to be closed, both collected until the end of the
+ * present turn of the event loop. It is created before the node and all event sources, so that each of them can add
+ * events from its start. Not thread-safe; used on the event loop's thread, or before that thread has started.
  */
 public final class EventInbox {
     private List<Event> events = new ArrayList<>();
--- a/src/main/java/laurelkeel/front/RequestOutcome.java
+++ b/src/main/java/laurelkeel/front/RequestOutcome.java
@@ -4,7 +4,7 @@
 public enum RequestOutcome {
     /** An endpoint's response was forwarded. */
     COMPLETED,
-    /** The request was rejected; it had no effect for certain, or a retry does no harm. */
+    /** The request was rejected; it provably had no effect, or a retry does no harm. */
     REJECTED,
     /** The request failed; it may have had an effect. */
     FAILED,
--- a/src/main/java/laurelkeel/front/StandaloneControlPlane.java
+++ b/src/main/java/laurelkeel/front/StandaloneControlPlane.java
@@ -78,7 +78,7 @@
         reporter = new AttributionReporter(decisionSettings, runtime.incarnation(), this::sendReport);
         endpointListSource = createEndpointListSource(http);
         gossip = createGossipChannel();
-        // the decider gets the list that the previous incarnation stored in the first turn
+        // so that the decider gets the list stored by the previous incarnation in its first turn
         onEndpointList(endpointLists.cachedList());
     }
 
