--- a/src/main/java/laurelkeel/cli/DayCommand.java
+++ b/src/main/java/laurelkeel/cli/DayCommand.java
@@ -46,7 +46,7 @@
     @Override
     public Integer call() throws Exception {
         Scenario scenario = Scenario.find(day);
-        AuditReport report = new ScenarioRun(scenario, seed == null ? scenario.seed() : seed, out, System.out).play();
+        AuditReport report = new ScenarioRun(scenario, seed == null ? scenario.seed() : seed, out, System.out).run();
         return report.rulesKept() == AuditCommand.RULES ? 0 : Cli.RULE_BROKEN;
     }
 }
--- a/src/main/java/laurelkeel/scenario/ScenarioRun.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioRun.java
@@ -62,7 +62,7 @@
      *
      * @throws IOException where a node does not start or a file cannot be written
      */
-    public AuditReport play() throws IOException, InterruptedException {
+    public AuditReport run() throws IOException, InterruptedException {
         Files.createDirectories(folder);
         removeEarlierRun();
         ScenarioRecorder recorder = new ScenarioRecorder(folder);
@@ -70,7 +70,7 @@
             try {
                 environment.start();
                 startNodes(environment);
-                playEvents(environment, recorder);
+                runEvents(environment, recorder);
             } finally {
                 stopNodes();
             }
@@ -112,7 +112,7 @@
         }
     }
 
-    private void playEvents(ScenarioEnvironment environment, ScenarioRecorder recorder) {
+    private void runEvents(ScenarioEnvironment environment, ScenarioRecorder recorder) {
         long startTicks = RecordClock.nowTicks();
         out.printf(
                 "day %s, seed %d: %d fronts, %d machines, %.0f reqs a second for %.0f s%n",
--- a/src/test/java/laurelkeel/scenario/ScenarioTest.java
+++ b/src/test/java/laurelkeel/scenario/ScenarioTest.java
@@ -63,12 +63,12 @@
             leave-early = 0.05
             """;
 
-    private AuditReport play(String moreSections) throws Exception {
-        return play("", moreSections);
+    private AuditReport run(String moreSections) throws Exception {
+        return run("", moreSections);
     }
 
     /** @param rolloutSettings more settings of the rollout service */
-    private AuditReport play(String rolloutSettings, String moreSections) throws Exception {
+    private AuditReport run(String rolloutSettings, String moreSections) throws Exception {
         ByteArrayOutputStream output = new ByteArrayOutputStream();
         AuditReport report = new ScenarioRun(
                         Scenario.read(
@@ -79,7 +79,7 @@
                         5,
                         folder,
                         new PrintStream(output))
-                .play();
+                .run();
         assertEquals(5, report.rulesKept(), output.toString(UTF_8));
         assertEquals(0, report.unansweredCount(), output.toString(UTF_8));
         assertTrue(report.requestCount() > 300, output.toString(UTF_8));
@@ -89,7 +89,7 @@
 
     @Test
     void aKilledNodeAFailingBuildAndCrashedServers() throws Exception {
-        play(
+        run(
                 """
                 [build 2]
                 failing = 0.5
@@ -115,7 +115,7 @@
 
     @Test
     void lostResponsesAStalledRolloutServiceAndAStoppedNode() throws Exception {
-        play(
+        run(
                 """
                 [build 2]
                 work = 1
@@ -158,7 +158,7 @@
 
     @Test
     void twoRolloutsOneOfThemFailing() throws Exception {
-        play(
+        run(
                 "together = 2\n",
                 """
                 [build 2]
