--- a/src/main/java/laurelkeel/testbed/AttributionService.java
+++ b/src/main/java/laurelkeel/testbed/AttributionService.java
@@ -12,15 +12,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The part of the rollout service that attributes regressions to builds: takes nodes' reports and returns findings. Not
- * thread-safe; used on the service's loop.
+ * The part of the rollout service that attributes regressions to builds: collects the nodes' reports and returns
+ * findings. Not thread-safe; used on the service's loop.
  */
 final class AttributionService {
-    /** What is stated of a build without a finding. */
+    /** Published for a build without a finding. */
     static final String NONE = "none";
-    /** What is stated of a build that may cause a regression. */
+    /** Published for a build that may be the cause of a regression. */
     static final String OPEN = "open";
-    /** What is stated of a build that causes a regression. */
+    /** Published for a build that is the cause of a regression. */
     static final String GUILTY = "guilty";
 
     private static final long MAX_REPORT_DELAY_SECONDS = 4;
@@ -28,7 +28,7 @@
     private static final long MAX_OFFSET_DRIFT_SECONDS = 2;
     private static final double MILLIS_PER_SECOND = 1000;
 
-    /** The service's answer on all findings. */
+    /** The response to a query for all findings. */
     record Summary(
             List<AttributionFinding> findings,
             @JsonProperty("reportsDoubled") long duplicateReports,
@@ -39,7 +39,10 @@
     private record NodeKey(int nodeIndex, String incarnation) {}
 
     private final RegressionAttributor attributor;
-    /** From a node's seconds to the service's, as its first report showed it. */
+    /**
+     * Difference between the service's and a node's seconds, measured at the first report; replaced after a larger
+     * drift.
+     */
     private final Map<NodeKey, Long> offsetSeconds = new HashMap<>();
 
     private List<AttributionFinding> findings = List.of();
@@ -60,7 +63,11 @@
         attributor.rolloutSetAside(build);
     }
 
-    /** Adds a report, and returns whether it counts. */
+    /**
+     * Adds a report after converting its second to the service's clock.
+     *
+     * @return whether the report was accepted
+     */
     boolean addReport(ReceivedReport report, long nowTicks) {
         double coveredMillis = nowTicks / RecordClock.TICKS_PER_MILLISECOND - report.ageMillis();
         long serviceSecond = (long) Math.floor(coveredMillis / MILLIS_PER_SECOND);
@@ -81,16 +88,16 @@
         return findings;
     }
 
-    private @Nullable AttributionFinding findingOn(int build) {
+    private @Nullable AttributionFinding findingFor(int build) {
         return findings.stream()
                 .filter(finding -> finding.build() == build)
                 .findFirst()
                 .orElse(null);
     }
 
-    /** What updates on a build state of it. */
+    /** Returns the attribution that updates on a build's rollout carry. */
     String attributionOf(int build) {
-        AttributionFinding finding = findingOn(build);
+        AttributionFinding finding = findingFor(build);
         if (finding == null) {
             return NONE;
         }
--- a/src/main/java/laurelkeel/testbed/FleetReplacer.java
+++ b/src/main/java/laurelkeel/testbed/FleetReplacer.java
@@ -4,9 +4,9 @@
 import laurelkeel.eventloop.EventLoop;
 import org.jspecify.annotations.Nullable;
 
-/** Starts and drains servers as rollouts proceed and go back. Used on the service's loop. */
+/** Starts and drains servers as rollouts proceed or are rolled back. Used on the service's loop. */
 final class FleetReplacer {
-    private static final double ROUNDING = 1e-9;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private final EventLoop loop;
     private final SimulatedFleet fleet;
@@ -22,20 +22,20 @@
         this.serverCount = serverCount;
     }
 
-    /** Starts the fleet's first servers, warm. */
+    /** Starts the initial servers, warm. */
     void startInitial(BuildProfile build) {
         for (int slot = 0; slot < serverCount; slot++) {
             fleet.startServer(null, build, slot, false);
         }
     }
 
-    /** Starts as many servers as a rollout's stage asks for, each at a moment of its own. */
-    void fill(Rollout rollout) {
+    /** Starts the servers that a rollout's stage still needs, each after its own random delay. */
+    void startStageServers(Rollout rollout) {
         double share = policy.stageServerShares().get(rollout.stage());
-        int wanted = (int) Math.ceil(share * (serverCount - serversOfOtherCanaries(rollout)) - ROUNDING);
-        int existing = serversOf(rollout);
+        int targetCount = (int) Math.ceil(share * (serverCount - otherCanaryServerCount(rollout)) - ROUNDING_TOLERANCE);
+        int currentCount = serverCountOf(rollout);
         rollout.serversReadyTicks = loop.nowTicks();
-        for (int i = existing; i < wanted; i++) {
+        for (int i = currentCount; i < targetCount; i++) {
             rollout.startingServers++;
             int slot = i;
             long startTicks = nextStartTicks();
@@ -49,14 +49,14 @@
         return loop.nowTicks() + startTicks / 2 + (long) (fleet.nextRandom() * startTicks / 2);
     }
 
-    private int serversOf(Rollout rollout) {
+    private int serverCountOf(Rollout rollout) {
         return fleet.activeServers(rollout.build.number()).size() + rollout.startingServers;
     }
 
-    private int serversOfOtherCanaries(Rollout rollout) {
+    private int otherCanaryServerCount(Rollout rollout) {
         return rollouts.canaries().stream()
                 .filter(other -> other != rollout)
-                .mapToInt(this::serversOf)
+                .mapToInt(this::serverCountOf)
                 .sum();
     }
 
@@ -72,7 +72,10 @@
         }
     }
 
-    /** A server of an earlier build; of a canary only where that is the one rollout and nothing else is left. */
+    /**
+     * Returns a server of an earlier build that a new server replaces; null for none. Servers of a canary are replaced
+     * only if no other servers are left and at most one rollout is unfinished.
+     */
     private @Nullable SimulatedServer serverToReplace(Rollout rollout) {
         List<SimulatedServer> earlier = serversBefore(rollout.build.number());
         for (SimulatedServer server : earlier) {
@@ -90,12 +93,12 @@
                 .toList();
     }
 
-    /** Drains what is left of earlier builds. */
+    /** Drains the remaining servers of earlier builds. */
     void drainServersBefore(int build) {
         serversBefore(build).forEach(server -> fleet.drain(server, policy.maxDrainTicks()));
     }
 
-    /** Drains a build's servers and starts as many of the released build as are missing. */
+    /** Drains a build's servers and starts servers of the released build to restore the server count. */
     void rollBack(Rollout rollout, BuildProfile released) {
         int build = rollout.build.number();
         long others = fleet.activeServers().stream()
--- a/src/main/java/laurelkeel/testbed/InvalidReportException.java
+++ b/src/main/java/laurelkeel/testbed/InvalidReportException.java
@@ -1,6 +1,6 @@
 package laurelkeel.testbed;
 
-/** Signals a node's report that lacks what a report has. */
+/** Signals a node's report with missing or mistyped properties. */
 final class InvalidReportException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/laurelkeel/testbed/PromotionPolicy.java
+++ b/src/main/java/laurelkeel/testbed/PromotionPolicy.java
@@ -1,11 +1,11 @@
 package laurelkeel.testbed;
 
-/** What lets a rollout enter its next stage. */
+/** The condition under which a rollout enters its next stage. */
 public enum PromotionPolicy {
-    /** The first vote for it. */
+    /** The first vote to promote. */
     FIRST_VOTE,
-    /** A number of votes for it. */
+    /** A number of votes to promote. */
     VOTE_COUNT,
-    /** Time, unless nodes or the attribution hold it. */
+    /** The end of the minimum time, unless votes or the attribution hold the stage. */
     AUTOMATIC
 }
--- a/src/main/java/laurelkeel/testbed/ReceivedReport.java
+++ b/src/main/java/laurelkeel/testbed/ReceivedReport.java
@@ -6,10 +6,10 @@
 import laurelkeel.attribution.NodeReport;
 
 /**
- * A node's report on its attempts as it came over the wire.
+ * A node's report on its attempts as received.
  *
- * @param nodeSecond the second that it covers, in seconds of the node's clock
- * @param ageMillis how long that second was past when the report was sent
+ * @param nodeSecond the second that the report covers, by the node's clock
+ * @param ageMillis how long ago that second was when the report was sent
  */
 record ReceivedReport(
         int nodeIndex, String incarnation, long nodeSecond, double ageMillis, List<NodeReport.Cell> cells) {
@@ -17,7 +17,7 @@
     /**
      * Parses a report.
      *
-     * @throws InvalidReportException where a property is missing or of another type
+     * @throws InvalidReportException if a required property is missing or has the wrong type
      */
     static ReceivedReport parse(JsonNode report) throws InvalidReportException {
         int nodeIndex = report.path("front").asInt(-1);
--- a/src/main/java/laurelkeel/testbed/ReplacementStyle.java
+++ b/src/main/java/laurelkeel/testbed/ReplacementStyle.java
@@ -1,9 +1,9 @@
 package laurelkeel.testbed;
 
-/** How servers of a new build take over. */
+/** How servers of a new build replace earlier ones. */
 public enum ReplacementStyle {
-    /** Each new server takes the place of an earlier one. */
+    /** Each new server replaces an earlier one, which is drained. */
     REPLACE,
-    /** New servers start beside the earlier ones, which go when the build is released. */
+    /** New servers run alongside the earlier ones, which are drained when the build is released. */
     BESIDE
 }
--- a/src/main/java/laurelkeel/testbed/Rollout.java
+++ b/src/main/java/laurelkeel/testbed/Rollout.java
@@ -11,19 +11,19 @@
 final class Rollout {
     private static final long NOT_HELD = -1;
 
-    private record Ballot(int stage, Verdict verdict, long expiryTicks) {}
+    private record NodeVote(int stage, Verdict verdict, long expiryTicks) {}
 
     final BuildProfile build;
-    private final Map<Integer, Ballot> ballotsByNode = new HashMap<>();
+    private final Map<Integer, NodeVote> votesByNode = new HashMap<>();
     private RolloutPhase phase;
     private int stage;
     private double exposureCap;
     private long stageStartTicks;
     private long heldSinceTicks = NOT_HELD;
     private long heldTicks;
-    /** When the last server of the stage starts. */
+    /** The time at which the last server of the stage starts. */
     long serversReadyTicks;
-    /** How many servers of the build are still to start. */
+    /** The number of servers of the build that are scheduled to start. */
     int startingServers;
 
     Rollout(BuildProfile build, RolloutPhase phase, double exposureCap, long nowTicks) {
@@ -57,7 +57,7 @@
         return phase == RolloutPhase.RELEASED;
     }
 
-    /** Whether the build is off the fleet, or on all of it. */
+    /** Returns whether the build is rolled back or released. */
     boolean hasEnded() {
         return phase == RolloutPhase.ROLLED_BACK || phase == RolloutPhase.RELEASED;
     }
@@ -70,11 +70,11 @@
         heldTicks = 0;
         heldSinceTicks = NOT_HELD;
         if (newPhase != RolloutPhase.CANARY) {
-            ballotsByNode.clear();
+            votesByNode.clear();
         }
     }
 
-    /** Adds up how long the stage was held. */
+    /** Sets whether the stage is held, and accumulates the time for which it was. */
     void setHeld(boolean isHeld, long nowTicks) {
         if (isHeld && heldSinceTicks == NOT_HELD) {
             heldSinceTicks = nowTicks;
@@ -84,21 +84,21 @@
         }
     }
 
-    /** When the stage has lasted long enough, the time in which it was held left out. */
+    /** Returns the time at which the stage has lasted for its minimum, excluding the time for which it was held. */
     long minStageEndTicks(long minStageTicks) {
         return Math.max(stageStartTicks, serversReadyTicks) + minStageTicks + heldTicks;
     }
 
-    /** Counts a node's vote; its latest replaces earlier ones. */
+    /** Records a node's vote, which replaces the node's earlier one. */
     void vote(int nodeIndex, int votedStage, Verdict verdict, long expiryTicks) {
-        ballotsByNode.put(nodeIndex, new Ballot(votedStage, verdict, expiryTicks));
+        votesByNode.put(nodeIndex, new NodeVote(votedStage, verdict, expiryTicks));
     }
 
-    /** Votes in force; a promotion counts for its stage only. */
+    /** Returns the number of unexpired votes; a vote to promote counts only for the stage that it names. */
     long countVotes(Verdict verdict, long nowTicks) {
-        return ballotsByNode.values().stream()
-                .filter(ballot -> ballot.expiryTicks > nowTicks && ballot.verdict == verdict)
-                .filter(ballot -> verdict != Verdict.PROMOTE || ballot.stage == stage)
+        return votesByNode.values().stream()
+                .filter(vote -> vote.expiryTicks > nowTicks && vote.verdict == verdict)
+                .filter(vote -> verdict != Verdict.PROMOTE || vote.stage == stage)
                 .count();
     }
 
@@ -106,7 +106,7 @@
         return new TrafficRecord.RolloutStageChanged(RecordClock.nowTicks(), build.number(), stage, exposureCap, phase);
     }
 
-    /** Its state as text, as build 2 stage 1 trial. */
+    /** Returns the state as text, for example {@code build 2 stage 1 trial}. */
     String summary() {
         return "build " + build.number() + " stage " + stage + " "
                 + ServiceTerms.wireName(phase).replace('-', ' ');
--- a/src/main/java/laurelkeel/testbed/RolloutController.java
+++ b/src/main/java/laurelkeel/testbed/RolloutController.java
@@ -13,15 +13,18 @@
 import laurelkeel.testbed.ServiceTerms.Verdict;
 
 /**
- * The state machine of rollouts: begins them, promotes and rolls back by votes, time and attribution, and has the fleet
- * follow. Used on the service's loop.
+ * The state machine of rollouts: starts them, promotes them or rolls them back according to votes, time and
+ * attribution, and has servers started and drained accordingly. Used on the service's loop.
  */
 final class RolloutController {
     private static final long EVALUATION_INTERVAL_TICKS = 500;
     private static final long ATTRIBUTION_INTERVAL_TICKS = RecordClock.TICKS_PER_SECOND;
-    /** Votes can be quicker than reports: those on their way still show whether the votes were right. */
-    private static final long LAST_REPORTS_TICKS = 80_000;
-    /** How long updates on a rollout that has ended are repeated. */
+    /**
+     * Delay before a rolled-back rollout ends for the attribution. Votes can arrive before reports, and reports still
+     * in transit show whether the votes were right.
+     */
+    private static final long FINAL_REPORTS_DELAY_TICKS = 80_000;
+    /** How long updates on an ended rollout are repeated. */
     private static final long ENDED_RETENTION_TICKS = 200_000;
 
     private final EventLoop loop;
@@ -32,12 +35,12 @@
     private final RolloutPublisher publisher;
     private final FleetReplacer replacer;
     private final Consumer<TrafficRecord> records;
-    private final ArrayDeque<BuildProfile> waitingBuilds = new ArrayDeque<>();
+    private final ArrayDeque<BuildProfile> queuedBuilds = new ArrayDeque<>();
     private final Map<Integer, String> publishedAttributions = new HashMap<>();
     private Rollout latest;
     private BuildProfile released;
 
-    /** Starts with a released build. */
+    /** Creates a controller whose first build is already released, and starts that build's servers. */
     RolloutController(
             EventLoop loop,
             RolloutPolicy policy,
@@ -63,29 +66,32 @@
         records.accept(latest.toRecord());
     }
 
-    /** Begins to evaluate rollouts and attribution at their intervals. */
+    /** Starts the periodic evaluation of rollouts and attribution. */
     void start() {
         loop.schedule(loop.nowTicks() + EVALUATION_INTERVAL_TICKS, this::evaluateAll);
         loop.schedule(loop.nowTicks() + ATTRIBUTION_INTERVAL_TICKS, this::evaluateAttribution);
     }
 
-    /** The rollout that began last. */
+    /** Returns the rollout that began last. */
     Rollout latest() {
         return latest;
     }
 
-    /** All rollouts in one line. */
+    /** Returns the state of all rollouts in one line. */
     String summary() {
         return rollouts.all().stream().map(Rollout::summary).collect(Collectors.joining("; "));
     }
 
-    /** Begins a rollout, or queues it; where one at a time is allowed, a canary is rolled back for it. */
+    /**
+     * Starts a rollout, or queues it; if only one rollout is allowed at a time, the current canary is rolled back for
+     * it.
+     */
     void offer(BuildProfile build) {
         if (rollouts.unfinishedCount() < policy.maxConcurrentRollouts()) {
             begin(build);
             return;
         }
-        waitingBuilds.addLast(build);
+        queuedBuilds.addLast(build);
         if (policy.maxConcurrentRollouts() == 1) {
             rollouts.canaries().forEach(this::rollBack);
         }
@@ -112,7 +118,7 @@
         records.accept(rollout.toRecord());
         publisher.publish();
         if (phase == RolloutPhase.CANARY) {
-            replacer.fill(rollout);
+            replacer.startStageServers(rollout);
         }
         if (phase == RolloutPhase.RELEASED) {
             release(rollout);
@@ -136,15 +142,15 @@
     private void end(Rollout rollout) {
         boolean isReleased = rollout.isReleased();
         loop.schedule(
-                loop.nowTicks() + (isReleased ? 0 : LAST_REPORTS_TICKS),
+                loop.nowTicks() + (isReleased ? 0 : FINAL_REPORTS_DELAY_TICKS),
                 () -> attribution.rolloutEnded(rollout.build.number(), isReleased));
         loop.schedule(loop.nowTicks() + ENDED_RETENTION_TICKS, () -> {
             if (rollout != latest && !isReleasedBuild(rollout)) {
                 rollouts.remove(rollout);
             }
         });
-        if (!waitingBuilds.isEmpty() && rollouts.unfinishedCount() < policy.maxConcurrentRollouts()) {
-            begin(waitingBuilds.removeFirst());
+        if (!queuedBuilds.isEmpty() && rollouts.unfinishedCount() < policy.maxConcurrentRollouts()) {
+            begin(queuedBuilds.removeFirst());
         }
     }
 
@@ -176,10 +182,10 @@
     }
 
     private void recordChange(AttributionFinding finding) {
-        String stated = attribution.attributionOf(finding.build());
-        if (!stated.equals(publishedAttributions.put(finding.build(), stated))) {
+        String published = attribution.attributionOf(finding.build());
+        if (!published.equals(publishedAttributions.put(finding.build(), published))) {
             records.accept(new TrafficRecord.AttributionPublished(
-                    RecordClock.nowTicks(), finding.build(), stated, finding.probability(), finding.evidence()));
+                    RecordClock.nowTicks(), finding.build(), published, finding.probability(), finding.evidence()));
         }
     }
 
@@ -189,11 +195,11 @@
     }
 
     private void evaluate(Rollout rollout) {
-        boolean isReleasedLately = isReleasedWithoutSuccessor(rollout);
-        boolean isRollBackVoted =
+        boolean canRollBackRelease = canRollBackRelease(rollout);
+        boolean hasEnoughRollBackVotes =
                 rollout.countVotes(Verdict.ROLL_BACK, loop.nowTicks()) >= Math.max(1, policy.rollBackVotes());
-        if ((rollout.isCanary() || isReleasedLately) && isRollBackVoted) {
-            if (isReleasedLately) {
+        if ((rollout.isCanary() || canRollBackRelease) && hasEnoughRollBackVotes) {
+            if (canRollBackRelease) {
                 released = rollouts.buildBefore(rollout.build.number());
             }
             rollBack(rollout);
@@ -202,8 +208,11 @@
         }
     }
 
-    /** Whether a build may still be rolled back after its release: it is the latest and others are known. */
-    private boolean isReleasedWithoutSuccessor(Rollout rollout) {
+    /**
+     * Returns whether a build can still be rolled back after its release: it is the latest, and other rollouts are
+     * known.
+     */
+    private boolean canRollBackRelease(Rollout rollout) {
         return rollout.isReleased()
                 && rollout == latest
                 && isReleasedBuild(rollout)
--- a/src/main/java/laurelkeel/testbed/RolloutPublisher.java
+++ b/src/main/java/laurelkeel/testbed/RolloutPublisher.java
@@ -7,7 +7,9 @@
 import laurelkeel.testbed.ServiceTerms.VoteAnswer;
 import org.jspecify.annotations.Nullable;
 
-/** States all rollouts to the service's watchers, to each with a delay of its own. Used on the service's loop. */
+/**
+ * Publishes the state of all rollouts to the service's watchers, each with its own delay. Used on the service's loop.
+ */
 final class RolloutPublisher {
     private final EventLoop loop;
     private final SimulatedFleet fleet;
@@ -33,7 +35,7 @@
         this.service = service;
     }
 
-    /** Publishes now and at the policy's interval. */
+    /** Publishes at the policy's interval, for the first time after one interval. */
     void publishRepeatedly() {
         loop.schedule(loop.nowTicks() + policy.updateIntervalTicks(), () -> {
             publishRepeatedly();
@@ -59,7 +61,7 @@
         }
     }
 
-    /** Sends all rollouts to a new watcher, at once. */
+    /** Sends all rollouts to a new watcher without a delay. */
     void publishTo(JsonLineService.Watcher watcher) {
         updates().forEach(watcher::send);
     }
@@ -70,7 +72,7 @@
                 .toList();
     }
 
-    /** The answer to a vote. */
+    /** Returns the answer to a vote on a rollout. */
     RolloutUpdateMessage voteAnswer(Rollout rollout, VoteAnswer answer) {
         return message(rollout, RolloutUpdateMessage.VOTE_ANSWER, answer.wireName());
     }
@@ -86,7 +88,7 @@
                 ServiceTerms.wireName(rollout.phase()),
                 (loop.clockTicks() - rollout.stageStartTicks()) / RecordClock.TICKS_PER_MILLISECOND,
                 buildsInService(),
-                statedAttribution(build));
+                publishedAttribution(build));
     }
 
     private List<Integer> buildsInService() {
@@ -96,10 +98,13 @@
                 .toList();
     }
 
-    /** Of a build that is alone only guilt is stated: there is nothing else to attribute a regression to. */
-    private String statedAttribution(int build) {
-        String stated = attribution.attributionOf(build);
-        boolean isStated = rollouts.unfinishedCount() > 1 || stated.equals(AttributionService.GUILTY);
-        return isStated ? stated : AttributionService.NONE;
+    /**
+     * Returns the attribution to publish. While no other rollout is unfinished, only {@code guilty} is published, since
+     * there is no other build to which a regression could be attributed.
+     */
+    private String publishedAttribution(int build) {
+        String current = attribution.attributionOf(build);
+        boolean isPublished = rollouts.unfinishedCount() > 1 || current.equals(AttributionService.GUILTY);
+        return isPublished ? current : AttributionService.NONE;
     }
 }
--- a/src/main/java/laurelkeel/testbed/RolloutRegistry.java
+++ b/src/main/java/laurelkeel/testbed/RolloutRegistry.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import org.jspecify.annotations.Nullable;
 
-/** All rollouts that the service knows, by build. Not thread-safe; used on the service's loop. */
+/** The rollouts that the service knows, by build. Not thread-safe; used on the service's loop. */
 final class RolloutRegistry {
     private final TreeMap<Integer, Rollout> rollouts = new TreeMap<>();
 
@@ -22,7 +22,7 @@
         return rollouts.get(build);
     }
 
-    /** By build; a copy. */
+    /** Returns a copy of all rollouts, in the order of their builds. */
     List<Rollout> all() {
         return List.copyOf(rollouts.values());
     }
@@ -31,12 +31,12 @@
         return rollouts.values().stream().filter(Rollout::isCanary).toList();
     }
 
-    /** Rollouts whose build is neither off the fleet nor on all of it. */
+    /** Returns the number of rollouts that are neither rolled back nor released. */
     long unfinishedCount() {
         return rollouts.values().stream().filter(rollout -> !rollout.hasEnded()).count();
     }
 
-    /** The build before another; a healthy one where none is known. */
+    /** Returns the known build with the next lower number; a healthy one if there is none. */
     BuildProfile buildBefore(int build) {
         Map.Entry<Integer, Rollout> previous = rollouts.lowerEntry(build);
         return previous == null ? BuildProfile.healthy(build - 1) : previous.getValue().build;
--- a/src/main/java/laurelkeel/testbed/RolloutService.java
+++ b/src/main/java/laurelkeel/testbed/RolloutService.java
@@ -16,9 +16,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A simulated rollout service: puts new builds on part of the fleet stage by stage, one or several at once, counts the
- * votes of nodes, promotes or rolls back, and states all that late. It pools the nodes' reports and attributes
- * regressions. It can stall and be later than usual. Public methods are to be called on the loop's thread.
+ * A simulated rollout service: deploys new builds to the servers in stages, one or several at a time, counts the nodes'
+ * votes, promotes or rolls back, and publishes the state of rollouts with a delay. It aggregates the nodes' reports and
+ * attributes regressions. It can be made to stall or to publish with an additional delay. Public methods must be called
+ * on the loop's thread.
  */
 public final class RolloutService {
     private static final String WATCH_PATH = "/release/watch";
@@ -29,7 +30,7 @@
     private static final int BAD_REQUEST = 400;
     private static final int UNAVAILABLE = 503;
     private static final long LOOP_TIMEOUT_SECONDS = 5;
-    /** How long a stalled service keeps a vote's connection open: longer than nodes wait. */
+    /** How long a stalled service holds a vote's connection open without an answer; longer than nodes wait. */
     private static final long STALLED_ANSWER_MILLIS = 5_000;
 
     private record ReportAnswer(String answer) {}
@@ -43,13 +44,13 @@
     private final RolloutServiceFaults faults = new RolloutServiceFaults();
     private final AttributionService attribution;
     private final RolloutPublisher publisher;
-    private final VoteIntake voteIntake;
+    private final VoteHandler voteHandler;
     private @Nullable RolloutController controller;
 
     /**
-     * Creates one that has not started.
+     * Creates a service that has not started.
      *
-     * @throws IOException where no port is free
+     * @throws IOException if no port can be opened
      */
     public RolloutService(
             EventLoop loop, SimulatedFleet fleet, RolloutPolicy policy, int routeCount, Consumer<TrafficRecord> records)
@@ -60,7 +61,7 @@
         this.records = records;
         this.attribution = new AttributionService(routeCount);
         this.publisher = new RolloutPublisher(fleet, policy, rollouts, attribution, faults, service);
-        this.voteIntake = new VoteIntake(fleet, policy, rollouts, faults, records);
+        this.voteHandler = new VoteHandler(fleet, policy, rollouts, faults, records);
         service.handle(WATCH_PATH, this::watch);
         service.handle(VOTES_PATH, this::vote);
         service.handle(REPORTS_PATH, this::report);
@@ -68,7 +69,7 @@
                 ATTRIBUTION_PATH, exchange -> JsonLineService.respond(exchange, OK, callOnLoop(attribution::summary)));
     }
 
-    /** Starts the fleet's first servers, warm, on a released build, and returns where the service listens. */
+    /** Starts the initial servers, warm, with a released build, and returns the service's address. */
     public InetSocketAddress start(BuildProfile firstBuild, int serverCount) {
         FleetReplacer replacer = new FleetReplacer(fleet, policy, rollouts, serverCount);
         RolloutController started = new RolloutController(
@@ -85,23 +86,23 @@
         service.close();
     }
 
-    /** Publishes nothing and answers no vote until a moment, though some votes count. */
+    /** Stops publishing and answering votes until a given time; some of the unanswered votes are still counted. */
     public void stallUntil(long untilTicks) {
         faults.stallUntil(untilTicks);
         loop.schedule(untilTicks, publisher::publish);
     }
 
-    /** Publishes later than usual until a moment. */
+    /** Publishes with an additional delay until a given time. */
     public void delayUntil(long untilTicks, long delayTicks) {
         faults.delayUntil(untilTicks, delayTicks);
     }
 
-    /** Begins a build's rollout as soon as the policy allows. */
+    /** Starts a build's rollout as soon as the policy allows. */
     public void offer(BuildProfile build) {
         controller().offer(build);
     }
 
-    /** All rollouts in one line. */
+    /** Returns the state of all rollouts in one line. */
     public String summary() {
         return controller().summary();
     }
@@ -148,8 +149,8 @@
     }
 
     private void vote(HttpExchange exchange) throws IOException {
-        VoteIntake.Vote vote = VoteIntake.Vote.parse(JsonLineService.readBody(exchange));
-        RolloutUpdateMessage answer = callOnLoop(() -> takeVote(vote)).orElse(null);
+        VoteHandler.Vote vote = VoteHandler.Vote.parse(JsonLineService.readBody(exchange));
+        RolloutUpdateMessage answer = callOnLoop(() -> handleVote(vote)).orElse(null);
         if (answer == null) {
             waitWithoutAnswer();
             return;
@@ -157,8 +158,8 @@
         JsonLineService.respond(exchange, OK, answer);
     }
 
-    private Optional<RolloutUpdateMessage> takeVote(VoteIntake.Vote vote) {
-        VoteAnswer answer = voteIntake.take(vote);
+    private Optional<RolloutUpdateMessage> handleVote(VoteHandler.Vote vote) {
+        VoteAnswer answer = voteHandler.handle(vote);
         if (answer == null) {
             return Optional.empty();
         }
--- a/src/main/java/laurelkeel/testbed/RolloutServiceFaults.java
+++ b/src/main/java/laurelkeel/testbed/RolloutServiceFaults.java
@@ -1,12 +1,12 @@
 package laurelkeel.testbed;
 
-/** What is wrong with the rollout service for a while; thread-safe. */
+/** The temporary faults of the rollout service. Thread-safe. */
 final class RolloutServiceFaults {
     private volatile long stalledUntilTicks = Long.MIN_VALUE;
     private volatile long delayedUntilTicks = Long.MIN_VALUE;
     private volatile long extraDelayTicks;
 
-    /** Publishes nothing and answers no vote until a moment. */
+    /** Stops publishing and answering votes until a given time. */
     void stallUntil(long untilTicks) {
         stalledUntilTicks = untilTicks;
     }
@@ -15,13 +15,13 @@
         return nowTicks < stalledUntilTicks;
     }
 
-    /** Publishes later than usual until a moment. */
+    /** Publishes with an additional delay until a given time. */
     void delayUntil(long untilTicks, long delayTicks) {
         delayedUntilTicks = untilTicks;
         extraDelayTicks = delayTicks;
     }
 
-    /** By how much updates are late beyond their usual delay. */
+    /** Returns the delay of updates in addition to the normal one. */
     long extraDelayTicks(long nowTicks) {
         return nowTicks < delayedUntilTicks ? extraDelayTicks : 0;
     }
--- a/src/main/java/laurelkeel/testbed/RolloutUpdateMessage.java
+++ b/src/main/java/laurelkeel/testbed/RolloutUpdateMessage.java
@@ -6,11 +6,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Where a rollout stands, as the service states it to watchers and in answers to votes.
+ * The state of a rollout, as the service sends it to watchers and in answers to votes.
  *
- * @param answer to a vote; null in updates
+ * @param answer the answer to a vote; null in updates
  * @param ageMillis how long the rollout has been in its stage
- * @param buildsInService builds that have not been rolled back
+ * @param buildsInService builds that are not rolled back
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 record RolloutUpdateMessage(
@@ -26,7 +26,7 @@
     static final String UPDATE = "news";
     static final String VOTE_ANSWER = "vote";
 
-    /** The same, delivered later. */
+    /** Returns a copy for delivery after a delay, with the age increased by it. */
     RolloutUpdateMessage delayedBy(double delayMillis) {
         return new RolloutUpdateMessage(
                 kind, answer, build, stage, exposureCap, phase, ageMillis + delayMillis, buildsInService, attribution);
--- a/src/main/java/laurelkeel/testbed/ServiceTerms.java
+++ b/src/main/java/laurelkeel/testbed/ServiceTerms.java
@@ -3,9 +3,9 @@
 import laurelkeel.records.RecordTerms.EndpointState;
 import laurelkeel.records.RecordTerms.RolloutPhase;
 
-/** Maps the names that stand in messages of the simulated services to the terms of this package. */
+/** Maps the names used in messages of the simulated services to the terms of this package. */
 final class ServiceTerms {
-    /** What a vote asks for. */
+    /** The change that a vote requests. */
     enum Verdict {
         PROMOTE,
         HOLD,
@@ -13,7 +13,7 @@
         UNKNOWN
     }
 
-    /** What became of a vote. */
+    /** How the service handled a vote. */
     enum VoteAnswer {
         COUNTED("ok"),
         STALE("moot"),
--- a/src/main/java/laurelkeel/testbed/VoteIntake.java
+++ b/src/main/java/laurelkeel/testbed/VoteHandler.java
@@ -9,16 +9,19 @@
 import laurelkeel.testbed.ServiceTerms.VoteAnswer;
 import org.jspecify.annotations.Nullable;
 
-/** Takes votes, counts those that are timely and within the rate limit, and answers them. Used on the service's loop. */
-final class VoteIntake {
-    /** How many seconds' votes may come at once. */
+/**
+ * Receives votes, counts those that are applicable and within the rate limit, and answers them. Used on the service's
+ * loop.
+ */
+final class VoteHandler {
+    /** Size of the rate limit's burst, in seconds of the permitted rate. */
     private static final double BURST_SECONDS = 2;
-    /** The probability that a stalled service counts a vote that it does not answer. */
-    private static final double COUNTED_WHILE_STALLED = 0.5;
-    /** What is recorded where there was no answer. */
+    /** Probability that a stalled service counts a vote, which it does not answer in any case. */
+    private static final double COUNT_PROBABILITY_WHILE_STALLED = 0.5;
+    /** Recorded if no answer was sent. */
     private static final String NO_ANSWER = "none";
 
-    /** A vote as it came over the wire. */
+    /** A vote as received. */
     record Vote(int nodeIndex, int build, int stage, String verdictName) {
         static Vote parse(JsonNode vote) {
             return new Vote(
@@ -42,7 +45,7 @@
     private double tokens;
     private long lastRefillTicks;
 
-    VoteIntake(
+    VoteHandler(
             SimulatedFleet fleet,
             RolloutPolicy policy,
             RolloutRegistry rollouts,
@@ -57,17 +60,17 @@
         this.tokens = BURST_SECONDS * policy.votesPerSecond();
     }
 
-    /** Takes a vote; null where the service is stalled and gives no answer. */
+    /** Handles a vote and returns the answer; null if the service is stalled and sends none. */
     @Nullable
-    VoteAnswer take(Vote vote) {
+    VoteAnswer handle(Vote vote) {
         refillTokens();
         boolean isStalled = faults.isStalled(loop.nowTicks());
-        boolean isCounted = !isStalled || fleet.nextRandom() < COUNTED_WHILE_STALLED;
+        boolean isCounted = !isStalled || fleet.nextRandom() < COUNT_PROBABILITY_WHILE_STALLED;
         Rollout rollout = rollouts.get(vote.build());
         VoteAnswer answer;
         if (tokens < 1) {
             answer = VoteAnswer.RATE_LIMITED;
-        } else if (rollout == null || !isTimely(vote, rollout)) {
+        } else if (rollout == null || !isApplicable(vote, rollout)) {
             answer = VoteAnswer.STALE;
         } else {
             answer = VoteAnswer.COUNTED;
@@ -93,11 +96,11 @@
         lastRefillTicks = loop.nowTicks();
     }
 
-    private boolean isTimely(Vote vote, Rollout rollout) {
+    private boolean isApplicable(Vote vote, Rollout rollout) {
         Verdict verdict = vote.verdict();
         boolean isOpen = rollout.isCanary() || (rollout.isReleased() && verdict == Verdict.ROLL_BACK);
-        boolean isForAnotherStage = verdict == Verdict.PROMOTE
+        boolean isInapplicablePromotion = verdict == Verdict.PROMOTE
                 && (vote.stage() != rollout.stage() || policy.promotion() == PromotionPolicy.AUTOMATIC);
-        return isOpen && !isForAnotherStage;
+        return isOpen && !isInapplicablePromotion;
     }
 }
--- a/src/test/java/laurelkeel/testbed/RolloutRegistryTest.java
+++ b/src/test/java/laurelkeel/testbed/RolloutRegistryTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void rolloutsThatGoBackAreUnfinishedAndNoCanaries() {
+    void rolloutsBeingRolledBackAreUnfinishedButNotCanaries() {
         Rollout canary = add(4, RolloutPhase.CANARY);
         add(3, RolloutPhase.ROLLING_BACK);
         add(2, RolloutPhase.ROLLED_BACK);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void theBuildBeforeIsTheNextLowerOneOrAHealthyOne() {
+    void buildBeforeIsTheNextLowerKnownBuildOrAHealthyOne() {
         add(5, RolloutPhase.CANARY);
         add(2, RolloutPhase.RELEASED);
         assertEquals(2, registry.buildBefore(5).number());
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aLaterRolloutOfABuildIsNotRemovedWithAnEarlierOne() {
+    void removingAnEarlierRolloutKeepsALaterOneOfTheSameBuild() {
         Rollout earlier = add(2, RolloutPhase.ROLLED_BACK);
         add(2, RolloutPhase.CANARY);
         registry.remove(earlier);
--- a/src/test/java/laurelkeel/testbed/RolloutTest.java
+++ b/src/test/java/laurelkeel/testbed/RolloutTest.java
@@ -12,7 +12,7 @@
     private final Rollout rollout = new Rollout(BuildProfile.healthy(2), RolloutPhase.CANARY, 0.1, 1_000);
 
     @Test
-    void aNodesLatestVoteCountsUntilItExpires() {
+    void latestVoteOfANodeCountsUntilItExpires() {
         rollout.vote(0, 0, Verdict.ROLL_BACK, 2_000);
         rollout.vote(1, 0, Verdict.ROLL_BACK, 2_000);
         assertEquals(2, rollout.countVotes(Verdict.ROLL_BACK, 1_999));
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aVoteToPromoteCountsForItsStageOnly() {
+    void voteToPromoteCountsForItsStageOnly() {
         rollout.vote(0, 0, Verdict.PROMOTE, 9_000);
         assertEquals(1, rollout.countVotes(Verdict.PROMOTE, 1_500));
         rollout.enter(1, RolloutPhase.CANARY, 0.4, 2_000);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void votesOfACanaryEndWithIt() {
+    void votesAreClearedWhenTheCanaryPhaseEnds() {
         rollout.vote(0, 0, Verdict.ROLL_BACK, 9_000);
         rollout.enter(0, RolloutPhase.ROLLING_BACK, 0, 2_000);
         assertEquals(0, rollout.countVotes(Verdict.ROLL_BACK, 2_500));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aStageLastsLongerByTheTimeThatItWasHeld() {
+    void minimumStageTimeExcludesTimeHeld() {
         assertEquals(6_000, rollout.minStageEndTicks(5_000));
         rollout.setHeld(true, 2_000);
         rollout.setHeld(true, 2_500);
@@ -51,13 +51,13 @@
     }
 
     @Test
-    void aStageLastsFromTheStartOfItsLastServer() {
+    void minimumStageTimeBeginsWhenTheLastServerStarts() {
         rollout.serversReadyTicks = 3_000;
         assertEquals(8_000, rollout.minStageEndTicks(5_000));
     }
 
     @Test
-    void theSummaryNamesThePhaseAsMessagesDo() {
+    void summaryUsesThePhaseNamesOfMessages() {
         rollout.enter(1, RolloutPhase.ROLLING_BACK, 0, 2_000);
         assertEquals("build 2 stage 1 going back", rollout.summary());
     }
--- a/src/test/java/laurelkeel/testbed/ServiceMessagesTest.java
+++ b/src/test/java/laurelkeel/testbed/ServiceMessagesTest.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The messages of the simulated services look as the pages give them. */
+/** Checks the exact form of the simulated services' messages against their documentation. */
 class ServiceMessagesTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     @Test
-    void endpointListsKeepTheirForm() throws Exception {
+    void endpointListFormIsUnchanged() throws Exception {
         EndpointListLine message = new EndpointListLine(
                 EndpointListLine.DELTA,
                 3,
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void rolloutUpdatesKeepTheirForm() throws Exception {
+    void rolloutUpdateFormIsUnchanged() throws Exception {
         RolloutUpdateMessage update = new RolloutUpdateMessage(
                 RolloutUpdateMessage.UPDATE, null, 2, 1, 0.25, "trial", 10, List.of(1, 2), "open");
         assertEquals(
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void answersToVotesKeepTheirForm() throws Exception {
+    void voteAnswerFormIsUnchanged() throws Exception {
         RolloutUpdateMessage answer = new RolloutUpdateMessage(
                 RolloutUpdateMessage.VOTE_ANSWER,
                 ServiceTerms.VoteAnswer.RATE_LIMITED.wireName(),
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void reportsAreParsedAndIncompleteOnesNamed() throws Exception {
+    void reportsAreParsedAndIncompleteOnesRejected() throws Exception {
         ReceivedReport report = ReceivedReport.parse(
                 MAPPER.readTree(
                         "{\"front\":1,\"life\":\"x\",\"second\":5,\"agoMs\":-3,\"cells\":[{\"build\":2,\"route\":0,\"tries\":4}]}"));
--- a/src/test/java/laurelkeel/testbed/VoteIntakeTest.java
+++ b/src/test/java/laurelkeel/testbed/VoteHandlerTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class VoteIntakeTest {
+class VoteHandlerTest {
     private static final double VOTES_PER_SECOND = 5;
 
     private final List<TrafficRecord> records = new ArrayList<>();
@@ -34,7 +34,7 @@
         fleet.close();
     }
 
-    private VoteIntake intake(PromotionPolicy promotion) {
+    private VoteHandler handler(PromotionPolicy promotion) {
         rollouts.add(canary);
         RolloutPolicy policy = new RolloutPolicy(
                 List.of(0.1, 1.0),
@@ -52,16 +52,16 @@
                 0,
                 0,
                 1);
-        return new VoteIntake(fleet, policy, rollouts, faults, records::add);
+        return new VoteHandler(fleet, policy, rollouts, faults, records::add);
     }
 
-    private static VoteIntake.Vote vote(int build, int stage, String verdict) {
-        return new VoteIntake.Vote(0, build, stage, verdict);
+    private static VoteHandler.Vote vote(int build, int stage, String verdict) {
+        return new VoteHandler.Vote(0, build, stage, verdict);
     }
 
     @Test
-    void timelyVotesAreCountedAndRecorded() {
-        assertEquals(VoteAnswer.COUNTED, intake(PromotionPolicy.FIRST_VOTE).take(vote(2, 0, "on")));
+    void applicableVotesAreCountedAndRecorded() {
+        assertEquals(VoteAnswer.COUNTED, handler(PromotionPolicy.FIRST_VOTE).handle(vote(2, 0, "on")));
         assertEquals(1, canary.countVotes(Verdict.PROMOTE, 0));
         TrafficRecord.VoteReceived recorded = (TrafficRecord.VoteReceived) records.get(0);
         assertEquals("on", recorded.verdict());
@@ -70,41 +70,41 @@
 
     @Test
     void votesOnOtherBuildsAndStagesAreStale() {
-        VoteIntake intake = intake(PromotionPolicy.FIRST_VOTE);
-        assertEquals(VoteAnswer.STALE, intake.take(vote(3, 0, "on")));
-        assertEquals(VoteAnswer.STALE, intake.take(vote(2, 1, "on")));
-        assertEquals(VoteAnswer.COUNTED, intake.take(vote(2, 1, "back")));
+        VoteHandler handler = handler(PromotionPolicy.FIRST_VOTE);
+        assertEquals(VoteAnswer.STALE, handler.handle(vote(3, 0, "on")));
+        assertEquals(VoteAnswer.STALE, handler.handle(vote(2, 1, "on")));
+        assertEquals(VoteAnswer.COUNTED, handler.handle(vote(2, 1, "back")));
     }
 
     @Test
-    void automaticPromotionNeedsNoVotesForIt() {
-        VoteIntake intake = intake(PromotionPolicy.AUTOMATIC);
-        assertEquals(VoteAnswer.STALE, intake.take(vote(2, 0, "on")));
-        assertEquals(VoteAnswer.COUNTED, intake.take(vote(2, 0, "hold")));
+    void votesToPromoteAreStaleUnderAutomaticPromotion() {
+        VoteHandler handler = handler(PromotionPolicy.AUTOMATIC);
+        assertEquals(VoteAnswer.STALE, handler.handle(vote(2, 0, "on")));
+        assertEquals(VoteAnswer.COUNTED, handler.handle(vote(2, 0, "hold")));
     }
 
     @Test
-    void aReleasedBuildTakesVotesToRollBackOnly() {
-        VoteIntake intake = intake(PromotionPolicy.FIRST_VOTE);
+    void onlyVotesToRollBackCountForAReleasedBuild() {
+        VoteHandler handler = handler(PromotionPolicy.FIRST_VOTE);
         canary.enter(0, RolloutPhase.RELEASED, 1, 0);
-        assertEquals(VoteAnswer.STALE, intake.take(vote(2, 0, "on")));
-        assertEquals(VoteAnswer.COUNTED, intake.take(vote(2, 0, "back")));
+        assertEquals(VoteAnswer.STALE, handler.handle(vote(2, 0, "on")));
+        assertEquals(VoteAnswer.COUNTED, handler.handle(vote(2, 0, "back")));
     }
 
     @Test
     void votesBeyondTheRateAreRejected() {
-        VoteIntake intake = intake(PromotionPolicy.FIRST_VOTE);
+        VoteHandler handler = handler(PromotionPolicy.FIRST_VOTE);
         for (int i = 0; i < 2 * VOTES_PER_SECOND; i++) {
-            assertEquals(VoteAnswer.COUNTED, intake.take(vote(2, 0, "back")));
+            assertEquals(VoteAnswer.COUNTED, handler.handle(vote(2, 0, "back")));
         }
-        assertEquals(VoteAnswer.RATE_LIMITED, intake.take(vote(2, 0, "back")));
+        assertEquals(VoteAnswer.RATE_LIMITED, handler.handle(vote(2, 0, "back")));
     }
 
     @Test
-    void aStalledServiceGivesNoAnswer() {
-        VoteIntake intake = intake(PromotionPolicy.FIRST_VOTE);
+    void stalledServiceGivesNoAnswer() {
+        VoteHandler handler = handler(PromotionPolicy.FIRST_VOTE);
         faults.stallUntil(1);
-        assertNull(intake.take(vote(2, 0, "back")));
+        assertNull(handler.handle(vote(2, 0, "back")));
         assertEquals("none", ((TrafficRecord.VoteReceived) records.get(0)).answer());
     }
 }
