--- a/src/main/java/laurelkeel/testbed/EndpointListLine.java
+++ b/src/main/java/laurelkeel/testbed/EndpointListLine.java
@@ -4,18 +4,18 @@
 import java.util.List;
 
 /**
- * A line of the endpoint list service.
+ * One line of the endpoint list service: a snapshot or a delta.
  *
- * @param previous the version that a delta builds on; 0 for a snapshot
+ * @param previous the version to which a delta applies; 0 for a snapshot
  */
 record EndpointListLine(String kind, long version, long previous, @JsonProperty("machines") List<Endpoint> endpoints) {
     static final String SNAPSHOT = "full";
     static final String DELTA = "changes";
 
     /**
-     * One endpoint.
+     * One endpoint in the list.
      *
-     * @param ageMillis since its cold start; {@link #STARTED_WARM} for a server that was warm from its start
+     * @param ageMillis time since its cold start; {@link #STARTED_WARM} for a server that started warm
      */
     record Endpoint(
             @JsonProperty("machine") String endpointId,
--- a/src/main/java/laurelkeel/testbed/EndpointListService.java
+++ b/src/main/java/laurelkeel/testbed/EndpointListService.java
@@ -14,8 +14,9 @@
 import laurelkeel.records.RecordTerms.EndpointState;
 
 /**
- * A simulated endpoint list service: snapshots on a call, deltas on a watch, both as late as it is set to be. It can be
- * stale, be down, and rejects calls beyond a rate. Public methods are to be called on the loop's thread.
+ * A simulated endpoint list service: answers calls with snapshots and streams deltas to watches, both after a
+ * configurable delay. It can be made stale or unavailable, and rejects calls beyond a rate limit. Public methods must
+ * be called on the loop's thread.
  */
 public final class EndpointListService {
     private static final String LIST_PATH = "/list";
@@ -62,11 +63,11 @@
     private volatile boolean isDown;
 
     /**
-     * Creates one that listens to a fleet and has not started.
+     * Creates a service that receives state changes from a fleet and has not started.
      *
-     * @param delayTicks how late it learns of changes
-     * @param callsPerSecond beyond which it rejects calls
-     * @throws IOException where no port is free
+     * @param delayTicks delay after which a change becomes visible in the list
+     * @param callsPerSecond rate beyond which calls are rejected
+     * @throws IOException if no port can be opened
      */
     public EndpointListService(EventLoop loop, SimulatedFleet fleet, long delayTicks, int callsPerSecond)
             throws IOException {
@@ -79,7 +80,7 @@
         service.handle(LIST_PATH, this::list);
     }
 
-    /** Begins to serve, and returns where. */
+    /** Starts serving and returns the address. */
     public InetSocketAddress start() {
         service.start();
         return service.address();
@@ -90,15 +91,15 @@
         service.close();
     }
 
-    /** Learns of no change until a moment; then of all at once. */
+    /** Defers all changes until a given time, then applies them together. */
     public void setStaleUntil(long untilTicks) {
         staleUntilTicks = untilTicks;
     }
 
-    /** Ends all watches and rejects calls until a moment. */
+    /** Ends all watches and rejects calls until a given time. */
     public void setDownUntil(long untilTicks) {
         isDown = true;
-        service.cutWatchers();
+        service.closeWatchers();
         loop.schedule(untilTicks, () -> isDown = false);
     }
 
@@ -190,7 +191,9 @@
         service.stream(exchange, watcher);
     }
 
-    /** Sends what a watcher lacks and adds it, with no change in between. */
+    /**
+     * Sends a new watcher the changes since its version and registers it, atomically with regard to further changes.
+     */
     private synchronized void addWatcher(JsonLineService.Watcher watcher, long knownVersion) {
         if (hasDeltasSince(knownVersion)) {
             List<ListedEndpoint> missed = new ArrayList<>();
--- a/src/main/java/laurelkeel/testbed/JsonLineService.java
+++ b/src/main/java/laurelkeel/testbed/JsonLineService.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
 
-/** A small HTTP service on loopback that answers calls and streams JSON lines to watchers; thread-safe. */
+/** A small HTTP service on loopback that answers calls and streams JSON lines to watchers. Thread-safe. */
 final class JsonLineService {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final byte[] HEARTBEAT_LINE = "{\"kind\":\"beat\"}\n".getBytes(UTF_8);
@@ -32,26 +32,27 @@
     private static final int OK = 200;
     private static final int NO_BODY = -1;
 
-    /** One open watch. Lines that do not fit its queue end it. Thread-safe, but for its due time. */
+    /** One open watch; it is closed when its line queue overflows. Thread-safe, except for its due time. */
     static final class Watcher {
         private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
-        private volatile boolean isCut;
+        private volatile boolean isClosed;
         private long lastDueTicks;
 
         void send(Object message) {
             if (!lines.offer(encode(message))) {
-                isCut = true;
+                isClosed = true;
             }
         }
 
-        void cut() {
-            isCut = true;
+        void close() {
+            isClosed = true;
         }
 
         /**
-         * When a line is due that must not overtake earlier ones; for one thread only.
+         * Returns the time at which a line is due, no earlier than the lines before it, so that order is preserved. To
+         * be called by one thread only.
          *
-         * @param wantedTicks when it would be due alone
+         * @param wantedTicks when the line would be due without earlier lines
          */
         long nextDueTicks(long wantedTicks) {
             lastDueTicks = Math.max(lastDueTicks, wantedTicks);
@@ -61,7 +62,6 @@
 
     /** Answers a call; the exchange is closed afterwards. */
     interface Handler {
-        /** Answers. */
         void handle(HttpExchange exchange) throws IOException;
     }
 
@@ -74,9 +74,9 @@
     });
 
     /**
-     * Opens a free port.
+     * Binds a free port.
      *
-     * @throws IOException where that fails
+     * @throws IOException if no port can be bound
      */
     JsonLineService() throws IOException {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
@@ -92,12 +92,12 @@
     }
 
     void close() {
-        cutWatchers();
+        closeWatchers();
         server.stop(0);
         threads.shutdownNow();
     }
 
-    /** Answers calls of a path and all paths below it. */
+    /** Registers the handler for a path and all paths below it. */
     void handle(String path, Handler handler) {
         server.createContext(path, exchange -> {
             try {
@@ -108,7 +108,7 @@
         });
     }
 
-    /** The open watches at this moment. */
+    /** Returns a copy of the set of open watches. */
     List<Watcher> watchers() {
         return new ArrayList<>(watchers);
     }
@@ -117,8 +117,8 @@
         watchers.add(watcher);
     }
 
-    void cutWatchers() {
-        watchers.forEach(Watcher::cut);
+    void closeWatchers() {
+        watchers.forEach(Watcher::close);
     }
 
     private static String encode(Object message) {
@@ -129,25 +129,25 @@
         }
     }
 
-    /** Reads a call's body. */
+    /** Reads a call's body as JSON. */
     static JsonNode readBody(HttpExchange exchange) throws IOException {
         return MAPPER.readTree(exchange.getRequestBody());
     }
 
-    /** Answers a call; null for no body. */
+    /** Sends the response to a call; a null message gives an empty body. */
     static void respond(HttpExchange exchange, int status, @Nullable Object message) throws IOException {
         byte[] body = message == null ? new byte[0] : encode(message).getBytes(UTF_8);
         exchange.sendResponseHeaders(status, body.length == 0 ? NO_BODY : body.length);
         exchange.getResponseBody().write(body);
     }
 
-    /** Streams to one watcher until it is cut or its peer has gone. */
+    /** Streams lines and heartbeats to one watcher until the watch is closed or its peer disconnects. */
     void stream(HttpExchange exchange, Watcher watcher) throws IOException {
         exchange.getResponseHeaders().add("Content-Type", "application/x-ndjson");
         exchange.sendResponseHeaders(OK, 0);
         watchers.add(watcher);
         try (OutputStream out = exchange.getResponseBody()) {
-            while (!watcher.isCut) {
+            while (!watcher.isClosed) {
                 String line = watcher.lines.poll(HEARTBEAT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
                 out.write(line == null ? HEARTBEAT_LINE : (line + "\n").getBytes(UTF_8));
                 out.flush();
