--- a/src/main/java/laurelkeel/testbed/DeduplicationCache.java
+++ b/src/main/java/laurelkeel/testbed/DeduplicationCache.java
@@ -5,8 +5,8 @@
 import laurelkeel.records.RecordClock;
 
 /**
- * The idempotency keys that a group of servers remembers: one that arrives again within its route's window is a
- * repeat. Not thread-safe.
+ * The idempotency keys that a group of servers has stored. A request whose key arrives again within its route's window
+ * is a repeat. Not thread-safe.
  */
 final class DeduplicationCache {
     private static final long SWEEP_INTERVAL_TICKS = RecordClock.TICKS_PER_SECOND;
@@ -14,7 +14,7 @@
     private final Map<String, Long> expiryTicksByKey = new HashMap<>();
     private long nextSweepTicks;
 
-    /** Whether a key is a repeat; one that is not is remembered from now. */
+    /** Returns whether a key is a repeat; if it is not, stores it for a window that begins now. */
     boolean isRepeat(String idempotencyKey, long nowTicks, long windowTicks) {
         if (nowTicks >= nextSweepTicks) {
             nextSweepTicks = nowTicks + SWEEP_INTERVAL_TICKS;
--- a/src/main/java/laurelkeel/testbed/KeyCache.java
+++ b/src/main/java/laurelkeel/testbed/KeyCache.java
@@ -3,7 +3,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The partition keys that a simulated server has seen lately; requests with them need less work. Not thread-safe. */
+/**
+ * The partition keys that a simulated server has seen recently; requests with these keys need less work. Not
+ * thread-safe.
+ */
 final class KeyCache {
     private static final int MAX_KEYS = 20_000;
 
@@ -14,7 +17,7 @@
         this.lifetimeTicks = lifetimeTicks;
     }
 
-    /** Remembers a key, and returns whether it was seen within the lifetime. */
+    /** Records a key as seen now and returns whether it was already seen within the lifetime. */
     boolean touch(String partitionKey, long nowTicks) {
         Long lastTicks = lastSeenTicks.put(partitionKey, nowTicks);
         if (lastSeenTicks.size() > MAX_KEYS) {
--- a/src/main/java/laurelkeel/testbed/LoadMeter.java
+++ b/src/main/java/laurelkeel/testbed/LoadMeter.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import laurelkeel.records.RecordClock;
 
-/** What a simulated server states of its load, renewed at an interval. Not thread-safe. */
+/** The load report of a simulated server, with values refreshed at an interval. Not thread-safe. */
 final class LoadMeter {
     private static final double SMOOTHING = 0.1;
 
@@ -17,12 +17,12 @@
         this.reportIntervalTicks = reportIntervalTicks;
     }
 
-    /** Adds the duration of one piece of work to the mean. */
+    /** Adds the duration of one request's work to the moving average. */
     void addWork(long ticks) {
         meanMillis += (ticks / RecordClock.TICKS_PER_MILLISECOND - meanMillis) * SMOOTHING;
     }
 
-    /** The load report as the header carries it. */
+    /** Returns the load report in the form of its header. */
     String report(int inFlight, long nowTicks) {
         if (nowTicks >= nextReportTicks) {
             nextReportTicks = nowTicks + reportIntervalTicks;
--- a/src/main/java/laurelkeel/testbed/NodeIdentity.java
+++ b/src/main/java/laurelkeel/testbed/NodeIdentity.java
@@ -3,15 +3,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Who sent an attempt, as its header states it.
+ * The node that sent an attempt, according to the attempt's header.
  *
- * @param nodeIndex {@link #UNKNOWN_INDEX} where the header states none
+ * @param nodeIndex index of the node, or {@link #UNKNOWN_INDEX} if the header has none
  */
 record NodeIdentity(int nodeIndex, String incarnation) {
-    /** No index. */
+    /** Represents a missing or invalid index. */
     static final int UNKNOWN_INDEX = -1;
 
-    /** Parses a header's value, index and incarnation joined by a slash. */
+    /** Parses a header value of the form {@code index/incarnation}; a value without a slash is an incarnation only. */
     static NodeIdentity parse(@Nullable String header) {
         String text = String.valueOf(header);
         int slash = text.indexOf('/');
@@ -21,7 +21,7 @@
         return new NodeIdentity(parseNumber(text.substring(0, slash)), text.substring(slash + 1));
     }
 
-    /** A whole number; {@link #UNKNOWN_INDEX} for any other text. */
+    /** Parses an integer; returns {@link #UNKNOWN_INDEX} for any other text. */
     static int parseNumber(@Nullable String text) {
         if (text == null) {
             return UNKNOWN_INDEX;
--- a/src/main/java/laurelkeel/testbed/PortAllocator.java
+++ b/src/main/java/laurelkeel/testbed/PortAllocator.java
@@ -6,13 +6,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Allocates loopback ports that stay free while their owner is down, as they lie below the range from which the system
- * takes ports for outgoing connections. Thread-safe.
+ * Allocates loopback ports that stay free while their owner is down, because they lie below the range from which the
+ * operating system assigns ports to outgoing connections. Thread-safe.
  */
 public final class PortAllocator {
     private static final int FIRST_PORT = 20_000;
     private static final int PORT_COUNT = 10_000;
-    /** Spreads the processes of a host over the range. */
+    /** Distributes the processes of a host over the range. */
     private static final long PROCESS_STRIDE = 97;
 
     private static final AtomicInteger NEXT_OFFSET =
@@ -21,9 +21,9 @@
     private PortAllocator() {}
 
     /**
-     * A port that nobody listens on.
+     * Returns a port on which no process listens.
      *
-     * @throws IOException where the whole range is in use
+     * @throws IOException if the whole range is in use
      */
     public static int allocate() throws IOException {
         for (int i = 0; i < PORT_COUNT; i++) {
@@ -31,7 +31,7 @@
             try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return socket.getLocalPort();
             } catch (IOException ignored) {
-                // in use: the next one
+                // in use: try the next one
             }
         }
         throw new IOException("no free port from " + FIRST_PORT + " to " + (FIRST_PORT + PORT_COUNT));
--- a/src/main/java/laurelkeel/testbed/ServerAcceptor.java
+++ b/src/main/java/laurelkeel/testbed/ServerAcceptor.java
@@ -12,16 +12,18 @@
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
-/** The port and connections of a simulated server. Everything but the sockets happens on the fleet's loop. */
+/**
+ * The listening port and connections of a simulated server. Everything but the socket I/O happens on the fleet's loop.
+ */
 final class ServerAcceptor {
     private static final int BACKLOG = 1024;
 
-    /** Learns what arrives; called on the fleet's loop. */
+    /** Listener for requests and closed connections; called on the fleet's loop. */
     interface Listener {
-        /** A request arrived. */
+        /** Called when a request has arrived. */
         void requestReceived(IoSession session, HttpRequest request, long receivedAtTicks);
 
-        /** A connection ended, whoever closed it. */
+        /** Called when a connection has closed, from either side. */
         void sessionClosed(IoSession session);
     }
 
@@ -33,9 +35,9 @@
     private boolean isClosed;
 
     /**
-     * Opens the port.
+     * Binds the port.
      *
-     * @throws IOException where it is in use
+     * @throws IOException if it is in use
      */
     ServerAcceptor(SimulatedFleet fleet, InetSocketAddress address, Listener listener) throws IOException {
         this.fleet = fleet;
@@ -54,7 +56,7 @@
         return address;
     }
 
-    /** Closes the port and all connections until a moment. */
+    /** Closes the port until a given time, and all open connections. */
     void refuseUntil(long untilTicks) {
         acceptor.unbind();
         sessions.forEach(IoSession::closeNow);
--- a/src/main/java/laurelkeel/testbed/ServerFault.java
+++ b/src/main/java/laurelkeel/testbed/ServerFault.java
@@ -1,17 +1,17 @@
 package laurelkeel.testbed;
 
-/** What can be wrong with a simulated server for a while. */
+/** Temporary faults of a simulated server. */
 public enum ServerFault {
-    /** It accepts requests and health checks and answers none. */
+    /** Accepts requests and health checks without answering any. */
     HANG,
-    /** Its work takes longer by a factor. */
+    /** Multiplies the duration of work by a factor. */
     SLOW,
-    /** It does the work and sends no response. */
+    /** Executes requests without sending responses. */
     LOSE_RESPONSES,
-    /** It sends half a response and closes the connection. */
+    /** Sends half of a response and closes the connection. */
     RESET_CONNECTIONS,
-    /** It sends half a response and leaves the connection open. */
+    /** Sends half of a response and leaves the connection open. */
     TRUNCATE_RESPONSES,
-    /** It accepts no connections. */
+    /** Accepts no connections. */
     REFUSE_CONNECTIONS
 }
--- a/src/main/java/laurelkeel/testbed/ServerFaults.java
+++ b/src/main/java/laurelkeel/testbed/ServerFaults.java
@@ -8,7 +8,7 @@
     private final Map<ServerFault, Long> endTicks = new EnumMap<>(ServerFault.class);
     private double slowFactor = 1;
 
-    /** @param factor by which work takes longer; used by {@link ServerFault#SLOW} only */
+    /** @param factor factor on the duration of work; used by {@link ServerFault#SLOW} only */
     void start(ServerFault fault, long untilTicks, double factor) {
         endTicks.put(fault, untilTicks);
         if (fault == ServerFault.SLOW) {
@@ -20,7 +20,7 @@
         return endTicks.getOrDefault(fault, Long.MIN_VALUE) > nowTicks;
     }
 
-    /** By what factor work takes longer now. */
+    /** Returns the current factor on the duration of work. */
     double slowFactor(long nowTicks) {
         return isActive(ServerFault.SLOW, nowTicks) ? slowFactor : 1;
     }
--- a/src/main/java/laurelkeel/testbed/ServerProfile.java
+++ b/src/main/java/laurelkeel/testbed/ServerProfile.java
@@ -5,20 +5,20 @@
 import laurelkeel.records.TrafficRecord;
 
 /**
- * What all servers of a simulated fleet have in common.
+ * The properties that all simulated servers share.
  *
- * @param queueLimit requests that may wait at a server; it rejects further ones
- * @param connectionLimit connections that a server keeps open
- * @param workTicks mean work of a request, by route
- * @param routePolicies by route
- * @param warmUpInitialShare the share of its capacity that a cold server starts with
- * @param warmUpTicks until a cold server has its full capacity
- * @param overloadMultiple the multiple of its capacity at which a cold server fails
- * @param overloadWindowTicks the window over which that load is counted
- * @param cachedKeySavings the share of the work that a partition key saves where the server has seen it lately
- * @param keyCacheTicks how long a server remembers a partition key
- * @param loadReportIntervalTicks how often a server renews its load report
- * @param responseBytes size of a response's body; 0 for a short text
+ * @param queueLimit maximum number of requests queued at a server; further ones are rejected
+ * @param connectionLimit maximum number of open connections of a server
+ * @param workTicks mean duration of a request's work, by route
+ * @param routePolicies idempotency and deduplication of requests, by route
+ * @param warmUpInitialShare share of its capacity that a cold server has at its start
+ * @param warmUpTicks time until a cold server has its full capacity
+ * @param overloadMultiple multiple of its current capacity beyond which a cold server stops
+ * @param overloadWindowTicks window in which arrivals are counted for that
+ * @param cachedKeySavings share of the work that is saved if the server has recently seen the partition key
+ * @param keyCacheTicks how long a server caches a partition key
+ * @param loadReportIntervalTicks interval at which a server refreshes its load report
+ * @param responseBytes size of a response's body; 0 for a short text without padding
  */
 public record ServerProfile(
         int cores,
@@ -35,7 +35,9 @@
         long loadReportIntervalTicks,
         int responseBytes) {
 
-    /** Requests a second of one warm server that gets as many of each route. */
+    /**
+     * Returns the requests per second that one warm server can handle with equal numbers of requests for each route.
+     */
     public double capacityPerSecond() {
         double meanTicks =
                 workTicks.values().stream().mapToLong(Long::longValue).average().orElse(1);
--- a/src/main/java/laurelkeel/testbed/ServerRequest.java
+++ b/src/main/java/laurelkeel/testbed/ServerRequest.java
@@ -12,11 +12,11 @@
     final String requestId;
     final String route;
     final int attemptNumber;
-    /** The end of the work; null while there is none. */
+    /** Fires when the work ends; null while the request is not being worked on. */
     @Nullable
     ScheduledTask workTimer;
 
-    /** Whether the peer has gone, or is to get no response. */
+    /** Whether no response is to be sent, because the peer has disconnected or a fault suppresses it. */
     boolean isAbandoned;
 
     ServerRequest(IoSession session, HttpRequest message, String requestId, String route, int attemptNumber) {
--- a/src/main/java/laurelkeel/testbed/ServerWorkers.java
+++ b/src/main/java/laurelkeel/testbed/ServerWorkers.java
@@ -5,17 +5,17 @@
 import laurelkeel.records.TrafficRecord;
 import laurelkeel.wire.HeaderNames;
 
-/** The cores of a simulated server and the queue before them. Not thread-safe; used on the fleet's loop. */
+/** The cores of a simulated server and the queue in front of them. Not thread-safe; used on the fleet's loop. */
 final class ServerWorkers {
     private static final long DEFAULT_WORK_TICKS = 100;
     private static final long REPEAT_WORK_TICKS = 10;
 
-    /** Learns of finished work. */
+    /** Listener for finished work. */
     interface Listener {
         /**
-         * The work on a request has ended.
+         * Called when the work on a request has ended.
          *
-         * @param wasBusy whether all cores were in use when it began
+         * @param wasBusy whether all cores, including this request's, were in use when the work began
          */
         void workFinished(ServerRequest request, boolean wasBusy);
     }
@@ -38,7 +38,7 @@
         this.keyCache = new KeyCache(profile.keyCacheTicks());
     }
 
-    /** How many requests wait or are worked on. */
+    /** Returns the number of requests queued or being worked on. */
     int inFlight() {
         return busyCores + queue.size();
     }
@@ -53,10 +53,10 @@
 
     void enqueue(ServerRequest request) {
         queue.addLast(request);
-        startWaiting();
+        startQueued();
     }
 
-    private void startWaiting() {
+    private void startQueued() {
         while (!allCoresBusy() && !queue.isEmpty()) {
             ServerRequest request = queue.removeFirst();
             if (!request.isAbandoned) {
@@ -94,11 +94,11 @@
     private long workTicks(ServerRequest request) {
         long nowTicks = fleet.loop.nowTicks();
         BuildProfile build = server.build;
-        boolean isCrowded = allCoresBusy() && !queue.isEmpty();
+        boolean isSaturated = allCoresBusy() && !queue.isEmpty();
         double ticks = profile.workTicks().getOrDefault(request.route, DEFAULT_WORK_TICKS)
                 * build.workFactor()
                 * (0.5 + fleet.nextRandom())
-                * (isCrowded ? build.busyWorkFactor() : 1);
+                * (isSaturated ? build.busyWorkFactor() : 1);
         String partitionKey = request.message.headers().get(HeaderNames.PARTITION_KEY);
         if (partitionKey != null && keyCache.touch(partitionKey, nowTicks)) {
             ticks *= 1 - profile.cachedKeySavings();
@@ -112,17 +112,17 @@
         request.workTimer = null;
         busyCores--;
         loadMeter.addWork(workTicks);
-        startWaiting();
+        startQueued();
         listener.workFinished(request, wasBusy);
     }
 
-    /** Stops the work on a request whose peer has gone. */
+    /** Stops the work on a request whose peer has disconnected. */
     void abandon(ServerRequest request) {
         request.isAbandoned = true;
         if (request.workTimer != null) {
             request.workTimer.cancel();
             busyCores--;
-            startWaiting();
+            startQueued();
         }
     }
 }
--- a/src/main/java/laurelkeel/testbed/SimulatedFleet.java
+++ b/src/main/java/laurelkeel/testbed/SimulatedFleet.java
@@ -26,19 +26,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * All simulated servers: starts, drains and crashes them and reports their changes of state. All methods are to be
- * called on the loop's thread.
+ * All simulated servers: starts, drains and crashes them and notifies a listener of their state changes. Unless stated
+ * otherwise, methods must be called on the loop's thread.
  */
 public final class SimulatedFleet {
     private static final int IO_THREADS = 2;
-    /** Nodes need the drain's announcement before the server goes. */
+    /** Time between the announcement of a drain and the earliest stop, so that nodes receive the announcement first. */
     private static final long DRAIN_NOTICE_TICKS = 8_000;
 
     private static final long DRAIN_CHECK_TICKS = 500;
 
-    /** Learns of changes of servers' states. */
+    /** Listener for servers' state changes. */
     public interface StateListener {
-        /** A server entered a state. */
+        /** Called when a server has entered a state. */
         void stateChanged(SimulatedServer server, EndpointState state);
     }
 
@@ -65,7 +65,7 @@
     /**
      * Creates an empty fleet.
      *
-     * @param routesByPathPrefix route names
+     * @param routesByPathPrefix names of the routes, by path prefix
      */
     public SimulatedFleet(
             EventLoop loop,
@@ -82,7 +82,7 @@
         this.records = records;
     }
 
-    /** Sets who learns of all changes from now on. */
+    /** Sets the listener that is notified of all state changes from now on. */
     public void setStateListener(StateListener listener) {
         this.stateListener = listener;
     }
@@ -95,7 +95,7 @@
         return zones.indexOf(zone);
     }
 
-    /** The time for records; callable on any thread. */
+    /** Returns the current time for records; callable on any thread. */
     long recordTicks() {
         return RecordClock.nowTicks();
     }
@@ -104,12 +104,12 @@
         records.accept(trafficRecord);
     }
 
-    /** The next random number from 0 to below 1; the fleet and its rollouts share one seeded source. */
+    /** Returns the next random number from 0 to below 1; the fleet and its rollouts share one seeded source. */
     double nextRandom() {
         return random.nextDouble();
     }
 
-    /** The name of a request's route; empty for none. */
+    /** Returns the name of a request's route; empty if none matches. */
     String routeOf(HttpRequest request) {
         String path = request.path();
         for (Map.Entry<String, String> route : routesByPathPrefix.entrySet()) {
@@ -120,7 +120,7 @@
         return "";
     }
 
-    /** The cache that a server shares with others of its scope. */
+    /** Returns the cache that a server shares with the other servers in its scope. */
     DeduplicationCache deduplicationCache(DeduplicationScope scope, SimulatedServer server) {
         String group =
                 switch (scope) {
@@ -131,28 +131,30 @@
         return deduplicationCaches.computeIfAbsent(group, key -> new DeduplicationCache());
     }
 
-    /** By what factor all work takes longer now. A build's harm grows with its share of the servers. */
+    /**
+     * Returns the current factor on the duration of all work. A build's slowdown grows with its share of the servers.
+     */
     double slowdown() {
         List<SimulatedServer> active = activeServers();
-        double harm = active.stream()
+        double buildSlowdown = active.stream()
                         .mapToDouble(server -> server.build.fleetSlowdown() - 1)
                         .sum()
                 / Math.max(1, active.size());
-        return (loop.nowTicks() < slowUntilTicks ? slowFactor : 1) * (1 + harm);
+        return (loop.nowTicks() < slowUntilTicks ? slowFactor : 1) * (1 + buildSlowdown);
     }
 
-    /** Slows all servers by a factor, as a dependency of theirs would. */
+    /** Slows all servers by a factor until a given time, as a slow shared dependency would. */
     public void slowDown(double factor, long untilTicks) {
         slowFactor = factor;
         slowUntilTicks = untilTicks;
     }
 
-    /** Servers that take requests. */
+    /** Returns the servers that accept requests. */
     public List<SimulatedServer> activeServers() {
         return servers.values().stream().filter(SimulatedServer::isActive).toList();
     }
 
-    /** Servers of one build that take requests. */
+    /** Returns the servers of one build that accept requests. */
     public List<SimulatedServer> activeServers(int build) {
         return activeServers().stream()
                 .filter(server -> server.build.number() == build)
@@ -162,9 +164,9 @@
     /**
      * Starts a server.
      *
-     * @param address null for a free port
-     * @param slot determines its zone and cell
-     * @throws UncheckedIOException where the port is in use
+     * @param address the address to bind; null for a free port
+     * @param slot determines the server's zone and cell
+     * @throws UncheckedIOException if the port is in use
      */
     public SimulatedServer startServer(
             @Nullable InetSocketAddress address, BuildProfile build, int slot, boolean cold) {
@@ -180,11 +182,11 @@
             stateListener.stateChanged(server, EndpointState.ACTIVE);
             return server;
         } catch (IOException e) {
-            throw new UncheckedIOException("a simulated server could not open its port", e);
+            throw new UncheckedIOException("cannot bind the port of a simulated server", e);
         }
     }
 
-    /** Drains a server: it rejects new requests and stops once it has none left, or after a time. */
+    /** Drains a server: it rejects new requests and stops when it has none left or the maximum time has passed. */
     public void drain(SimulatedServer server, long maxDrainTicks) {
         if (server.isActive()) {
             server.setState(EndpointState.DRAINING);
@@ -207,7 +209,7 @@
         }
     }
 
-    /** Stops a server at once, with all its open requests. */
+    /** Stops a server immediately, with all its open requests. */
     public void crash(SimulatedServer server) {
         server.stop(StopReason.CRASHED);
         remove(server);
--- a/src/main/java/laurelkeel/testbed/SimulatedServer.java
+++ b/src/main/java/laurelkeel/testbed/SimulatedServer.java
@@ -20,11 +20,11 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * One simulated server on a port of its own: cores that work, a queue, a cold start, and whatever is wrong with it.
- * Everything but its sockets happens on the fleet's loop.
+ * One simulated server with its own port: a number of cores, a queue, a warm-up after a cold start, and faults.
+ * Everything but the socket I/O happens on the fleet's loop.
  */
 public final class SimulatedServer {
-    /** How the body of a wrong answer begins. */
+    /** Prefix of the body of a wrong answer. */
     static final String WRONG_ANSWER = "wrong";
 
     private static final String RIGHT_ANSWER = "right";
@@ -53,7 +53,7 @@
     /**
      * Starts a server.
      *
-     * @throws IOException where the port is in use
+     * @throws IOException if the port is in use
      */
     SimulatedServer(
             SimulatedFleet fleet,
@@ -92,17 +92,17 @@
                 startedCold));
     }
 
-    /** The build that it runs. */
+    /** Returns the build that the server runs. */
     public BuildProfile build() {
         return build;
     }
 
-    /** Where it listens. */
+    /** Returns the address on which the server listens. */
     public InetSocketAddress address() {
         return acceptor.address();
     }
 
-    /** The index of its cell. */
+    /** Returns the index of the server's cell. */
     public int cell() {
         return cell;
     }
@@ -131,15 +131,15 @@
         return warmUp;
     }
 
-    /** How many requests wait or are worked on. */
+    /** Returns the number of requests queued or being worked on. */
     int inFlight() {
         return workers.inFlight();
     }
 
     /**
-     * Starts a fault; on the fleet's loop.
+     * Starts a fault. Must be called on the fleet's loop.
      *
-     * @param factor by which work takes longer; used by {@link ServerFault#SLOW} only
+     * @param factor factor on the duration of work; used by {@link ServerFault#SLOW} only
      */
     public void startFault(ServerFault fault, long untilTicks, double factor) {
         faults.start(fault, untilTicks, factor);
@@ -148,7 +148,7 @@
         }
     }
 
-    /** Ends it at once, with all open requests. */
+    /** Stops the server immediately, with all open requests. */
     void stop(StopReason reason) {
         if (isStopped) {
             return;
@@ -273,7 +273,7 @@
         return wasBusy && fleet.nextRandom() < build.busyFailureShare();
     }
 
-    /** A text at the start of a body of the profile's size; the text alone where that is 0. */
+    /** Returns a body of the profile's size that begins with a text; only the text if that size is 0. */
     private byte[] padded(String text) {
         byte[] bytes = text.getBytes(UTF_8);
         int size = fleet.profile().responseBytes();
--- a/src/main/java/laurelkeel/testbed/WarmUp.java
+++ b/src/main/java/laurelkeel/testbed/WarmUp.java
@@ -3,9 +3,9 @@
 import java.util.ArrayDeque;
 import laurelkeel.records.RecordClock;
 
-/** How warm a simulated server is, and whether load pushes it over while it is not. Not thread-safe. */
+/** The warm-up of a simulated server, during which a high load overloads it. Not thread-safe. */
 final class WarmUp {
-    /** Arrivals beyond the limit that a cold server bears, for chance. */
+    /** Arrivals beyond the limit that a cold server tolerates, to allow for random variation. */
     private static final int ALLOWANCE_ARRIVALS = 5;
 
     private final ServerProfile profile;
@@ -19,16 +19,17 @@
         this.startTicks = startTicks;
     }
 
-    /** The share of its capacity that the server has now. */
+    /** Returns the share of its full capacity that the server currently has. */
     double capacityShare(long nowTicks) {
         double progress = startedCold ? Math.min(1, (nowTicks - startTicks) / (double) profile.warmUpTicks()) : 1;
         return profile.warmUpInitialShare() + (1 - profile.warmUpInitialShare()) * progress;
     }
 
     /**
-     * Counts an arrival.
+     * Records an arrival.
      *
-     * @return whether it overloads the server: it gets more than a multiple of what it can do while it is cold
+     * @return whether the arrival overloads the server: within the window, the cold server has received more than the
+     *     permitted multiple of its current capacity
      */
     boolean isOverloadedByArrival(long nowTicks) {
         if (!startedCold || nowTicks - startTicks > profile.warmUpTicks()) {
--- a/src/test/java/laurelkeel/testbed/ServerModelTest.java
+++ b/src/test/java/laurelkeel/testbed/ServerModelTest.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The parts of a simulated server's model that need no socket. */
+/** Tests the parts of the simulated server that need no socket. */
 class ServerModelTest {
-    /** 200 requests a second when warm; over a window of 1 s a cold one bears twice its capacity. */
+    /** 200 requests per second when warm; a cold server tolerates twice its current capacity over a window of 1 s. */
     private static final ServerProfile PROFILE =
             new ServerProfile(2, 10, 10, Map.of("r", 100L), Map.of(), 0.1, 50_000, 2, 10_000, 0.2, 1_000, 2_000, 0);
 
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void aColdServerWarmsUpLinearly() {
+    void coldServerWarmsUpLinearly() {
         WarmUp warmUp = new WarmUp(PROFILE, true, 1_000);
         assertEquals(0.1, warmUp.capacityShare(1_000), 1e-9);
         assertEquals(0.55, warmUp.capacityShare(26_000), 1e-9);
@@ -28,9 +28,9 @@
     }
 
     @Test
-    void onlyAColdServerIsOverloaded() {
+    void onlyAColdServerIsOverloadedByArrivals() {
         WarmUp cold = new WarmUp(PROFILE, true, 0);
-        // 2 x 0.1 x 200 requests, and 5 for chance
+        // 2 x 0.1 x 200 requests, and an allowance of 5 for random variation
         for (int i = 0; i < 45; i++) {
             assertFalse(cold.isOverloadedByArrival(0), "arrival " + i);
         }
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aKeyIsCachedForItsLifetime() {
+    void keyIsCachedForItsLifetime() {
         KeyCache cache = new KeyCache(1_000);
         assertFalse(cache.touch("k", 0));
         assertTrue(cache.touch("k", 999));
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aRepeatIsKnownWithinItsWindow() {
+    void repeatIsDetectedWithinItsWindow() {
         DeduplicationCache cache = new DeduplicationCache();
         assertFalse(cache.isRepeat("m", 0, 1_000));
         assertTrue(cache.isRepeat("m", 1_000, 1_000));
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aLoadReportIsRenewedAtItsInterval() {
+    void loadReportIsRefreshedAtItsInterval() {
         LoadMeter meter = new LoadMeter(2_000);
         meter.addWork(1_000);
         assertEquals("concurrent=3,mean_ms=10.0", meter.report(3, 0));
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void aFaultLastsUntilItsEnd() {
+    void faultIsActiveUntilItsEnd() {
         ServerFaults faults = new ServerFaults();
         faults.start(ServerFault.SLOW, 1_000, 3);
         assertEquals(3, faults.slowFactor(999));
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void theSenderOfAnAttemptIsParsed() {
+    void senderOfAnAttemptIsParsed() {
         assertEquals(new NodeIdentity(3, "ab/c"), NodeIdentity.parse("3/ab/c"));
         assertEquals(new NodeIdentity(NodeIdentity.UNKNOWN_INDEX, "ab"), NodeIdentity.parse("ab"));
         assertEquals(new NodeIdentity(NodeIdentity.UNKNOWN_INDEX, "null"), NodeIdentity.parse(null));
