--- a/src/main/java/laurelkeel/testbed/ClientCall.java
+++ b/src/main/java/laurelkeel/testbed/ClientCall.java
@@ -3,7 +3,7 @@
 import laurelkeel.records.RecordTerms;
 import org.jspecify.annotations.Nullable;
 
-/** One call of a client, made of a first request and its retries. Not thread-safe; used on the generator's loop. */
+/** One call of a client: a first request and its retries. Not thread-safe; used on the generator's loop. */
 final class ClientCall {
     final String callId;
     final LoadRoute route;
@@ -32,14 +32,15 @@
         this.statistics = statistics;
     }
 
-    /** When the client stops waiting. */
+    /** Returns the time at which the client stops waiting. */
     long deadlineTicks() {
         return startTicks + route.timeoutTicks();
     }
 
     /**
-     * Whether a further request is safe though an earlier one may have run. A deduplicating route allows it only early
-     * in its window, which began with an attempt later than the call.
+     * Returns whether another request is safe although an earlier one may have been executed. A route that deduplicates
+     * across all servers allows it only in the first half of its window, counted from the start of the call; the
+     * servers' window began with an attempt, which came later.
      */
     boolean isRetrySafe(long nowTicks) {
         return switch (route.policy().idempotency()) {
--- a/src/main/java/laurelkeel/testbed/ClientConnectionPool.java
+++ b/src/main/java/laurelkeel/testbed/ClientConnectionPool.java
@@ -16,21 +16,21 @@
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
-/** Clients' connections to all nodes, kept alive and reused. Everything but the sockets happens on the loop's thread. */
+/** Persistent client connections to all nodes. Everything but the socket I/O happens on the loop's thread. */
 final class ClientConnectionPool {
     private static final AttributeKey CONNECTION = new AttributeKey(ClientConnectionPool.class, "connection");
     private static final int IO_THREADS = 2;
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
-    /** Learns what arrives on connections; called on the loop's thread. */
+    /** Listener for the events of connections; called on the loop's thread. */
     interface Listener {
-        /** A complete response arrived. */
+        /** Called when a complete response has arrived. */
         void responseReceived(GeneratorConnection connection, HttpResponse response, long receivedAtTicks);
 
-        /** Bytes arrived that are no HTTP response. */
+        /** Called when bytes have arrived that are not an HTTP response. */
         void malformedResponseReceived(GeneratorConnection connection, Exception cause, long receivedAtTicks);
 
-        /** The connection ended, whoever closed it. */
+        /** Called when a connection has closed, from either side. */
         void connectionClosed(GeneratorConnection connection, long closedAtTicks);
     }
 
@@ -57,7 +57,11 @@
         return nodeAddresses.size();
     }
 
-    /** Gives a request a connection to its node, at once where one is idle. */
+    /**
+     * Provides a connection to a request's node: an idle one immediately, or else a new one.
+     *
+     * @param onFailed called if a new connection cannot be opened
+     */
     void connect(GeneratedRequest request, Consumer<GeneratorConnection> onConnected, Runnable onFailed) {
         ArrayDeque<GeneratorConnection> idle = idleByNode.get(request.nodeIndex);
         for (GeneratorConnection candidate = idle.pollFirst(); candidate != null; candidate = idle.pollFirst()) {
@@ -88,7 +92,7 @@
         onConnected.accept(connection);
     }
 
-    /** Keeps a connection for a later request. */
+    /** Returns a connection to the pool for later requests. */
     void release(GeneratorConnection connection) {
         idleByNode.get(connection.nodeIndex).addFirst(connection);
     }
--- a/src/main/java/laurelkeel/testbed/GeneratedRequest.java
+++ b/src/main/java/laurelkeel/testbed/GeneratedRequest.java
@@ -3,7 +3,7 @@
 import laurelkeel.eventloop.EventLoop.ScheduledTask;
 import org.jspecify.annotations.Nullable;
 
-/** One request of a call, or a complaint about its answer. Not thread-safe; used on the generator's loop. */
+/** One request of a call, or a complaint about a response to it. Not thread-safe; used on the generator's loop. */
 final class GeneratedRequest {
     final ClientCall call;
     final String requestId;
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Ends the request and its timers.
+     * Ends the request and cancels its timers.
      *
-     * @return false where it had ended before
+     * @return false if it had already ended
      */
     boolean end() {
         if (hasEnded) {
--- a/src/main/java/laurelkeel/testbed/GeneratorConnection.java
+++ b/src/main/java/laurelkeel/testbed/GeneratorConnection.java
@@ -3,7 +3,9 @@
 import org.apache.mina.core.session.IoSession;
 import org.jspecify.annotations.Nullable;
 
-/** A client's connection to a node, with at most one request at a time. Not thread-safe; used on the generator's loop. */
+/**
+ * A client's connection to a node, with at most one request at a time. Not thread-safe; used on the generator's loop.
+ */
 final class GeneratorConnection {
     final int nodeIndex;
     final IoSession session;
@@ -16,19 +18,19 @@
         this.session = session;
     }
 
-    /** Takes a request that is about to be sent. */
+    /** Sets the request that is about to be sent. */
     void assign(GeneratedRequest request) {
         currentRequest = request;
         lastRequestId = request.requestId;
     }
 
-    /** The request without a response so far; null for none. */
+    /** Returns the request that still waits for its response; null for none. */
     @Nullable
     GeneratedRequest currentRequest() {
         return currentRequest;
     }
 
-    /** The request sent last; empty for none. */
+    /** Returns the ID of the request sent last; empty for none. */
     String lastRequestId() {
         return lastRequestId;
     }
@@ -37,7 +39,7 @@
         currentRequest = null;
     }
 
-    /** Closes with the request unanswered; a response that is still on its way is not looked at. */
+    /** Closes the connection without a response; a response that is still in transit is ignored. */
     void abandon() {
         currentRequest = null;
         isAbandoned = true;
--- a/src/main/java/laurelkeel/testbed/LoadGenerator.java
+++ b/src/main/java/laurelkeel/testbed/LoadGenerator.java
@@ -20,22 +20,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Clients of the nodes: calls at random moments whatever the responses do (open loop), with partition keys of which few
- * are popular, deadlines, tenants, retries where a rejection or the route allows them, and some that close early.
- * Everything but the sockets happens on the loop's thread, which all methods are to be called on.
+ * Simulated clients of the nodes. Calls arrive at random times independent of the responses (open loop). They have
+ * deadlines, tenants and partition keys with a skewed popularity; they are retried if the rejection or the route allows
+ * it, and some are abandoned early. Everything but the socket I/O happens on the loop's thread, on which all methods
+ * must be called.
  */
 public final class LoadGenerator {
-    /** How long past its deadline a client still listens, for what was sent in time. */
+    /** How long after its deadline a client still accepts a response, because it may have been sent in time. */
     private static final long READ_TOLERANCE_TICKS = 200;
-    /** What a client takes off the time that it states, for the way there and back on a host that stalls. */
+    /** Subtracted from the remaining time that a client sends, for the network round trip on a host that may stall. */
     private static final long ROUND_TRIP_ALLOWANCE_TICKS = 1_000;
 
-    private static final long MIN_STATED_TICKS = 10;
+    private static final long MIN_ANNOUNCED_TICKS = 10;
     private static final long MAX_EARLY_CLOSE_TICKS = 400;
     private static final long COMPLAINT_DELAY_TICKS = 3_000;
     private static final long COMPLAINT_TIMEOUT_TICKS = 10_000;
     private static final String COMPLAINT_PATH = "/.laurelkeel/complaints";
-    /** The delay before a retry where the response names none. */
+    /** Delay before a retry if the rejection does not specify one. */
     private static final long REJECTION_RETRY_TICKS = 100;
 
     private static final long FAILURE_RETRY_TICKS = 200;
@@ -51,13 +52,13 @@
     private long nextId;
     private int openRequests;
     private boolean isRunning;
-    /** When the last call was due; 0 before the first. */
+    /** The scheduled time of the last call; 0 before the first. */
     private long lastArrivalTicks;
 
     /**
-     * Creates one that has not started.
+     * Creates a load generator that has not started.
      *
-     * @param nodeAddresses by node index
+     * @param nodeAddresses addresses of the nodes, by node index
      */
     public LoadGenerator(
             EventLoop loop,
@@ -75,13 +76,13 @@
         }
     }
 
-    /** Begins to make calls. */
+    /** Starts making calls. */
     public void start() {
         isRunning = true;
         scheduleNextCall();
     }
 
-    /** Begins no more calls; open requests end by their deadlines. */
+    /** Starts no further calls and schedules no further retries; open requests end by their deadlines. */
     public void stop() {
         isRunning = false;
     }
@@ -91,17 +92,17 @@
         connections.close();
     }
 
-    /** How many requests have not ended. */
+    /** Returns the number of requests that have not ended. */
     public int openRequests() {
         return openRequests;
     }
 
-    /** By route name. */
+    /** Returns the statistics by route name. */
     public Map<String, RouteStatistics> statistics() {
         return statistics;
     }
 
-    /** Multiplies the profile's rate from now on. */
+    /** Sets a factor on the profile's call rate from now on. */
     public void setRateFactor(double rateFactor) {
         sampler.setRateFactor(rateFactor);
     }
@@ -111,7 +112,7 @@
         sampler.setNodeShare(nodeIndex, share);
     }
 
-    /** Gives one new key a share of all calls from now on; 0 ends it. */
+    /** Assigns a share of all calls with a partition key to one new key from now on; 0 ends this. */
     public void setHotKeyShare(double share) {
         sampler.setHotKey("hot-" + nextId, share);
     }
@@ -121,7 +122,7 @@
             return;
         }
         long interArrivalTicks = sampler.nextInterArrivalTicks();
-        // from when the last call was due, not from when this thread got to it: else a busy host thins the load
+        // relative to the last call's scheduled time, not its actual start: otherwise a busy host would reduce the load
         lastArrivalTicks = (lastArrivalTicks == 0 ? loop.nowTicks() : lastArrivalTicks) + interArrivalTicks;
         loop.schedule(lastArrivalTicks, () -> {
             scheduleNextCall();
@@ -174,7 +175,7 @@
         connection.session.write(encode(request, isRetry));
         request.setDeadlineTimer(
                 loop.schedule(request.deadlineTicks + READ_TOLERANCE_TICKS, () -> abandon(connection, request, false)));
-        if (sampler.chance(profile.earlyCloseShare())) {
+        if (sampler.nextBoolean(profile.earlyCloseShare())) {
             long delayTicks = sampler.nextTicks((double) Math.min(remainingTicks / 4, MAX_EARLY_CLOSE_TICKS));
             request.setEarlyCloseTimer(
                     loop.schedule(loop.nowTicks() + delayTicks, () -> abandon(connection, request, true)));
@@ -183,12 +184,12 @@
 
     private HttpRequest encode(GeneratedRequest request, boolean isRetry) {
         ClientCall call = request.call;
-        long statedTicks = request.deadlineTicks - ROUND_TRIP_ALLOWANCE_TICKS - loop.clockTicks();
-        double statedMillis = Math.max(MIN_STATED_TICKS, statedTicks) / RecordClock.TICKS_PER_MILLISECOND;
+        long announcedTicks = request.deadlineTicks - ROUND_TRIP_ALLOWANCE_TICKS - loop.clockTicks();
+        double announcedMillis = Math.max(MIN_ANNOUNCED_TICKS, announcedTicks) / RecordClock.TICKS_PER_MILLISECOND;
         Headers headers = new Headers()
                 .add("Host", "front")
                 .add(HeaderNames.REQUEST_ID, request.requestId)
-                .add(HeaderNames.REMAINING, Double.toString(statedMillis));
+                .add(HeaderNames.REMAINING, Double.toString(announcedMillis));
         addIfPresent(headers, HeaderNames.TENANT, call.tenant);
         addIfPresent(headers, HeaderNames.PARTITION_KEY, call.partitionKey);
         addIfPresent(headers, HeaderNames.IDEMPOTENCY_KEY, call.idempotencyKey);
@@ -247,7 +248,7 @@
         switch (outcome) {
             case COMPLETED -> {
                 routeStatistics.recordCompletion(Math.max(0, loop.nowTicks() - request.call.startTicks));
-                if (isWrong(response) && sampler.chance(profile.complaintShare())) {
+                if (isWrong(response) && sampler.nextBoolean(profile.complaintShare())) {
                     complain(request, headers.get(HeaderNames.RESPONSE_REFERENCE));
                 }
             }
--- a/src/main/java/laurelkeel/testbed/LoadSampler.java
+++ b/src/main/java/laurelkeel/testbed/LoadSampler.java
@@ -9,7 +9,10 @@
 import laurelkeel.records.RecordClock;
 import org.jspecify.annotations.Nullable;
 
-/** Draws what clients do from one seeded source; the same calls in the same order give the same load. Not thread-safe. */
+/**
+ * A seeded random source for the clients' behaviour; the same method calls in the same order give the same load. Not
+ * thread-safe.
+ */
 final class LoadSampler {
     private final LoadProfile profile;
     private final SplittableRandom random;
@@ -32,7 +35,7 @@
         }
     }
 
-    /** Multiplies the profile's rate from now on. */
+    /** Sets a factor on the profile's call rate from now on. */
     void setRateFactor(double rateFactor) {
         this.rateFactor = rateFactor;
     }
@@ -45,13 +48,13 @@
         }
     }
 
-    /** Gives one key a share of all calls from now on; 0 ends it. */
+    /** Assigns a share of all calls with a partition key to one key from now on; 0 ends this. */
     void setHotKey(String key, double share) {
         hotKey = key;
         hotKeyShare = share;
     }
 
-    /** From one call's start to the next, exponentially distributed. */
+    /** Returns the time from one call's start to the next, exponentially distributed. */
     long nextInterArrivalTicks() {
         double ticks = -Math.log(1 - random.nextDouble())
                 / (profile.requestsPerSecond() * rateFactor)
@@ -60,7 +63,7 @@
     }
 
     LoadRoute nextRoute() {
-        return weighted(profile.routes(), LoadRoute::share);
+        return chooseWeighted(profile.routes(), LoadRoute::share);
     }
 
     @Nullable
@@ -70,10 +73,10 @@
         }
         List<Map.Entry<String, Double>> tenants =
                 new ArrayList<>(profile.tenantShares().entrySet());
-        return weighted(tenants, Map.Entry::getValue).getKey();
+        return chooseWeighted(tenants, Map.Entry::getValue).getKey();
     }
 
-    private <T> T weighted(List<T> choices, ToDoubleFunction<T> weight) {
+    private <T> T chooseWeighted(List<T> choices, ToDoubleFunction<T> weight) {
         double remaining =
                 random.nextDouble() * choices.stream().mapToDouble(weight).sum();
         for (T choice : choices) {
@@ -85,13 +88,13 @@
         return choices.get(choices.size() - 1);
     }
 
-    /** The next call's partition key; null for a call without one. */
+    /** Returns the next call's partition key; null for a call without one. */
     @Nullable
     String nextPartitionKey() {
-        if (chance(profile.keylessShare())) {
+        if (nextBoolean(profile.keylessShare())) {
             return null;
         }
-        if (chance(hotKeyShare)) {
+        if (nextBoolean(hotKeyShare)) {
             return hotKey;
         }
         double target = random.nextDouble() * cumulativeKeyWeights[cumulativeKeyWeights.length - 1];
@@ -114,12 +117,12 @@
         return nodeWeights.length - 1;
     }
 
-    /** True with a probability. */
-    boolean chance(double probability) {
+    /** Returns true with the given probability. */
+    boolean nextBoolean(double probability) {
         return random.nextDouble() < probability;
     }
 
-    /** A duration from 0 to below a maximum. */
+    /** Returns a uniformly distributed duration from 0 to below a maximum. */
     long nextTicks(double maxTicks) {
         return (long) (random.nextDouble() * maxTicks);
     }
--- a/src/main/java/laurelkeel/testbed/RouteStatistics.java
+++ b/src/main/java/laurelkeel/testbed/RouteStatistics.java
@@ -2,7 +2,7 @@
 
 import org.HdrHistogram.Histogram;
 
-/** What clients of one route met. Written on the load generator's loop; read once that has ended. */
+/** Statistics of the clients' calls on one route. Written on the load generator's loop; read after it has ended. */
 public final class RouteStatistics {
     private static final long MAX_COMPLETION_TICKS = 600_000_000L;
     private static final int SIGNIFICANT_DIGITS = 3;
@@ -16,52 +16,52 @@
     long connectFailures;
     long closedEarly;
 
-    /** Counts a completed call. */
+    /** Records a completed call. */
     void recordCompletion(long ticks) {
         completionTicks.recordValue(ticks);
     }
 
-    /** From the start of a call to its completed response, in ticks. */
+    /** Returns the histogram of times from the start of a call to its completed response, in ticks. */
     public Histogram completionTicks() {
         return completionTicks;
     }
 
-    /** Calls begun. */
+    /** Returns the number of calls started. */
     public long calls() {
         return calls;
     }
 
-    /** Requests of those calls, retries included. */
+    /** Returns the number of requests of those calls, including retries. */
     public long requests() {
         return requests;
     }
 
-    /** Completed responses; a call has one at the most. */
+    /** Returns the number of completed responses; a call has at most one. */
     public long completed() {
         return completionTicks.getTotalCount();
     }
 
-    /** Rejected responses. */
+    /** Returns the number of responses that were rejections. */
     public long rejected() {
         return rejected;
     }
 
-    /** Failed responses. */
+    /** Returns the number of responses that were failures. */
     public long failed() {
         return failed;
     }
 
-    /** Connections that ended before the response. */
+    /** Returns the number of connections that closed before the response. */
     public long connectionsBroken() {
         return connectionsBroken;
     }
 
-    /** Requests whose node could not be reached. */
+    /** Returns the number of requests whose node could not be reached. */
     public long connectFailures() {
         return connectFailures;
     }
 
-    /** Requests that the client abandoned before its deadline. */
+    /** Returns the number of requests that the client abandoned before its deadline. */
     public long closedEarly() {
         return closedEarly;
     }
--- a/src/main/java/laurelkeel/testbed/package-info.java
+++ b/src/main/java/laurelkeel/testbed/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A test bed on loopback sockets for nodes under trial: simulated servers, an endpoint list service, a rollout service
- * and a load generator, all with faults on demand. Figures got with it are of simulated servers, not of real ones.
+ * A test bed for nodes on loopback sockets: simulated servers, an endpoint list service, a rollout service and a load
+ * generator, with faults that can be injected. Figures measured with it describe simulated servers, not real ones.
  */
 @NullMarked
 package laurelkeel.testbed;
--- a/src/test/java/laurelkeel/testbed/ClientCallTest.java
+++ b/src/test/java/laurelkeel/testbed/ClientCallTest.java
@@ -18,14 +18,14 @@
     }
 
     @Test
-    void retriesAreSafeAsTheRouteAllows() {
+    void retrySafetyFollowsTheRoutesIdempotency() {
         assertTrue(call(Idempotency.IDEMPOTENT, DeduplicationScope.ALL).isRetrySafe(9_000));
         assertFalse(call(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL).isRetrySafe(101));
         assertFalse(call(Idempotency.DEDUPLICATED, DeduplicationScope.CELL).isRetrySafe(101));
     }
 
     @Test
-    void aDeduplicatedCallIsRetriedInTheFirstHalfOfItsWindow() {
+    void retryOfADeduplicatedCallIsSafeInTheFirstHalfOfItsWindowOnly() {
         ClientCall call = call(Idempotency.DEDUPLICATED, DeduplicationScope.ALL);
         assertTrue(call.isRetrySafe(1_099));
         assertFalse(call.isRetrySafe(1_100));
--- a/src/test/java/laurelkeel/testbed/LoadSamplerTest.java
+++ b/src/test/java/laurelkeel/testbed/LoadSamplerTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 class LoadSamplerTest {
-    private static final int DRAWS = 10_000;
+    private static final int SAMPLE_COUNT = 10_000;
 
     private static LoadRoute route(String name, double share) {
         return new LoadRoute(
@@ -32,25 +32,25 @@
         return new LoadSampler(profile, 4, 7);
     }
 
-    private static List<Object> draw(LoadSampler sampler) {
-        List<Object> drawn = new ArrayList<>();
+    private static List<Object> sampleAll(LoadSampler sampler) {
+        List<Object> samples = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            drawn.add(sampler.nextInterArrivalTicks());
-            drawn.add(sampler.nextRoute().name());
-            drawn.add(String.valueOf(sampler.nextPartitionKey()));
-            drawn.add(sampler.nextNodeIndex());
-            drawn.add(sampler.nextTicks(400));
+            samples.add(sampler.nextInterArrivalTicks());
+            samples.add(sampler.nextRoute().name());
+            samples.add(String.valueOf(sampler.nextPartitionKey()));
+            samples.add(sampler.nextNodeIndex());
+            samples.add(sampler.nextTicks(400));
         }
-        return drawn;
+        return samples;
     }
 
     @Test
-    void oneSeedGivesOneLoad() {
-        assertEquals(draw(sampler(Map.of(), 0.1)), draw(sampler(Map.of(), 0.1)));
+    void sameSeedGivesSameLoad() {
+        assertEquals(sampleAll(sampler(Map.of(), 0.1)), sampleAll(sampler(Map.of(), 0.1)));
     }
 
     @Test
-    void arrivalsKeepTheRateAndItsFactor() {
+    void arrivalRateFollowsProfileAndFactor() {
         LoadSampler sampler = sampler(Map.of(), 0);
         assertEquals(100, meanInterArrivalTicks(sampler), 5);
         sampler.setRateFactor(4);
@@ -59,10 +59,10 @@
 
     private static double meanInterArrivalTicks(LoadSampler sampler) {
         long sum = 0;
-        for (int i = 0; i < DRAWS; i++) {
+        for (int i = 0; i < SAMPLE_COUNT; i++) {
             sum += sampler.nextInterArrivalTicks();
         }
-        return sum / (double) DRAWS;
+        return sum / (double) SAMPLE_COUNT;
     }
 
     @Test
@@ -73,27 +73,27 @@
         LoadSampler sampler = sampler(tenantShares, 0);
         int often = 0;
         int small = 0;
-        for (int i = 0; i < DRAWS; i++) {
+        for (int i = 0; i < SAMPLE_COUNT; i++) {
             often += sampler.nextRoute().name().equals("often") ? 1 : 0;
             small += "small".equals(sampler.nextTenant()) ? 1 : 0;
         }
-        assertEquals(0.75, often / (double) DRAWS, 0.02);
-        assertEquals(0.1, small / (double) DRAWS, 0.02);
+        assertEquals(0.75, often / (double) SAMPLE_COUNT, 0.02);
+        assertEquals(0.1, small / (double) SAMPLE_COUNT, 0.02);
     }
 
     @Test
-    void aProfileWithoutTenantsOrKeysGivesNone() {
+    void profileWithoutTenantsOrKeysGivesNone() {
         LoadSampler sampler = sampler(Map.of(), 1);
         assertNull(sampler.nextTenant());
         assertNull(sampler.nextPartitionKey());
     }
 
     @Test
-    void popularKeysAreDrawnMoreOften() {
+    void popularKeysAreSampledMoreOften() {
         LoadSampler sampler = sampler(Map.of(), 0);
         int first = 0;
         int last = 0;
-        for (int i = 0; i < DRAWS; i++) {
+        for (int i = 0; i < SAMPLE_COUNT; i++) {
             String key = String.valueOf(sampler.nextPartitionKey());
             first += key.equals("k0") ? 1 : 0;
             last += key.equals("k49") ? 1 : 0;
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void aHotKeyGetsItsShareUntilItEnds() {
+    void hotKeyGetsItsShareUntilItIsReset() {
         LoadSampler sampler = sampler(Map.of(), 0);
         sampler.setHotKey("hot", 0.5);
         assertEquals(0.5, hotShare(sampler), 0.02);
@@ -112,14 +112,14 @@
 
     private static double hotShare(LoadSampler sampler) {
         int hot = 0;
-        for (int i = 0; i < DRAWS; i++) {
+        for (int i = 0; i < SAMPLE_COUNT; i++) {
             hot += "hot".equals(sampler.nextPartitionKey()) ? 1 : 0;
         }
-        return hot / (double) DRAWS;
+        return hot / (double) SAMPLE_COUNT;
     }
 
     @Test
-    void aNodeGetsItsShareUntilItEnds() {
+    void nodeGetsItsShareUntilItIsReset() {
         LoadSampler sampler = sampler(Map.of(), 0);
         sampler.setNodeShare(2, 0.7);
         assertEquals(0.7, nodeShare(sampler, 2), 0.02);
@@ -128,10 +128,10 @@
     }
 
     private static double nodeShare(LoadSampler sampler, int nodeIndex) {
-        int drawn = 0;
-        for (int i = 0; i < DRAWS; i++) {
-            drawn += sampler.nextNodeIndex() == nodeIndex ? 1 : 0;
+        int count = 0;
+        for (int i = 0; i < SAMPLE_COUNT; i++) {
+            count += sampler.nextNodeIndex() == nodeIndex ? 1 : 0;
         }
-        return drawn / (double) DRAWS;
+        return count / (double) SAMPLE_COUNT;
     }
 }
