--- a/src/main/java/laurelkeel/scenario/FaultInjector.java
+++ b/src/main/java/laurelkeel/scenario/FaultInjector.java
@@ -36,7 +36,7 @@
         this.rolloutService = rolloutService;
     }
 
-    /** Applies a fault of servers or services; nothing for other kinds. */
+    /** Applies a fault of servers or services; other kinds have no effect. */
     void applyToServers(ScenarioFault fault) {
         long untilTicks = loop.nowTicks() + fault.durationTicks();
         switch (fault.kind()) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Applies a fault of the load; nothing for other kinds. */
+    /** Applies a fault of the load; other kinds have no effect. */
     void applyToLoad(ScenarioFault fault, LoadGenerator loadGenerator) {
         long untilTicks = loop.nowTicks() + fault.durationTicks();
         switch (fault.kind()) {
--- a/src/main/java/laurelkeel/scenario/NodeProcessFactory.java
+++ b/src/main/java/laurelkeel/scenario/NodeProcessFactory.java
@@ -11,7 +11,7 @@
 
 /** Writes the settings files of a scenario's nodes and prepares their processes. */
 final class NodeProcessFactory {
-    /** Keeps the seeds of scenarios apart. */
+    /** Distance between the node seeds of consecutive scenario seeds, so that they do not overlap. */
     private static final long SEED_STRIDE = 1000;
 
     private final Scenario scenario;
@@ -26,7 +26,7 @@
         this.seed = seed;
     }
 
-    /** Prepares all nodes; none is started. */
+    /** Writes the settings files and returns the nodes, none of which is started. */
     List<ScenarioNodeProcess> prepareAll() throws IOException {
         int nodeCount = scenario.nodeCount();
         int[] requestPorts = new int[nodeCount];
--- a/src/main/java/laurelkeel/scenario/Scenario.java
+++ b/src/main/java/laurelkeel/scenario/Scenario.java
@@ -18,17 +18,17 @@
 import laurelkeel.testbed.ServerProfile;
 
 /**
- * A scenario as its file describes it; docs/day.md explains each key.
+ * A scenario as described by its file; docs/day.md explains each key.
  *
  * @param durationTicks how long load is offered
- * @param serverCount servers at the start
- * @param commonSettings what all nodes share
- * @param nodeSections what goes into each node's settings file as it stands
+ * @param serverCount number of servers at the start
+ * @param commonSettings the settings that all nodes share
+ * @param nodeSections text that is copied unchanged into each node's settings file
  * @param endpointListPolled whether nodes poll the endpoint list instead of watching it
- * @param endpointListDelayTicks how late the endpoint list is
- * @param endpointListCallsPerSecond beyond which the endpoint list service rejects calls
- * @param builds by number
- * @param faults by time
+ * @param endpointListDelayTicks delay after which a change becomes visible in the endpoint list
+ * @param endpointListCallsPerSecond rate beyond which the endpoint list service rejects calls
+ * @param builds the described builds, by number
+ * @param faults the events, in the order of their times
  */
 public record Scenario(
         String name,
@@ -48,16 +48,16 @@
         Map<Integer, BuildProfile> builds,
         List<ScenarioFault> faults) {
 
-    /** The names of the scenarios that come with the program. */
+    /** The names of the scenarios that are shipped with the program. */
     public static final List<String> SHIPPED =
             List.of("bad-day", "lost-answers", "cold-returns", "stale-news", "two-releases", "three-releases");
 
     private static final String FILE_SUFFIX = ".ini";
 
     /**
-     * Reads a shipped scenario by its name, or a file.
+     * Reads a scenario, either a shipped one by its name or a file.
      *
-     * @throws InvalidSettingsException where the file cannot be read or has errors
+     * @throws InvalidSettingsException if the file cannot be read or has errors
      */
     public static Scenario find(String nameOrFile) throws InvalidSettingsException {
         if (SHIPPED.contains(nameOrFile)) {
@@ -71,7 +71,7 @@
     private static String resource(String path) {
         try (InputStream in = Scenario.class.getResourceAsStream(path)) {
             if (in == null) {
-                throw new IllegalStateException("the program lacks " + path);
+                throw new IllegalStateException("missing resource " + path);
             }
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
@@ -80,15 +80,15 @@
     }
 
     /**
-     * Reads a scenario.
+     * Reads a scenario from its parsed file.
      *
-     * @throws InvalidSettingsException naming all errors of the file
+     * @throws InvalidSettingsException if the file has errors; its message lists all of them
      */
     public static Scenario read(IniFile file, String name) throws InvalidSettingsException {
         return new ScenarioReader(file).read(name);
     }
 
-    /** The parameters that the audit needs. */
+    /** Returns the parameters that the audit needs, as a record. */
     public TrafficRecord.AuditParameters auditParameters(long timeTicks) {
         Settings.Rollout rollout = commonSettings.rollout();
         return new TrafficRecord.AuditParameters(
--- a/src/main/java/laurelkeel/scenario/ScenarioEnvironment.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioEnvironment.java
@@ -22,12 +22,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The test bed of one scenario, with all its parts on one thread. Methods run there and wait for it, so that they are to
- * be called on another thread; by one thread at a time.
+ * The test bed of one scenario, with all its parts on one event loop thread. Methods run their work on that thread and
+ * wait for it, so they must be called on another thread, and by one thread at a time.
  */
 public final class ScenarioEnvironment implements AutoCloseable {
     private static final int FIRST_BUILD = 1;
-    /** How often a waiting caller looks whether the loop's thread still lives. */
+    /** Interval at which a waiting caller checks whether the loop's thread has failed. */
     private static final long LIVENESS_CHECK_SECONDS = 1;
 
     private final Scenario scenario;
@@ -44,9 +44,9 @@
     private @Nullable InetSocketAddress rolloutServiceAddress;
 
     /**
-     * Creates one that has not started.
+     * Creates a test bed that has not started.
      *
-     * @throws IOException where no port is free
+     * @throws IOException if no port can be opened
      */
     public ScenarioEnvironment(Scenario scenario, long seed, Consumer<TrafficRecord> records) throws IOException {
         this.scenario = scenario;
@@ -66,7 +66,7 @@
         records.accept(scenario.auditParameters(RecordClock.nowTicks()));
     }
 
-    /** Starts both services and the first servers, on build 1. */
+    /** Starts both services and the initial servers, with build 1. */
     public void start() {
         thread.setDaemon(true);
         thread.setUncaughtExceptionHandler((failed, cause) -> failure = cause);
@@ -79,24 +79,24 @@
         });
     }
 
-    /** Where the endpoint list service listens. */
+    /** Returns the address of the endpoint list service. */
     public InetSocketAddress endpointListAddress() {
         return requireStarted(endpointListAddress);
     }
 
-    /** Where the rollout service listens. */
+    /** Returns the address of the rollout service. */
     public InetSocketAddress rolloutServiceAddress() {
         return requireStarted(rolloutServiceAddress);
     }
 
     private static <T> T requireStarted(@Nullable T part) {
         if (part == null) {
-            throw new IllegalStateException("it has not started");
+            throw new IllegalStateException("the test bed or its load has not started");
         }
         return part;
     }
 
-    /** Begins the load on the nodes. */
+    /** Starts the load on the nodes. */
     public void startLoad(List<InetSocketAddress> nodeAddresses, long seed) {
         runOnLoop(() -> {
             LoadGenerator started = new LoadGenerator(loop, scenario.loadProfile(), nodeAddresses, seed + 2, records);
@@ -105,7 +105,7 @@
         });
     }
 
-    /** The load generator; its methods are to be called through {@link #callOnLoop}. */
+    /** Returns the load generator, whose methods must be called through {@link #callOnLoop}. */
     public LoadGenerator loadGenerator() {
         return requireStarted(loadGenerator);
     }
@@ -119,9 +119,9 @@
     }
 
     /**
-     * Calls on the loop's thread and waits for the result.
+     * Makes a call on the loop's thread and waits for the result.
      *
-     * @throws IllegalStateException where the call or the thread fails
+     * @throws IllegalStateException if the call or the thread fails
      */
     public <T> T callOnLoop(Supplier<T> call) {
         CompletableFuture<T> result = new CompletableFuture<>();
@@ -144,18 +144,18 @@
             Thread.currentThread().interrupt();
             throw new IllegalStateException(e);
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a part of the test bed failed", e.getCause());
+            throw new IllegalStateException("a call on the test bed's thread failed", e.getCause());
         }
     }
 
-    /** Throws an IllegalStateException where the loop's thread has died. */
+    /** Throws an IllegalStateException if the loop's thread has ended with an exception. */
     public void throwIfFailed() {
         if (failure != null) {
-            throw new IllegalStateException("the test bed failed", failure);
+            throw new IllegalStateException("the test bed's thread ended with an exception", failure);
         }
     }
 
-    /** Rollouts, servers and open requests in one line. */
+    /** Returns the state of rollouts and the numbers of servers and open requests in one line. */
     public String summary() {
         return callOnLoop(() -> String.format(
                 "%s, %d machines, %d reqs out",
@@ -164,7 +164,7 @@
                 loadGenerator == null ? 0 : loadGenerator.openRequests()));
     }
 
-    /** Applies a fault; those of nodes are not its matter. */
+    /** Applies a fault of servers, services or load; faults of nodes have no effect here. */
     public void apply(ScenarioFault fault) {
         runOnLoop(() -> {
             faultInjector.applyToServers(fault);
--- a/src/main/java/laurelkeel/scenario/ScenarioFault.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioFault.java
@@ -5,12 +5,13 @@
 import laurelkeel.config.IniSection;
 
 /**
- * One event of a scenario. What its kind does not use is 0.
+ * One event of a scenario. Components that its kind does not use are 0.
  *
- * @param startTicks when, from the scenario's start
- * @param serverCount how many servers, chosen at random
- * @param durationTicks how long, or for what stops: until it starts again (0 for never)
- * @param magnitude a factor, a share, or a delay in ticks, as the kind has it
+ * @param startTicks time of the event, from the start of the scenario
+ * @param serverCount number of affected servers, which are chosen at random
+ * @param durationTicks duration of the fault; for servers and nodes that stop, the time until they start again (for
+ *     crashed servers, 0 means never)
+ * @param magnitude a factor, a share, or a delay in ticks, depending on the kind
  */
 public record ScenarioFault(
         String name,
@@ -22,7 +23,7 @@
         long durationTicks,
         double magnitude) {
 
-    /** What happens; each kind with its name in scenario files. */
+    /** The kinds of events, each with its name in scenario files. */
     public enum Kind {
         OFFER_BUILD("offer"),
         CRASH_SERVERS("crash"),
@@ -61,7 +62,7 @@
         }
     }
 
-    /** Reads an event's section; errors are added to it. */
+    /** Reads an event's section; errors are added to the section. */
     static ScenarioFault read(String name, IniSection section, int nodeCount) {
         long startTicks = section.durationTicks("at", IniSection.REQUIRED, "0 ms", "24 h");
         Kind kind = section.choice("what", IniSection.REQUIRED, Kind.BY_SETTING_NAME);
@@ -126,7 +127,7 @@
         return section.durationTicks("for", IniSection.REQUIRED, "1 ms", "24 h");
     }
 
-    /** Its name and kind, as they stand in the scenario's file. */
+    /** Returns the name and kind as written in the scenario's file. */
     @Override
     public String toString() {
         return name + " (" + kind.settingName + ")";
--- a/src/main/java/laurelkeel/scenario/ScenarioNodeProcess.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioNodeProcess.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.locks.LockSupport;
 import org.jspecify.annotations.Nullable;
 
-/** One node as a process of its own, started from a settings file. Not thread-safe. */
+/** One node running as a separate process, started with a settings file. Not thread-safe. */
 final class ScenarioNodeProcess {
     private static final long READY_TIMEOUT_SECONDS = 30;
     private static final int CONNECT_TIMEOUT_MILLIS = 200;
@@ -52,9 +52,9 @@
     }
 
     /**
-     * Waits until it accepts connections.
+     * Waits until the node accepts connections.
      *
-     * @throws IOException where the process ends before, or accepts none in time
+     * @throws IOException if the process ends first, or accepts no connection in time
      */
     void awaitReady() throws IOException {
         long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_TIMEOUT_SECONDS);
@@ -70,15 +70,15 @@
                 LockSupport.parkNanos(CONNECT_RETRY_NANOS);
             }
         }
-        throw new IOException("front " + nodeIndex + " takes no connections after " + READY_TIMEOUT_SECONDS + " s");
+        throw new IOException("front " + nodeIndex + " accepts no connections after " + READY_TIMEOUT_SECONDS + " s");
     }
 
-    /** Ends it by force. */
+    /** Kills the process. */
     void kill() {
         process().destroyForcibly();
     }
 
-    /** Asks it to drain and end; nothing where it was not started. */
+    /** Requests a graceful shutdown of the process; has no effect if it was not started. */
     void terminate() {
         if (process != null) {
             process.destroy();
@@ -89,7 +89,11 @@
         return process().isAlive();
     }
 
-    /** Waits for its exit code, 0 where it was not started; empty where it had to be killed. */
+    /**
+     * Waits for the process to end, and kills it at the timeout.
+     *
+     * @return the exit code, 0 if the process was not started; empty if it had to be killed
+     */
     OptionalInt awaitExit(long timeoutSeconds) throws InterruptedException {
         if (process == null) {
             return OptionalInt.of(0);
--- a/src/main/java/laurelkeel/scenario/ScenarioReader.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioReader.java
@@ -22,9 +22,9 @@
 import laurelkeel.testbed.RolloutPolicy;
 import laurelkeel.testbed.ServerProfile;
 
-/** Reads a scenario's file. Not thread-safe; for one reading. */
+/** Reads a scenario's file. Not thread-safe; each instance reads once. */
 final class ScenarioReader {
-    private static final Map<String, Boolean> LIST_MODES = modes();
+    private static final Map<String, Boolean> POLLING_BY_LIST_MODE = pollingByListMode();
     private static final String BUILD_NUMBER = "\\d{1,5}";
 
     private final IniFile file;
@@ -36,21 +36,21 @@
         this.file = file;
     }
 
-    /** Whether the endpoint list is polled, by the mode's name. */
-    private static Map<String, Boolean> modes() {
-        Map<String, Boolean> modes = new LinkedHashMap<>();
-        modes.put("push", false);
-        modes.put("ask", true);
-        return modes;
+    /** Returns whether the endpoint list is polled, by the name of the mode. */
+    private static Map<String, Boolean> pollingByListMode() {
+        Map<String, Boolean> pollingByListMode = new LinkedHashMap<>();
+        pollingByListMode.put("push", false);
+        pollingByListMode.put("ask", true);
+        return pollingByListMode;
     }
 
-    /** @throws InvalidSettingsException naming all errors of the file */
+    /** @throws InvalidSettingsException if the file has errors; its message lists all of them */
     Scenario read(String name) throws InvalidSettingsException {
         IniSection day = file.section("day", false);
         int nodeCount = day.intValue("fronts", "4", 1, 64);
         List<String> zones = day.stringList("zones", "here");
         IniSection list = file.section("list", true);
-        boolean isPolled = list.choice("mode", "push", LIST_MODES);
+        boolean isPolled = list.choice("mode", "push", POLLING_BY_LIST_MODE);
         FleetSettings common = FleetSettings.read(file, isPolled);
         readRoutes(common);
         LoadProfile loadProfile = readLoadProfile();
@@ -127,7 +127,7 @@
                 BuildProfile build = readBuild(Integer.parseInt(name), section, failureShares);
                 builds.put(build.number(), build);
             } else {
-                section.addError("work", "is of build '" + name + "'; a build is a whole number");
+                section.addError("work", "belongs to build '" + name + "'; a build must be a whole number");
             }
         });
         return builds;
@@ -136,8 +136,8 @@
     private Map<String, Double> readFailureShares(IniSection section) {
         Map<String, Double> failureShares = new HashMap<>();
         for (String route : workTicks.keySet()) {
-            String ofAllRoutes = section.has("failing") ? section.stringValue("failing", "0") : "0";
-            failureShares.put(route, section.doubleValue("failing-" + route, ofAllRoutes, 0, 1));
+            String defaultShare = section.has("failing") ? section.stringValue("failing", "0") : "0";
+            failureShares.put(route, section.doubleValue("failing-" + route, defaultShare, 0, 1));
         }
         return failureShares;
     }
@@ -162,8 +162,8 @@
             if (fault.kind() == ScenarioFault.Kind.OFFER_BUILD && !builds.containsKey(fault.build())) {
                 section.addError(
                         "build",
-                        "is " + fault.build() + ", of which nothing is said; add a section [build " + fault.build()
-                                + "]");
+                        "is " + fault.build() + ", which the file does not describe; add a section [build "
+                                + fault.build() + "]");
             }
             faults.add(fault);
         });
@@ -197,7 +197,7 @@
             line.addError(
                     "shares",
                     "has " + shares.size() + " stages and stage-caps of [rollout] has " + stages
-                            + "; give both as many");
+                            + "; both need the same number");
         }
         return new RolloutPolicy(
                 shares,
--- a/src/main/java/laurelkeel/scenario/ScenarioRecorder.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioRecorder.java
@@ -6,13 +6,13 @@
 import laurelkeel.records.RecordWriter;
 import laurelkeel.records.TrafficRecord;
 
-/** Writes the test bed's records, those of clients and those of servers to a file each. Thread-safe. */
+/** Writes the test bed's records to two files: those of clients and all others. Thread-safe. */
 final class ScenarioRecorder implements Closeable {
     private final RecordWriter clientRecords;
     private final RecordWriter serverRecords;
     private volatile boolean hasEnded;
 
-    /** @throws IOException where a file cannot be opened */
+    /** @throws IOException if a file cannot be opened */
     ScenarioRecorder(Path folder) throws IOException {
         clientRecords = new RecordWriter(folder.resolve("clients.jsonl"), false);
         serverRecords = new RecordWriter(folder.resolve("machines.jsonl"), false);
--- a/src/main/java/laurelkeel/scenario/ScenarioReport.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioReport.java
@@ -12,7 +12,7 @@
 import laurelkeel.testbed.RouteStatistics;
 import org.HdrHistogram.Histogram;
 
-/** Formats the results of a scenario for people; the last line is for scripts. */
+/** Formats the results of a scenario as text for people; the last line is also meant for scripts. */
 public final class ScenarioReport {
     private static final int MAX_VIOLATIONS_SHOWN = 10;
     private static final String NO_ATTRIBUTION = "none";
@@ -57,8 +57,8 @@
                 "p99 ms",
                 "within",
                 "of reqs");
-        statistics.forEach((route, ofRoute) -> {
-            Histogram completionTicks = ofRoute.completionTicks();
+        statistics.forEach((route, routeStatistics) -> {
+            Histogram completionTicks = routeStatistics.completionTicks();
             long objectiveTicks = scenario.commonSettings()
                     .routes()
                     .get(indexOfRoute(scenario, route))
@@ -67,18 +67,18 @@
             appendRow(
                     text,
                     route,
-                    ofRoute.calls(),
-                    ofRoute.requests(),
-                    ofRoute.completed(),
-                    ofRoute.rejected(),
-                    ofRoute.failed(),
-                    ofRoute.connectionsBroken(),
-                    ofRoute.closedEarly(),
-                    ofRoute.connectFailures(),
+                    routeStatistics.calls(),
+                    routeStatistics.requests(),
+                    routeStatistics.completed(),
+                    routeStatistics.rejected(),
+                    routeStatistics.failed(),
+                    routeStatistics.connectionsBroken(),
+                    routeStatistics.closedEarly(),
+                    routeStatistics.connectFailures(),
                     completionTicks.getValueAtPercentile(50) / RecordClock.TICKS_PER_MILLISECOND,
                     completionTicks.getValueAtPercentile(99) / RecordClock.TICKS_PER_MILLISECOND,
-                    formatShare(withinObjective, ofRoute.calls()),
-                    formatShare(ofRoute.completed(), ofRoute.calls()));
+                    formatShare(withinObjective, routeStatistics.calls()),
+                    formatShare(routeStatistics.completed(), routeStatistics.calls()));
         });
     }
 
@@ -139,7 +139,7 @@
         return (trafficRecord.timeTicks() - startTicks) / (double) RecordClock.TICKS_PER_SECOND;
     }
 
-    /** The verdicts on all rules with their first violations, and the last line. */
+    /** Returns the verdicts on all rules with their first violations, and the last line. */
     public static String formatVerdicts(AuditReport report) {
         StringBuilder text = new StringBuilder();
         for (RuleVerdict verdict : report.verdicts()) {
--- a/src/main/java/laurelkeel/scenario/ScenarioRun.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioRun.java
@@ -20,7 +20,7 @@
 import laurelkeel.records.TrafficRecord;
 import laurelkeel.testbed.LoadRoute;
 
-/** Plays one scenario from its start to its audit. Not thread-safe; for one run. */
+/** Runs one scenario, including the audit at its end. Not thread-safe; each instance runs once. */
 public final class ScenarioRun {
     private static final long SUMMARY_INTERVAL_SECONDS = 5;
     private static final long NODE_EXIT_TIMEOUT_SECONDS = 40;
@@ -32,7 +32,7 @@
     private static final int MAX_RESTART_CHECKS = 60;
     private static final int EXIT_OK = 0;
     private static final int EXIT_TERMINATED = 143;
-    private static final Pattern OWN_FILES =
+    private static final Pattern OUTPUT_FILES =
             Pattern.compile("(front-\\d+.*|clients|machines|report|list)(\\.(jsonl|ini|log|txt|json|new))*");
 
     private record DueTask(long dueTicks, Runnable task) {}
@@ -45,10 +45,10 @@
     private List<ScenarioNodeProcess> nodes = List.of();
 
     /**
-     * Creates one that has not started.
+     * Creates a run that has not started.
      *
-     * @param folder gets all records, settings and logs; those of an earlier run are removed
-     * @param out gets progress and the report
+     * @param folder receives all records, settings and logs; those of an earlier run are removed
+     * @param out receives the progress and the report
      */
     public ScenarioRun(Scenario scenario, long seed, Path folder, PrintStream out) {
         this.scenario = scenario;
@@ -58,13 +58,13 @@
     }
 
     /**
-     * Plays the scenario and audits it.
+     * Runs the scenario and audits its records.
      *
-     * @throws IOException where a node does not start or a file cannot be written
+     * @throws IOException if a node does not start or a file cannot be written
      */
     public AuditReport run() throws IOException, InterruptedException {
         Files.createDirectories(folder);
-        removeEarlierRun();
+        deleteEarlierOutput();
         ScenarioRecorder recorder = new ScenarioRecorder(folder);
         try (ScenarioEnvironment environment = new ScenarioEnvironment(scenario, seed, recorder::record)) {
             try {
@@ -74,7 +74,7 @@
             } finally {
                 stopNodes();
             }
-            // what the test bed does as it closes is no part of the scenario
+            // actions of the test bed while it closes are not part of the scenario
             environment.runOnLoop(recorder::end);
             recorder.close();
             return report(environment);
@@ -91,11 +91,11 @@
         return report;
     }
 
-    private void removeEarlierRun() throws IOException {
+    private void deleteEarlierOutput() throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 String name = String.valueOf(file.getFileName());
-                if (!file.equals(folder) && OWN_FILES.matcher(name).matches()) {
+                if (!file.equals(folder) && OUTPUT_FILES.matcher(name).matches()) {
                     Files.delete(file);
                 }
             }
@@ -143,7 +143,10 @@
         out.printf("  %5.1f s  %s%n", seconds, text);
     }
 
-    /** Open requests end by their deadlines; nodes that are to start again do so meanwhile. */
+    /**
+     * Waits for open requests, which end by their deadlines, up to a time limit. Due restarts of nodes still take
+     * place.
+     */
     private void awaitOpenRequests(ScenarioEnvironment environment) {
         long maxTimeoutTicks = scenario.loadProfile().routes().stream()
                 .mapToLong(LoadRoute::timeoutTicks)
@@ -192,7 +195,7 @@
         tasks.add(new DueTask(RecordClock.nowTicks() + delayTicks, () -> restart(node, 0)));
     }
 
-    /** Starts a node again; one that still drains has its port and is waited for. */
+    /** Restarts a node. A process that still drains holds the port, so the restart is postponed until it has ended. */
     private void restart(ScenarioNodeProcess node, int checks) {
         if (node.isRunning() && checks < MAX_RESTART_CHECKS) {
             tasks.add(new DueTask(RecordClock.nowTicks() + RESTART_CHECK_TICKS, () -> restart(node, checks + 1)));
@@ -208,13 +211,13 @@
     private void stopNodes() throws InterruptedException {
         nodes.forEach(ScenarioNodeProcess::terminate);
         List<String> exitCodes = new ArrayList<>();
-        boolean allEndedWell = true;
+        boolean allExitedNormally = true;
         for (ScenarioNodeProcess node : nodes) {
             OptionalInt exitCode = node.awaitExit(NODE_EXIT_TIMEOUT_SECONDS);
             exitCodes.add(exitCode.isPresent() ? Integer.toString(exitCode.getAsInt()) : "null");
-            allEndedWell &= isExpected(exitCode);
+            allExitedNormally &= isExpected(exitCode);
         }
-        if (!allEndedWell) {
+        if (!allExitedNormally) {
             out.println("  fronts ended with " + exitCodes + "; see their logs in " + folder);
         }
     }
--- a/src/main/java/laurelkeel/scenario/package-info.java
+++ b/src/main/java/laurelkeel/scenario/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Scripted scenarios: node processes within a test bed, faults on a schedule, and an audit of the records at the end.
+ * Scripted scenarios: node processes in a test bed, scheduled faults, and an audit of the records at the end.
  */
 @NullMarked
 package laurelkeel.scenario;
--- a/src/test/java/laurelkeel/scenario/ScenarioReaderTest.java
+++ b/src/test/java/laurelkeel/scenario/ScenarioReaderTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void whatIsLeftOutHasItsDefault() throws InvalidSettingsException {
+    void omittedSettingsHaveTheirDefaults() throws InvalidSettingsException {
         Scenario scenario = read("");
         assertEquals(600_000, scenario.durationTicks());
         assertEquals(12, scenario.serverCount());
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void everyKindOfFaultHasItsNameInFiles() throws InvalidSettingsException {
+    void faultKindsAreReadByTheirSettingNames() throws InvalidSettingsException {
         List<String> names = List.of(
                 "crash",
                 "hang",
--- a/src/test/java/laurelkeel/scenario/ScenarioTest.java
+++ b/src/test/java/laurelkeel/scenario/ScenarioTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Small scenarios with real node processes: the verdict is the same however often they are played. */
+/** Runs small scenarios with real node processes; in every run the audit must find all rules kept. */
 class ScenarioTest {
     @TempDir
     Path folder;
@@ -67,7 +67,7 @@
         return run("", moreSections);
     }
 
-    /** @param rolloutSettings more settings of the rollout service */
+    /** @param rolloutSettings additional settings of the rollout service */
     private AuditReport run(String rolloutSettings, String moreSections) throws Exception {
         ByteArrayOutputStream output = new ByteArrayOutputStream();
         AuditReport report = new ScenarioRun(
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aKilledNodeAFailingBuildAndCrashedServers() throws Exception {
+    void rulesAreKeptWithKilledNodeFailingBuildAndCrashedServers() throws Exception {
         run(
                 """
                 [build 2]
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void lostResponsesAStalledRolloutServiceAndAStoppedNode() throws Exception {
+    void rulesAreKeptWithLostResponsesStalledRolloutServiceAndStoppedNode() throws Exception {
         run(
                 """
                 [build 2]
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void twoRolloutsOneOfThemFailing() throws Exception {
+    void rulesAreKeptWithTwoRolloutsOfWhichOneFails() throws Exception {
         run(
                 "together = 2\n",
                 """
