--- a/src/main/java/laurelkeel/audit/DrainRule.java
+++ b/src/main/java/laurelkeel/audit/DrainRule.java
@@ -15,7 +15,7 @@
 final class DrainRule extends RuleChecker {
 
     DrainRule() {
-        super(3, "drains kept");
+        super(3, "drains respected");
     }
 
     @Override
@@ -45,13 +45,13 @@
         countChecked(
                 delayTicks / (double) Math.max(1, graceTicks),
                 attempt.requestId() + " reached " + attempt.endpointId() + " " + formatMillis(delayTicks)
-                        + " after front " + node.nodeIndex + " was told that it drains or is gone");
+                        + " after front " + node.nodeIndex + " learned that it drains or is removed");
         if (delayTicks > graceTicks + CLOCK_TOLERANCE_TICKS) {
             addViolation(
                     attempt.timeTicks(),
                     attempt.requestId(),
                     "front " + node.nodeIndex + " sent to " + attempt.endpointId() + " " + formatMillis(delayTicks)
-                            + " after it was told that it drains or is gone");
+                            + " after it learned that the endpoint drains or is removed");
         }
     }
 
--- a/src/main/java/laurelkeel/audit/ExposureCapCheck.java
+++ b/src/main/java/laurelkeel/audit/ExposureCapCheck.java
@@ -75,16 +75,16 @@
         String allowedText = String.format(Locale.ROOT, "%.1f", allowed);
         rule.countChecked(
                 attemptCount / Math.max(1, allowed),
-                attemptCount + " tries of front " + node.nodeIndex + " at build " + attempt.build() + " within "
-                        + windowText + ", of " + allowedText);
+                attemptCount + " attempts of front " + node.nodeIndex + " at build " + attempt.build() + " within "
+                        + windowText + "; the limit is " + allowedText);
         if (cap <= 0 || attemptCount > allowed) {
             String limitText = cap <= 0
                     ? "the cap is 0"
-                    : allowedText + " are allowed: cap " + cap + " of " + requestCount + " reqs";
+                    : allowedText + " are allowed: cap " + cap + " of " + requestCount + " requests";
             rule.addViolation(
                     attempt.timeTicks(),
                     attempt.requestId(),
-                    "front " + node.nodeIndex + " had " + attemptCount + " tries at build " + attempt.build()
+                    "front " + node.nodeIndex + " had " + attemptCount + " attempts at build " + attempt.build()
                             + " within " + windowText + "; " + limitText);
         }
     }
@@ -120,7 +120,7 @@
             rule.addViolation(
                     attempt.timeTicks(),
                     attempt.requestId(),
-                    "a " + idempotency.storedName() + " req went to build " + attempt.build() + " in guarded stage "
+                    "a " + idempotency.storedName() + " request went to build " + attempt.build() + " in guarded stage "
                             + stage);
         }
     }
--- a/src/main/java/laurelkeel/audit/RecordedTraffic.java
+++ b/src/main/java/laurelkeel/audit/RecordedTraffic.java
@@ -60,8 +60,7 @@
             }
         }
         if (found == null) {
-            throw new IllegalArgumentException(
-                    "the records hold no line of kind 'rules'; without it no rule can be judged");
+            throw new IllegalArgumentException("the records have no line of kind 'rules', which every rule needs");
         }
         return found;
     }
@@ -120,8 +119,8 @@
     private RoutePolicy routePolicy(RequestSent sent) {
         RoutePolicy policy = routePolicies.get(sent.route());
         if (policy == null) {
-            throw new IllegalArgumentException("req " + sent.requestId() + " names route '" + sent.route()
-                    + "', of which the line of kind 'rules' says nothing");
+            throw new IllegalArgumentException("request " + sent.requestId() + " names route '" + sent.route()
+                    + "', which the line of kind 'rules' does not define");
         }
         return policy;
     }
@@ -136,7 +135,7 @@
     private NodeTrace startedNode(int nodeIndex, String incarnation) {
         NodeTrace node = nodes.get(new NodeKey(nodeIndex, incarnation));
         if (node == null) {
-            throw new IllegalArgumentException("the records hold no start of front " + nodeIndex + "/" + incarnation);
+            throw new IllegalArgumentException("the records have no start of front " + nodeIndex + "/" + incarnation);
         }
         return node;
     }
@@ -178,7 +177,7 @@
         ServerTrace server = servers.get(new ServerKey(attempt.endpointId(), attempt.incarnation()));
         if (server == null) {
             throw new IllegalArgumentException(
-                    "the records hold no start of machine " + attempt.endpointId() + "#" + attempt.incarnation());
+                    "the records have no start of server " + attempt.endpointId() + "#" + attempt.incarnation());
         }
         return server;
     }
--- a/src/main/java/laurelkeel/audit/SingleAnswerRule.java
+++ b/src/main/java/laurelkeel/audit/SingleAnswerRule.java
@@ -45,7 +45,8 @@
             addViolation(
                     bytes.timeTicks(),
                     request.sent.requestId(),
-                    "after its answer front " + request.sent.nodeIndex() + " wrote " + bytes.description());
+                    "after the response front " + request.sent.nodeIndex() + " sent unexpected bytes: "
+                            + bytes.description());
         }
     }
 
@@ -55,7 +56,7 @@
             addViolation(
                     second.timeTicks(),
                     sent.requestId(),
-                    "a second answer, " + second.outcome().storedName() + ", "
+                    "second response, " + second.outcome().storedName() + ", "
                             + formatMillis(second.timeTicks() - first.timeTicks()) + " after the first, "
                             + first.outcome().storedName());
         }
@@ -63,12 +64,10 @@
         long allowedTicks = Math.max(1, sent.deadlineTicks() - sent.timeTicks());
         countChecked(
                 (first.timeTicks() - sent.timeTicks()) / (double) allowedTicks,
-                sent.requestId() + " answered " + formatMillis(-lateTicks) + " before its client leaves");
+                sent.requestId() + " answered " + formatMillis(-lateTicks) + " before its deadline");
         if (lateTicks > READ_TOLERANCE_TICKS) {
             addViolation(
-                    first.timeTicks(),
-                    sent.requestId(),
-                    "answered " + formatMillis(lateTicks) + " after its client's time was up");
+                    first.timeTicks(), sent.requestId(), "answered " + formatMillis(lateTicks) + " after its deadline");
         }
     }
 
@@ -87,14 +86,14 @@
                 addViolation(
                         broken.timeTicks(),
                         sent.requestId(),
-                        "front " + sent.nodeIndex() + " closed the connection without an answer");
+                        "front " + sent.nodeIndex() + " closed the connection without a response");
             }
         } else {
             unansweredCount++;
             addViolation(
                     sent.deadlineTicks(),
                     sent.requestId(),
-                    "no answer in its " + formatMillis(sent.deadlineTicks() - sent.timeTicks()));
+                    "no response within its timeout of " + formatMillis(sent.deadlineTicks() - sent.timeTicks()));
         }
     }
 
@@ -111,8 +110,8 @@
                 addViolation(
                         attempt.timeTicks(),
                         request.sent.requestId(),
-                        "try " + attempt.attemptNumber() + " reached " + attempt.endpointId() + " "
-                                + formatMillis(attempt.timeTicks() - endTicks) + " after the req was over");
+                        "attempt " + attempt.attemptNumber() + " reached " + attempt.endpointId() + " "
+                                + formatMillis(attempt.timeTicks() - endTicks) + " after the request had ended");
             }
         }
     }
--- a/src/main/java/laurelkeel/audit/SingleEffectRule.java
+++ b/src/main/java/laurelkeel/audit/SingleEffectRule.java
@@ -13,7 +13,7 @@
 final class SingleEffectRule extends RuleChecker {
 
     SingleEffectRule() {
-        super(2, "no effect twice");
+        super(2, "no duplicate effects");
     }
 
     @Override
@@ -37,7 +37,7 @@
                 addViolation(
                         retry.timeTicks(),
                         request.sent.requestId(),
-                        "a non-retriable req sent again, to " + retry.endpointId() + ", though try "
+                        "request that is not idempotent retried at " + retry.endpointId() + " although attempt "
                                 + first.attemptNumber() + " at " + first.endpointId() + " may have run");
             } else {
                 checkDeduplicatedRetry(traffic, request, first, retry);
@@ -56,13 +56,15 @@
         long windowTicks = policy.deduplicationWindowTicks();
         countChecked(
                 delayTicks / (double) Math.max(1, windowTicks),
-                requestId + " repeated " + formatMillis(delayTicks) + " after a try that may have run, of "
+                requestId + " retried " + formatMillis(delayTicks)
+                        + " after an attempt that may have run; the deduplication window is "
                         + formatMillis(windowTicks));
         if (delayTicks > windowTicks + CLOCK_TOLERANCE_TICKS) {
             addViolation(
                     retry.timeTicks(),
                     requestId,
-                    "a deduped req sent again " + formatMillis(delayTicks) + " after its first try, past "
+                    "deduplicated request retried " + formatMillis(delayTicks)
+                            + " after its first attempt, past its deduplication window of "
                             + formatMillis(windowTicks));
         }
         ServerStarted firstServer = traffic.server(first).started;
@@ -71,8 +73,8 @@
             addViolation(
                     retry.timeTicks(),
                     requestId,
-                    "a deduped req sent to " + retry.endpointId() + ", outside the group of " + first.endpointId()
-                            + ", which may have run it");
+                    "deduplicated request sent to " + retry.endpointId() + ", outside the deduplication scope of "
+                            + first.endpointId() + ", which may have run it");
         }
     }
 
@@ -96,7 +98,7 @@
             addViolation(
                     response.timeTicks(),
                     request.sent.requestId(),
-                    "shed, which calls asking again harmless, though try " + executed.attemptNumber() + " at "
+                    "rejected, which states that a retry is safe, although attempt " + executed.attemptNumber() + " at "
                             + executed.endpointId() + " may have run");
         }
     }
--- a/src/main/java/laurelkeel/audit/StickyKeyCheck.java
+++ b/src/main/java/laurelkeel/audit/StickyKeyCheck.java
@@ -97,8 +97,8 @@
             rule.addViolation(
                     attempt.timeTicks(),
                     attempt.requestId(),
-                    "key " + partitionKey + ", answered by build " + answeredBy + ", went to build " + attempt.build()
-                            + " though " + answeredBy + " was not sent back");
+                    "partition key " + partitionKey + ", answered by build " + answeredBy + ", went to build "
+                            + attempt.build() + " although build " + answeredBy + " was not rolled back");
         }
     }
 }
--- a/src/main/java/laurelkeel/audit/WarmUpRule.java
+++ b/src/main/java/laurelkeel/audit/WarmUpRule.java
@@ -15,7 +15,7 @@
     private static final int INFORMED_THIRDS = 2;
 
     WarmUpRule() {
-        super(4, "cold machines not pushed over");
+        super(4, "cold servers not overloaded");
     }
 
     @Override
@@ -42,8 +42,8 @@
             String windowText = formatMillis(started.overloadWindowTicks());
             countChecked(
                     window.size() / limit,
-                    window.size() + " reqs in " + windowText + " at " + started.endpointId() + ", "
-                            + formatMillis(ageTicks) + " after its start, of " + Math.round(limit));
+                    window.size() + " requests in " + windowText + " at " + started.endpointId() + ", "
+                            + formatMillis(ageTicks) + " after its start; the limit is " + Math.round(limit));
             if (window.size() > limit && !isOverloaded) {
                 isOverloaded = true;
                 long informed = countInformed(traffic, window, started);
@@ -51,9 +51,10 @@
                     addViolation(
                             attempt.timeTicks(),
                             attempt.requestId(),
-                            started.endpointId() + " was pushed over " + formatMillis(ageTicks) + " after its start: "
-                                    + window.size() + " reqs in " + windowText + " of " + Math.round(limit) + ", "
-                                    + informed + " of them from fronts that knew");
+                            started.endpointId() + " was overloaded " + formatMillis(ageTicks) + " after its start: "
+                                    + window.size() + " requests in " + windowText + " with a limit of "
+                                    + Math.round(limit) + ", "
+                                    + informed + " of them from fronts that knew of its start");
                 }
             }
         }
--- a/src/test/java/laurelkeel/audit/AuditorTest.java
+++ b/src/test/java/laurelkeel/audit/AuditorTest.java
@@ -104,7 +104,7 @@
     @Test
     void rule1CountsARequestWithoutAResponse() {
         send(1_000, "c1", "look", null);
-        assertOnlyViolation(1, "no answer in its 1000.0 ms");
+        assertOnlyViolation(1, "no response within its timeout of 1000.0 ms");
         assertEquals(1, audit().unansweredCount());
     }
 
@@ -112,7 +112,7 @@
     void rule1FindsASecondResponse() {
         exchange(1_000, "c1", "look", null, OLD_SERVER);
         records.add(new TrafficRecord.ResponseReceived(1_100, "c1", 503, Outcome.REJECTED, false));
-        assertOnlyViolation(1, "a second answer, SHED, 5.0 ms after the first, COMPLETED");
+        assertOnlyViolation(1, "second response, SHED, 5.0 ms after the first, COMPLETED");
     }
 
     @Test
@@ -127,7 +127,7 @@
     void rule2FindsARetryOfARequestThatIsNotIdempotent() {
         exchange(1_000, "c1", "pay", null, OLD_SERVER);
         attempt(1_020, "c1", 2, OLD_SERVER);
-        assertOnlyViolation(2, "a non-retriable req sent again");
+        assertOnlyViolation(2, "request that is not idempotent retried");
     }
 
     @Test
@@ -143,7 +143,7 @@
         send(1_000, "c1", "pay", null);
         attempt(1_010, "c1", 1, OLD_SERVER);
         respond(1_050, "c1", 1, OLD_SERVER, Outcome.REJECTED);
-        assertOnlyViolation(2, "shed, which calls asking again harmless");
+        assertOnlyViolation(2, "rejected, which states that a retry is safe");
     }
 
     @Test
@@ -157,7 +157,7 @@
         exchange(2_000, "c1", "look", null, OLD_SERVER);
         assertEquals(5, audit().rulesKept());
         exchange(4_000, "c2", "look", null, OLD_SERVER);
-        assertOnlyViolation(3, "301.0 ms after it was told that it drains or is gone");
+        assertOnlyViolation(3, "301.0 ms after it learned that the endpoint drains or is removed");
     }
 
     @Test
@@ -175,7 +175,7 @@
             records.add(new TrafficRecord.AttemptArrived(1_010 + i, "127.0.0.1:3", 1, 1, requestId, 1, 0, NODE));
             respond(1_050 + i, requestId, 1, OLD_SERVER, Outcome.COMPLETED);
         }
-        assertOnlyViolation(4, "was pushed over");
+        assertOnlyViolation(4, "was overloaded");
     }
 
     @Test
@@ -185,14 +185,14 @@
         assertEquals(5, audit().rulesKept());
         exchange(10_100, "c2", "look", null, NEW_SERVER);
         exchange(10_200, "c3", "look", null, NEW_SERVER);
-        assertOnlyViolation(5, "had 3 tries at build 2 within 1000.0 ms; 2.5 are allowed: cap 0.5 of 3 reqs");
+        assertOnlyViolation(5, "had 3 attempts at build 2 within 1000.0 ms; 2.5 are allowed: cap 0.5 of 3 requests");
     }
 
     @Test
     void rule5FindsARequestThatIsNotIdempotentInAGuardedStage() {
         records.add(new TrafficRecord.RolloutUpdateReceived(900, 0, NODE, 2, 0, 0.5, RolloutPhase.CANARY));
         exchange(10_000, "c1", "pay", null, NEW_SERVER);
-        assertOnlyViolation(5, "a NON_RETRIABLE req went to build 2 in guarded stage 0");
+        assertOnlyViolation(5, "a NON_RETRIABLE request went to build 2 in guarded stage 0");
     }
 
     @Test
@@ -200,7 +200,8 @@
         records.add(new TrafficRecord.RolloutUpdateReceived(900, 0, NODE, 2, 0, 0.5, RolloutPhase.CANARY));
         exchange(10_000, "c1", "look", "k1", NEW_SERVER);
         exchange(20_000, "c2", "look", "k1", OLD_SERVER);
-        assertOnlyViolation(5, "key k1, answered by build 2, went to build 1 though 2 was not sent back");
+        assertOnlyViolation(
+                5, "partition key k1, answered by build 2, went to build 1 although build 2 was not rolled back");
     }
 
     @Test
--- a/src/test/java/laurelkeel/front/FrontFailureTest.java
+++ b/src/test/java/laurelkeel/front/FrontFailureTest.java
@@ -90,7 +90,7 @@
         })) {
             rig.startLoad();
             awaitAnswers(rig, 300);
-            assertOnlyRuleViolated(rig, 1, "after its answer");
+            assertOnlyRuleViolated(rig, 1, "after the response");
         }
     }
 
@@ -106,7 +106,7 @@
         })) {
             rig.startLoad();
             awaitAnswers(rig, 300);
-            assertOnlyRuleViolated(rig, 1, "no answer in its");
+            assertOnlyRuleViolated(rig, 1, "no response within its timeout of");
         }
     }
 
@@ -124,7 +124,7 @@
         })) {
             rig.startLoad();
             awaitAnswers(rig, 300);
-            assertOnlyRuleViolated(rig, 2, "a non-retriable req sent again");
+            assertOnlyRuleViolated(rig, 2, "request that is not idempotent retried");
         }
     }
 
@@ -139,7 +139,7 @@
         })) {
             rig.startLoad();
             awaitAnswers(rig, 300);
-            assertOnlyRuleViolated(rig, 2, "calls asking again harmless");
+            assertOnlyRuleViolated(rig, 2, "which states that a retry is safe");
         }
     }
 
@@ -160,7 +160,7 @@
                                     TrafficRecord.ServerStopped.class,
                                     m -> m.reason() == RecordTerms.StopReason.DRAINED)
                             > 0);
-            assertOnlyRuleViolated(rig, 3, "after it was told that it drains");
+            assertOnlyRuleViolated(rig, 3, "after it learned that the endpoint drains");
         }
     }
 
@@ -183,7 +183,7 @@
                                     TrafficRecord.ServerStopped.class,
                                     m -> m.reason() == RecordTerms.StopReason.OVERLOADED)
                             > 0);
-            assertOnlyRuleViolated(rig, 4, "was pushed over");
+            assertOnlyRuleViolated(rig, 4, "was overloaded");
         }
     }
 
@@ -221,7 +221,7 @@
             }
         })) {
             awaitCanaryTraffic(rig);
-            assertOnlyRuleViolated(rig, 5, "tries at build 2");
+            assertOnlyRuleViolated(rig, 5, "attempts at build 2");
         }
     }
 
@@ -247,8 +247,8 @@
                     "both have traffic",
                     () -> rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 2) > 5
                             && rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 3) > 120);
-            assertTrue(assertOnlyRuleViolated(rig, 5, "tries at build 3").stream()
-                    .noneMatch(b -> b.description().contains("tries at build 2")));
+            assertTrue(assertOnlyRuleViolated(rig, 5, "attempts at build 3").stream()
+                    .noneMatch(b -> b.description().contains("attempts at build 2")));
         }
     }
 
@@ -256,7 +256,7 @@
     void aStickyKeyAtAnEarlierBuildIsAViolation() throws Exception {
         try (FrontTestRig rig = startRig("", () -> canaryForOneIn(8))) {
             awaitCanaryTraffic(rig);
-            assertOnlyRuleViolated(rig, 5, "was not sent back");
+            assertOnlyRuleViolated(rig, 5, "was not rolled back");
         }
     }
 
