--- a/src/main/java/laurelkeel/records/RecordFile.java
+++ b/src/main/java/laurelkeel/records/RecordFile.java
@@ -14,25 +14,25 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A file to which whole lines are appended; where the disk fails or is full it is opened again later. Not thread-safe.
+ * A file to which whole lines are appended. If it cannot be opened, later appends try again. Not thread-safe.
  */
 final class RecordFile implements Closeable {
     private static final long REOPEN_INTERVAL_NANOS = 1_000_000_000L;
-    /** Longer than any line, so that the end of the last whole line stands within it. */
+    /** Longer than any line, so that the tail always includes the end of the last complete line. */
     private static final int MAX_TAIL_BYTES = 64 << 10;
 
     private static final long UNKNOWN_SIZE = -1;
 
     private final Path path;
-    /** Null while the file could not be opened. */
+    /** Null until the file has been opened. */
     private @Nullable FileChannel channel;
 
     private long lastOpenAttemptNanos = System.nanoTime();
 
     /**
-     * Opens the file; one that the disk does not let be opened now is opened by a later append.
+     * Opens the file. If the disk fails, a later append opens it.
      *
-     * @throws IOException where the path itself is wrong: missing, not a folder, not allowed
+     * @throws IOException if the path itself is unusable: missing, not a folder, or access denied
      */
     RecordFile(Path path) throws IOException {
         this.path = path;
@@ -56,7 +56,10 @@
         return FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.APPEND);
     }
 
-    /** A killed process may have left an incomplete line; appending to it would make both lines unreadable. */
+    /**
+     * Removes an incomplete last line. A killed process may have left one, and appending to it would make both lines
+     * unreadable.
+     */
     private static void truncateIncompleteLine(Path path) throws IOException {
         try (FileChannel file = FileChannel.open(path, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             long size = file.size();
@@ -78,9 +81,9 @@
     }
 
     /**
-     * Appends whole lines, or nothing.
+     * Appends all the lines, or none of them.
      *
-     * @throws IOException where the disk did not take them
+     * @throws IOException if they could not be written
      */
     void append(byte[] lines) throws IOException {
         FileChannel openChannel = openChannel();
@@ -104,7 +107,7 @@
             return channel;
         }
         if (System.nanoTime() - lastOpenAttemptNanos < REOPEN_INTERVAL_NANOS) {
-            throw new IOException("it could not be opened a moment ago");
+            throw new IOException("the last attempt to open the file failed less than a second ago");
         }
         lastOpenAttemptNanos = System.nanoTime();
         FileChannel opened = open(path);
@@ -112,12 +115,12 @@
         return opened;
     }
 
-    /** An incomplete line within the file would make a reader refuse all of it. */
+    /** Removes a partly written line: a reader would reject the whole file because of it. */
     private static void truncate(FileChannel channel, long size) {
         try {
             channel.truncate(size);
         } catch (IOException ignored) {
-            // a device has no end to cut off
+            // devices cannot be truncated
         }
     }
 
--- a/src/main/java/laurelkeel/records/RecordJson.java
+++ b/src/main/java/laurelkeel/records/RecordJson.java
@@ -10,7 +10,7 @@
 
     private RecordJson() {}
 
-    /** A record's line, ended by a line feed, in UTF-8. */
+    /** Returns a record's line in UTF-8, including the line feed. */
     static byte[] encodeLine(TrafficRecord trafficRecord) throws JsonProcessingException {
         return (MAPPER.writeValueAsString(trafficRecord) + '\n').getBytes(StandardCharsets.UTF_8);
     }
@@ -18,7 +18,7 @@
     /**
      * Parses a line.
      *
-     * @throws JsonProcessingException where the line is no record
+     * @throws JsonProcessingException if the line is not a record
      */
     static TrafficRecord decodeLine(String line) throws JsonProcessingException {
         return MAPPER.readValue(line, TrafficRecord.class);
--- a/src/main/java/laurelkeel/records/RecordReader.java
+++ b/src/main/java/laurelkeel/records/RecordReader.java
@@ -10,17 +10,17 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Reads record files back. */
+/** Reads record files. */
 public final class RecordReader {
     private static final String FILE_SUFFIX = ".jsonl";
 
     private RecordReader() {}
 
     /**
-     * Reads all record files of a folder, sorted by time; records of one moment keep the order of their files. A last
-     * line that a kill cut off is skipped.
+     * Reads all record files of a folder and sorts the records by time; records with equal times keep the order of
+     * their files. An incomplete last line, which a killed process may leave, is skipped.
      *
-     * @throws IOException where a file cannot be read or a line is no record; the message names file and line
+     * @throws IOException if a file cannot be read or a line is not a record; the message names file and line
      */
     public static List<TrafficRecord> readAll(Path folder) throws IOException {
         List<TrafficRecord> records = new ArrayList<>();
@@ -49,7 +49,7 @@
                 } catch (JsonProcessingException e) {
                     boolean isLastLine = lines.readLine() == null;
                     if (!isLastLine) {
-                        throw new IOException(file + ":" + lineNumber + ": no record: " + e.getOriginalMessage(), e);
+                        throw new IOException(file + ":" + lineNumber + ": not a record: " + e.getOriginalMessage(), e);
                     }
                 }
             }
--- a/src/main/java/laurelkeel/records/RecordTerms.java
+++ b/src/main/java/laurelkeel/records/RecordTerms.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** The terms that stand in records, each with its name in stored files; those names stay as they are. */
+/** The enumerations used in records. Each constant has the name that stored files use, which must not change. */
 public final class RecordTerms {
     private RecordTerms() {}
 
-    /** Whether a route's requests may have their effect more than once. */
+    /** Whether and how a route's requests may be repeated safely. */
     public enum Idempotency {
         IDEMPOTENT("RETRIABLE"),
         DEDUPLICATED("DEDUPED"),
@@ -18,7 +18,7 @@
             this.storedName = storedName;
         }
 
-        /** The name in stored records. */
+        /** Returns the name used in stored records. */
         @JsonValue
         public String storedName() {
             return storedName;
@@ -37,14 +37,14 @@
             this.storedName = storedName;
         }
 
-        /** The name in stored records. */
+        /** Returns the name used in stored records. */
         @JsonValue
         public String storedName() {
             return storedName;
         }
     }
 
-    /** The outcome that a node states in its response. */
+    /** The outcome that a node's response indicates. */
     public enum Outcome {
         COMPLETED("COMPLETED"),
         REJECTED("SHED"),
@@ -56,7 +56,7 @@
             this.storedName = storedName;
         }
 
-        /** The name in stored records. */
+        /** Returns the name used in stored records. */
         @JsonValue
         public String storedName() {
             return storedName;
@@ -75,14 +75,14 @@
             this.storedName = storedName;
         }
 
-        /** The name in stored records. */
+        /** Returns the name used in stored records. */
         @JsonValue
         public String storedName() {
             return storedName;
         }
     }
 
-    /** How an update of the endpoint list relates to the list known before. */
+    /** How an update of the endpoint list relates to the previously known list. */
     public enum EndpointListKind {
         DELTA("CHANGES"),
         SNAPSHOT("FULL"),
@@ -94,7 +94,7 @@
             this.storedName = storedName;
         }
 
-        /** The name in stored records. */
+        /** Returns the name used in stored records. */
         @JsonValue
         public String storedName() {
             return storedName;
@@ -114,7 +114,7 @@
             this.storedName = storedName;
         }
 
-        /** The name in stored records. */
+        /** Returns the name used in stored records. */
         @JsonValue
         public String storedName() {
             return storedName;
@@ -134,7 +134,7 @@
             this.storedName = storedName;
         }
 
-        /** The name in stored records. */
+        /** Returns the name used in stored records. */
         @JsonValue
         public String storedName() {
             return storedName;
--- a/src/main/java/laurelkeel/records/RecordWriter.java
+++ b/src/main/java/laurelkeel/records/RecordWriter.java
@@ -7,15 +7,15 @@
 import java.nio.file.Path;
 
 /**
- * Writes records to one file. A failing or full disk never fails the caller: records that do not reach the file are
- * counted, and the count is recorded once the disk takes lines again. Thread-safe.
+ * Writes records to one file. A failing or full disk does not cause an error in the caller: records that cannot be
+ * written are counted as lost, and the count is recorded once writing succeeds again. Thread-safe.
  */
 public final class RecordWriter implements Closeable {
     private static final int BUFFER_BYTES = 8 << 10;
 
     private final RecordFile file;
     private final boolean isUnbuffered;
-    /** Whole lines that have not reached the file. */
+    /** Complete lines that are not yet written to the file. */
     private final ByteArrayOutputStream bufferedLines = new ByteArrayOutputStream();
 
     private int bufferedRecords;
@@ -23,11 +23,11 @@
     private long unreportedLosses;
 
     /**
-     * Opens the file for appending; an incomplete last line is cut off.
+     * Opens the file for appending and removes an incomplete last line.
      *
-     * @param isUnbuffered whether each line reaches the file before {@link #record} returns, for processes that may be
-     *     killed
-     * @throws IOException where the path itself is wrong: missing, not a folder, not allowed
+     * @param isUnbuffered whether each line is written to the file before {@link #record} returns, for processes that
+     *     may be killed
+     * @throws IOException if the path itself is unusable: missing, not a folder, or access denied
      */
     public RecordWriter(Path path, boolean isUnbuffered) throws IOException {
         this.file = new RecordFile(path);
@@ -51,7 +51,7 @@
 
     private void flush() {
         try {
-            file.append(withLossReport());
+            file.append(linesWithLossReport());
             unreportedLosses = 0;
         } catch (IOException e) {
             lostRecords += bufferedRecords;
@@ -61,8 +61,8 @@
         bufferedRecords = 0;
     }
 
-    /** The buffered lines, after a line on records lost before them. */
-    private byte[] withLossReport() throws IOException {
+    /** Returns the buffered lines, preceded by a line that reports earlier lost records if there are any. */
+    private byte[] linesWithLossReport() throws IOException {
         ByteArrayOutputStream lines = new ByteArrayOutputStream();
         if (unreportedLosses > 0) {
             lines.write(RecordJson.encodeLine(new TrafficRecord.RecordsLost(RecordClock.nowTicks(), unreportedLosses)));
@@ -71,7 +71,7 @@
         return lines.toByteArray();
     }
 
-    /** How many records did not reach the file since it was opened. */
+    /** Returns the number of records lost since the file was opened. */
     public synchronized long lostRecords() {
         return lostRecords;
     }
--- a/src/main/java/laurelkeel/records/TrafficRecord.java
+++ b/src/main/java/laurelkeel/records/TrafficRecord.java
@@ -17,10 +17,10 @@
 /**
  * One line of a record file.
  *
- * <p>Times are ticks (tenths of a millisecond) of {@link RecordClock}. A request id names one request of a client as a
- * node sees it; a client that retries sends further requests with ids of their own and the same call id. An endpoint's
- * incarnation is one start of a server under its address, a node's incarnation one start of a node under its index.
- * Property and enumeration names are part of the stored form and stay as they are.
+ * <p>Times are ticks (tenths of a millisecond) of {@link RecordClock}. A request id identifies one request that a
+ * client sends to a node; each retry by the client is a request with its own id and the same call id. An endpoint's
+ * incarnation identifies one start of a server at its address, a node's incarnation one start of a node with its index.
+ * Property and enumeration names are part of the stored form and must not change.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "k")
 @JsonInclude(JsonInclude.Include.NON_NULL)
@@ -47,11 +47,11 @@
     @JsonSubTypes.Type(value = TrafficRecord.RecordsLost.class, name = "lost")
 })
 public sealed interface TrafficRecord {
-    /** When it happened or was seen, in ticks of {@link RecordClock}. */
+    /** Returns when the event happened or was observed, in ticks of {@link RecordClock}. */
     long timeTicks();
 
     /**
-     * What the rules need to know of one route.
+     * The properties of one route that the rules depend on.
      */
     record RoutePolicy(
             String name,
@@ -60,12 +60,12 @@
             @JsonProperty("window") long deduplicationWindowTicks) {}
 
     /**
-     * The parameters of the rules in force; each set of records has one.
+     * The parameters of the audited rules; each set of records has one such record.
      *
-     * @param exposureAllowance attempts at a canary that are allowed beside the cap
-     * @param exposurePerRoute whether the cap holds for each route on its own
-     * @param guardedStages first stages in which a canary gets idempotent requests only
-     * @param stickyKeys whether a partition key must not go back to an earlier build
+     * @param exposureAllowance the number of attempts at a canary that are allowed in addition to the cap
+     * @param exposurePerRoute whether the cap applies to each route separately
+     * @param guardedStages the number of initial stages in which a canary receives idempotent requests only
+     * @param stickyKeys whether a partition key must not return to an earlier build
      * @param stageExposureCaps the share of requests that may go to a canary, by stage
      */
     record AuditParameters(
@@ -81,7 +81,7 @@
             implements TrafficRecord {}
 
     /**
-     * Records before this one did not reach the file.
+     * A number of records before this one could not be written.
      */
     record RecordsLost(@JsonProperty("t") long timeTicks, @JsonProperty("records") long count)
             implements TrafficRecord {}
@@ -90,7 +90,7 @@
      * A client sent a request to a node.
      *
      * @param deadlineTicks when the client stops waiting
-     * @param clientRetry whether an earlier request of the same call was sent
+     * @param clientRetry whether the client has already sent a request of the same call
      */
     record RequestSent(
             @JsonProperty("t") long timeTicks,
@@ -108,7 +108,7 @@
     /**
      * A client received a complete response.
      *
-     * @param notAccepted whether the node states that it never accepted the request
+     * @param notAccepted whether the response states that the node never accepted the request
      */
     record ResponseReceived(
             @JsonProperty("t") long timeTicks,
@@ -119,7 +119,7 @@
             implements TrafficRecord {}
 
     /**
-     * Bytes arrived that belong to no outstanding request.
+     * A client received bytes that belong to no outstanding request.
      *
      * @param requestId the last request on the connection
      */
@@ -130,7 +130,7 @@
             implements TrafficRecord {}
 
     /**
-     * A connection ended before the response was complete.
+     * A client's connection ended before the response was complete.
      */
     record ConnectionBroken(
             @JsonProperty("t") long timeTicks,
@@ -141,7 +141,7 @@
     /**
      * A client closed its connection.
      *
-     * @param beforeDeadline false where the client closed because its deadline had passed
+     * @param beforeDeadline false if the client closed because its deadline had passed
      */
     record ClientClosed(
             @JsonProperty("t") long timeTicks,
@@ -161,7 +161,7 @@
     /**
      * A node stopped.
      *
-     * @param killed whether by force, so that responses to accepted requests are not owed
+     * @param killed whether it was killed, in which case accepted requests need not be answered
      */
     record NodeStopped(@JsonProperty("t") long timeTicks, @JsonProperty("front") int nodeIndex, boolean killed)
             implements TrafficRecord {}
@@ -187,7 +187,7 @@
             implements TrafficRecord {}
 
     /**
-     * A node received where a build's rollout stands.
+     * A node received the state of a build's rollout.
      */
     record RolloutUpdateReceived(
             @JsonProperty("t") long timeTicks,
@@ -202,11 +202,11 @@
     /**
      * A server started.
      *
-     * @param capacityPerSecond requests a second once warm
+     * @param capacityPerSecond requests per second once warm
      * @param warmUpInitialShare the share of its capacity that a cold server starts with
-     * @param warmUpTicks until a cold server has its full capacity; the share grows linearly
-     * @param overloadMultiple the multiple of its capacity at which a cold server fails
-     * @param overloadWindowTicks the window over which that load is counted
+     * @param warmUpTicks how long a cold server takes to reach its full capacity; the share grows linearly
+     * @param overloadMultiple the multiple of its current capacity at which a cold server fails
+     * @param overloadWindowTicks the window over which that load is measured
      */
     record ServerStarted(
             @JsonProperty("t") long timeTicks,
@@ -248,7 +248,7 @@
             implements TrafficRecord {}
 
     /**
-     * A server rejected an attempt before any work: it provably never ran.
+     * A server rejected an attempt before doing any work, so that the attempt provably never ran.
      */
     record AttemptRejected(
             @JsonProperty("t") long timeTicks,
@@ -259,9 +259,9 @@
             implements TrafficRecord {}
 
     /**
-     * A server began work that may have an effect.
+     * A server started to execute an attempt, which may have an effect.
      *
-     * @param deduplicated whether the server knew it as a repeat, so that it had no further effect
+     * @param deduplicated whether the server recognized a repeated request, so that this attempt had no further effect
      */
     record AttemptExecuted(
             @JsonProperty("t") long timeTicks,
@@ -288,7 +288,7 @@
      * The rollout service received a vote.
      *
      * @param verdict as the node sent it
-     * @param answer as the node got it; "none" where the service did not answer
+     * @param answer as the node received it; "none" if the service did not answer
      */
     record VoteReceived(
             @JsonProperty("t") long timeTicks,
@@ -300,7 +300,7 @@
             implements TrafficRecord {}
 
     /**
-     * The rollout service changed what it states on a build's part in a regression.
+     * The rollout service changed its published attribution of a regression to a build.
      *
      * @param attribution none, open, cleared, guilty or set-aside, as in messages
      */
--- a/src/main/java/laurelkeel/records/package-info.java
+++ b/src/main/java/laurelkeel/records/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Records of what was seen on sockets and of what nodes learned from their control plane, stored as JSON lines: the
- * input of {@code laurelkeel.audit}.
+ * Records of the traffic observed on sockets and of the updates that nodes received from their control plane, stored as
+ * JSON lines. They are the input of {@code laurelkeel.audit}.
  */
 @NullMarked
 package laurelkeel.records;
--- a/src/test/java/laurelkeel/records/RecordWriterTest.java
+++ b/src/test/java/laurelkeel/records/RecordWriterTest.java
@@ -18,26 +18,26 @@
 
     @Test
     @EnabledOnOs(OS.LINUX)
-    void aFullDiskCountsLostRecordsAndThrowsNothing() throws IOException {
+    void countsLostRecordsWithoutThrowingIfTheDiskIsFull() throws IOException {
         for (boolean isUnbuffered : new boolean[] {true, false}) {
-            RecordWriter r = new RecordWriter(Path.of("/dev/full"), isUnbuffered);
+            RecordWriter writer = new RecordWriter(Path.of("/dev/full"), isUnbuffered);
             for (int i = 0; i < 1000; i++) {
-                r.record(new TrafficRecord.NodeStarted(i, 0, "life"));
+                writer.record(new TrafficRecord.NodeStarted(i, 0, "life"));
             }
-            r.close();
-            assertEquals(1000, r.lostRecords());
+            writer.close();
+            assertEquals(1000, writer.lostRecords());
         }
     }
 
     @Test
-    void recordsAreReadBackAndAnIncompleteLastLineIsSkipped() throws IOException {
+    void readsWrittenRecordsAndSkipsAnIncompleteLastLine() throws IOException {
         Path file = folder.resolve("a.jsonl");
         List<TrafficRecord> all = List.of(
                 new TrafficRecord.NodeStarted(1, 0, "x"),
                 new TrafficRecord.RecordsLost(2, 5),
                 new TrafficRecord.NodeStopped(3, 0, true));
-        try (RecordWriter r = new RecordWriter(file, false)) {
-            all.forEach(r::record);
+        try (RecordWriter writer = new RecordWriter(file, false)) {
+            all.forEach(writer::record);
         }
         assertEquals(all, RecordReader.readAll(folder));
         byte[] bytes = Files.readAllBytes(file);
@@ -45,32 +45,32 @@
         assertEquals(all.subList(0, 2), RecordReader.readAll(folder));
     }
 
-    /** A killed process may leave an incomplete line; the next one must not append to it. */
+    /** A killed process may leave an incomplete line; the next process must not append to it. */
     @Test
-    void anIncompleteLineOfAnEarlierProcessIsCutOffOnOpen() throws IOException {
+    void removesAnIncompleteLineOfAnEarlierProcessOnOpen() throws IOException {
         Path file = folder.resolve("a.jsonl");
         List<TrafficRecord> all =
                 List.of(new TrafficRecord.NodeStarted(1, 0, "x"), new TrafficRecord.RecordsLost(2, 5));
         for (String incomplete : List.of("", "{\"kind\":\"fr", "{}".repeat(3))) {
             Files.deleteIfExists(file);
-            try (RecordWriter r = new RecordWriter(file, false)) {
-                r.record(all.get(0));
+            try (RecordWriter writer = new RecordWriter(file, false)) {
+                writer.record(all.get(0));
             }
             Files.writeString(file, incomplete, java.nio.file.StandardOpenOption.APPEND);
-            try (RecordWriter r = new RecordWriter(file, true)) {
-                r.record(all.get(1));
+            try (RecordWriter writer = new RecordWriter(file, true)) {
+                writer.record(all.get(1));
             }
             assertEquals(all, RecordReader.readAll(folder));
         }
         Files.writeString(file, "{\"half\":");
-        try (RecordWriter r = new RecordWriter(file, true)) {
-            all.forEach(r::record);
+        try (RecordWriter writer = new RecordWriter(file, true)) {
+            all.forEach(writer::record);
         }
         assertEquals(all, RecordReader.readAll(folder));
     }
 
     @Test
-    void aWrongPathIsReportedOnOpen() throws IOException {
+    void reportsAnUnusablePathOnOpen() throws IOException {
         Files.writeString(folder.resolve("file"), "");
         assertThrows(
                 IOException.class, () -> new RecordWriter(folder.resolve("file").resolve("a.jsonl"), true));
--- a/src/test/java/laurelkeel/records/TrafficRecordFormatTest.java
+++ b/src/test/java/laurelkeel/records/TrafficRecordFormatTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The stored form of records: files that earlier versions wrote stay readable. */
+/** The stored form of records must not change, so that files written by earlier versions remain readable. */
 class TrafficRecordFormatTest {
     private static final List<TrafficRecord> RECORDS = List.of(
             new TrafficRecord.AuditParameters(
@@ -112,16 +112,16 @@
     Path folder;
 
     @Test
-    void recordsAreWrittenInTheirStoredForm() throws IOException {
+    void writesRecordsInTheirStoredForm() throws IOException {
         Path file = folder.resolve("a.jsonl");
-        try (RecordWriter recorder = new RecordWriter(file, false)) {
-            RECORDS.forEach(recorder::record);
+        try (RecordWriter writer = new RecordWriter(file, false)) {
+            RECORDS.forEach(writer::record);
         }
         assertEquals(STORED_LINES, Files.readString(file));
     }
 
     @Test
-    void storedLinesAreReadBack() throws IOException {
+    void readsStoredLines() throws IOException {
         Files.writeString(folder.resolve("a.jsonl"), STORED_LINES);
         assertEquals(RECORDS, RecordReader.readAll(folder));
     }
