--- a/src/main/java/laurelkeel/audit/AcceptanceTimes.java
+++ b/src/main/java/laurelkeel/audit/AcceptanceTimes.java
@@ -5,8 +5,9 @@
 import laurelkeel.records.TrafficRecord.ResponseReceived;
 
 /**
- * When requests may have been accepted by a node. The moment itself is not on the wire: it lies between the client's
- * sending and the first sign of it, the arrival of an attempt or the response. Immutable.
+ * The intervals in which requests may have been accepted by a node. The time of acceptance itself is not visible on the
+ * wire: it lies between the client's sending and the first observable effect, which is the arrival of an attempt or the
+ * response. Immutable.
  */
 final class AcceptanceTimes {
     private final long[] sortedEarliestTicks;
@@ -35,7 +36,7 @@
         return request.attempts.stream().mapToLong(AttemptArrived::timeTicks).reduce(endTicks, Math::min);
     }
 
-    /** How many requests may have been accepted between two moments. */
+    /** Returns the number of requests that may have been accepted between two times, both included. */
     int countBetween(long fromTicks, long toTicks) {
         return countBefore(sortedEarliestTicks, toTicks + 1) - countBefore(sortedLatestTicks, fromTicks);
     }
--- a/src/main/java/laurelkeel/audit/AuditReport.java
+++ b/src/main/java/laurelkeel/audit/AuditReport.java
@@ -5,17 +5,17 @@
 /**
  * The result of an audit.
  *
- * @param verdicts of all rules, by number
- * @param requestCount requests that clients sent
- * @param unansweredCount requests that were owed a response and got none
+ * @param verdicts the verdicts on all rules, ordered by rule number
+ * @param requestCount number of requests that clients sent
+ * @param unansweredCount number of requests that required a response and received none
  */
 public record AuditReport(List<RuleVerdict> verdicts, long requestCount, long unansweredCount) {
-    /** How many rules were kept. */
+    /** Returns the number of rules that were not violated. */
     public long rulesKept() {
         return verdicts.stream().filter(RuleVerdict::isKept).count();
     }
 
-    /** The violations of all rules, by rule. */
+    /** Returns the violations of all rules, grouped by rule. */
     public List<RuleViolation> violations() {
         return verdicts.stream()
                 .flatMap(verdict -> verdict.violations().stream())
--- a/src/main/java/laurelkeel/audit/Auditor.java
+++ b/src/main/java/laurelkeel/audit/Auditor.java
@@ -7,7 +7,7 @@
 import laurelkeel.records.RecordReader;
 import laurelkeel.records.TrafficRecord;
 
-/** Audits the five rules; thread-safe. */
+/** Checks records against the five traffic rules. Thread-safe. */
 public final class Auditor {
     private Auditor() {}
 
@@ -15,7 +15,7 @@
      * Audits records.
      *
      * @param records sorted by time, as {@link RecordReader#readAll} returns them
-     * @throws IllegalArgumentException where the records lack what the rules need, as their parameters
+     * @throws IllegalArgumentException if the records lack something that the rules need, for example their parameters
      */
     public static AuditReport audit(List<TrafficRecord> records) {
         RecordedTraffic traffic = new RecordedTraffic(records);
@@ -32,8 +32,8 @@
     /**
      * Audits all record files of a folder.
      *
-     * @throws IOException where a file cannot be read
-     * @throws IllegalArgumentException as {@link #audit(List)}
+     * @throws IOException if a file cannot be read
+     * @throws IllegalArgumentException as for {@link #audit(List)}
      */
     public static AuditReport audit(Path folder) throws IOException {
         return audit(RecordReader.readAll(folder));
--- a/src/main/java/laurelkeel/audit/DrainRule.java
+++ b/src/main/java/laurelkeel/audit/DrainRule.java
@@ -11,11 +11,11 @@
 import laurelkeel.records.TrafficRecord.EndpointListReceived;
 import org.jspecify.annotations.Nullable;
 
-/** Rule 3: an endpoint gets no attempt once its node has known for the grace period that it drains or is removed. */
+/** Rule 3: a node that has known for the grace period that an endpoint drains or is removed sends it no attempts. */
 final class DrainRule extends RuleChecker {
 
     DrainRule() {
-        super(3, "drains respected");
+        super(3, "drains kept");
     }
 
     @Override
@@ -45,7 +45,7 @@
         countChecked(
                 delayTicks / (double) Math.max(1, graceTicks),
                 attempt.requestId() + " reached " + attempt.endpointId() + " " + formatMillis(delayTicks)
-                        + " after front " + node.nodeIndex + " learned that it drains or is removed");
+                        + " after front " + node.nodeIndex + " was told that it drains or is gone");
         if (delayTicks > graceTicks + CLOCK_TOLERANCE_TICKS) {
             addViolation(
                     attempt.timeTicks(),
@@ -55,12 +55,12 @@
         }
     }
 
-    /** What a node knows of endpoints after the lists it has received. */
+    /** The state of endpoints as a node knows it from the endpoint lists that it has received. */
     private static final class KnownEndpoints {
         private final Map<String, Long> unavailableSinceTicks = new HashMap<>();
         private final Set<String> everListed = new HashSet<>();
 
-        /** Since when the node has known that an endpoint drains or is removed; null where it knows no such thing. */
+        /** Returns since when the node has known that an endpoint drains or is removed; null if it does not know so. */
         @Nullable
         Long unavailableSinceTicks(String endpointId) {
             return unavailableSinceTicks.get(endpointId);
--- a/src/main/java/laurelkeel/audit/ExposureCapCheck.java
+++ b/src/main/java/laurelkeel/audit/ExposureCapCheck.java
@@ -15,9 +15,10 @@
 /**
  * Checks one node's attempts at canaries against the exposure cap and the guarded stages.
  *
- * <p>When the node accepted a request and sent an attempt is not on the wire, and a stalled host pulls those moments
- * apart from what was seen. A violation is what is one wherever in between they were: attempts surely sent within a
- * window, against requests that may have been accepted in it. Not thread-safe.
+ * <p>The times at which the node accepted a request and sent an attempt are not visible on the wire, and if the host
+ * stalls they may differ much from the observed times. A violation is reported only if it is one for all possible such
+ * times: the attempts that were certainly sent within a window are compared with all requests that may have been
+ * accepted in it. Not thread-safe.
  */
 final class ExposureCapCheck {
     private static final String ALL_ROUTES = "";
@@ -31,7 +32,7 @@
     private final RolloutTimeline timeline;
     private final List<RequestTrace> accepted;
     private final Map<String, AcceptanceTimes> acceptanceTimesByRoute = new HashMap<>();
-    /** When the requests of the attempts within the window were sent, the earliest first. */
+    /** The times at which the requests of the attempts in the window were sent, earliest first. */
     private final Map<Scope, PriorityQueue<Long>> windows = new HashMap<>();
 
     ExposureCapCheck(
@@ -63,7 +64,7 @@
 
     private void checkCap(AttemptArrived attempt, RequestTrace request) {
         String route = parameters.exposurePerRoute() ? request.sent.route() : ALL_ROUTES;
-        // a lower cap binds after the grace period, and attempts are counted afresh from then
+        // a reduced cap applies after the grace period, and attempts are counted from zero from then on
         long graceEndTicks = attempt.timeTicks() - parameters.drainGraceTicks() - RuleChecker.CLOCK_TOLERANCE_TICKS;
         double cap = timeline.maxCap(attempt.build(), graceEndTicks, attempt.timeTicks());
         int attemptCount = attemptsInWindow(attempt, request, route, graceEndTicks);
@@ -75,8 +76,8 @@
         String allowedText = String.format(Locale.ROOT, "%.1f", allowed);
         rule.countChecked(
                 attemptCount / Math.max(1, allowed),
-                attemptCount + " attempts of front " + node.nodeIndex + " at build " + attempt.build() + " within "
-                        + windowText + "; the limit is " + allowedText);
+                attemptCount + " tries of front " + node.nodeIndex + " at build " + attempt.build() + " within "
+                        + windowText + ", of " + allowedText);
         if (cap <= 0 || attemptCount > allowed) {
             String limitText = cap <= 0
                     ? "the cap is 0"
@@ -112,7 +113,7 @@
     }
 
     private void checkGuardedStage(AttemptArrived attempt, RequestTrace request, KnownRollout rollout) {
-        // at a change of stage either is right
+        // close to a change of stage, either stage is accepted
         KnownRollout next = timeline.at(attempt.build(), attempt.timeTicks() + RuleChecker.CLOCK_TOLERANCE_TICKS);
         int stage = Math.max(rollout.stage(), next.stage());
         Idempotency idempotency = request.routePolicy.idempotency();
--- a/src/main/java/laurelkeel/audit/ExposureRule.java
+++ b/src/main/java/laurelkeel/audit/ExposureRule.java
@@ -7,8 +7,8 @@
 import laurelkeel.records.TrafficRecord.ResponseReceived;
 
 /**
- * Rule 5: attempts at a canary stay within the exposure cap that their node knew; guarded stages get idempotent
- * requests only; partition keys never go back to an earlier build.
+ * Rule 5: attempts at a canary stay within the exposure cap that their node knew; in guarded stages a canary receives
+ * idempotent requests only; partition keys never return to an earlier build.
  */
 final class ExposureRule extends RuleChecker {
 
--- a/src/main/java/laurelkeel/audit/NodeTrace.java
+++ b/src/main/java/laurelkeel/audit/NodeTrace.java
@@ -6,7 +6,10 @@
 import laurelkeel.records.TrafficRecord.EndpointListReceived;
 import laurelkeel.records.TrafficRecord.RolloutUpdateReceived;
 
-/** One incarnation of a node with what it learned and sent, each list by time. Filled by {@link RecordedTraffic}. */
+/**
+ * One incarnation of a node with the updates it received and the attempts it sent, each list ordered by time. Filled by
+ * {@link RecordedTraffic}.
+ */
 final class NodeTrace {
     final int nodeIndex;
     final String incarnation;
--- a/src/main/java/laurelkeel/audit/RecordedTraffic.java
+++ b/src/main/java/laurelkeel/audit/RecordedTraffic.java
@@ -17,9 +17,9 @@
 import laurelkeel.records.TrafficRecord.RoutePolicy;
 import org.jspecify.annotations.Nullable;
 
-/** Records grouped by request, node and server, as the rules need them. Immutable once built. */
+/** Records grouped by request, node and server, for the rules. Immutable once built. */
 final class RecordedTraffic {
-    /** How far a broken connection may lie from the recorded end of its node. */
+    /** The largest difference between the times of a broken connection and of the node stop that explains it. */
     private static final long NODE_STOP_TOLERANCE_TICKS = RecordClock.TICKS_PER_SECOND;
 
     private record NodeKey(int nodeIndex, String incarnation) {}
@@ -37,8 +37,8 @@
      * Groups records.
      *
      * @param records sorted by time
-     * @throws IllegalArgumentException where the parameters of the rules, a route's policy, or the start of a node or
-     *     server are missing
+     * @throws IllegalArgumentException if the parameters of the rules, a route's policy, or the start of a node or
+     *     server is missing
      */
     RecordedTraffic(List<TrafficRecord> records) {
         parameters = findParameters(records);
@@ -46,9 +46,9 @@
             routePolicies.put(policy.name(), policy);
         }
         for (TrafficRecord trafficRecord : records) {
-            addOfClient(trafficRecord);
-            addOfNode(trafficRecord);
-            addOfServer(trafficRecord);
+            addClientRecord(trafficRecord);
+            addNodeRecord(trafficRecord);
+            addServerRecord(trafficRecord);
         }
     }
 
@@ -65,21 +65,21 @@
         return found;
     }
 
-    private void addOfClient(TrafficRecord trafficRecord) {
+    private void addClientRecord(TrafficRecord trafficRecord) {
         if (trafficRecord instanceof RequestSent sent) {
             requests.put(sent.requestId(), new RequestTrace(sent, routePolicy(sent)));
         } else if (trafficRecord instanceof TrafficRecord.ResponseReceived response) {
-            ifKnown(response.requestId(), request -> request.responses.add(response));
+            applyIfKnown(response.requestId(), request -> request.responses.add(response));
         } else if (trafficRecord instanceof TrafficRecord.UnexpectedBytes bytes) {
-            ifKnown(bytes.requestId(), request -> request.unexpectedBytes.add(bytes));
+            applyIfKnown(bytes.requestId(), request -> request.unexpectedBytes.add(bytes));
         } else if (trafficRecord instanceof TrafficRecord.ConnectionBroken broken) {
-            ifKnown(broken.requestId(), request -> request.connectionBroken = broken);
+            applyIfKnown(broken.requestId(), request -> request.connectionBroken = broken);
         } else if (trafficRecord instanceof TrafficRecord.ClientClosed closed) {
-            ifKnown(closed.requestId(), request -> request.clientClosed = closed);
+            applyIfKnown(closed.requestId(), request -> request.clientClosed = closed);
         }
     }
 
-    private void addOfNode(TrafficRecord trafficRecord) {
+    private void addNodeRecord(TrafficRecord trafficRecord) {
         if (trafficRecord instanceof TrafficRecord.NodeStarted started) {
             nodes.put(
                     new NodeKey(started.nodeIndex(), started.nodeIncarnation()),
@@ -95,20 +95,21 @@
         }
     }
 
-    private void addOfServer(TrafficRecord trafficRecord) {
+    private void addServerRecord(TrafficRecord trafficRecord) {
         if (trafficRecord instanceof TrafficRecord.ServerStarted started) {
             servers.put(new ServerKey(started.endpointId(), started.incarnation()), new ServerTrace(started));
         } else if (trafficRecord instanceof AttemptArrived attempt) {
             addAttempt(attempt);
         } else if (trafficRecord instanceof TrafficRecord.AttemptRejected rejection) {
-            ifKnown(rejection.requestId(), request -> request.rejections.put(rejection.attemptNumber(), rejection));
+            applyIfKnown(
+                    rejection.requestId(), request -> request.rejections.put(rejection.attemptNumber(), rejection));
         } else if (trafficRecord instanceof TrafficRecord.AttemptAnswered answer) {
-            ifKnown(answer.requestId(), request -> request.answers.put(answer.attemptNumber(), answer));
+            applyIfKnown(answer.requestId(), request -> request.answers.put(answer.attemptNumber(), answer));
         }
     }
 
     private void addAttempt(AttemptArrived attempt) {
-        ifKnown(attempt.requestId(), request -> request.attempts.add(attempt));
+        applyIfKnown(attempt.requestId(), request -> request.attempts.add(attempt));
         server(attempt).attempts.add(attempt);
         NodeTrace sender = node(attempt);
         if (sender != null) {
@@ -125,7 +126,7 @@
         return policy;
     }
 
-    private void ifKnown(String requestId, Consumer<RequestTrace> action) {
+    private void applyIfKnown(String requestId, Consumer<RequestTrace> action) {
         RequestTrace request = requests.get(requestId);
         if (request != null) {
             action.accept(request);
@@ -156,22 +157,22 @@
         return Collections.unmodifiableCollection(servers.values());
     }
 
-    /** The request of an attempt; null where no client recorded it. */
+    /** Returns the request of an attempt; null if no client recorded it. */
     @Nullable
     RequestTrace request(AttemptArrived attempt) {
         return requests.get(attempt.requestId());
     }
 
-    /** The node that sent an attempt; null where its start was not recorded. */
+    /** Returns the node that sent an attempt; null if its start was not recorded. */
     @Nullable
     NodeTrace node(AttemptArrived attempt) {
         return nodes.get(new NodeKey(attempt.nodeIndex(), attempt.nodeIncarnation()));
     }
 
     /**
-     * The server that an attempt reached.
+     * Returns the server that an attempt reached.
      *
-     * @throws IllegalArgumentException where its start was not recorded
+     * @throws IllegalArgumentException if its start was not recorded
      */
     ServerTrace server(AttemptArrived attempt) {
         ServerTrace server = servers.get(new ServerKey(attempt.endpointId(), attempt.incarnation()));
@@ -182,12 +183,12 @@
         return server;
     }
 
-    /** Whether a node stopped, by force or not, close to a moment. */
+    /** Returns whether a node stopped, killed or not, close to a time. */
     boolean nodeStoppedNear(int nodeIndex, long ticks) {
         return nodeStops.stream().anyMatch(stop -> isNear(stop, nodeIndex, ticks));
     }
 
-    /** Whether a node was killed close to a moment. */
+    /** Returns whether a node was killed close to a time. */
     boolean nodeKilledNear(int nodeIndex, long ticks) {
         return nodeStops.stream().anyMatch(stop -> stop.killed() && isNear(stop, nodeIndex, ticks));
     }
--- a/src/main/java/laurelkeel/audit/RequestTrace.java
+++ b/src/main/java/laurelkeel/audit/RequestTrace.java
@@ -15,7 +15,7 @@
 import laurelkeel.records.TrafficRecord.UnexpectedBytes;
 import org.jspecify.annotations.Nullable;
 
-/** One request of a client with all that was recorded of it, each list by time. Filled by {@link RecordedTraffic}. */
+/** One request of a client with all its records, each list ordered by time. Filled by {@link RecordedTraffic}. */
 final class RequestTrace {
     final RequestSent sent;
     final RoutePolicy routePolicy;
@@ -38,13 +38,13 @@
         this.routePolicy = routePolicy;
     }
 
-    /** The first response; null where there was none. */
+    /** Returns the first response; null if there was none. */
     @Nullable
     ResponseReceived firstResponse() {
         return responses.isEmpty() ? null : responses.get(0);
     }
 
-    /** Whether an attempt may have had an effect, as far as its server had stated by a moment. */
+    /** Returns whether an attempt may have run, that is, whether its server had not rejected it by a given time. */
     boolean mayHaveRun(AttemptArrived attempt, long byTicks) {
         AttemptRejected rejection = rejections.get(attempt.attemptNumber());
         return rejection == null
@@ -52,10 +52,10 @@
                 || !rejection.endpointId().equals(attempt.endpointId());
     }
 
-    /** The first attempt that may have had an effect by a moment; null where none may. */
+    /** Returns the first of the given attempts that may have run, as known at a given time; null if there is none. */
     @Nullable
-    AttemptArrived firstThatMayHaveRun(List<AttemptArrived> among, long byTicks) {
-        for (AttemptArrived attempt : among) {
+    AttemptArrived firstAttemptThatMayHaveRun(List<AttemptArrived> candidates, long byTicks) {
+        for (AttemptArrived attempt : candidates) {
             if (mayHaveRun(attempt, byTicks)) {
                 return attempt;
             }
--- a/src/main/java/laurelkeel/audit/RolloutTimeline.java
+++ b/src/main/java/laurelkeel/audit/RolloutTimeline.java
@@ -11,12 +11,12 @@
 import laurelkeel.records.RecordTerms.RolloutPhase;
 import laurelkeel.records.TrafficRecord.RolloutUpdateReceived;
 
-/** What one incarnation of a node knew of all rollouts at each moment. Immutable. */
+/** The state of all rollouts as one incarnation of a node knew it over time. Immutable. */
 final class RolloutTimeline {
-    /** No build, where none was known. */
+    /** Marks that no build was known. */
     private static final int NO_BUILD = -1;
 
-    /** What was known of one build; stage and cap mean nothing where it was no canary. */
+    /** The known state of one build. A build that is not bound by a cap has stage 0 and cap 1. */
     record KnownRollout(boolean isBoundByCap, int stage, double exposureCap) {}
 
     private static final KnownRollout NOT_A_CANARY = new KnownRollout(false, 0, 1);
@@ -29,7 +29,7 @@
     /**
      * Builds the timeline.
      *
-     * @param firstStageCap the exposure cap of a build of which a node has not heard yet
+     * @param firstStageCap the exposure cap of a new build whose rollout update the node has not received yet
      */
     RolloutTimeline(List<RolloutUpdateReceived> updates, double firstStageCap) {
         this.firstStageCap = firstStageCap;
@@ -60,14 +60,14 @@
         return updates == null ? Collections.emptyNavigableMap() : updates;
     }
 
-    /** What was known of a build at a moment. */
+    /** Returns the known state of a build at a time. */
     KnownRollout at(int build, long ticks) {
         if (build < buildAt(latestReleased, ticks)) {
             return NOT_A_CANARY;
         }
         Map.Entry<Long, RolloutUpdateReceived> last = updates(build).floorEntry(ticks);
         if (last == null) {
-            // a build later than all known ones is in its first stage, though the update has not arrived
+            // a build later than all known ones is in its first stage, even though no update has arrived so far
             int latest = buildAt(latestKnown, ticks);
             boolean isNewer = latest != NO_BUILD && build > latest;
             return isNewer ? new KnownRollout(true, 0, firstStageCap) : NOT_A_CANARY;
@@ -79,7 +79,7 @@
         return new KnownRollout(true, update.stage(), update.exposureCap());
     }
 
-    /** The highest cap known at any moment from one to another. */
+    /** Returns the highest cap known at any time in an interval, both ends included. */
     double maxCap(int build, long fromTicks, long toTicks) {
         double max = at(build, fromTicks).exposureCap;
         for (long ticks : updates(build).subMap(fromTicks, false, toTicks, true).keySet()) {
@@ -88,7 +88,7 @@
         return max;
     }
 
-    /** When the build's cap last fell before a moment; Long.MIN_VALUE where it never did. */
+    /** Returns when the build's cap was last reduced before a time; Long.MIN_VALUE if it never was. */
     long lastCapReductionTicks(int build, long beforeTicks) {
         long lastReductionTicks = Long.MIN_VALUE;
         double cap = at(build, Long.MIN_VALUE).exposureCap;
@@ -102,7 +102,7 @@
         return lastReductionTicks;
     }
 
-    /** Whether a build was a canary or released, at a moment and at any change within the tolerance after it. */
+    /** Returns whether a build was a canary or released at a time and at all updates within the tolerance after it. */
     boolean isInService(int build, long atTicks, long toleranceTicks) {
         if (build < buildAt(latestReleased, atTicks)) {
             return false;
--- a/src/main/java/laurelkeel/audit/RuleChecker.java
+++ b/src/main/java/laurelkeel/audit/RuleChecker.java
@@ -5,9 +5,9 @@
 import java.util.Locale;
 import laurelkeel.records.RecordClock;
 
-/** Checks one rule and collects what its verdict needs. Not thread-safe; for one audit only. */
+/** Checks one rule and collects the data for its verdict. Not thread-safe; used for one audit only. */
 abstract class RuleChecker {
-    /** How far apart two processes of a host may see one moment: queues of sockets and of the scheduler. */
+    /** How far two processes of a host may differ on the time of one event, due to socket and scheduler queues. */
     static final long CLOCK_TOLERANCE_TICKS = 500;
 
     private static final String NO_DESCRIPTION = "-";
@@ -19,7 +19,7 @@
     private double nearestShare;
     private String nearestDescription = NO_DESCRIPTION;
 
-    /** @param name what the rule asks for, as in reports */
+    /** @param name what the rule requires, as printed in reports */
     RuleChecker(int ruleNumber, String name) {
         this.ruleNumber = ruleNumber;
         this.name = name;
@@ -33,15 +33,15 @@
         violations.add(new RuleViolation(ruleNumber, timeTicks, requestId, description));
     }
 
-    /** Counts a moment that could have violated the rule and was nowhere near its limit. */
+    /** Counts a case in which the rule could have been violated, without a measure of how close it came. */
     final void countChecked() {
         checkedCount++;
     }
 
     /**
-     * Counts a moment that could have violated the rule.
+     * Counts a case in which the rule could have been violated.
      *
-     * @param limitShare how near it came to the limit, as a share of the limit
+     * @param limitShare how close the case came to the rule's limit, as a share of the limit
      */
     final void countChecked(double limitShare, String description) {
         checkedCount++;
@@ -58,7 +58,7 @@
                 ruleNumber, name, checkedCount, nearestShare, nearestDescription, List.copyOf(violations));
     }
 
-    /** A duration in milliseconds for descriptions. */
+    /** Formats a duration in milliseconds for descriptions. */
     static String formatMillis(long ticks) {
         return String.format(Locale.ROOT, "%.1f ms", ticks / RecordClock.TICKS_PER_MILLISECOND);
     }
--- a/src/main/java/laurelkeel/audit/RuleVerdict.java
+++ b/src/main/java/laurelkeel/audit/RuleVerdict.java
@@ -5,10 +5,10 @@
 /**
  * The verdict on one rule.
  *
- * @param name what the rule asks for, as in reports
- * @param checkedCount how many moments could have violated the rule; 0 means that the records say nothing on it
- * @param nearestShare the closest approach to the rule's limit, as a share of the limit; above 1 it is exceeded
- * @param nearestDescription that approach as text; "-" where there was none
+ * @param name what the rule requires, as printed in reports
+ * @param checkedCount number of cases in which the rule could have been violated; 0 if the records have no such case
+ * @param nearestShare the case closest to the rule's limit, as a share of the limit; above 1 the limit is exceeded
+ * @param nearestDescription describes that case; "-" if there was none
  */
 public record RuleVerdict(
         int ruleNumber,
@@ -17,7 +17,7 @@
         double nearestShare,
         String nearestDescription,
         List<RuleViolation> violations) {
-    /** Whether nothing violated the rule. */
+    /** Returns whether the rule was not violated. */
     public boolean isKept() {
         return violations.isEmpty();
     }
--- a/src/main/java/laurelkeel/audit/RuleViolation.java
+++ b/src/main/java/laurelkeel/audit/RuleViolation.java
@@ -3,8 +3,8 @@
 /**
  * One violation of a rule.
  *
- * @param timeTicks when, in ticks of {@link laurelkeel.records.RecordClock}
- * @param requestId the request that shows it
+ * @param timeTicks the time of the violation, in ticks of {@link laurelkeel.records.RecordClock}
+ * @param requestId the request concerned
  * @param description what happened
  */
 public record RuleViolation(int ruleNumber, long timeTicks, String requestId, String description) {}
--- a/src/main/java/laurelkeel/audit/SingleAnswerRule.java
+++ b/src/main/java/laurelkeel/audit/SingleAnswerRule.java
@@ -10,9 +10,9 @@
 
 /** Rule 1: each request gets one final response before its deadline, and no attempt is sent after it. */
 final class SingleAnswerRule extends RuleChecker {
-    /** What a response that was sent in time may take to be read. */
+    /** How long the client may take to read a response that was sent before the deadline. */
     private static final long READ_TOLERANCE_TICKS = 200;
-    /** How long a node may take to notice that a client closed, and to act on it. */
+    /** How long a node may take to notice that a client has closed its connection, and to react. */
     private static final long CLOSE_TOLERANCE_TICKS = 2_000;
 
     private long unansweredCount;
@@ -21,7 +21,7 @@
         super(1, "one final answer");
     }
 
-    /** How many requests were owed a response and got none. */
+    /** Returns the number of requests that required a response and received none. */
     long unansweredCount() {
         return unansweredCount;
     }
@@ -64,7 +64,7 @@
         long allowedTicks = Math.max(1, sent.deadlineTicks() - sent.timeTicks());
         countChecked(
                 (first.timeTicks() - sent.timeTicks()) / (double) allowedTicks,
-                sent.requestId() + " answered " + formatMillis(-lateTicks) + " before its deadline");
+                sent.requestId() + " answered " + formatMillis(-lateTicks) + " before its client leaves");
         if (lateTicks > READ_TOLERANCE_TICKS) {
             addViolation(
                     first.timeTicks(), sent.requestId(), "answered " + formatMillis(lateTicks) + " after its deadline");
--- a/src/main/java/laurelkeel/audit/SingleEffectRule.java
+++ b/src/main/java/laurelkeel/audit/SingleEffectRule.java
@@ -9,11 +9,11 @@
 import laurelkeel.records.TrafficRecord.RoutePolicy;
 import laurelkeel.records.TrafficRecord.ServerStarted;
 
-/** Rule 2: an attempt that may have run is retried, or called safe to retry, only as its route allows. */
+/** Rule 2: an attempt that may have run is retried, or reported as safe to retry, only if its route allows that. */
 final class SingleEffectRule extends RuleChecker {
 
     SingleEffectRule() {
-        super(2, "no duplicate effects");
+        super(2, "no effect twice");
     }
 
     @Override
@@ -30,7 +30,7 @@
         List<AttemptArrived> attempts = request.attempts;
         for (int i = 1; i < attempts.size(); i++) {
             AttemptArrived retry = attempts.get(i);
-            AttemptArrived first = request.firstThatMayHaveRun(attempts.subList(0, i), retry.timeTicks());
+            AttemptArrived first = request.firstAttemptThatMayHaveRun(attempts.subList(0, i), retry.timeTicks());
             if (first == null) {
                 countChecked();
             } else if (request.routePolicy.idempotency() == Idempotency.NOT_IDEMPOTENT) {
@@ -56,8 +56,7 @@
         long windowTicks = policy.deduplicationWindowTicks();
         countChecked(
                 delayTicks / (double) Math.max(1, windowTicks),
-                requestId + " retried " + formatMillis(delayTicks)
-                        + " after an attempt that may have run; the deduplication window is "
+                requestId + " repeated " + formatMillis(delayTicks) + " after a try that may have run, of "
                         + formatMillis(windowTicks));
         if (delayTicks > windowTicks + CLOCK_TOLERANCE_TICKS) {
             addViolation(
@@ -86,14 +85,14 @@
         };
     }
 
-    /** A rejection tells the client that a retry is safe. */
+    /** Checks a rejection, which tells the client that a retry is safe. */
     private void checkRejection(RequestTrace request) {
         ResponseReceived response = request.firstResponse();
         if (response == null || response.outcome() != Outcome.REJECTED) {
             return;
         }
         countChecked();
-        AttemptArrived executed = request.firstThatMayHaveRun(request.attempts, response.timeTicks());
+        AttemptArrived executed = request.firstAttemptThatMayHaveRun(request.attempts, response.timeTicks());
         if (executed != null && !isAnyRetryDeduplicated(request.routePolicy)) {
             addViolation(
                     response.timeTicks(),
--- a/src/main/java/laurelkeel/audit/StickyKeyCheck.java
+++ b/src/main/java/laurelkeel/audit/StickyKeyCheck.java
@@ -12,12 +12,12 @@
 import laurelkeel.records.TrafficRecord.ResponseReceived;
 import org.jspecify.annotations.Nullable;
 
-/** Checks that one node sends no partition key back to an earlier build than one that answered it. Not thread-safe. */
+/** Checks that one node sends no partition key to an earlier build than one that has answered it. Not thread-safe. */
 final class StickyKeyCheck {
-    /** Statuses from here on are failures of the server. */
+    /** The lowest status that indicates a failure of the server. */
     private static final int FIRST_SERVER_ERROR_STATUS = 500;
 
-    /** Something that happened to a partition key. */
+    /** An event that concerns a partition key. */
     private sealed interface KeyEvent {
         long timeTicks();
     }
@@ -67,16 +67,19 @@
         return events;
     }
 
-    /** Which of several answers the node passed on is not on the wire; the earliest build binds it least. */
+    /**
+     * Returns the earliest build that may have answered the client. The wire does not show which of several answers the
+     * node forwarded; the earliest build is the weakest constraint.
+     */
     private Optional<Integer> earliestAnsweringBuild(RequestTrace request, long byTicks) {
         return request.attempts.stream()
                 .filter(attempt ->
-                        isOfNode(attempt) && isSuccessBy(request.answers.get(attempt.attemptNumber()), byTicks))
+                        wasSentByNode(attempt) && isSuccessBy(request.answers.get(attempt.attemptNumber()), byTicks))
                 .map(AttemptArrived::build)
                 .min(Comparator.naturalOrder());
     }
 
-    private boolean isOfNode(AttemptArrived attempt) {
+    private boolean wasSentByNode(AttemptArrived attempt) {
         return node.incarnation.equals(attempt.nodeIncarnation()) && node.nodeIndex == attempt.nodeIndex();
     }
 
@@ -87,18 +90,18 @@
     private void checkAttempt(AttemptArrived attempt) {
         RequestTrace request = traffic.request(attempt);
         String partitionKey = request == null ? null : request.sent.partitionKey();
-        Integer answeredBy = partitionKey == null ? null : latestBuildByKey.get(partitionKey);
-        if (answeredBy == null) {
+        Integer latestBuild = partitionKey == null ? null : latestBuildByKey.get(partitionKey);
+        if (latestBuild == null) {
             return;
         }
         rule.countChecked();
-        boolean mustStay = timeline.isInService(answeredBy, attempt.timeTicks(), RuleChecker.CLOCK_TOLERANCE_TICKS);
-        if (attempt.build() < answeredBy && mustStay) {
+        boolean mustStay = timeline.isInService(latestBuild, attempt.timeTicks(), RuleChecker.CLOCK_TOLERANCE_TICKS);
+        if (attempt.build() < latestBuild && mustStay) {
             rule.addViolation(
                     attempt.timeTicks(),
                     attempt.requestId(),
-                    "partition key " + partitionKey + ", answered by build " + answeredBy + ", went to build "
-                            + attempt.build() + " although build " + answeredBy + " was not rolled back");
+                    "partition key " + partitionKey + ", answered by build " + latestBuild + ", went to build "
+                            + attempt.build() + " although build " + latestBuild + " was not rolled back");
         }
     }
 }
--- a/src/main/java/laurelkeel/audit/WarmUpRule.java
+++ b/src/main/java/laurelkeel/audit/WarmUpRule.java
@@ -7,15 +7,15 @@
 import laurelkeel.records.TrafficRecord.EndpointListReceived;
 import laurelkeel.records.TrafficRecord.ServerStarted;
 
-/** Rule 4: a server that warms up is not overloaded by nodes that know of its start. */
+/** Rule 4: a server that is warming up is not overloaded by nodes that know of its start. */
 final class WarmUpRule extends RuleChecker {
-    /** Attempts beyond the limit that are put down to chance. */
+    /** Number of attempts above the limit that are attributed to chance. */
     private static final int ALLOWANCE_ATTEMPTS = 5;
-    /** The share of attempts that must have come from nodes that knew, in thirds. */
+    /** The share of attempts, in thirds, that must come from nodes that knew of the start for a violation. */
     private static final int INFORMED_THIRDS = 2;
 
     WarmUpRule() {
-        super(4, "cold servers not overloaded");
+        super(4, "cold machines not pushed over");
     }
 
     @Override
@@ -42,8 +42,8 @@
             String windowText = formatMillis(started.overloadWindowTicks());
             countChecked(
                     window.size() / limit,
-                    window.size() + " requests in " + windowText + " at " + started.endpointId() + ", "
-                            + formatMillis(ageTicks) + " after its start; the limit is " + Math.round(limit));
+                    window.size() + " reqs in " + windowText + " at " + started.endpointId() + ", "
+                            + formatMillis(ageTicks) + " after its start, of " + Math.round(limit));
             if (window.size() > limit && !isOverloaded) {
                 isOverloaded = true;
                 long informed = countInformed(traffic, window, started);
@@ -66,7 +66,7 @@
         }
     }
 
-    /** How many attempts a warming server may get within the overload window at an age. */
+    /** Returns how many attempts a warming server may receive within the overload window at a given age. */
     private static double limit(ServerStarted started, long ageTicks) {
         double initialShare = started.warmUpInitialShare();
         double capacityShare =
@@ -82,21 +82,21 @@
     private static long countInformed(
             RecordedTraffic traffic, Collection<AttemptArrived> attempts, ServerStarted started) {
         return attempts.stream()
-                .filter(attempt -> senderKnew(traffic, attempt, started))
+                .filter(attempt -> senderKnewOfStart(traffic, attempt, started))
                 .count();
     }
 
-    private static boolean senderKnew(RecordedTraffic traffic, AttemptArrived attempt, ServerStarted started) {
+    private static boolean senderKnewOfStart(RecordedTraffic traffic, AttemptArrived attempt, ServerStarted started) {
         NodeTrace sender = traffic.node(attempt);
         if (sender == null) {
             return false;
         }
         return sender.endpointLists.stream()
                 .filter(list -> list.timeTicks() <= attempt.timeTicks())
-                .anyMatch(list -> names(list, started));
+                .anyMatch(list -> includes(list, started));
     }
 
-    private static boolean names(EndpointListReceived list, ServerStarted started) {
+    private static boolean includes(EndpointListReceived list, ServerStarted started) {
         return list.endpoints().stream()
                 .anyMatch(endpoint -> endpoint.endpointId().equals(started.endpointId())
                         && endpoint.incarnation() == started.incarnation());
--- a/src/main/java/laurelkeel/audit/package-info.java
+++ b/src/main/java/laurelkeel/audit/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Audits the five rules of traffic from records alone. It uses nothing of the front node, so that a fault of the node
- * cannot hide itself here.
+ * Audits the five traffic rules from records only. The package uses no code of the front node, so that a fault in that
+ * code cannot hide a violation.
  */
 @NullMarked
 package laurelkeel.audit;
--- a/src/test/java/laurelkeel/audit/AuditorTest.java
+++ b/src/test/java/laurelkeel/audit/AuditorTest.java
@@ -16,9 +16,9 @@
 import laurelkeel.records.TrafficRecord;
 import org.junit.jupiter.api.Test;
 
-/** Each rule is violated by the smallest set of records that breaks it, and by nothing else. */
+/** Each test adds the fewest records that violate one rule, and expects that no other rule is reported. */
 class AuditorTest {
-    private static final String NODE = "incarnation";
+    private static final String NODE_INCARNATION = "incarnation";
     private static final String OLD_SERVER = "127.0.0.1:1";
     private static final String NEW_SERVER = "127.0.0.1:2";
 
@@ -37,18 +37,18 @@
                     1,
                     true,
                     List.of(0.5, 1.0)),
-            new TrafficRecord.NodeStarted(1, 0, NODE),
+            new TrafficRecord.NodeStarted(1, 0, NODE_INCARNATION),
             serverStarted(OLD_SERVER, 1, 0, false),
             serverStarted(NEW_SERVER, 2, 1, false),
             new TrafficRecord.EndpointListReceived(
                     3,
                     0,
-                    NODE,
+                    NODE_INCARNATION,
                     EndpointListKind.SNAPSHOT,
                     List.of(
                             new TrafficRecord.EndpointEntry(OLD_SERVER, 1, 1, EndpointState.ACTIVE),
                             new TrafficRecord.EndpointEntry(NEW_SERVER, 2, 2, EndpointState.ACTIVE))),
-            new TrafficRecord.RolloutUpdateReceived(4, 0, NODE, 1, 0, 1, RolloutPhase.RELEASED)));
+            new TrafficRecord.RolloutUpdateReceived(4, 0, NODE_INCARNATION, 1, 0, 1, RolloutPhase.RELEASED)));
 
     private static TrafficRecord serverStarted(String endpointId, int build, int cell, boolean cold) {
         return new TrafficRecord.ServerStarted(2, endpointId, build, build, 0, cell, 100, 0.1, 50_000, 2, 10_000, cold);
@@ -61,7 +61,8 @@
 
     private void attempt(long ticks, String requestId, int number, String endpointId) {
         int build = endpointId.equals(OLD_SERVER) ? 1 : 2;
-        records.add(new TrafficRecord.AttemptArrived(ticks, endpointId, build, build, requestId, number, 0, NODE));
+        records.add(new TrafficRecord.AttemptArrived(
+                ticks, endpointId, build, build, requestId, number, 0, NODE_INCARNATION));
     }
 
     private void respond(long ticks, String requestId, int number, String endpointId, Outcome outcome) {
@@ -92,7 +93,7 @@
     }
 
     @Test
-    void allRulesAreKeptByPlainExchanges() {
+    void findsNoViolationInPlainExchanges() {
         exchange(1_000, "c1", "look", "k1", OLD_SERVER);
         exchange(2_000, "c2", "pay", null, OLD_SERVER);
         AuditReport report = audit();
@@ -116,7 +117,7 @@
     }
 
     @Test
-    void rule1ExcusesAConnectionThatBrokeWithAKilledNode() {
+    void rule1AllowsAConnectionBrokenByAKilledNode() {
         send(1_000, "c1", "look", null);
         records.add(new TrafficRecord.ConnectionBroken(1_100, "c1", "the connection closed"));
         records.add(new TrafficRecord.NodeStopped(1_090, 0, true));
@@ -139,7 +140,7 @@
     }
 
     @Test
-    void rule2FindsARejectionOfWhatMayHaveRun() {
+    void rule2FindsARejectionOfARequestThatMayHaveRun() {
         send(1_000, "c1", "pay", null);
         attempt(1_010, "c1", 1, OLD_SERVER);
         respond(1_050, "c1", 1, OLD_SERVER, Outcome.REJECTED);
@@ -151,7 +152,7 @@
         records.add(new TrafficRecord.EndpointListReceived(
                 1_000,
                 0,
-                NODE,
+                NODE_INCARNATION,
                 EndpointListKind.DELTA,
                 List.of(new TrafficRecord.EndpointEntry(OLD_SERVER, 1, 1, EndpointState.DRAINING))));
         exchange(2_000, "c1", "look", null, OLD_SERVER);
@@ -161,18 +162,19 @@
     }
 
     @Test
-    void rule4FindsAnOverloadedServerThatWarmsUp() {
+    void rule4FindsAnOverloadedWarmingServer() {
         records.add(serverStarted("127.0.0.1:3", 1, 0, true));
         records.add(new TrafficRecord.EndpointListReceived(
                 5,
                 0,
-                NODE,
+                NODE_INCARNATION,
                 EndpointListKind.DELTA,
                 List.of(new TrafficRecord.EndpointEntry("127.0.0.1:3", 1, 1, EndpointState.ACTIVE))));
         for (int i = 0; i < 40; i++) {
             String requestId = "c" + i;
             send(1_000 + i, requestId, "look", null);
-            records.add(new TrafficRecord.AttemptArrived(1_010 + i, "127.0.0.1:3", 1, 1, requestId, 1, 0, NODE));
+            records.add(new TrafficRecord.AttemptArrived(
+                    1_010 + i, "127.0.0.1:3", 1, 1, requestId, 1, 0, NODE_INCARNATION));
             respond(1_050 + i, requestId, 1, OLD_SERVER, Outcome.COMPLETED);
         }
         assertOnlyViolation(4, "was overloaded");
@@ -180,7 +182,7 @@
 
     @Test
     void rule5FindsExposureAboveTheCap() {
-        records.add(new TrafficRecord.RolloutUpdateReceived(900, 0, NODE, 2, 0, 0.5, RolloutPhase.CANARY));
+        records.add(new TrafficRecord.RolloutUpdateReceived(900, 0, NODE_INCARNATION, 2, 0, 0.5, RolloutPhase.CANARY));
         exchange(10_000, "c1", "look", null, NEW_SERVER);
         assertEquals(5, audit().rulesKept());
         exchange(10_100, "c2", "look", null, NEW_SERVER);
@@ -190,14 +192,14 @@
 
     @Test
     void rule5FindsARequestThatIsNotIdempotentInAGuardedStage() {
-        records.add(new TrafficRecord.RolloutUpdateReceived(900, 0, NODE, 2, 0, 0.5, RolloutPhase.CANARY));
+        records.add(new TrafficRecord.RolloutUpdateReceived(900, 0, NODE_INCARNATION, 2, 0, 0.5, RolloutPhase.CANARY));
         exchange(10_000, "c1", "pay", null, NEW_SERVER);
         assertOnlyViolation(5, "a NON_RETRIABLE request went to build 2 in guarded stage 0");
     }
 
     @Test
-    void rule5FindsAPartitionKeyThatWentBack() {
-        records.add(new TrafficRecord.RolloutUpdateReceived(900, 0, NODE, 2, 0, 0.5, RolloutPhase.CANARY));
+    void rule5FindsAPartitionKeySentToAnEarlierBuild() {
+        records.add(new TrafficRecord.RolloutUpdateReceived(900, 0, NODE_INCARNATION, 2, 0, 0.5, RolloutPhase.CANARY));
         exchange(10_000, "c1", "look", "k1", NEW_SERVER);
         exchange(20_000, "c2", "look", "k1", OLD_SERVER);
         assertOnlyViolation(
@@ -205,7 +207,7 @@
     }
 
     @Test
-    void recordsWithoutParametersAreRefused() {
+    void rejectsRecordsWithoutParameters() {
         assertThrows(IllegalArgumentException.class, () -> Auditor.audit(List.of()));
     }
 }
