--- a/src/main/java/laurelkeel/simulatoradapter/MalformedSimulatorMessageException.java
+++ b/src/main/java/laurelkeel/simulatoradapter/MalformedSimulatorMessageException.java
@@ -1,6 +1,6 @@
 package laurelkeel.simulatoradapter;
 
-/** Input that does not follow the simulator's protocol; the message names the line, the field and the reason. */
+/** Thrown if input violates the simulator's protocol; the message names the line, the field and the reason. */
 public final class MalformedSimulatorMessageException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/laurelkeel/simulatoradapter/MessageFields.java
+++ b/src/main/java/laurelkeel/simulatoradapter/MessageFields.java
@@ -9,8 +9,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The values of one line of the simulator's protocol, read in order. Each reader names the field that it expects next;
- * where the value cannot be read, it throws a {@link MalformedSimulatorMessageException} that names that field.
+ * The values of one line of the simulator's protocol, read in order. Each method that reads takes the name of the next
+ * field, and throws a {@link MalformedSimulatorMessageException} with that name if the value is missing or invalid.
  */
 final class MessageFields {
     private static final String ABSENT = "-";
@@ -24,20 +24,21 @@
         this.parts = text.split(" ", -1);
     }
 
-    /** The message's name: the first part of the line. */
+    /** Returns the message's name, which is the first part of the line. */
     String name() {
         return parts[0];
     }
 
-    /** Checks the number of values. */
-    void expect(int values) {
+    /** Checks the number of values after the message's name. */
+    void expectValues(int expected) {
         int found = parts.length - 1;
-        if (found != values) {
-            throw new MalformedSimulatorMessageException(lineNumber, name(), "has " + found + " values, not " + values);
+        if (found != expected) {
+            throw new MalformedSimulatorMessageException(
+                    lineNumber, name(), "has " + found + " values, expected " + expected);
         }
     }
 
-    /** The error of a field, for the caller to throw. */
+    /** Creates the error for a field, which the caller throws. */
     MalformedSimulatorMessageException malformed(String field, String reason) {
         return new MalformedSimulatorMessageException(lineNumber, name() + "." + field, reason);
     }
@@ -53,42 +54,42 @@
         return parts[next++];
     }
 
-    /** A text; null where the field holds the mark of an absent value. */
+    /** Reads a text; null if the field has the mark of an absent value. */
     @Nullable
     String optionalText(String field) {
         String value = text(field);
         return value.equals(ABSENT) ? null : value;
     }
 
-    private <T> T parsed(String field, String value, String form, Function<String, T> parser) {
+    private <T> T parse(String field, String value, String form, Function<String, T> parser) {
         try {
             return parser.apply(value);
         } catch (RuntimeException e) {
-            throw malformed(field, "'" + value + "' is no " + form);
+            throw malformed(field, "'" + value + "' is not a valid " + form);
         }
     }
 
-    long whole(String field) {
-        return parsed(field, text(field), "whole number", Long::parseLong);
+    long longInteger(String field) {
+        return parse(field, text(field), "64-bit integer", Long::parseLong);
     }
 
     int integer(String field) {
-        return parsed(field, text(field), "small whole number", Integer::parseInt);
+        return parse(field, text(field), "32-bit integer", Integer::parseInt);
     }
 
-    int optionalInteger(String field, int absent) {
+    int optionalInteger(String field, int defaultValue) {
         String value = optionalText(field);
-        return value == null ? absent : parsed(field, value, "small whole number", Integer::parseInt);
+        return value == null ? defaultValue : parse(field, value, "32-bit integer", Integer::parseInt);
     }
 
-    double number(String field, double absent) {
+    double optionalNumber(String field, double defaultValue) {
         String value = optionalText(field);
-        return value == null ? absent : parsed(field, value, "number", Numbers::parseFinite);
+        return value == null ? defaultValue : parse(field, value, "finite number", Numbers::parseFinite);
     }
 
-    /** A time, which the protocol gives in milliseconds; 0 where it is absent. */
+    /** Reads a time, which the protocol gives in milliseconds, in ticks; 0 if it is absent. */
     long ticks(String field) {
-        return Numbers.millisToTicks(number(field, 0));
+        return Numbers.millisToTicks(optionalNumber(field, 0));
     }
 
     boolean flag(String field) {
@@ -96,11 +97,11 @@
         return switch (value) {
             case "1" -> true;
             case "0", ABSENT -> false;
-            default -> throw malformed(field, "'" + value + "' is neither 0 nor 1");
+            default -> throw malformed(field, "'" + value + "' is not 0 or 1");
         };
     }
 
-    /** One of the protocol's names, as the term that it stands for. */
+    /** Reads one of the protocol's names and returns the term that it represents. */
     <T> T oneOf(String field, Map<String, T> terms) {
         String value = text(field);
         T term = terms.get(value);
@@ -110,7 +111,7 @@
         return term;
     }
 
-    /** Pairs of name and value, joined by commas. */
+    /** Reads a load report: name:value pairs separated by commas. */
     LoadReport loadReport(String field) {
         String value = optionalText(field);
         if (value == null) {
@@ -120,27 +121,27 @@
         for (String pair : value.split(",", 0)) {
             int colon = pair.indexOf(':');
             if (colon < 1) {
-                throw malformed(field, "'" + pair + "' is no name:value");
+                throw malformed(field, "'" + pair + "' is not a name:value pair");
             }
             String number = pair.substring(colon + 1);
-            values.put(pair.substring(0, colon), parsed(field, number, "number", Numbers::parseFinite));
+            values.put(pair.substring(0, colon), parse(field, number, "finite number", Numbers::parseFinite));
         }
         return new LoadReport(values);
     }
 
     byte[] bytes(String field) {
         String value = optionalText(field);
-        return value == null ? new byte[0] : parsed(field, value, "hex", HexFormat.of()::parseHex);
+        return value == null ? new byte[0] : parse(field, value, "hexadecimal text", HexFormat.of()::parseHex);
     }
 
-    /** All that is left of the line, as pairs of path and value. */
+    /** Reads the rest of the line as path=value pairs. */
     Map<String, String> pairs(String field) {
         Map<String, String> pairs = new HashMap<>();
         while (hasMore()) {
             String pair = text(field);
             int equals = pair.indexOf('=');
             if (equals < 1) {
-                throw malformed(field, "'" + pair + "' is no path=value");
+                throw malformed(field, "'" + pair + "' is not a path=value pair");
             }
             pairs.put(pair.substring(0, equals), pair.substring(equals + 1));
         }
--- a/src/main/java/laurelkeel/simulatoradapter/MessageReader.java
+++ b/src/main/java/laurelkeel/simulatoradapter/MessageReader.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import org.jspecify.annotations.Nullable;
 
-/** Reads the simulator's messages line by line and counts the lines. Empty lines are passed over. */
+/** Reads the simulator's messages line by line and counts the lines. Skips empty lines. */
 final class MessageReader {
     private final BufferedReader in;
     private long lineNumber;
@@ -13,7 +13,7 @@
         this.in = in;
     }
 
-    /** The next message; null at the end of the input. */
+    /** Reads the next message; null at the end of the input. */
     @Nullable
     MessageFields next() throws IOException {
         String text;
@@ -25,9 +25,9 @@
     }
 
     /**
-     * The next message of a batch that has begun.
+     * Reads the next message within a batch.
      *
-     * @throws MalformedSimulatorMessageException where the input ends
+     * @throws MalformedSimulatorMessageException if the input ends
      */
     MessageFields nextInBatch() throws IOException {
         MessageFields fields = next();
--- a/src/main/java/laurelkeel/simulatoradapter/SimulatorActionWriter.java
+++ b/src/main/java/laurelkeel/simulatoradapter/SimulatorActionWriter.java
@@ -23,7 +23,7 @@
         out.write('\n');
     }
 
-    /** Reports that a node's decider has failed, which ends the simulated day. */
+    /** Reports that a node's decider has failed; the simulator then ends the simulated day. */
     void writeFault(int node, String reason) throws IOException {
         out.write("fault " + node + " " + reason + "\n");
     }
--- a/src/main/java/laurelkeel/simulatoradapter/SimulatorAdapter.java
+++ b/src/main/java/laurelkeel/simulatoradapter/SimulatorAdapter.java
@@ -22,15 +22,15 @@
 import laurelkeel.options.InvalidOptionException;
 import laurelkeel.options.OptionsParser;
 
-/** Answers the simulator's batches: hands each front node's events to its decider and writes the actions back. */
+/** Answers the simulator's batches: passes each front node's events to its decider and writes the resulting actions. */
 public final class SimulatorAdapter {
     private static final int BUFFER_BYTES = 1 << 16;
 
     private final Decider.Factory deciders;
     private final Map<Integer, Decider> nodes = new HashMap<>();
-    private final SimulatorEventReader events = new SimulatorEventReader();
+    private final SimulatorEventReader eventReader = new SimulatorEventReader();
 
-    /** What one batch holds: events by node, and the nodes whose decider failed with the reason. */
+    /** One batch: the events by node, and the reasons of the deciders that have failed, by node. */
     private static final class Batch {
         final Map<Integer, List<Event>> eventsByNode = new LinkedHashMap<>();
         final Map<Integer, String> faults = new HashMap<>();
@@ -48,23 +48,23 @@
     /**
      * Answers batches until the input ends.
      *
-     * @throws MalformedSimulatorMessageException where the input does not follow the protocol
+     * @throws MalformedSimulatorMessageException if the input violates the protocol
      */
     public void run(InputStream input, OutputStream output) throws IOException {
         MessageReader in = new MessageReader(
                 new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8), BUFFER_BYTES));
         Writer out = new BufferedWriter(new OutputStreamWriter(output, StandardCharsets.UTF_8), BUFFER_BYTES);
-        SimulatorActionWriter actions = new SimulatorActionWriter(out);
+        SimulatorActionWriter actionWriter = new SimulatorActionWriter(out);
         for (MessageFields fields = in.next(); fields != null; fields = in.next()) {
             if (!fields.name().equals("round")) {
-                throw fields.malformed("round", "a batch begins with it");
+                throw fields.malformed("round", "a batch must begin with this message");
             }
-            fields.expect(2);
+            fields.expectValues(2);
             long nowTicks = fields.ticks("clock");
-            long batchNumber = fields.whole("number");
+            long batchNumber = fields.longInteger("number");
             Batch batch = readBatch(in);
-            decide(nowTicks, batch, actions);
-            actions.writeAcknowledgement(batchNumber);
+            decide(nowTicks, batch, actionWriter);
+            actionWriter.writeAcknowledgement(batchNumber);
             out.flush();
         }
     }
@@ -83,23 +83,23 @@
     }
 
     private void readEndpointList(MessageFields fields, MessageReader in) throws IOException {
-        fields.expect(2);
+        fields.expectValues(2);
         int slot = fields.integer("slot");
         int count = fields.integer("lines");
         List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             MessageFields item = in.nextInBatch();
             if (!item.name().equals("item")) {
-                throw item.malformed("item", "the list is short");
+                throw item.malformed("item", "the endpoint list has fewer lines than announced");
             }
             entries.add(SimulatorEventReader.readEntry(item));
         }
-        events.keepList(slot, entries);
+        eventReader.storeEndpointList(slot, entries);
     }
 
     private void createNode(MessageFields fields, Batch batch) {
         int node = fields.integer("front");
-        long seed = fields.whole("rngSeed");
+        long seed = fields.longInteger("rngSeed");
         Settings settings = settings(fields);
         batch.eventsByNode.put(node, new ArrayList<>());
         try {
@@ -110,7 +110,7 @@
     }
 
     private void detachNode(MessageFields fields, Batch batch) {
-        fields.expect(1);
+        fields.expectValues(1);
         int node = fields.integer("front");
         nodes.remove(node);
         batch.eventsByNode.remove(node);
@@ -118,21 +118,21 @@
 
     private void readEvent(MessageFields fields, Batch batch) {
         int node = fields.integer("front");
-        Event event = events.read(fields);
+        Event event = eventReader.read(fields);
         if (!nodes.containsKey(node) && !batch.faults.containsKey(node)) {
             throw fields.malformed("front", "front " + node + " was not created");
         }
         batch.eventsByNode.computeIfAbsent(node, k -> new ArrayList<>()).add(event);
     }
 
-    private void decide(long nowTicks, Batch batch, SimulatorActionWriter actions) throws IOException {
+    private void decide(long nowTicks, Batch batch, SimulatorActionWriter actionWriter) throws IOException {
         for (Map.Entry<Integer, List<Event>> entry : batch.eventsByNode.entrySet()) {
             int node = entry.getKey();
             Decider decider = nodes.get(node);
             if (decider != null && !batch.faults.containsKey(node)) {
                 try {
                     for (Action action : decider.decide(nowTicks, entry.getValue())) {
-                        actions.write(node, action);
+                        actionWriter.write(node, action);
                     }
                 } catch (RuntimeException failure) {
                     batch.faults.put(node, reportFailure(node, failure));
@@ -140,7 +140,7 @@
             }
             String fault = batch.faults.get(node);
             if (fault != null) {
-                actions.writeFault(node, fault);
+                actionWriter.writeFault(node, fault);
             }
         }
     }
@@ -153,7 +153,7 @@
         }
     }
 
-    /** Writes the trace to standard error, which is not part of the protocol, and returns the failure in one line. */
+    /** Writes the stack trace to standard error, which is outside the protocol, and returns the failure as one line. */
     private static String reportFailure(int node, RuntimeException failure) {
         System.err.println("front " + node + ":");
         failure.printStackTrace();
--- a/src/main/java/laurelkeel/simulatoradapter/SimulatorEventReader.java
+++ b/src/main/java/laurelkeel/simulatoradapter/SimulatorEventReader.java
@@ -10,25 +10,28 @@
 import laurelkeel.api.Event.EndpointState;
 import laurelkeel.api.Event.RolloutPhase;
 
-/** Reads events off lines of the simulator's protocol, after the node's number. Holds the numbered endpoint lists. */
+/**
+ * Reads events from lines of the simulator's protocol, starting after the node's number. Stores the endpoint lists by
+ * their slot numbers.
+ */
 final class SimulatorEventReader {
     private static final int NO_SLOT = -1;
 
     private final Map<Integer, List<EndpointEntry>> endpointLists = new HashMap<>();
 
-    /** Keeps an endpoint list under its number, in place of an earlier one. */
-    void keepList(int slot, List<EndpointEntry> entries) {
+    /** Stores an endpoint list under its slot number and replaces an earlier one. */
+    void storeEndpointList(int slot, List<EndpointEntry> entries) {
         endpointLists.put(slot, entries);
     }
 
     /** Reads one entry of an endpoint list. */
     static EndpointEntry readEntry(MessageFields fields) {
-        fields.expect(8);
-        int build = (int) fields.number("build", 0);
+        fields.expectValues(8);
+        int build = (int) fields.optionalNumber("build", 0);
         int cell = fields.optionalInteger("pod", 0);
         int kind = fields.optionalInteger("kind", 0);
         int zone = fields.optionalInteger("campus", 0);
-        double weight = fields.number("nominal", 1);
+        double weight = fields.optionalNumber("nominal", 1);
         EndpointState state = fields.oneOf("status", SimulatorTerms.ENDPOINT_STATES);
         long startedAtTicks = fields.ticks("since");
         return new EndpointEntry(fields.text("machine"), build, zone, cell, kind, weight, state, startedAtTicks);
@@ -37,7 +40,7 @@
     /**
      * Reads an event.
      *
-     * @throws MalformedSimulatorMessageException where the line is no event or a field cannot be read
+     * @throws MalformedSimulatorMessageException if the line is not an event or a field cannot be read
      */
     Event read(MessageFields fields) {
         return switch (fields.name()) {
@@ -52,12 +55,12 @@
             case "release_state" -> releaseState(fields);
             case "counts_by_build" -> countsByBuild(fields);
             case "contested" -> contested(fields);
-            default -> throw fields.malformed(fields.name(), "is no message of the wire");
+            default -> throw fields.malformed(fields.name(), "is not a message of the protocol");
         };
     }
 
     private Event membership(MessageFields fields) {
-        fields.expect(4);
+        fields.expectValues(4);
         EndpointListKind kind = fields.oneOf("how", SimulatorTerms.LIST_KINDS);
         int slot = fields.optionalInteger("slot", NO_SLOT);
         if (kind == EndpointListKind.FAILED) {
@@ -65,32 +68,32 @@
         }
         List<EndpointEntry> entries = endpointLists.get(slot);
         if (entries == null) {
-            throw fields.malformed("slot", "list " + slot + " was not given");
+            throw fields.malformed("slot", "list " + slot + " has not been defined");
         }
         return new Event.EndpointListUpdate(kind, entries);
     }
 
     private static Event incoming(MessageFields fields) {
-        fields.expect(9);
+        fields.expectValues(9);
         return new Event.RequestReceived(
                 fields.text("opId"),
                 fields.integer("qos"),
                 fields.optionalInteger("clientGroup", 0),
                 fields.optionalText("partitionKey"),
                 fields.ticks("notAfter"),
-                fields.number("expected", 0),
+                fields.optionalNumber("expected", 0),
                 fields.flag("resent"));
     }
 
     private static Event underWay(MessageFields fields) {
-        fields.expect(5);
+        fields.expectValues(5);
         String requestId = fields.text("opId");
         fields.ticks("lag");
         return new Event.ResponseStarted(requestId, fields.integer("sendNo"));
     }
 
     private static Event returned(MessageFields fields) {
-        fields.expect(8);
+        fields.expectValues(8);
         return new Event.AttemptEnded(
                 fields.text("opId"),
                 fields.integer("sendNo"),
@@ -102,17 +105,17 @@
     }
 
     private static Event withdrawn(MessageFields fields) {
-        fields.expect(2);
+        fields.expectValues(2);
         return new Event.ClientDisconnected(fields.text("opId"));
     }
 
     private static Event ring(MessageFields fields) {
-        fields.expect(2);
-        return new Event.TimerFired(fields.whole("handle"));
+        fields.expectValues(2);
+        return new Event.TimerFired(fields.longInteger("handle"));
     }
 
     private static Event pong(MessageFields fields) {
-        fields.expect(5);
+        fields.expectValues(5);
         return new Event.HealthCheckEnded(
                 fields.text("machine"),
                 fields.oneOf("status", SimulatorTerms.ATTEMPT_OUTCOMES),
@@ -121,15 +124,15 @@
     }
 
     private static Event noteFrom(MessageFields fields) {
-        fields.expect(3);
+        fields.expectValues(3);
         return new Event.GossipReceived(fields.integer("from"), fields.bytes("bytes"));
     }
 
     private static Event releaseState(MessageFields fields) {
-        fields.expect(8);
+        fields.expectValues(8);
         ControlStatus status = fields.oneOf("status", SimulatorTerms.CONTROL_STATUSES);
         int stage = fields.optionalInteger("tranche", 0);
-        double exposureCap = fields.number("ceiling", 0);
+        double exposureCap = fields.optionalNumber("ceiling", 0);
         long ageTicks = fields.ticks("since");
         RolloutPhase phase = phase(fields);
         int build = fields.optionalInteger("build", 0);
@@ -145,18 +148,18 @@
     }
 
     private static Event countsByBuild(MessageFields fields) {
-        fields.expect(7);
+        fields.expectValues(7);
         return new Event.BuildStatistics(
                 fields.integer("build"),
                 fields.integer("qos"),
-                fields.whole("count"),
-                fields.whole("errors"),
+                fields.longInteger("count"),
+                fields.longInteger("errors"),
                 fields.ticks("lag"),
                 fields.ticks("since"));
     }
 
     private static Event contested(MessageFields fields) {
-        fields.expect(4);
+        fields.expectValues(4);
         return new Event.ComplaintReceived(
                 fields.text("machine"), fields.ticks("since"), fields.optionalInteger("qos", 0));
     }
--- a/src/main/java/laurelkeel/simulatoradapter/SimulatorTerms.java
+++ b/src/main/java/laurelkeel/simulatoradapter/SimulatorTerms.java
@@ -9,7 +9,7 @@
 import laurelkeel.api.Event.EndpointState;
 import laurelkeel.api.Event.RolloutPhase;
 
-/** Maps the names and numbers of the simulator's protocol to the terms of the API. */
+/** Maps the names and numbers of the simulator's protocol to the enumerations of {@code laurelkeel.api} and back. */
 final class SimulatorTerms {
     /** Values of {@code status} in {@code returned} and {@code pong}. */
     static final Map<String, AttemptOutcome> ATTEMPT_OUTCOMES = Map.of(
@@ -50,17 +50,17 @@
             "C", EndpointListKind.CACHED,
             "X", EndpointListKind.FAILED);
 
-    /** Values of {@code status} in an {@code item} of a pool. */
+    /** Values of {@code status} in an {@code item} of a {@code pool}. */
     static final Map<String, EndpointState> ENDPOINT_STATES =
             Map.of("live", EndpointState.ACTIVE, "quiescing", EndpointState.DRAINING, "dead", EndpointState.REMOVED);
 
-    /** The phases by their numbers in {@code whereAt}. */
+    /** The phases, indexed by their numbers in {@code whereAt} of {@code release_state}. */
     static final List<RolloutPhase> PHASES =
             List.of(RolloutPhase.CANARY, RolloutPhase.ROLLING_BACK, RolloutPhase.RELEASED, RolloutPhase.ROLLED_BACK);
 
     private SimulatorTerms() {}
 
-    /** The number of a verdict in {@code sense}. */
+    /** Returns the number of a verdict, which is the field {@code sense} of {@code say_so}. */
     static int verdictNumber(Verdict verdict) {
         return switch (verdict) {
             case NONE -> 0;
--- a/src/test/java/laurelkeel/simulatoradapter/SimulatorAdapterTest.java
+++ b/src/test/java/laurelkeel/simulatoradapter/SimulatorAdapterTest.java
@@ -11,9 +11,9 @@
 import laurelkeel.decision.RoutingDecider;
 import org.junit.jupiter.api.Test;
 
-/** The adapter answers batches of the simulator and refuses malformed ones. */
+/** The adapter answers the simulator's batches and rejects malformed ones. */
 class SimulatorAdapterTest {
-    private static final String START =
+    private static final String FIRST_BATCH =
             """
             round 1000.25 1
             create 0 7 balancers=1 services.count=1 services.0.effect=safe services.0.onTime=800.0 unknown.key=3 \
@@ -25,7 +25,7 @@
             commit
             """;
 
-    private static String play(String text) throws Exception {
+    private static String reply(String text) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new SimulatorAdapter(RoutingDecider::new)
                 .run(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), out);
@@ -33,14 +33,14 @@
     }
 
     @Test
-    void requestIsForwardedAndBatchAcknowledged() throws Exception {
-        String reply = play(START + "round 1005.25 2\nincoming 0 r-1 0 0 - 1800.0 - 0 0\ncommit\n");
+    void forwardsARequestAndAcknowledgesTheBatch() throws Exception {
+        String reply = reply(FIRST_BATCH + "round 1005.25 2\nincoming 0 r-1 0 0 - 1800.0 - 0 0\ncommit\n");
         assertTrue(reply.contains("hand_off 0 r-1 10.0.0.1:80 "), reply);
         assertTrue(reply.endsWith("ack 2\n"), reply);
     }
 
     @Test
-    void malformedInputIsRefusedWithLineAndField() {
+    void rejectsMalformedInputNamingLineAndField() {
         for (String[] inputAndField : new String[][] {
             {"round x 2\ncommit\n", "round.clock"},
             {"round 1 2\n", "commit"},
@@ -50,19 +50,19 @@
             {"round 1 2\nring 9 1\ncommit\n", "ring.front"}
         }) {
             MalformedSimulatorMessageException e =
-                    assertThrows(MalformedSimulatorMessageException.class, () -> play(START + inputAndField[0]));
+                    assertThrows(MalformedSimulatorMessageException.class, () -> reply(FIRST_BATCH + inputAndField[0]));
             assertTrue(
                     e.getMessage().contains(inputAndField[1]) && e.getMessage().contains("line "), e.getMessage());
         }
     }
 
     @Test
-    void failingDeciderIsReportedAsFaultOfItsNodeOnly() throws Exception {
+    void reportsAFailingDeciderAsAFaultOfItsNodeOnly() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new SimulatorAdapter((set, seed) -> (now, events) -> {
+        new SimulatorAdapter((settings, seed) -> (now, events) -> {
                     throw new IllegalStateException("boom\nhere");
                 })
-                .run(new ByteArrayInputStream(START.getBytes(StandardCharsets.UTF_8)), out);
+                .run(new ByteArrayInputStream(FIRST_BATCH.getBytes(StandardCharsets.UTF_8)), out);
         assertEquals("fault 0 java.lang.IllegalStateException: boom here\nack 1\n", out.toString(UTF_8));
     }
 }
--- a/src/test/java/laurelkeel/simulatoradapter/SimulatorTermsTest.java
+++ b/src/test/java/laurelkeel/simulatoradapter/SimulatorTermsTest.java
@@ -17,10 +17,10 @@
 import laurelkeel.api.Event.RolloutPhase;
 import org.junit.jupiter.api.Test;
 
-/** The names on the simulator's wire are those of its page, whatever the code calls things. */
+/** The names used on the wire are those of the simulator's protocol, independent of the names in the code. */
 class SimulatorTermsTest {
     @Test
-    void everyNameOfThePageHasATermAndEveryTermAName() {
+    void mapsEveryProtocolNameToATermAndEveryTermToAName() {
         assertEquals(
                 Set.of(
                         "OK",
@@ -56,24 +56,24 @@
     }
 
     @Test
-    void everyActionIsWrittenUnderItsNameOnTheWire() throws IOException {
-        assertEquals("hand_off 3 r 10.0.0.1:80 80.5", written(new Action.SendAttempt("r", "10.0.0.1:80", 805)));
-        assertEquals("stop_attempt 3 r 1", written(new Action.CancelAttempt("r", 1)));
-        assertEquals("deny 3 r 500.0", written(new Action.RejectRequest("r", 5000)));
-        assertEquals("lose 3 r", written(new Action.FailRequest("r")));
-        assertEquals("after 3 8912.2 77", written(new Action.StartTimer(89_122, 77)));
-        assertEquals("after 3 -0.5 77", written(new Action.StartTimer(-5, 77)));
-        assertEquals("ask_load 3 m", written(new Action.SendHealthCheck("m")));
-        assertEquals("disconnect 3 m", written(new Action.CloseIdleConnections("m")));
-        assertEquals("notify 3 all 6869", written(new Action.SendGossip(-1, new byte[] {0x68, 0x69})));
-        assertEquals("notify 3 2 -", written(new Action.SendGossip(2, new byte[0])));
-        assertEquals("watch 3 1", written(new Action.WatchEndpoints(true)));
-        assertEquals("query_all 3", written(new Action.FetchEndpoints()));
-        assertEquals("say_so 3 42 2 1", written(new Action.CastVote(42, 2, Verdict.PROMOTE)));
-        assertEquals("print 3 two servers known", written(new Action.WriteLog("two servers known")));
+    void writesEveryActionUnderItsProtocolName() throws IOException {
+        assertEquals("hand_off 3 r 10.0.0.1:80 80.5", writtenLine(new Action.SendAttempt("r", "10.0.0.1:80", 805)));
+        assertEquals("stop_attempt 3 r 1", writtenLine(new Action.CancelAttempt("r", 1)));
+        assertEquals("deny 3 r 500.0", writtenLine(new Action.RejectRequest("r", 5000)));
+        assertEquals("lose 3 r", writtenLine(new Action.FailRequest("r")));
+        assertEquals("after 3 8912.2 77", writtenLine(new Action.StartTimer(89_122, 77)));
+        assertEquals("after 3 -0.5 77", writtenLine(new Action.StartTimer(-5, 77)));
+        assertEquals("ask_load 3 m", writtenLine(new Action.SendHealthCheck("m")));
+        assertEquals("disconnect 3 m", writtenLine(new Action.CloseIdleConnections("m")));
+        assertEquals("notify 3 all 6869", writtenLine(new Action.SendGossip(-1, new byte[] {0x68, 0x69})));
+        assertEquals("notify 3 2 -", writtenLine(new Action.SendGossip(2, new byte[0])));
+        assertEquals("watch 3 1", writtenLine(new Action.WatchEndpoints(true)));
+        assertEquals("query_all 3", writtenLine(new Action.FetchEndpoints()));
+        assertEquals("say_so 3 42 2 1", writtenLine(new Action.CastVote(42, 2, Verdict.PROMOTE)));
+        assertEquals("print 3 two servers known", writtenLine(new Action.WriteLog("two servers known")));
     }
 
-    private static String written(Action action) throws IOException {
+    private static String writtenLine(Action action) throws IOException {
         StringWriter out = new StringWriter();
         new SimulatorActionWriter(out).write(3, action);
         return out.toString().strip();
