--- a/src/main/java/laurelkeel/cli/AttributionPrinter.java
+++ b/src/main/java/laurelkeel/cli/AttributionPrinter.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import laurelkeel.cli.AttributionSummary.Finding;
 
-/** Prints an attribution report for people: a table of all builds, the evidence of each, and what was left out. */
+/** Prints an attribution report as text: a table of all builds, the evidence for each, and the omitted reports. */
 final class AttributionPrinter {
     private final PrintStream out;
 
@@ -15,11 +15,11 @@
     void print(AttributionSummary report) {
         out.printf(
                 "%-7s %-14s %-12s %-10s %-24s %s%n",
-                "build", "verdict", "probability", "by", "effect (95%)", "on trial for");
+                "build", "verdict", "probability", "evidence", "effect (95%)", "rollout age");
         report.findings().forEach(this::printRow);
         report.findings().forEach(this::printEvidence);
         out.printf(
-                "%nreports left out: %d doubled, %d late; cells: %d unsound, %d beyond the bounds%n",
+                "%nreports omitted: %d duplicate, %d late; cells omitted: %d invalid, %d over the limit%n",
                 report.duplicateReports(), report.lateReports(), report.invalidCells(), report.overLimitCells());
     }
 
@@ -30,21 +30,21 @@
                 Locale.ROOT,
                 "%-7d %-14s %-12.3f %-10s %-24s %d s%n",
                 finding.build(),
-                words(finding.verdict()),
+                toWords(finding.verdict()),
                 finding.probability(),
-                words(finding.kind()),
+                toWords(finding.kind()),
                 effect,
                 finding.afterSeconds());
     }
 
     private void printEvidence(Finding finding) {
         out.println();
-        out.println(finding.evidence() + (finding.hold() ? " (held)" : ""));
+        out.println(finding.evidence() + (finding.hold() ? " (promotion held)" : ""));
         finding.considered().forEach(cause -> out.println("  considered: " + cause));
     }
 
-    /** A constant's name as words. */
-    private static String words(String constantName) {
+    /** Converts a constant's name to lower-case words. */
+    private static String toWords(String constantName) {
         return constantName.toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 }
--- a/src/main/java/laurelkeel/cli/AttributionSummary.java
+++ b/src/main/java/laurelkeel/cli/AttributionSummary.java
@@ -8,29 +8,29 @@
 import java.util.stream.StreamSupport;
 
 /**
- * What a rollout service has found out from its nodes' reports.
+ * The findings of a rollout service from its nodes' reports.
  *
- * @param duplicateReports reports that came more than once
- * @param lateReports reports that came too late to be counted
- * @param invalidCells cells of reports with impossible figures
- * @param overLimitCells cells beyond the bounds of a report
+ * @param duplicateReports number of reports that were received more than once
+ * @param lateReports number of reports that were received too late to be counted
+ * @param invalidCells number of cells of reports that had impossible values
+ * @param overLimitCells number of cells that exceeded the size limits of a report
  */
 record AttributionSummary(
         List<Finding> findings, long duplicateReports, long lateReports, long invalidCells, long overLimitCells) {
 
     /**
-     * What is known of one build's part in a regression.
+     * What is known about one build's part in a regression.
      *
-     * @param verdict the service's word for it
-     * @param probability that the build causes a regression, from 0 to 1
-     * @param kind the strongest evidence against it, in the service's word
+     * @param verdict the verdict's name, as the service sends it
+     * @param probability the probability that the build causes a regression, from 0 to 1
+     * @param kind the kind of the strongest evidence against the build, as the service sends it
      * @param effect how much worse the build is, a difference of shares or a ratio of latencies
      * @param low lower limit of the effect's 95% confidence interval
      * @param high upper limit of the effect's 95% confidence interval
-     * @param evidence one sentence for people
-     * @param considered other causes that were looked at, each with the result
-     * @param hold whether the build should not be promoted yet
-     * @param afterSeconds since the rollout started
+     * @param evidence the evidence as one sentence
+     * @param considered other causes that were examined, each with the result
+     * @param hold whether the build should not be promoted for now
+     * @param afterSeconds seconds since the rollout started
      */
     record Finding(
             int build,
@@ -46,12 +46,12 @@
             long afterSeconds) {}
 
     /**
-     * Reads the page of findings; fields that it lacks are empty or 0.
+     * Parses the service's response; missing fields are empty or 0.
      *
-     * @throws JsonProcessingException where it is no JSON
+     * @throws JsonProcessingException if the text is not JSON
      */
-    static AttributionSummary parse(String page) throws JsonProcessingException {
-        JsonNode report = new ObjectMapper().readTree(page);
+    static AttributionSummary parse(String json) throws JsonProcessingException {
+        JsonNode report = new ObjectMapper().readTree(json);
         return new AttributionSummary(
                 elements(report.path("findings"))
                         .map(AttributionSummary::finding)
--- a/src/test/java/laurelkeel/cli/AttributionPrinterTest.java
+++ b/src/test/java/laurelkeel/cli/AttributionPrinterTest.java
@@ -8,37 +8,37 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A page of findings is read into a report, and printed as a table with the evidence below it. */
+/** Findings are parsed from JSON and printed as a table, with the evidence below it. */
 class AttributionPrinterTest {
-    private static final String PAGE =
+    private static final String FINDINGS_JSON =
             """
             {"findings":[{"build":3,"verdict":"NOT_YET_KNOWN","probability":0.25,"kind":"HARMS_ALL","effect":1.5,"low":1.0,
              "high":2.25,"evidence":"all slow down","considered":["no burst"],"hold":true,"setAside":false,
              "afterSeconds":12}],"reportsDoubled":1,"reportsLate":2,"cellsUnsound":3,"beyondBounds":4}""";
 
-    private static String printed(AttributionSummary report) {
+    private static String print(AttributionSummary report) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         new AttributionPrinter(new PrintStream(bytes, true, UTF_8)).print(report);
         return bytes.toString(UTF_8).replace(System.lineSeparator(), "\n");
     }
 
     @Test
-    void aFindingIsARowAndItsEvidence() throws Exception {
+    void printsAFindingAsARowAndItsEvidence() throws Exception {
         assertEquals(
                 """
-                build   verdict        probability  by         effect (95%)             on trial for
+                build   verdict        probability  evidence   effect (95%)             rollout age
                 3       not yet known  0.250        harms all  1.500 (1.000 to 2.250)   12 s
 
-                all slow down (held)
+                all slow down (promotion held)
                   considered: no burst
 
-                reports left out: 1 doubled, 2 late; cells: 3 unsound, 4 beyond the bounds
+                reports omitted: 1 duplicate, 2 late; cells omitted: 3 invalid, 4 over the limit
                 """,
-                printed(AttributionSummary.parse(PAGE)));
+                print(AttributionSummary.parse(FINDINGS_JSON)));
     }
 
     @Test
-    void whatAPageLacksIsEmpty() throws Exception {
+    void missingFieldsAreEmpty() throws Exception {
         assertEquals(new AttributionSummary(List.of(), 0, 0, 0, 0), AttributionSummary.parse("{}"));
     }
 }
