--- a/src/main/java/laurelkeel/cli/SoakCommand.java
+++ b/src/main/java/laurelkeel/cli/SoakCommand.java
@@ -12,13 +12,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command {@code soak}: runs real front nodes among misbehaving servers and judges them. */
+/** The command {@code soak}: runs real front nodes against misbehaving servers and checks the rules. */
 @Command(
         name = "soak",
         mixinStandardHelpOptions = true,
         description = {
-            "Runs real front nodes between stand-ins with faults, one seed a run, and judges them from the sockets.",
-            "Signals, crowds, failing system calls and steps of the clock are drawn from the seed (docs/soak.md)."
+            "Runs real front nodes against faulty stub services, one run per seed, and audits the traffic on the sockets.",
+            "Signals, connection floods, failing system calls and clock steps are generated from the seed (docs/soak.md)."
         })
 @SuppressWarnings("NullAway.Init") // picocli sets the fields
 final class SoakCommand implements Callable<Integer> {
@@ -26,19 +26,19 @@
             names = "--seeds",
             defaultValue = "1-50",
             paramLabel = "FIRST-LAST",
-            description = "seeds to play; default: ${DEFAULT-VALUE}")
+            description = "seeds to run; default: ${DEFAULT-VALUE}")
     private String seeds;
 
     @Option(
             names = "--seconds",
             defaultValue = "10",
-            description = "how long events come in each run; default: ${DEFAULT-VALUE}")
+            description = "seconds with events in each run; default: ${DEFAULT-VALUE}")
     private int seconds;
 
     @Option(
             names = "--quiet",
             defaultValue = "0",
-            description = "seconds without events at first; default: ${DEFAULT-VALUE}")
+            description = "seconds without events at the start of each run; default: ${DEFAULT-VALUE}")
     private int quietSeconds;
 
     @Option(
@@ -46,27 +46,27 @@
             split = ",",
             paramLabel = "PART",
             description = {
-                "parts of a run that are left out, by the names that a broken run prints:",
-                "numbers of events, clock, calls"
+                "parts to omit from each run, by the names that a broken run prints:",
+                "event numbers, clock, calls"
             })
-    private Set<String> without = Set.of();
+    private Set<String> omittedParts = Set.of();
 
     @Option(
             names = "--shrink",
-            description = "a broken run is played again with ever fewer parts, while it still breaks")
+            description = "repeat a broken run with fewer and fewer parts as long as it still breaks a rule")
     private boolean shrink;
 
     @Option(
             names = "--parallel",
             defaultValue = "1",
-            description = "runs at a time, each wants two cores; default: ${DEFAULT-VALUE}")
+            description = "number of concurrent runs; each needs two cores; default: ${DEFAULT-VALUE}")
     private int parallel;
 
     @Option(
             names = "--out",
             defaultValue = "target/soak",
             paramLabel = "DIR",
-            description = "for logs; default: ${DEFAULT-VALUE}")
+            description = "folder for logs; default: ${DEFAULT-VALUE}")
     private Path out;
 
     @Override
@@ -75,24 +75,24 @@
         try {
             range = SeedRange.parse(seeds);
         } catch (NumberFormatException e) {
-            System.err.println("laurelkeel: --seeds wants FIRST-LAST, as 1-50, and not '" + seeds + "'");
+            System.err.println("laurelkeel: --seeds must be FIRST-LAST, for example 1-50, but is '" + seeds + "'");
             return Cli.BAD_INPUT;
         }
         if (seconds < 1 || parallel < 1 || quietSeconds < 0 || range.isEmpty()) {
             System.err.println(
-                    "laurelkeel: --seconds and --parallel must be above 0, --quiet at least 0, and --seeds must not go down");
+                    "laurelkeel: --seconds and --parallel must be above 0, --quiet at least 0, and the range of --seeds must not be empty");
             return Cli.BAD_INPUT;
         }
         Files.createDirectories(out);
         NodeImage image = NodeImage.make(out.toAbsolutePath());
         Optional<Path> faults = FaultLibrary.build(out.toAbsolutePath());
         if (faults.isEmpty()) {
-            System.out.println("no C compiler: no failing calls, no steps of the clock");
+            System.out.println("no working C compiler: running without failing system calls and clock steps");
         }
         List<SoakPlan> plans = range.seeds()
-                .mapToObj(seed -> SoakPlan.draw(seed, quietSeconds, seconds).without(without))
+                .mapToObj(seed -> SoakPlan.draw(seed, quietSeconds, seconds).without(omittedParts))
                 .toList();
-        int broken = new SoakSeries(image, faults, out.toAbsolutePath(), shrink, System.out).play(plans, parallel);
+        int broken = new SoakSeries(image, faults, out.toAbsolutePath(), shrink, System.out).execute(plans, parallel);
         return broken == 0 ? 0 : Cli.RULE_BROKEN;
     }
 }
--- a/src/main/java/laurelkeel/cli/SoakSeries.java
+++ b/src/main/java/laurelkeel/cli/SoakSeries.java
@@ -15,39 +15,39 @@
 import laurelkeel.soak.SoakResult;
 import laurelkeel.soak.SoakRun;
 
-/** Plays soak runs, some at a time, and prints what each of them found. */
+/** Executes soak runs, several at a time, and prints the result of each. */
 final class SoakSeries {
     private final NodeImage image;
     private final Optional<Path> faultLibrary;
     private final Path folder;
-    private final boolean shrinks;
+    private final boolean shrinkEnabled;
     private final PrintStream out;
 
     /**
      * Creates a series.
      *
-     * @param folder each run gets a folder in it
-     * @param shrinks whether a plan that breaks a rule is reduced to the parts that this needs
+     * @param folder the folder in which each run creates its own
+     * @param shrinkEnabled whether a plan that breaks a rule is reduced to the parts that are needed to break it
      */
-    SoakSeries(NodeImage image, Optional<Path> faultLibrary, Path folder, boolean shrinks, PrintStream out) {
+    SoakSeries(NodeImage image, Optional<Path> faultLibrary, Path folder, boolean shrinkEnabled, PrintStream out) {
         this.image = image;
         this.faultLibrary = faultLibrary;
         this.folder = folder;
-        this.shrinks = shrinks;
+        this.shrinkEnabled = shrinkEnabled;
         this.out = out;
     }
 
     /**
-     * Plays all plans and returns how many of them broke a rule.
+     * Executes all plans and returns how many of them broke a rule.
      *
-     * @param parallel runs at a time
-     * @throws Exception where a run cannot be played
+     * @param parallel the number of concurrent runs
+     * @throws Exception if a run cannot be executed
      */
-    int play(List<SoakPlan> plans, int parallel) throws Exception {
+    int execute(List<SoakPlan> plans, int parallel) throws Exception {
         ExecutorService executor = Executors.newFixedThreadPool(parallel);
         List<Future<SoakResult>> results = new ArrayList<>();
         for (SoakPlan plan : plans) {
-            results.add(executor.submit(() -> play(plan)));
+            results.add(executor.submit(() -> execute(plan)));
         }
         executor.shutdown();
         int broken = 0;
@@ -58,7 +58,7 @@
         return broken;
     }
 
-    private SoakResult play(SoakPlan plan) throws IOException, InterruptedException {
+    private SoakResult execute(SoakPlan plan) throws IOException, InterruptedException {
         return SoakRun.play(plan, image, faultLibrary, folder.resolve("seed-" + plan.seed()));
     }
 
@@ -68,18 +68,18 @@
         out.println("seed " + result.plan().seed() + (kept ? " kept: " : " BROKEN: ") + result.counts());
         if (!kept) {
             result.violations().forEach(violation -> out.println("    " + violation));
-            SoakPlan plan = shrinks ? shrink(result.plan()) : result.plan();
-            out.println("    drawn: " + plan);
-            out.println("    again: bin/laurelkeel soak " + options(plan));
+            SoakPlan plan = shrinkEnabled ? shrink(result.plan()) : result.plan();
+            out.println("    plan: " + plan);
+            out.println("    rerun: bin/laurelkeel soak " + options(plan));
         }
         return kept;
     }
 
     private SoakPlan shrink(SoakPlan plan) throws Exception {
-        return Shrinker.shrink(plan, smaller -> !play(smaller).violations().isEmpty());
+        return Shrinker.shrink(plan, smaller -> !execute(smaller).violations().isEmpty());
     }
 
-    /** The options that play this plan again. */
+    /** Returns the command-line options that execute this plan again. */
     private static String options(SoakPlan plan) {
         StringBuilder options = new StringBuilder("--seeds " + plan.seed() + " --seconds " + plan.seconds());
         if (plan.quietSeconds() > 0) {
