--- a/src/main/java/laurelkeel/cli/BenchCommand.java
+++ b/src/main/java/laurelkeel/cli/BenchCommand.java
@@ -26,11 +26,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The command {@code bench}: its subcommands measure, and {@code docs/results} keeps their tables. */
+/** The command {@code bench}: its subcommands run benchmarks, whose tables are stored in {@code docs/results}. */
 @Command(
         name = "bench",
         mixinStandardHelpOptions = true,
-        description = "Measures; docs/results/ keeps the tables.",
+        description = "Runs benchmarks; docs/results/ has their tables.",
         subcommands = {
             BenchCommand.DecisionsCommand.class,
             BenchCommand.StreamsCommand.class,
@@ -51,13 +51,13 @@
         return Cli.BAD_INPUT;
     }
 
-    /** Measures the decisions alone with JMH. */
+    /** Measures the decider by itself with JMH. */
     @Command(
             name = "decisions",
             mixinStandardHelpOptions = true,
-            description = "What a request costs the decider alone (JMH), by endpoints and phase.")
+            description = "Measures the decider's cost per request with JMH, by number of endpoints and phase.")
     static final class DecisionsCommand implements Callable<Integer> {
-        @Option(names = "--allocation", description = "also what it allocates")
+        @Option(names = "--allocation", description = "also measure allocation")
         private boolean allocation;
 
         @Override
@@ -71,12 +71,12 @@
         }
     }
 
-    /** Prints the checksums of all actions in the generated event streams. */
+    /** Prints the checksums of all actions that the decider returns for generated event streams. */
     @Command(
             name = "streams",
             mixinStandardHelpOptions = true,
             description =
-                    "Checksums of all actions in generated event streams, to compare two versions of the decisions.")
+                    "Prints checksums of all actions for generated event streams, to compare two versions of the decider.")
     static final class StreamsCommand implements Callable<Integer> {
         private static final int FIRST_SEED = 100;
         private static final int LAST_SEED = 115;
@@ -90,11 +90,11 @@
         }
     }
 
-    /** Measures a front node beside a bare relay. */
+    /** Compares a front node with a bare relay. */
     @Command(
             name = "front",
             mixinStandardHelpOptions = true,
-            description = "A front beside a bare relay: throughput, time added, CPU, allocation, memory.")
+            description = "Compares a front with a bare relay: throughput, added latency, CPU, allocation, memory.")
     @SuppressWarnings("NullAway.Init") // picocli sets the fields
     static final class FrontBenchCommand implements Callable<Integer> {
         @Option(names = "--machines", split = ",", defaultValue = "10,300", description = "default: ${DEFAULT-VALUE}")
@@ -103,19 +103,25 @@
         @Option(
                 names = "--seconds",
                 defaultValue = "8",
-                description = "measured time of each phase, after as much to warm up (default: ${DEFAULT-VALUE})")
+                description =
+                        "measured duration of each phase, after a warm-up of the same length (default: ${DEFAULT-VALUE})")
         private double seconds;
 
-        @Option(names = "--java-option", description = "more for the measured processes; @NAME@ becomes front or relay")
+        @Option(
+                names = "--java-option",
+                description = "additional option for the measured JVMs; @NAME@ is replaced by front or relay")
         private List<String> javaOptions = List.of();
 
         @Option(
                 names = "--rounds",
                 defaultValue = "3",
-                description = "relay and front in turn (default: ${DEFAULT-VALUE})")
+                description = "rounds, each with a relay and a front (default: ${DEFAULT-VALUE})")
         private int rounds;
 
-        @Option(names = "--idle", defaultValue = "10000", description = "idle connections (default: ${DEFAULT-VALUE})")
+        @Option(
+                names = "--idle",
+                defaultValue = "10000",
+                description = "number of idle connections (default: ${DEFAULT-VALUE})")
         private int idleConnections;
 
         @Option(
@@ -131,42 +137,52 @@
         }
     }
 
-    /** Judges generated release days by the attribution and by naive rules. */
+    /** Compares the attribution with naive rules on generated rollout days. */
     @Command(
             name = "blame",
             mixinStandardHelpOptions = true,
-            description = "Generated release days judged by the attribution and by naive rules: a table and charts.")
+            description = "Compares the attribution with naive rules on generated rollout days: a table and charts.")
     @SuppressWarnings("NullAway.Init") // picocli sets the fields
     static final class AttributionBenchCommand implements Callable<Integer> {
-        @Option(names = "--days", defaultValue = "100", description = "of each kind of bad (default: ${DEFAULT-VALUE})")
-        private int badDays;
+        @Option(
+                names = "--days",
+                defaultValue = "100",
+                description = "days of each kind of fault (default: ${DEFAULT-VALUE})")
+        private int daysPerFault;
 
-        @Option(names = "--honest", defaultValue = "400", description = "with no bad build (default: ${DEFAULT-VALUE})")
-        private int honestDays;
+        @Option(
+                names = "--honest",
+                defaultValue = "400",
+                description = "days without a bad build (default: ${DEFAULT-VALUE})")
+        private int faultlessDays;
 
         @Option(names = "--seed", defaultValue = "1", description = "default: ${DEFAULT-VALUE}")
         private long seed;
 
-        @Option(names = "--charts", paramLabel = "FOLDER", description = "where two charts go")
-        private @Nullable Path charts;
+        @Option(names = "--charts", paramLabel = "FOLDER", description = "folder for two charts")
+        private @Nullable Path chartFolder;
 
         @Override
         public Integer call() throws Exception {
-            AttributionBenchmark.run(badDays, honestDays, seed, charts, System.out);
+            AttributionBenchmark.run(daysPerFault, faultlessDays, seed, chartFolder, System.out);
             return 0;
         }
     }
 
-    /** Measures what several rollouts at a time cost. */
+    /** Measures the cost of concurrent rollouts. */
     @Command(
             name = "lanes",
             mixinStandardHelpOptions = true,
-            description = "What three releases cost a request beside one, and many fronts' reports the attribution.")
+            description =
+                    "Measures the cost per request of three concurrent rollouts and of one, and of attribution with many fronts.")
     static final class PartitionBenchCommand implements Callable<Integer> {
         @Option(names = "--rounds", defaultValue = "7", description = "default: ${DEFAULT-VALUE}")
         private int rounds;
 
-        @Option(names = "--reqs", defaultValue = "100000", description = "a round (default: ${DEFAULT-VALUE})")
+        @Option(
+                names = "--reqs",
+                defaultValue = "100000",
+                description = "requests per round (default: ${DEFAULT-VALUE})")
         private int requests;
 
         @Override
@@ -176,13 +192,13 @@
         }
     }
 
-    /** Measures a real node as its endpoints become more and smaller. */
+    /** Measures a real node as the number of endpoints grows and each of them gets smaller. */
     @Command(
             name = "scale",
             mixinStandardHelpOptions = true,
             description = {
-                "What a real node needs as the endpoints become more and smaller: CPU, memory, descriptors, connections, lists.",
-                "The first scale is the usual size; what goes past the acceptance's limits is printed."
+                "Measures a real node with increasing numbers of smaller endpoints: CPU, memory, descriptors, connections, endpoint lists.",
+                "The first scale is the normal size; figures above the acceptance limits are printed."
             })
     @SuppressWarnings("NullAway.Init") // picocli sets the fields
     static final class ScaleBenchCommand implements Callable<Integer> {
@@ -196,7 +212,10 @@
         @Option(names = "--scales", split = ",", defaultValue = "1,4,16", description = "default: ${DEFAULT-VALUE}")
         private List<Integer> scales;
 
-        @Option(names = "--seconds", defaultValue = "40", description = "of each run (default: ${DEFAULT-VALUE})")
+        @Option(
+                names = "--seconds",
+                defaultValue = "40",
+                description = "duration of each run (default: ${DEFAULT-VALUE})")
         private int seconds;
 
         @Option(names = "--seed", defaultValue = "1", description = "default: ${DEFAULT-VALUE}")
@@ -224,8 +243,8 @@
         }
     }
 
-    /** Runs the bare relay, as a process that {@link FrontBenchCommand} starts. */
-    @Command(name = "relay", hidden = true, description = "The bare relay: LISTEN ADMIN PORT,PORT...")
+    /** Runs the bare relay, in a process that {@link FrontBenchCommand} starts. */
+    @Command(name = "relay", hidden = true, description = "Runs the bare relay: LISTEN ADMIN PORT,PORT...")
     @SuppressWarnings("NullAway.Init") // picocli sets the fields
     static final class BareRelayCommand implements Callable<Integer> {
         @Parameters(index = "0")
--- a/src/main/java/laurelkeel/cli/BlameCommand.java
+++ b/src/main/java/laurelkeel/cli/BlameCommand.java
@@ -11,20 +11,21 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command {@code blame}: prints what a rollout service has found out about the builds on trial. */
+/** The command {@code blame}: prints a rollout service's findings on the builds in rollout. */
 @Command(
         name = "blame",
         mixinStandardHelpOptions = true,
-        description = "Service dropped: which release? Asks a rollout service what its fronts' reports say.")
+        description =
+                "Shows which build causes a regression: fetches a rollout service's findings from its fronts' reports.")
 @SuppressWarnings("NullAway.Init") // picocli sets the fields
 final class BlameCommand implements Callable<Integer> {
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
     private static final int HTTP_OK = 200;
 
-    @Parameters(paramLabel = "HOST:PORT", description = "where the rollout service is")
+    @Parameters(paramLabel = "HOST:PORT", description = "address of the rollout service")
     private String service;
 
-    @Option(names = "--json", description = "the findings as data")
+    @Option(names = "--json", description = "print the findings as JSON")
     private boolean json;
 
     @Override
@@ -36,12 +37,13 @@
             System.err.println("laurelkeel: " + service + " does not answer: " + e.getMessage());
             return Cli.FAILED;
         } catch (IllegalArgumentException e) {
-            System.err.println("laurelkeel: '" + service + "' is no address; write as 127.0.0.1:9200");
+            System.err.println("laurelkeel: '" + service
+                    + "' is not a valid address; expected HOST:PORT, for example 127.0.0.1:9200");
             return Cli.BAD_INPUT;
         }
         if (response.statusCode() != HTTP_OK) {
-            System.err.println(
-                    "laurelkeel: " + service + " answers " + response.statusCode() + "; is it a release line?");
+            System.err.println("laurelkeel: " + service + " answered with status " + response.statusCode()
+                    + "; is it a rollout service?");
             return Cli.FAILED;
         }
         if (json) {
--- a/src/main/java/laurelkeel/cli/CheckCommand.java
+++ b/src/main/java/laurelkeel/cli/CheckCommand.java
@@ -15,8 +15,8 @@
         name = "check",
         mixinStandardHelpOptions = true,
         description = {
-            "Checks settings files of fronts and days, and starts nothing.",
-            "Reports all errors at once, each with file, line and correction."
+            "Validates settings files of fronts and days without starting anything.",
+            "Reports all errors, each with file, line and correction."
         })
 @SuppressWarnings("NullAway.Init") // picocli sets the fields
 final class CheckCommand implements Callable<Integer> {
--- a/src/main/java/laurelkeel/cli/ClassArchiveTraining.java
+++ b/src/main/java/laurelkeel/cli/ClassArchiveTraining.java
@@ -11,12 +11,13 @@
 import laurelkeel.platform.PlatformNode;
 
 /**
- * Runs a front node between stub services on loopback, with a few hundred requests, a reload and a drain. The build runs
- * it to learn which classes a node needs (deploy/prepare.sh): a node that starts on half a core is ready far sooner then.
+ * Runs a front node with stub services on loopback through a few hundred requests, a reload and a drain. The build uses
+ * this run to record the classes for the class data sharing archive (deploy/prepare.sh). With the archive, a node that
+ * starts on half a core is ready far sooner.
  */
 final class ClassArchiveTraining {
     private static final int REQUESTS = 400;
-    /** Takes the addresses of discovery and of the control service, and the endpoint list that the node starts with. */
+    /** Parameters: the addresses of discovery and of the control service, and the node's initial endpoint list. */
     private static final String CONFIGURATION =
             """
             {"name":"rehearsal","listen":"127.0.0.1:0","discovery":"%s","seed":"1","limits":{"sockets":256},
@@ -33,21 +34,21 @@
     private ClassArchiveTraining() {}
 
     /**
-     * Runs the node once, to its end.
+     * Runs the node once, until it has drained.
      *
-     * @return the process's exit code: 0 where the node served all requests
-     * @throws Exception where the node cannot be started or one of its connections fails
+     * @return the process's exit code: 0 if the node served all requests
+     * @throws Exception if the node cannot be started or one of its connections fails
      */
     static int run() throws Exception {
         NodeConfiguration configuration = configuration(TrainingServices.start());
         PlatformNode node = PlatformNode.create(configuration, RoutingDecider::new);
         FrontNode front = node.frontNode();
         int port = front.start().getPort();
-        int served = serve(port);
+        int served = sendRequests(port);
         node.reconfigure(configuration);
         front.drain();
         front.termination().get();
-        System.err.println("rehearsed: " + served + " of " + REQUESTS + " requests served");
+        System.err.println("class archive training: " + served + " of " + REQUESTS + " requests served");
         return served == REQUESTS ? 0 : Cli.FAILED;
     }
 
@@ -58,11 +59,11 @@
         return NodeConfiguration.of(new ObjectMapper().readTree(text), Map.of());
     }
 
-    /** Sends requests until one fails, and returns how many were served. */
-    private static int serve(int port) throws IOException {
+    /** Sends requests until one is not served, and returns the number of served requests. */
+    private static int sendRequests(int port) throws IOException {
         try (TrainingClient client = new TrainingClient(port)) {
             int served = 0;
-            while (served < REQUESTS && client.isServed(served)) {
+            while (served < REQUESTS && client.sendRequest(served)) {
                 served++;
             }
             return served;
--- a/src/main/java/laurelkeel/cli/Cli.java
+++ b/src/main/java/laurelkeel/cli/Cli.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.ScopeType;
 import picocli.CommandLine.Spec;
 
-/** The root of all commands, with their exit codes and the form of log lines. */
+/** The root command, with the exit codes of all commands and the format of log lines. */
 @Command(
         name = "laurelkeel",
         mixinStandardHelpOptions = true,
@@ -32,24 +32,24 @@
         },
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:all rules kept, or ended as asked",
+            "0:all rules kept, or stopped on request",
             "1:failed while running",
             "2:bad arguments or settings",
             "3:a rule was broken"
         })
 @SuppressWarnings("NullAway.Init") // picocli sets the fields
 final class Cli implements Callable<Integer> {
-    /** How long a process waits at its end for its last log lines to be written. */
+    /** How long a process waits before it exits for its last log lines to be written. */
     static final long LOG_FLUSH_MILLIS = 500;
 
     static final int FAILED = 1;
     static final int BAD_INPUT = 2;
     static final int RULE_BROKEN = 3;
 
-    /** The system property that names logback's configuration. */
+    /** The system property that names Logback's configuration file. */
     static final String LOG_CONFIGURATION_PROPERTY = "logback.configurationFile";
 
-    /** The form of log lines, each with its configuration of logback. */
+    /** The formats of log lines, each with its Logback configuration. */
     enum LogFormat {
         TEXT("logback-text.xml"),
         JSON("logback-json.xml");
@@ -68,13 +68,13 @@
             names = "--logs",
             scope = ScopeType.INHERIT,
             defaultValue = "text",
-            description = "form of log lines on standard error: text, json")
-    void logs(LogFormat format) {
-        // read by logback at its first use, which comes after this
+            description = "format of log lines on standard error: text, json")
+    void setLogFormat(LogFormat format) {
+        // Logback reads the property when it is first used, which is after this
         System.setProperty(LOG_CONFIGURATION_PROPERTY, format.configurationFile);
     }
 
-    /** Runs the command of a command line and returns its exit code. */
+    /** Runs the command that the arguments name and returns its exit code. */
     static int run(String[] args) {
         CommandLine commandLine = new CommandLine(new Cli()).setCaseInsensitiveEnumValuesAllowed(true);
         commandLine.setExecutionExceptionHandler((failure, command, parsed) -> report(failure));
@@ -83,7 +83,7 @@
         return exitCode;
     }
 
-    /** Prints why a command failed and returns the exit code for that. */
+    /** Prints why a command failed and returns the exit code. */
     private static int report(Exception failure) {
         if (failure instanceof InvalidSettingsException) {
             System.err.println(failure.getMessage());
@@ -102,8 +102,11 @@
         return BAD_INPUT;
     }
 
-    /** Shows {@code benchlink} in the help; {@link Main} runs it without this class. */
-    @Command(name = "benchlink", description = "Decides for the bench: its wire on standard input and output.")
+    /** Lists {@code benchlink} in the help; {@link Main} runs the command without this class. */
+    @Command(
+            name = "benchlink",
+            description =
+                    "Runs the deciders of simulated front nodes, over the simulator's protocol on standard input and output.")
     static final class BenchlinkCommand implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
@@ -112,7 +115,7 @@
         }
     }
 
-    /** Shows {@code serve} in the help; {@link Main} runs it without this class. */
+    /** Lists {@code serve} in the help; {@link Main} runs the command without this class. */
     @Command(
             name = "serve",
             description = "Runs one front node of the platform, configured by RELAY_CONFIG (docs/platform.md).")
@@ -123,8 +126,10 @@
         }
     }
 
-    /** Shows {@code rehearse} in the help; {@link Main} runs it without this class. */
-    @Command(name = "rehearse", description = "Runs a front node between stub services, for the build's class archive.")
+    /** Lists {@code rehearse} in the help; {@link Main} runs the command without this class. */
+    @Command(
+            name = "rehearse",
+            description = "Runs a front node with stub services, to create the build's class archive.")
     static final class RehearseCommand implements Callable<Integer> {
         @Override
         public Integer call() throws Exception {
--- a/src/main/java/laurelkeel/cli/ConfigurationReloader.java
+++ b/src/main/java/laurelkeel/cli/ConfigurationReloader.java
@@ -8,26 +8,27 @@
 import laurelkeel.platform.NodeConfiguration;
 import laurelkeel.platform.PlatformNode;
 
-/** Reads a node's configuration again and applies it; thread-safe. */
+/** Reloads a node's configuration file and applies it. Thread-safe. */
 final class ConfigurationReloader {
     private static final long READ_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-    /** Two seconds: the file may be read while it is being replaced. */
+    /** Two seconds, because the file may be read while it is being replaced. */
     private static final int MAX_READS = 20;
-    /** Thirty seconds: the system may lack something, a descriptor for example, for a while. */
+    /** Thirty seconds, because the system may temporarily lack a resource, for example a file descriptor. */
     private static final int MAX_READS_WHILE_UNREADABLE = 300;
 
     private final Path file;
     private final Map<String, String> environment;
 
-    /** @param environment stands for fields that the file lacks */
+    /** @param environment variables that replace fields missing from the file */
     ConfigurationReloader(Path file, Map<String, String> environment) {
         this.file = file;
         this.environment = environment;
     }
 
     /**
-     * Reads the file, again for a while where it cannot be followed, and applies it; else the node goes on with what it
-     * has. Calls run one after the other, or a file that has been replaced since could be applied last.
+     * Reads the file and applies it. If the file is unreadable or invalid, reading is retried for a limited time; after
+     * that the node keeps its current configuration. Calls are serialized, because otherwise a call that has read an
+     * older version of the file could apply it last.
      */
     synchronized void reload(PlatformNode node) {
         String failure = "";
@@ -42,6 +43,6 @@
                 LockSupport.parkNanos(READ_INTERVAL_NANOS);
             }
         }
-        System.err.println("laurelkeel: the configuration before stays in force: " + failure);
+        System.err.println("laurelkeel: reload failed, the previous configuration remains in force: " + failure);
     }
 }
--- a/src/main/java/laurelkeel/cli/DayCommand.java
+++ b/src/main/java/laurelkeel/cli/DayCommand.java
@@ -10,18 +10,18 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command {@code day}: plays a scripted day with real front processes and judges it. */
+/** The command {@code day}: runs a scripted scenario with real front processes and audits the recorded traffic. */
 @Command(
         name = "day",
         mixinStandardHelpOptions = true,
         description = {
-            "Plays a scripted day: real front processes between stand-ins, judged by the traffic on the sockets.",
+            "Runs a scripted day: real front processes among stub services, audited by the traffic on the sockets.",
             "Shipped days: bad-day, lost-answers, cold-returns, stale-news."
         },
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:all five rules kept",
-            "1:could not be played",
+            "1:the day could not be run",
             "2:bad arguments or day file",
             "3:a rule was broken"
         })
@@ -34,7 +34,7 @@
             description = "a shipped day or a file; docs/day.md explains the format (default: ${DEFAULT-VALUE})")
     private String day;
 
-    @Option(names = "--seed", description = "seed of the day's random draws, instead of the file's")
+    @Option(names = "--seed", description = "seed of the day's random numbers; default: the seed in the file")
     private @Nullable Long seed;
 
     @Option(
@@ -47,6 +47,6 @@
     public Integer call() throws Exception {
         Scenario scenario = Scenario.find(day);
         AuditReport report = new ScenarioRun(scenario, seed == null ? scenario.seed() : seed, out, System.out).play();
-        return report.rulesKept() == AuditCommand.RULES ? 0 : Cli.RULE_BROKEN;
+        return report.rulesKept() == AuditCommand.RULE_COUNT ? 0 : Cli.RULE_BROKEN;
     }
 }
--- a/src/main/java/laurelkeel/cli/FrontCommand.java
+++ b/src/main/java/laurelkeel/cli/FrontCommand.java
@@ -13,8 +13,8 @@
         name = "front",
         mixinStandardHelpOptions = true,
         description = {
-            "Runs one front node until it is asked to stop.",
-            "SIGTERM drains it: new requests are rejected, those in flight are answered, then it ends with 0."
+            "Runs one front node until it is stopped.",
+            "SIGTERM drains it: new requests are rejected, those in flight are answered, then it exits with 0."
         })
 @SuppressWarnings("NullAway.Init") // picocli sets the fields
 final class FrontCommand implements Callable<Integer> {
@@ -26,7 +26,7 @@
         FrontSettings settings = FrontSettings.read(file);
         FrontNode node = new FrontNode(settings, RoutingDecider::new);
         Runtime.getRuntime().addShutdownHook(new Thread(new ShutdownDrain(node, settings), "drain"));
-        // for the threads of libraries too: a node without one of its threads would be half alive
+        // library threads too: a node that has lost a thread would keep running but work only in part
         Thread.setDefaultUncaughtExceptionHandler((thread, failure) -> node.fail(failure));
         node.start();
         Throwable failure = node.termination().get();
--- a/src/main/java/laurelkeel/cli/LoopbackServer.java
+++ b/src/main/java/laurelkeel/cli/LoopbackServer.java
@@ -8,15 +8,15 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A stub server on loopback with one daemon thread a connection; it lasts until the process ends. */
+/** A stub server on loopback with one daemon thread per connection; it runs until the process exits. */
 final class LoopbackServer {
     private static final int BACKLOG = 50;
 
     private LoopbackServer() {}
 
-    /** Serves one connection. */
+    /** Handles one connection. */
     interface ConnectionHandler {
-        /** Returns when it has finished with the connection, which stays open then. */
+        /** Handles a connection. The connection stays open after the method returns. */
         void serve(Socket socket, BufferedReader in) throws IOException;
     }
 
@@ -34,7 +34,7 @@
                 startDaemon(() -> serve(socket, handler));
             }
         } catch (IOException ignored) {
-            // the process ends
+            // the process is exiting
         }
     }
 
@@ -58,7 +58,7 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Reads up to the empty line that ends a message's head; false where the input ends before it. */
+    /** Reads up to the empty line that ends a message's head; returns false if the input ends before it. */
     static boolean readHead(BufferedReader in) throws IOException {
         String line = in.readLine();
         while (line != null && !line.isEmpty()) {
--- a/src/main/java/laurelkeel/cli/Main.java
+++ b/src/main/java/laurelkeel/cli/Main.java
@@ -6,20 +6,21 @@
 import laurelkeel.simulatoradapter.SimulatorAdapter;
 
 /**
- * The program's entry point. The commands {@code benchlink}, which is started hundreds of times a score, and {@code serve},
- * which starts on part of a core, run without loading the command-line library.
+ * The program's entry point. The commands {@code benchlink}, {@code serve} and {@code rehearse} run without loading the
+ * command-line library: {@code benchlink} is started hundreds of times per benchmark score, and {@code serve} starts on
+ * part of a core.
  */
 public final class Main {
 
     private Main() {}
 
     /**
-     * Runs the command that the arguments name and ends the process with its exit code.
+     * Runs the command that the arguments name and exits with its exit code.
      *
-     * @throws Exception where a command that bypasses the command-line library fails
+     * @throws Exception if a command that bypasses the command-line library fails
      */
     public static void main(String[] args) throws Exception {
-        // read by logback at its first use; the option --logs may name another one before
+        // Logback reads the property when it is first used; before that, the option --logs may change it
         System.setProperty(Cli.LOG_CONFIGURATION_PROPERTY, "logback-text.xml");
         switch (args.length == 1 ? args[0] : "") {
             case "benchlink" -> benchlink();
--- a/src/main/java/laurelkeel/cli/NodeLauncher.java
+++ b/src/main/java/laurelkeel/cli/NodeLauncher.java
@@ -15,7 +15,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Runs one front node of the users' platform in the foreground, configured by its environment (docs/platform.md). */
+/** Runs one front node of the users' platform in the foreground, configured by the environment (docs/platform.md). */
 final class NodeLauncher {
     private static final Logger LOG = LoggerFactory.getLogger(NodeLauncher.class);
     private static final String CONFIGURATION_VARIABLE = "RELAY_CONFIG";
@@ -27,19 +27,20 @@
     /**
      * Runs a node until it has drained or failed.
      *
-     * @param environment the process's variables
+     * @param environment the process's environment variables
      * @return the process's exit code
-     * @throws Exception where the node cannot be created or started
+     * @throws Exception if the node cannot be created or started
      */
     static int run(Map<String, String> environment) throws Exception {
         String path = environment.get(CONFIGURATION_VARIABLE);
         if (path == null || path.isEmpty()) {
-            System.err.println("laurelkeel: " + CONFIGURATION_VARIABLE + " is not set; it must name the configuration");
+            System.err.println(
+                    "laurelkeel: " + CONFIGURATION_VARIABLE + " is not set; it must name the configuration file");
             return Cli.BAD_INPUT;
         }
         Path file = Path.of(path);
         CompletableFuture<PlatformNode> created = new CompletableFuture<>();
-        // before all else: without a handler either signal would end the process
+        // first of all, because without a handler either signal would terminate the process
         handleSignals(created, new ConfigurationReloader(file, environment));
         NodeConfiguration configuration;
         try {
@@ -53,13 +54,13 @@
         return failure == null ? 0 : Cli.FAILED;
     }
 
-    /** A signal that comes before there is a node waits for it. */
+    /** Installs the signal handlers. A signal that arrives before the node is created waits for it. */
     private static void handleSignals(CompletableFuture<PlatformNode> created, ConfigurationReloader reloader) {
         SignalHandlers.install("TERM", () -> created.join().frontNode().drain());
         SignalHandlers.install("HUP", () -> reloader.reload(created.join()));
     }
 
-    /** Retries only where the system fails to read the file; an invalid configuration is reported at once. */
+    /** Reads the configuration. Retries only if the file is unreadable; an invalid configuration fails immediately. */
     private static NodeConfiguration readInitialConfiguration(Path file, Map<String, String> environment)
             throws InvalidConfigurationException {
         for (int reads = 1; ; reads++) {
@@ -69,25 +70,25 @@
                 if (e.isFileReadable() || reads == MAX_INITIAL_READS) {
                     throw e;
                 }
-                LOG.warn("the configuration is read again: {}", e.getMessage());
+                LOG.warn("cannot read the configuration; it is read again: {}", e.getMessage());
                 LockSupport.parkNanos(READ_INTERVAL_NANOS);
             }
         }
     }
 
-    /** Returns what the node failed of; null where it has drained. */
+    /** Runs the node and returns the failure that stopped it; null if it has drained. */
     private static @Nullable Throwable runNode(NodeConfiguration configuration, CompletableFuture<PlatformNode> created)
             throws Exception {
         PlatformNode node;
         try {
             node = PlatformNode.create(configuration, RoutingDecider::new);
         } catch (RuntimeException | Error e) {
-            // signals that wait for the node would keep the process alive
+            // otherwise signal handlers that wait for the node would keep the process alive
             created.completeExceptionally(e);
             throw e;
         }
         FrontNode front = node.frontNode();
-        // for the threads of libraries too: a node without one of its threads would be half alive
+        // library threads too: a node that has lost a thread would keep running but work only in part
         Thread.setDefaultUncaughtExceptionHandler((thread, failure) -> front.fail(failure));
         created.complete(node);
         front.start();
--- a/src/main/java/laurelkeel/cli/SeedRange.java
+++ b/src/main/java/laurelkeel/cli/SeedRange.java
@@ -3,15 +3,15 @@
 import java.util.stream.LongStream;
 
 /**
- * Seeds from a first to a last one, both included.
+ * A range of seeds, both ends included.
  *
- * @param first may be above the last: the range is empty then
+ * @param first the first seed; the range is empty if it is greater than the last
  */
 record SeedRange(long first, long last) {
     /**
-     * Parses a range, as {@code 1-50}, or a single seed, as {@code 17}.
+     * Parses a range such as {@code 1-50} or a single seed such as {@code 17}.
      *
-     * @throws NumberFormatException where the text is neither
+     * @throws NumberFormatException if the text is neither
      */
     static SeedRange parse(String text) {
         int separator = text.indexOf('-');
--- a/src/main/java/laurelkeel/cli/ShutdownDrain.java
+++ b/src/main/java/laurelkeel/cli/ShutdownDrain.java
@@ -9,9 +9,9 @@
 import laurelkeel.front.FrontSettings;
 import laurelkeel.logging.RateLimitedAsyncAppender;
 
-/** Drains a front node while the process shuts down, and waits until the node has ended. */
+/** Drains a front node when the process shuts down, and waits until the node has terminated. */
 final class ShutdownDrain implements Runnable {
-    /** Added to the longest time that a node should need. */
+    /** Added to the longest time that a drain is expected to take. */
     private static final long MARGIN_MILLIS = 5_000;
 
     private final FrontNode node;
@@ -22,7 +22,7 @@
         this.maxWaitMillis = maxDrainTicks(settings) / Ticks.PER_MILLISECOND + MARGIN_MILLIS;
     }
 
-    /** The longest that a request may take after a drain has begun. */
+    /** Returns the longest time that a request may take after a drain has begun. */
     private static long maxDrainTicks(FrontSettings settings) {
         long longestTimeoutTicks = settings.decisionSettings().routes().stream()
                 .mapToLong(Route::timeoutTicks)
@@ -37,7 +37,7 @@
         try {
             node.termination().get(maxWaitMillis, TimeUnit.MILLISECONDS);
         } catch (InterruptedException | ExecutionException | TimeoutException e) {
-            System.err.println("laurelkeel: the front did not end in its time: " + e);
+            System.err.println("laurelkeel: the front did not terminate within the expected drain time: " + e);
         }
         RateLimitedAsyncAppender.flush(Cli.LOG_FLUSH_MILLIS);
     }
--- a/src/main/java/laurelkeel/cli/StandinCommand.java
+++ b/src/main/java/laurelkeel/cli/StandinCommand.java
@@ -9,13 +9,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command {@code standin}: runs everything of a day but its front nodes, until the process is ended. */
+/** The command {@code standin}: runs all parts of a day except its front nodes until the process is terminated. */
 @Command(
         name = "standin",
         mixinStandardHelpOptions = true,
         description = {
-            "Runs the endpoints, endpoint list and rollout service of a day file, for fronts started by hand.",
-            "Prints their addresses for the fronts' settings; ends on a signal."
+            "Runs the endpoints, endpoint list and rollout service of a day file, for fronts started manually.",
+            "Prints their addresses in the form of the fronts' settings; runs until it receives a signal."
         })
 @SuppressWarnings("NullAway.Init") // picocli sets the fields
 final class StandinCommand implements Callable<Integer> {
@@ -26,7 +26,7 @@
             description = "a shipped day or a file (default: ${DEFAULT-VALUE})")
     private String day;
 
-    @Option(names = "--seed", description = "seed of the random draws, instead of the file's")
+    @Option(names = "--seed", description = "seed of the random numbers; default: the seed in the file")
     private @Nullable Long seed;
 
     @Override
--- a/src/main/java/laurelkeel/cli/TrainingClient.java
+++ b/src/main/java/laurelkeel/cli/TrainingClient.java
@@ -7,7 +7,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A client of the node that the class archive is trained with: requests one after another over one connection. */
+/** The client of the class archive's training run: sends sequential requests over one connection. */
 final class TrainingClient implements AutoCloseable {
     private static final int PARTITION_KEYS = 50;
 
@@ -20,12 +20,12 @@
     }
 
     /**
-     * Sends a request and reads its answer.
+     * Sends a request and reads its response.
      *
-     * @param number of the request; every second one has an idempotency key
-     * @return whether it was served
+     * @param number the request's number; every second request is a POST with an idempotency key
+     * @return whether the request was served
      */
-    boolean isServed(int number) throws IOException {
+    boolean sendRequest(int number) throws IOException {
         LoopbackServer.write(socket, request(number));
         String statusLine = in.readLine();
         if (statusLine == null) {
@@ -42,7 +42,7 @@
     private void readBody() throws IOException {
         int length = TrainingServices.ENDPOINT_BODY.length();
         if (in.read(new char[length], 0, length) < 0) {
-            throw new IOException("the answer has no body");
+            throw new IOException("the response has no body");
         }
     }
 
--- a/src/main/java/laurelkeel/cli/TrainingServices.java
+++ b/src/main/java/laurelkeel/cli/TrainingServices.java
@@ -5,21 +5,21 @@
 import java.net.Socket;
 
 /**
- * Stubs of what a node of the platform talks to: endpoints, discovery with an update of the endpoint list, and a control
+ * Stub services for a node of the platform: endpoints, discovery with one update of the endpoint list, and a control
  * service with a rollout.
  *
- * @param discoveryAddress where discovery is watched
- * @param controlServiceAddress where the control service answers
- * @param knownEndpoints the endpoint list before the update, in discovery's form
+ * @param discoveryAddress address of the discovery service
+ * @param controlServiceAddress address of the control service
+ * @param knownEndpoints the endpoint list before the update, in discovery's format
  */
 record TrainingServices(String discoveryAddress, String controlServiceAddress, String knownEndpoints) {
-    /** What an endpoint answers every request with. */
+    /** The body of every response of an endpoint. */
     static final String ENDPOINT_BODY = "ok";
 
     private static final int BASELINE_BUILD = 1;
     private static final int CANARY_BUILD = 2;
 
-    /** Starts all stubs; they last until the process ends. */
+    /** Starts all stub services, which run until the process exits. */
     static TrainingServices start() throws IOException {
         String endpoint = LoopbackServer.start(TrainingServices::serveRequests);
         String known =
--- a/src/main/java/laurelkeel/cli/package-info.java
+++ b/src/main/java/laurelkeel/cli/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The command line: one class a command, which reads the options, calls the package that does the work, and turns its
- * result into printed lines and an exit code.
+ * The command-line interface: one class per command, which parses the options, calls the package that does the work,
+ * and converts the result to output and an exit code.
  */
 @NullMarked
 package laurelkeel.cli;
--- a/src/test/java/laurelkeel/cli/ClassArchiveTrainingTest.java
+++ b/src/test/java/laurelkeel/cli/ClassArchiveTrainingTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The whole node with the real decider, as the build's class archive is made from it. */
+/** Runs the whole node with the real decider, as the build does to create the class archive. */
 class ClassArchiveTrainingTest {
     @Test
-    void aNodeServesAllRequestsOfTheTrainingAndEnds() throws Exception {
+    void nodeServesAllTrainingRequestsAndTerminates() throws Exception {
         assertEquals(0, ClassArchiveTraining.run());
     }
 }
--- a/src/test/java/laurelkeel/cli/ConfigurationReloaderTest.java
+++ b/src/test/java/laurelkeel/cli/ConfigurationReloaderTest.java
@@ -19,14 +19,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What SIGHUP does, in the orders that a file's replacement and two signals may take. */
+/** Reloading on SIGHUP, with the replacement of the file and two signals in different orders. */
 class ConfigurationReloaderTest {
     @TempDir
     Path folder;
 
-    private PlatformTestBed.FakeServer first;
-    private PlatformTestBed.FakeServer second;
-    private PlatformTestBed.FakeServer third;
+    private PlatformTestBed.FakeServer firstDiscovery;
+    private PlatformTestBed.FakeServer secondDiscovery;
+    private PlatformTestBed.FakeServer thirdDiscovery;
     private PlatformTestBed.FakeServer controlService;
     private Path file;
     private PlatformNode node;
@@ -34,23 +34,24 @@
 
     @BeforeEach
     void start() throws Exception {
-        first = new PlatformTestBed.FakeServer();
-        second = new PlatformTestBed.FakeServer();
-        third = new PlatformTestBed.FakeServer();
+        firstDiscovery = new PlatformTestBed.FakeServer();
+        secondDiscovery = new PlatformTestBed.FakeServer();
+        thirdDiscovery = new PlatformTestBed.FakeServer();
         controlService = new PlatformTestBed.FakeServer();
         file = folder.resolve("config.json");
-        Files.writeString(file, configurationJson(first));
+        Files.writeString(file, configurationJson(firstDiscovery));
         reloader = new ConfigurationReloader(file, Map.of());
         node = PlatformNode.create(
                 NodeConfiguration.read(file, Map.of()), (settings, seed) -> (now, events) -> List.of());
         node.frontNode().start();
-        first.nextConnection();
+        firstDiscovery.nextConnection();
     }
 
     @AfterEach
     void end() throws Exception {
         node.frontNode().drain();
-        for (PlatformTestBed.FakeServer server : List.of(first, second, third, controlService)) {
+        for (PlatformTestBed.FakeServer server :
+                List.of(firstDiscovery, secondDiscovery, thirdDiscovery, controlService)) {
             server.close();
         }
         assertEquals(null, node.frontNode().termination().get(30, TimeUnit.SECONDS));
@@ -63,46 +64,50 @@
                 + PlatformTestBed.SETTINGS.formatted(800) + "}";
     }
 
-    private Thread startReload() {
+    private Thread startReloadThread() {
         Thread reload = new Thread(() -> reloader.reload(node));
         reload.start();
         return reload;
     }
 
     @Test
-    void aFileThatIsBeingReplacedIsReadAgain() throws Exception {
-        String next = configurationJson(second);
+    void retriesAFileThatIsBeingReplaced() throws Exception {
+        String next = configurationJson(secondDiscovery);
         Files.writeString(file, next.substring(0, next.length() / 2));
-        Thread reload = startReload();
+        Thread reload = startReloadThread();
         FrontTestRig.await(
-                "it was read and could not be followed",
+                "the incomplete file was read and rejected",
                 () -> reload.getState() == Thread.State.TIMED_WAITING || !reload.isAlive());
         Files.writeString(file, next);
-        second.nextConnection();
+        secondDiscovery.nextConnection();
         reload.join();
     }
 
-    /** The first signal's reader is held in the middle of its file until the second's is done or waits for it. */
+    /**
+     * Two concurrent reloads must not apply an older file after a newer one. The first reload is blocked in the middle
+     * of its file until the second one is done or waits for the first.
+     */
     @Test
-    void ofTwoSignalsTheNewestFileIsFollowedLast() throws Exception {
+    void appliesTheNewestFileLastAfterTwoSignals() throws Exception {
         Files.delete(file);
         assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
         Path pipe = folder.resolve("pipe");
-        Thread older = startReload();
-        try (OutputStream held = Files.newOutputStream(file)) {
-            held.write(' ');
+        Thread older = startReloadThread();
+        try (OutputStream olderFile = Files.newOutputStream(file)) {
+            olderFile.write(' ');
             Files.move(file, pipe);
             Path next = folder.resolve("next.json");
-            Files.writeString(next, configurationJson(third));
+            Files.writeString(next, configurationJson(thirdDiscovery));
             Files.move(next, file, StandardCopyOption.REPLACE_EXISTING);
-            Thread newer = startReload();
+            Thread newer = startReloadThread();
             FrontTestRig.await(
-                    "it is done, or waits", () -> newer.getState() == Thread.State.BLOCKED || !newer.isAlive());
-            held.write(configurationJson(second).getBytes(UTF_8));
+                    "the second reload is done or waits",
+                    () -> newer.getState() == Thread.State.BLOCKED || !newer.isAlive());
+            olderFile.write(configurationJson(secondDiscovery).getBytes(UTF_8));
         }
         older.join();
-        // a service that sends nothing is connected to again and again, at the last address only
-        third.nextConnection();
-        third.nextConnection();
+        // a node reconnects repeatedly to a discovery service that sends nothing, and only at the last address
+        thirdDiscovery.nextConnection();
+        thirdDiscovery.nextConnection();
     }
 }
--- a/src/test/java/laurelkeel/cli/NodeLauncherTest.java
+++ b/src/test/java/laurelkeel/cli/NodeLauncherTest.java
@@ -21,9 +21,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A node in a process of its own, started again and again as in the incident of 2026-12-02 (docs/incidents). */
+/**
+ * Starts a node in a separate process several times. In the incident of 2026-12-02 (docs/incidents) a node could
+ * terminate on start if it voted in its first turn.
+ */
 class NodeLauncherTest {
-    /** On the build of the incident more than one start in three ended. */
+    /** With the build of the incident, more than one start in three ended the node. */
     private static final int STARTS = 10;
 
     @TempDir
@@ -37,9 +40,9 @@
     void open() throws Exception {
         discovery = new PlatformTestBed.FakeServer();
         control = new PlatformTestBed.FakeServer();
-        Thread reads = new Thread(this::readVotes);
-        reads.setDaemon(true);
-        reads.start();
+        Thread reader = new Thread(this::countVotes);
+        reader.setDaemon(true);
+        reader.start();
     }
 
     @AfterEach
@@ -48,29 +51,29 @@
         control.close();
     }
 
-    /** Counts the votes that arrive; answers nothing. */
-    private void readVotes() {
+    /** Counts the votes that arrive and does not answer them. */
+    private void countVotes() {
         try {
             while (true) {
                 Socket connection = control.nextConnection();
-                Thread each = new Thread(() -> {
+                Thread reader = new Thread(() -> {
                     try (BufferedReader in = PlatformTestBed.lineReader(connection)) {
                         for (String line = in.readLine(); line != null; line = in.readLine()) {
                             votes.addAndGet(line.startsWith("SAY ") ? 1 : 0);
                         }
                     } catch (IOException e) {
-                        // the node has closed it
+                        // the node has closed the connection
                     }
                 });
-                each.setDaemon(true);
-                each.start();
+                reader.setDaemon(true);
+                reader.start();
             }
         } catch (InterruptedException | AssertionError e) {
             // the test is over
         }
     }
 
-    /** A build has been on trial for so long that a vote on it is due at once. */
+    /** Returns a configuration with a canary that is old enough for the node to vote on it immediately. */
     private String configurationJson(int port) {
         List<String> servers = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
@@ -88,7 +91,7 @@
     }
 
     @Test
-    void aNodeWhoseFirstTurnVotesStaysUp() throws Exception {
+    void nodeThatVotesInItsFirstTurnKeepsRunning() throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(file, configurationJson(PortAllocator.allocate()));
         NodeImage image = NodeImage.make(folder);
@@ -96,7 +99,7 @@
             int before = votes.get();
             NodeProcess node = NodeProcess.start(image, file, folder.resolve("node.log"), Map.of(), 256);
             try {
-                FrontTestRig.await("it votes, or ends", () -> votes.get() > before || !node.isAlive());
+                FrontTestRig.await("the node votes or terminates", () -> votes.get() > before || !node.isAlive());
                 assertTrue(node.isAlive(), node.log());
             } finally {
                 node.kill();
--- a/src/test/java/laurelkeel/cli/SeedRangeTest.java
+++ b/src/test/java/laurelkeel/cli/SeedRangeTest.java
@@ -9,22 +9,22 @@
 
 class SeedRangeTest {
     @Test
-    void aRangeHasBothItsEnds() {
+    void rangeIncludesBothEnds() {
         assertArrayEquals(new long[] {3, 4, 5}, SeedRange.parse("3-5").seeds().toArray());
     }
 
     @Test
-    void oneNumberIsARangeOfItself() {
+    void singleNumberIsARangeOfOneSeed() {
         assertEquals(new SeedRange(17, 17), SeedRange.parse("17"));
     }
 
     @Test
-    void aRangeThatGoesDownIsEmpty() {
+    void descendingRangeIsEmpty() {
         assertTrue(SeedRange.parse("5-3").isEmpty());
     }
 
     @Test
-    void whatIsNoNumberIsRejected() {
+    void rejectsTextThatIsNotARange() {
         assertThrows(NumberFormatException.class, () -> SeedRange.parse("1-"));
         assertThrows(NumberFormatException.class, () -> SeedRange.parse("-5"));
         assertThrows(NumberFormatException.class, () -> SeedRange.parse("1-2-3"));
