--- a/src/test/java/laurelkeel/front/FrontFailureTest.java
+++ b/src/test/java/laurelkeel/front/FrontFailureTest.java
@@ -94,7 +94,7 @@
         })) {
             rig.startLoad();
             awaitAnswers(rig, 300);
-            assertOnlyRuleViolated(rig, 1, "after its answer");
+            assertOnlyRuleViolated(rig, 1, "after the response");
         }
     }
 
@@ -110,7 +110,7 @@
         })) {
             rig.startLoad();
             awaitAnswers(rig, 300);
-            assertOnlyRuleViolated(rig, 1, "no answer in its");
+            assertOnlyRuleViolated(rig, 1, "no response within its timeout of");
         }
     }
 
@@ -128,7 +128,7 @@
         })) {
             rig.startLoad();
             awaitAnswers(rig, 300);
-            assertOnlyRuleViolated(rig, 2, "a non-retriable req sent again");
+            assertOnlyRuleViolated(rig, 2, "request that is not idempotent retried");
         }
     }
 
@@ -143,7 +143,7 @@
         })) {
             rig.startLoad();
             awaitAnswers(rig, 300);
-            assertOnlyRuleViolated(rig, 2, "calls asking again harmless");
+            assertOnlyRuleViolated(rig, 2, "which states that a retry is safe");
         }
     }
 
@@ -164,7 +164,7 @@
                                     TrafficRecord.ServerStopped.class,
                                     stopped -> stopped.reason() == RecordTerms.StopReason.DRAINED)
                             > 0);
-            assertOnlyRuleViolated(rig, 3, "after it was told that it drains");
+            assertOnlyRuleViolated(rig, 3, "after it learned that the endpoint drains");
         }
     }
 
@@ -187,7 +187,7 @@
                                     TrafficRecord.ServerStopped.class,
                                     stopped -> stopped.reason() == RecordTerms.StopReason.OVERLOADED)
                             > 0);
-            assertOnlyRuleViolated(rig, 4, "was pushed over");
+            assertOnlyRuleViolated(rig, 4, "was overloaded");
         }
     }
 
@@ -225,7 +225,7 @@
             }
         })) {
             awaitCanaryTraffic(rig);
-            assertOnlyRuleViolated(rig, 5, "tries at build 2");
+            assertOnlyRuleViolated(rig, 5, "attempts at build 2");
         }
     }
 
@@ -251,8 +251,8 @@
                     "both canaries get traffic",
                     () -> rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 2) > 5
                             && rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 3) > 120);
-            assertTrue(assertOnlyRuleViolated(rig, 5, "tries at build 3").stream()
-                    .noneMatch(violation -> violation.description().contains("tries at build 2")));
+            assertTrue(assertOnlyRuleViolated(rig, 5, "attempts at build 3").stream()
+                    .noneMatch(violation -> violation.description().contains("attempts at build 2")));
         }
     }
 
@@ -260,7 +260,7 @@
     void aStickyKeySentBackToAnEarlierBuildIsAViolation() throws Exception {
         try (FrontTestRig rig = startRig("", () -> sendOneInToCanary(8))) {
             awaitCanaryTraffic(rig);
-            assertOnlyRuleViolated(rig, 5, "was not sent back");
+            assertOnlyRuleViolated(rig, 5, "was not rolled back");
         }
     }
 
