--- a/src/main/java/laurelkeel/bench/DecisionStreams.java
+++ b/src/main/java/laurelkeel/bench/DecisionStreams.java
@@ -18,7 +18,7 @@
      *
      * @param seed of the stream; its size and its rate follow from it, too
      */
-    public static String sum(Decider.Factory deciders, int seed) {
+    public static String actionChecksum(Decider.Factory deciders, int seed) {
         int number = seed - FIRST_SEED;
         int size = Math.floorMod(number, ENDPOINT_COUNTS.size());
         double requestsPerSecond = number % 3 == 0 ? LOW_RATE_PER_SECOND : HIGH_RATE_PER_SECOND;
--- a/src/main/java/laurelkeel/cli/BenchCommand.java
+++ b/src/main/java/laurelkeel/cli/BenchCommand.java
@@ -84,7 +84,7 @@
         @Override
         public Integer call() {
             for (int seed = FIRST_SEED; seed <= LAST_SEED; seed++) {
-                System.out.println(seed + " " + DecisionStreams.sum(RoutingDecider::new, seed));
+                System.out.println(seed + " " + DecisionStreams.actionChecksum(RoutingDecider::new, seed));
             }
             return 0;
         }
--- a/src/test/java/laurelkeel/decision/RecordedActionsTest.java
+++ b/src/test/java/laurelkeel/decision/RecordedActionsTest.java
@@ -33,6 +33,6 @@
                         115,
                         "2710 actions aba928eb")
                 .forEach((seed, sum) ->
-                        assertEquals(sum, DecisionStreams.sum(RoutingDecider::new, seed), "stream " + seed));
+                        assertEquals(sum, DecisionStreams.actionChecksum(RoutingDecider::new, seed), "stream " + seed));
     }
 }
--- a/src/test/java/laurelkeel/partition/PartitionedDeciderTest.java
+++ b/src/test/java/laurelkeel/partition/PartitionedDeciderTest.java
@@ -35,8 +35,8 @@
     void withOneRolloutAllActionsEqualThoseOfASingleDecider() {
         for (int seed : new int[] {100, 103, 106, 109}) {
             assertEquals(
-                    DecisionStreams.sum(RoutingDecider::new, seed),
-                    DecisionStreams.sum(
+                    DecisionStreams.actionChecksum(RoutingDecider::new, seed),
+                    DecisionStreams.actionChecksum(
                             (settings, nodeSeed) -> new PartitionedDecider(settings, nodeSeed, RoutingDecider::new),
                             seed),
                     "stream " + seed);
