--- a/src/main/java/laurelkeel/bench/AttributionCharts.java
+++ b/src/main/java/laurelkeel/bench/AttributionCharts.java
@@ -13,7 +13,9 @@
 import org.knowm.xchart.CategoryChart;
 import org.knowm.xchart.CategoryChartBuilder;
 
-/** Charts of what the attribution and naive rules make of generated days, by the fault of the bad release. */
+/**
+ * Charts of the results of the attribution and of the naive rules on generated days, by the fault of the bad release.
+ */
 final class AttributionCharts {
     private static final int WIDTH = 1_000;
     private static final int HEIGHT = 450;
@@ -26,14 +28,14 @@
 
     private AttributionCharts() {}
 
-    /** Writes the charts into a folder, which is created where needed. */
+    /** Writes the charts into a folder, which is created if it does not exist. */
     static void write(Map<ReleaseFault, List<Result>> resultsByFault, Path folder) throws IOException {
         Files.createDirectories(folder);
         CategoryChart right = chart("Blame lands on the bad release", "% of days");
         addPercentages(right, "blame", resultsByFault, Result::caught);
         addPercentages(right, "worst rate", resultsByFault, Result::worstRight);
         addPercentages(right, "newest", resultsByFault, Result::newestRight);
-        addPercentages(right, "each alone", resultsByFault, Result::aloneRight);
+        addPercentages(right, "each alone", resultsByFault, Result::testedAloneRight);
         save(right, folder.resolve("blame-right"));
         CategoryChart time = chart("Time from offer to verdict", "seconds");
         addSeries(time, "median", resultsByFault, results -> ResultStatistics.secondsToVerdict(results, 0.5));
--- a/src/main/java/laurelkeel/bench/AttributionCost.java
+++ b/src/main/java/laurelkeel/bench/AttributionCost.java
@@ -11,19 +11,19 @@
 import laurelkeel.attribution.RegressionAttributor;
 
 /**
- * What the reports of many nodes cost the attribution.
+ * The processor time and the memory that the attribution needs for the reports of many nodes.
  *
- * @param seconds of reports, one of each node a second
- * @param cells of all reports
- * @param cpuNanos processor time of all seconds
- * @param worstSecondNanos processor time of the second that needed most, after a warm-up
- * @param heapMebibytes that the attribution holds at the end
+ * @param seconds number of seconds for which every node sent one report
+ * @param cells number of cells in all reports
+ * @param cpuNanos processor time for all seconds
+ * @param worstSecondNanos the most processor time that a second needed, after a warm-up
+ * @param heapMebibytes heap that the attribution uses at the end
  */
 record AttributionCost(
         int nodes, int endpoints, int seconds, long cells, long cpuNanos, long worstSecondNanos, double heapMebibytes) {
     private static final int ROUTES = 4;
     private static final int CUSTOMERS = 3;
-    private static final int MAX_ROLLOUTS = 4;
+    private static final int MAX_REPORT_DELAY_SECONDS = 4;
     private static final int FIRST_CANARY_BUILD = 2;
     private static final int LAST_CANARY_BUILD = 4;
     private static final int CELLS_PER_REPORT = 200;
@@ -31,11 +31,11 @@
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double NANOS_PER_MILLISECOND = 1e6;
 
-    /** Measures with generated reports. */
+    /** Measures the cost with generated reports. */
     static AttributionCost measure(int nodes, int endpoints, int seconds) {
         SplittableRandom random = new SplittableRandom(3);
         double heapBefore = Heap.usedMebibytes();
-        RegressionAttributor attributor = new RegressionAttributor(ROUTES, MAX_ROLLOUTS);
+        RegressionAttributor attributor = new RegressionAttributor(ROUTES, MAX_REPORT_DELAY_SECONDS);
         for (int build = FIRST_CANARY_BUILD; build <= LAST_CANARY_BUILD; build++) {
             attributor.rolloutStarted(build, 0);
         }
@@ -54,7 +54,7 @@
             worstSecondNanos = Math.max(worstSecondNanos, second > WARM_UP_SECONDS ? spentNanos : 0);
         }
         double heap = Heap.usedMebibytes() - heapBefore;
-        // the attribution must be reachable until its heap is measured
+        // keeps the attributor reachable until its heap is measured
         attributor.evaluate(seconds);
         long cells = (long) seconds * nodes * CELLS_PER_REPORT;
         return new AttributionCost(nodes, endpoints, seconds, cells, cpuNanos, worstSecondNanos, heap);
@@ -72,7 +72,7 @@
         return reports;
     }
 
-    /** One attempt at an endpoint; a tenth of the endpoints has each canary build. */
+    /** Returns a cell with one attempt at the endpoint. Each canary build runs on a tenth of the endpoints. */
     private static NodeReport.Cell cell(SplittableRandom random, int endpoint) {
         double logMillis = 3 + 0.4 * random.nextDouble();
         int build = endpoint % 10 < 3 ? FIRST_CANARY_BUILD + endpoint % 10 : 1;
--- a/src/main/java/laurelkeel/bench/AttributionScenario.java
+++ b/src/main/java/laurelkeel/bench/AttributionScenario.java
@@ -5,19 +5,21 @@
 import laurelkeel.attribution.RegressionAttributor;
 
 /**
- * One generated release day, judged by the attribution, which promotes and rolls back, and by naive rules. The day's draws
- * do not depend on who judges. Not thread-safe.
+ * One generated release day on which the attribution promotes releases and rolls them back, and naive rules name a bad
+ * release from the same traffic without acting on it. The plan of the day does not depend on their verdicts. Not
+ * thread-safe.
  */
 final class AttributionScenario {
     private static final int SECONDS = 150;
-    private static final int MAX_ROLLOUTS = 2;
+    private static final int MAX_REPORT_DELAY_SECONDS = 2;
     private static final int MIN_STAGE_SECONDS = 10;
     private static final double NOT_CAUGHT = -1;
 
     private final DayRandom random;
     private final GeneratedDay day;
     private final GeneratedTraffic traffic;
-    private final RegressionAttributor attributor = new RegressionAttributor(GeneratedTraffic.ROUTES, MAX_ROLLOUTS);
+    private final RegressionAttributor attributor =
+            new RegressionAttributor(GeneratedTraffic.ROUTES, MAX_REPORT_DELAY_SECONDS);
     private double secondsToVerdict = NOT_CAUGHT;
     private boolean goodBuildBlamed;
     private int goodBuildsSetAside;
@@ -26,41 +28,43 @@
     private int testedAloneBuild = NaiveRules.NO_BUILD;
 
     AttributionScenario(long seed, ReleaseFault fault) {
-        random = GeneratedDay.random(seed, fault);
+        random = GeneratedDay.newRandom(seed, fault);
         day = new GeneratedDay(fault, random);
         traffic = new GeneratedTraffic(day, random);
     }
 
     /**
-     * What became of one day.
+     * The results of one day.
      *
      * @param caught whether the attribution found the bad release guilty
-     * @param honestBlamed whether it found another one guilty
-     * @param seconds from the start of the bad release to the verdict; -1 where it was not caught
-     * @param harm requests that the bad release harmed
-     * @param worstRight whether the release with the worst rate was the bad one
+     * @param goodBuildBlamed whether the attribution found a good release guilty
+     * @param secondsToVerdict seconds from the start of the bad release to the verdict; -1 if it was not found guilty
+     * @param harmedRequests number of requests that the bad release harmed
+     * @param worstRight whether the release with the highest share of bad outcomes was the bad one
      * @param newestRight whether the newest release was the bad one
-     * @param aloneRight whether the bad one was the first whose rate was significantly worse, by itself
-     * @param aloneWrong whether a good one was
-     * @param asides good releases that were set aside to learn more
+     * @param testedAloneRight whether the first release that was significantly worse, each tested alone, was the bad
+     *     one
+     * @param testedAloneWrong whether that first release was a good one
+     * @param goodBuildsSetAside number of good releases that were rolled back to see whether a regression ends with
+     *     them
      */
     record Result(
             ReleaseFault fault,
             boolean caught,
-            boolean honestBlamed,
-            double seconds,
-            long harm,
+            boolean goodBuildBlamed,
+            double secondsToVerdict,
+            long harmedRequests,
             boolean worstRight,
             boolean newestRight,
-            boolean aloneRight,
-            boolean aloneWrong,
-            int asides) {}
+            boolean testedAloneRight,
+            boolean testedAloneWrong,
+            int goodBuildsSetAside) {}
 
-    /** Plays the day, once. */
-    Result play() {
+    /** Runs the day. May be called once. */
+    Result run() {
         for (long now = 0; now < SECONDS; now++) {
             startReleases(now);
-            traffic.play(now);
+            traffic.generateSecond(now);
             for (NodeReport report : traffic.arrivedReports(now)) {
                 attributor.addReport(report, now);
             }
@@ -68,7 +72,7 @@
                 testedAloneBuild = NaiveRules.testedAlone(day.releases());
             }
             for (AttributionFinding finding : attributor.evaluate(now)) {
-                follow(finding, now);
+                applyFinding(finding, now);
             }
         }
         if (!isCaught()) {
@@ -105,10 +109,10 @@
         }
     }
 
-    private void follow(AttributionFinding finding, long now) {
+    private void applyFinding(AttributionFinding finding, long now) {
         GeneratedRelease release = day.release(finding.build());
         if (finding.verdict() == AttributionFinding.Verdict.GUILTY) {
-            blame(release, now);
+            rollBack(release, now);
         } else if (finding.setAside()) {
             release.end();
             attributor.rolloutSetAside(finding.build());
@@ -118,7 +122,7 @@
         }
     }
 
-    private void blame(GeneratedRelease release, long now) {
+    private void rollBack(GeneratedRelease release, long now) {
         boolean isBad = day.isBad(release.build());
         if (isBad && !isCaught()) {
             secondsToVerdict = now - release.startsAt();
--- a/src/main/java/laurelkeel/bench/DayRandom.java
+++ b/src/main/java/laurelkeel/bench/DayRandom.java
@@ -2,9 +2,9 @@
 
 import java.util.SplittableRandom;
 
-/** The random draws of a generated day; not thread-safe. */
+/** The random numbers of a generated day. Not thread-safe. */
 final class DayRandom {
-    private static final double ENDPOINT_DEVIATION = 0.05;
+    private static final double ENDPOINT_OFFSET_DEVIATION = 0.05;
 
     private final SplittableRandom random;
 
@@ -20,22 +20,22 @@
         return random.nextDouble();
     }
 
-    /** True once in so many draws. */
-    boolean nextOneIn(int draws) {
-        return random.nextInt(draws) == 0;
+    /** Returns true with a probability of 1 / {@code n}. */
+    boolean nextOneIn(int n) {
+        return random.nextInt(n) == 0;
     }
 
-    /** A draw from the standard normal distribution. */
+    /** Returns a random number from the standard normal distribution. */
     double nextNormal() {
         return Math.sqrt(-2 * Math.log(1 - random.nextDouble())) * Math.cos(2 * Math.PI * random.nextDouble());
     }
 
-    /** What an endpoint adds to the logarithm of its latencies. */
+    /** Returns a random offset that is added to the logarithms of one endpoint's latencies. */
     double nextEndpointOffset() {
-        return nextNormal() * ENDPOINT_DEVIATION;
+        return nextNormal() * ENDPOINT_OFFSET_DEVIATION;
     }
 
-    /** A draw from the Poisson distribution. */
+    /** Returns a random number from the Poisson distribution. */
     int nextPoisson(double mean) {
         double sum = 0;
         int count = -1;
--- a/src/main/java/laurelkeel/bench/GeneratedRelease.java
+++ b/src/main/java/laurelkeel/bench/GeneratedRelease.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** One release of a generated day; not thread-safe. Times are seconds of the day. */
+/** One release of a generated day. Times are in seconds since the start of the day. Not thread-safe. */
 final class GeneratedRelease {
-    /** The share of the traffic and the number of endpoints in each stage. */
+    /** Share of the traffic in each stage, from 0 to 1. */
     private static final List<Double> SHARE_BY_STAGE = List.of(0.08, 0.18, 0.28);
 
     private static final List<Integer> ENDPOINTS_BY_STAGE = List.of(1, 3, 5);
@@ -12,11 +12,11 @@
 
     private final int build;
     private final int startsAt;
-    /** What each endpoint adds to the logarithm of its latencies. */
+    /** Offset of each endpoint, added to the logarithms of its latencies. */
     private final double[] endpointOffsets = new double[MAX_ENDPOINTS];
 
-    private final HitRate ownHits = new HitRate();
-    private final HitRate otherHits = new HitRate();
+    private final BadOutcomeRate ownOutcomes = new BadOutcomeRate();
+    private final BadOutcomeRate otherOutcomes = new BadOutcomeRate();
     private int stage;
     private long stageSince;
     private boolean ended;
@@ -34,7 +34,7 @@
         return startsAt;
     }
 
-    void drawEndpoints(DayRandom random) {
+    void generateEndpointOffsets(DayRandom random) {
         for (int i = 0; i < endpointOffsets.length; i++) {
             endpointOffsets[i] = random.nextEndpointOffset();
         }
@@ -44,12 +44,14 @@
         return endpointOffsets[endpoint];
     }
 
-    /** How many endpoints have the build in its stage. */
+    /** Returns the number of endpoints that run the build in the current stage. */
     int endpoints() {
         return ENDPOINTS_BY_STAGE.get(stage);
     }
 
-    /** The share of all traffic that the build gets, from 0 to 1. */
+    /**
+     * Returns the share of all traffic that the build gets, from 0 to 1; 0 before the release starts and after it ends.
+     */
     double share(long now) {
         return ended || now < startsAt ? 0 : SHARE_BY_STAGE.get(stage);
     }
@@ -75,13 +77,13 @@
         ended = true;
     }
 
-    /** The hits among the requests that the build served. */
-    HitRate ownHits() {
-        return ownHits;
+    /** Returns the bad outcomes among the requests that the build served. */
+    BadOutcomeRate ownOutcomes() {
+        return ownOutcomes;
     }
 
-    /** The hits among all other requests while the build was on trial. */
-    HitRate otherHits() {
-        return otherHits;
+    /** Returns the bad outcomes among all other requests while the build got part of the traffic. */
+    BadOutcomeRate otherOutcomes() {
+        return otherOutcomes;
     }
 }
--- a/src/main/java/laurelkeel/bench/GeneratedTraffic.java
+++ b/src/main/java/laurelkeel/bench/GeneratedTraffic.java
@@ -9,34 +9,33 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The traffic of a generated day, second by second: requests are drawn and answered, and what each node counted is on its
- * way to the rollout service as a report, which may be late, lost or doubled. Not thread-safe.
+ * The traffic of a generated day, second by second: generates requests with their outcomes, and a report of each node
+ * to the rollout service, which may be delayed, lost or duplicated. Not thread-safe.
  */
 final class GeneratedTraffic {
-    private static final List<Double> ROUTE_SHARES = List.of(0.5, 0.3, 0.2);
-    /** The median latency of each route. */
-    private static final List<Double> ROUTE_LATENCIES_MILLIS = List.of(8.0, 20.0, 45.0);
+    private static final List<Double> SHARE_BY_ROUTE = List.of(0.5, 0.3, 0.2);
+    private static final List<Double> MEDIAN_LATENCY_MILLIS_BY_ROUTE = List.of(8.0, 20.0, 45.0);
 
-    static final int ROUTES = ROUTE_SHARES.size();
-    private static final double REQUESTS_PER_NODE_AND_SECOND = 60;
+    static final int ROUTES = SHARE_BY_ROUTE.size();
+    private static final double MEAN_REQUESTS_PER_NODE_SECOND = 60;
     private static final double LATENCY_DEVIATION = 0.4;
-    private static final double FAILING_SHARE = 0.002;
-    private static final double BAD_CUSTOMER_FAILING_SHARE = 0.3;
-    private static final double COMPLAINT_SHARE = 0.3;
-    private static final double BUSY_LOAD = 1.02;
-    /** A request that fails with a lower probability than this is not harmed by the release. */
-    private static final double HARMFUL_FAILING_SHARE = 0.01;
+    private static final double FAILURE_PROBABILITY = 0.002;
+    private static final double FAILING_TENANT_FAILURE_PROBABILITY = 0.3;
+    private static final double COMPLAINT_PROBABILITY = 0.3;
+    private static final double MIN_BUSY_LOAD = 1.02;
+    /** A failed request counts as harmed by the release only if its probability to fail was above this. */
+    private static final double HARMFUL_FAILURE_PROBABILITY = 0.01;
 
     private static final double HARMFUL_SLOWDOWN = 0.3;
-    private static final int LATE_FAULT_SECONDS = 15;
+    private static final int LATE_FAULT_DELAY_SECONDS = 15;
     private static final String INCARNATION = "x";
 
     private final GeneratedDay day;
     private final DayRandom random;
     private final TreeMap<Long, List<NodeReport>> reportsByArrival = new TreeMap<>();
     private double drift;
-    private int spellUntil = -1;
-    private double spell;
+    private int transientSlowdownUntil = -1;
+    private double transientSlowdown;
     private long harmedRequests;
 
     GeneratedTraffic(GeneratedDay day, DayRandom random) {
@@ -44,24 +43,24 @@
         this.random = random;
     }
 
-    /** Requests that the bad release harmed so far. */
+    /** Returns the number of requests that the bad release has harmed so far. */
     long harmedRequests() {
         return harmedRequests;
     }
 
-    /** A release was promoted, which may cause a slow spell of all builds. */
+    /** Records the promotion of a release, which may cause a temporary slowdown of all builds. */
     void promoted(long now) {
-        if (day.slowsAtPromotions() && random.nextOneIn(3)) {
-            startSpell(now, 0.4, 0.6);
+        if (day.hasSlowdownsAfterPromotions() && random.nextOneIn(3)) {
+            startTransientSlowdown(now, 0.4, 0.6);
         }
     }
 
-    private void startSpell(long now, double minimum, double spread) {
-        spellUntil = (int) now + 2 + random.nextInt(7);
-        spell = minimum + spread * random.nextDouble();
+    private void startTransientSlowdown(long now, double minimum, double range) {
+        transientSlowdownUntil = (int) now + 2 + random.nextInt(7);
+        transientSlowdown = minimum + range * random.nextDouble();
     }
 
-    /** Removes and returns the reports that arrive by now. */
+    /** Removes and returns the reports that have arrived by now. */
     List<NodeReport> arrivedReports(long now) {
         List<NodeReport> arrived = new ArrayList<>();
         while (!reportsByArrival.isEmpty() && reportsByArrival.firstKey() <= now) {
@@ -70,33 +69,34 @@
         return arrived;
     }
 
-    /** Plays one second. */
-    void play(long now) {
+    /** Generates the requests and the reports of one second. */
+    void generateSecond(long now) {
         drift = 0.7 * drift + random.nextNormal() * 0.03;
-        if (now > spellUntil && random.nextOneIn(60)) {
-            startSpell(now, 0.3, 0.7);
+        if (now > transientSlowdownUntil && random.nextOneIn(60)) {
+            startTransientSlowdown(now, 0.3, 0.7);
         }
         double load = 1 + 0.2 * Math.sin(now / 9.0) + (day.isBurst(now) ? 0.6 : 0);
-        double slowdown = drift + (now <= spellUntil ? spell : 0) + Math.max(0, load - 1.2) * 0.5;
+        double slowdown =
+                drift + (now <= transientSlowdownUntil ? transientSlowdown : 0) + Math.max(0, load - 1.2) * 0.5;
         Conditions conditions = new Conditions(now, load, slowdown);
         for (int node = 0; node < GeneratedDay.NODES; node++) {
-            playNode(node, conditions);
+            generateNodeTraffic(node, conditions);
         }
     }
 
     /**
-     * What all requests of one second share.
+     * The conditions that apply to all requests of one second.
      *
-     * @param load beside the usual one
-     * @param slowdown added to the logarithm of all latencies
+     * @param load factor on the average rate of requests
+     * @param slowdown added to the logarithms of all latencies
      */
     private record Conditions(long now, double load, double slowdown) {}
 
-    private void playNode(int node, Conditions conditions) {
+    private void generateNodeTraffic(int node, Conditions conditions) {
         Map<String, CellCounts> cells = new HashMap<>();
-        int requests = random.nextPoisson(REQUESTS_PER_NODE_AND_SECOND * conditions.load);
+        int requests = random.nextPoisson(MEAN_REQUESTS_PER_NODE_SECOND * conditions.load);
         for (int i = 0; i < requests; i++) {
-            playRequest(conditions, cells);
+            generateRequest(conditions, cells);
         }
         if (random.nextOneIn(20)) {
             // the report is lost
@@ -104,7 +104,7 @@
         }
         List<NodeReport.Cell> reported = new ArrayList<>();
         for (CellCounts counts : cells.values()) {
-            reported.add(counts.toCell(day.isLie(node, counts.build)));
+            reported.add(counts.toCell(day.reportsFalseFailures(node, counts.build)));
         }
         long now = conditions.now;
         NodeReport report = new NodeReport(node, INCARNATION, now, reported);
@@ -118,24 +118,24 @@
         reportsByArrival.computeIfAbsent(arrivesAt, key -> new ArrayList<>()).add(report);
     }
 
-    /** One request and what the day's faults do to it. */
+    /** The latency and the possible outcomes of one request, including the effects of the day's faults. */
     private static final class RequestEffects {
         double logMillis;
-        double failingShare;
-        boolean isWrong;
-        boolean isHarmedByOthers;
+        double failureProbability;
+        boolean hasWrongContent;
+        boolean isHarmedIndirectly;
 
-        RequestEffects(double logMillis, double failingShare) {
+        RequestEffects(double logMillis, double failureProbability) {
             this.logMillis = logMillis;
-            this.failingShare = failingShare;
+            this.failureProbability = failureProbability;
         }
     }
 
     /**
-     * Where a request goes.
+     * The endpoint that a request is sent to.
      *
-     * @param release null for the baseline build
-     * @param latencyOffset of the endpoint, added to the logarithm of the latency
+     * @param release the release whose build the endpoint runs; null for the baseline build
+     * @param latencyOffset the endpoint's offset, added to the logarithm of the latency
      */
     private record Destination(@Nullable GeneratedRelease release, String endpoint, double latencyOffset) {
         int build() {
@@ -143,27 +143,29 @@
         }
     }
 
-    private void playRequest(Conditions conditions, Map<String, CellCounts> cells) {
-        int customer = random.nextInt(GeneratedDay.CUSTOMERS);
-        GeneratedRelease release = drawRelease(conditions.now);
-        int route = drawRoute();
-        Destination destination = drawDestination(release);
-        RequestEffects effects = drawEffects(conditions, customer, route, destination);
-        boolean silent = day.isDead(destination.endpoint, conditions.now);
-        boolean failed = !silent && random.nextDouble() < effects.failingShare;
-        boolean complained = effects.isWrong && !silent && !failed && random.nextDouble() < COMPLAINT_SHARE;
+    private void generateRequest(Conditions conditions, Map<String, CellCounts> cells) {
+        int tenant = random.nextInt(GeneratedDay.TENANTS);
+        GeneratedRelease release = randomRelease(conditions.now);
+        int route = randomRoute();
+        Destination destination = randomDestination(release);
+        RequestEffects effects = randomEffects(conditions, tenant, route, destination);
+        boolean unanswered = day.isUnresponsive(destination.endpoint, conditions.now);
+        boolean failed = !unanswered && random.nextDouble() < effects.failureProbability;
+        boolean complained =
+                effects.hasWrongContent && !unanswered && !failed && random.nextDouble() < COMPLAINT_PROBABILITY;
         boolean isBad = day.isBad(destination.build());
-        if ((isBad && isHarmful(effects, failed, conditions)) || effects.isHarmedByOthers) {
+        if ((isBad && isHarmful(effects, failed, conditions)) || effects.isHarmedIndirectly) {
             harmedRequests++;
         }
-        // the order of the cells in a report follows from these keys, and is a part of the recorded days
-        String key = destination.build() + "/" + route + "/" + destination.endpoint + "/" + customer;
-        cells.computeIfAbsent(key, absent -> new CellCounts(destination.build(), route, destination.endpoint, customer))
-                .add(silent, failed, complained, effects.logMillis);
-        countHit(release, conditions.now, failed || silent || complained);
+        // these keys determine the order of the cells in a report, and so the results of earlier versions for the same
+        // seed
+        String key = destination.build() + "/" + route + "/" + destination.endpoint + "/" + tenant;
+        cells.computeIfAbsent(key, absent -> new CellCounts(destination.build(), route, destination.endpoint, tenant))
+                .add(unanswered, failed, complained, effects.logMillis);
+        countOutcome(release, conditions.now, failed || unanswered || complained);
     }
 
-    private Destination drawDestination(@Nullable GeneratedRelease release) {
+    private Destination randomDestination(@Nullable GeneratedRelease release) {
         if (release == null) {
             int number = random.nextInt(GeneratedDay.BASELINE_ENDPOINTS);
             return new Destination(null, GeneratedDay.baselineEndpoint(number), day.baselineOffset(number));
@@ -172,124 +174,130 @@
         return new Destination(release, GeneratedDay.releaseEndpoint(release, number), release.endpointOffset(number));
     }
 
-    private RequestEffects drawEffects(Conditions conditions, int customer, int route, Destination destination) {
-        double logMillis = Math.log(ROUTE_LATENCIES_MILLIS.get(route))
+    private RequestEffects randomEffects(Conditions conditions, int tenant, int route, Destination destination) {
+        double logMillis = Math.log(MEDIAN_LATENCY_MILLIS_BY_ROUTE.get(route))
                 + conditions.slowdown
                 + LATENCY_DEVIATION * random.nextNormal()
                 + destination.latencyOffset;
-        double failingShare = FAILING_SHARE + (day.isBadCustomer(customer) ? BAD_CUSTOMER_FAILING_SHARE : 0);
-        RequestEffects effects = new RequestEffects(logMillis, failingShare);
+        double failureProbability =
+                FAILURE_PROBABILITY + (day.isFailingTenant(tenant) ? FAILING_TENANT_FAILURE_PROBABILITY : 0);
+        RequestEffects effects = new RequestEffects(logMillis, failureProbability);
         GeneratedRelease release = destination.release;
         if (release != null && day.isBad(release.build())) {
             applyFault(effects, release, route, conditions);
         }
         if (day.fault() == ReleaseFault.HARMS_ALL) {
-            double harm = day.badShare(conditions.now) * day.bySeverity(4, 8);
-            effects.logMillis += harm;
-            effects.isHarmedByOthers = harm > HARMFUL_SLOWDOWN;
+            double logSlowdown = day.badShare(conditions.now) * day.scaledBySeverity(4, 8);
+            effects.logMillis += logSlowdown;
+            effects.isHarmedIndirectly = logSlowdown > HARMFUL_SLOWDOWN;
         }
         return effects;
     }
 
-    private @Nullable GeneratedRelease drawRelease(long now) {
-        double drawn = random.nextDouble();
+    private @Nullable GeneratedRelease randomRelease(long now) {
+        double sample = random.nextDouble();
         GeneratedRelease chosen = null;
         for (GeneratedRelease release : day.releases()) {
             double share = release.share(now);
-            if (drawn >= 0 && drawn < share) {
+            if (sample >= 0 && sample < share) {
                 chosen = release;
             }
-            drawn -= share;
+            sample -= share;
         }
         return chosen;
     }
 
-    private int drawRoute() {
-        if (random.nextDouble() < ROUTE_SHARES.get(0)) {
+    private int randomRoute() {
+        if (random.nextDouble() < SHARE_BY_ROUTE.get(0)) {
             return 0;
         }
-        return random.nextDouble() < ROUTE_SHARES.get(1) / (1 - ROUTE_SHARES.get(0)) ? 1 : 2;
+        return random.nextDouble() < SHARE_BY_ROUTE.get(1) / (1 - SHARE_BY_ROUTE.get(0)) ? 1 : 2;
     }
 
-    /** What the fault does to a request that the bad release serves. */
+    /** Applies the day's fault to a request that the bad release serves. */
     private void applyFault(RequestEffects effects, GeneratedRelease release, int route, Conditions conditions) {
         switch (day.fault()) {
-            case FAILS -> effects.failingShare += day.bySeverity(0.03, 0.3);
-            case FAILS_ONE_ROUTE -> effects.failingShare += route == 1 ? day.bySeverity(0.1, 0.6) : 0;
+            case FAILS -> effects.failureProbability += day.scaledBySeverity(0.03, 0.3);
+            case FAILS_ONE_ROUTE -> effects.failureProbability += route == 1 ? day.scaledBySeverity(0.1, 0.6) : 0;
             case LATE -> {
-                boolean begun = conditions.now >= release.startsAt() + LATE_FAULT_SECONDS;
-                effects.failingShare += begun ? day.bySeverity(0.05, 0.3) : 0;
+                boolean hasStarted = conditions.now >= release.startsAt() + LATE_FAULT_DELAY_SECONDS;
+                effects.failureProbability += hasStarted ? day.scaledBySeverity(0.05, 0.3) : 0;
             }
-            case TOGETHER -> effects.failingShare += day.hasGoodTrial(conditions.now) ? day.bySeverity(0.05, 0.3) : 0;
-            case SLOW -> effects.logMillis += Math.log(day.bySeverity(2, 4));
+            case TOGETHER ->
+                effects.failureProbability += day.hasGoodCanary(conditions.now) ? day.scaledBySeverity(0.05, 0.3) : 0;
+            case SLOW -> effects.logMillis += Math.log(day.scaledBySeverity(2, 4));
             case SLOW_WHEN_BUSY ->
-                effects.logMillis += conditions.load > BUSY_LOAD ? Math.log(day.bySeverity(2.2, 4)) : 0;
-            case WRONG -> effects.isWrong = random.nextDouble() < day.bySeverity(0.15, 0.5);
+                effects.logMillis += conditions.load > MIN_BUSY_LOAD ? Math.log(day.scaledBySeverity(2.2, 4)) : 0;
+            case WRONG -> effects.hasWrongContent = random.nextDouble() < day.scaledBySeverity(0.15, 0.5);
             case HARMS_ALL, NONE -> {}
         }
     }
 
     private boolean isHarmful(RequestEffects effects, boolean failed, Conditions conditions) {
         boolean isSlow = day.fault() == ReleaseFault.SLOW
-                || (day.fault() == ReleaseFault.SLOW_WHEN_BUSY && conditions.load > BUSY_LOAD);
-        return (failed && effects.failingShare > HARMFUL_FAILING_SHARE) || effects.isWrong || isSlow;
+                || (day.fault() == ReleaseFault.SLOW_WHEN_BUSY && conditions.load > MIN_BUSY_LOAD);
+        return (failed && effects.failureProbability > HARMFUL_FAILURE_PROBABILITY)
+                || effects.hasWrongContent
+                || isSlow;
     }
 
-    private void countHit(@Nullable GeneratedRelease servedBy, long now, boolean hit) {
+    private void countOutcome(@Nullable GeneratedRelease servedBy, long now, boolean isBad) {
         for (GeneratedRelease release : day.releases()) {
             if (servedBy == release) {
-                release.ownHits().add(hit);
+                release.ownOutcomes().add(isBad);
             } else if (release.share(now) > 0) {
-                release.otherHits().add(hit);
+                release.otherOutcomes().add(isBad);
             }
         }
     }
 
-    /** What one node counted in one second of one endpoint, route and customer. */
+    /** One node's counts for one endpoint, route and tenant in one second. */
     private static final class CellCounts {
-        private static final int LIE_FACTOR = 10;
+        private static final int FALSE_FAILURE_FACTOR = 10;
 
         private final int build;
         private final int route;
         private final String endpoint;
-        private final int customer;
+        private final int tenant;
         private int attempts;
         private int failed;
-        private int silent;
+        private int unanswered;
         private int complained;
         private int completed;
         private double logMillisSum;
         private double logMillisSquareSum;
 
-        CellCounts(int build, int route, String endpoint, int customer) {
+        CellCounts(int build, int route, String endpoint, int tenant) {
             this.build = build;
             this.route = route;
             this.endpoint = endpoint;
-            this.customer = customer;
+            this.tenant = tenant;
         }
 
-        void add(boolean isSilent, boolean isFailed, boolean isComplained, double logMillis) {
+        void add(boolean isUnanswered, boolean isFailed, boolean isComplained, double logMillis) {
             attempts++;
             failed += isFailed ? 1 : 0;
-            silent += isSilent ? 1 : 0;
+            unanswered += isUnanswered ? 1 : 0;
             complained += isComplained ? 1 : 0;
-            if (!isSilent && !isFailed) {
+            if (!isUnanswered && !isFailed) {
                 completed++;
                 logMillisSum += logMillis;
                 logMillisSquareSum += logMillis * logMillis;
             }
         }
 
-        NodeReport.Cell toCell(boolean isLie) {
-            int reportedFailed = isLie ? Math.min(attempts - silent, Math.max(1, failed * LIE_FACTOR)) : failed;
+        NodeReport.Cell toCell(boolean reportsFalseFailures) {
+            int reportedFailed = reportsFalseFailures
+                    ? Math.min(attempts - unanswered, Math.max(1, failed * FALSE_FAILURE_FACTOR))
+                    : failed;
             return new NodeReport.Cell(
                     build,
                     route,
                     endpoint,
-                    customer,
+                    tenant,
                     attempts,
                     reportedFailed,
-                    silent,
+                    unanswered,
                     complained,
                     completed,
                     logMillisSum,
--- a/src/main/java/laurelkeel/bench/Heap.java
+++ b/src/main/java/laurelkeel/bench/Heap.java
@@ -6,7 +6,7 @@
 
     private Heap() {}
 
-    /** Collects garbage and returns what is still used, in MiB. */
+    /** Runs the garbage collector and returns the heap that is still in use, in MiB. */
     static double usedMebibytes() {
         System.gc();
         Runtime runtime = Runtime.getRuntime();
--- a/src/main/java/laurelkeel/bench/ReleaseFault.java
+++ b/src/main/java/laurelkeel/bench/ReleaseFault.java
@@ -2,28 +2,31 @@
 
 import java.util.Locale;
 
-/** What is wrong with one release of a generated day. Days are drawn by the order of the constants. */
+/**
+ * The fault of the bad release on a generated day. The order of the constants is part of the seed of a day; the names,
+ * in lower case, appear in tables and charts.
+ */
 enum ReleaseFault {
     /** No release is bad. */
     NONE,
-    /** Some of its answers are errors. */
+    /** It answers some requests with errors. */
     FAILS,
-    /** Some of its answers on one route are errors. */
+    /** It answers some requests for one route with errors. */
     FAILS_ONE_ROUTE,
     /** It is slow. */
     SLOW,
-    /** It is slow while there is more load than usual. */
+    /** It is slow while the load is above average. */
     SLOW_WHEN_BUSY,
-    /** It begins to fail some seconds after its start. */
+    /** It starts to fail some seconds after its rollout started. */
     LATE,
-    /** Some of its answers are wrong. */
+    /** Some of its answers have wrong content, which clients may complain about. */
     WRONG,
     /** It slows down all builds. */
     HARMS_ALL,
-    /** It fails while another release is on trial. */
+    /** It answers some requests with errors while another release gets part of the traffic. */
     TOGETHER;
 
-    /** The name in tables and charts. */
+    /** Returns the name in tables and charts. */
     String label() {
         return name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
--- a/src/main/java/laurelkeel/bench/package-info.java
+++ b/src/main/java/laurelkeel/bench/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Measurements: the decisions alone (JMH, and checksums of what they do), the attribution on generated days, and a front
- * node beside a bare relay. No part of a running node.
+ * Benchmarks: the routing decisions alone (JMH measurements, and checksums of their actions), the attribution of
+ * regressions on generated release days, and a front node compared with a minimal relay. Not used by a running node.
  */
 @NullMarked
 package laurelkeel.bench;
--- a/src/test/java/laurelkeel/bench/AttributionScenarioTest.java
+++ b/src/test/java/laurelkeel/bench/AttributionScenarioTest.java
@@ -5,12 +5,15 @@
 import org.junit.jupiter.api.Test;
 
 class AttributionScenarioTest {
-    /** The figures of earlier tables can only be compared where the days stay the same. */
+    /**
+     * Guards against a change of the generated days: results can be compared with those of earlier versions only if a
+     * seed still gives the same day.
+     */
     @Test
-    void aSeedGivesTheDayThatItAlwaysGave() {
+    void aSeedGivesTheRecordedResult() {
         assertEquals(
                 new AttributionScenario.Result(
                         ReleaseFault.TOGETHER, true, false, 12.0, 49, true, false, true, false, 0),
-                new AttributionScenario(25, ReleaseFault.TOGETHER).play());
+                new AttributionScenario(25, ReleaseFault.TOGETHER).run());
     }
 }
--- a/src/test/java/laurelkeel/bench/NaiveRulesTest.java
+++ b/src/test/java/laurelkeel/bench/NaiveRulesTest.java
@@ -10,34 +10,34 @@
     private final GeneratedRelease late = new GeneratedRelease(3, 20);
     private final List<GeneratedRelease> releases = List.of(early, late);
 
-    private static void count(HitRate rate, int requests, int hits) {
+    private static void addRequests(BadOutcomeRate rate, int requests, int badOutcomes) {
         for (int i = 0; i < requests; i++) {
-            rate.add(i < hits);
+            rate.add(i < badOutcomes);
         }
     }
 
     @Test
-    void theNewestIsTheLastThatHasStarted() {
+    void newestIsTheReleaseThatStartedLast() {
         assertEquals(NaiveRules.NO_BUILD, NaiveRules.newest(releases, 5));
         assertEquals(2, NaiveRules.newest(releases, 19));
         assertEquals(3, NaiveRules.newest(releases, 20));
     }
 
     @Test
-    void theWorstRateNeedsRequests() {
+    void worstRateIgnoresReleasesWithoutRequests() {
         assertEquals(NaiveRules.NO_BUILD, NaiveRules.worstRate(releases));
-        count(late.ownHits(), 10, 1);
+        addRequests(late.ownOutcomes(), 10, 1);
         assertEquals(3, NaiveRules.worstRate(releases));
-        count(early.ownHits(), 10, 2);
+        addRequests(early.ownOutcomes(), 10, 2);
         assertEquals(2, NaiveRules.worstRate(releases));
     }
 
     @Test
-    void aReleaseIsTestedAloneOnceItHasEnoughRequests() {
-        count(early.otherHits(), 1000, 10);
-        count(early.ownHits(), 29, 20);
+    void testedAloneIgnoresReleasesWithTooFewRequests() {
+        addRequests(early.otherOutcomes(), 1000, 10);
+        addRequests(early.ownOutcomes(), 29, 20);
         assertEquals(NaiveRules.NO_BUILD, NaiveRules.testedAlone(releases));
-        count(early.ownHits(), 1, 0);
+        addRequests(early.ownOutcomes(), 1, 0);
         assertEquals(2, NaiveRules.testedAlone(releases));
     }
 }
