--- a/src/main/java/laurelkeel/bench/BareRelay.java
+++ b/src/main/java/laurelkeel/bench/BareRelay.java
@@ -22,9 +22,9 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * The least that could stand in a front node's place, which the node is measured against: the same codecs and sockets,
- * endpoints in turn, and nothing else: no timeouts, no limits, no retries, no metrics but those of the process.
- * Thread-safe.
+ * The simplest possible replacement for a front node, as the baseline of its measurements. It uses the same codecs and
+ * sockets and sends requests to the endpoints in turn, but has no timeouts, no limits, no retries, and only metrics of
+ * the process. Thread-safe.
  */
 public final class BareRelay {
     private static final int PROCESSORS = 2;
@@ -40,12 +40,12 @@
     private final NioSocketAcceptor acceptor = new NioSocketAcceptor(PROCESSORS);
 
     /**
-     * Creates a relay that listens already; it lasts until the process ends.
+     * Starts a relay, which runs until the process ends.
      *
-     * @param port where clients connect on loopback
-     * @param adminPort where metrics are served on loopback
-     * @param endpointPorts the endpoints on loopback
-     * @throws IOException where a port cannot be opened
+     * @param port loopback port for clients
+     * @param adminPort loopback port for metrics
+     * @param endpointPorts loopback ports of the endpoints
+     * @throws IOException if a port cannot be opened
      */
     public BareRelay(int port, int adminPort, List<Integer> endpointPorts) throws IOException {
         endpoints = endpointPorts.stream()
@@ -92,10 +92,10 @@
             }
             connector
                     .connect(endpoint.address)
-                    .addListener(future -> connected((ConnectFuture) future, endpoint, client, request));
+                    .addListener(future -> connectFinished((ConnectFuture) future, endpoint, client, request));
         }
 
-        private void connected(ConnectFuture future, Endpoint endpoint, IoSession client, HttpRequest request) {
+        private void connectFinished(ConnectFuture future, Endpoint endpoint, IoSession client, HttpRequest request) {
             if (future.isConnected()) {
                 IoSession session = future.getSession();
                 session.setAttribute(ENDPOINT, endpoint);
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Forwards each response of an endpoint to the client whose request the connection carried last. */
+    /** Forwards each response of an endpoint to the client whose request was sent last on that connection. */
     private static final class ResponseForwarder extends IoHandlerAdapter {
         @Override
         public void messageReceived(IoSession session, Object message) {
--- a/src/main/java/laurelkeel/bench/EchoServers.java
+++ b/src/main/java/laurelkeel/bench/EchoServers.java
@@ -20,7 +20,7 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
-/** Endpoints that answer at once, so that what is measured is what stands before them. */
+/** Endpoints that answer immediately, so that measurements show the cost of the relay or front node before them. */
 final class EchoServers implements AutoCloseable {
     private static final int PROCESSORS = 2;
     private static final int BODY_BYTES = 100;
@@ -55,7 +55,7 @@
         acceptor.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
 
-    /** The ports of all endpoints on loopback. */
+    /** Returns the loopback ports of all endpoints. */
     List<Integer> ports() {
         return ports;
     }
--- a/src/main/java/laurelkeel/bench/FrontBenchmark.java
+++ b/src/main/java/laurelkeel/bench/FrontBenchmark.java
@@ -9,7 +9,9 @@
 import laurelkeel.bench.MeasuredProcess.Program;
 import laurelkeel.bench.MeasuredProcess.Usage;
 
-/** Measures a front node and a bare relay, each a process of its own, before the same endpoints under the same load. */
+/**
+ * Compares a front node with a bare relay, each in a separate process, with the same endpoints and under the same load.
+ */
 public final class FrontBenchmark {
     private static final int CONNECTIONS = 128;
     private static final int IDLE_ENDPOINTS = 10;
@@ -27,9 +29,10 @@
     /**
      * Creates a benchmark.
      *
-     * @param folder for settings and logs of the processes
-     * @param seconds that each phase is measured
-     * @param javaOptions more options for the measured processes; @NAME@ in them becomes front or relay
+     * @param folder folder for the settings and logs of the processes
+     * @param seconds measured duration of each phase
+     * @param javaOptions further Java options for the measured processes; @NAME@ in them is replaced by front or relay
+     * @param out stream for the tables
      */
     public FrontBenchmark(Path folder, double seconds, List<String> javaOptions, PrintStream out) {
         this.folder = folder;
@@ -39,24 +42,28 @@
     }
 
     /**
-     * One process in one round.
+     * The results of one process in one round.
      *
-     * @param full what it did with all connections busy
-     * @param cpuMicros processor time for each request then
-     * @param allocatedBytes for each request then
-     * @param paced what it did at a given rate
+     * @param closedLoop results with all connections busy
+     * @param cpuMicros processor time for each request with all connections busy
+     * @param allocatedBytes bytes allocated for each request with all connections busy
+     * @param fixedRate results at a fixed rate
      */
     private record Measurement(
-            Program program, LoadClient.Result full, double cpuMicros, double allocatedBytes, LoadClient.Result paced) {
+            Program program,
+            LoadClient.Result closedLoop,
+            double cpuMicros,
+            double allocatedBytes,
+            LoadClient.Result fixedRate) {
         double latencyMicros(double percentile) {
-            return paced.latencies().getValueAtPercentile(percentile) / NANOS_PER_MICROSECOND;
+            return fixedRate.latencies().getValueAtPercentile(percentile) / NANOS_PER_MICROSECOND;
         }
     }
 
-    /** A relay and a front in one round. */
+    /** The results of the relay and of the front node in one round. */
     private record Round(Measurement relay, Measurement front) {
         double throughputRatio() {
-            return front.full.perSecond() / relay.full.perSecond();
+            return front.closedLoop.perSecond() / relay.closedLoop.perSecond();
         }
 
         double cpuRatio() {
@@ -73,10 +80,10 @@
     }
 
     /**
-     * Prints a table for each number of endpoints, and the memory of idle connections.
+     * Prints a table with the results for each number of endpoints, and the memory that idle connections need.
      *
-     * @param rounds of relay and front in turn
-     * @throws IOException where a process does not start or cannot be reached
+     * @param rounds number of rounds, each of which measures the relay and then the front node
+     * @throws IOException if a process does not start or cannot be reached
      */
     public void run(List<Integer> endpointCounts, int rounds, int idleConnections) throws IOException {
         out.printf(
@@ -91,11 +98,11 @@
     }
 
     private void compare(EchoServers servers, int endpoints, int rounds) throws IOException {
-        // half of what the relay bears, for both
+        // half of the relay's throughput with all connections busy, for both programs
         double rate = measureThroughput(Program.RELAY, servers) / 2;
         List<Round> measured = new ArrayList<>();
         for (int i = 0; i < rounds; i++) {
-            // in turn, so that what else the host does meets both
+            // alternating, so that other load on the host affects both
             Measurement relay = measure(Program.RELAY, servers, rate);
             print(endpoints, relay, rate);
             Measurement front = measure(Program.FRONT, servers, rate);
@@ -119,11 +126,11 @@
         return MeasuredProcess.start(program, folder, javaOptions, servers.ports());
     }
 
-    /** Requests a second with all connections busy. */
+    /** Returns the requests a second that the program completes with all connections busy. */
     private double measureThroughput(Program program, EchoServers servers) throws IOException {
         try (MeasuredProcess process = start(program, servers);
                 LoadClient load = new LoadClient(process.address(), CONNECTIONS)) {
-            return load.runFull(seconds, seconds, () -> {}).perSecond();
+            return load.runClosedLoop(seconds, seconds, () -> {}).perSecond();
         }
     }
 
@@ -131,12 +138,12 @@
         try (MeasuredProcess process = start(program, servers);
                 LoadClient load = new LoadClient(process.address(), CONNECTIONS)) {
             UsageMeter meter = new UsageMeter(process);
-            LoadClient.Result full = load.runFull(seconds, seconds, meter);
+            LoadClient.Result closedLoop = load.runClosedLoop(seconds, seconds, meter);
             Usage used = meter.used();
-            double cpuMicros = used.cpuSeconds() * MICROS_PER_SECOND / full.completed();
-            double allocatedBytes = used.allocatedBytes() / full.completed();
-            LoadClient.Result paced = load.runAtRate(rate, seconds / 4, seconds);
-            return new Measurement(program, full, cpuMicros, allocatedBytes, paced);
+            double cpuMicros = used.cpuSeconds() * MICROS_PER_SECOND / closedLoop.completed();
+            double allocatedBytes = used.allocatedBytes() / closedLoop.completed();
+            LoadClient.Result fixedRate = load.runAtRate(rate, seconds / 4, seconds);
+            return new Measurement(program, closedLoop, cpuMicros, allocatedBytes, fixedRate);
         }
     }
 
@@ -146,13 +153,13 @@
                 "%-8d %-6s %10.0f %12.1f %12.0f %10.0f %10.0f %10.0f %8d%n",
                 endpoints,
                 measurement.program.label(),
-                measurement.full.perSecond(),
+                measurement.closedLoop.perSecond(),
                 measurement.cpuMicros,
                 measurement.allocatedBytes,
                 rate,
                 measurement.latencyMicros(MEDIAN),
                 measurement.latencyMicros(PERCENTILE_99),
-                measurement.full.failed() + measurement.paced.failed());
+                measurement.closedLoop.failed() + measurement.fixedRate.failed());
     }
 
     private void measureIdleConnections(int connections) throws IOException {
--- a/src/main/java/laurelkeel/bench/LoadClient.java
+++ b/src/main/java/laurelkeel/bench/LoadClient.java
@@ -22,9 +22,10 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * Load on one address over a number of connections. Full: each connection sends again as soon as it is answered. At a rate:
- * requests are due at even moments whatever the answers do, and a late one's latency counts from when it was due. Phases
- * are run by one thread.
+ * Generates load on one address over a fixed number of connections, in one of two ways. In a closed loop, each
+ * connection sends its next request as soon as the previous one is answered. At a fixed rate, requests are due at even
+ * intervals, independent of the answers, and latency is measured from the time a request was due, even if it was sent
+ * later. The methods that run a phase must be called by one thread.
  */
 final class LoadClient implements AutoCloseable {
     private static final AttributeKey DUE_NANOS = new AttributeKey(LoadClient.class, "due");
@@ -34,23 +35,27 @@
     private static final double NANOS_PER_SECOND = 1e9;
     private static final long MAX_LATENCY_NANOS = 60_000_000_000L;
     private static final int LATENCY_DIGITS = 3;
-    private static final long MAX_SETTLE_NANOS = 5_000_000_000L;
-    private static final long SETTLE_POLL_NANOS = 1_000_000;
-    /** The pacing thread wakes so long before a request is due. */
+    private static final long MAX_IDLE_WAIT_NANOS = 5_000_000_000L;
+    private static final long IDLE_POLL_NANOS = 1_000_000;
+    /** How long before a request is due the pacing thread wakes up. */
     private static final long EARLY_WAKE_NANOS = 20_000;
 
     private final NioSocketConnector connector = new NioSocketConnector(PROCESSORS);
     private final List<IoSession> sessions = new ArrayList<>();
     private final ConcurrentLinkedQueue<IoSession> idleSessions = new ConcurrentLinkedQueue<>();
-    /** The moments of requests that are due and have no connection yet. */
-    private final ConcurrentLinkedQueue<Long> waitingNanos = new ConcurrentLinkedQueue<>();
+    /** Due times of requests that are waiting for an idle connection. */
+    private final ConcurrentLinkedQueue<Long> waitingDueNanos = new ConcurrentLinkedQueue<>();
 
-    private final AtomicBoolean sendsAgain = new AtomicBoolean();
+    private final AtomicBoolean closedLoop = new AtomicBoolean();
     private final LongAdder completed = new LongAdder();
     private final LongAdder failed = new LongAdder();
     private volatile Histogram latencies = newHistogram();
 
-    /** Connects to an address. */
+    /**
+     * Opens the connections.
+     *
+     * @throws IOException if one of them cannot be opened
+     */
     LoadClient(InetSocketAddress address, int connections) throws IOException {
         connector.getSessionConfig().setTcpNoDelay(true);
         connector.getFilterChain().addLast("http", HttpCodec.client(HttpLimits.DEFAULT));
@@ -58,7 +63,7 @@
         for (int i = 0; i < connections; i++) {
             ConnectFuture future = connector.connect(address).awaitUninterruptibly();
             if (!future.isConnected()) {
-                throw new IOException("connection " + i + " failed", future.getException());
+                throw new IOException("connection " + i + " could not be opened", future.getException());
             }
             sessions.add(future.getSession());
         }
@@ -77,11 +82,11 @@
             }
             latencies.recordValue(System.nanoTime() - (long) session.getAttribute(DUE_NANOS));
             (response.status() == HTTP_OK ? completed : failed).increment();
-            if (sendsAgain.get()) {
+            if (closedLoop.get()) {
                 send(session, System.nanoTime());
                 return;
             }
-            Long dueNanos = waitingNanos.poll();
+            Long dueNanos = waitingDueNanos.poll();
             if (dueNanos != null) {
                 send(session, dueNanos);
             } else {
@@ -103,32 +108,33 @@
     }
 
     /**
-     * What one phase did.
+     * The results of one phase.
      *
-     * @param perSecond requests that completed
-     * @param failed answers other than 200, and connections that failed
-     * @param latencies in nanoseconds
+     * @param perSecond number of requests completed with status 200 a second
+     * @param completed number of requests completed with status 200
+     * @param failed number of answers with another status, and of failed connections
+     * @param latencies latencies of all answers in nanoseconds
      */
     record Result(double perSecond, long completed, long failed, Histogram latencies) {}
 
     /**
-     * Keeps all connections busy, first to warm up and then measured.
+     * Sends requests in a closed loop over all connections: first to warm up, then measured.
      *
-     * @param atBothEnds run at both ends of the measured time
+     * @param atStartAndEnd called at the start and at the end of the measured time
      */
-    Result runFull(double warmUpSeconds, double seconds, Runnable atBothEnds) {
-        sendsAgain.set(true);
+    Result runClosedLoop(double warmUpSeconds, double seconds, Runnable atStartAndEnd) {
+        closedLoop.set(true);
         for (IoSession session = idleSessions.poll(); session != null; session = idleSessions.poll()) {
             send(session, System.nanoTime());
         }
         pause(warmUpSeconds);
-        Result result = measure(seconds, atBothEnds);
-        sendsAgain.set(false);
+        Result result = measure(seconds, atStartAndEnd);
+        closedLoop.set(false);
         awaitIdle();
         return result;
     }
 
-    /** Sends at an even rate, first to warm up and then measured. */
+    /** Sends requests at a fixed rate: first to warm up, then measured. */
     Result runAtRate(double perSecond, double warmUpSeconds, double seconds) {
         AtomicBoolean ended = new AtomicBoolean();
         Thread pacing = new Thread(() -> sendAtRate(perSecond, ended), "pace");
@@ -150,13 +156,13 @@
             if (session != null) {
                 send(session, dueNanos);
             } else {
-                waitingNanos.add(dueNanos);
+                waitingDueNanos.add(dueNanos);
             }
         }
     }
 
-    private Result measure(double seconds, Runnable atBothEnds) {
-        atBothEnds.run();
+    private Result measure(double seconds, Runnable atStartAndEnd) {
+        atStartAndEnd.run();
         Histogram measured = newHistogram();
         long completedBefore = completed.sum();
         long failedBefore = failed.sum();
@@ -166,15 +172,15 @@
         double elapsedSeconds = (System.nanoTime() - startedNanos) / NANOS_PER_SECOND;
         long completedNow = completed.sum() - completedBefore;
         Result result = new Result(completedNow / elapsedSeconds, completedNow, failed.sum() - failedBefore, measured);
-        atBothEnds.run();
+        atStartAndEnd.run();
         return result;
     }
 
-    /** Waits until all connections are idle, or for some seconds. */
+    /** Waits until all connections are idle, for at most {@link #MAX_IDLE_WAIT_NANOS}. */
     private void awaitIdle() {
-        long limitNanos = System.nanoTime() + MAX_SETTLE_NANOS;
+        long limitNanos = System.nanoTime() + MAX_IDLE_WAIT_NANOS;
         while (idleSessions.size() < sessions.size() && System.nanoTime() < limitNanos) {
-            LockSupport.parkNanos(SETTLE_POLL_NANOS);
+            LockSupport.parkNanos(IDLE_POLL_NANOS);
         }
     }
 
--- a/src/main/java/laurelkeel/bench/MeasuredProcess.java
+++ b/src/main/java/laurelkeel/bench/MeasuredProcess.java
@@ -17,7 +17,7 @@
 import java.util.stream.Collectors;
 import laurelkeel.testbed.PortAllocator;
 
-/** A front node or a bare relay as a process of its own that is measured under load; used by one thread. */
+/** A front node or a bare relay in a separate process, whose resource usage is measured under load. Not thread-safe. */
 final class MeasuredProcess implements AutoCloseable {
     private static final String SETTINGS =
             """
@@ -47,7 +47,7 @@
     private final InetSocketAddress address;
     private final int adminPort;
 
-    /** What is measured. */
+    /** The program that the process runs. */
     enum Program {
         FRONT("front"),
         RELAY("relay");
@@ -58,16 +58,17 @@
             this.label = label;
         }
 
-        /** The name in tables, folders and Java options. */
+        /** Returns the name in tables, folder names and Java options. */
         String label() {
             return label;
         }
     }
 
     /**
-     * What a process used up to a moment.
+     * The resources that a process has used since its start.
      *
-     * @param allocatedBytes on its heap
+     * @param cpuSeconds processor time
+     * @param allocatedBytes total size of the objects allocated on the heap
      */
     record Usage(double cpuSeconds, double allocatedBytes) {
         Usage since(Usage earlier) {
@@ -82,28 +83,28 @@
     }
 
     /**
-     * Starts a program before some endpoints, and waits until it accepts connections.
+     * Starts a program that sends requests to the given endpoints, and waits until it accepts connections.
      *
-     * @param folder its folder and its log are made in this one
-     * @param javaOptions of the process; @NAME@ in them becomes the program's name
-     * @throws IOException where it does not start
+     * @param folder parent of the folder for the program's settings, state and log
+     * @param javaOptions further Java options for the process; @NAME@ in them is replaced by the program's name
+     * @throws IOException if the program does not start
      */
     static MeasuredProcess start(Program program, Path folder, List<String> javaOptions, List<Integer> endpointPorts)
             throws IOException {
         int port = PortAllocator.allocate();
         int adminPort = PortAllocator.allocate();
-        Path home = folder.resolve(program.label);
-        Files.createDirectories(home.resolve("state"));
+        Path programFolder = folder.resolve(program.label);
+        Files.createDirectories(programFolder.resolve("state"));
         List<String> command = new ArrayList<>(
                 List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xms256m", "-Xmx1g"));
         javaOptions.forEach(option -> command.add(option.replace("@NAME@", program.label)));
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), "laurelkeel.cli.Main"));
         command.addAll(
                 switch (program) {
-                    case FRONT -> frontArguments(home, port, adminPort, endpointPorts);
+                    case FRONT -> frontArguments(programFolder, port, adminPort, endpointPorts);
                     case RELAY -> relayArguments(port, adminPort, endpointPorts);
                 });
-        Path log = home.resolve("log.txt");
+        Path log = programFolder.resolve("log.txt");
         Process process = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(log.toFile())
@@ -112,24 +113,24 @@
         MeasuredProcess started = new MeasuredProcess(process, address, adminPort);
         for (int polls = 0; !started.isReachable(); polls++) {
             if (!process.isAlive() || polls > MAX_START_POLLS) {
-                throw new IOException("the " + program.label + " did not start; see " + log);
+                throw new IOException("process " + program.label + " did not start; see " + log);
             }
             LockSupport.parkNanos(START_POLL_NANOS);
         }
         return started;
     }
 
-    /** Writes the front's files and names them. */
-    private static List<String> frontArguments(Path home, int port, int adminPort, List<Integer> endpointPorts)
+    /** Writes the front node's settings and endpoint list, and returns its command-line arguments. */
+    private static List<String> frontArguments(Path programFolder, int port, int adminPort, List<Integer> endpointPorts)
             throws IOException {
-        Path settings = home.resolve("front.ini");
+        Path settings = programFolder.resolve("front.ini");
         Files.writeString(settings, SETTINGS.formatted(port, adminPort));
         String endpointList = endpointPorts.stream()
                 .map(endpointPort -> "{\"machine\":\"127.0.0.1:" + endpointPort
                         + "\",\"build\":1,\"zone\":\"here\",\"cell\":0,\"kind\":0,\"size\":1,"
                         + "\"state\":\"live\",\"run\":1,\"ageMs\":-1}")
                 .collect(Collectors.joining(",", "[", "]"));
-        Files.writeString(home.resolve("state").resolve("list.json"), endpointList);
+        Files.writeString(programFolder.resolve("state").resolve("list.json"), endpointList);
         return List.of("front", settings.toString());
     }
 
@@ -151,7 +152,7 @@
         return address;
     }
 
-    /** What the process has used since its start. */
+    /** Returns the resources that the process has used since its start. */
     Usage usage() {
         return new Usage(metric("laurelkeel_process_cpu_seconds"), metric("laurelkeel_allocated_bytes"));
     }
@@ -160,9 +161,9 @@
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + adminPort + "/metrics"))
                 .build();
         try {
-            String page =
+            String metrics =
                     http.send(request, HttpResponse.BodyHandlers.ofString()).body();
-            return page.lines()
+            return metrics.lines()
                     .filter(line -> line.startsWith(name + " "))
                     .mapToDouble(line -> Double.parseDouble(line.substring(name.length() + 1)))
                     .findFirst()
@@ -171,11 +172,11 @@
             throw new UncheckedIOException(e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IllegalStateException("interrupted while metrics were read", e);
+            throw new IllegalStateException("interrupted while reading the metrics", e);
         }
     }
 
-    /** The resident memory in MiB. */
+    /** Returns the resident memory in MiB; 0 if the kernel does not report it. */
     double residentMebibytes() throws IOException {
         return Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
                         .filter(line -> line.startsWith("VmRSS"))
--- a/src/main/java/laurelkeel/bench/UsageMeter.java
+++ b/src/main/java/laurelkeel/bench/UsageMeter.java
@@ -3,31 +3,35 @@
 import laurelkeel.bench.MeasuredProcess.Usage;
 import org.jspecify.annotations.Nullable;
 
-/** Measures what a process uses between two moments; not thread-safe. */
+/** Measures the resources that a process uses between two calls of {@link #run}. Not thread-safe. */
 final class UsageMeter implements Runnable {
     private final MeasuredProcess process;
-    private @Nullable Usage first;
+    private @Nullable Usage atStart;
     private @Nullable Usage used;
 
     UsageMeter(MeasuredProcess process) {
         this.process = process;
     }
 
-    /** Called at both ends of the measured time. */
+    /** Reads the usage; to be called at the start and at the end of the measured time. */
     @Override
     public void run() {
         Usage now = process.usage();
-        if (first == null) {
-            first = now;
+        if (atStart == null) {
+            atStart = now;
         } else {
-            used = now.since(first);
+            used = now.since(atStart);
         }
     }
 
-    /** What was used between the two moments. */
+    /**
+     * Returns the usage between the two calls of {@link #run}.
+     *
+     * @throws IllegalStateException if {@link #run} has not been called twice
+     */
     Usage used() {
         if (used == null) {
-            throw new IllegalStateException("the measured time has not ended");
+            throw new IllegalStateException("the usage at the end of the measured time has not been read");
         }
         return used;
     }
