--- a/src/main/java/laurelkeel/bench/DeciderSettings.java
+++ b/src/main/java/laurelkeel/bench/DeciderSettings.java
@@ -7,7 +7,7 @@
 import laurelkeel.api.Settings.Route;
 import laurelkeel.api.Ticks;
 
-/** Settings of the deciders that are measured. */
+/** Settings of the deciders under measurement. */
 final class DeciderSettings {
     private static final long SECOND = Ticks.PER_SECOND;
     private static final long MILLISECOND = Ticks.PER_MILLISECOND;
@@ -21,7 +21,9 @@
 
     private DeciderSettings() {}
 
-    /** One of four nodes with all kinds of routes and a rollout in three stages. */
+    /**
+     * Returns the settings of one of four nodes with routes of all kinds of idempotency and rollouts in three stages.
+     */
     static Settings forStreams(boolean exposurePerRoute) {
         return settings(
                 4,
@@ -31,7 +33,7 @@
                 rollout(2, 6 * SECOND, List.of(0.1, 0.4, 1.0), exposurePerRoute));
     }
 
-    /** One of four nodes with two routes and a rollout in two stages. */
+    /** Returns the settings of one of four nodes with two routes and rollouts in two stages. */
     static Settings forSingleDecider() {
         return settings(
                 4,
@@ -41,7 +43,7 @@
                 rollout(2, 6 * SECOND, List.of(0.1, 1.0), false));
     }
 
-    /** One of many nodes with one route. */
+    /** Returns the settings of one of many nodes with one route and rollouts in two stages. */
     static Settings forPartitions() {
         return settings(170, List.of(IDEMPOTENT_ROUTE), List.of(), 0, rollout(1, 5 * SECOND, List.of(0.1, 1.0), false));
     }
--- a/src/main/java/laurelkeel/bench/DecisionBenchmark.java
+++ b/src/main/java/laurelkeel/bench/DecisionBenchmark.java
@@ -24,8 +24,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What one request costs the decider alone, from its arrival to its answer: two calls, one with the request and one with
- * the outcome of its attempt. The decider's clock has 500 requests a second.
+ * Measures the time that the decider alone needs for one request: one call with the request and one with the outcome of
+ * its attempt. On the decider's clock, 500 requests arrive a second.
  */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
@@ -33,37 +33,37 @@
 @Fork(1)
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
-@SuppressWarnings("NullAway.Init") // JMH sets the parameters, and calls the setup before all else
+@SuppressWarnings("NullAway.Init") // JMH sets the parameters and calls the setup method first
 public class DecisionBenchmark {
     private static final int CANARY_INTERVAL = 10;
     private static final int PARTITION_KEYS = 5_000;
     private static final long STEP_TICKS = 10;
     private static final long TIMEOUT_TICKS = 20_000;
 
-    /** Where the rollout stands. */
-    public enum When {
-        /** All endpoints have one build. */
+    /** The state of the rollout. The names of the constants appear in JMH's results. */
+    public enum RolloutCase {
+        /** All endpoints run one build. */
         RELEASED,
-        /** A tenth of the endpoints, all warm, have a canary build. */
+        /** A tenth of the endpoints runs a canary build; no endpoint is warming up. */
         TRIAL
     }
 
-    /** How many endpoints there are. */
+    /** The number of endpoints. The field's name appears in JMH's results. */
     @Param({"10", "300", "1000"})
     public int machines;
 
-    /** Where the rollout stands. */
+    /** The state of the rollout. The field's name appears in JMH's results. */
     @Param({"RELEASED", "TRIAL"})
-    public When when;
+    public RolloutCase when;
 
     private RoutingDecider decider;
     private long nowTicks;
     private long nextId;
 
-    /** Gives a new decider its endpoints and its rollout. */
+    /** Creates a decider and passes it the endpoints and the rollout. */
     @Setup
-    public void begin() {
-        boolean canary = when == When.TRIAL;
+    public void setUp() {
+        boolean canary = when == RolloutCase.TRIAL;
         decider = new RoutingDecider(DeciderSettings.forSingleDecider(), 1);
         nowTicks = 1_000_000;
         List<EndpointEntry> endpoints = new ArrayList<>();
@@ -79,7 +79,11 @@
                 nowTicks, List.of(new Event.EndpointListUpdate(Event.EndpointListKind.SNAPSHOT, endpoints), rollout));
     }
 
-    /** One request with its attempts; returns how many there were. */
+    /**
+     * Handles one request and its attempts. The method's name appears in JMH's results.
+     *
+     * @return the number of attempts sent
+     */
     @Benchmark
     public int req() {
         nowTicks += STEP_TICKS;
--- a/src/main/java/laurelkeel/bench/DecisionStreams.java
+++ b/src/main/java/laurelkeel/bench/DecisionStreams.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import laurelkeel.api.Decider;
 
-/** The recorded event streams: checksums of what a decider does in them, to compare two versions of the decisions. */
+/** Checksums of a decider's actions in generated event streams, to compare the decisions of two versions. */
 public final class DecisionStreams {
     private static final int FIRST_SEED = 100;
     private static final double SECONDS = 40;
@@ -14,19 +14,20 @@
     private DecisionStreams() {}
 
     /**
-     * Plays one stream and returns the number and the checksum of all actions.
+     * Runs one event stream and returns the number and the checksum of all actions.
      *
-     * @param seed of the stream; its size and its rate follow from it, too
+     * @param seed seed of the stream, which also determines the number of endpoints, the request rate, and whether
+     *     exposure is counted for each route
      */
     public static String actionChecksum(Decider.Factory deciders, int seed) {
-        int number = seed - FIRST_SEED;
-        int size = Math.floorMod(number, ENDPOINT_COUNTS.size());
-        double requestsPerSecond = number % 3 == 0 ? LOW_RATE_PER_SECOND : HIGH_RATE_PER_SECOND;
-        boolean exposurePerRoute = number % 2 == 0;
+        int streamNumber = seed - FIRST_SEED;
+        int sizeIndex = Math.floorMod(streamNumber, ENDPOINT_COUNTS.size());
+        double requestsPerSecond = streamNumber % 3 == 0 ? LOW_RATE_PER_SECOND : HIGH_RATE_PER_SECOND;
+        boolean exposurePerRoute = streamNumber % 2 == 0;
         EventStream stream =
-                new EventStream(deciders, seed, ENDPOINT_COUNTS.get(size), requestsPerSecond, exposurePerRoute);
-        stream.scheduleRollout(size < 2);
-        stream.play(SECONDS);
+                new EventStream(deciders, seed, ENDPOINT_COUNTS.get(sizeIndex), requestsPerSecond, exposurePerRoute);
+        stream.scheduleRollout(sizeIndex < 2);
+        stream.run(SECONDS);
         return stream.checksum();
     }
 }
--- a/src/main/java/laurelkeel/bench/EventSchedule.java
+++ b/src/main/java/laurelkeel/bench/EventSchedule.java
@@ -3,29 +3,32 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Work that is due at moments in ticks, in the order of these and then of its scheduling; not thread-safe. */
+/**
+ * A queue of tasks in the order of their due times in ticks. Tasks with the same due time run in the order in which
+ * they were added. Not thread-safe.
+ */
 final class EventSchedule {
-    private record Due(long atTicks, long order, Runnable work) {}
+    private record ScheduledTask(long dueAtTicks, long order, Runnable task) {}
 
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>(Comparator.comparingLong(Due::atTicks).thenComparingLong(Due::order));
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledTask::dueAtTicks).thenComparingLong(ScheduledTask::order));
     private long nextOrder;
 
-    void add(long atTicks, Runnable work) {
-        queue.add(new Due(atTicks, nextOrder++, work));
+    void add(long dueAtTicks, Runnable task) {
+        queue.add(new ScheduledTask(dueAtTicks, nextOrder++, task));
     }
 
-    /** Runs all work that is due. */
+    /** Runs all tasks that are due, including those that are added meanwhile. */
     void runUntil(long nowTicks) {
-        for (Due next = queue.peek(); next != null && next.atTicks <= nowTicks; next = queue.peek()) {
+        for (ScheduledTask next = queue.peek(); next != null && next.dueAtTicks <= nowTicks; next = queue.peek()) {
             queue.remove();
-            next.work.run();
+            next.task.run();
         }
     }
 
-    /** The moment of the next work; far ahead where there is none. */
-    long nextAtTicks() {
-        Due next = queue.peek();
-        return next == null ? Long.MAX_VALUE : next.atTicks;
+    /** Returns the due time of the next task; {@link Long#MAX_VALUE} if there is none. */
+    long nextDueAtTicks() {
+        ScheduledTask next = queue.peek();
+        return next == null ? Long.MAX_VALUE : next.dueAtTicks;
     }
 }
--- a/src/main/java/laurelkeel/bench/EventStream.java
+++ b/src/main/java/laurelkeel/bench/EventStream.java
@@ -20,16 +20,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A generated world for one decider: requests, outcomes, endpoint lists, a rollout and faults from one seed, answered by a
- * plain model of endpoints. The same seed and the same actions give the same stream; every action goes into a checksum.
- * Not thread-safe.
+ * A generated environment for one decider: requests, outcomes of attempts, endpoint lists, a rollout and endpoint
+ * faults, all from one seed and a simple model of endpoints. The same seed and the same actions give the same events.
+ * All actions are included in a checksum. Not thread-safe.
  */
 final class EventStream {
     private static final long SECOND = Ticks.PER_SECOND;
-    private static final int NEW_BUILD = 2;
+    private static final int CANARY_BUILD = 2;
     private static final double FAILING_SHARE = 0.3;
     private static final double SLOWDOWN = 1.3;
-    private static final long VOTE_ANSWER_TICKS = 30;
+    private static final long VOTE_REPLY_TICKS = 30;
     private static final long FAST_FAILURE_TICKS = 20;
     private static final int FAULTS = 12;
     private static final int FAULT_KINDS = 4;
@@ -38,7 +38,7 @@
     private final SplittableRandom random;
     private final Decider decider;
     private final Settings settings;
-    private final StreamFleet fleet;
+    private final StreamEndpoints endpoints;
     private final StreamRequests requests = new StreamRequests();
     private final EventSchedule schedule = new EventSchedule();
     private final CRC32 checksum = new CRC32();
@@ -46,16 +46,16 @@
     private final int endpointCount;
     private List<Event> nextEvents = new ArrayList<>();
     private long nowTicks = SECOND;
-    /** Numbers requests and endpoints that are added. */
+    /** Number in the id of the next request or added endpoint. */
     private long nextId;
 
-    private long actions;
+    private long actionCount;
     private Rollout rollout = new Rollout(1, 0, 1, RolloutPhase.RELEASED, 0);
 
     /**
-     * Where the newest build stands.
+     * The state of the newest build's rollout.
      *
-     * @param failingShare of the attempts that it gets, the share that fails
+     * @param failingShare share of the build's attempts that fail, from 0 to 1
      */
     private record Rollout(int build, int stage, double exposureCap, RolloutPhase phase, double failingShare) {
         Event.RolloutUpdate update(boolean answersVote) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** @param requestsPerSecond of this one node */
+    /** @param requestsPerSecond mean request rate of the decider's node */
     EventStream(
             Decider.Factory deciders,
             long seed,
@@ -75,25 +75,25 @@
         this.meanIntervalTicks = SECOND / requestsPerSecond;
         this.settings = DeciderSettings.forStreams(exposurePerRoute);
         this.decider = deciders.create(settings, seed);
-        this.fleet = new StreamFleet(endpointCount, random);
-        nextEvents.add(new Event.EndpointListUpdate(Event.EndpointListKind.CACHED, fleet.entries()));
+        this.endpoints = new StreamEndpoints(endpointCount, random);
+        nextEvents.add(new Event.EndpointListUpdate(Event.EndpointListKind.CACHED, endpoints.entries()));
         nextEvents.add(rollout.update(false));
         schedule(nowTicks + 1, this::receiveRequest);
     }
 
-    private void schedule(long atTicks, Runnable work) {
-        schedule.add(Math.max(atTicks, nowTicks + 1), work);
+    private void schedule(long dueAtTicks, Runnable task) {
+        schedule.add(Math.max(dueAtTicks, nowTicks + 1), task);
     }
 
-    /** Plays on for so many seconds. */
-    void play(double seconds) {
+    /** Continues the stream for the given number of seconds. */
+    void run(double seconds) {
         long endTicks = nowTicks + (long) (seconds * SECOND);
         while (nowTicks < endTicks) {
             schedule.runUntil(nowTicks);
             if (!nextEvents.isEmpty()) {
                 decide();
             }
-            nowTicks = nextEvents.isEmpty() ? Math.max(nowTicks + 1, schedule.nextAtTicks()) : nowTicks + 1;
+            nowTicks = nextEvents.isEmpty() ? Math.max(nowTicks + 1, schedule.nextDueAtTicks()) : nowTicks + 1;
         }
     }
 
@@ -101,25 +101,26 @@
         List<Event> events = nextEvents;
         nextEvents = new ArrayList<>();
         for (Action action : decider.decide(nowTicks, events)) {
-            actions++;
+            actionCount++;
             String line = nowTicks + " " + RecordedActionFormat.format(action) + "\n";
             checksum.update(line.getBytes(StandardCharsets.UTF_8));
-            carryOut(action);
+            execute(action);
         }
     }
 
-    /** The number and the checksum of all actions so far, each with its moment. */
+    /**
+     * Returns the number of all actions so far and a checksum of their recorded forms, each preceded by the time of the
+     * action.
+     */
     String checksum() {
-        return actions + " actions " + Long.toHexString(checksum.getValue());
+        return actionCount + " actions " + Long.toHexString(checksum.getValue());
     }
 
-    // ---- requests and attempts
-
     private void receiveRequest() {
         double interval = -Math.log(1 - random.nextDouble()) * meanIntervalTicks;
         schedule(nowTicks + (long) Math.max(1, interval), this::receiveRequest);
         String requestId = "r" + nextId++;
-        String partitionKey = drawPartitionKey();
+        String partitionKey = randomPartitionKey();
         int route = random.nextInt(settings.routes().size());
         long timeoutTicks = settings.routes().get(route).timeoutTicks() * (40 + random.nextInt(61)) / 100;
         long deadlineTicks = nowTicks + timeoutTicks;
@@ -131,7 +132,7 @@
         }
     }
 
-    private @Nullable String drawPartitionKey() {
+    private @Nullable String randomPartitionKey() {
         return random.nextInt(10) == 0 ? null : "k" + (int) (Math.pow(random.nextDouble(), 2) * 2000);
     }
 
@@ -141,7 +142,7 @@
         }
     }
 
-    private void carryOut(Action action) {
+    private void execute(Action action) {
         if (action instanceof Action.SendAttempt send) {
             send(send);
         } else if (action instanceof Action.CancelAttempt cancel) {
@@ -156,17 +157,17 @@
         } else if (action instanceof Action.StartTimer timer) {
             schedule(timer.dueAtTicks(), () -> nextEvents.add(new Event.TimerFired(timer.timerId())));
         } else if (action instanceof Action.CastVote) {
-            schedule(nowTicks + VOTE_ANSWER_TICKS, () -> nextEvents.add(rollout.update(true)));
+            schedule(nowTicks + VOTE_REPLY_TICKS, () -> nextEvents.add(rollout.update(true)));
         }
     }
 
     private void send(Action.SendAttempt send) {
-        EndpointEntry endpoint = fleet.find(send.endpointId());
+        EndpointEntry endpoint = endpoints.find(send.endpointId());
         boolean faulty = endpoint != null && endpoint.build() == rollout.build && rollout.failingShare > 0;
-        AttemptOutcome outcome = drawOutcome(endpoint, faulty);
+        AttemptOutcome outcome = randomOutcome(endpoint, faulty);
         long durationTicks = outcome == AttemptOutcome.OVERLOADED || outcome == AttemptOutcome.CONNECT_FAILED
                 ? FAST_FAILURE_TICKS
-                : drawDurationTicks(faulty);
+                : randomDurationTicks(faulty);
         long timeoutTicks = send.timeoutTicks() <= 0 ? Long.MAX_VALUE : send.timeoutTicks();
         if (outcome == AttemptOutcome.TIMED_OUT || durationTicks > timeoutTicks) {
             outcome = AttemptOutcome.TIMED_OUT;
@@ -177,24 +178,24 @@
         schedule(nowTicks + Math.max(1, durationTicks), () -> endAttempt(attempt, finalOutcome));
     }
 
-    private AttemptOutcome drawOutcome(@Nullable EndpointEntry endpoint, boolean faulty) {
-        double drawn = random.nextDouble();
+    private AttemptOutcome randomOutcome(@Nullable EndpointEntry endpoint, boolean faulty) {
+        double sample = random.nextDouble();
         if (endpoint == null || endpoint.state() == EndpointState.REMOVED) {
             return AttemptOutcome.CONNECT_FAILED;
         }
-        if (faulty && drawn < rollout.failingShare) {
+        if (faulty && sample < rollout.failingShare) {
             return AttemptOutcome.FAILED;
         }
-        if (drawn > 0.995) {
+        if (sample > 0.995) {
             return AttemptOutcome.CONNECTION_LOST;
         }
-        if (drawn > 0.985) {
+        if (sample > 0.985) {
             return AttemptOutcome.OVERLOADED;
         }
-        return drawn > 0.975 ? AttemptOutcome.TIMED_OUT : AttemptOutcome.COMPLETED;
+        return sample > 0.975 ? AttemptOutcome.TIMED_OUT : AttemptOutcome.COMPLETED;
     }
 
-    private long drawDurationTicks(boolean faulty) {
+    private long randomDurationTicks(boolean faulty) {
         return (long) ((60 + random.nextInt(120)) * Ticks.PER_MILLISECOND * (faulty ? SLOWDOWN : 1));
     }
 
@@ -218,67 +219,75 @@
                 load));
     }
 
-    // ---- rollout and faults
-
-    /** Schedules a rollout and faults beside it, over about 40 s. */
+    /**
+     * Schedules a rollout and, independent of it, endpoint faults over about 40 s.
+     *
+     * @param bad whether the new build fails and is rolled back
+     */
     void scheduleRollout(boolean bad) {
         double failing = bad ? FAILING_SHARE : 0;
-        Rollout firstStage = new Rollout(NEW_BUILD, 0, 0.1, RolloutPhase.CANARY, failing);
-        Rollout secondStage = new Rollout(NEW_BUILD, 1, 0.4, RolloutPhase.CANARY, failing);
+        Rollout firstStage = new Rollout(CANARY_BUILD, 0, 0.1, RolloutPhase.CANARY, failing);
+        Rollout secondStage = new Rollout(CANARY_BUILD, 1, 0.4, RolloutPhase.CANARY, failing);
         Rollout decided = bad
-                ? new Rollout(NEW_BUILD, 1, 0, RolloutPhase.ROLLING_BACK, 0)
-                : new Rollout(NEW_BUILD, 2, 1, RolloutPhase.CANARY, 0);
+                ? new Rollout(CANARY_BUILD, 1, 0, RolloutPhase.ROLLING_BACK, 0)
+                : new Rollout(CANARY_BUILD, 2, 1, RolloutPhase.CANARY, 0);
         Rollout ended = bad
-                ? new Rollout(NEW_BUILD, 2, 0, RolloutPhase.ROLLED_BACK, 0)
-                : new Rollout(NEW_BUILD, 2, 1, RolloutPhase.RELEASED, 0);
-        schedule(nowTicks + 3 * SECOND, () -> enter(firstStage, endpointCount / 10 + 1));
-        schedule(nowTicks + 12 * SECOND, () -> enter(secondStage, endpointCount * 4 / 10));
-        schedule(nowTicks + 20 * SECOND, () -> enter(decided, bad ? 0 : endpointCount));
-        schedule(nowTicks + 28 * SECOND, () -> enter(ended, 0));
+                ? new Rollout(CANARY_BUILD, 2, 0, RolloutPhase.ROLLED_BACK, 0)
+                : new Rollout(CANARY_BUILD, 2, 1, RolloutPhase.RELEASED, 0);
+        schedule(nowTicks + 3 * SECOND, () -> applyRollout(firstStage, endpointCount / 10 + 1));
+        schedule(nowTicks + 12 * SECOND, () -> applyRollout(secondStage, endpointCount * 4 / 10));
+        schedule(nowTicks + 20 * SECOND, () -> applyRollout(decided, bad ? 0 : endpointCount));
+        schedule(nowTicks + 28 * SECOND, () -> applyRollout(ended, 0));
         for (int i = 0; i < FAULTS; i++) {
-            schedule(nowTicks + (2 + i * 3) * SECOND, () -> fault(random.nextInt(FAULT_KINDS)));
+            schedule(nowTicks + (2 + i * 3) * SECOND, () -> injectFault(random.nextInt(FAULT_KINDS)));
         }
     }
 
-    /** @param replaced how many endpoints of earlier builds drain, with a new one for each */
-    private void enter(Rollout next, int replaced) {
+    /**
+     * Applies the next state of the rollout and replaces endpoints.
+     *
+     * @param replaced number of endpoints of earlier builds that drain and are each replaced by one with the new build
+     */
+    private void applyRollout(Rollout next, int replaced) {
         rollout = next;
         nextEvents.add(next.update(false));
         List<EndpointEntry> changes = new ArrayList<>();
-        for (EndpointEntry endpoint : fleet.entries()) {
+        for (EndpointEntry endpoint : endpoints.entries()) {
             boolean isReplaced = changes.size() / 2 < replaced
                     && endpoint.build() < next.build
                     && endpoint.state() == EndpointState.ACTIVE;
             if (isReplaced) {
                 String endpointId = "10.9." + nextId / 250 % 250 + "." + nextId++ % 250 + ":80";
-                changes.add(StreamFleet.replacement(endpoint, endpointId, next.build, nowTicks));
-                changes.add(StreamFleet.withState(endpoint, EndpointState.DRAINING));
+                changes.add(StreamEndpoints.replacement(endpoint, endpointId, next.build, nowTicks));
+                changes.add(StreamEndpoints.withState(endpoint, EndpointState.DRAINING));
             }
         }
-        change(changes);
+        updateEndpoints(changes);
     }
 
-    private void fault(int kind) {
-        List<EndpointEntry> active = fleet.activeEntries();
+    private void injectFault(int kind) {
+        List<EndpointEntry> active = endpoints.activeEntries();
         if (active.size() < MIN_ACTIVE_ENDPOINTS) {
             return;
         }
         EndpointEntry endpoint = active.get(random.nextInt(active.size()));
         switch (kind) {
-            case 0 -> change(List.of(StreamFleet.withState(endpoint, EndpointState.REMOVED)));
+            case 0 -> updateEndpoints(List.of(StreamEndpoints.withState(endpoint, EndpointState.REMOVED)));
             case 1 ->
-                change(List.of(StreamFleet.replacement(endpoint, endpoint.endpointId(), endpoint.build(), nowTicks)));
+                updateEndpoints(List.of(
+                        StreamEndpoints.replacement(endpoint, endpoint.endpointId(), endpoint.build(), nowTicks)));
             case 2 ->
                 nextEvents.add(new Event.ComplaintReceived(
                         endpoint.endpointId(),
                         500,
                         random.nextInt(settings.routes().size())));
-            default -> nextEvents.add(new Event.EndpointListUpdate(Event.EndpointListKind.SNAPSHOT, fleet.entries()));
+            default ->
+                nextEvents.add(new Event.EndpointListUpdate(Event.EndpointListKind.SNAPSHOT, endpoints.entries()));
         }
     }
 
-    private void change(List<EndpointEntry> changes) {
-        fleet.update(changes);
+    private void updateEndpoints(List<EndpointEntry> changes) {
+        endpoints.update(changes);
         nextEvents.add(new Event.EndpointListUpdate(Event.EndpointListKind.DELTA, List.copyOf(changes)));
     }
 }
--- a/src/main/java/laurelkeel/bench/Medians.java
+++ b/src/main/java/laurelkeel/bench/Medians.java
@@ -3,14 +3,15 @@
 import java.util.List;
 import java.util.function.ToDoubleFunction;
 
-/** Medians of the rounds of a measurement. */
+/** Medians over the rounds of a measurement. */
 final class Medians {
     private Medians() {}
 
     /**
-     * The median of one figure of all rounds; the upper one of two.
+     * Returns the median of one figure over all rounds; with an even number of rounds, the higher of the two middle
+     * values.
      *
-     * @param rounds at least one
+     * @param rounds the results of the rounds, at least one
      */
     static <T> double of(List<T> rounds, ToDoubleFunction<T> figure) {
         double[] sorted = rounds.stream().mapToDouble(figure).sorted().toArray();
--- a/src/main/java/laurelkeel/bench/PartitionBenchmark.java
+++ b/src/main/java/laurelkeel/bench/PartitionBenchmark.java
@@ -8,7 +8,10 @@
 import laurelkeel.decision.RoutingDecider;
 import laurelkeel.partition.PartitionedDecider;
 
-/** Measures what several rollouts cost a node beside one, and what the reports of many nodes cost the attribution. */
+/**
+ * Compares the cost of requests with several concurrent rollouts and with one, and measures the attribution's cost for
+ * the reports of many nodes.
+ */
 public final class PartitionBenchmark {
     private static final List<Integer> ENDPOINT_COUNTS = List.of(10, 300);
     private static final int CONCURRENT_ROLLOUTS = 3;
@@ -18,14 +21,14 @@
 
     private PartitionBenchmark() {}
 
-    /** Nanoseconds a request in one round. */
+    /** The nanoseconds for each request that each of the three deciders needed in one round. */
     private record Round(double decider, double onePartition, double threePartitions) {}
 
     /**
-     * Measures and prints a table, and a line on the attribution.
+     * Measures and prints a table, and a line about the attribution.
      *
-     * @param rounds measurements of each number of endpoints; the medians are printed
-     * @param requests of each round
+     * @param rounds number of measurements for each number of endpoints; the medians are printed
+     * @param requests number of requests in each round
      */
     public static void run(int rounds, int requests, PrintStream out) {
         out.println(HEADER);
@@ -39,17 +42,16 @@
         Decider.Factory partitioned = (settings, seed) -> new PartitionedDecider(settings, seed, RoutingDecider::new);
         double heapBefore = Heap.usedMebibytes();
         PartitionLoad threePartitions = new PartitionLoad(partitioned, endpoints, CONCURRENT_ROLLOUTS);
-        threePartitions.play(requests);
+        threePartitions.run(requests);
         double heap = Heap.usedMebibytes() - heapBefore;
         PartitionLoad decider = new PartitionLoad(RoutingDecider::new, endpoints, 1);
         PartitionLoad onePartition = new PartitionLoad(partitioned, endpoints, 1);
-        decider.play(requests);
-        onePartition.play(requests);
+        decider.run(requests);
+        onePartition.run(requests);
         List<Round> measured = new ArrayList<>();
         for (int i = 0; i < rounds; i++) {
-            // in turn, so that what else the host does meets all
-            measured.add(
-                    new Round(decider.play(requests), onePartition.play(requests), threePartitions.play(requests)));
+            // alternating, so that other load on the host affects all three
+            measured.add(new Round(decider.run(requests), onePartition.run(requests), threePartitions.run(requests)));
         }
         double deciderNanos = Medians.of(measured, Round::decider);
         double oneNanos = Medians.of(measured, Round::onePartition);
--- a/src/main/java/laurelkeel/bench/PartitionLoad.java
+++ b/src/main/java/laurelkeel/bench/PartitionLoad.java
@@ -13,14 +13,14 @@
 import laurelkeel.api.LoadReport;
 import laurelkeel.api.Ticks;
 
-/** One node's decider under even load with a number of rollouts at a time; not thread-safe. */
+/** One node's decider under constant load with a given number of concurrent rollouts. Not thread-safe. */
 final class PartitionLoad {
     private static final int BASELINE_BUILD = 1;
     private static final int FIRST_CANARY_BUILD = 2;
     private static final int PARTITION_KEYS = 20_000;
     private static final long STEP_TICKS = 10;
-    private static final long ANSWER_TICKS = 5;
-    private static final long DURATION_TICKS = 80;
+    private static final long RESULT_DELAY_TICKS = 5;
+    private static final long ATTEMPT_DURATION_TICKS = 80;
     private static final long TIMEOUT_TICKS = 2500 * Ticks.PER_MILLISECOND;
 
     private final Decider decider;
@@ -39,7 +39,7 @@
         decider.decide(nowTicks, events);
     }
 
-    /** A tenth of the endpoints for each canary build. */
+    /** Returns endpoints of which a tenth runs each canary build. */
     private static List<EndpointEntry> entries(int endpoints, int rollouts) {
         List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < endpoints; i++) {
@@ -53,8 +53,10 @@
         return new Event.RolloutUpdate(Event.ControlStatus.OK, 0, exposureCap, 0, phase, build, false);
     }
 
-    /** Plays requests one after another, each answered before the next; returns nanoseconds a request. */
-    double play(int requests) {
+    /**
+     * Sends requests one after another, each answered before the next, and returns the nanoseconds for each request.
+     */
+    double run(int requests) {
         long startedNanos = System.nanoTime();
         for (int i = 0; i < requests; i++) {
             nowTicks += STEP_TICKS;
@@ -62,13 +64,13 @@
             String partitionKey = "k" + random.nextInt(PARTITION_KEYS);
             List<Event> received = new ArrayList<>(List.of(
                     new Event.RequestReceived(requestId, 0, 0, partitionKey, nowTicks + TIMEOUT_TICKS, 0, false)));
-            decider.decide(nowTicks + ANSWER_TICKS, answers(decider.decide(nowTicks, received)));
+            decider.decide(nowTicks + RESULT_DELAY_TICKS, resultingEvents(decider.decide(nowTicks, received)));
         }
         return (System.nanoTime() - startedNanos) / (double) requests;
     }
 
-    /** Attempts complete, and timers fire. */
-    private static List<Event> answers(List<Action> actions) {
+    /** Returns the events that complete all attempts and fire all timers of the given actions. */
+    private static List<Event> resultingEvents(List<Action> actions) {
         List<Event> events = new ArrayList<>();
         for (Action action : actions) {
             if (action instanceof Action.SendAttempt send) {
@@ -77,7 +79,7 @@
                         0,
                         send.endpointId(),
                         AttemptOutcome.COMPLETED,
-                        DURATION_TICKS,
+                        ATTEMPT_DURATION_TICKS,
                         true,
                         LoadReport.NONE));
             } else if (action instanceof Action.StartTimer timer) {
--- a/src/main/java/laurelkeel/bench/RecordedActionFormat.java
+++ b/src/main/java/laurelkeel/bench/RecordedActionFormat.java
@@ -3,12 +3,15 @@
 import java.util.List;
 import laurelkeel.api.Action;
 
-/** The text of actions that the recorded checksums are of: that of the first recording, however types are named now. */
+/**
+ * Formats actions for the recorded checksums. The format is that of the first recording and independent of the present
+ * names of types and of the present log messages, so that the recorded checksums stay valid.
+ */
 final class RecordedActionFormat {
-    /** A part of a log message, and what the first recording had for it. */
+    /** A part of a log message, and the text in its place at the first recording. */
     private record Replacement(String current, String recorded) {}
 
-    /** Applied in this order. */
+    /** Replacements in log messages, applied in this order. */
     private static final List<Replacement> LOG_REPLACEMENTS = List.of(
             new Replacement(" CANARY", " TRIAL"),
             new Replacement(" ROLLING_BACK", " GOING_BACK"),
@@ -29,7 +32,7 @@
     /**
      * Formats an action.
      *
-     * @throws IllegalStateException where there is no recorded form of such actions
+     * @throws IllegalStateException if actions of this type have no recorded form
      */
     static String format(Action action) {
         if (action instanceof Action.SendAttempt send) {
@@ -54,7 +57,7 @@
         return formatControl(action);
     }
 
-    /** Formats actions that concern no single request. */
+    /** Formats actions that do not concern a single request. */
     private static String formatControl(Action action) {
         if (action instanceof Action.SendHealthCheck check) {
             return "Probe[machine=" + check.endpointId() + "]";
@@ -75,7 +78,7 @@
             return "Vote[build=" + vote.build() + ", stage=" + vote.stage() + ", verdict="
                     + formatVerdict(vote.verdict()) + "]";
         }
-        throw new IllegalStateException("an action with no recorded form: " + action);
+        throw new IllegalStateException("no recorded form for action: " + action);
     }
 
     private static String formatVerdict(Action.Verdict verdict) {
--- a/src/main/java/laurelkeel/bench/StreamFleet.java
+++ b/src/main/java/laurelkeel/bench/StreamEndpoints.java
@@ -8,14 +8,14 @@
 import laurelkeel.api.Event.EndpointState;
 import org.jspecify.annotations.Nullable;
 
-/** The endpoints of a generated event stream, in the order in which they were added; not thread-safe. */
-final class StreamFleet {
+/** The endpoint list of a generated event stream, in the order in which the endpoints were added. Not thread-safe. */
+final class StreamEndpoints {
     private static final int ZONES = 3;
     private static final int ADDRESSES_PER_NETWORK = 250;
 
     private final Map<String, EndpointEntry> entriesById = new LinkedHashMap<>();
 
-    StreamFleet(int endpoints, SplittableRandom random) {
+    StreamEndpoints(int endpoints, SplittableRandom random) {
         for (int i = 0; i < endpoints; i++) {
             String endpointId = "10.0." + i / ADDRESSES_PER_NETWORK + "." + i % ADDRESSES_PER_NETWORK + ":80";
             double weight = 0.8 + random.nextDouble() / 2;
@@ -33,7 +33,7 @@
         return entriesById.get(endpointId);
     }
 
-    /** A copy of all entries, also of endpoints that were removed. */
+    /** Returns a copy of all entries, including those of removed endpoints. */
     List<EndpointEntry> entries() {
         return List.copyOf(entriesById.values());
     }
@@ -56,7 +56,7 @@
                 entry.startedAtTicks());
     }
 
-    /** An endpoint that starts in the place of another one. */
+    /** Returns the entry of an endpoint that starts now and replaces another one. */
     static EndpointEntry replacement(EndpointEntry entry, String endpointId, int build, long nowTicks) {
         return new EndpointEntry(
                 endpointId, build, entry.zone(), entry.cell(), 0, entry.weight(), EndpointState.ACTIVE, nowTicks);
--- a/src/main/java/laurelkeel/bench/StreamRequests.java
+++ b/src/main/java/laurelkeel/bench/StreamRequests.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** The requests of a generated event stream and their attempts; not thread-safe. */
+/** The requests of a generated event stream and their attempts. Not thread-safe. */
 final class StreamRequests {
-    /** One attempt that was sent. */
+    /** An attempt that was sent. */
     record SentAttempt(String requestId, int number, String endpointId, long sentAtTicks) {}
 
     private final Map<String, Long> deadlinesByOpenRequest = new HashMap<>();
@@ -26,12 +26,12 @@
         return deadlinesByOpenRequest.containsKey(requestId);
     }
 
-    /** The deadline of a request that is open; of another one, the given moment. */
-    long deadlineTicks(String requestId, long otherwiseTicks) {
-        return deadlinesByOpenRequest.getOrDefault(requestId, otherwiseTicks);
+    /** Returns the deadline of an open request, or the given default if the request is not open. */
+    long deadlineTicks(String requestId, long defaultTicks) {
+        return deadlinesByOpenRequest.getOrDefault(requestId, defaultTicks);
     }
 
-    /** Numbers an attempt and remembers it. */
+    /** Records an attempt, numbered by the order in which the request's attempts were sent. */
     SentAttempt sent(String requestId, String endpointId, long nowTicks) {
         int number = attemptsByRequest.merge(requestId, 1, Integer::sum) - 1;
         SentAttempt attempt = new SentAttempt(requestId, number, endpointId, nowTicks);
@@ -39,7 +39,7 @@
         return attempt;
     }
 
-    /** The attempt of this number; null where it has ended or was never sent. */
+    /** Returns the attempt with the given number; null if it has ended or was never sent. */
     @Nullable
     SentAttempt inFlight(String requestId, int number) {
         return inFlightByRequest.getOrDefault(requestId, Map.of()).get(number);
