--- a/src/main/java/laurelkeel/cli/SoakCommand.java
+++ b/src/main/java/laurelkeel/cli/SoakCommand.java
@@ -90,7 +90,7 @@
             System.out.println("no C compiler: no failing calls, no steps of the clock");
         }
         List<SoakPlan> plans = range.seeds()
-                .mapToObj(seed -> SoakPlan.draw(seed, quietSeconds, seconds).without(without))
+                .mapToObj(seed -> SoakPlan.generate(seed, quietSeconds, seconds).without(without))
                 .toList();
         int broken = new SoakSeries(image, faults, out.toAbsolutePath(), shrink, System.out).play(plans, parallel);
         return broken == 0 ? 0 : Cli.RULE_BROKEN;
--- a/src/main/java/laurelkeel/cli/SoakSeries.java
+++ b/src/main/java/laurelkeel/cli/SoakSeries.java
@@ -59,7 +59,7 @@
     }
 
     private SoakResult play(SoakPlan plan) throws IOException, InterruptedException {
-        return SoakRun.play(plan, image, faultLibrary, folder.resolve("seed-" + plan.seed()));
+        return SoakRun.run(plan, image, faultLibrary, folder.resolve("seed-" + plan.seed()));
     }
 
     /** Prints one result and returns whether all rules were kept. */
@@ -85,8 +85,8 @@
         if (plan.quietSeconds() > 0) {
             options.append(" --quiet ").append(plan.quietSeconds());
         }
-        if (!plan.leftOut().isEmpty()) {
-            options.append(" --without ").append(String.join(",", plan.leftOut()));
+        if (!plan.excludedParts().isEmpty()) {
+            options.append(" --without ").append(String.join(",", plan.excludedParts()));
         }
         return options.toString();
     }
--- a/src/main/java/laurelkeel/soak/SoakPlan.java
+++ b/src/main/java/laurelkeel/soak/SoakPlan.java
@@ -17,7 +17,7 @@
  * @param clockSteps steps of the nodes' wall clocks, as faults.c takes them; empty where there are none
  * @param callFaults system calls that fail, as faults.c takes them; empty where there are none
  * @param breaksReads whether connections break under their requests, as failing reads show them
- * @param leftOut names of the parts that were drawn and do not happen
+ * @param excludedParts names of the parts that were drawn and do not happen
  */
 public record SoakPlan(
         long seed,
@@ -27,7 +27,7 @@
         String clockSteps,
         String callFaults,
         boolean breaksReads,
-        Set<String> leftOut) {
+        Set<String> excludedParts) {
     static final int NODES = 3;
     /** The name of the part that steps the clocks. */
     public static final String CLOCK = "clock";
@@ -48,7 +48,7 @@
      * @param quietSeconds how long nothing happens at first
      * @param seconds how long events come after that; at least 1
      */
-    public static SoakPlan draw(long seed, int quietSeconds, int seconds) {
+    public static SoakPlan generate(long seed, int quietSeconds, int seconds) {
         Random random = new Random(seed);
         String clockSteps = random.nextInt(FAULT_INTERVAL) == 0 ? SystemFaults.drawClockSteps(random, seconds) : "";
         SystemFaults.CallFaults faults = random.nextInt(FAULT_INTERVAL) == 0
@@ -85,8 +85,8 @@
 
     /** The same plan without these parts; names of none are ignored. */
     public SoakPlan without(Set<String> names) {
-        Set<String> allLeftOut = new TreeSet<>(leftOut);
-        allLeftOut.addAll(names);
+        Set<String> allExcludedParts = new TreeSet<>(excludedParts);
+        allExcludedParts.addAll(names);
         List<PlannedEvent> remaining =
                 events.stream().filter(event -> !names.contains(event.name())).toList();
         boolean hasNoCalls = names.contains(CALLS);
@@ -98,7 +98,7 @@
                 names.contains(CLOCK) ? "" : clockSteps,
                 hasNoCalls ? "" : callFaults,
                 !hasNoCalls && breaksReads,
-                allLeftOut);
+                allExcludedParts);
     }
 
     /** One line, with the name of each part. */
@@ -112,8 +112,8 @@
             printed.add(CALLS + " " + callFaults);
         }
         events.forEach(event -> printed.add(event.toString()));
-        if (!leftOut.isEmpty()) {
-            printed.add("left out: " + String.join(" ", leftOut));
+        if (!excludedParts.isEmpty()) {
+            printed.add("left out: " + String.join(" ", excludedParts));
         }
         return String.join(", ", printed);
     }
--- a/src/main/java/laurelkeel/soak/SoakRun.java
+++ b/src/main/java/laurelkeel/soak/SoakRun.java
@@ -42,7 +42,7 @@
      * @param folder for configurations and logs of this run
      * @throws IOException where the servers or the nodes cannot be started
      */
-    public static SoakResult play(SoakPlan plan, NodeImage image, Optional<Path> faultLibrary, Path folder)
+    public static SoakResult run(SoakPlan plan, NodeImage image, Optional<Path> faultLibrary, Path folder)
             throws IOException, InterruptedException {
         Files.createDirectories(folder);
         Map<String, String> environment = faultLibrary
@@ -50,13 +50,13 @@
                 .orElse(Map.of());
         SoakRun run = new SoakRun(plan, image, folder, environment);
         try {
-            return run.play();
+            return run.run();
         } finally {
             run.close();
         }
     }
 
-    private SoakResult play() throws IOException, InterruptedException {
+    private SoakResult run() throws IOException, InterruptedException {
         endpoints.start(random);
         for (int i = 0; i < SoakPlan.NODES; i++) {
             nodes.choosePort(i);
--- a/src/test/java/laurelkeel/soak/ShrinkerTest.java
+++ b/src/test/java/laurelkeel/soak/ShrinkerTest.java
@@ -14,10 +14,10 @@
 
     @Test
     void aSeedGivesOnePlan() {
-        assertEquals(SoakPlan.draw(7, 0, SECONDS), SoakPlan.draw(7, 0, SECONDS));
+        assertEquals(SoakPlan.generate(7, 0, SECONDS), SoakPlan.generate(7, 0, SECONDS));
         List<SoakPlan> plans = new ArrayList<>();
         for (long seed = 0; seed < 50; seed++) {
-            plans.add(SoakPlan.draw(seed, 0, SECONDS));
+            plans.add(SoakPlan.generate(seed, 0, SECONDS));
         }
         assertTrue(plans.stream().anyMatch(plan -> !plan.clockSteps().isEmpty()));
         assertTrue(plans.stream().anyMatch(plan -> plan.callFaults().startsWith("open:")));
@@ -25,28 +25,28 @@
 
     @Test
     void eventsComeAfterTheQuiet() {
-        assertTrue(SoakPlan.draw(7, 30, SECONDS).events().stream()
+        assertTrue(SoakPlan.generate(7, 30, SECONDS).events().stream()
                 .allMatch(event -> event.atSeconds() > 30 && event.atSeconds() < 30 + SECONDS));
     }
 
     @Test
     void onlyThePartsThatTheFailureNeedsAreLeft() throws Exception {
-        SoakPlan plan = SoakPlan.draw(7, 0, SECONDS);
+        SoakPlan plan = SoakPlan.generate(7, 0, SECONDS);
         List<String> needed = List.of("2", "5");
         SoakPlan shrunk = Shrinker.shrink(plan, each -> each.parts().containsAll(needed));
         assertEquals(needed, shrunk.parts());
-        assertEquals(shrunk, plan.without(shrunk.leftOut()), "its command line plays the same");
+        assertEquals(shrunk, plan.without(shrunk.excludedParts()), "its command line plays the same");
     }
 
     @Test
     void aFailureThatDoesNotComeAgainLeavesThePlanAsItIs() throws Exception {
-        SoakPlan plan = SoakPlan.draw(7, 0, SECONDS);
+        SoakPlan plan = SoakPlan.generate(7, 0, SECONDS);
         assertEquals(plan, Shrinker.shrink(plan, each -> false));
     }
 
     @Test
     void whatIsLeftOutIsNamed() {
-        SoakPlan plan = SoakPlan.draw(7, 0, SECONDS).without(Set.of("1"));
+        SoakPlan plan = SoakPlan.generate(7, 0, SECONDS).without(Set.of("1"));
         assertTrue(plan.toString().endsWith("left out: 1"), plan.toString());
     }
 }
--- a/src/test/java/laurelkeel/soak/SoakTest.java
+++ b/src/test/java/laurelkeel/soak/SoakTest.java
@@ -41,9 +41,9 @@
         ExecutorService runs = Executors.newFixedThreadPool(PARALLEL);
         List<Future<SoakResult>> results = new ArrayList<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SoakPlan plan = SoakPlan.draw(seed, 0, SECONDS);
+            SoakPlan plan = SoakPlan.generate(seed, 0, SECONDS);
             results.add(
-                    runs.submit(() -> SoakRun.play(plan, image, faultLibrary, folder.resolve("seed-" + plan.seed()))));
+                    runs.submit(() -> SoakRun.run(plan, image, faultLibrary, folder.resolve("seed-" + plan.seed()))));
         }
         runs.shutdown();
         List<String> broken = new ArrayList<>();
@@ -75,7 +75,7 @@
                 "accept:23:1500:9000:30,socket:24:1500:9000:20,connect:99:1500:9000:20",
                 false,
                 Set.of());
-        SoakResult result = SoakRun.play(plan, image, faultLibrary, folder.resolve("crowds"));
+        SoakResult result = SoakRun.run(plan, image, faultLibrary, folder.resolve("crowds"));
         System.out.println("crowds: " + result.counts());
         assertEquals(List.of(), result.violations());
     }
