--- a/src/main/java/laurelkeel/soak/ConnectionEndedException.java
+++ b/src/main/java/laurelkeel/soak/ConnectionEndedException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A connection ended in order where a response, or the rest of one, was expected. */
+/** The peer closed a connection regularly (end of stream) while a response, or the rest of one, was expected. */
 final class ConnectionEndedException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/laurelkeel/soak/ControlServer.java
+++ b/src/main/java/laurelkeel/soak/ControlServer.java
@@ -5,7 +5,7 @@
 import java.net.Socket;
 import java.util.Random;
 
-/** The control service: one canary build, its progress, and answers to votes, some of them malformed; thread-safe. */
+/** A control service with one canary build: sends its progress and answers votes, some with malformed data; thread-safe. */
 final class ControlServer extends TcpServer {
     static final int CANARY_BUILD = 24;
     static final int BASELINE_BUILD = CANARY_BUILD - 1;
@@ -16,7 +16,7 @@
     private final Random random;
     private final double malformedShare;
 
-    /** @param malformedShare of all calls, the share that is answered with garbage, from 0 to 1 */
+    /** @param malformedShare the share of calls that get a malformed reply, from 0 to 1 */
     ControlServer(ViolationLog violations, long seed, double malformedShare) throws IOException {
         this.violations = violations;
         this.random = new Random(seed);
@@ -42,7 +42,7 @@
                 violations.count("votes");
                 HttpText.write(socket, "OK " + PROGRESS);
             } else {
-                violations.add(SoakRule.CONTROL, "no call: " + call);
+                violations.add(SoakRule.CONTROL, "unknown call: " + call);
             }
         }
     }
--- a/src/main/java/laurelkeel/soak/DaemonThreads.java
+++ b/src/main/java/laurelkeel/soak/DaemonThreads.java
@@ -2,16 +2,16 @@
 
 import java.io.IOException;
 
-/** Starts daemon threads for work that may end with its connection. */
+/** Starts daemon threads for tasks that may end when their connection is closed. */
 final class DaemonThreads {
     private DaemonThreads() {}
 
-    /** Work that ends early where its connection is closed or its thread interrupted. */
+    /** A task that ends early if its connection is closed or its thread is interrupted. */
     interface Task {
         void run() throws IOException, InterruptedException;
     }
 
-    /** Starts a thread for a task. */
+    /** Starts a daemon thread that runs a task. */
     static Thread start(String name, Task task) {
         Thread thread = new Thread(() -> run(task), "soak-" + name);
         thread.setDaemon(true);
@@ -23,7 +23,7 @@
         try {
             task.run();
         } catch (IOException ignored) {
-            // the other side or the end of the run has closed the connection
+            // the peer has closed the connection, or the end of the run has
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/laurelkeel/soak/DiscoveryEntry.java
+++ b/src/main/java/laurelkeel/soak/DiscoveryEntry.java
@@ -5,18 +5,18 @@
 /**
  * One endpoint of the endpoint list.
  *
- * @param startedMillis when the endpoint started, in milliseconds since 1970; 0 for long ago
+ * @param startedMillis when the endpoint started, in milliseconds since 1970; 0 means long ago
  */
 record DiscoveryEntry(String id, String address, State state, long startedMillis, int build) {
-    /** Whether an endpoint takes requests. */
+    /** The state of an endpoint, which tells nodes whether they may send it new attempts. */
     enum State {
         ACTIVE,
         LEAVING,
-        /** It is listed no more; this is published once. */
+        /** Removed from the endpoint list; published once, with the change that removes it. */
         LEFT
     }
 
-    /** The entry in discovery's form. */
+    /** Returns the entry in the JSON format of the discovery protocol. */
     String json() {
         return "{\"id\":\"" + id + "\",\"addr\":\"" + address
                 + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,\"state\":\""
@@ -24,7 +24,7 @@
                 + ",\"revision_no\":" + build + "}";
     }
 
-    /** The same endpoint in another state. */
+    /** Returns the same endpoint in another state. */
     DiscoveryEntry withState(State newState) {
         return new DiscoveryEntry(id, address, newState, startedMillis, build);
     }
--- a/src/main/java/laurelkeel/soak/DiscoveryMessage.java
+++ b/src/main/java/laurelkeel/soak/DiscoveryMessage.java
@@ -4,12 +4,12 @@
 import java.util.stream.Collectors;
 
 /**
- * One message of discovery.
+ * One message of the discovery protocol.
  *
- * @param full whether the entries are the whole list, not only those that changed
+ * @param full whether the entries are the complete endpoint list; otherwise they are the changed entries only
  */
 record DiscoveryMessage(int version, boolean full, Collection<DiscoveryEntry> entries) {
-    /** The message in discovery's form. */
+    /** Returns the message in the JSON format of the discovery protocol. */
     String json() {
         return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":["
                 + entries.stream().map(DiscoveryEntry::json).collect(Collectors.joining(",")) + "]}";
--- a/src/main/java/laurelkeel/soak/DiscoveryServer.java
+++ b/src/main/java/laurelkeel/soak/DiscoveryServer.java
@@ -5,7 +5,7 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 
-/** Discovery at one address: serves watches of a list that several servers may share, and can fall silent; thread-safe. */
+/** A discovery server at one address; serves watches of an endpoint list shared with other servers; thread-safe. */
 final class DiscoveryServer extends TcpServer {
     private final SharedEndpointList list;
     private volatile boolean silent;
@@ -14,13 +14,13 @@
         this.list = list;
     }
 
-    /** Creates a server at the address of one that has stopped listening. */
+    /** Creates a server at the address of a server that has stopped listening. */
     DiscoveryServer(SharedEndpointList list, InetSocketAddress address) throws IOException {
         super(address);
         this.list = list;
     }
 
-    /** Closes all watches; while the server is silent, new ones get no answer. */
+    /** Closes all watches; while the server is silent, new watches get no response. */
     void setSilent(boolean silent) throws IOException {
         this.silent = silent;
         closeConnections();
@@ -28,7 +28,7 @@
 
     @Override
     void serve(Socket socket, InputStream in) throws IOException {
-        // the head of the watch's request
+        // skips the request line and the headers of the watch request
         HttpText.readHeaders(in);
         if (!silent) {
             HttpText.write(socket, HttpText.CHUNKED_HEAD);
--- a/src/main/java/laurelkeel/soak/FaultLibrary.java
+++ b/src/main/java/laurelkeel/soak/FaultLibrary.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** The library that lets a node's system calls fail and its wall clock step (soak/faults.c). */
+/** The preloaded library that makes a node's system calls fail and its wall clock step (soak/faults.c). */
 public final class FaultLibrary {
     private static final String SOURCE = "/soak/faults.c";
     private static final int COMPILE_SECONDS = 60;
@@ -21,9 +21,9 @@
     /**
      * Compiles the library.
      *
-     * @param folder where it is left
-     * @return its path; empty where there is no C compiler, or it fails
-     * @throws IOException where the source cannot be written
+     * @param folder where source, library and the compiler's log are written
+     * @return the path of the library; empty if there is no C compiler, or if it fails
+     * @throws IOException if the source cannot be written
      */
     public static Optional<Path> build(Path folder) throws IOException, InterruptedException {
         Path source = folder.resolve("faults.c");
@@ -44,7 +44,7 @@
         }
     }
 
-    /** The environment that gives a process the faults of a plan; empty where the plan has none. */
+    /** Returns the environment variables that apply the faults of a plan to a process; empty if the plan has none. */
     static Map<String, String> environment(Path library, SoakPlan plan) {
         Map<String, String> environment = new HashMap<>();
         if (!plan.clockSteps().isEmpty()) {
--- a/src/main/java/laurelkeel/soak/HostLateness.java
+++ b/src/main/java/laurelkeel/soak/HostLateness.java
@@ -2,13 +2,16 @@
 
 import java.util.Arrays;
 
-/** How late the host lets threads run, which is no fault of a node; thread-safe. */
+/**
+ * Measures how late the host schedules threads, so that the rules tolerate delays that the nodes do not cause.
+ * Thread-safe.
+ */
 final class HostLateness {
     private static final int WINDOW_SECONDS = 4;
     private static final int SLEEP_MILLIS = 2;
 
     private final RunClock clock;
-    /** The worst of each second, by its number modulo the window. */
+    /** The highest lateness of each second, indexed by the second modulo the window. */
     private final double[] worstBySecond = new double[WINDOW_SECONDS];
 
     private double worstSeconds;
@@ -17,7 +20,7 @@
         this.clock = clock;
     }
 
-    /** Measures until the thread is interrupted: sleeps, and records by how much each sleep was too long. */
+    /** Sleeps repeatedly and records by how much each sleep was too long, until the thread is interrupted. */
     void measure() throws InterruptedException {
         while (true) {
             double before = clock.seconds();
@@ -26,7 +29,7 @@
         }
     }
 
-    /** Records that a thread has just run late. */
+    /** Records that a thread has just run late by this time. */
     synchronized void record(double lateSeconds) {
         int slot = (int) clock.seconds() % WINDOW_SECONDS;
         worstBySecond[(slot + 1) % WINDOW_SECONDS] = 0;
@@ -34,12 +37,12 @@
         worstSeconds = Math.max(worstSeconds, lateSeconds);
     }
 
-    /** The worst of the last few seconds, in seconds. */
+    /** Returns the highest lateness within the last few seconds, in seconds. */
     synchronized double recentSeconds() {
         return Arrays.stream(worstBySecond).max().orElse(0);
     }
 
-    /** The worst of the whole run, in seconds. */
+    /** Returns the highest lateness of the whole run, in seconds. */
     synchronized double worstSeconds() {
         return worstSeconds;
     }
--- a/src/main/java/laurelkeel/soak/HttpText.java
+++ b/src/main/java/laurelkeel/soak/HttpText.java
@@ -9,16 +9,16 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** Reads and writes HTTP/1.1 on blocking sockets, without any check that would hide what the other side does wrong. */
+/** Reads and writes HTTP/1.1 on blocking sockets, without validation that would hide protocol errors of the peer. */
 final class HttpText {
-    /** The head of a response that goes on in chunks. */
+    /** The status line and headers of a chunked response. */
     static final String CHUNKED_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     private static final int MAX_LINE_LENGTH = 16 << 10;
 
     private HttpText() {}
 
-    /** Reads one line without its end; null at the end of the input. */
+    /** Reads one line and returns it without its line break; null at the end of the input. */
     static @Nullable String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int next = in.read(); next >= 0; next = in.read()) {
@@ -27,14 +27,14 @@
                 return end > 0 && line.charAt(end - 1) == '\r' ? line.substring(0, end - 1) : line.toString();
             }
             if (line.length() > MAX_LINE_LENGTH) {
-                throw new IOException("a line without end");
+                throw new IOException("line is too long");
             }
             line.append((char) next);
         }
         return null;
     }
 
-    /** Reads header lines up to the empty one; values by names in lower case. */
+    /** Reads header lines up to the empty line; returns the values by header name in lower case. */
     static Map<String, String> readHeaders(InputStream in) throws IOException {
         Map<String, String> headers = new HashMap<>();
         for (String line = readLine(in); line != null && !line.isEmpty(); line = readLine(in)) {
@@ -47,7 +47,7 @@
         return headers;
     }
 
-    /** The length of the body that these headers announce; 0 where they announce none. */
+    /** Returns the content length that these headers state; 0 if they state none. */
     static int contentLength(Map<String, String> headers) {
         return Integer.parseInt(headers.getOrDefault("content-length", "0"));
     }
--- a/src/main/java/laurelkeel/soak/IncrementalDiscoveryServer.java
+++ b/src/main/java/laurelkeel/soak/IncrementalDiscoveryServer.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Discovery that sends changes: the whole list where that is asked for, and on a watch what has changed; thread-safe. */
+/** A discovery server that sends the full endpoint list on request, and only changes on a watch; thread-safe. */
 final class IncrementalDiscoveryServer extends TcpServer {
     private static final int FIRST_VERSION = 1;
     private static final int UNKNOWN_VERSION = -1;
@@ -28,7 +28,7 @@
         entries.forEach(entry -> listed.put(entry.id(), entry));
     }
 
-    /** Bytes of lists and changes sent since the start. */
+    /** Returns the number of bytes of endpoint lists and changes sent since the start. */
     synchronized long bytesSent() {
         return bytesSent;
     }
@@ -37,7 +37,7 @@
         return fullListsSent;
     }
 
-    /** The whole list in discovery's form. */
+    /** Returns the full endpoint list in the JSON format of the discovery protocol. */
     synchronized String fullList() {
         return new DiscoveryMessage(version, true, listed.values()).json();
     }
@@ -46,7 +46,7 @@
         return new ArrayList<>(listed.values());
     }
 
-    /** Changes the list and sends the changes on all watches. */
+    /** Applies changes to the endpoint list and sends them on all watches. */
     synchronized void publish(List<DiscoveryEntry> changed) {
         version++;
         changesByVersion.put(version, changed);
@@ -114,7 +114,7 @@
         watches.add(socket);
     }
 
-    /** The version after which a watch asks for changes. */
+    /** Returns the version that a watch request asks for changes after. */
     private static int knownVersion(String requestLine) {
         int parameter = requestLine.indexOf(VERSION_PARAMETER);
         if (parameter < 0) {
--- a/src/main/java/laurelkeel/soak/NodeEvents.java
+++ b/src/main/java/laurelkeel/soak/NodeEvents.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.Random;
 
-/** What happens to nodes by signals and new configurations; thread-safe, restarts happen one after the other. */
+/** Executes events that signal or reconfigure nodes; thread-safe, with one restart or reconfiguration at a time. */
 final class NodeEvents {
     private static final int MAX_TERM_SIGNALS = 3;
     private static final int MAX_TERM_INTERVAL_MILLIS = 50;
@@ -14,7 +14,7 @@
     private static final int MAX_CONFIGURATION_INTERVAL_MILLIS = 150;
     private static final int MAX_DRAIN_BEFORE_CONFIGURATION_MILLIS = 800;
     private static final int MAX_PAUSES = 5;
-    /** How long a node is stopped between two of its steps. */
+    /** How long a node's process is stopped at a time. */
     private static final int PAUSE_MILLIS = 150;
 
     private static final int MAX_PAUSE_INTERVAL_MILLIS = 500;
@@ -27,7 +27,7 @@
         this.controlPlane = controlPlane;
     }
 
-    /** Ends a node that runs in the way of an event, and starts it again. */
+    /** Stops a running node in the way that an event prescribes, and starts it again. */
     synchronized void restart(SoakEvent event, int node, Random random) throws IOException, InterruptedException {
         NodeInstance instance = nodes.instance(node);
         if (!instance.process().isAlive()) {
@@ -47,12 +47,12 @@
                 configure(node, instance, random);
                 nodes.terminate(instance, 1, 0);
             }
-            default -> throw new IllegalArgumentException(event + " restarts no node");
+            default -> throw new IllegalArgumentException(event + " does not restart a node");
         }
         nodes.start(node);
     }
 
-    /** Hands a node that runs some configurations in a row. */
+    /** Gives a running node a series of new configurations. */
     synchronized void reconfigure(int node, Random random) throws IOException, InterruptedException {
         NodeInstance instance = nodes.instance(node);
         if (instance.process().isAlive()) {
@@ -61,10 +61,10 @@
     }
 
     private void terminateAtStart(int node, Random random) throws IOException, InterruptedException {
-        NodeInstance young = nodes.launch(node);
+        NodeInstance starting = nodes.launch(node);
         Thread.sleep(random.nextInt(MAX_AGE_AT_TERM_MILLIS));
         nodes.terminate(
-                young,
+                starting,
                 1 + random.nextInt(MAX_TERM_SIGNALS_AT_START),
                 random.nextInt(MAX_TERM_INTERVAL_AT_START_MILLIS));
     }
@@ -79,7 +79,7 @@
         configuring.join();
     }
 
-    /** Hands a node a series of configurations, each with other addresses, and sends SIGHUP after each. */
+    /** Gives a node a series of configurations with new service addresses, and sends SIGHUP after each. */
     private void configure(int node, NodeInstance instance, Random random) throws IOException, InterruptedException {
         for (int remaining = 1 + random.nextInt(MAX_CONFIGURATIONS); remaining > 0; remaining--) {
             ControlPlane.ReplacedServers replaced = controlPlane.move(node, random.nextLong());
@@ -91,7 +91,10 @@
         }
     }
 
-    /** Stops a node a few times for a moment: it may lose its core anywhere, also between reading its clock and writing. */
+    /**
+     * Pauses a node's process a few times with SIGSTOP and SIGCONT: a process may lose the CPU at any instruction, for
+     * example between reading its clock and writing.
+     */
     void pause(int node, Random random) throws IOException, InterruptedException {
         NodeProcess process = nodes.instance(node).process();
         for (int remaining = 1 + random.nextInt(MAX_PAUSES); remaining > 0; remaining--) {
--- a/src/main/java/laurelkeel/soak/NodeImage.java
+++ b/src/main/java/laurelkeel/soak/NodeImage.java
@@ -14,12 +14,12 @@
 import java.util.stream.Stream;
 
 /**
- * The command that starts a front node as the platform does: that of deploy/node.args with a class archive, made of the
- * classes that this process runs. A node that reads its classes from an archive starts in another order than one that
- * does not, so tests of the start need it. Immutable.
+ * The command that starts a front node as the platform does: with the options of deploy/node.args and a class-data sharing
+ * archive of the classes of this process. A node that loads its classes from an archive starts up in a different order than
+ * one that does not, so tests of the startup need the archive. Immutable.
  */
 public final class NodeImage {
-    /** The options of deploy/node.args. */
+    /** The JVM options of deploy/node.args. */
     static final List<String> JVM_OPTIONS = List.of(
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
@@ -34,7 +34,7 @@
             "-Djava.net.preferIPv4Stack=true");
 
     private static final String MAIN_CLASS = "laurelkeel.cli.Main";
-    /** One class of each library that a node needs. */
+    /** One class of each library that a node needs, to locate the library. */
     private static final List<String> LIBRARY_CLASSES = List.of(
             "org.apache.mina.core.session.IoSession",
             "org.slf4j.Logger",
@@ -54,10 +54,10 @@
     }
 
     /**
-     * Makes the archive by the training run that the build uses.
+     * Creates the archive with the same training run as the build.
      *
-     * @param folder where jar and archive are left; they have to last as long as nodes are started
-     * @throws IOException where the training run fails; it names the run's log
+     * @param folder where jar and archive are written; both must exist as long as nodes are started
+     * @throws IOException if the training run fails; the message names the log of the run
      */
     public static NodeImage make(Path folder) throws IOException, InterruptedException {
         List<String> classPath = new ArrayList<>();
@@ -75,7 +75,7 @@
         return new NodeImage(command);
     }
 
-    /** The command that runs a node. */
+    /** Returns the command that runs a node. */
     List<String> command() {
         return command;
     }
@@ -106,11 +106,11 @@
                     .getLocation()
                     .toURI());
         } catch (ClassNotFoundException | URISyntaxException e) {
-            throw new IOException("no library holds " + className, e);
+            throw new IOException("cannot locate the library that contains " + className, e);
         }
     }
 
-    /** Packs classes, for those of a folder cannot be archived; a jar is left as it is. */
+    /** Packs a folder of classes into a jar, because the JVM cannot archive classes of a folder; returns a jar unchanged. */
     private static Path jar(Path classes, Path folder) throws IOException {
         if (!Files.isDirectory(classes)) {
             return classes;
--- a/src/main/java/laurelkeel/soak/NodeProbe.java
+++ b/src/main/java/laurelkeel/soak/NodeProbe.java
@@ -6,20 +6,20 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 
-/** Finds ports for nodes, and asks nodes whether they are ready. */
+/** Finds free ports for nodes, and queries whether nodes are ready. */
 final class NodeProbe {
     private static final int TIMEOUT_MILLIS = 500;
 
     private NodeProbe() {}
 
-    /** A port that nobody listens at just now. */
+    /** Returns a port on which no process listens at present. */
     static int freePort() throws IOException {
         try (ServerSocket listener = new ServerSocket(0)) {
             return listener.getLocalPort();
         }
     }
 
-    /** Whether the node at this port says that it is ready. */
+    /** Whether the health check of the node at this port reports that it is ready. */
     static boolean isReady(int port) {
         try (Socket socket = new Socket()) {
             socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), TIMEOUT_MILLIS);
--- a/src/main/java/laurelkeel/soak/NodeResponse.java
+++ b/src/main/java/laurelkeel/soak/NodeResponse.java
@@ -9,16 +9,16 @@
 /**
  * A node's response to a client.
  *
- * @param closesConnection whether the node closes the connection after it
+ * @param closesConnection whether the node closes the connection after this response
  */
 record NodeResponse(int status, String body, boolean closesConnection) {
     private static final int STATUS_START = 9;
     private static final int STATUS_END = 12;
 
     /**
-     * Reads a response; null where the connection ended in order before its first byte.
+     * Reads a response; returns null if the connection ended regularly before its first byte.
      *
-     * @throws ConnectionEndedException where the connection ended in order within the response
+     * @throws ConnectionEndedException if the connection ended regularly within the response
      */
     static @Nullable NodeResponse read(InputStream in) throws IOException {
         String statusLine = HttpText.readLine(in);
@@ -29,7 +29,7 @@
         int length = HttpText.contentLength(headers);
         byte[] body = in.readNBytes(length);
         if (body.length < length || statusLine.length() < STATUS_END) {
-            throw new ConnectionEndedException("an answer that stopped short");
+            throw new ConnectionEndedException("truncated response");
         }
         return new NodeResponse(
                 Integer.parseInt(statusLine.substring(STATUS_START, STATUS_END)),
--- a/src/main/java/laurelkeel/soak/ProcessWatch.java
+++ b/src/main/java/laurelkeel/soak/ProcessWatch.java
@@ -1,9 +1,9 @@
 package laurelkeel.soak;
 
-/** Judges the nodes' processes: ends that were not requested, memory and file descriptors. Runs on a thread of its own. */
+/** Checks the nodes' processes for unrequested exits, memory and file descriptors; runs on a thread of its own. */
 final class ProcessWatch implements DaemonThreads.Task {
     private static final int INTERVAL_MILLIS = 100;
-    /** Descriptors that have to stay free, whatever comes. */
+    /** The number of file descriptors that must stay free at all times. */
     private static final int MIN_FREE_DESCRIPTORS = 8;
 
     private final NodeController nodes;
@@ -33,16 +33,18 @@
         if (!process.isAlive() && !instance.isEndRequested()) {
             instance.markEnded();
             violations.add(
-                    SoakRule.EXIT, instance.name() + " ended by itself at an age of " + process.ageMillis() + " ms");
+                    SoakRule.EXIT,
+                    instance.name() + " exited unexpectedly at an age of " + process.ageMillis() + " ms");
         }
         if (process.peakMemoryMegabytes() > NodeController.MEMORY_MEGABYTES) {
-            violations.add(SoakRule.MEMORY, instance.name() + " took " + process.peakMemoryMegabytes() + " MB");
+            violations.add(SoakRule.MEMORY, instance.name() + " used " + process.peakMemoryMegabytes() + " MB");
         }
         int descriptors = process.openDescriptors();
         if (descriptors > NodeController.MAX_DESCRIPTORS - MIN_FREE_DESCRIPTORS) {
             violations.add(
                     SoakRule.DESCRIPTORS,
-                    instance.name() + " held " + descriptors + " of " + NodeController.MAX_DESCRIPTORS);
+                    instance.name() + " had open descriptors: " + descriptors + " of "
+                            + NodeController.MAX_DESCRIPTORS);
         }
     }
 }
--- a/src/main/java/laurelkeel/soak/RunClock.java
+++ b/src/main/java/laurelkeel/soak/RunClock.java
@@ -1,12 +1,12 @@
 package laurelkeel.soak;
 
-/** The clock of one run; thread-safe. */
+/** The monotonic clock of one run; thread-safe. */
 final class RunClock {
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final long startedNanos = System.nanoTime();
 
-    /** Seconds since the run began. */
+    /** Returns the seconds since the start of the run. */
     double seconds() {
         return (System.nanoTime() - startedNanos) / NANOS_PER_SECOND;
     }
--- a/src/main/java/laurelkeel/soak/RunMonitor.java
+++ b/src/main/java/laurelkeel/soak/RunMonitor.java
@@ -1,9 +1,9 @@
 package laurelkeel.soak;
 
 /**
- * What the judges of one run share.
+ * The clock, the lateness of the host and the violations that all checks of one run share.
  *
- * @param lateness of the host, which explains what would else be violations
+ * @param lateness of the host, which excuses what would otherwise be violations
  */
 record RunMonitor(RunClock clock, HostLateness lateness, ViolationLog violations) {
     static RunMonitor create() {
--- a/src/main/java/laurelkeel/soak/SharedEndpointList.java
+++ b/src/main/java/laurelkeel/soak/SharedEndpointList.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** The endpoint list that all discovery servers of a run serve, with their open watches; thread-safe. */
+/** The endpoint list that all discovery servers of a run share, and their open watches; thread-safe. */
 final class SharedEndpointList {
     private final List<Socket> watches = new CopyOnWriteArrayList<>();
     private DiscoveryMessage current = new DiscoveryMessage(1, true, List.of());
 
-    /** Replaces the list and sends it on all watches. */
+    /** Replaces the endpoint list and sends it on all watches. */
     synchronized void publish(List<DiscoveryEntry> entries) {
         current = new DiscoveryMessage(current.version() + 1, true, List.copyOf(entries));
         for (Socket watch : watches) {
@@ -18,13 +18,13 @@
         }
     }
 
-    /** Sends the list on a new watch, and from now on each change. */
+    /** Sends the endpoint list on a new watch, and each later list as well. */
     synchronized void addWatch(Socket watch) {
         watches.add(watch);
         sendList(watch);
     }
 
-    /** The whole list in discovery's form. */
+    /** Returns the full endpoint list in the JSON format of the discovery protocol. */
     synchronized String json() {
         return current.json();
     }
@@ -33,7 +33,7 @@
         watches.forEach(watch -> send(watch, "\n"));
     }
 
-    /** Sends what no node can parse, on all watches. */
+    /** Sends a malformed message on all watches. */
     void sendMalformed() {
         watches.forEach(watch -> send(watch, "{\"version\":\u0001\n"));
     }
--- a/src/main/java/laurelkeel/soak/SoakNodeConfiguration.java
+++ b/src/main/java/laurelkeel/soak/SoakNodeConfiguration.java
@@ -1,14 +1,14 @@
 package laurelkeel.soak;
 
 /**
- * The configuration that the platform hands a node.
+ * The configuration that the platform gives a node.
  *
  * @param index of the node among all nodes, from 0
- * @param port where the node listens
- * @param seed of the node's random draws, in hexadecimal digits
- * @param memoryMegabytes that the node may use
- * @param maxDescriptors that the node may open
- * @param knownEndpoints the endpoint list, in discovery's form
+ * @param port that the node listens on
+ * @param seed of the node's random number generator, in hexadecimal digits
+ * @param memoryMegabytes memory limit of the node
+ * @param maxDescriptors limit of the node's open file descriptors
+ * @param knownEndpoints the endpoint list, in the JSON format of the discovery protocol
  */
 record SoakNodeConfiguration(
         int index,
@@ -19,7 +19,7 @@
         int memoryMegabytes,
         int maxDescriptors,
         String knownEndpoints) {
-    /** Takes the index of the node. */
+    /** The settings of a node; the format argument is the index of the node. */
     private static final String SETTINGS =
             """
             {"selfIndex":%d,"balancers":3,"zone":0,"zones":["a"],"kinds":["m"],"membershipMode":"push",
@@ -33,12 +33,12 @@
              "familyInfo":{"gateMode":"by_count","votesToGo":1,"noesNeeded":1,"stageCap":[0.1,0.5,1.0],"callTimeout":800.0,
               "voteTtl":6000.0,"votesPerS":100.0,"countedOver":4000.0,"uncounted":3.0}}""";
 
-    /** The name of the node with this index. */
+    /** Returns the name of the node with this index. */
     static String nameOf(int index) {
         return "n" + index;
     }
 
-    /** The configuration as the platform writes it. */
+    /** Returns the configuration file's content in the platform's JSON format. */
     String json() {
         return "{\"name\":\"" + nameOf(index) + "\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\""
                 + discoveryAddress + "\",\"seed\":\"" + seed + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":"
--- a/src/main/java/laurelkeel/soak/SoakRule.java
+++ b/src/main/java/laurelkeel/soak/SoakRule.java
@@ -1,26 +1,26 @@
 package laurelkeel.soak;
 
-/** A rule that a run is judged by (docs/soak.md). */
+/** A rule that a run is checked against (docs/soak.md). */
 public enum SoakRule {
-    /** Each request gets an answer that an endpoint made for it, and no attempt begins after its client has left. */
+    /** Each request gets a response that an endpoint made for it, and no attempt begins after its client disconnected. */
     LOST("lost"),
-    /** No new attempt goes to an endpoint that drains. */
+    /** No new attempt is sent to a draining endpoint. */
     DRAIN("drain"),
-    /** An endpoint is told no more time than the client has left. */
+    /** The remaining time that an endpoint is told is not longer than the client's. */
     TIME_LEFT("time left"),
-    /** A client that stops in the middle of a request gets an error or the end of its connection in time. */
+    /** A client that sends a partial request gets an error or the end of its connection in time. */
     HALF_REQUEST("half"),
-    /** A node ends only when it is asked to, and with status 0. */
+    /** A node exits only when it is asked to, and with status 0. */
     EXIT("exit"),
-    /** A node is ready in time. */
+    /** A node becomes ready in time after its start. */
     START("start"),
-    /** A node stays within its memory. */
+    /** A node stays within its memory limit. */
     MEMORY("memory"),
-    /** A node keeps some file descriptors free. */
+    /** A node stays some file descriptors below its limit. */
     DESCRIPTORS("descriptors"),
-    /** Endpoints get only requests that a client sent. */
+    /** Endpoints receive only requests that a client sent. */
     REQUEST_ID("id"),
-    /** Nodes send the control service only calls that it knows. */
+    /** Nodes send the control service only calls that its protocol defines. */
     CONTROL("control");
 
     private final String label;
@@ -29,7 +29,7 @@
         this.label = label;
     }
 
-    /** The rule's name in printed lines. */
+    /** Returns the rule's name in printed lines. */
     @Override
     public String toString() {
         return label;
--- a/src/main/java/laurelkeel/soak/TcpServer.java
+++ b/src/main/java/laurelkeel/soak/TcpServer.java
@@ -11,10 +11,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A server on loopback with one blocking thread a connection, so that it can misbehave at any byte; thread-safe. */
+/** A loopback server with one blocking thread per connection, so that it can misbehave at any byte; thread-safe. */
 abstract class TcpServer implements AutoCloseable {
     private static final int BACKLOG = 500;
-    /** The second to fourth byte of an address take so many values; the fourth one starts at 1. */
+    /** The numbers of values of the second to fourth byte of an address; the second and the fourth byte start at 1. */
     private static final int SECOND_BYTE_VALUES = 126;
 
     private static final int THIRD_BYTE_VALUES = 128;
@@ -24,19 +24,19 @@
     private final ServerSocket listener;
     private final Set<Socket> openConnections = ConcurrentHashMap.newKeySet();
 
-    /** Listens at a new address. */
+    /** Listens on a new address. */
     TcpServer() throws IOException {
         this(new InetSocketAddress(nextAddress(), 0));
     }
 
-    /** Listens at an address where an earlier server has stopped listening. */
+    /** Listens on the address of an earlier server that has stopped listening. */
     TcpServer(InetSocketAddress address) throws IOException {
         listener = new ServerSocket(address.getPort(), BACKLOG, address.getAddress());
     }
 
     /**
-     * Each server has an address of its own: a node goes on connecting to an address that was given up, and must not reach
-     * another server that was given its port.
+     * Returns an address that no other server has used. A node continues to connect to the address of a server that was
+     * stopped, and must not reach another server that got the same port.
      */
     private static InetAddress nextAddress() throws IOException {
         int number = ADDRESSES.getAndIncrement();
@@ -46,7 +46,7 @@
         return InetAddress.getByAddress(new byte[] {127, (byte) second, (byte) third, (byte) fourth});
     }
 
-    /** Starts to accept connections; called once. */
+    /** Starts accepting connections; called once. */
     final void start() {
         DaemonThreads.start("accept", this::accept);
     }
@@ -68,19 +68,19 @@
         }
     }
 
-    /** Serves one connection, which is closed when this returns. */
+    /** Serves one connection, which is closed when this method returns. */
     abstract void serve(Socket socket, InputStream in) throws IOException, InterruptedException;
 
     final InetSocketAddress socketAddress() {
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    /** Host and port, as configurations have them. */
+    /** Returns host and port in the format of configurations. */
     final String address() {
         return listener.getInetAddress().getHostAddress() + ":" + listener.getLocalPort();
     }
 
-    /** Accepts no more connections; those open stay. */
+    /** Stops accepting connections; open connections stay open. */
     final void stopListening() throws IOException {
         listener.close();
     }
--- a/src/main/java/laurelkeel/soak/package-info.java
+++ b/src/main/java/laurelkeel/soak/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Runs of real front node processes that are judged from their sockets: with faults that a seed draws
- * ({@link laurelkeel.soak.SoakRun}, docs/soak.md), and with ever more endpoints ({@link laurelkeel.soak.ScaleBench}).
+ * Runs of real front node processes that are checked by their behavior at the network sockets: with random faults generated
+ * from a seed ({@link laurelkeel.soak.SoakRun}, docs/soak.md), and with increasing numbers of endpoints
+ * ({@link laurelkeel.soak.ScaleBench}).
  */
 @NullMarked
 package laurelkeel.soak;
