--- a/src/main/java/laurelkeel/soak/AttemptAuditor.java
+++ b/src/main/java/laurelkeel/soak/AttemptAuditor.java
@@ -5,110 +5,116 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Judges attempts by the rules that need to know more than one side: what clients sent, which of them left, and which
- * endpoints drain. Thread-safe; all moments are seconds of the run's clock.
+ * Checks attempts against the rules that need facts from several participants: which requests clients sent, which clients
+ * disconnected, and which endpoints are draining. Thread-safe; all points in time are seconds of the run's clock.
  */
 final class AttemptAuditor {
-    /** A node tells an endpoint at most the time that the client has left, with this slack. */
-    private static final double TIME_LEFT_SLACK_SECONDS = 0.15;
+    /** A node may tell an endpoint a remaining time that exceeds the client's by at most this slack. */
+    private static final double REMAINING_TIME_SLACK_SECONDS = 0.15;
 
-    private static final int MAX_REMEMBERED_REQUESTS = 50_000;
-    /** After this the thread that measures the host's lateness has run, too. */
-    private static final long LATENESS_MEASURED_MILLIS = 50;
+    private static final int MAX_TRACKED_REQUESTS = 50_000;
+    /** Gives the thread that measures the host's lateness time to run before the attempt is checked again. */
+    private static final long LATENESS_SAMPLE_WAIT_MILLIS = 50;
 
     private record SentRequest(double sentAt, double timeoutSeconds) {}
 
     private record Attempt(
-            String endpointId, String requestId, double receivedAt, double secondsLeft, SentRequest request) {}
+            String endpointId, String requestId, double receivedAt, double remainingSeconds, SentRequest request) {}
 
     private final RunMonitor monitor;
     private final Map<String, SentRequest> requests = new ConcurrentHashMap<>();
-    private final Map<String, Double> clientLeftAt = new ConcurrentHashMap<>();
-    private final Map<String, Double> drainedFrom = new ConcurrentHashMap<>();
+    private final Map<String, Double> clientDisconnectedAt = new ConcurrentHashMap<>();
+    private final Map<String, Double> drainEnforcedFrom = new ConcurrentHashMap<>();
     private int discoveryOutages;
-    private double outageKnownFrom;
+    private double changesKnownFrom;
 
     AttemptAuditor(RunMonitor monitor) {
         this.monitor = monitor;
     }
 
-    /** A client sends a request. */
+    /** Records that a client sends a request. */
     void requestSent(String requestId, double timeoutSeconds) {
-        if (requests.size() > MAX_REMEMBERED_REQUESTS) {
+        if (requests.size() > MAX_TRACKED_REQUESTS) {
             requests.clear();
         }
         requests.put(requestId, new SentRequest(monitor.clock().seconds(), timeoutSeconds));
     }
 
-    /** The client of a request has closed its connection. */
-    void clientLeft(String requestId) {
-        clientLeftAt.put(requestId, monitor.clock().seconds());
+    /** Records that the client of a request has closed its connection. */
+    void clientDisconnected(String requestId) {
+        clientDisconnectedAt.put(requestId, monitor.clock().seconds());
     }
 
     /**
-     * An endpoint drains.
+     * Records that an endpoint starts to drain.
      *
-     * @param fromSeconds the moment from which on nodes may send it no new attempts
+     * @param fromSeconds the time from which nodes must not send it new attempts
      */
-    void endpointDrains(String endpointId, double fromSeconds) {
-        drainedFrom.put(endpointId, fromSeconds);
+    void endpointDraining(String endpointId, double fromSeconds) {
+        drainEnforcedFrom.put(endpointId, fromSeconds);
     }
 
-    /** Discovery of some node goes down: what changes meanwhile cannot be known there. */
-    synchronized void outageBegins() {
+    /** Records that the discovery service of a node goes down: the node cannot learn of changes during the outage. */
+    synchronized void outageStarted() {
         discoveryOutages++;
     }
 
-    /** @param knownFrom the moment from which on what changed meanwhile counts as known, in seconds of the run */
-    synchronized void outageEnds(double knownFrom) {
+    /**
+     * Records that the outage of a discovery service ends.
+     *
+     * @param knownFrom the time from which the node is expected to know what changed during the outage
+     */
+    synchronized void outageEnded(double knownFrom) {
         discoveryOutages--;
-        outageKnownFrom = Math.max(outageKnownFrom, knownFrom);
+        changesKnownFrom = Math.max(changesKnownFrom, knownFrom);
     }
 
     private synchronized boolean isOutage(double now) {
-        return discoveryOutages > 0 || now < outageKnownFrom;
+        return discoveryOutages > 0 || now < changesKnownFrom;
     }
 
     /**
-     * An endpoint has received an attempt; records the rules that it breaks.
+     * Checks an attempt that an endpoint has received, and records the rules that it violates.
      *
-     * @param secondsLeft what the endpoint was told that the client has left
-     * @param slackSeconds of the rules that count from a moment; the host's own lateness comes on top
+     * @param remainingSeconds the remaining time of the client that the attempt states
+     * @param slackSeconds tolerance of the rules that apply from a point in time; the host's lateness is added to it
      */
-    void attemptReceived(String endpointId, String requestId, double secondsLeft, double slackSeconds)
+    void attemptReceived(String endpointId, String requestId, double remainingSeconds, double slackSeconds)
             throws InterruptedException {
         monitor.violations().count("attempts");
         double now = monitor.clock().seconds();
         SentRequest request = requests.get(requestId);
         if (request == null) {
             monitor.violations()
-                    .add(SoakRule.REQUEST_ID, endpointId + " was asked for " + requestId + ", which no client sent");
+                    .add(SoakRule.REQUEST_ID, endpointId + " received " + requestId + ", which no client sent");
             return;
         }
-        Attempt attempt = new Attempt(endpointId, requestId, now, secondsLeft, request);
-        if (!brokenRules(attempt, slackSeconds).isEmpty()) {
-            // where the host has been late, the thread that measures that may run after this one
-            Thread.sleep(LATENESS_MEASURED_MILLIS);
-            brokenRules(attempt, slackSeconds).forEach(monitor.violations()::add);
+        Attempt attempt = new Attempt(endpointId, requestId, now, remainingSeconds, request);
+        if (!violatedRules(attempt, slackSeconds).isEmpty()) {
+            // if the host has run late, the thread that measures this may itself run after this one
+            Thread.sleep(LATENESS_SAMPLE_WAIT_MILLIS);
+            violatedRules(attempt, slackSeconds).forEach(monitor.violations()::add);
         }
     }
 
-    private Map<SoakRule, String> brokenRules(Attempt attempt, double slackSeconds) {
-        // a thread of a client or of the endpoint may have run late at either end
+    private Map<SoakRule, String> violatedRules(Attempt attempt, double slackSeconds) {
+        // twice, because the client's thread and the endpoint's thread may each have run late
         double slack = slackSeconds + 2 * monitor.lateness().recentSeconds();
         String requestId = attempt.requestId;
-        Map<SoakRule, String> broken = new EnumMap<>(SoakRule.class);
-        if (attempt.receivedAt > clientLeftAt.getOrDefault(requestId, Double.MAX_VALUE) + slack) {
-            broken.put(SoakRule.LOST, "an attempt for " + requestId + " began after its client had left");
+        Map<SoakRule, String> violated = new EnumMap<>(SoakRule.class);
+        if (attempt.receivedAt > clientDisconnectedAt.getOrDefault(requestId, Double.MAX_VALUE) + slack) {
+            violated.put(SoakRule.LOST, "an attempt for " + requestId + " began after its client had disconnected");
         }
-        double actuallyLeft = attempt.request.timeoutSeconds - (attempt.receivedAt - attempt.request.sentAt);
-        if (attempt.secondsLeft > actuallyLeft + TIME_LEFT_SLACK_SECONDS + slack) {
-            broken.put(SoakRule.TIME_LEFT, requestId + " was told " + attempt.secondsLeft + " s");
+        double actualRemainingSeconds = attempt.request.timeoutSeconds - (attempt.receivedAt - attempt.request.sentAt);
+        if (attempt.remainingSeconds > actualRemainingSeconds + REMAINING_TIME_SLACK_SECONDS + slack) {
+            violated.put(
+                    SoakRule.TIME_LEFT,
+                    requestId + " arrived with " + attempt.remainingSeconds + " s remaining, more than its client has");
         }
-        if (attempt.receivedAt > drainedFrom.getOrDefault(attempt.endpointId, Double.MAX_VALUE) + slack
+        if (attempt.receivedAt > drainEnforcedFrom.getOrDefault(attempt.endpointId, Double.MAX_VALUE) + slack
                 && !isOutage(attempt.receivedAt)) {
-            broken.put(SoakRule.DRAIN, attempt.endpointId + " was asked for " + requestId + " though it drains");
+            violated.put(SoakRule.DRAIN, attempt.endpointId + " received " + requestId + " while draining");
         }
-        return broken;
+        return violated;
     }
 }
--- a/src/main/java/laurelkeel/soak/ClientBehavior.java
+++ b/src/main/java/laurelkeel/soak/ClientBehavior.java
@@ -2,18 +2,18 @@
 
 import java.util.Random;
 
-/** How a client behaves with one request, and in how many of a hundred it does so. */
+/** How a client behaves for one request, with the percentage of requests that it does so for. */
 enum ClientBehavior {
-    /** Closes its connection early. */
-    LEAVES(3),
-    /** Ends its output and reads on. */
+    /** Closes its connection without waiting for the response. */
+    DISCONNECTS(3),
+    /** Shuts down its output after the request and still reads the response. */
     HALF_CLOSES(2),
-    /** Has a few milliseconds left only. */
-    HURRIES(2),
-    /** Stops in the middle of the request and stays. */
-    STOPS(1),
-    /** Waits for the answer. */
-    WAITS(92);
+    /** Gives the request a timeout of a few milliseconds. */
+    SETS_SHORT_TIMEOUT(2),
+    /** Sends a part of the request and keeps the connection open. */
+    SENDS_PARTIAL_REQUEST(1),
+    /** Waits for the response. */
+    AWAITS_RESPONSE(92);
 
     private static final int HUNDRED = 100;
 
@@ -23,7 +23,7 @@
         this.percent = percent;
     }
 
-    static ClientBehavior draw(Random random) {
+    static ClientBehavior pick(Random random) {
         int remaining = random.nextInt(HUNDRED);
         for (ClientBehavior behavior : values()) {
             remaining -= behavior.percent;
@@ -31,6 +31,6 @@
                 return behavior;
             }
         }
-        throw new IllegalStateException("the percentages are less than 100 together");
+        throw new IllegalStateException("the percentages add up to less than 100");
     }
 }
--- a/src/main/java/laurelkeel/soak/ControlPlane.java
+++ b/src/main/java/laurelkeel/soak/ControlPlane.java
@@ -7,17 +7,17 @@
 import java.util.concurrent.atomic.AtomicReferenceArray;
 
 /**
- * Discovery and control service of a run, with addresses of their own for each node, that can move, fall silent and go
- * down. Thread-safe.
+ * The discovery and control services of a run. Each node has servers at addresses of its own, which can move to other
+ * addresses, stop responding and go down. Thread-safe.
  */
 final class ControlPlane implements AutoCloseable {
-    /** After this, what discovery has to say counts as known, whatever happened to its watches. */
+    /** The time within which a node is expected to know the endpoint list again after any fault of its watch. */
     static final double RECOVERY_SECONDS = 6;
 
     private static final double MALFORMED_SHARE = 0.05;
     private static final long HEARTBEAT_MILLIS = 2_000;
-    /** Servers that were moved close their open connections so long after the move. */
-    private static final long OLD_ADDRESS_MILLIS = 1_500;
+    /** How long the replaced servers keep their open connections after a move. */
+    private static final long OLD_CONNECTION_GRACE_MILLIS = 1_500;
 
     private final RunMonitor monitor;
     private final RunState state;
@@ -26,7 +26,7 @@
     private final AtomicReferenceArray<DiscoveryServer> discovery = new AtomicReferenceArray<>(SoakPlan.NODES);
     private final AtomicReferenceArray<ControlServer> control = new AtomicReferenceArray<>(SoakPlan.NODES);
     private final List<TcpServer> started = new CopyOnWriteArrayList<>();
-    private volatile boolean disturbed;
+    private volatile boolean mayHaveDelayedUpdates;
 
     ControlPlane(RunMonitor monitor, RunState state, AttemptAuditor auditor) {
         this.monitor = monitor;
@@ -66,31 +66,31 @@
         return control.get(node).address();
     }
 
-    /** Whether discovery may have failed to tell some node of a change in time. */
-    boolean wasDisturbed() {
-        return disturbed;
+    /** Whether a fault may have delayed updates of the endpoint list to a node. */
+    boolean mayHaveDelayedUpdates() {
+        return mayHaveDelayedUpdates;
     }
 
-    /** The servers of one node that others have replaced. */
+    /** The former servers of one node, replaced by servers at new addresses. */
     record ReplacedServers(DiscoveryServer discovery, ControlServer control) {
         void stopListening() throws IOException {
             discovery.stopListening();
             control.stopListening();
         }
 
-        /** Closes open connections once a node has had time to leave them. */
+        /** Closes open connections once the node has had time to switch to the new servers. */
         void closeLater() {
             DaemonThreads.start("old address", () -> {
-                Thread.sleep(OLD_ADDRESS_MILLIS);
+                Thread.sleep(OLD_CONNECTION_GRACE_MILLIS);
                 discovery.close();
                 control.close();
             });
         }
     }
 
-    /** Starts servers of one node at new addresses, and returns those before, which still listen. */
+    /** Starts new servers for one node at new addresses, and returns the former ones, which still listen. */
     ReplacedServers move(int node, long controlSeed) throws IOException {
-        disturbed = true;
+        mayHaveDelayedUpdates = true;
         ReplacedServers replaced = new ReplacedServers(discovery.get(node), control.get(node));
         synchronized (this) {
             discovery.set(node, start(new DiscoveryServer(endpointList)));
@@ -99,19 +99,19 @@
         return replaced;
     }
 
-    /** Lets the discovery of one node fall silent for a while. */
+    /** Makes the discovery server of one node silent for a time: its open watches are closed, new ones get no response. */
     void silenceDiscovery(int node, int millis) throws IOException, InterruptedException {
-        disturbed = true;
+        mayHaveDelayedUpdates = true;
         DiscoveryServer server = discovery.get(node);
         server.setSilent(true);
         Thread.sleep(millis);
         server.setSilent(false);
     }
 
-    /** Takes the discovery of one node down for a while; where it is moved meanwhile, the new address is up. */
+    /** Takes the discovery server of one node down for a time; a server that it is moved to meanwhile stays up. */
     void takeDiscoveryDown(int node, int millis) throws IOException, InterruptedException {
-        disturbed = true;
-        auditor.outageBegins();
+        mayHaveDelayedUpdates = true;
+        auditor.outageStarted();
         try {
             DiscoveryServer down = discovery.get(node);
             InetSocketAddress address = down.socketAddress();
@@ -120,7 +120,7 @@
             Thread.sleep(millis);
             restartDiscovery(node, down, address);
         } finally {
-            auditor.outageEnds(monitor.clock().seconds() + RECOVERY_SECONDS);
+            auditor.outageEnded(monitor.clock().seconds() + RECOVERY_SECONDS);
         }
     }
 
@@ -131,9 +131,9 @@
         }
     }
 
-    /** Sends nodes a list that they cannot parse. */
+    /** Sends all nodes an endpoint list that cannot be parsed. */
     void sendMalformedList() {
-        disturbed = true;
+        mayHaveDelayedUpdates = true;
         endpointList.sendMalformed();
     }
 
--- a/src/main/java/laurelkeel/soak/EndpointReplacement.java
+++ b/src/main/java/laurelkeel/soak/EndpointReplacement.java
@@ -3,25 +3,25 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Replaces half of a fleet's endpoints, evenly over a run, by endpoints with a later build; not thread-safe. */
+/** Replaces half of the endpoints, evenly spread over a run, by endpoints with a newer build; not thread-safe. */
 final class EndpointReplacement {
     private static final int STEP_MILLIS = 500;
     private static final int MILLIS_PER_SECOND = 1_000;
-    /** An endpoint that leaves is gone so many steps later. */
+    /** The number of steps between the states {@code LEAVING} and {@code LEFT} of a replaced endpoint. */
     private static final int LEAVING_STEPS = 2;
-    /** Where nothing changes, discovery sends a heartbeat each so many steps. */
+    /** The number of steps between heartbeats while no endpoint changes. */
     private static final int HEARTBEAT_STEPS = 4;
 
-    private final EndpointFleet fleet;
+    private final HealthyEndpointServer endpointServer;
     private final int endpoints;
     private int nextEndpoint;
 
-    EndpointReplacement(EndpointFleet fleet, int endpoints) {
-        this.fleet = fleet;
+    EndpointReplacement(HealthyEndpointServer endpointServer, int endpoints) {
+        this.endpointServer = endpointServer;
         this.endpoints = endpoints;
     }
 
-    /** The endpoints before any is replaced; called once. */
+    /** Returns the endpoints before any is replaced; called once. */
     List<DiscoveryEntry> firstEntries() {
         List<DiscoveryEntry> entries = new ArrayList<>();
         for (int i = 0; i < endpoints; i++) {
@@ -33,10 +33,10 @@
     private DiscoveryEntry newEntry(int build, long startedMillis) {
         int number = nextEndpoint++;
         return new DiscoveryEntry(
-                "s-" + number, fleet.addressOf(number), DiscoveryEntry.State.ACTIVE, startedMillis, build);
+                "s-" + number, endpointServer.addressOf(number), DiscoveryEntry.State.ACTIVE, startedMillis, build);
     }
 
-    /** Replaces the endpoints; returns after so many seconds. */
+    /** Replaces the endpoints; blocks for the given number of seconds. */
     void run(IncrementalDiscoveryServer discovery, int seconds) throws InterruptedException {
         int steps = seconds * MILLIS_PER_SECOND / STEP_MILLIS;
         int replaced = 0;
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Endpoints that are to leave next. */
+    /** Returns the endpoints to replace next. */
     private static List<DiscoveryEntry> oldest(IncrementalDiscoveryServer discovery, int count) {
         return discovery.entries().stream()
                 .filter(entry -> entry.build() == ControlServer.BASELINE_BUILD)
--- a/src/main/java/laurelkeel/soak/EventRunner.java
+++ b/src/main/java/laurelkeel/soak/EventRunner.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Random;
 
-/** Lets the events of a plan happen, each at its moment and on a thread of its own. */
-final class EventPlayer {
+/** Executes the events of a plan, each at its planned time and on a thread of its own. */
+final class EventRunner {
     private static final int POLL_MILLIS = 5;
     private static final int MIN_SILENCE_MILLIS = 500;
     private static final int SILENCE_SPREAD_MILLIS = 2_500;
@@ -20,7 +20,7 @@
     private final FaultyEndpoints endpoints;
     private final NodeEvents nodeEvents;
 
-    EventPlayer(
+    EventRunner(
             RunMonitor monitor,
             RunState state,
             NodeController nodes,
@@ -34,22 +34,22 @@
         this.nodeEvents = new NodeEvents(nodes, controlPlane);
     }
 
-    /** Plays all events and waits until the last one has passed. */
-    void play(List<PlannedEvent> events) throws InterruptedException {
+    /** Executes all events and waits until the last one has finished. */
+    void run(List<PlannedEvent> events) throws InterruptedException {
         List<Thread> running = new ArrayList<>();
         double startedAt = monitor.clock().seconds();
         for (PlannedEvent event : events) {
             while (monitor.clock().seconds() < startedAt + event.atSeconds()) {
                 Thread.sleep(POLL_MILLIS);
             }
-            running.add(DaemonThreads.start("event", () -> play(event)));
+            running.add(DaemonThreads.start("event", () -> run(event)));
         }
         for (Thread thread : running) {
             thread.join();
         }
     }
 
-    private void play(PlannedEvent planned) throws IOException, InterruptedException {
+    private void run(PlannedEvent planned) throws IOException, InterruptedException {
         Random random = new Random(planned.seed());
         int node = planned.node();
         switch (planned.event()) {
@@ -60,7 +60,7 @@
             case DISCOVERY_SPOILT -> controlPlane.sendMalformedList();
             case SERVER_DRAINS -> endpoints.drainOne(random);
             case SERVER_HANGS -> endpoints.hangOne(random);
-            case CROWD -> ConnectionCrowd.visit(nodes.port(node), state, monitor.violations());
+            case CROWD -> ConnectionFlood.run(nodes.port(node), state, monitor.violations());
             case HELD_UP -> nodeEvents.pause(node, random);
             case NEW_CONFIGURATIONS -> nodeEvents.reconfigure(node, random);
             case RESTART, KILL, TERM_AT_START, NEW_CONFIGURATION_AND_RESTART, NEW_CONFIGURATION_WHILE_DRAINING ->
--- a/src/main/java/laurelkeel/soak/FaultyEndpoint.java
+++ b/src/main/java/laurelkeel/soak/FaultyEndpoint.java
@@ -7,22 +7,22 @@
 import java.util.Objects;
 import java.util.Random;
 
-/** An endpoint behind the nodes that serves requests, fails some of them, and reports what reaches it; thread-safe. */
+/** An endpoint that serves attempts, fails some of them, and reports each to the {@link AttemptAuditor}; thread-safe. */
 final class FaultyEndpoint extends TcpServer {
     private static final ResponseMode[] MODES = ResponseMode.values();
-    /** How long after its client has left, or its endpoint drains, an attempt may begin. */
+    /** How long after its client's disconnect, or after the drain grace of its endpoint, an attempt may still arrive. */
     private static final double SLACK_SECONDS = 0.25;
 
     private static final int SILENCE_MILLIS = 4_000;
     private static final int MIN_SERVICE_MILLIS = 2;
     private static final int SERVICE_SPREAD_MILLIS = 30;
     private static final int PAUSE_BETWEEN_PIECES_MILLIS = 20;
-    private static final int PAUSE_BEFORE_CUT_MILLIS = 5;
+    private static final int PAUSE_BEFORE_CLOSE_MILLIS = 5;
     private static final int MAX_DUPLICATE_DELAY_MILLIS = 5;
-    /** A duplicate that is later than this is left out. */
-    private static final long DUPLICATE_LIMIT_NANOS = 7_000_000;
+    /** A duplicate response that would be sent later than this is omitted. */
+    private static final long MAX_DUPLICATE_AGE_NANOS = 7_000_000;
 
-    private static final int BODY_LENGTHS = 2_000;
+    private static final int PADDING_LENGTHS = 2_000;
 
     private final String id;
     private final AttemptAuditor auditor;
@@ -30,7 +30,7 @@
     private final double faultyShare;
     private volatile boolean hanging;
 
-    /** @param faultyShare of all attempts, the share that is not served as it should, from 0 to 1 */
+    /** @param faultyShare the share of attempts that get a faulty response, from 0 to 1 */
     FaultyEndpoint(String id, AttemptAuditor auditor, long seed, double faultyShare) throws IOException {
         this.id = id;
         this.auditor = auditor;
@@ -42,18 +42,18 @@
         return id;
     }
 
-    /** From now on the endpoint reads requests and answers none. */
+    /** Makes the endpoint read requests without responding, for the rest of the run. */
     void hang() {
         hanging = true;
     }
 
-    /** The one body that an endpoint makes for a request; its length varies with the request. */
+    /** Returns the body of an endpoint's response to a request; its length depends on the request. */
     static String body(String endpointId, String requestId) {
         return "made by " + endpointId + " for " + requestId + " "
-                + "x".repeat(Math.floorMod(requestId.hashCode(), BODY_LENGTHS)) + " end";
+                + "x".repeat(Math.floorMod(requestId.hashCode(), PADDING_LENGTHS)) + " end";
     }
 
-    /** Whether some endpoint made this body for this request. */
+    /** Whether this is the body of any endpoint's response to this request. */
     static boolean isBodyFor(String requestId, String body) {
         String[] words = body.split(" ", 4);
         return words.length == 4 && body.equals(body(words[2], requestId));
@@ -77,8 +77,8 @@
                 return;
             }
             String requestId = Objects.requireNonNull(headers.get("x-correlation-id"), requestLine);
-            double secondsLeft = Double.parseDouble(headers.getOrDefault("x-time-left", "0"));
-            auditor.attemptReceived(id, requestId, secondsLeft, SLACK_SECONDS);
+            double remainingSeconds = Double.parseDouble(headers.getOrDefault("x-time-left", "0"));
+            auditor.attemptReceived(id, requestId, remainingSeconds, SLACK_SECONDS);
             Thread.sleep(MIN_SERVICE_MILLIS + drawBelow(SERVICE_SPREAD_MILLIS));
             if (!respond(socket, drawMode(), body(id, requestId))) {
                 return;
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Responds to one attempt and returns whether the connection goes on. */
+    /** Responds to one attempt and returns whether the connection stays open. */
     private boolean respond(Socket socket, ResponseMode mode, String body) throws IOException, InterruptedException {
         String withLength = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n";
         String untilClose = "HTTP/1.1 200 OK\r\n\r\n";
@@ -104,10 +104,10 @@
             }
             case UNTIL_CLOSE_RESET -> writeAndReset(socket, untilClose + part);
             case LENGTH_RESET -> writeAndReset(socket, withLength + part);
-            case LENGTH_CUT_SHORT -> writeAndClose(socket, withLength + part);
+            case LENGTH_TRUNCATED -> writeAndClose(socket, withLength + part);
             case CHUNKS_RESET ->
                 writeAndReset(socket, HttpText.CHUNKED_HEAD + Integer.toHexString(body.length()) + "\r\n" + part);
-            case NOISE -> HttpText.write(socket, "\u0001\u0002 noise\r\n\r\n");
+            case NOT_HTTP -> HttpText.write(socket, "\u0001\u0002 noise\r\n\r\n");
             case SILENCE -> Thread.sleep(SILENCE_MILLIS);
             case DUPLICATE -> writeTwice(socket, withLength + body);
             case CLOSED_UNANSWERED -> {
@@ -125,23 +125,23 @@
         long startedNanos = System.nanoTime();
         HttpText.write(socket, response);
         Thread.sleep(drawBelow(MAX_DUPLICATE_DELAY_MILLIS));
-        // a later one may meet the wait for the next response, where no node could tell the two apart
-        if (System.nanoTime() - startedNanos < DUPLICATE_LIMIT_NANOS) {
+        // a later duplicate could arrive while the node awaits the next response, and no node could tell the two apart
+        if (System.nanoTime() - startedNanos < MAX_DUPLICATE_AGE_NANOS) {
             HttpText.write(socket, response);
         }
     }
 
     private static void writeAndReset(Socket socket, String text) throws IOException, InterruptedException {
         HttpText.write(socket, text);
-        // or the reset would discard what has not been read yet
-        Thread.sleep(PAUSE_BEFORE_CUT_MILLIS);
+        // otherwise the reset would discard bytes that the node has not read yet
+        Thread.sleep(PAUSE_BEFORE_CLOSE_MILLIS);
         socket.setSoLinger(true, 0);
         socket.close();
     }
 
     private static void writeAndClose(Socket socket, String text) throws IOException, InterruptedException {
         HttpText.write(socket, text);
-        Thread.sleep(PAUSE_BEFORE_CUT_MILLIS);
+        Thread.sleep(PAUSE_BEFORE_CLOSE_MILLIS);
         socket.close();
     }
 }
--- a/src/main/java/laurelkeel/soak/FaultyEndpoints.java
+++ b/src/main/java/laurelkeel/soak/FaultyEndpoints.java
@@ -7,15 +7,15 @@
 import java.util.Random;
 import java.util.Set;
 
-/** The endpoints behind the nodes of a run, half of them with the canary build; thread-safe once started. */
+/** The endpoints of a run, half of them with the canary build; thread-safe once started. */
 final class FaultyEndpoints implements AutoCloseable {
     private static final int ENDPOINTS = 6;
     private static final int MAX_DRAINING = 2;
-    /** An endpoint fails none, one or two of twenty attempts. */
+    /** An endpoint's share of faulty responses is zero, one or two times this step. */
     private static final double FAULTY_SHARE_STEP = 0.05;
 
     private static final int FAULTY_SHARES = 3;
-    /** Nodes may send new attempts so long after the news of a drain. */
+    /** How long after the update that announces a drain nodes may still send new attempts. */
     private static final double DRAIN_GRACE_SECONDS = 1;
 
     private final RunMonitor monitor;
@@ -30,7 +30,7 @@
         this.controlPlane = controlPlane;
     }
 
-    /** Starts all endpoints and publishes their list; called once, before all else. */
+    /** Starts all endpoints and publishes the endpoint list; called once, before any other method. */
     synchronized void start(Random random) throws IOException {
         for (int i = 0; i < ENDPOINTS; i++) {
             FaultyEndpoint endpoint = new FaultyEndpoint(
@@ -55,22 +55,22 @@
         controlPlane.endpointList().publish(entries);
     }
 
-    /** Lets one endpoint drain, unless enough of them do. */
+    /** Makes a random endpoint drain, unless the maximum number of endpoints drains already. */
     synchronized void drainOne(Random random) {
-        FaultyEndpoint endpoint = draw(random);
+        FaultyEndpoint endpoint = pick(random);
         if (draining.size() < MAX_DRAINING && draining.add(endpoint.id())) {
             publish();
-            double recoverySeconds = controlPlane.wasDisturbed() ? ControlPlane.RECOVERY_SECONDS : 0;
-            auditor.endpointDrains(endpoint.id(), monitor.clock().seconds() + DRAIN_GRACE_SECONDS + recoverySeconds);
+            double recoverySeconds = controlPlane.mayHaveDelayedUpdates() ? ControlPlane.RECOVERY_SECONDS : 0;
+            auditor.endpointDraining(endpoint.id(), monitor.clock().seconds() + DRAIN_GRACE_SECONDS + recoverySeconds);
         }
     }
 
-    /** Lets one endpoint hang for good. */
+    /** Makes a random endpoint hang for the rest of the run. */
     synchronized void hangOne(Random random) {
-        draw(random).hang();
+        pick(random).hang();
     }
 
-    private FaultyEndpoint draw(Random random) {
+    private FaultyEndpoint pick(Random random) {
         return endpoints.get(random.nextInt(ENDPOINTS));
     }
 
--- a/src/main/java/laurelkeel/soak/HealthyEndpointServer.java
+++ b/src/main/java/laurelkeel/soak/HealthyEndpointServer.java
@@ -10,13 +10,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Any number of sound endpoints behind one listener: all of 127.0.0.0/8 leads to it, and each endpoint has an address of
- * its own. An endpoint serves a limited number of requests at a time, and the others wait there. Thread-safe.
+ * Any number of endpoints without faults behind one listener. The listener receives connections to all of 127.0.0.0/8, and
+ * each endpoint has an address of its own. An endpoint serves a limited number of requests at a time; further requests
+ * queue at the endpoint. Thread-safe.
  */
-final class EndpointFleet extends TcpServer {
+final class HealthyEndpointServer extends TcpServer {
     private static final int MIN_SERVICE_MILLIS = 5;
     private static final int SERVICE_SPREAD_MILLIS = 30;
-    /** The second byte of the first endpoint's address; the third and fourth byte take so many values. */
+    /** The second byte of the first endpoint's address. */
     private static final int FIRST_SECOND_BYTE = 64;
 
     private static final int THIRD_BYTE_VALUES = 128;
@@ -27,21 +28,21 @@
     private final AtomicInteger connections = new AtomicInteger();
 
     /**
-     * Creates a fleet.
+     * Creates the server.
      *
-     * @param endpoints how many addresses there are
-     * @param concurrencyEach requests that an endpoint serves at a time
+     * @param endpoints the number of endpoints, each with an address
+     * @param concurrencyPerEndpoint the number of requests that one endpoint serves at a time
      */
-    EndpointFleet(int endpoints, int concurrencyEach, long seed) throws IOException {
+    HealthyEndpointServer(int endpoints, int concurrencyPerEndpoint, long seed) throws IOException {
         super(new InetSocketAddress(InetAddress.getByName("0.0.0.0"), 0));
         permitsByEndpoint = new Semaphore[endpoints];
         for (int i = 0; i < endpoints; i++) {
-            permitsByEndpoint[i] = new Semaphore(concurrencyEach);
+            permitsByEndpoint[i] = new Semaphore(concurrencyPerEndpoint);
         }
         random = new Random(seed);
     }
 
-    /** The address of an endpoint, with the port. */
+    /** Returns the address and port of an endpoint. */
     String addressOf(int endpoint) {
         int second = FIRST_SECOND_BYTE + endpoint / FOURTH_BYTE_VALUES / THIRD_BYTE_VALUES;
         int third = endpoint / FOURTH_BYTE_VALUES % THIRD_BYTE_VALUES;
@@ -56,7 +57,7 @@
         return thirds * FOURTH_BYTE_VALUES + (bytes[3] & 0xff) - 1;
     }
 
-    /** Connections made to endpoints since the start. */
+    /** Returns the number of connections accepted since the start. */
     int connections() {
         return connections.get();
     }
@@ -80,7 +81,7 @@
         }
     }
 
-    /** Reads one request; false where no complete one comes any more. */
+    /** Reads one request; returns false if the connection ends before a complete one. */
     private static boolean readRequest(InputStream in) throws IOException {
         String requestLine = HttpText.readLine(in);
         int length = HttpText.contentLength(HttpText.readHeaders(in));
--- a/src/main/java/laurelkeel/soak/NodeController.java
+++ b/src/main/java/laurelkeel/soak/NodeController.java
@@ -14,23 +14,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Starts, configures and ends the nodes of a run as the platform does. Thread-safe, but for two starts or ends of the same
- * node at a time.
+ * Starts, configures and stops the nodes of a run as the platform does. Thread-safe, except that the same node must not be
+ * started or stopped by two threads at a time.
  */
 final class NodeController {
-    /** Megabytes that a node may use. */
+    /** The memory limit of a node, in megabytes. */
     static final int MEMORY_MEGABYTES = 192;
-    /** File descriptors that a node may open. */
+    /** The limit of a node's open file descriptors. */
     static final int MAX_DESCRIPTORS = 256;
 
-    /** SIGKILL comes no sooner after SIGTERM: the longest deadline, counted as 3 s, and 0.7 s. */
+    /** The shortest time from SIGTERM to SIGKILL: the longest deadline, which counts as 3 s, plus 0.7 s. */
     private static final long KILL_AFTER_MILLIS = 3_700;
-    /** New connections come for so long after SIGTERM. */
+    /** How long after SIGTERM clients still open new connections. */
     private static final double ADMITTING_AFTER_TERM_SECONDS = 0.3;
 
     private static final double READY_SECONDS = 10;
     private static final int READY_POLL_MILLIS = 20;
-    private static final int SEED_SHIFT = 16;
+    private static final int SEED_COUNTER_BITS = 16;
 
     private final SoakPlan plan;
     private final NodeImage image;
@@ -46,7 +46,7 @@
      * Creates the controller.
      *
      * @param folder for configurations and logs
-     * @param environment of all nodes, beside that of this process
+     * @param environment variables of all nodes, in addition to those of this process
      */
     NodeController(
             SoakPlan plan,
@@ -63,7 +63,7 @@
         this.controlPlane = controlPlane;
     }
 
-    /** Chooses the port of a node; called once for each, before its first start. */
+    /** Chooses the port of a node; called once per node, before its first start. */
     void choosePort(int index) throws IOException {
         ports[index] = NodeProbe.freePort();
     }
@@ -72,16 +72,16 @@
         return ports[index];
     }
 
-    /** The latest process of a node that was started. */
+    /** Returns the latest process of a node that has been started. */
     NodeInstance instance(int index) {
         NodeInstance instance = instances.get(index);
         if (instance == null) {
-            throw new IllegalStateException("node " + index + " was not started");
+            throw new IllegalStateException("node " + index + " has not been started");
         }
         return instance;
     }
 
-    /** The latest processes of all nodes that were started so far. */
+    /** Returns the latest process of each node that has been started so far. */
     List<NodeInstance> instances() {
         List<NodeInstance> started = new ArrayList<>();
         for (int i = 0; i < instances.length(); i++) {
@@ -93,9 +93,9 @@
         return started;
     }
 
-    /** Draws a node, and returns its process where clients may connect to it; else null. */
+    /** Picks a random node and returns its process; null if clients may not connect to it. */
     @Nullable
-    NodeInstance drawAdmitting(Random random) {
+    NodeInstance pickAdmitting(Random random) {
         NodeInstance instance = instances.get(random.nextInt(SoakPlan.NODES));
         boolean admitting = instance != null
                 && instance.wasAdmitting()
@@ -111,7 +111,7 @@
                 ports[index],
                 controlPlane.discoveryAddress(index),
                 controlPlane.controlAddress(index),
-                Long.toHexString(plan.seed() << SEED_SHIFT | configurations.incrementAndGet()),
+                Long.toHexString(plan.seed() << SEED_COUNTER_BITS | configurations.incrementAndGet()),
                 MEMORY_MEGABYTES,
                 MAX_DESCRIPTORS,
                 controlPlane.endpointList().json());
@@ -128,7 +128,7 @@
         return folder.resolve(SoakNodeConfiguration.nameOf(index) + ".json");
     }
 
-    /** Starts a process of a node without waiting for it. */
+    /** Starts a process of a node without waiting until it is ready. */
     NodeInstance launch(int index) throws IOException {
         writeConfiguration(index);
         String name = SoakNodeConfiguration.nameOf(index);
@@ -154,13 +154,13 @@
         instance.admit();
     }
 
-    /** Sends SIGKILL and waits for the end. */
+    /** Sends SIGKILL and waits for the process to exit. */
     void kill(NodeInstance instance) throws InterruptedException {
         instance.killRequested(monitor.clock().seconds());
         instance.process().kill();
     }
 
-    /** Sends a series of SIGTERMs, then SIGKILL at its earliest where the process has not ended. */
+    /** Sends a series of SIGTERMs, then SIGKILL at the earliest permitted time if the process has not exited by then. */
     void terminate(NodeInstance instance, int signals, int intervalMillis) throws IOException, InterruptedException {
         instance.terminationRequested(monitor.clock().seconds());
         for (int i = 0; i < signals; i++) {
@@ -174,11 +174,13 @@
             kill(instance);
         } else if (status.getAsInt() != 0 && instance.wasAdmitting()) {
             monitor.violations()
-                    .add(SoakRule.EXIT, instance.name() + " ended with status " + status.getAsInt() + " after SIGTERM");
+                    .add(
+                            SoakRule.EXIT,
+                            instance.name() + " exited with status " + status.getAsInt() + " after SIGTERM");
         }
     }
 
-    /** Terminates all nodes at a time and waits for their ends. */
+    /** Terminates all nodes simultaneously and waits for them to exit. */
     void terminateAll() throws InterruptedException {
         List<Thread> ending = new ArrayList<>();
         for (NodeInstance instance : instances()) {
@@ -191,7 +193,7 @@
         }
     }
 
-    /** Kills all nodes, whatever they do. */
+    /** Kills all nodes regardless of their state. */
     void killAll() throws InterruptedException {
         for (NodeInstance instance : instances()) {
             instance.process().kill();
--- a/src/main/java/laurelkeel/soak/NodeInstance.java
+++ b/src/main/java/laurelkeel/soak/NodeInstance.java
@@ -2,10 +2,12 @@
 
 import java.util.Map;
 
-/** One process of a node from its start to its end, with what was done to it; thread-safe, times in seconds of the run. */
+/**
+ * One process of a node, with the signals that were sent to it. Thread-safe; points in time are seconds of the run's clock.
+ */
 final class NodeInstance {
     private static final double NEVER = Double.MAX_VALUE;
-    /** A thread that waits for a core less than this between two looks is not starved. */
+    /** A thread that waited for the CPU for less than this between two samples does not count as starved. */
     private static final double MIN_STARVED_SECONDS = 0.05;
 
     private final String name;
@@ -16,7 +18,7 @@
     private volatile double killedAt = NEVER;
     private volatile boolean endRequested;
 
-    private Map<String, Double> coreWaitsByThread = Map.of();
+    private Map<String, Double> cpuWaitSecondsByThread = Map.of();
     private double starvedSeconds;
 
     NodeInstance(String name, int port, NodeProcess process) {
@@ -37,34 +39,34 @@
         return process;
     }
 
-    /** From now on clients may open connections. */
+    /** Marks the node as ready, so that clients may open connections. */
     void admit() {
         admitting = true;
     }
 
-    /** Whether the node was ready, so that clients may have opened connections. */
+    /** Whether the node has been ready, so that clients may have opened connections. */
     boolean wasAdmitting() {
         return admitting;
     }
 
-    /** SIGTERM is about to be sent. */
+    /** Records that SIGTERM is about to be sent. */
     void terminationRequested(double now) {
         endRequested = true;
         terminatedAt = now;
     }
 
-    /** SIGKILL is about to be sent. */
+    /** Records that SIGKILL is about to be sent. */
     void killRequested(double now) {
         endRequested = true;
         killedAt = now;
     }
 
-    /** Marks the end of the process as known, in whatever way it came. */
+    /** Marks the exit of the process as known, whatever its cause. */
     void markEnded() {
         endRequested = true;
     }
 
-    /** Whether the process was asked to end, or its end is known. */
+    /** Whether the process was asked to exit, or its exit is known. */
     boolean isEndRequested() {
         return endRequested;
     }
@@ -77,23 +79,24 @@
         return killedAt != NEVER;
     }
 
-    /** When SIGTERM was sent; far ahead where it was not. */
+    /** Returns when SIGTERM was sent; {@link Double#MAX_VALUE} if it was not. */
     double terminatedAt() {
         return terminatedAt;
     }
 
     /**
-     * How long the host has now left a thread of the process without a core for most of the time, in seconds: a node that
-     * waits for the host is not at fault for what comes late. Called regularly, by one thread.
+     * Returns for how long, up to now, the host has kept a thread of the process waiting for the CPU most of the time, in
+     * seconds; 0 if no thread is starved now. A node that waits for the host is not responsible for delays. Called
+     * periodically, by one thread.
      */
     double starvedSeconds() {
-        Map<String, Double> waits = process.coreWaitSecondsByThread();
+        Map<String, Double> waits = process.cpuWaitSecondsByThread();
         double longest = waits.entrySet().stream()
                 .mapToDouble(thread ->
-                        thread.getValue() - coreWaitsByThread.getOrDefault(thread.getKey(), thread.getValue()))
+                        thread.getValue() - cpuWaitSecondsByThread.getOrDefault(thread.getKey(), thread.getValue()))
                 .max()
                 .orElse(0);
-        coreWaitsByThread = waits;
+        cpuWaitSecondsByThread = waits;
         starvedSeconds = longest > MIN_STARVED_SECONDS ? starvedSeconds + longest : 0;
         return starvedSeconds;
     }
--- a/src/main/java/laurelkeel/soak/NodeProcess.java
+++ b/src/main/java/laurelkeel/soak/NodeProcess.java
@@ -13,12 +13,12 @@
 import java.util.stream.Stream;
 
 /**
- * One front node as the platform runs it: a process that runs {@code serve} with the platform's bounds. Thread-safe; figures
- * come from {@code /proc}.
+ * One front node as the platform runs it: a process that runs {@code serve} with the platform's resource limits.
+ * Thread-safe; resource figures come from {@code /proc}.
  */
 public final class NodeProcess {
     private static final String PEAK_MEMORY_KILOBYTES = "VmHWM:";
-    /** Of schedstat's nanoseconds run, nanoseconds waited and time slices. */
+    /** The index of the nanoseconds waited in schedstat, which lists nanoseconds run, nanoseconds waited and time slices. */
     private static final int WAITED_FIELD = 1;
 
     private static final Pattern FIELDS = Pattern.compile(" ");
@@ -37,12 +37,12 @@
     /**
      * Starts a node.
      *
-     * @param image what is started
-     * @param configuration the file that the platform hands it
-     * @param log where its standard error is appended
-     * @param environment added to that of this process
-     * @param maxDescriptors the system's limit of its file descriptors
-     * @throws IOException where the process cannot be started
+     * @param image the command that runs the node
+     * @param configuration the configuration file of the node
+     * @param log the file that standard error is appended to
+     * @param environment variables added to those of this process
+     * @param maxDescriptors the system's limit of the node's open file descriptors
+     * @throws IOException if the process cannot be started
      */
     public static NodeProcess start(
             NodeImage image, Path configuration, Path log, Map<String, String> environment, int maxDescriptors)
@@ -58,9 +58,9 @@
     }
 
     /**
-     * Sends a signal; one that has ended is left alone.
+     * Sends a signal; does nothing if the process has exited.
      *
-     * @param name without SIG, as HUP, TERM or KILL
+     * @param name the signal's name without SIG, for example HUP, TERM or KILL
      */
     public void signal(String name) throws IOException, InterruptedException {
         if (process.isAlive()) {
@@ -70,34 +70,34 @@
         }
     }
 
-    /** Whether the process runs. */
+    /** Whether the process is running. */
     public boolean isAlive() {
         return process.isAlive();
     }
 
-    /** Milliseconds since it was started. */
+    /** Returns the milliseconds since the process was started. */
     public long ageMillis() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
     }
 
-    /** Waits for its end and returns its exit status; empty where it does not end in that time. */
+    /** Waits for the process to exit and returns its exit status; empty if it does not exit within that time. */
     public OptionalInt awaitExit(long maxWaitMillis) throws InterruptedException {
         return process.waitFor(maxWaitMillis, TimeUnit.MILLISECONDS)
                 ? OptionalInt.of(process.exitValue())
                 : OptionalInt.empty();
     }
 
-    /** Ends it at once. */
+    /** Sends SIGKILL and waits for the process to exit. */
     public void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
 
-    /** What it and earlier processes with the same file have logged. */
+    /** Returns the log of this process and of earlier processes with the same log file. */
     public String log() throws IOException {
         return Files.readString(log);
     }
 
-    /** File descriptors that it has open; 0 where it has ended. */
+    /** Returns the number of open file descriptors; 0 if the process has exited. */
     public int openDescriptors() {
         try (Stream<Path> descriptors = Files.list(proc("fd"))) {
             return (int) descriptors.count();
@@ -107,10 +107,10 @@
     }
 
     /**
-     * How long each of its threads has been ready to run and had no core, in seconds by thread; empty where the system does
-     * not say, or the process has ended.
+     * Returns how long each thread has been runnable without a CPU, in seconds by thread id; empty if the system does not
+     * report it, or if the process has exited.
      */
-    Map<String, Double> coreWaitSecondsByThread() {
+    Map<String, Double> cpuWaitSecondsByThread() {
         Map<String, Double> waits = new HashMap<>();
         try (Stream<Path> threads = Files.list(proc("task"))) {
             for (Path thread : (Iterable<Path>) threads::iterator) {
@@ -121,13 +121,13 @@
                 waits.put(thread.getFileName().toString(), waitedSeconds);
             }
         } catch (IOException | UncheckedIOException e) {
-            // the process, or a thread of it, has ended meanwhile
+            // the process, or one of its threads, has ended meanwhile
             return waits;
         }
         return waits;
     }
 
-    /** Processor time since its start, in seconds; 0 where it has ended. */
+    /** Returns the CPU time since the start, in seconds; 0 if the process has exited. */
     public double cpuSeconds() {
         return process.info()
                 .totalCpuDuration()
@@ -135,7 +135,7 @@
                 .orElse(0.0);
     }
 
-    /** Its peak memory in megabytes; 0 where it has ended. */
+    /** Returns the peak resident memory in megabytes; 0 if the process has exited. */
     public int peakMemoryMegabytes() {
         try (Stream<String> status = Files.lines(proc("status"))) {
             return status.filter(line -> line.startsWith(PEAK_MEMORY_KILOBYTES))
--- a/src/main/java/laurelkeel/soak/ResponseJudge.java
+++ b/src/main/java/laurelkeel/soak/ResponseJudge.java
@@ -2,18 +2,18 @@
 
 import java.util.Locale;
 
-/** Judges what becomes of the clients' requests by the rules of docs/soak.md; thread-safe. */
+/** Checks the outcomes of the clients' requests against the rules of docs/soak.md; thread-safe. */
 final class ResponseJudge {
-    /** An answer may come so long after the client's timeout, and earns nothing then. */
-    static final double LATE_SECONDS = 0.5;
-    /** What a busy host may add. */
-    static final double HOST_SECONDS = 0.4;
-    /** A client that sends half a request has an error or the end of its connection within this. */
-    static final double HALF_REQUEST_SECONDS = 3;
-
-    /** A connection that ends so soon after a request may have been closed before the request arrived. */
-    private static final double CROSSING_SECONDS = 0.1;
-    /** A request that comes so long after SIGTERM and is unanswered at SIGKILL is lost. */
+    /** How long after the client's timeout a response may still arrive; it no longer counts as on time. */
+    static final double LATE_RESPONSE_SECONDS = 0.5;
+    /** The additional delay that a busy host may cause. */
+    static final double HOST_LATENESS_SECONDS = 0.4;
+    /** The time within which a client that sent a partial request gets an error or the end of its connection. */
+    static final double PARTIAL_REQUEST_SECONDS = 3;
+
+    /** A connection that ends within this time after a request may have been closed before the request arrived. */
+    private static final double IDLE_CLOSE_RACE_SECONDS = 0.1;
+    /** A request that is sent later than this after SIGTERM and is unanswered at SIGKILL counts as lost. */
     private static final double SERVED_AFTER_TERM_SECONDS = 0.7;
 
     private static final int MAX_SHOWN_LENGTH = 40;
@@ -21,19 +21,19 @@
 
     private final RunMonitor monitor;
     private final RunState state;
-    private final boolean readsFail;
+    private final boolean connectionsBreak;
 
-    /** @param readsFail whether connections break under their requests, as failing reads of the nodes show them */
-    ResponseJudge(RunMonitor monitor, RunState state, boolean readsFail) {
+    /** @param connectionsBreak whether failing reads of the nodes break connections that have requests in flight */
+    ResponseJudge(RunMonitor monitor, RunState state, boolean connectionsBreak) {
         this.monitor = monitor;
         this.state = state;
-        this.readsFail = readsFail;
+        this.connectionsBreak = connectionsBreak;
     }
 
-    /** A request that was sent at a moment, over a connection that may have had others before. */
+    /** A request without a response so far, sent over a connection that may have carried earlier requests. */
     record PendingRequest(String id, double sentAtSeconds, SoakConnection connection) {}
 
-    /** A response has come. */
+    /** Records the outcome of a response and checks its body. */
     void responseReceived(PendingRequest request, NodeResponse response) {
         monitor.violations().count(outcome(response.status()));
         String body = response.body();
@@ -42,8 +42,8 @@
             monitor.violations()
                     .add(
                             SoakRule.LOST,
-                            request.id() + " was served by "
-                                    + request.connection().node().name() + " with what no server made for it: " + shown
+                            request.id() + " got a response from "
+                                    + request.connection().node().name() + " that no endpoint made for it: " + shown
                                     + " (" + body.length() + " bytes)");
         }
     }
@@ -56,27 +56,28 @@
         };
     }
 
-    /** No response has come in time. */
+    /** Records that no response arrived in time. */
     void timedOut(PendingRequest request) {
-        requestLost(request, "has no answer " + (LATE_SECONDS + HOST_SECONDS) + " s after its time");
+        requestLost(
+                request, "has no response " + (LATE_RESPONSE_SECONDS + HOST_LATENESS_SECONDS) + " s after its timeout");
     }
 
-    /** The connection ended in order without a response. */
+    /** Records that the connection ended regularly without a complete response. */
     void connectionEnded(PendingRequest request, String how) {
         double elapsed = monitor.clock().seconds() - request.sentAtSeconds();
-        if (request.connection().requests() > 1 && elapsed < CROSSING_SECONDS) {
+        if (request.connection().requests() > 1 && elapsed < IDLE_CLOSE_RACE_SECONDS) {
             monitor.violations().count("crossed by the end of a resting connection");
         } else {
             requestLost(request, endedAfter(request, elapsed, how));
         }
     }
 
-    /** The connection was reset without a response. */
+    /** Records that the connection was reset before a complete response. */
     void connectionReset(PendingRequest request, String how) {
         double elapsed = monitor.clock().seconds() - request.sentAtSeconds();
         if (request.connection().requests() > 1) {
             monitor.violations().count("crossed by the end of a resting connection");
-        } else if (state.isCrowded() || request.connection().node().wasTerminated()) {
+        } else if (state.wasFlooded() || request.connection().node().wasTerminated()) {
             monitor.violations().count("closed unread");
         } else {
             requestLost(request, endedAfter(request, elapsed, how));
@@ -85,17 +86,17 @@
 
     private static String endedAfter(PendingRequest request, double elapsedSeconds, String how) {
         return "its connection ended after " + Math.round(elapsedSeconds * MILLIS_PER_SECOND) + " ms: " + how
-                + ", request " + request.connection().requests() + " on it";
+                + ", request " + request.connection().requests() + " on the connection";
     }
 
     private void requestLost(PendingRequest request, String why) {
         NodeInstance node = request.connection().node();
         ViolationLog violations = monitor.violations();
-        if (monitor.lateness().recentSeconds() > HOST_SECONDS) {
+        if (monitor.lateness().recentSeconds() > HOST_LATENESS_SECONDS) {
             violations.count("not judged, for this host was late");
-        } else if (node.wasKilled() && !wasSentLate(request)) {
+        } else if (node.wasKilled() && !wasSentTooLateAfterTerm(request)) {
             violations.count("unanswered at a kill");
-        } else if (readsFail) {
+        } else if (connectionsBreak) {
             violations.count("broken off by a failing read");
         } else if (!node.process().isAlive() && !node.isEndRequested()) {
             violations.count("unanswered at an end that nobody asked for");
@@ -104,21 +105,21 @@
         }
     }
 
-    /** Whether the node was already ending for so long that it should not have accepted the request. */
-    private static boolean wasSentLate(PendingRequest request) {
+    /** Whether the request was sent so long after SIGTERM that the node should no longer have accepted it. */
+    private static boolean wasSentTooLateAfterTerm(PendingRequest request) {
         NodeInstance node = request.connection().node();
         return node.wasTerminated() && request.sentAtSeconds() > node.terminatedAt() + SERVED_AFTER_TERM_SECONDS;
     }
 
-    /** A client that stopped in the middle of a request has got nothing in time. */
-    void halfRequestTimedOut(NodeInstance node, double sentAtSeconds) {
-        if (node.process().isAlive() && monitor.lateness().recentSeconds() < HOST_SECONDS) {
+    /** Records that a client that sent a partial request received nothing in time. */
+    void partialRequestTimedOut(NodeInstance node, double sentAtSeconds) {
+        if (node.process().isAlive() && monitor.lateness().recentSeconds() < HOST_LATENESS_SECONDS) {
             String elapsed = String.format(Locale.ROOT, "%.1f", monitor.clock().seconds() - sentAtSeconds);
             monitor.violations()
                     .add(
                             SoakRule.HALF_REQUEST,
-                            "a client that stopped half way at " + node.name() + " heard nothing for " + elapsed
-                                    + " s");
+                            "a client that sent a partial request to " + node.name() + " received nothing for "
+                                    + elapsed + " s");
         }
     }
 }
--- a/src/main/java/laurelkeel/soak/ResponseMode.java
+++ b/src/main/java/laurelkeel/soak/ResponseMode.java
@@ -2,30 +2,30 @@
 
 /** How a faulty endpoint responds to one attempt. */
 enum ResponseMode {
-    /** A complete response with a length. */
+    /** A complete response with a content length. */
     COMPLETE,
-    /** A complete response that ends with its connection. */
+    /** A complete response without a content length, delimited by the end of the connection. */
     COMPLETE_UNTIL_CLOSE,
-    /** A complete response behind an interim one, in two writes. */
+    /** A complete response after an interim (1xx) response, in two writes. */
     COMPLETE_IN_PIECES,
-    /** A part of a response without a length, then a reset. */
+    /** A part of a response without a content length, then a connection reset. */
     UNTIL_CLOSE_RESET,
-    /** A part of a response with a length, then a reset. */
+    /** A part of a response with a content length, then a connection reset. */
     LENGTH_RESET,
-    /** A part of a response with a length, then an orderly end. */
-    LENGTH_CUT_SHORT,
-    /** A part of a chunked response, then a reset. */
+    /** A part of a response with a content length, then a regular close of the connection. */
+    LENGTH_TRUNCATED,
+    /** A part of a chunked response, then a connection reset. */
     CHUNKS_RESET,
-    /** Bytes that are no HTTP. */
-    NOISE,
-    /** Nothing for a long time. */
+    /** Bytes that are not HTTP. */
+    NOT_HTTP,
+    /** No response; the connection stays open for some seconds. */
     SILENCE,
-    /** A complete response, twice. */
+    /** A complete response, sent twice. */
     DUPLICATE,
-    /** An orderly end without a response. */
+    /** A regular close of the connection without a response. */
     CLOSED_UNANSWERED,
-    /** 503 that says that the attempt was not processed. */
+    /** Status 503 with the header that states that the attempt was not processed. */
     UNPROCESSED,
-    /** 500. */
+    /** Status 500. */
     ERROR
 }
--- a/src/main/java/laurelkeel/soak/RunState.java
+++ b/src/main/java/laurelkeel/soak/RunState.java
@@ -1,11 +1,11 @@
 package laurelkeel.soak;
 
-/** What all threads of one run need to know of how far it is; thread-safe. */
+/** The state of one run that all its threads share; thread-safe. */
 final class RunState {
     private volatile boolean ending;
-    private volatile boolean crowded;
+    private volatile boolean flooded;
 
-    /** From now on clients open no connections. */
+    /** Marks the run as ending, so that clients open no more connections. */
     void end() {
         ending = true;
     }
@@ -14,13 +14,13 @@
         return ending;
     }
 
-    /** From now on nodes may be full. */
-    void crowd() {
-        crowded = true;
+    /** Records that some node has been flooded, so that nodes may have reached their connection limit. */
+    void markFlooded() {
+        flooded = true;
     }
 
-    /** Whether a node may be full, and close connections without reading them. */
-    boolean isCrowded() {
-        return crowded;
+    /** Whether a node may have reached its connection limit, and may close connections without reading from them. */
+    boolean wasFlooded() {
+        return flooded;
     }
 }
--- a/src/main/java/laurelkeel/soak/ScaleBench.java
+++ b/src/main/java/laurelkeel/soak/ScaleBench.java
@@ -10,11 +10,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Measures what one real node needs as the endpoints behind it become more and smaller, while its traffic, its limits and
- * the capacity of all endpoints together stay the same. Meanwhile half of the endpoints are replaced by a later build.
+ * Measures the resources that one real node needs as the endpoints behind it become more numerous and smaller, while its
+ * traffic, its limits and the total capacity of the endpoints stay the same. During the run half of the endpoints are
+ * replaced by endpoints with a newer build.
  */
 public final class ScaleBench {
-    /** The head of the table that {@link #run} prints. */
+    /** The header of the table that {@link #run} prints. */
     public static final String HEADER =
             "| profile | scale | machines | CPU s | memory MB | descriptors | connections | lists KB "
                     + "| whole lists | requests | served |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
@@ -22,8 +23,8 @@
     private static final int MEMORY_MEGABYTES = 160;
     private static final int MAX_DESCRIPTORS = 1_024;
     private static final int CLIENTS = 24;
-    /** Requests that an endpoint of the usual size serves at a time. */
-    private static final int USUAL_CONCURRENCY = 16;
+    /** The number of requests that one endpoint serves at a time at scale 1. */
+    private static final int REFERENCE_CONCURRENCY = 16;
 
     private static final int READY_MILLIS = 10_000;
     private static final int POLL_MILLIS = 20;
@@ -43,12 +44,12 @@
     }
 
     /**
-     * Measures a profile at some scales, and prints a row for each with what goes past its limits.
+     * Measures a profile at several scales, and prints a table row for each, followed by the limits that it exceeds.
      *
-     * @param scales multiples of the usual number of endpoints; the first one is what the others are held against
-     * @param seconds of each run
+     * @param scales multiples of the profile's reference number of endpoints; the others are compared with the first one
+     * @param seconds duration of each run
      * @param folder for configurations and logs
-     * @throws IOException where a node cannot be started
+     * @throws IOException if a node cannot be started
      */
     public static List<ScaleFigures> run(
             ScaleProfile profile,
@@ -66,29 +67,29 @@
             ScaleFigures figures = new ScaleBench(profile, scale, seconds, seed, ownFolder).measure(image);
             all.add(figures);
             out.println(figures.row());
-            figures.overLimits(all.get(0)).forEach(over -> out.println("  over its limit: " + over));
+            figures.exceededLimits(all.get(0)).forEach(over -> out.println("  over its limit: " + over));
         }
         return all;
     }
 
     private ScaleFigures measure(NodeImage image) throws IOException, InterruptedException {
         int endpoints = profile.endpoints(scale);
-        int concurrency = Math.max(1, USUAL_CONCURRENCY / scale);
-        try (EndpointFleet fleet = new EndpointFleet(2 * endpoints, concurrency, seed)) {
-            fleet.start();
-            EndpointReplacement replacement = new EndpointReplacement(fleet, endpoints);
+        int concurrency = Math.max(1, REFERENCE_CONCURRENCY / scale);
+        try (HealthyEndpointServer endpointServer = new HealthyEndpointServer(2 * endpoints, concurrency, seed)) {
+            endpointServer.start();
+            EndpointReplacement replacement = new EndpointReplacement(endpointServer, endpoints);
             try (IncrementalDiscoveryServer discovery = new IncrementalDiscoveryServer(replacement.firstEntries());
                     ControlServer control = new ControlServer(new ViolationLog(new RunClock()), seed, 0)) {
                 discovery.start();
                 control.start();
-                return measure(image, fleet, replacement, discovery, control);
+                return measure(image, endpointServer, replacement, discovery, control);
             }
         }
     }
 
     private ScaleFigures measure(
             NodeImage image,
-            EndpointFleet fleet,
+            HealthyEndpointServer endpointServer,
             EndpointReplacement replacement,
             IncrementalDiscoveryServer discovery,
             ControlServer control)
@@ -110,7 +111,7 @@
                     node.cpuSeconds(),
                     node.peakMemoryMegabytes(),
                     peakDescriptors.get(),
-                    fleet.connections(),
+                    endpointServer.connections(),
                     discovery.bytesSent(),
                     discovery.fullListsSent(),
                     load.sent(),
--- a/src/main/java/laurelkeel/soak/ScaleFigures.java
+++ b/src/main/java/laurelkeel/soak/ScaleFigures.java
@@ -5,14 +5,14 @@
 import java.util.Locale;
 
 /**
- * What a node needed in one run of the scale bench.
+ * The resources that a node used in one run of the scale bench.
  *
- * @param scale times the usual number of endpoints
- * @param peakMemoryMegabytes the most memory at once
- * @param peakDescriptors the most open file descriptors at once
- * @param connections made to endpoints
- * @param listBytes of endpoint lists and changes that discovery sent
- * @param fullLists endpoint lists that discovery sent as a whole
+ * @param scale multiple of the profile's reference number of endpoints
+ * @param peakMemoryMegabytes peak resident memory
+ * @param peakDescriptors highest sampled number of open file descriptors
+ * @param connections number of connections opened to endpoints
+ * @param listBytes bytes of endpoint lists and changes that discovery sent
+ * @param fullLists number of full endpoint lists that discovery sent
  * @param servedShare share of all requests that were served, from 0 to 1
  */
 public record ScaleFigures(
@@ -37,41 +37,41 @@
     private static final double THOUSAND = 1e3;
 
     /**
-     * What the acceptance allows at more endpoints.
+     * The acceptance limit of one figure, relative to the same figure at the reference number of endpoints.
      *
-     * @param factor of the figure at the usual number
-     * @param constant added to that
+     * @param factor applied to the reference figure
+     * @param constant added to the product
      * @param perThousandEndpoints added for each thousand endpoints
      */
     private record Limit(double factor, double constant, double perThousandEndpoints) {
-        double max(double usual, int endpoints) {
-            return factor * usual + constant + perThousandEndpoints * (endpoints / THOUSAND);
+        double max(double reference, int endpoints) {
+            return factor * reference + constant + perThousandEndpoints * (endpoints / THOUSAND);
         }
     }
 
-    /** Names what goes past the limits of the acceptance, given the figures at the usual number of endpoints. */
-    public List<String> overLimits(ScaleFigures usual) {
-        List<String> over = new ArrayList<>();
-        check(over, "CPU seconds", cpuSeconds, CPU_SECONDS, usual.cpuSeconds);
-        check(over, "peak memory", peakMemoryMegabytes, MEMORY_MEGABYTES, usual.peakMemoryMegabytes);
-        check(over, "descriptors", peakDescriptors, DESCRIPTORS, usual.peakDescriptors);
-        check(over, "connections", connections, CONNECTIONS, usual.connections);
-        check(over, "bytes of lists", (double) listBytes, LIST_BYTES, (double) usual.listBytes);
-        double minServedShare = MIN_SERVED_FACTOR * usual.servedShare;
+    /** Lists the figures that exceed their acceptance limits, given the figures at the reference number of endpoints. */
+    public List<String> exceededLimits(ScaleFigures reference) {
+        List<String> exceeded = new ArrayList<>();
+        check(exceeded, "CPU seconds", cpuSeconds, CPU_SECONDS, reference.cpuSeconds);
+        check(exceeded, "peak memory", peakMemoryMegabytes, MEMORY_MEGABYTES, reference.peakMemoryMegabytes);
+        check(exceeded, "descriptors", peakDescriptors, DESCRIPTORS, reference.peakDescriptors);
+        check(exceeded, "connections", connections, CONNECTIONS, reference.connections);
+        check(exceeded, "bytes of lists", (double) listBytes, LIST_BYTES, (double) reference.listBytes);
+        double minServedShare = MIN_SERVED_FACTOR * reference.servedShare;
         if (servedShare < minServedShare) {
-            over.add(String.format(Locale.ROOT, "share served %.3f of %.3f", servedShare, minServedShare));
+            exceeded.add(String.format(Locale.ROOT, "share served %.3f of %.3f", servedShare, minServedShare));
         }
-        return over;
+        return exceeded;
     }
 
-    private void check(List<String> over, String name, double figure, Limit limit, double usual) {
-        double max = limit.max(usual, endpoints);
+    private void check(List<String> exceeded, String name, double figure, Limit limit, double reference) {
+        double max = limit.max(reference, endpoints);
         if (figure > max) {
-            over.add(String.format(Locale.ROOT, "%s %.2f of %.2f", name, figure, max));
+            exceeded.add(String.format(Locale.ROOT, "%s %.2f of %.2f", name, figure, max));
         }
     }
 
-    /** A row of the table that {@link ScaleBench#HEADER} heads. */
+    /** Formats the figures as a row of the table whose header is {@link ScaleBench#HEADER}. */
     String row() {
         return String.format(
                 Locale.ROOT,
--- a/src/main/java/laurelkeel/soak/Shrinker.java
+++ b/src/main/java/laurelkeel/soak/Shrinker.java
@@ -3,34 +3,34 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reduces a plan to the parts that a failure needs: leaves out one after the other, while the failure still comes. */
+/** Reduces a plan to the parts that a failure needs, by excluding each part that the failure still occurs without. */
 public final class Shrinker {
     private Shrinker() {}
 
-    /** Plays plans again. */
+    /** Executes reduced plans. */
     public interface Trial {
         /**
-         * Plays a plan and returns whether a rule is broken.
+         * Executes a plan and returns whether a rule is violated.
          *
-         * @throws Exception where the plan cannot be played
+         * @throws Exception if the plan cannot be executed
          */
-        boolean breaks(SoakPlan plan) throws Exception;
+        boolean violatesRule(SoakPlan plan) throws Exception;
     }
 
     /**
-     * Reduces a plan that breaks a rule. It takes as many trials as the plan has parts, the last events first, for most of
-     * them come after the failure.
+     * Reduces a plan that violates a rule. Needs one trial for each part of the plan. Tries the last events first, because
+     * most of them come after the failure.
      *
-     * @return a plan with fewer parts that still breaks a rule; the same one where each part is needed, or where the
-     *     failure does not come at every play
-     * @throws Exception where a trial fails
+     * @return a plan with fewer parts that still violates a rule; the same plan if each part is needed, or if the failure
+     *     does not recur in the trials
+     * @throws Exception if a trial cannot be executed
      */
-    public static SoakPlan shrink(SoakPlan broken, Trial trial) throws Exception {
-        SoakPlan smallest = broken;
-        List<String> parts = broken.parts();
+    public static SoakPlan shrink(SoakPlan violatingPlan, Trial trial) throws Exception {
+        SoakPlan smallest = violatingPlan;
+        List<String> parts = violatingPlan.parts();
         for (int i = parts.size() - 1; i >= 0; i--) {
             SoakPlan smaller = smallest.without(Set.of(parts.get(i)));
-            if (trial.breaks(smaller)) {
+            if (trial.violatesRule(smaller)) {
                 smallest = smaller;
             }
         }
--- a/src/main/java/laurelkeel/soak/SoakClient.java
+++ b/src/main/java/laurelkeel/soak/SoakClient.java
@@ -8,16 +8,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One client: a request at a time, over one connection for as long as that stays open, also past a node's SIGTERM. Used by
- * its own thread only.
+ * A client that sends one request at a time and reuses its connection for as long as it stays open, even after the node got
+ * SIGTERM. Used by its own thread only.
  */
 final class SoakClient implements DaemonThreads.Task {
-    private static final double HURRIED_TIMEOUT_SECONDS = 0.005;
+    private static final double SHORT_TIMEOUT_SECONDS = 0.005;
     private static final double MIN_TIMEOUT_SECONDS = 0.3;
     private static final double TIMEOUT_SPREAD_SECONDS = 1.7;
-    private static final double HALF_REQUEST_TIMEOUT_SECONDS = 1;
+    private static final double PARTIAL_REQUEST_TIMEOUT_SECONDS = 1;
     private static final int MAX_PAUSE_MILLIS = 40;
-    private static final int MAX_STAY_MILLIS = 30;
+    private static final int MAX_DISCONNECT_DELAY_MILLIS = 30;
     private static final int RECONNECT_MILLIS = 20;
 
     private final String name;
@@ -63,7 +63,7 @@
     }
 
     private @Nullable SoakConnection connect() {
-        NodeInstance node = nodes.drawAdmitting(random);
+        NodeInstance node = nodes.pickAdmitting(random);
         if (node == null) {
             return null;
         }
@@ -76,10 +76,10 @@
     }
 
     private void useConnection(SoakConnection current) throws InterruptedException {
-        ClientBehavior behavior = ClientBehavior.draw(random);
+        ClientBehavior behavior = ClientBehavior.pick(random);
         boolean staysOpen;
-        if (behavior == ClientBehavior.STOPS) {
-            sendHalfRequest(current);
+        if (behavior == ClientBehavior.SENDS_PARTIAL_REQUEST) {
+            sendPartialRequest(current);
             staysOpen = false;
         } else {
             staysOpen = sendRequest(current, behavior);
@@ -94,25 +94,25 @@
         return name + "-" + nextNumber++;
     }
 
-    /** Sends a request, judges what becomes of it, and returns whether the connection stays open. */
+    /** Sends a request, reports its outcome to the judge, and returns whether the connection stays open. */
     private boolean sendRequest(SoakConnection current, ClientBehavior behavior) throws InterruptedException {
         String id = nextId();
-        double timeoutSeconds = behavior == ClientBehavior.HURRIES
-                ? HURRIED_TIMEOUT_SECONDS
+        double timeoutSeconds = behavior == ClientBehavior.SETS_SHORT_TIMEOUT
+                ? SHORT_TIMEOUT_SECONDS
                 : MIN_TIMEOUT_SECONDS + TIMEOUT_SPREAD_SECONDS * random.nextDouble();
         auditor.requestSent(id, timeoutSeconds);
         PendingRequest pending = new PendingRequest(id, monitor.clock().seconds(), current);
         try {
-            current.sendRequest(SoakRequest.draw(random, id, timeoutSeconds).text());
+            current.sendRequest(SoakRequest.generate(random, id, timeoutSeconds).text());
             monitor.violations().count("requests");
-            if (behavior == ClientBehavior.LEAVES) {
-                Thread.sleep(random.nextInt(MAX_STAY_MILLIS));
+            if (behavior == ClientBehavior.DISCONNECTS) {
+                Thread.sleep(random.nextInt(MAX_DISCONNECT_DELAY_MILLIS));
                 current.close();
-                auditor.clientLeft(id);
+                auditor.clientDisconnected(id);
                 return false;
             }
             if (behavior == ClientBehavior.HALF_CLOSES) {
-                current.endOutput();
+                current.shutdownOutput();
             }
             return awaitResponse(pending, timeoutSeconds) && behavior != ClientBehavior.HALF_CLOSES;
         } catch (SocketTimeoutException e) {
@@ -125,29 +125,30 @@
         return false;
     }
 
-    /** Returns whether the node keeps the connection open. */
+    /** Waits for the response and returns whether the node keeps the connection open. */
     private boolean awaitResponse(PendingRequest pending, double timeoutSeconds) throws IOException {
         NodeResponse response = pending.connection()
-                .readResponse(timeoutSeconds + ResponseJudge.LATE_SECONDS + ResponseJudge.HOST_SECONDS);
+                .readResponse(
+                        timeoutSeconds + ResponseJudge.LATE_RESPONSE_SECONDS + ResponseJudge.HOST_LATENESS_SECONDS);
         if (response == null) {
-            throw new ConnectionEndedException("ended in order");
+            throw new ConnectionEndedException("end of stream before a response");
         }
         judge.responseReceived(pending, response);
         return !response.closesConnection();
     }
 
-    /** A client that stops in the middle of a request and stays gets an error or the end of its connection in time. */
-    private void sendHalfRequest(SoakConnection current) {
-        String request =
-                SoakRequest.draw(random, nextId(), HALF_REQUEST_TIMEOUT_SECONDS).text();
+    /** Sends a part of a request; the node must answer with an error or close the connection in time. */
+    private void sendPartialRequest(SoakConnection current) {
+        String request = SoakRequest.generate(random, nextId(), PARTIAL_REQUEST_TIMEOUT_SECONDS)
+                .text();
         double sentAtSeconds = monitor.clock().seconds();
         try {
-            current.sendPart(request.substring(0, 1 + random.nextInt(request.length() - 1)));
+            current.sendPartialRequest(request.substring(0, 1 + random.nextInt(request.length() - 1)));
             NodeResponse response =
-                    current.readResponse(ResponseJudge.HALF_REQUEST_SECONDS + ResponseJudge.HOST_SECONDS);
+                    current.readResponse(ResponseJudge.PARTIAL_REQUEST_SECONDS + ResponseJudge.HOST_LATENESS_SECONDS);
             monitor.violations().count("stopped half way: " + (response == null ? "closed" : response.status()));
         } catch (SocketTimeoutException e) {
-            judge.halfRequestTimedOut(current.node(), sentAtSeconds);
+            judge.partialRequestTimedOut(current.node(), sentAtSeconds);
         } catch (IOException e) {
             monitor.violations().count("stopped half way: reset");
         }
--- a/src/main/java/laurelkeel/soak/SoakConnection.java
+++ b/src/main/java/laurelkeel/soak/SoakConnection.java
@@ -24,7 +24,7 @@
         this.node = node;
     }
 
-    /** Connects to a node. */
+    /** Opens a connection to a node. */
     static SoakConnection open(NodeInstance node) throws IOException {
         Socket socket = new Socket();
         try {
@@ -42,7 +42,7 @@
         return node;
     }
 
-    /** Complete requests that were sent so far. */
+    /** Returns the number of complete requests sent so far. */
     int requests() {
         return requests;
     }
@@ -52,19 +52,19 @@
         requests++;
     }
 
-    void sendPart(String text) throws IOException {
+    void sendPartialRequest(String text) throws IOException {
         HttpText.write(socket, text);
     }
 
-    /** Sends no more; responses can still be read. */
-    void endOutput() throws IOException {
+    /** Closes the sending direction; responses can still be read. */
+    void shutdownOutput() throws IOException {
         socket.shutdownOutput();
     }
 
     /**
-     * Reads a response; null where the connection ended in order before its first byte.
+     * Reads a response; returns null if the connection ended regularly before its first byte.
      *
-     * @throws java.net.SocketTimeoutException where nothing comes for that time
+     * @throws java.net.SocketTimeoutException if no byte arrives for that time
      */
     @Nullable
     NodeResponse readResponse(double timeoutSeconds) throws IOException {
@@ -77,7 +77,7 @@
         try {
             socket.close();
         } catch (IOException ignored) {
-            // it is closed either way
+            // the socket is closed in either case
         }
     }
 }
--- a/src/main/java/laurelkeel/soak/SoakEvent.java
+++ b/src/main/java/laurelkeel/soak/SoakEvent.java
@@ -1,31 +1,31 @@
 package laurelkeel.soak;
 
-/** What may happen at one moment of a run. Plans are drawn by the order of the constants, and printed by their names. */
+/** The kinds of events of a run. The order of the constants determines the plan of a seed; plans print their names. */
 public enum SoakEvent {
-    /** A node gets one to three SIGTERMs, and is started again. */
+    /** A node gets one to three SIGTERMs, and is restarted. */
     RESTART,
-    /** A node gets SIGKILL, and is started again. */
+    /** A node gets SIGKILL, and is restarted. */
     KILL,
-    /** A node gets SIGKILL, its next process SIGTERM before it is ready, and it is started again. */
+    /** A node gets SIGKILL, its next process gets SIGTERM while it starts up, and the node is restarted. */
     TERM_AT_START,
-    /** A node gets some configurations, each with other addresses and SIGHUP. */
+    /** A node gets one to four configurations with new service addresses, each followed by SIGHUP. */
     NEW_CONFIGURATIONS,
-    /** The same right before SIGTERM. */
+    /** As {@link #NEW_CONFIGURATIONS}, followed immediately by SIGTERM and a restart. */
     NEW_CONFIGURATION_AND_RESTART,
-    /** The same while the node drains. */
+    /** As {@link #NEW_CONFIGURATIONS}, while the node drains after SIGTERM; then a restart. */
     NEW_CONFIGURATION_WHILE_DRAINING,
-    /** A node's discovery sends nothing for a while. */
+    /** A node's discovery server sends nothing for some seconds. */
     DISCOVERY_SILENT,
-    /** Nobody listens at a node's address of discovery for a while. */
+    /** No server listens at a node's discovery address for some seconds. */
     DISCOVERY_DOWN,
-    /** Discovery sends a list that cannot be parsed. */
+    /** Discovery sends all nodes an endpoint list that cannot be parsed. */
     DISCOVERY_SPOILT,
-    /** An endpoint drains. */
+    /** A random endpoint starts to drain. */
     SERVER_DRAINS,
-    /** An endpoint hangs for good. */
+    /** A random endpoint hangs for the rest of the run. */
     SERVER_HANGS,
-    /** A node gets more connections than it may have. */
+    /** A node gets more connections than it may have (see {@link ConnectionFlood}). */
     CROWD,
-    /** A node's process is stopped for a moment, one to five times. */
+    /** A node's process is paused briefly (SIGSTOP, SIGCONT), one to five times. */
     HELD_UP
 }
--- a/src/main/java/laurelkeel/soak/SoakPlan.java
+++ b/src/main/java/laurelkeel/soak/SoakPlan.java
@@ -7,17 +7,18 @@
 import java.util.TreeSet;
 
 /**
- * What happens in one run and when: drawn from its seed ahead, so that a seed gives the same plan however threads take
- * their turns. Parts of it may be left out, by name, to find those that a failure needs.
+ * The events and faults of one run, with their times. A plan is generated from its seed before the run, so that a seed gives
+ * the same plan regardless of how threads are scheduled. Parts of a plan can be excluded by name, to find those that a
+ * failure needs.
  *
- * @param seed of all draws
- * @param quietSeconds how long nothing happens at first, but for what clients send
- * @param seconds how long events come after that
- * @param events in the order of their time
- * @param clockSteps steps of the nodes' wall clocks, as faults.c takes them; empty where there are none
- * @param callFaults system calls that fail, as faults.c takes them; empty where there are none
- * @param breaksReads whether connections break under their requests, as failing reads show them
- * @param excludedParts names of the parts that were drawn and do not happen
+ * @param seed of all random values
+ * @param quietSeconds duration of the initial phase without events, in which only clients send requests
+ * @param seconds duration of the following phase with events
+ * @param events in chronological order
+ * @param clockSteps steps of the nodes' wall clocks, in the format of faults.c; empty if there are none
+ * @param callFaults system calls that fail, in the format of faults.c; empty if there are none
+ * @param breaksConnections whether failing reads break connections that have requests in flight
+ * @param excludedParts names of generated parts that are not executed
  */
 public record SoakPlan(
         long seed,
@@ -26,40 +27,40 @@
         List<PlannedEvent> events,
         String clockSteps,
         String callFaults,
-        boolean breaksReads,
+        boolean breaksConnections,
         Set<String> excludedParts) {
     static final int NODES = 3;
-    /** The name of the part that steps the clocks. */
+    /** The name of the part that makes the nodes' wall clocks step. */
     public static final String CLOCK = "clock";
-    /** The name of the part that lets system calls fail. */
+    /** The name of the part that makes system calls fail. */
     public static final String CALLS = "calls";
 
     private static final List<SoakEvent> EVENTS = List.of(SoakEvent.values());
-    /** One run of so many has steps of the clock, and one of so many has calls that fail. */
-    private static final int FAULT_INTERVAL = 3;
+    /** On average one in this many runs has clock steps, and one in this many has failing system calls. */
+    private static final int RUNS_PER_FAULT = 3;
 
     private static final double FIRST_EVENT_SECONDS = 0.5;
     private static final double MIN_PAUSE_SECONDS = 0.2;
     private static final double MAX_PAUSE_SECONDS = 2.2;
 
     /**
-     * Draws a run.
+     * Generates the plan of a run.
      *
-     * @param quietSeconds how long nothing happens at first
-     * @param seconds how long events come after that; at least 1
+     * @param quietSeconds duration of the initial phase without events
+     * @param seconds duration of the following phase with events; at least 1
      */
     public static SoakPlan generate(long seed, int quietSeconds, int seconds) {
         Random random = new Random(seed);
-        String clockSteps = random.nextInt(FAULT_INTERVAL) == 0 ? SystemFaults.drawClockSteps(random, seconds) : "";
-        SystemFaults.CallFaults faults = random.nextInt(FAULT_INTERVAL) == 0
-                ? SystemFaults.drawCallFaults(random)
+        String clockSteps = random.nextInt(RUNS_PER_FAULT) == 0 ? SystemFaults.generateClockSteps(random, seconds) : "";
+        SystemFaults.CallFaults faults = random.nextInt(RUNS_PER_FAULT) == 0
+                ? SystemFaults.generateCallFaults(random)
                 : SystemFaults.CallFaults.NONE;
-        List<PlannedEvent> events = drawEvents(random, quietSeconds, seconds);
+        List<PlannedEvent> events = generateEvents(random, quietSeconds, seconds);
         return new SoakPlan(
                 seed, quietSeconds, seconds, events, clockSteps, faults.text(), faults.breaksConnections(), Set.of());
     }
 
-    private static List<PlannedEvent> drawEvents(Random random, int quietSeconds, int seconds) {
+    private static List<PlannedEvent> generateEvents(Random random, int quietSeconds, int seconds) {
         List<PlannedEvent> events = new ArrayList<>();
         double atSeconds = quietSeconds + FIRST_EVENT_SECONDS;
         while (atSeconds < quietSeconds + seconds) {
@@ -70,7 +71,7 @@
         return events;
     }
 
-    /** The names of all parts that happen. */
+    /** Returns the names of all parts that are executed. */
     public List<String> parts() {
         List<String> parts = new ArrayList<>();
         if (!clockSteps.isEmpty()) {
@@ -83,25 +84,25 @@
         return parts;
     }
 
-    /** The same plan without these parts; names of none are ignored. */
+    /** Returns the same plan without these parts; names that match no part are ignored. */
     public SoakPlan without(Set<String> names) {
         Set<String> allExcludedParts = new TreeSet<>(excludedParts);
         allExcludedParts.addAll(names);
         List<PlannedEvent> remaining =
                 events.stream().filter(event -> !names.contains(event.name())).toList();
-        boolean hasNoCalls = names.contains(CALLS);
+        boolean excludesCalls = names.contains(CALLS);
         return new SoakPlan(
                 seed,
                 quietSeconds,
                 seconds,
                 remaining,
                 names.contains(CLOCK) ? "" : clockSteps,
-                hasNoCalls ? "" : callFaults,
-                !hasNoCalls && breaksReads,
+                excludesCalls ? "" : callFaults,
+                !excludesCalls && breaksConnections,
                 allExcludedParts);
     }
 
-    /** One line, with the name of each part. */
+    /** Formats the plan as one line, with the name of each part. */
     @Override
     public String toString() {
         List<String> printed = new ArrayList<>();
--- a/src/main/java/laurelkeel/soak/SoakRequest.java
+++ b/src/main/java/laurelkeel/soak/SoakRequest.java
@@ -6,22 +6,22 @@
 /**
  * One request of a client.
  *
- * @param idempotent whether it is idempotent by itself, without a body; otherwise its idempotency key makes it so
- * @param timeoutSeconds how long the client waits
+ * @param idempotent whether the request is idempotent by its method and has no body; otherwise an idempotency key makes it so
+ * @param timeoutSeconds how long the client waits for the response
  */
 record SoakRequest(String id, boolean idempotent, String partitionKey, double timeoutSeconds, String body) {
     private static final int MAX_BODY_LENGTH = 500;
     private static final int PARTITION_KEYS = 100;
 
-    /** Draws what a request is about. */
-    static SoakRequest draw(Random random, String id, double timeoutSeconds) {
+    /** Generates a request with a random method, body length and partition key. */
+    static SoakRequest generate(Random random, String id, double timeoutSeconds) {
         boolean idempotent = random.nextBoolean();
         String body = idempotent ? "" : "b".repeat(random.nextInt(MAX_BODY_LENGTH));
         String partitionKey = "k" + random.nextInt(PARTITION_KEYS);
         return new SoakRequest(id, idempotent, partitionKey, timeoutSeconds, body);
     }
 
-    /** The request as it is sent. */
+    /** Returns the request in HTTP/1.1 format. */
     String text() {
         String requestLine = (idempotent ? "GET /look/" : "POST /pay/") + id + " HTTP/1.1\r\n";
         String headers = "Host: app.svc\r\nX-Correlation-Id: " + id + "\r\nX-Account: acme\r\nX-Session-Key: "
--- a/src/main/java/laurelkeel/soak/SoakResult.java
+++ b/src/main/java/laurelkeel/soak/SoakResult.java
@@ -5,22 +5,22 @@
 import java.util.Map;
 
 /**
- * What a run found.
+ * The result of a run.
  *
- * @param plan what happened in it
- * @param violations the first breaks of rules; empty where all were kept
- * @param worstHostLatenessSeconds the latest that the host let a thread run
- * @param seen counts of what was seen, by label
+ * @param plan the executed plan
+ * @param violations the first violations of rules; empty if there were none
+ * @param worstHostLatenessSeconds the highest delay with which the host scheduled a thread
+ * @param countsByLabel counts of observed outcomes, by label
  */
 public record SoakResult(
-        SoakPlan plan, List<Violation> violations, double worstHostLatenessSeconds, Map<String, Long> seen) {
+        SoakPlan plan, List<Violation> violations, double worstHostLatenessSeconds, Map<String, Long> countsByLabel) {
     private static final int MILLIS_PER_SECOND = 1_000;
 
-    /** What was seen, as one line for people. */
+    /** Formats the counts as one human-readable line. */
     public String counts() {
         StringBuilder line = new StringBuilder(String.format(
                 Locale.ROOT, "host late by %.0f ms at most", worstHostLatenessSeconds * MILLIS_PER_SECOND));
-        seen.forEach(
+        countsByLabel.forEach(
                 (label, count) -> line.append(", ").append(label).append(' ').append(count));
         return line.toString();
     }
--- a/src/main/java/laurelkeel/soak/SoakRun.java
+++ b/src/main/java/laurelkeel/soak/SoakRun.java
@@ -10,16 +10,16 @@
 import java.util.Random;
 
 /**
- * One run: real nodes between faulty servers and clients, with the signals, crowds, faults and steps of the clock that a
- * seed draws. Clients go on using open connections up to SIGKILL, which comes at the earliest moment that the platform's
- * page allows.
+ * One run: real nodes between faulty servers and clients, with the signals, connection floods, faults and clock steps of a
+ * generated plan. Clients continue to use open connections until SIGKILL, which is sent at the earliest time that the
+ * platform's documentation allows.
  */
 public final class SoakRun {
     private static final int CLIENTS = 12;
     private static final long CLIENT_END_MILLIS = 5_000;
 
     private final SoakPlan plan;
-    /** Draws come in a fixed order, so that a seed gives the same run. */
+    /** Values are drawn in a fixed order, so that a seed gives the same run. */
     private final Random random;
 
     private final RunMonitor monitor = RunMonitor.create();
@@ -36,11 +36,11 @@
     }
 
     /**
-     * Plays one run.
+     * Executes one run.
      *
-     * @param faultLibrary lets calls fail and clocks step; without it both are left out
+     * @param faultLibrary makes system calls fail and clocks step; if it is empty, the run has neither
      * @param folder for configurations and logs of this run
-     * @throws IOException where the servers or the nodes cannot be started
+     * @throws IOException if the servers or the nodes cannot be started
      */
     public static SoakResult run(SoakPlan plan, NodeImage image, Optional<Path> faultLibrary, Path folder)
             throws IOException, InterruptedException {
@@ -67,7 +67,7 @@
         Thread processWatch = DaemonThreads.start("watch", new ProcessWatch(nodes, monitor));
         Thread lateness = DaemonThreads.start("lateness", monitor.lateness()::measure);
         List<Thread> clients = startClients();
-        new EventPlayer(monitor, state, nodes, controlPlane, endpoints).play(plan.events());
+        new EventRunner(monitor, state, nodes, controlPlane, endpoints).run(plan.events());
         state.end();
         nodes.terminateAll();
         for (Thread client : clients) {
@@ -83,7 +83,7 @@
     }
 
     private List<Thread> startClients() {
-        ResponseJudge judge = new ResponseJudge(monitor, state, plan.breaksReads());
+        ResponseJudge judge = new ResponseJudge(monitor, state, plan.breaksConnections());
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             SoakClient client = new SoakClient("c" + i, random.nextLong(), nodes, monitor, state, auditor, judge);
--- a/src/main/java/laurelkeel/soak/SteadyLoad.java
+++ b/src/main/java/laurelkeel/soak/SteadyLoad.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.jspecify.annotations.Nullable;
 
-/** Clients that send one node requests at a steady rate, each over one connection for as long as it stays open; thread-safe. */
+/** Clients that send requests to one node at a constant rate, each over one reused connection; thread-safe. */
 final class SteadyLoad {
     private static final int PARTITION_KEYS = 5_000;
     private static final double TIMEOUT_SECONDS = 2.0;
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Starts clients.
+     * Starts the clients.
      *
-     * @param requestsPerSecond of all clients together
+     * @param requestsPerSecond the total rate of all clients
      */
     static SteadyLoad start(int port, int clients, int requestsPerSecond, int seconds, long seed) {
         long now = System.nanoTime();
@@ -50,19 +50,19 @@
         return load;
     }
 
-    /** Waits until all clients have ended. */
+    /** Waits until all clients have finished. */
     void join() throws InterruptedException {
         for (Thread client : clients) {
             client.join();
         }
     }
 
-    /** Requests that clients sent, or failed to send. */
+    /** Returns the number of requests that clients sent or failed to send. */
     int sent() {
         return sent.get();
     }
 
-    /** Requests that an endpoint's complete response came back for. */
+    /** Returns the number of requests with a complete response of status 200. */
     int served() {
         return served.get();
     }
--- a/src/main/java/laurelkeel/soak/SystemFaults.java
+++ b/src/main/java/laurelkeel/soak/SystemFaults.java
@@ -3,18 +3,18 @@
 import java.util.List;
 import java.util.Random;
 
-/** Draws what the library of faults does to all nodes of a run, in the form that faults.c takes. */
+/** Generates the system faults of all nodes of a run, in the format of faults.c. */
 final class SystemFaults {
-    /** The clock steps forth or back by an hour or by 5 s. */
+    /** The clock steps forward or backward by an hour or by 5 s. */
     private static final List<Long> CLOCK_OFFSETS_MILLIS = List.of(3_600_000L, -3_600_000L, 5_000L, -5_000L);
 
     private static final int MIN_STEP_MILLIS = 500;
     private static final int HALF_SECOND_MILLIS = 500;
     private static final int MIN_START_MILLIS = 1_000;
     private static final int START_SPREAD_MILLIS = 2_000;
-    private static final int MIN_LENGTH_MILLIS = 500;
-    private static final int LENGTH_SPREAD_MILLIS = 3_000;
-    /** Stands for a transfer of one byte, instead of an error. */
+    private static final int MIN_DURATION_MILLIS = 500;
+    private static final int DURATION_SPREAD_MILLIS = 3_000;
+    /** Represents a transfer of only one byte, in place of an error number. */
     private static final int SHORT_TRANSFER = 0;
 
     private static final String READ = "read";
@@ -30,17 +30,18 @@
     private static final int EHOSTUNREACH = 113;
 
     /**
-     * How a system call may fail.
+     * A system call that can fail.
      *
-     * @param name as faults.c has it
-     * @param errors Linux's numbers of errors that may come for a moment, or {@link #SHORT_TRANSFER}
-     * @param percent how many of a hundred calls fail
+     * @param name the name of the call in faults.c
+     * @param errors Linux error numbers that can occur temporarily, or {@link #SHORT_TRANSFER}
+     * @param percent the percentage of calls that fail
      */
     private record FailingCall(String name, List<Integer> errors, int percent) {}
 
     /**
-     * Not EMFILE for accept: it says that a process is at its own limit, and MINA waits for 50 ms there. Reads fail rarely,
-     * for each such failure breaks a connection under its requests, which is no fault of a node.
+     * The calls that may fail. The errors of accept do not include EMFILE: it means that the process is at its own limit,
+     * and MINA waits for 50 ms after it. Reads fail rarely, because each failure breaks a connection that has requests in
+     * flight, which is not the fault of a node.
      */
     private static final List<FailingCall> CALLS = List.of(
             new FailingCall("accept", List.of(ECONNABORTED, ENFILE, ENOBUFS), 40),
@@ -53,8 +54,8 @@
 
     private SystemFaults() {}
 
-    /** Draws two steps of the wall clock, one in each half of a run. */
-    static String drawClockSteps(Random random, int seconds) {
+    /** Generates two steps of the wall clock, one for each half of a run. */
+    static String generateClockSteps(Random random, int seconds) {
         int halfMillis = seconds * HALF_SECOND_MILLIS;
         String first = (MIN_STEP_MILLIS + random.nextInt(halfMillis)) + ":" + drawOffset(random);
         String second = (halfMillis + random.nextInt(halfMillis)) + ":" + drawOffset(random);
@@ -66,23 +67,23 @@
     }
 
     /**
-     * System calls that fail for a while.
+     * A system call that fails for a limited time.
      *
-     * @param text the form that faults.c takes: call, error, start and length in milliseconds, percent
-     * @param breaksConnections whether connections break under their requests
+     * @param text the fault in the format of faults.c: call, error, start and duration in milliseconds, percent
+     * @param breaksConnections whether the fault breaks connections that have requests in flight
      */
     record CallFaults(String text, boolean breaksConnections) {
         static final CallFaults NONE = new CallFaults("", false);
     }
 
-    /** Draws a call that fails, with its error and its span. */
-    static CallFaults drawCallFaults(Random random) {
+    /** Generates a call that fails, with its error, start and duration. */
+    static CallFaults generateCallFaults(Random random) {
         FailingCall call = CALLS.get(random.nextInt(CALLS.size()));
         int error = call.errors.get(random.nextInt(call.errors.size()));
         int startMillis = MIN_START_MILLIS + random.nextInt(START_SPREAD_MILLIS);
-        int lengthMillis = MIN_LENGTH_MILLIS + random.nextInt(LENGTH_SPREAD_MILLIS);
+        int durationMillis = MIN_DURATION_MILLIS + random.nextInt(DURATION_SPREAD_MILLIS);
         return new CallFaults(
-                call.name + ":" + error + ":" + startMillis + ":" + lengthMillis + ":" + call.percent,
+                call.name + ":" + error + ":" + startMillis + ":" + durationMillis + ":" + call.percent,
                 call.name.equals(READ) && error != SHORT_TRANSFER);
     }
 }
--- a/src/main/java/laurelkeel/soak/ViolationLog.java
+++ b/src/main/java/laurelkeel/soak/ViolationLog.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** The violations of one run, and counts of what was seen; thread-safe. */
+/** The violations of one run, and counts of observed outcomes; thread-safe. */
 final class ViolationLog {
-    private static final int MAX_KEPT = 20;
+    private static final int MAX_STORED = 20;
 
     private final RunClock clock;
     private final List<Violation> violations = new ArrayList<>();
@@ -19,15 +19,15 @@
         this.clock = clock;
     }
 
-    /** Records a violation of this moment; all are counted, the first ones are kept. */
+    /** Records a violation at the present time; all violations are counted, only the first ones are stored. */
     synchronized void add(SoakRule rule, String detail) {
         count("broken: " + rule);
-        if (violations.size() < MAX_KEPT) {
+        if (violations.size() < MAX_STORED) {
             violations.add(new Violation(clock.seconds(), rule, detail));
         }
     }
 
-    /** Counts something that was seen. */
+    /** Increments the count of an outcome. */
     void count(String label) {
         counts.computeIfAbsent(label, key -> new AtomicLong()).incrementAndGet();
     }
@@ -36,7 +36,7 @@
         return List.copyOf(violations);
     }
 
-    /** All counts by label, in the order of the labels. */
+    /** Returns all counts by label, sorted by label. */
     Map<String, Long> counts() {
         Map<String, Long> sorted = new TreeMap<>();
         counts.forEach((label, count) -> sorted.put(label, count.get()));
--- a/src/test/java/laurelkeel/soak/AttemptAuditorTest.java
+++ b/src/test/java/laurelkeel/soak/AttemptAuditorTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The rules that need both what clients sent and what reached an endpoint. */
+/** The rules that compare the requests that clients sent with the attempts that endpoints received. */
 class AttemptAuditorTest {
     private static final double TIMEOUT_SECONDS = 1;
     private static final double LONG_AGO = -10;
@@ -13,61 +13,61 @@
     private final RunMonitor monitor = RunMonitor.create();
     private final AttemptAuditor auditor = new AttemptAuditor(monitor);
 
-    private List<SoakRule> broken() {
+    private List<SoakRule> violatedRules() {
         return monitor.violations().violations().stream().map(Violation::rule).toList();
     }
 
     @Test
-    void anAttemptInTimeBreaksNothing() throws Exception {
+    void anAttemptInTimeViolatesNoRule() throws Exception {
         auditor.requestSent("r", TIMEOUT_SECONDS);
         auditor.attemptReceived("s-1", "r", TIMEOUT_SECONDS, 0);
-        assertEquals(List.of(), broken());
+        assertEquals(List.of(), violatedRules());
     }
 
     @Test
-    void anAttemptForARequestThatNobodySentIsAViolation() throws Exception {
+    void anAttemptForARequestThatNoClientSentIsAViolation() throws Exception {
         auditor.attemptReceived("s-1", "r", TIMEOUT_SECONDS, 0);
-        assertEquals(List.of(SoakRule.REQUEST_ID), broken());
+        assertEquals(List.of(SoakRule.REQUEST_ID), violatedRules());
     }
 
     @Test
-    void moreTimeThanTheClientHasIsAViolation() throws Exception {
+    void aRemainingTimeLongerThanTheClientsIsAViolation() throws Exception {
         auditor.requestSent("r", TIMEOUT_SECONDS);
         auditor.attemptReceived("s-1", "r", 2 * TIMEOUT_SECONDS, 0);
-        assertEquals(List.of(SoakRule.TIME_LEFT), broken());
+        assertEquals(List.of(SoakRule.TIME_LEFT), violatedRules());
     }
 
     @Test
-    void anAttemptAfterItsClientHasLeftIsAViolation() throws Exception {
+    void anAttemptAfterItsClientDisconnectedIsAViolation() throws Exception {
         auditor.requestSent("r", TIMEOUT_SECONDS);
-        auditor.clientLeft("r");
+        auditor.clientDisconnected("r");
         Thread.sleep(20);
         auditor.attemptReceived("s-1", "r", 0, 0.001);
-        assertEquals(List.of(SoakRule.LOST), broken());
+        assertEquals(List.of(SoakRule.LOST), violatedRules());
     }
 
     @Test
     void anAttemptAtADrainingEndpointIsAViolation() throws Exception {
-        auditor.endpointDrains("s-1", LONG_AGO);
+        auditor.endpointDraining("s-1", LONG_AGO);
         auditor.requestSent("r", TIMEOUT_SECONDS);
         auditor.attemptReceived("s-1", "r", TIMEOUT_SECONDS, 0);
-        assertEquals(List.of(SoakRule.DRAIN), broken());
+        assertEquals(List.of(SoakRule.DRAIN), violatedRules());
     }
 
     @Test
-    void aDrainIsNotJudgedWhileDiscoveryIsDown() throws Exception {
-        auditor.endpointDrains("s-1", LONG_AGO);
-        auditor.outageBegins();
+    void anAttemptAtADrainingEndpointIsAllowedWhileDiscoveryIsDown() throws Exception {
+        auditor.endpointDraining("s-1", LONG_AGO);
+        auditor.outageStarted();
         auditor.requestSent("r", TIMEOUT_SECONDS);
         auditor.attemptReceived("s-1", "r", TIMEOUT_SECONDS, 0);
-        assertEquals(List.of(), broken());
+        assertEquals(List.of(), violatedRules());
     }
 
     @Test
-    void theHostsLatenessIsNotHeldAgainstANode() throws Exception {
+    void theHostsLatenessIsTolerated() throws Exception {
         auditor.requestSent("r", TIMEOUT_SECONDS);
         monitor.lateness().record(1);
         auditor.attemptReceived("s-1", "r", 2 * TIMEOUT_SECONDS, 0);
-        assertEquals(List.of(), broken());
+        assertEquals(List.of(), violatedRules());
     }
 }
--- a/src/test/java/laurelkeel/soak/ClientBehaviorTest.java
+++ b/src/test/java/laurelkeel/soak/ClientBehaviorTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 class ClientBehaviorTest {
-    /** Draws each number below a hundred once. */
-    private static final class EachNumberOnce extends Random {
+    /** Returns the numbers below the bound in ascending order, each once. */
+    private static final class SequentialNumbers extends Random {
         private static final long serialVersionUID = 1L;
         private int next;
 
@@ -20,24 +20,24 @@
     }
 
     @Test
-    void behaviorsComeAsOftenAsThePageSays() {
-        Random random = new EachNumberOnce();
-        Map<ClientBehavior, Integer> drawn = new EnumMap<>(ClientBehavior.class);
+    void behaviorsHaveTheirDocumentedPercentages() {
+        Random random = new SequentialNumbers();
+        Map<ClientBehavior, Integer> picked = new EnumMap<>(ClientBehavior.class);
         for (int i = 0; i < 100; i++) {
-            drawn.merge(ClientBehavior.draw(random), 1, Integer::sum);
+            picked.merge(ClientBehavior.pick(random), 1, Integer::sum);
         }
         assertEquals(
                 Map.of(
-                        ClientBehavior.LEAVES,
+                        ClientBehavior.DISCONNECTS,
                         3,
                         ClientBehavior.HALF_CLOSES,
                         2,
-                        ClientBehavior.HURRIES,
+                        ClientBehavior.SETS_SHORT_TIMEOUT,
                         2,
-                        ClientBehavior.STOPS,
+                        ClientBehavior.SENDS_PARTIAL_REQUEST,
                         1,
-                        ClientBehavior.WAITS,
+                        ClientBehavior.AWAITS_RESPONSE,
                         92),
-                drawn);
+                picked);
     }
 }
