--- a/src/test/java/laurelkeel/soak/FailingCallsTest.java
+++ b/src/test/java/laurelkeel/soak/FailingCallsTest.java
@@ -26,21 +26,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real node whose system calls fail as Linux documents it, and one that is signalled before it has begun. */
+/**
+ * Real nodes whose system calls fail in ways that Linux documents, and nodes that cannot read their configuration or open
+ * their listener at first, or that get SIGTERM during startup.
+ */
 class FailingCallsTest {
     private static final int ENFILE = 23;
     private static final int ECONNABORTED = 103;
     private static final int EADDRNOTAVAIL = 99;
     private static final long FOREVER_MILLIS = 1_000_000;
     private static final int DESCRIPTORS = 256;
-    /** The longest that a connection takes, far less than the second that a sleeping acceptor costs. */
-    private static final long MOMENT_MILLIS = 400;
+    /** The longest time that a response may take; far less than the 1 s delay of an acceptor that sleeps after a failure. */
+    private static final long MAX_RESPONSE_MILLIS = 400;
 
     private static final int CONNECTIONS = 20;
-    /** SIGKILL comes no sooner after SIGTERM. */
+    /** The shortest time from SIGTERM to SIGKILL. */
     private static final long KILL_AFTER_MILLIS = 3_700;
 
-    /** What all nodes of this class are started from. */
+    /** The folder of the node image and the fault library, shared by all tests of this class. */
     @TempDir
     static Path shared;
 
@@ -84,7 +87,7 @@
     }
 
     private void start(String faults) throws Exception {
-        assumeTrue(library.isPresent(), "there is no C compiler");
+        assumeTrue(library.isPresent(), "no C compiler is installed");
         Path file = folder.resolve("config.json");
         Files.writeString(file, configuration());
         node = NodeProcess.start(
@@ -95,8 +98,8 @@
                 DESCRIPTORS);
     }
 
-    /** Whether the node answers at all; it is not ready, for it gets no endpoint list. */
-    private boolean answers() {
+    /** Whether the node responds with any status; it is not ready, because it receives no endpoint list. */
+    private boolean responds() {
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
             client.setSoTimeout(5_000);
             HttpText.write(client, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -106,29 +109,29 @@
         }
     }
 
-    private void assertAnswersInAMoment() {
+    private void assertRespondsQuickly() {
         for (int i = 0; i < CONNECTIONS; i++) {
             long startedNanos = System.nanoTime();
-            assertTrue(answers(), "connection " + i);
+            assertTrue(responds(), "connection " + i);
             long tookMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
-            assertTrue(tookMillis < MOMENT_MILLIS, "connection " + i + " took " + tookMillis + " ms");
+            assertTrue(tookMillis < MAX_RESPONSE_MILLIS, "connection " + i + " took " + tookMillis + " ms");
         }
     }
 
     @Test
-    void anAcceptThatFailsCostsAMoment() throws Exception {
-        // ECONNABORTED too, though the runtime tries again by itself there
+    void aFailedAcceptDelaysConnectionsOnlyBriefly() throws Exception {
+        // ECONNABORTED as well, although the Java runtime itself retries after it
         start("accept:" + ENFILE + ":0:" + FOREVER_MILLIS + ":40,accept:" + ECONNABORTED + ":0:" + FOREVER_MILLIS
                 + ":10");
-        FrontTestRig.await("it answers", this::answers);
-        assertAnswersInAMoment();
+        FrontTestRig.await("it responds", this::responds);
+        assertRespondsQuickly();
     }
 
     @Test
-    void aNodeThatCanAcceptNothingStillEndsInOrder() throws Exception {
+    void aNodeThatCannotAcceptConnectionsStillShutsDownCleanly() throws Exception {
         start("accept:" + ENFILE + ":2500:" + FOREVER_MILLIS + ":100");
-        FrontTestRig.await("it answers", this::answers);
-        FrontTestRig.await("accepts fail", () -> node.ageMillis() > 2_600);
+        FrontTestRig.await("it responds", this::responds);
+        FrontTestRig.await("accept fails", () -> node.ageMillis() > 2_600);
         try (Socket waiting = new Socket(InetAddress.getLoopbackAddress(), port)) {
             assertTrue(waiting.isConnected());
             node.signal("TERM");
@@ -138,61 +141,62 @@
         }
     }
 
-    /** The node connects to discovery and control service again and again, and goes on meanwhile. */
+    /** The node retries its connections to discovery and control service, and continues to serve meanwhile. */
     @Test
-    void aConnectThatFailsEndsNothing() throws Exception {
+    void aFailedConnectDoesNotStopTheNode() throws Exception {
         start("connect:" + EADDRNOTAVAIL + ":0:1500:100,socket:" + ENFILE + ":0:700:100");
         discovery.nextConnection();
         control.nextConnection();
-        FrontTestRig.await("it answers", this::answers);
+        FrontTestRig.await("it responds", this::responds);
         assertTrue(node.isAlive());
     }
 
-    /** The configuration is a pipe: the node has come as far as reading it, and no further, until it is written. */
+    /** The configuration file is a named pipe, so that the node blocks while reading it until the test writes to it. */
     @Test
-    void signalsBeforeTheConfigurationIsReadAreFollowedAfterIt() throws Exception {
+    void aSignalBeforeTheConfigurationIsReadTakesEffectAfterwards() throws Exception {
         Path file = folder.resolve("config.json");
         assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
         node = NodeProcess.start(image, file, folder.resolve("node.log"), Map.of(), DESCRIPTORS);
         try (OutputStream pipe = Files.newOutputStream(file)) {
             node.signal("TERM");
-            FrontTestRig.await("it is logged, or the node ends", () -> hasLogged("SIGTERM") || !node.isAlive());
+            FrontTestRig.await(
+                    "SIGTERM is logged, or the node has exited", () -> hasLogged("SIGTERM") || !node.isAlive());
             assertTrue(node.isAlive(), node.log());
             pipe.write(configuration().getBytes(UTF_8));
         }
         assertEquals(OptionalInt.of(0), node.awaitExit(10_000));
     }
 
-    private boolean hasLogged(String line) {
+    private boolean hasLogged(String text) {
         try {
-            return node.log().contains(line);
+            return node.log().contains(text);
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** A folder stands in its place, which the system does not let the node read. */
+    /** A symbolic link to a folder replaces the configuration file at first; a folder cannot be read as a file. */
     @Test
-    void aConfigurationThatCannotBeReadYetIsReadAgain() throws Exception {
+    void readingTheConfigurationIsRetried() throws Exception {
         Path file = Files.createSymbolicLink(folder.resolve("config.json"), folder);
         node = NodeProcess.start(image, file, folder.resolve("node.log"), Map.of(), DESCRIPTORS);
-        FrontTestRig.await("it reads again, or ends", () -> hasLogged("is read again") || !node.isAlive());
+        FrontTestRig.await("it retries, or has exited", () -> hasLogged("is read again") || !node.isAlive());
         assertTrue(node.isAlive(), node.log());
         Path replacement = Files.writeString(folder.resolve("config.json.new"), configuration());
         Files.move(replacement, file, StandardCopyOption.ATOMIC_MOVE);
-        FrontTestRig.await("it answers", this::answers);
+        FrontTestRig.await("it responds", this::responds);
     }
 
     @Test
-    void aNewListenerWaitsForAnAddressThatIsStillTaken() throws Exception {
+    void theListenerWaitsWhileItsAddressIsInUse() throws Exception {
         Path file = folder.resolve("config.json");
         Files.writeString(file, configuration());
-        try (ServerSocket taken = new ServerSocket(port, 5, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket occupied = new ServerSocket(port, 5, InetAddress.getLoopbackAddress())) {
             node = NodeProcess.start(image, file, folder.resolve("node.log"), Map.of(), DESCRIPTORS);
-            FrontTestRig.await("it waits, or ends", () -> hasLogged("cannot be opened yet") || !node.isAlive());
+            FrontTestRig.await("it waits, or has exited", () -> hasLogged("cannot be opened yet") || !node.isAlive());
             assertTrue(node.isAlive(), node.log());
-            assertEquals(port, taken.getLocalPort());
+            assertEquals(port, occupied.getLocalPort());
         }
-        FrontTestRig.await("it answers", this::answers);
+        FrontTestRig.await("it responds", this::responds);
     }
 }
--- a/src/test/java/laurelkeel/soak/NodeImageTest.java
+++ b/src/test/java/laurelkeel/soak/NodeImageTest.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The soak starts nodes as the platform does. */
+/** The soak starts nodes with the options of the deployment. */
 class NodeImageTest {
     @Test
-    void itsOptionsAreThoseOfTheDeployment() throws Exception {
+    void jvmOptionsEqualThoseOfTheDeployment() throws Exception {
         List<String> deployed = Files.readAllLines(Path.of("deploy", "node.args")).stream()
                 .filter(line -> line.startsWith("-"))
                 .toList();
--- a/src/test/java/laurelkeel/soak/ScaleFiguresTest.java
+++ b/src/test/java/laurelkeel/soak/ScaleFiguresTest.java
@@ -5,26 +5,26 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the acceptance allows a node at more endpoints. */
+/** The acceptance limits of a node's resources at more endpoints. */
 class ScaleFiguresTest {
-    private static final ScaleFigures USUAL =
+    private static final ScaleFigures REFERENCE =
             new ScaleFigures(ScaleProfile.THIN, 1, 200, 1.0, 100, 100, 100, 1_000, 1, 800, 1.0);
 
-    private static ScaleFigures atFourThousand(double cpuSeconds, int descriptors, double servedShare) {
+    private static ScaleFigures figuresAtFourThousandEndpoints(double cpuSeconds, int descriptors, double servedShare) {
         return new ScaleFigures(
                 ScaleProfile.THIN, 20, 4_000, cpuSeconds, 100, descriptors, 100, 1_000, 1, 800, servedShare);
     }
 
     @Test
-    void whatStaysWithinIsNotNamed() {
-        // 1.4 times 1 s, and 0.02 s, and 0.12 s for each thousand endpoints
-        assertEquals(List.of(), atFourThousand(1.89, 240, 0.86).overLimits(USUAL));
+    void figuresWithinTheirLimitsAreNotListed() {
+        // the CPU limit is 1.4 times 1 s, plus 0.02 s, plus 0.12 s for each thousand endpoints
+        assertEquals(List.of(), figuresAtFourThousandEndpoints(1.89, 240, 0.86).exceededLimits(REFERENCE));
     }
 
     @Test
-    void whatGoesPastIsNamedWithItsLimit() {
+    void figuresAboveTheirLimitsAreListedWithTheLimit() {
         assertEquals(
                 List.of("CPU seconds 2.00 of 1.90", "descriptors 241.00 of 240.00", "share served 0.800 of 0.850"),
-                atFourThousand(2.0, 241, 0.8).overLimits(USUAL));
+                figuresAtFourThousandEndpoints(2.0, 241, 0.8).exceededLimits(REFERENCE));
     }
 }
--- a/src/test/java/laurelkeel/soak/SoakPlanTest.java
+++ b/src/test/java/laurelkeel/soak/SoakPlanTest.java
@@ -6,9 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 class SoakPlanTest {
-    /** A seed in a report of an earlier version has to play the same again. */
+    /** A seed from a report of an earlier version must reproduce the same plan. */
     @Test
-    void aSeedGivesThePlanThatItAlwaysGave() {
+    void aSeedGivesTheSamePlanInEachVersion() {
         assertEquals(
                 "clock 5168:-3600000,7155:5000, calls socket:105:1593:607:30, "
                         + "0: 0.5 s NEW_CONFIGURATIONS n0, 1: 2.0 s NEW_CONFIGURATIONS n1, "
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void eventsAreSpreadOverTheSecondsThatTheyComeIn() {
+    void eventsAreSpreadOverTheRun() {
         List<PlannedEvent> events = SoakPlan.generate(1, 0, 60).events();
         assertEquals(0.5, events.get(0).atSeconds());
         for (int i = 1; i < events.size(); i++) {
--- a/src/test/java/laurelkeel/soak/SoakTest.java
+++ b/src/test/java/laurelkeel/soak/SoakTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A short soak of real nodes; the long one is started by hand (docs/soak.md). */
+/** A short soak of real nodes; the long one is started manually (docs/soak.md). */
 class SoakTest {
     private static final int SEEDS = 6;
     private static final int SECONDS = 8;
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void realNodesKeepTheRulesUnderWhatTheseSeedsDraw() throws Exception {
+    void realNodesViolateNoRuleUnderTheFaultsOfTheseSeeds() throws Exception {
         ExecutorService runs = Executors.newFixedThreadPool(PARALLEL);
         List<Future<SoakResult>> results = new ArrayList<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
@@ -46,37 +46,40 @@
                     runs.submit(() -> SoakRun.run(plan, image, faultLibrary, folder.resolve("seed-" + plan.seed()))));
         }
         runs.shutdown();
-        List<String> broken = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         for (Future<SoakResult> each : results) {
             SoakResult result = each.get();
             System.out.println("seed " + result.plan().seed() + ": " + result.counts());
             result.violations()
-                    .forEach(what ->
-                            broken.add("seed " + result.plan().seed() + " " + what + "; drawn " + result.plan()));
+                    .forEach(violation -> violations.add(
+                            "seed " + result.plan().seed() + " " + violation + "; plan: " + result.plan()));
         }
-        assertEquals(List.of(), broken);
+        assertEquals(List.of(), violations);
     }
 
-    /** Clients and servers are loaded, each node has crowds, and accept, socket and connect fail all the while (ENFILE, EMFILE, EADDRNOTAVAIL). */
+    /**
+     * Connection floods must not take the last file descriptors of a node. Each node gets two floods under load, while
+     * accept, socket and connect fail (ENFILE, EMFILE, EADDRNOTAVAIL).
+     */
     @Test
-    void noCrowdTakesTheLastDescriptorsWhileCallsFail() throws Exception {
-        List<PlannedEvent> crowds = new ArrayList<>();
+    void connectionFloodsLeaveFreeDescriptorsWhileCallsFail() throws Exception {
+        List<PlannedEvent> floods = new ArrayList<>();
         for (int node = 0; node < SoakPlan.NODES; node++) {
-            crowds.add(new PlannedEvent(node, 1.0 + node * 0.1, SoakEvent.CROWD, node, node));
-            crowds.add(new PlannedEvent(SoakPlan.NODES + node, 4.0 + node * 0.1, SoakEvent.CROWD, node, node));
+            floods.add(new PlannedEvent(node, 1.0 + node * 0.1, SoakEvent.CROWD, node, node));
+            floods.add(new PlannedEvent(SoakPlan.NODES + node, 4.0 + node * 0.1, SoakEvent.CROWD, node, node));
         }
-        crowds.sort(Comparator.comparingDouble(PlannedEvent::atSeconds));
+        floods.sort(Comparator.comparingDouble(PlannedEvent::atSeconds));
         SoakPlan plan = new SoakPlan(
                 1,
                 0,
                 SECONDS,
-                crowds,
+                floods,
                 "",
                 "accept:23:1500:9000:30,socket:24:1500:9000:20,connect:99:1500:9000:20",
                 false,
                 Set.of());
-        SoakResult result = SoakRun.run(plan, image, faultLibrary, folder.resolve("crowds"));
-        System.out.println("crowds: " + result.counts());
+        SoakResult result = SoakRun.run(plan, image, faultLibrary, folder.resolve("floods"));
+        System.out.println("floods: " + result.counts());
         assertEquals(List.of(), result.violations());
     }
 }
