--- a/src/main/java/laurelkeel/soak/ControlPlane.java
+++ b/src/main/java/laurelkeel/soak/ControlPlane.java
@@ -108,7 +108,7 @@
         server.setSilent(false);
     }
 
-    /** Takes the discovery server of one node down for a time; a server that it is moved to meanwhile stays up. */
+    /** Takes the discovery server of one node down for a time; if the node is moved to a new server meanwhile, that one is up. */
     void takeDiscoveryDown(int node, int millis) throws IOException, InterruptedException {
         mayHaveDelayedUpdates = true;
         auditor.outageStarted();
--- a/src/main/java/laurelkeel/soak/ControlServer.java
+++ b/src/main/java/laurelkeel/soak/ControlServer.java
@@ -23,14 +23,14 @@
         this.malformedShare = malformedShare;
     }
 
-    private synchronized boolean drawMalformed() {
+    private synchronized boolean nextReplyIsMalformed() {
         return random.nextDouble() < malformedShare;
     }
 
     @Override
     void serve(Socket socket, InputStream in) throws IOException {
         for (String call = HttpText.readLine(in); call != null; call = HttpText.readLine(in)) {
-            if (drawMalformed()) {
+            if (nextReplyIsMalformed()) {
                 HttpText.write(socket, random.nextBoolean() ? "OK 24 1 Progr" : "\u0001\u0002\r\n");
                 socket.close();
                 return;
--- a/src/main/java/laurelkeel/soak/FaultyEndpoint.java
+++ b/src/main/java/laurelkeel/soak/FaultyEndpoint.java
@@ -30,7 +30,7 @@
     private final double faultyShare;
     private volatile boolean hanging;
 
-    /** @param faultyShare the share of attempts that get a faulty response, from 0 to 1 */
+    /** @param faultyShare the share of attempts that are not answered by a plain complete response, from 0 to 1 */
     FaultyEndpoint(String id, AttemptAuditor auditor, long seed, double faultyShare) throws IOException {
         this.id = id;
         this.auditor = auditor;
@@ -59,11 +59,11 @@
         return words.length == 4 && body.equals(body(words[2], requestId));
     }
 
-    private synchronized ResponseMode drawMode() {
+    private synchronized ResponseMode nextMode() {
         return random.nextDouble() >= faultyShare ? ResponseMode.COMPLETE : MODES[1 + random.nextInt(MODES.length - 1)];
     }
 
-    private synchronized int drawBelow(int bound) {
+    private synchronized int nextInt(int bound) {
         return random.nextInt(bound);
     }
 
@@ -79,8 +79,8 @@
             String requestId = Objects.requireNonNull(headers.get("x-correlation-id"), requestLine);
             double remainingSeconds = Double.parseDouble(headers.getOrDefault("x-time-left", "0"));
             auditor.attemptReceived(id, requestId, remainingSeconds, SLACK_SECONDS);
-            Thread.sleep(MIN_SERVICE_MILLIS + drawBelow(SERVICE_SPREAD_MILLIS));
-            if (!respond(socket, drawMode(), body(id, requestId))) {
+            Thread.sleep(MIN_SERVICE_MILLIS + nextInt(SERVICE_SPREAD_MILLIS));
+            if (!respond(socket, nextMode(), body(id, requestId))) {
                 return;
             }
         }
@@ -90,7 +90,7 @@
     private boolean respond(Socket socket, ResponseMode mode, String body) throws IOException, InterruptedException {
         String withLength = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n";
         String untilClose = "HTTP/1.1 200 OK\r\n\r\n";
-        String part = body.substring(0, drawBelow(body.length()));
+        String part = body.substring(0, nextInt(body.length()));
         switch (mode) {
             case COMPLETE -> HttpText.write(socket, withLength + body);
             case COMPLETE_UNTIL_CLOSE -> {
@@ -124,7 +124,7 @@
     private void writeTwice(Socket socket, String response) throws IOException, InterruptedException {
         long startedNanos = System.nanoTime();
         HttpText.write(socket, response);
-        Thread.sleep(drawBelow(MAX_DUPLICATE_DELAY_MILLIS));
+        Thread.sleep(nextInt(MAX_DUPLICATE_DELAY_MILLIS));
         // a later duplicate could arrive while the node awaits the next response, and no node could tell the two apart
         if (System.nanoTime() - startedNanos < MAX_DUPLICATE_AGE_NANOS) {
             HttpText.write(socket, response);
--- a/src/main/java/laurelkeel/soak/HealthyEndpointServer.java
+++ b/src/main/java/laurelkeel/soak/HealthyEndpointServer.java
@@ -62,7 +62,7 @@
         return connections.get();
     }
 
-    private synchronized int drawServiceMillis() {
+    private synchronized int nextServiceMillis() {
         return MIN_SERVICE_MILLIS + random.nextInt(SERVICE_SPREAD_MILLIS);
     }
 
@@ -73,7 +73,7 @@
         while (readRequest(in)) {
             permits.acquire();
             try {
-                Thread.sleep(drawServiceMillis());
+                Thread.sleep(nextServiceMillis());
             } finally {
                 permits.release();
             }
--- a/src/main/java/laurelkeel/soak/NodeInstance.java
+++ b/src/main/java/laurelkeel/soak/NodeInstance.java
@@ -39,12 +39,12 @@
         return process;
     }
 
-    /** Marks the node as ready, so that clients may open connections. */
+    /** Allows clients to open connections, once the wait for readiness after the start is over. */
     void admit() {
         admitting = true;
     }
 
-    /** Whether the node has been ready, so that clients may have opened connections. */
+    /** Whether clients have been allowed to open connections, and may have done so. */
     boolean wasAdmitting() {
         return admitting;
     }
--- a/src/main/java/laurelkeel/soak/ProcessWatch.java
+++ b/src/main/java/laurelkeel/soak/ProcessWatch.java
@@ -21,13 +21,13 @@
             for (NodeInstance instance : nodes.instances()) {
                 monitor.lateness().record(instance.starvedSeconds());
                 if (!instance.isEndRequested()) {
-                    judge(instance);
+                    check(instance);
                 }
             }
         }
     }
 
-    private void judge(NodeInstance instance) {
+    private void check(NodeInstance instance) {
         NodeProcess process = instance.process();
         ViolationLog violations = monitor.violations();
         if (!process.isAlive() && !instance.isEndRequested()) {
--- a/src/main/java/laurelkeel/soak/ResponseJudge.java
+++ b/src/main/java/laurelkeel/soak/ResponseChecker.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Checks the outcomes of the clients' requests against the rules of docs/soak.md; thread-safe. */
-final class ResponseJudge {
+final class ResponseChecker {
     /** How long after the client's timeout a response may still arrive; it no longer counts as on time. */
     static final double LATE_RESPONSE_SECONDS = 0.5;
     /** The additional delay that a busy host may cause. */
@@ -24,7 +24,7 @@
     private final boolean connectionsBreak;
 
     /** @param connectionsBreak whether failing reads of the nodes break connections that have requests in flight */
-    ResponseJudge(RunMonitor monitor, RunState state, boolean connectionsBreak) {
+    ResponseChecker(RunMonitor monitor, RunState state, boolean connectionsBreak) {
         this.monitor = monitor;
         this.state = state;
         this.connectionsBreak = connectionsBreak;
--- a/src/main/java/laurelkeel/soak/ResponseMode.java
+++ b/src/main/java/laurelkeel/soak/ResponseMode.java
@@ -18,7 +18,7 @@
     CHUNKS_RESET,
     /** Bytes that are not HTTP. */
     NOT_HTTP,
-    /** No response; the connection stays open for some seconds. */
+    /** No response; the connection stays open for 4 s. */
     SILENCE,
     /** A complete response, sent twice. */
     DUPLICATE,
--- a/src/main/java/laurelkeel/soak/SoakClient.java
+++ b/src/main/java/laurelkeel/soak/SoakClient.java
@@ -4,7 +4,7 @@
 import java.net.SocketTimeoutException;
 import java.util.Objects;
 import java.util.Random;
-import laurelkeel.soak.ResponseJudge.PendingRequest;
+import laurelkeel.soak.ResponseChecker.PendingRequest;
 import org.jspecify.annotations.Nullable;
 
 /**
@@ -26,7 +26,7 @@
     private final RunMonitor monitor;
     private final RunState state;
     private final AttemptAuditor auditor;
-    private final ResponseJudge judge;
+    private final ResponseChecker responseChecker;
     private @Nullable SoakConnection connection;
     private int nextNumber;
 
@@ -37,14 +37,14 @@
             RunMonitor monitor,
             RunState state,
             AttemptAuditor auditor,
-            ResponseJudge judge) {
+            ResponseChecker responseChecker) {
         this.name = name;
         this.random = new Random(seed);
         this.nodes = nodes;
         this.monitor = monitor;
         this.state = state;
         this.auditor = auditor;
-        this.judge = judge;
+        this.responseChecker = responseChecker;
     }
 
     @Override
@@ -94,7 +94,7 @@
         return name + "-" + nextNumber++;
     }
 
-    /** Sends a request, reports its outcome to the judge, and returns whether the connection stays open. */
+    /** Sends a request, has its outcome checked, and returns whether the connection stays open. */
     private boolean sendRequest(SoakConnection current, ClientBehavior behavior) throws InterruptedException {
         String id = nextId();
         double timeoutSeconds = behavior == ClientBehavior.SETS_SHORT_TIMEOUT
@@ -116,11 +116,11 @@
             }
             return awaitResponse(pending, timeoutSeconds) && behavior != ClientBehavior.HALF_CLOSES;
         } catch (SocketTimeoutException e) {
-            judge.timedOut(pending);
+            responseChecker.timedOut(pending);
         } catch (ConnectionEndedException e) {
-            judge.connectionEnded(pending, Objects.requireNonNull(e.getMessage()));
+            responseChecker.connectionEnded(pending, Objects.requireNonNull(e.getMessage()));
         } catch (IOException e) {
-            judge.connectionReset(pending, String.valueOf(e.getMessage()));
+            responseChecker.connectionReset(pending, String.valueOf(e.getMessage()));
         }
         return false;
     }
@@ -129,11 +129,11 @@
     private boolean awaitResponse(PendingRequest pending, double timeoutSeconds) throws IOException {
         NodeResponse response = pending.connection()
                 .readResponse(
-                        timeoutSeconds + ResponseJudge.LATE_RESPONSE_SECONDS + ResponseJudge.HOST_LATENESS_SECONDS);
+                        timeoutSeconds + ResponseChecker.LATE_RESPONSE_SECONDS + ResponseChecker.HOST_LATENESS_SECONDS);
         if (response == null) {
             throw new ConnectionEndedException("end of stream before a response");
         }
-        judge.responseReceived(pending, response);
+        responseChecker.responseReceived(pending, response);
         return !response.closesConnection();
     }
 
@@ -144,11 +144,11 @@
         double sentAtSeconds = monitor.clock().seconds();
         try {
             current.sendPartialRequest(request.substring(0, 1 + random.nextInt(request.length() - 1)));
-            NodeResponse response =
-                    current.readResponse(ResponseJudge.PARTIAL_REQUEST_SECONDS + ResponseJudge.HOST_LATENESS_SECONDS);
+            NodeResponse response = current.readResponse(
+                    ResponseChecker.PARTIAL_REQUEST_SECONDS + ResponseChecker.HOST_LATENESS_SECONDS);
             monitor.violations().count("stopped half way: " + (response == null ? "closed" : response.status()));
         } catch (SocketTimeoutException e) {
-            judge.partialRequestTimedOut(current.node(), sentAtSeconds);
+            responseChecker.partialRequestTimedOut(current.node(), sentAtSeconds);
         } catch (IOException e) {
             monitor.violations().count("stopped half way: reset");
         }
--- a/src/main/java/laurelkeel/soak/SoakEvent.java
+++ b/src/main/java/laurelkeel/soak/SoakEvent.java
@@ -14,9 +14,9 @@
     NEW_CONFIGURATION_AND_RESTART,
     /** As {@link #NEW_CONFIGURATIONS}, while the node drains after SIGTERM; then a restart. */
     NEW_CONFIGURATION_WHILE_DRAINING,
-    /** A node's discovery server sends nothing for some seconds. */
+    /** A node's discovery server sends nothing for up to 3 s. */
     DISCOVERY_SILENT,
-    /** No server listens at a node's discovery address for some seconds. */
+    /** No server listens at a node's discovery address for 2.5 to 7.5 s. */
     DISCOVERY_DOWN,
     /** Discovery sends all nodes an endpoint list that cannot be parsed. */
     DISCOVERY_SPOILT,
--- a/src/main/java/laurelkeel/soak/SoakRun.java
+++ b/src/main/java/laurelkeel/soak/SoakRun.java
@@ -83,10 +83,11 @@
     }
 
     private List<Thread> startClients() {
-        ResponseJudge judge = new ResponseJudge(monitor, state, plan.breaksConnections());
+        ResponseChecker responseChecker = new ResponseChecker(monitor, state, plan.breaksConnections());
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            SoakClient client = new SoakClient("c" + i, random.nextLong(), nodes, monitor, state, auditor, judge);
+            SoakClient client =
+                    new SoakClient("c" + i, random.nextLong(), nodes, monitor, state, auditor, responseChecker);
             clients.add(DaemonThreads.start("client", client));
         }
         return clients;
--- a/src/main/java/laurelkeel/soak/SystemFaults.java
+++ b/src/main/java/laurelkeel/soak/SystemFaults.java
@@ -57,12 +57,12 @@
     /** Generates two steps of the wall clock, one for each half of a run. */
     static String generateClockSteps(Random random, int seconds) {
         int halfMillis = seconds * HALF_SECOND_MILLIS;
-        String first = (MIN_STEP_MILLIS + random.nextInt(halfMillis)) + ":" + drawOffset(random);
-        String second = (halfMillis + random.nextInt(halfMillis)) + ":" + drawOffset(random);
+        String first = (MIN_STEP_MILLIS + random.nextInt(halfMillis)) + ":" + nextOffsetMillis(random);
+        String second = (halfMillis + random.nextInt(halfMillis)) + ":" + nextOffsetMillis(random);
         return first + "," + second;
     }
 
-    private static long drawOffset(Random random) {
+    private static long nextOffsetMillis(Random random) {
         return CLOCK_OFFSETS_MILLIS.get(random.nextInt(CLOCK_OFFSETS_MILLIS.size()));
     }
 
