--- a/src/main/java/laurelkeel/cli/SoakCommand.java
+++ b/src/main/java/laurelkeel/cli/SoakCommand.java
@@ -90,7 +90,7 @@
             System.out.println("no working C compiler: running without failing system calls and clock steps");
         }
         List<SoakPlan> plans = range.seeds()
-                .mapToObj(seed -> SoakPlan.draw(seed, quietSeconds, seconds).without(omittedParts))
+                .mapToObj(seed -> SoakPlan.generate(seed, quietSeconds, seconds).without(omittedParts))
                 .toList();
         int broken = new SoakSeries(image, faults, out.toAbsolutePath(), shrink, System.out).execute(plans, parallel);
         return broken == 0 ? 0 : Cli.RULE_BROKEN;
