--- a/src/test/java/laurelkeel/config/IniFileTest.java
+++ b/src/test/java/laurelkeel/config/IniFileTest.java
@@ -60,7 +60,7 @@
             {"effect = retriable", "effect = safe", "write one of retriable, deduped, non-retriable"},
             {"effect = retriable", "effect = deduped", "'repeat-window' is missing"},
             {"path = /look", "path = look", "f.ini:6: 'path' is 'look'; write a prefix that begins with /"},
-            {"number = 0", "number = 2", "f.ini:2: 'number' is 2 of 2 fronts"},
+            {"number = 0", "number = 2", "f.ini:2: 'number' is 2, but fronts is 2; numbers begin at 0"},
             {"number = 0", "number = 0\nnumber = 1", "f.ini:3: 'number' is already set on line 2; keep only one"},
             {"listen = 127.0.0.1:0", "listen = 8080", "write host:port"},
             {"[rollout]", "[rolout]", "section [rolout] is unknown; did you mean 'rollout'?"},
