--- a/src/main/java/laurelkeel/audit/DrainRule.java
+++ b/src/main/java/laurelkeel/audit/DrainRule.java
@@ -11,7 +11,7 @@
 import laurelkeel.records.TrafficRecord.EndpointListReceived;
 import org.jspecify.annotations.Nullable;
 
-/** Rule 3: an endpoint gets no attempt once its node has known for the grace period that it drains or is removed. */
+/** Rule 3: a node that has known for the grace period that an endpoint drains or is removed sends it no attempts. */
 final class DrainRule extends RuleChecker {
 
     DrainRule() {
@@ -51,16 +51,16 @@
                     attempt.timeTicks(),
                     attempt.requestId(),
                     "front " + node.nodeIndex + " sent to " + attempt.endpointId() + " " + formatMillis(delayTicks)
-                            + " after it was told that it drains or is gone");
+                            + " after it learned that the endpoint drains or is removed");
         }
     }
 
-    /** What a node knows of endpoints after the lists it has received. */
+    /** The state of endpoints as a node knows it from the endpoint lists that it has received. */
     private static final class KnownEndpoints {
         private final Map<String, Long> unavailableSinceTicks = new HashMap<>();
         private final Set<String> everListed = new HashSet<>();
 
-        /** Since when the node has known that an endpoint drains or is removed; null where it knows no such thing. */
+        /** Returns since when the node has known that an endpoint drains or is removed; null if it does not know so. */
         @Nullable
         Long unavailableSinceTicks(String endpointId) {
             return unavailableSinceTicks.get(endpointId);
--- a/src/main/java/laurelkeel/audit/SingleAnswerRule.java
+++ b/src/main/java/laurelkeel/audit/SingleAnswerRule.java
@@ -10,9 +10,9 @@
 
 /** Rule 1: each request gets one final response before its deadline, and no attempt is sent after it. */
 final class SingleAnswerRule extends RuleChecker {
-    /** What a response that was sent in time may take to be read. */
+    /** How long the client may take to read a response that was sent before the deadline. */
     private static final long READ_TOLERANCE_TICKS = 200;
-    /** How long a node may take to notice that a client closed, and to act on it. */
+    /** How long a node may take to notice that a client has closed its connection, and to react. */
     private static final long CLOSE_TOLERANCE_TICKS = 2_000;
 
     private long unansweredCount;
@@ -21,7 +21,7 @@
         super(1, "one final answer");
     }
 
-    /** How many requests were owed a response and got none. */
+    /** Returns the number of requests that required a response and received none. */
     long unansweredCount() {
         return unansweredCount;
     }
@@ -45,7 +45,8 @@
             addViolation(
                     bytes.timeTicks(),
                     request.sent.requestId(),
-                    "after its answer front " + request.sent.nodeIndex() + " wrote " + bytes.description());
+                    "after the response front " + request.sent.nodeIndex() + " sent unexpected bytes: "
+                            + bytes.description());
         }
     }
 
@@ -55,7 +56,7 @@
             addViolation(
                     second.timeTicks(),
                     sent.requestId(),
-                    "a second answer, " + second.outcome().storedName() + ", "
+                    "second response, " + second.outcome().storedName() + ", "
                             + formatMillis(second.timeTicks() - first.timeTicks()) + " after the first, "
                             + first.outcome().storedName());
         }
@@ -66,9 +67,7 @@
                 sent.requestId() + " answered " + formatMillis(-lateTicks) + " before its client leaves");
         if (lateTicks > READ_TOLERANCE_TICKS) {
             addViolation(
-                    first.timeTicks(),
-                    sent.requestId(),
-                    "answered " + formatMillis(lateTicks) + " after its client's time was up");
+                    first.timeTicks(), sent.requestId(), "answered " + formatMillis(lateTicks) + " after its deadline");
         }
     }
 
@@ -87,14 +86,14 @@
                 addViolation(
                         broken.timeTicks(),
                         sent.requestId(),
-                        "front " + sent.nodeIndex() + " closed the connection without an answer");
+                        "front " + sent.nodeIndex() + " closed the connection without a response");
             }
         } else {
             unansweredCount++;
             addViolation(
                     sent.deadlineTicks(),
                     sent.requestId(),
-                    "no answer in its " + formatMillis(sent.deadlineTicks() - sent.timeTicks()));
+                    "no response within its timeout of " + formatMillis(sent.deadlineTicks() - sent.timeTicks()));
         }
     }
 
@@ -111,8 +110,8 @@
                 addViolation(
                         attempt.timeTicks(),
                         request.sent.requestId(),
-                        "try " + attempt.attemptNumber() + " reached " + attempt.endpointId() + " "
-                                + formatMillis(attempt.timeTicks() - endTicks) + " after the req was over");
+                        "attempt " + attempt.attemptNumber() + " reached " + attempt.endpointId() + " "
+                                + formatMillis(attempt.timeTicks() - endTicks) + " after the request had ended");
             }
         }
     }
--- a/src/main/java/laurelkeel/audit/SingleEffectRule.java
+++ b/src/main/java/laurelkeel/audit/SingleEffectRule.java
@@ -9,7 +9,7 @@
 import laurelkeel.records.TrafficRecord.RoutePolicy;
 import laurelkeel.records.TrafficRecord.ServerStarted;
 
-/** Rule 2: an attempt that may have run is retried, or called safe to retry, only as its route allows. */
+/** Rule 2: an attempt that may have run is retried, or reported as safe to retry, only if its route allows that. */
 final class SingleEffectRule extends RuleChecker {
 
     SingleEffectRule() {
@@ -30,14 +30,14 @@
         List<AttemptArrived> attempts = request.attempts;
         for (int i = 1; i < attempts.size(); i++) {
             AttemptArrived retry = attempts.get(i);
-            AttemptArrived first = request.firstThatMayHaveRun(attempts.subList(0, i), retry.timeTicks());
+            AttemptArrived first = request.firstAttemptThatMayHaveRun(attempts.subList(0, i), retry.timeTicks());
             if (first == null) {
                 countChecked();
             } else if (request.routePolicy.idempotency() == Idempotency.NOT_IDEMPOTENT) {
                 addViolation(
                         retry.timeTicks(),
                         request.sent.requestId(),
-                        "a non-retriable req sent again, to " + retry.endpointId() + ", though try "
+                        "request that is not idempotent retried at " + retry.endpointId() + " although attempt "
                                 + first.attemptNumber() + " at " + first.endpointId() + " may have run");
             } else {
                 checkDeduplicatedRetry(traffic, request, first, retry);
@@ -62,7 +62,8 @@
             addViolation(
                     retry.timeTicks(),
                     requestId,
-                    "a deduped req sent again " + formatMillis(delayTicks) + " after its first try, past "
+                    "deduplicated request retried " + formatMillis(delayTicks)
+                            + " after its first attempt, past its deduplication window of "
                             + formatMillis(windowTicks));
         }
         ServerStarted firstServer = traffic.server(first).started;
@@ -71,8 +72,8 @@
             addViolation(
                     retry.timeTicks(),
                     requestId,
-                    "a deduped req sent to " + retry.endpointId() + ", outside the group of " + first.endpointId()
-                            + ", which may have run it");
+                    "deduplicated request sent to " + retry.endpointId() + ", outside the deduplication scope of "
+                            + first.endpointId() + ", which may have run it");
         }
     }
 
@@ -84,19 +85,19 @@
         };
     }
 
-    /** A rejection tells the client that a retry is safe. */
+    /** Checks a rejection, which tells the client that a retry is safe. */
     private void checkRejection(RequestTrace request) {
         ResponseReceived response = request.firstResponse();
         if (response == null || response.outcome() != Outcome.REJECTED) {
             return;
         }
         countChecked();
-        AttemptArrived executed = request.firstThatMayHaveRun(request.attempts, response.timeTicks());
+        AttemptArrived executed = request.firstAttemptThatMayHaveRun(request.attempts, response.timeTicks());
         if (executed != null && !isAnyRetryDeduplicated(request.routePolicy)) {
             addViolation(
                     response.timeTicks(),
                     request.sent.requestId(),
-                    "shed, which calls asking again harmless, though try " + executed.attemptNumber() + " at "
+                    "rejected, which states that a retry is safe, although attempt " + executed.attemptNumber() + " at "
                             + executed.endpointId() + " may have run");
         }
     }
--- a/src/main/java/laurelkeel/decision/ExposureLimiter.java
+++ b/src/main/java/laurelkeel/decision/ExposureLimiter.java
@@ -67,8 +67,8 @@
     /** Discards timestamps that are outside the window. */
     void removeExpired(long nowTicks) {
         long beforeTicks = nowTicks - settings.exposureWindowTicks() - RETENTION_TICKS;
-        received.forEach(window -> window.forgetBefore(beforeTicks));
-        attemptsByBuild.values().forEach(windows -> windows.forEach(window -> window.forgetBefore(beforeTicks)));
+        received.forEach(window -> window.removeBefore(beforeTicks));
+        attemptsByBuild.values().forEach(windows -> windows.forEach(window -> window.removeBefore(beforeTicks)));
         attemptsByBuild.values().removeIf(windows -> windows.stream().allMatch(SlidingWindow::isEmpty));
     }
 
--- a/src/main/java/laurelkeel/front/NodeGauges.java
+++ b/src/main/java/laurelkeel/front/NodeGauges.java
@@ -1,13 +1,12 @@
 package laurelkeel.front;
 
-import java.util.Locale;
 import laurelkeel.admin.ProcessMetrics;
 import laurelkeel.eventloop.EventLoop;
 import laurelkeel.front.ingress.CloseReason;
 import laurelkeel.logging.RateLimitedAsyncAppender;
 import laurelkeel.partition.PartitionedDecider;
 
-/** Registers the gauges of a standalone front node, whose values are read when the metrics are. */
+/** Registers the gauges of a standalone front node; their values are read at each scrape. */
 final class NodeGauges {
     private NodeGauges() {}
 
@@ -23,8 +22,8 @@
         metrics.gauge("laurelkeel_loop_backlog", loop::queuedTasks);
         metrics.gauge("laurelkeel_loop_failures", loop::failedTasks);
         metrics.gauge("laurelkeel_records_lost", recorder::lostRecords);
-        metrics.gauge("laurelkeel_report_cells_left_out", reporter::leftOut);
-        metrics.gauge("laurelkeel_log_lines_left_out", RateLimitedAsyncAppender::leftOut);
+        metrics.gauge("laurelkeel_report_cells_left_out", reporter::uncounted);
+        metrics.gauge("laurelkeel_log_lines_left_out", RateLimitedAsyncAppender::suppressedLines);
         registerProcess(metrics);
     }
 
@@ -36,10 +35,8 @@
         metrics.gauge("laurelkeel_body_bytes_held", status::bodyBytes);
         for (CloseReason reason : CloseReason.values()) {
             metrics.gauge(
-                    "laurelkeel_client_connections_closed",
-                    "reason",
-                    reason.name().toLowerCase(Locale.ROOT),
-                    () -> status.closedConnections().getOrDefault(reason, 0L));
+                    "laurelkeel_client_connections_closed", "reason", reason.label(), () -> status.closedConnections()
+                            .getOrDefault(reason, 0L));
         }
     }
 
--- a/src/test/java/laurelkeel/decision/SlidingWindowTest.java
+++ b/src/test/java/laurelkeel/decision/SlidingWindowTest.java
@@ -10,7 +10,7 @@
     private final SlidingWindow window = new SlidingWindow();
 
     @Test
-    void itCountsFromAMomentInclusive() {
+    void theStartOfTheWindowIsInclusive() {
         window.record(10);
         window.record(20);
         window.record(20);
@@ -21,12 +21,12 @@
     }
 
     @Test
-    void itIsEmptyOnceAllIsForgotten() {
+    void theWindowIsEmptyOnceAllEventsAreRemoved() {
         assertTrue(window.isEmpty());
         window.record(10);
-        window.forgetBefore(10);
+        window.removeBefore(10);
         assertFalse(window.isEmpty());
-        window.forgetBefore(11);
+        window.removeBefore(11);
         assertTrue(window.isEmpty());
     }
 }
--- a/src/test/java/laurelkeel/front/FrontFailureTest.java
+++ b/src/test/java/laurelkeel/front/FrontFailureTest.java
@@ -20,17 +20,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Nodes that break the rules prove the audit: it names the rule, the request and the moment, and no other rule. */
+/**
+ * The audit detects nodes that break a rule: it reports the rule, the request and the time, and violations of no other
+ * rule.
+ */
 class FrontFailureTest {
     @TempDir
     Path directory;
 
     private FrontTestRig startRig(String extra, Supplier<Decider> decider) throws Exception {
-        return new FrontTestRig(directory, extra, 1, 4, (set, seed) -> decider.get(), false);
+        return new FrontTestRig(directory, extra, 1, 4, (settings, seed) -> decider.get(), false);
     }
 
-    private static void awaitAnswers(FrontTestRig rig, int n) {
-        FrontTestRig.await(n + " answers", () -> rig.count(TrafficRecord.ResponseReceived.class, a -> true) >= n);
+    private static void awaitAnswers(FrontTestRig rig, int count) {
+        FrontTestRig.await(
+                count + " answers", () -> rig.count(TrafficRecord.ResponseReceived.class, a -> true) >= count);
     }
 
     private static List<RuleViolation> assertOnlyRuleViolated(FrontTestRig rig, int ruleNumber, String text)
@@ -39,7 +43,7 @@
         List<RuleViolation> violations = report.violations().stream()
                 .filter(violation -> violation.ruleNumber() == ruleNumber)
                 .toList();
-        assertFalse(violations.isEmpty(), "rule " + ruleNumber + " was broken unseen");
+        assertFalse(violations.isEmpty(), "rule " + ruleNumber + " was broken, but no violation was reported");
         assertTrue(
                 violations.stream()
                         .anyMatch(violation -> violation.description().contains(text)),
@@ -61,7 +65,7 @@
         assertTrue(
                 violations.stream()
                         .allMatch(violation -> requestIds.contains(violation.requestId()) && violation.timeTicks() > 0),
-                "no req or moment named");
+                "a violation without request or time");
         return violations;
     }
 
@@ -80,33 +84,33 @@
     void twoAnswersToOneRequestAreAViolation() throws Exception {
         try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
-            void onRequest(Event.RequestReceived r) {
-                super.onRequest(r);
+            void onRequest(Event.RequestReceived request) {
+                super.onRequest(request);
                 if (sentAttempts % 20 == 0) {
-                    actions.add(new Action.FailRequest(r.requestId()));
-                    actions.add(new Action.FailRequest(r.requestId()));
+                    actions.add(new Action.FailRequest(request.requestId()));
+                    actions.add(new Action.FailRequest(request.requestId()));
                 }
             }
         })) {
             rig.startLoad();
             awaitAnswers(rig, 300);
-            assertOnlyRuleViolated(rig, 1, "after its answer");
+            assertOnlyRuleViolated(rig, 1, "after the response");
         }
     }
 
     @Test
-    void noAnswerAtAllIsAViolation() throws Exception {
+    void aMissingAnswerIsAViolation() throws Exception {
         try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
-            void onRequest(Event.RequestReceived r) {
+            void onRequest(Event.RequestReceived request) {
                 if (++seenRequests % 50 != 0) {
-                    send(r);
+                    send(request);
                 }
             }
         })) {
             rig.startLoad();
             awaitAnswers(rig, 300);
-            assertOnlyRuleViolated(rig, 1, "no answer in its");
+            assertOnlyRuleViolated(rig, 1, "no response within its timeout of");
         }
     }
 
@@ -114,17 +118,17 @@
     void aNonIdempotentRequestSentTwiceIsAViolation() throws Exception {
         try (FrontTestRig rig = startRig("[build 1]\nfailing-pay = 0.3\n", () -> new RuleBreakingDecider() {
             @Override
-            void onAttemptFailed(Event.RequestReceived r, Event.AttemptEnded t) {
-                if (r.route() == 1 && t.attempt() == 0) {
-                    send(r);
+            void onAttemptFailed(Event.RequestReceived request, Event.AttemptEnded attempt) {
+                if (request.route() == 1 && attempt.attempt() == 0) {
+                    send(request);
                 } else {
-                    super.onAttemptFailed(r, t);
+                    super.onAttemptFailed(request, attempt);
                 }
             }
         })) {
             rig.startLoad();
             awaitAnswers(rig, 300);
-            assertOnlyRuleViolated(rig, 2, "a non-retriable req sent again");
+            assertOnlyRuleViolated(rig, 2, "request that is not idempotent retried");
         }
     }
 
@@ -132,14 +136,14 @@
     void aRejectionOfARequestThatMayHaveRunIsAViolation() throws Exception {
         try (FrontTestRig rig = startRig("[build 1]\nfailing-pay = 0.3\n", () -> new RuleBreakingDecider() {
             @Override
-            void onAttemptFailed(Event.RequestReceived r, Event.AttemptEnded t) {
-                activeRequests.remove(r.requestId());
-                actions.add(new Action.RejectRequest(r.requestId(), 0));
+            void onAttemptFailed(Event.RequestReceived request, Event.AttemptEnded attempt) {
+                activeRequests.remove(request.requestId());
+                actions.add(new Action.RejectRequest(request.requestId(), 0));
             }
         })) {
             rig.startLoad();
             awaitAnswers(rig, 300);
-            assertOnlyRuleViolated(rig, 2, "calls asking again harmless");
+            assertOnlyRuleViolated(rig, 2, "which states that a retry is safe");
         }
     }
 
@@ -147,54 +151,54 @@
     void attemptsAtADrainingEndpointAreAViolation() throws Exception {
         try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
-            boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
-                return m.state() != Event.EndpointState.REMOVED && m.build() == 1;
+            boolean mayUse(EndpointEntry endpoint, Event.RequestReceived request) {
+                return endpoint.state() != Event.EndpointState.REMOVED && endpoint.build() == 1;
             }
         })) {
             rig.startLoad();
             awaitAnswers(rig, 100);
             rig.applyFault("what = drain\n");
             FrontTestRig.await(
-                    "it is gone",
+                    "the endpoint has stopped",
                     () -> rig.count(
                                     TrafficRecord.ServerStopped.class,
-                                    m -> m.reason() == RecordTerms.StopReason.DRAINED)
+                                    stopped -> stopped.reason() == RecordTerms.StopReason.DRAINED)
                             > 0);
-            assertOnlyRuleViolated(rig, 3, "after it was told that it drains");
+            assertOnlyRuleViolated(rig, 3, "after it learned that the endpoint drains");
         }
     }
 
     @Test
-    void overloadingAnEndpointThatWarmsUpIsAViolation() throws Exception {
+    void overloadingAnEndpointThatIsWarmingUpIsAViolation() throws Exception {
         try (FrontTestRig rig = startRig("[fleet]\ncores = 1\n", () -> new RuleBreakingDecider() {
             @Override
-            boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
-                boolean cold = endpoints.values().stream()
+            boolean mayUse(EndpointEntry endpoint, Event.RequestReceived request) {
+                boolean isAnyWarmingUp = endpoints.values().stream()
                         .anyMatch(o -> o.startedAtTicks() > 0 && o.state() == Event.EndpointState.ACTIVE);
-                return super.mayUse(m, r) && (!cold || m.startedAtTicks() > 0);
+                return super.mayUse(endpoint, request) && (!isAnyWarmingUp || endpoint.startedAtTicks() > 0);
             }
         })) {
             rig.startLoad();
             awaitAnswers(rig, 100);
             rig.applyFault("what = crash\nback-after = 100 ms\n");
             FrontTestRig.await(
-                    "it tips",
+                    "the endpoint stops of overload",
                     () -> rig.count(
                                     TrafficRecord.ServerStopped.class,
-                                    m -> m.reason() == RecordTerms.StopReason.OVERLOADED)
+                                    stopped -> stopped.reason() == RecordTerms.StopReason.OVERLOADED)
                             > 0);
-            assertOnlyRuleViolated(rig, 4, "was pushed over");
+            assertOnlyRuleViolated(rig, 4, "was overloaded");
         }
     }
 
-    private static RuleBreakingDecider canaryForOneIn(int trialOneIn) {
+    private static RuleBreakingDecider sendOneInToCanary(int interval) {
         return new RuleBreakingDecider() {
             @Override
-            boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
-                boolean trial = r.route() == 0
-                        && sentAttempts % trialOneIn == 0
+            boolean mayUse(EndpointEntry endpoint, Event.RequestReceived request) {
+                boolean toCanary = request.route() == 0
+                        && sentAttempts % interval == 0
                         && endpoints.values().stream().anyMatch(o -> o.build() == 2);
-                return m.state() == Event.EndpointState.ACTIVE && m.build() == (trial ? 2 : 1);
+                return endpoint.state() == Event.EndpointState.ACTIVE && endpoint.build() == (toCanary ? 2 : 1);
             }
         };
     }
@@ -204,39 +208,39 @@
         awaitAnswers(rig, 50);
         rig.applyFault("what = offer\nbuild = 2\n");
         FrontTestRig.await(
-                "the trial gets traffic",
+                "the canary gets traffic",
                 () -> rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 2) > 120);
     }
 
     @Test
     void exposureOverTheCapIsAViolation() throws Exception {
-        // all keys, always to the same build, and idempotent requests only in the guarded stage
+        // each key always goes to the same build, and only idempotent requests to the canary in its guarded stage
         try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
-            boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
-                boolean trial =
-                        r.partitionKey() != null && endpoints.values().stream().anyMatch(o -> o.build() == 2);
-                return m.state() == Event.EndpointState.ACTIVE
-                        && (trial ? m.build() == 2 && r.route() == 0 : m.build() == 1);
+            boolean mayUse(EndpointEntry endpoint, Event.RequestReceived request) {
+                boolean toCanary = request.partitionKey() != null
+                        && endpoints.values().stream().anyMatch(o -> o.build() == 2);
+                return endpoint.state() == Event.EndpointState.ACTIVE
+                        && (toCanary ? endpoint.build() == 2 && request.route() == 0 : endpoint.build() == 1);
             }
         })) {
             awaitCanaryTraffic(rig);
-            assertOnlyRuleViolated(rig, 5, "tries at build 2");
+            assertOnlyRuleViolated(rig, 5, "attempts at build 2");
         }
     }
 
     @Test
-    void exposureOfTheSecondCanaryAloneOverItsCapIsAViolation() throws Exception {
-        // of two canaries the first has a sixteenth of a route's keys, the second most of them; the cap is a fifth
+    void exposureOfOnlyTheSecondCanaryOverItsCapIsAViolation() throws Exception {
+        // the first canary gets a sixteenth of a route's keys and the second most of them; the cap is a fifth
         try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
-            boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
-                int slice = r.partitionKey() == null || r.route() != 0
+            boolean mayUse(EndpointEntry endpoint, Event.RequestReceived request) {
+                int keyGroup = request.partitionKey() == null || request.route() != 0
                         ? 0
-                        : Math.floorMod(r.partitionKey().hashCode(), 16);
-                int wanted = slice == 1 ? 2 : slice > 1 ? 3 : 1;
-                boolean there = endpoints.values().stream().anyMatch(o -> o.build() == wanted);
-                return m.state() == Event.EndpointState.ACTIVE && m.build() == (there ? wanted : 1);
+                        : Math.floorMod(request.partitionKey().hashCode(), 16);
+                int build = keyGroup == 1 ? 2 : keyGroup > 1 ? 3 : 1;
+                boolean exists = endpoints.values().stream().anyMatch(o -> o.build() == build);
+                return endpoint.state() == Event.EndpointState.ACTIVE && endpoint.build() == (exists ? build : 1);
             }
         })) {
             rig.startLoad();
@@ -244,38 +248,39 @@
             rig.applyFault("what = offer\nbuild = 2\n");
             rig.applyFault("what = offer\nbuild = 3\n");
             FrontTestRig.await(
-                    "both have traffic",
+                    "both canaries get traffic",
                     () -> rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 2) > 5
                             && rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 3) > 120);
-            assertTrue(assertOnlyRuleViolated(rig, 5, "tries at build 3").stream()
-                    .noneMatch(b -> b.description().contains("tries at build 2")));
+            assertTrue(assertOnlyRuleViolated(rig, 5, "attempts at build 3").stream()
+                    .noneMatch(violation -> violation.description().contains("attempts at build 2")));
         }
     }
 
     @Test
-    void aStickyKeyAtAnEarlierBuildIsAViolation() throws Exception {
-        try (FrontTestRig rig = startRig("", () -> canaryForOneIn(8))) {
+    void aStickyKeySentBackToAnEarlierBuildIsAViolation() throws Exception {
+        try (FrontTestRig rig = startRig("", () -> sendOneInToCanary(8))) {
             awaitCanaryTraffic(rig);
-            assertOnlyRuleViolated(rig, 5, "was not sent back");
+            assertOnlyRuleViolated(rig, 5, "was not rolled back");
         }
     }
 
     @Test
-    void anEffectInAGuardedStageIsAViolation() throws Exception {
+    void aRequestThatIsNotIdempotentInAGuardedStageIsAViolation() throws Exception {
         try (FrontTestRig rig = startRig("", () -> new RuleBreakingDecider() {
             @Override
-            boolean mayUse(EndpointEntry m, Event.RequestReceived r) {
-                boolean trial = r.partitionKey() == null
+            boolean mayUse(EndpointEntry endpoint, Event.RequestReceived request) {
+                boolean toCanary = request.partitionKey() == null
                         && sentAttempts % 12 == 0
                         && endpoints.values().stream().anyMatch(o -> o.build() == 2);
-                return m.state() == Event.EndpointState.ACTIVE && m.build() == (trial ? 2 : 1);
+                return endpoint.state() == Event.EndpointState.ACTIVE && endpoint.build() == (toCanary ? 2 : 1);
             }
         })) {
             rig.startLoad();
             awaitAnswers(rig, 50);
             rig.applyFault("what = offer\nbuild = 2\n");
             FrontTestRig.await(
-                    "a guarded one", () -> rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 2) > 8);
+                    "requests reach the canary in the guarded stage",
+                    () -> rig.count(TrafficRecord.AttemptArrived.class, a -> a.build() == 2) > 8);
             assertOnlyRuleViolated(rig, 5, "in guarded stage");
         }
     }
--- a/src/test/java/laurelkeel/logging/RateLimitedAsyncAppenderTest.java
+++ b/src/test/java/laurelkeel/logging/RateLimitedAsyncAppenderTest.java
@@ -16,7 +16,7 @@
 
 class RateLimitedAsyncAppenderTest {
     private final List<String> written = new CopyOnWriteArrayList<>();
-    private final CountDownLatch released = new CountDownLatch(1);
+    private final CountDownLatch unblocked = new CountDownLatch(1);
     private final LoggerContext context = new LoggerContext();
     private final Logger log = context.getLogger("front");
 
@@ -26,7 +26,7 @@
             protected void append(ILoggingEvent event) {
                 try {
                     if (blocked) {
-                        released.await();
+                        unblocked.await();
                     }
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
@@ -44,43 +44,45 @@
         log.addAppender(appender);
     }
 
-    private void await(String what) throws InterruptedException {
+    private void await(String regex) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (written.stream().noneMatch(w -> w.matches(what))) {
-            assertTrue(System.nanoTime() < end, what + " not in " + written);
+        while (written.stream().noneMatch(w -> w.matches(regex))) {
+            assertTrue(System.nanoTime() < end, regex + " not in " + written);
             Thread.sleep(5);
         }
     }
 
     @Test
-    void aFewOfSimilarLinesAreWrittenAndTheOthersAreCounted() throws Exception {
+    void aFewSimilarLinesAreWrittenAndTheOthersAreCounted() throws Exception {
         start(false);
-        long before = RateLimitedAsyncAppender.leftOut();
+        long before = RateLimitedAsyncAppender.suppressedLines();
         for (int i = 0; i < 1000; i++) {
-            log.error("req {} had no decision in its time", i);
+            log.error("request {} timed out", i);
             log.info("{}", "build 7 stage 0 TRIAL, pace " + i / 7.0);
         }
         log.warn("something else");
         await("something else");
-        await("\\d+ more lines like 'front: req \\{} had no decision in its time'");
-        await("\\d+ more lines like 'front: build # stage # TRIAL, pace #'");
-        long shown = written.stream().filter(w -> w.endsWith("in its time")).count();
-        assertTrue(shown >= 5 && shown < 100, "shown " + shown);
+        await("\\d+ more lines of kind 'front: request \\{} timed out' were suppressed");
+        await("\\d+ more lines of kind 'front: build # stage # TRIAL, pace #' were suppressed");
+        long writtenLines =
+                written.stream().filter(w -> w.endsWith("timed out")).count();
+        assertTrue(writtenLines >= 5 && writtenLines < 100, "lines written: " + writtenLines);
         long reported = written.stream()
-                .filter(w -> w.contains(" more lines like "))
+                .filter(w -> w.contains(" more lines of kind "))
                 .mapToLong(w -> Long.parseLong(w.substring(0, w.indexOf(' '))))
                 .sum();
-        assertEquals(RateLimitedAsyncAppender.leftOut() - before, reported, "all suppressed lines are reported");
+        assertEquals(
+                RateLimitedAsyncAppender.suppressedLines() - before, reported, "all suppressed lines are reported");
     }
 
     @Test
-    void loggingNeverWaitsForAReaderAndLostLinesAreReported() throws Exception {
+    void loggingDoesNotBlockOnASlowTargetAndDroppedLinesAreReported() throws Exception {
         start(true);
         for (int i = 0; i < 100_000; i++) {
-            // no two of one kind
+            // every line is of a different kind
             log.info("line " + (char) ('a' + i % 26) + (char) ('a' + i / 26 % 26) + i);
         }
-        released.countDown();
-        await("\\d+ lines were left out: .*|\\d+ more lines like 'of further kinds'");
+        unblocked.countDown();
+        await("\\d+ lines were dropped: .*|\\d+ more lines of kind 'other' were suppressed");
     }
 }
--- a/src/test/java/laurelkeel/logging/SimilarLineLimiterTest.java
+++ b/src/test/java/laurelkeel/logging/SimilarLineLimiterTest.java
@@ -24,16 +24,16 @@
     }
 
     @Test
-    void furtherKindsCountAsOne() {
+    void kindsBeyondTheMaximumCountAsOne() {
         for (int i = 0; i < SimilarLineLimiter.MAX_KINDS; i++) {
             assertTrue(limiter.tryAcquire("kind " + i));
         }
         for (int i = 0; i < SimilarLineLimiter.MAX_LINES_PER_KIND; i++) {
-            assertTrue(limiter.tryAcquire("further " + i));
+            assertTrue(limiter.tryAcquire("other " + i));
         }
         assertFalse(limiter.tryAcquire("one more"));
         assertTrue(limiter.tryAcquire("kind 0"), "a known kind has its own count");
         assertEquals(
-                List.of(new SimilarLineLimiter.Suppressed(SimilarLineLimiter.FURTHER_KINDS, 1)), limiter.endPeriod());
+                List.of(new SimilarLineLimiter.Suppressed(SimilarLineLimiter.OTHER_KINDS, 1)), limiter.endPeriod());
     }
 }
--- a/src/test/java/laurelkeel/scenario/ScenarioTest.java
+++ b/src/test/java/laurelkeel/scenario/ScenarioTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Small scenarios with real node processes: the verdict is the same however often they are played. */
+/** Runs small scenarios with real node processes; in every run the audit must find all rules kept. */
 class ScenarioTest {
     @TempDir
     Path folder;
@@ -63,12 +63,12 @@
             leave-early = 0.05
             """;
 
-    private AuditReport play(String moreSections) throws Exception {
-        return play("", moreSections);
+    private AuditReport run(String moreSections) throws Exception {
+        return run("", moreSections);
     }
 
-    /** @param rolloutSettings more settings of the rollout service */
-    private AuditReport play(String rolloutSettings, String moreSections) throws Exception {
+    /** @param rolloutSettings additional settings of the rollout service */
+    private AuditReport run(String rolloutSettings, String moreSections) throws Exception {
         ByteArrayOutputStream output = new ByteArrayOutputStream();
         AuditReport report = new ScenarioRun(
                         Scenario.read(
@@ -79,7 +79,7 @@
                         5,
                         folder,
                         new PrintStream(output))
-                .play();
+                .run();
         assertEquals(5, report.rulesKept(), output.toString(UTF_8));
         assertEquals(0, report.unansweredCount(), output.toString(UTF_8));
         assertTrue(report.requestCount() > 300, output.toString(UTF_8));
@@ -88,8 +88,8 @@
     }
 
     @Test
-    void aKilledNodeAFailingBuildAndCrashedServers() throws Exception {
-        play(
+    void rulesAreKeptWithKilledNodeFailingBuildAndCrashedServers() throws Exception {
+        run(
                 """
                 [build 2]
                 failing = 0.5
@@ -114,8 +114,8 @@
     }
 
     @Test
-    void lostResponsesAStalledRolloutServiceAndAStoppedNode() throws Exception {
-        play(
+    void rulesAreKeptWithLostResponsesStalledRolloutServiceAndStoppedNode() throws Exception {
+        run(
                 """
                 [build 2]
                 work = 1
@@ -157,8 +157,8 @@
     }
 
     @Test
-    void twoRolloutsOneOfThemFailing() throws Exception {
-        play(
+    void rulesAreKeptWithTwoRolloutsOfWhichOneFails() throws Exception {
+        run(
                 "together = 2\n",
                 """
                 [build 2]
