--- a/src/main/java/laurelkeel/api/Event.java
+++ b/src/main/java/laurelkeel/api/Event.java
@@ -8,7 +8,7 @@
 
     /** How an attempt ended. */
     enum AttemptOutcome {
-        /** The endpoint answered. */
+        /** The endpoint answered without an error. */
         COMPLETED,
         /** The endpoint answered with an error. */
         FAILED,
@@ -30,7 +30,10 @@
             return this == OVERLOADED || this == CONNECT_FAILED || this == NOT_SENT;
         }
 
-        /** Returns whether the endpoint has or may have served the request: its answer may be lost, unread or late. */
+        /**
+         * Returns whether the endpoint answered the request without an error, or may have done so although the answer
+         * was lost, not read or late.
+         */
         public boolean mayHaveServed() {
             return !provablyNeverRan() && this != FAILED;
         }
@@ -89,8 +92,8 @@
      *
      * @param build number of the build that the endpoint runs; a later build has a higher number
      * @param zone index of its zone
-     * @param cell number of its cell, a small group of endpoints that share their knowledge of partition keys
-     * @param kind index of its endpoint type
+     * @param cell number of its cell, a small group of endpoints that recognize repeats of each other's requests
+     * @param kind index of its kind of endpoint
      * @param weight its capacity relative to other endpoints, without unit
      * @param startedAtTicks when it last started; 0 if it started long ago
      */
@@ -162,12 +165,14 @@
     record GossipReceived(int fromNode, byte[] payload) implements Event {}
 
     /**
-     * The rollout state of the newest build, as received from the control service.
+     * The state of one build's rollout, as received from the control service.
      *
-     * @param status if it is not {@link ControlStatus#OK}, only {@code status} and {@code answersVote} are valid
+     * @param status if it is not {@link ControlStatus#OK}, only {@code status}, {@code answersVote} and, in the
+     *     response to a vote, {@code build} are valid; {@code build} is then the build that was voted on, or 0 if it is
+     *     unknown
      * @param stage the rollout's stage, from 0
      * @param exposureCap share of the requests that the build may receive, from 0 to 1
-     * @param ageTicks time since the rollout entered this state
+     * @param ageTicks time since the rollout entered this stage or phase
      * @param answersVote whether this is the response to a vote of this node
      */
     record RolloutUpdate(
@@ -181,7 +186,7 @@
             implements Event {}
 
     /**
-     * The platform's statistics about the attempts of all nodes at one build in its last reporting period.
+     * The statistics about all nodes' attempts at one build on one route in the platform's last reporting period.
      *
      * @param errors number of attempts that did not complete
      * @param meanDurationTicks mean duration of the attempts that completed
@@ -191,7 +196,7 @@
             implements Event {}
 
     /**
-     * A client reported as wrong an answer that this node had forwarded as completed.
+     * A client reported that an answer that this node had forwarded as completed was wrong.
      *
      * @param sentAgoTicks time since the attempt was sent
      */
--- a/src/main/java/laurelkeel/api/Settings.java
+++ b/src/main/java/laurelkeel/api/Settings.java
@@ -26,7 +26,7 @@
     public enum Idempotency {
         /** The same as sending it once. */
         IDEMPOTENT,
-        /** Endpoints of a group recognize a repeat by its key for a limited time and drop it. */
+        /** The endpoints of a group recognize a repeat by its key for a limited time and do not process it again. */
         DEDUPLICATED,
         /** The request may take effect again. */
         NOT_IDEMPOTENT
@@ -49,8 +49,8 @@
      * @param timeoutTicks maximum time that a client waits
      * @param priorityWeight value of an answer relative to that of other routes
      * @param lateValueShare share of the value that an answer after the objective still has, from 0 to 1
-     * @param deduplicationWindowTicks how long repeats are recognized, counted from when the first attempt that may
-     *     have run was sent
+     * @param deduplicationWindowTicks how long repeats are recognized, counted from the time at which the first
+     *     attempt that may have run was sent
      */
     public record Route(
             Idempotency idempotency,
@@ -71,13 +71,14 @@
     /**
      * The limits that endpoints impose on front nodes.
      *
-     * @param drainGraceTicks how long after the update that an endpoint is draining attempts may still be sent to it
+     * @param drainGraceTicks how long attempts may still be sent to an endpoint after the update that reports it as
+     *     draining
      * @param warmUpTicks time that an endpoint takes to reach its full capacity after a start
      * @param warmUpInitialShare share of its full capacity that an endpoint has at its start, from 0 to 1
      * @param overloadWindowTicks window over which the work at an endpoint that is warming up is counted
-     * @param overloadMultiple multiple of its current capacity above which an endpoint becomes overloaded, within that
-     *     window
-     * @param maxPollIntervalTicks maximum age of the endpoint list if it is polled
+     * @param overloadMultiple an endpoint that is warming up becomes overloaded if the work in that window exceeds this
+     *     multiple of its current capacity
+     * @param maxEndpointListAgeTicks maximum age of the endpoint list if it is polled
      */
     public record Limits(
             long drainGraceTicks,
@@ -85,7 +86,7 @@
             double warmUpInitialShare,
             long overloadWindowTicks,
             double overloadMultiple,
-            long maxPollIntervalTicks) {}
+            long maxEndpointListAgeTicks) {}
 
     /**
      * The operations that a front node may use.
@@ -113,7 +114,7 @@
      * @param crossZone cost of an attempt in another zone
      * @param healthCheck cost of one health check
      * @param gossip cost of one message to one node
-     * @param staleBuild cost of an answer from a build that is older than the newest good one
+     * @param staleBuild cost of an answer from a build that is older than the newest build that is not faulty
      * @param harm cost of an answer that is bad because of a faulty build
      */
     public record Costs(double crossZone, double healthCheck, double gossip, double staleBuild, double harm) {}
@@ -140,7 +141,8 @@
      * @param stageExposureCaps for each stage, the share of the requests that the build may receive, from 0 to 1
      * @param minStageTicks minimum duration of a stage
      * @param guardedStages number of stages, from the first, in which the build may receive idempotent requests only
-     * @param stickyKeys whether requests of a key that a build has answered go to no earlier build during the rollout
+     * @param stickyKeys whether, during a rollout, requests with a key that the build has served or may have served
+     *     must not go to an earlier build
      * @param exposureWindowTicks window over which exposure is counted
      * @param exposureAllowance number of attempts in that window that are allowed in addition to the cap's share
      * @param exposurePerRoute whether exposure is counted per route
--- a/src/main/java/laurelkeel/attribution/BadOutcome.java
+++ b/src/main/java/laurelkeel/attribution/BadOutcome.java
@@ -17,7 +17,7 @@
         this.findingKind = findingKind;
     }
 
-    /** Returns the kind that a finding gives to a regression of this outcome. */
+    /** Returns the kind of a finding that is based on an increase of this outcome. */
     Kind findingKind() {
         return findingKind;
     }
--- a/src/main/java/laurelkeel/attribution/CanaryComparison.java
+++ b/src/main/java/laurelkeel/attribution/CanaryComparison.java
@@ -16,15 +16,15 @@
 /**
  * Compares one canary, second by second, with the reference builds that serve at the same time.
  *
- * <p>Attempts are compared within the same node and route only, because there the choice of the build is independent of
- * the attempt. Not thread-safe.
+ * <p>Shares of bad outcomes are compared only between attempts of the same node and route, because within these the
+ * choice of the build does not depend on the attempt. Latencies are compared by route, over all nodes. Not thread-safe.
  */
 final class CanaryComparison {
     private static final int WINDOW_SECONDS = 30;
 
     /**
-     * Weights of the kinds of evidence. They sum to 1: {@link #SLOW_WEIGHT} counts twice, for calm and for busy
-     * seconds.
+     * Weights of the kinds of evidence. They sum to 1: {@link #SLOW_WEIGHT} counts twice, for seconds of low
+     * and of high load (see {@link LoadClassifier.Level}).
      */
     private static final double FAILED_WEIGHT = 0.4;
 
@@ -32,13 +32,13 @@
     private static final double WRONG_WEIGHT = 0.2;
     private static final double SLOW_WEIGHT = 0.125;
 
-    private static final int MIN_ATTEMPTS_WHILE_ALONE = 50;
+    private static final int MIN_ATTEMPTS_WITHOUT_OTHERS = 50;
     private static final int MIN_ATTEMPTS_WITH_OTHERS = 20;
     private static final double MIN_BAD_SHARE_WITH_OTHERS = 0.02;
     private static final double MIN_RATIO_WITH_OTHERS = 8;
 
-    private static final Set<BadOutcome> ANSWER_KINDS = EnumSet.of(BadOutcome.FAILED, BadOutcome.WRONG);
-    private static final Set<BadOutcome> SILENCE_KINDS = EnumSet.of(BadOutcome.UNANSWERED);
+    private static final Set<BadOutcome> ANSWERED_KINDS = EnumSet.of(BadOutcome.FAILED, BadOutcome.WRONG);
+    private static final Set<BadOutcome> UNANSWERED_KINDS = EnumSet.of(BadOutcome.UNANSWERED);
 
     /** The attempts of one node and route at the canary and at the reference builds. */
     private static final class Stratum {
@@ -62,7 +62,7 @@
         }
     }
 
-    /** The result of one second. */
+    /** The share differences and the number of canary attempts of one second. */
     private static final class SecondSummary {
         private final PerBadOutcome<ShareDifference> differences = new PerBadOutcome<>(ShareDifference::new);
         private int canaryAttempts;
@@ -78,9 +78,9 @@
     private final Deque<SecondSummary> recentSeconds = new ArrayDeque<>();
     private final Set<String> excludedEndpoints = new HashSet<>();
     private final Set<Integer> excludedTenants = new HashSet<>();
-    private final AttemptCounts countsWhileAlone = new AttemptCounts();
+    private final AttemptCounts countsWithoutOtherCanaries = new AttemptCounts();
     private final AttemptCounts countsWithOtherCanaries = new AttemptCounts();
-    private @Nullable Kind guiltyKind;
+    private @Nullable Kind regressionKind;
 
     CanaryComparison(int build, long startedAtSecond, int routeCount) {
         this.build = build;
@@ -97,19 +97,19 @@
         return startedAtSecond;
     }
 
-    boolean isGuilty() {
-        return guiltyKind != null;
+    boolean hasAttributedRegression() {
+        return regressionKind != null;
     }
 
-    /** Returns the kind of regression that the canary was found guilty of, or null. */
+    /** Returns the kind of the regression that is attributed to the canary, or null. */
     @Nullable
-    Kind guiltyKind() {
-        return guiltyKind;
+    Kind regressionKind() {
+        return regressionKind;
     }
 
-    /** Marks the canary as guilty; the mark is never removed. */
-    void markGuilty(Kind kind) {
-        guiltyKind = kind;
+    /** Attributes a regression to the canary; the attribution is never removed. */
+    void attributeRegression(Kind kind) {
+        regressionKind = kind;
     }
 
     /**
@@ -129,15 +129,15 @@
         countEvidence.forEach(evidence -> evidence.beginSecond(second.nodeCount()));
         ComparisonFilter filter = new ComparisonFilter(build, isReference, traffic);
         recordExclusions(filter);
-        // with a single endpoint, a silent or slow endpoint cannot be distinguished from a silent or slow build
+        // with a single endpoint, an endpoint that does not answer or is slow cannot be distinguished from such a build
         boolean hasSeveralEndpoints = traffic.endpointCount(build) > 1;
         SecondSummary summary = new SecondSummary();
         SecondLatencyComparison latencies = new SecondLatencyComparison();
-        AttemptCounts canaryCounts = otherCanariesHaveTraffic ? countsWithOtherCanaries : countsWhileAlone;
+        AttemptCounts canaryCounts = otherCanariesHaveTraffic ? countsWithOtherCanaries : countsWithoutOtherCanaries;
         second.cellsByNode().forEach((node, cells) -> {
             List<NodeReport.Cell> accepted =
                     cells.stream().filter(filter::accepts).toList();
-            compareShares(node, accepted, ANSWER_KINDS, summary);
+            compareShares(node, accepted, ANSWERED_KINDS, summary);
             for (NodeReport.Cell cell : accepted) {
                 if (filter.isCanary(cell)) {
                     latencies.addCanary(cell);
@@ -148,9 +148,9 @@
                 }
             }
             if (hasSeveralEndpoints) {
-                List<NodeReport.Cell> responsive =
-                        cells.stream().filter(filter::acceptsForSilence).toList();
-                compareShares(node, responsive, SILENCE_KINDS, summary);
+                List<NodeReport.Cell> withoutLeastResponsive =
+                        cells.stream().filter(filter::acceptsForUnanswered).toList();
+                compareShares(node, withoutLeastResponsive, UNANSWERED_KINDS, summary);
             }
         });
         addLogRatio(hasSeveralEndpoints ? latencies.medianLogRatio() : Double.NaN, load);
@@ -224,7 +224,9 @@
         return recentSeconds.stream().mapToInt(second -> second.canaryAttempts).sum();
     }
 
-    /** Returns the number of the last 30 seconds that had attempts at the canary, without excluded ones. */
+    /**
+     * Returns in how many of the last 30 seconds the canary had attempts, not counting excluded endpoints and tenants.
+     */
     int recentSecondsWithAttempts() {
         return (int) recentSeconds.stream()
                 .filter(second -> second.canaryAttempts > 0)
@@ -244,8 +246,8 @@
     }
 
     /**
-     * Estimates the ratio of the canary's latencies to those of the reference builds, in the last calm or in the last
-     * busy seconds, whichever has the higher upper limit.
+     * Estimates the ratio of the canary's latencies to those of the reference builds, in the last 30 calm or the last
+     * 30 busy seconds, whichever has the higher upper limit.
      *
      * @param standardErrors half width of the confidence interval of the log ratio, in standard errors
      */
@@ -255,15 +257,19 @@
         return calm.high() > busy.high() ? calm : busy;
     }
 
-    /** Returns whether the canary gives many more bad answers while other canaries have traffic than without them. */
+    /**
+     * Returns whether the canary's share of bad answers is more than 2%, and more than 8 times as high as otherwise,
+     * while other canaries have traffic.
+     */
     boolean isBadOnlyWithOtherCanaries() {
-        return countsWhileAlone.attempts() >= MIN_ATTEMPTS_WHILE_ALONE
+        return countsWithoutOtherCanaries.attempts() >= MIN_ATTEMPTS_WITHOUT_OTHERS
                 && countsWithOtherCanaries.attempts() >= MIN_ATTEMPTS_WITH_OTHERS
                 && countsWithOtherCanaries.badAnswerShare() > MIN_BAD_SHARE_WITH_OTHERS
-                && countsWhileAlone.badAnswerShare() * MIN_RATIO_WITH_OTHERS < countsWithOtherCanaries.badAnswerShare();
+                && countsWithoutOtherCanaries.badAnswerShare() * MIN_RATIO_WITH_OTHERS
+                        < countsWithOtherCanaries.badAnswerShare();
     }
 
-    /** Describes for operators which endpoints and tenants were excluded from the comparison. */
+    /** Describes for operators which endpoints of the canary were excluded as outliers, and which tenants. */
     List<String> exclusions() {
         List<String> sentences = new ArrayList<>();
         excludedEndpoints.forEach(endpointId ->
--- a/src/main/java/laurelkeel/attribution/ComparisonFilter.java
+++ b/src/main/java/laurelkeel/attribution/ComparisonFilter.java
@@ -63,7 +63,7 @@
     }
 
     /** Returns whether a cell is used in the comparison of unanswered attempts. */
-    boolean acceptsForSilence(NodeReport.Cell cell) {
+    boolean acceptsForUnanswered(NodeReport.Cell cell) {
         return isCompared(cell.build()) && !leastResponsiveEndpoints.contains(cell.machine());
     }
 
--- a/src/main/java/laurelkeel/attribution/ExplanationRanking.java
+++ b/src/main/java/laurelkeel/attribution/ExplanationRanking.java
@@ -12,8 +12,8 @@
     /** Level above which a regression matters: a latency ratio of about 1.28. */
     static final double MIN_EFFECT = 0.25;
 
-    private static final double GUILTY_PROBABILITY = 0.995;
-    private static final int MIN_GUILTY_SECONDS = 14;
+    private static final double ATTRIBUTION_PROBABILITY = 0.995;
+    private static final int MIN_ATTRIBUTION_SECONDS = 14;
     private static final double MAX_PROBABILITY_OF_NONE = 0.1;
     private static final double MIN_PROBABILITY_TO_MENTION = 0.02;
 
@@ -53,13 +53,13 @@
      * Returns the builds that almost certainly cause a regression which has lasted long enough; empty if there are
      * none.
      */
-    List<Integer> guiltyBuilds() {
-        boolean hasLasted = best().affectedSeconds() >= MIN_GUILTY_SECONDS && isLarge();
+    List<Integer> attributedBuilds() {
+        boolean hasLasted = best().affectedSeconds() >= MIN_ATTRIBUTION_SECONDS && isLarge();
         if (!hasLasted) {
             return List.of();
         }
         return best().builds().stream()
-                .filter(build -> probabilityOf(build) >= GUILTY_PROBABILITY)
+                .filter(build -> probabilityOf(build) >= ATTRIBUTION_PROBABILITY)
                 .toList();
     }
 
--- a/src/main/java/laurelkeel/attribution/FindingFactory.java
+++ b/src/main/java/laurelkeel/attribution/FindingFactory.java
@@ -21,8 +21,8 @@
 
     static AttributionFinding create(CanaryComparison canary, Assessment assessment) {
         int build = canary.build();
-        Kind guiltyKind = canary.guiltyKind();
-        Kind kind = guiltyKind != null ? guiltyKind : assessment.strongestKind(build);
+        Kind regressionKind = canary.regressionKind();
+        Kind kind = regressionKind != null ? regressionKind : assessment.strongestKind(build);
         Estimate effect = effect(canary, kind, assessment.fleetExplanation(build));
         Verdict verdict = verdict(canary, assessment);
         return new AttributionFinding(
@@ -41,7 +41,7 @@
     }
 
     private static Verdict verdict(CanaryComparison canary, Assessment assessment) {
-        if (canary.isGuilty()) {
+        if (canary.hasAttributedRegression()) {
             return Verdict.GUILTY;
         }
         boolean isCleared = !assessment.isFleetRegressionOpen()
--- a/src/main/java/laurelkeel/attribution/RegressionAttributor.java
+++ b/src/main/java/laurelkeel/attribution/RegressionAttributor.java
@@ -14,15 +14,17 @@
 /**
  * Attributes a regression to one of several concurrent rollouts, based on the reports of all nodes.
  *
- * <p>It is notified of rollouts that start and end, receives reports and is evaluated once a second. A build that is no
- * worse than the others is found guilty with a probability of at most {@link #FALSE_ALARM_PROBABILITY} over its whole
- * rollout, however often it is evaluated. This bound is exact for failed, unanswered and wrong attempts; for latencies
- * and for regressions of the whole fleet it holds as far as the model does.
+ * <p>It is notified of rollouts that start and end, receives reports and is evaluated once a second. A regression is
+ * attributed to a build that is no worse than the others with a probability of at most {@link #FALSE_ALARM_PROBABILITY}
+ * over its whole rollout, however often it is evaluated. This bound is exact for failed, unanswered and wrong attempts;
+ * for latencies and for regressions of the whole fleet it holds as far as the model does.
  *
  * <p>Not thread-safe.
  */
 public final class RegressionAttributor {
-    /** The maximum probability that a comparison finds a build guilty that is no worse than the others. */
+    /**
+     * The maximum probability that a comparison attributes a regression to a build that is no worse than the others.
+     */
     public static final double FALSE_ALARM_PROBABILITY = 0.002;
 
     /** E-value from which a canary is suspected, and no build is promoted. */
@@ -32,7 +34,7 @@
     /** How long a regression of the whole fleet stays open before a canary is set aside. */
     private static final long SET_ASIDE_AFTER_SECONDS = 18;
 
-    /** How long after its rollout started a canary that was set aside may still be found guilty. */
+    /** How long after its rollout started a regression may still be attributed to a canary that was set aside. */
     private static final long SET_ASIDE_RETENTION_SECONDS = 180;
 
     private static final int NO_BUILD = -1;
@@ -87,7 +89,10 @@
         }
     }
 
-    /** Records that a build was rolled back to see whether a regression ends with it; it may still be found guilty. */
+    /**
+     * Records that a build was rolled back to see whether a regression ends with it; the regression may still be
+     * attributed to it.
+     */
     public void rolloutSetAside(int build) {
         CanaryComparison canary = canaries.remove(build);
         if (canary != null) {
@@ -113,7 +118,8 @@
     /**
      * Evaluates the seconds for which the maximum delay of reports has passed.
      *
-     * @return the current finding for each canary, and for each build that was set aside and then found guilty
+     * @return the current finding for each canary, and for each build that was set aside before a regression was
+     *     attributed to it
      */
     public List<AttributionFinding> evaluate(long nowSecond) {
         List<ReportedSecond> closed = reports.closeSeconds(nowSecond);
@@ -148,14 +154,14 @@
     private List<AttributionFinding> createFindings(long nowSecond) {
         setAsideCanaries
                 .values()
-                .removeIf(canary ->
-                        canary.isGuilty() || nowSecond - canary.startedAtSecond() > SET_ASIDE_RETENTION_SECONDS);
+                .removeIf(canary -> canary.hasAttributedRegression()
+                        || nowSecond - canary.startedAtSecond() > SET_ASIDE_RETENTION_SECONDS);
         Map<Integer, CanaryComparison> suspects = new TreeMap<>(setAsideCanaries);
         suspects.putAll(canaries);
         Assessment assessment = assess(suspects, nowSecond);
         List<AttributionFinding> created = new ArrayList<>();
         for (CanaryComparison suspect : suspects.values()) {
-            if (canaries.containsKey(suspect.build()) || suspect.isGuilty()) {
+            if (canaries.containsKey(suspect.build()) || suspect.hasAttributedRegression()) {
                 created.add(FindingFactory.create(suspect, assessment));
             }
         }
@@ -168,54 +174,56 @@
         ExplanationRanking badAttemptRanking = fleet.explain(FleetMeasure.BAD_ATTEMPTS, builds);
         Map<Integer, LogEvidence> evidenceByBuild = new TreeMap<>();
         suspects.values().forEach(suspect -> evidenceByBuild.put(suspect.build(), suspect.evidence()));
-        markGuiltyByComparison(suspects.values(), evidenceByBuild);
+        attributeByComparison(suspects.values(), evidenceByBuild);
         boolean isAnySuspected =
                 evidenceByBuild.values().stream().anyMatch(evidence -> evidence.total() >= Math.log(SUSPICION_E_VALUE));
         // retries caused by a failing build slow down all other builds, so evidence from comparisons takes precedence
-        if (!isAnySuspected && !isAnyGuilty(suspects)) {
-            markGuiltyByFleet(suspects, latencyRanking);
-            markGuiltyByFleet(suspects, badAttemptRanking);
+        if (!isAnySuspected && !isAnyRegressionAttributed(suspects)) {
+            attributeFleetRegression(suspects, latencyRanking);
+            attributeFleetRegression(suspects, badAttemptRanking);
         }
-        boolean isAnyGuilty = isAnyGuilty(suspects);
+        boolean isAnyRegressionAttributed = isAnyRegressionAttributed(suspects);
         boolean isFleetRegressionOpen =
-                !isAnyGuilty && (latencyRanking.isRegression() || badAttemptRanking.isRegression());
+                !isAnyRegressionAttributed && (latencyRanking.isRegression() || badAttemptRanking.isRegression());
         int buildToSetAside = shouldSetAside(isFleetRegressionOpen, nowSecond) ? newest(canaries.values()) : NO_BUILD;
         return new Assessment(
                 evidenceByBuild,
                 latencyRanking,
                 badAttemptRanking,
-                isAnyGuilty || isFleetRegressionOpen || isAnySuspected,
+                isAnyRegressionAttributed || isFleetRegressionOpen || isAnySuspected,
                 isFleetRegressionOpen,
                 buildToSetAside,
                 nowSecond);
     }
 
-    private static void markGuiltyByComparison(
+    private static void attributeByComparison(
             Collection<CanaryComparison> suspects, Map<Integer, LogEvidence> evidenceByBuild) {
         for (CanaryComparison suspect : suspects) {
             LogEvidence evidence = evidenceByBuild.get(suspect.build());
-            if (evidence != null && !suspect.isGuilty() && evidence.total() >= -Math.log(FALSE_ALARM_PROBABILITY)) {
-                suspect.markGuilty(evidence.strongestKind());
+            if (evidence != null
+                    && !suspect.hasAttributedRegression()
+                    && evidence.total() >= -Math.log(FALSE_ALARM_PROBABILITY)) {
+                suspect.attributeRegression(evidence.strongestKind());
             }
         }
     }
 
     /**
-     * Marks the most recently started of the builds that cause a regression of the whole fleet. Of two builds that are
-     * bad only together it is the guilty one, since there was no regression before it started.
+     * Attributes a regression of the whole fleet to the most recently started of the builds that cause it. Of two
+     * builds that are bad only together it is the cause, since there was no regression before it started.
      */
-    private static void markGuiltyByFleet(Map<Integer, CanaryComparison> suspects, ExplanationRanking ranking) {
-        List<CanaryComparison> guilty = suspects.values().stream()
-                .filter(suspect -> ranking.guiltyBuilds().contains(suspect.build()))
+    private static void attributeFleetRegression(Map<Integer, CanaryComparison> suspects, ExplanationRanking ranking) {
+        List<CanaryComparison> causes = suspects.values().stream()
+                .filter(suspect -> ranking.attributedBuilds().contains(suspect.build()))
                 .toList();
-        CanaryComparison newest = suspects.get(newest(guilty));
-        if (newest != null && !newest.isGuilty()) {
-            newest.markGuilty(Kind.HARMS_ALL);
+        CanaryComparison newest = suspects.get(newest(causes));
+        if (newest != null && !newest.hasAttributedRegression()) {
+            newest.attributeRegression(Kind.HARMS_ALL);
         }
     }
 
-    private static boolean isAnyGuilty(Map<Integer, CanaryComparison> suspects) {
-        return suspects.values().stream().anyMatch(CanaryComparison::isGuilty);
+    private static boolean isAnyRegressionAttributed(Map<Integer, CanaryComparison> suspects) {
+        return suspects.values().stream().anyMatch(CanaryComparison::hasAttributedRegression);
     }
 
     /**
--- a/src/main/java/laurelkeel/cli/BenchCommand.java
+++ b/src/main/java/laurelkeel/cli/BenchCommand.java
@@ -174,7 +174,7 @@
             name = "lanes",
             mixinStandardHelpOptions = true,
             description =
-                    "Measures the cost per request of three concurrent rollouts and of one, and of attribution with many fronts.")
+                    "Measures the cost per request of three concurrent rollouts and of one, and of attribution with many front nodes.")
     static final class PartitionBenchCommand implements Callable<Integer> {
         @Option(names = "--rounds", defaultValue = "7", description = "default: ${DEFAULT-VALUE}")
         private int rounds;
--- a/src/main/java/laurelkeel/cli/BlameCommand.java
+++ b/src/main/java/laurelkeel/cli/BlameCommand.java
@@ -16,7 +16,7 @@
         name = "blame",
         mixinStandardHelpOptions = true,
         description =
-                "Shows which build causes a regression: fetches a rollout service's findings from its fronts' reports.")
+                "Shows which build causes a regression: fetches the findings that a rollout service derives from its nodes' reports.")
 @SuppressWarnings("NullAway.Init") // picocli sets the fields
 final class BlameCommand implements Callable<Integer> {
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
@@ -34,7 +34,7 @@
         try {
             response = fetch();
         } catch (IOException e) {
-            System.err.println("laurelkeel: " + service + " does not answer: " + e.getMessage());
+            System.err.println("laurelkeel: fetching the findings from " + service + " failed: " + e.getMessage());
             return Cli.FAILED;
         } catch (IllegalArgumentException e) {
             System.err.println("laurelkeel: '" + service
--- a/src/main/java/laurelkeel/cli/CheckCommand.java
+++ b/src/main/java/laurelkeel/cli/CheckCommand.java
@@ -15,7 +15,7 @@
         name = "check",
         mixinStandardHelpOptions = true,
         description = {
-            "Validates settings files of fronts and days without starting anything.",
+            "Validates settings files of front nodes and days without starting anything.",
             "Reports all errors, each with file, line and correction."
         })
 @SuppressWarnings("NullAway.Init") // picocli sets the fields
--- a/src/main/java/laurelkeel/cli/Cli.java
+++ b/src/main/java/laurelkeel/cli/Cli.java
@@ -70,7 +70,7 @@
             defaultValue = "text",
             description = "format of log lines on standard error: text, json")
     void setLogFormat(LogFormat format) {
-        // Logback reads the property when it is first used, which is after this
+        // Logback reads this property on its first use, which is later
         System.setProperty(LOG_CONFIGURATION_PROPERTY, format.configurationFile);
     }
 
--- a/src/main/java/laurelkeel/cli/Main.java
+++ b/src/main/java/laurelkeel/cli/Main.java
@@ -6,9 +6,10 @@
 import laurelkeel.simulatoradapter.SimulatorAdapter;
 
 /**
- * The program's entry point. The commands {@code benchlink}, {@code serve} and {@code rehearse} run without loading the
- * command-line library: {@code benchlink} is started hundreds of times per benchmark score, and {@code serve} starts on
- * part of a core.
+ * The program's entry point. The commands {@code benchlink}, {@code serve} and {@code rehearse}, if they are the only
+ * argument, run without loading the command-line library: {@code benchlink} is started hundreds of times per benchmark
+ * score, {@code serve} starts on part of a core, and {@code rehearse} records the classes that {@code serve} loads, for
+ * the build's class archive.
  */
 public final class Main {
 
@@ -20,7 +21,7 @@
      * @throws Exception if a command that bypasses the command-line library fails
      */
     public static void main(String[] args) throws Exception {
-        // Logback reads the property when it is first used; before that, the option --logs may change it
+        // Logback reads this property on its first use; until then, the option --logs may replace the value
         System.setProperty(Cli.LOG_CONFIGURATION_PROPERTY, "logback-text.xml");
         switch (args.length == 1 ? args[0] : "") {
             case "benchlink" -> benchlink();
--- a/src/main/java/laurelkeel/cli/SoakCommand.java
+++ b/src/main/java/laurelkeel/cli/SoakCommand.java
@@ -12,7 +12,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command {@code soak}: runs real front nodes against misbehaving servers and checks the rules. */
+/**
+ * The command {@code soak}: runs real front nodes against faulty stub services and audits the traffic against the
+ * rules.
+ */
 @Command(
         name = "soak",
         mixinStandardHelpOptions = true,
@@ -26,19 +29,19 @@
             names = "--seeds",
             defaultValue = "1-50",
             paramLabel = "FIRST-LAST",
-            description = "seeds to run; default: ${DEFAULT-VALUE}")
+            description = "seeds to run, a range or a single seed; default: ${DEFAULT-VALUE}")
     private String seeds;
 
     @Option(
             names = "--seconds",
             defaultValue = "10",
-            description = "seconds with events in each run; default: ${DEFAULT-VALUE}")
+            description = "duration of the phase with events in each run, in seconds; default: ${DEFAULT-VALUE}")
     private int seconds;
 
     @Option(
             names = "--quiet",
             defaultValue = "0",
-            description = "seconds without events at the start of each run; default: ${DEFAULT-VALUE}")
+            description = "duration of the initial phase without events, in seconds; default: ${DEFAULT-VALUE}")
     private int quietSeconds;
 
     @Option(
@@ -46,14 +49,15 @@
             split = ",",
             paramLabel = "PART",
             description = {
-                "parts to omit from each run, by the names that a broken run prints:",
-                "event numbers, clock, calls"
+                "parts to omit from each run, by the names printed with the plan of a run that violates a rule:",
+                "event numbers, clock (clock steps), calls (failing system calls)"
             })
     private Set<String> omittedParts = Set.of();
 
     @Option(
             names = "--shrink",
-            description = "repeat a broken run with fewer and fewer parts as long as it still breaks a rule")
+            description =
+                    "after a run that violates a rule, repeat it without each part in turn, to find the parts that the violation needs")
     private boolean shrink;
 
     @Option(
@@ -66,7 +70,7 @@
             names = "--out",
             defaultValue = "target/soak",
             paramLabel = "DIR",
-            description = "folder for logs; default: ${DEFAULT-VALUE}")
+            description = "folder for logs, configurations and compiled files; default: ${DEFAULT-VALUE}")
     private Path out;
 
     @Override
@@ -75,7 +79,8 @@
         try {
             range = SeedRange.parse(seeds);
         } catch (NumberFormatException e) {
-            System.err.println("laurelkeel: --seeds must be FIRST-LAST, for example 1-50, but is '" + seeds + "'");
+            System.err.println("laurelkeel: --seeds must be a range such as 1-50 or a single seed such as 17, but is '"
+                    + seeds + "'");
             return Cli.BAD_INPUT;
         }
         if (seconds < 1 || parallel < 1 || quietSeconds < 0 || range.isEmpty()) {
@@ -85,14 +90,16 @@
         }
         Files.createDirectories(out);
         NodeImage image = NodeImage.make(out.toAbsolutePath());
-        Optional<Path> faults = FaultLibrary.build(out.toAbsolutePath());
-        if (faults.isEmpty()) {
-            System.out.println("no working C compiler: running without failing system calls and clock steps");
+        Optional<Path> faultLibrary = FaultLibrary.build(out.toAbsolutePath());
+        if (faultLibrary.isEmpty()) {
+            System.out.println(
+                    "the fault library could not be compiled (see faults.log, if there is one): no failing system calls or clock steps");
         }
         List<SoakPlan> plans = range.seeds()
                 .mapToObj(seed -> SoakPlan.generate(seed, quietSeconds, seconds).without(omittedParts))
                 .toList();
-        int broken = new SoakSeries(image, faults, out.toAbsolutePath(), shrink, System.out).execute(plans, parallel);
-        return broken == 0 ? 0 : Cli.RULE_BROKEN;
+        int violatingRuns =
+                new SoakSeries(image, faultLibrary, out.toAbsolutePath(), shrink, System.out).execute(plans, parallel);
+        return violatingRuns == 0 ? 0 : Cli.RULE_BROKEN;
     }
 }
--- a/src/main/java/laurelkeel/cli/SoakSeries.java
+++ b/src/main/java/laurelkeel/cli/SoakSeries.java
@@ -50,12 +50,12 @@
             results.add(executor.submit(() -> execute(plan)));
         }
         executor.shutdown();
-        int broken = 0;
+        int violatingRuns = 0;
         for (Future<SoakResult> result : results) {
-            broken += report(result.get()) ? 0 : 1;
+            violatingRuns += report(result.get()) ? 0 : 1;
         }
-        out.println(results.size() + " seeds, " + broken + " broken");
-        return broken;
+        out.println(results.size() + " seeds, " + violatingRuns + " broken");
+        return violatingRuns;
     }
 
     private SoakResult execute(SoakPlan plan) throws IOException, InterruptedException {
--- a/src/main/java/laurelkeel/cli/StandinCommand.java
+++ b/src/main/java/laurelkeel/cli/StandinCommand.java
@@ -14,8 +14,8 @@
         name = "standin",
         mixinStandardHelpOptions = true,
         description = {
-            "Runs the endpoints, endpoint list and rollout service of a day file, for fronts started manually.",
-            "Prints their addresses in the form of the fronts' settings; runs until it receives a signal."
+            "Runs the endpoints, endpoint list and rollout service of a day file, for front nodes started manually.",
+            "Prints their addresses in the form of the front nodes' settings; runs until it receives a signal."
         })
 @SuppressWarnings("NullAway.Init") // picocli sets the fields
 final class StandinCommand implements Callable<Integer> {
--- a/src/main/java/laurelkeel/decision/ActiveRequest.java
+++ b/src/main/java/laurelkeel/decision/ActiveRequest.java
@@ -25,7 +25,7 @@
     private int attemptCount;
     private @Nullable Attempt attemptInFlight;
     private @Nullable Attempt firstPossibleRun;
-    private Set<Endpoint> failedEndpoints = Set.of();
+    private Set<Endpoint> triedEndpoints = Set.of();
     private @Nullable BuildOutcomes failureCountedIn;
     private boolean avoidsCanary;
 
@@ -104,13 +104,13 @@
     }
 
     /** Returns whether an attempt of this request at an endpoint ended without completing. */
-    boolean hasFailedAt(Endpoint endpoint) {
-        return failedEndpoints.contains(endpoint);
+    boolean wasTriedAt(Endpoint endpoint) {
+        return triedEndpoints.contains(endpoint);
     }
 
     /** Returns whether the previous attempts do not restrict the choice of an endpoint for the next one. */
     boolean mayUseAnyEndpoint() {
-        return firstPossibleRun == null && failedEndpoints.isEmpty();
+        return firstPossibleRun == null && triedEndpoints.isEmpty();
     }
 
     /**
@@ -132,12 +132,12 @@
     }
 
     /** Records an attempt that ended without completing. */
-    void attemptFailed(Endpoint endpoint, boolean isCanary) {
+    void attemptEndedWithoutCompletion(Endpoint endpoint, boolean isCanary) {
         avoidsCanary |= isCanary;
-        if (failedEndpoints.isEmpty()) {
-            failedEndpoints = new HashSet<>();
+        if (triedEndpoints.isEmpty()) {
+            triedEndpoints = new HashSet<>();
         }
-        failedEndpoints.add(endpoint);
+        triedEndpoints.add(endpoint);
     }
 
     /**
--- a/src/main/java/laurelkeel/decision/AdmissionController.java
+++ b/src/main/java/laurelkeel/decision/AdmissionController.java
@@ -7,8 +7,10 @@
 /**
  * Sheds requests whose answers would be too late, and requests of low-value routes before those of high-value routes.
  *
- * <p>A request is admitted while the expected wait at its endpoint leaves its route, and all routes of similar or
- * higher value, enough time to meet their latency objectives.
+ * <p>A request is admitted if its route has fewer than two attempts in flight. Otherwise the recent mean latency of the
+ * route must be within its latency objective, and the expected wait at the endpoint within the slack of the route and
+ * of all routes of similar or higher value per unit of endpoint time. Of the slack of a route of higher value, only 70%
+ * count.
  */
 final class AdmissionController {
     /**
@@ -17,13 +19,17 @@
     private static final double RESERVED_UNLOADED_LATENCIES = 1.5;
 
     /**
-     * Attempts in flight that a route may always have: a node that sheds everything could not observe the end of an
-     * overload.
+     * Number of attempts in flight below which a route's requests are always admitted: a node that sheds everything
+     * could not observe the end of an overload.
      */
     private static final int ALWAYS_ADMITTED_IN_FLIGHT = 2;
 
+    /** Smallest ratio of another route's value density to that of a route at which its value counts as similar. */
     private static final double MIN_SIMILAR_VALUE_RATIO = 0.8;
+
+    /** Ratio of another route's value density to that of a route above which its value counts as higher. */
     private static final double MIN_HIGHER_VALUE_RATIO = 1.25;
+
     /** A route is shed if the wait exceeds this share of the slack of a route of higher value. */
     private static final double LOWER_VALUE_SLACK_SHARE = 0.7;
 
@@ -46,21 +52,22 @@
         if (routeLatency.inFlight() < ALWAYS_ADMITTED_IN_FLIGHT) {
             return true;
         }
-        // a route whose answers are late on average only consumes capacity, regardless of the cause
+        // a route whose answers are late on average uses capacity for answers of little or no value, whatever the cause
         boolean isTooLate = routeLatency.recentMeanTicks() > request.route().latencyObjectiveTicks()
                 || latency.expectedWaitTicks(endpoint, nowTicks) > maxWaitTicks(request.routeIndex());
         return !isTooLate;
     }
 
     /**
-     * Returns whether to give up an attempt that is about to miss its objective. Queues that serve only late answers
-     * would otherwise never drain.
+     * Returns whether to reject or fail a request that is about to miss its latency objective, because the expected
+     * wait at the endpoint of its attempt exceeds half of the slack. Queues that serve only late answers would
+     * otherwise never drain.
      */
     boolean shouldAbandon(ActiveRequest request, Attempt attempt, long nowTicks) {
         return latency.expectedWaitTicks(attempt.endpoint(), nowTicks) > slackTicks(request.routeIndex()) / 2;
     }
 
-    /** Returns whether the mean wait is a considerable share of the smallest slack of all routes. */
+    /** Returns whether the mean wait exceeds a tenth of the smallest slack of all routes. */
     boolean areAttemptsQueueing() {
         double leastSlackTicks = Double.MAX_VALUE;
         for (int route = 0; route < routes.size(); route++) {
@@ -70,7 +77,8 @@
     }
 
     /**
-     * Returns the wait above which a route is shed: its slack, or less in favor of routes of similar or higher value.
+     * Returns the wait above which a route is shed: its own slack, or less if routes of similar or higher value have
+     * less, of which only a part counts for routes of higher value.
      */
     private double maxWaitTicks(int route) {
         double maxWaitTicks = slackTicks(route);
--- a/src/main/java/laurelkeel/decision/BuildComparison.java
+++ b/src/main/java/laurelkeel/decision/BuildComparison.java
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Returns the number of standard errors that a node requires of a difference. The fewer of the nodes' votes suffice for
-     * a rollback, the more certain each node has to be.
+     * Returns the number of standard errors that a node requires of a difference. The fewer of the nodes' votes suffice
+     * for a rollback, the more certain each node has to be.
      */
     static double requiredStandardErrors(int nodeCount, int rollBackVotes) {
         double nodesPerVote = nodeCount / (double) Math.max(1, rollBackVotes);
@@ -78,7 +78,8 @@
      * @param endpoints the active endpoints of the candidate
      */
     @Nullable
-    Regression find(int candidate, int baseline, boolean isBaselineServing, List<Endpoint> endpoints, long nowTicks) {
+    Regression findRegression(
+            int candidate, int baseline, boolean isBaselineServing, List<Endpoint> endpoints, long nowTicks) {
         Regression regression = findHigherRate(candidate, baseline, isBaselineServing, endpoints, nowTicks);
         if (regression == null && isBaselineServing) {
             // after the release the builds share no seconds, and a change in load would look like a slow build
@@ -133,8 +134,8 @@
     }
 
     /**
-     * Returns the count of errors to compare. If requests fail at the baseline too, or the baseline no longer serves, only
-     * errors count after which another attempt served the request: the request itself did not cause these.
+     * Returns the count of errors to compare. If requests fail at the baseline too, or the baseline no longer serves,
+     * only errors count after which another attempt served the request: the request itself did not cause these.
      */
     private ToIntFunction<BuildOutcomes> countedErrors(int baseline, boolean isBaselineServing) {
         BuildOutcomes total = ownOutcomes.total(baseline).overall();
--- a/src/main/java/laurelkeel/decision/BuildOutcomes.java
+++ b/src/main/java/laurelkeel/decision/BuildOutcomes.java
@@ -1,6 +1,6 @@
 package laurelkeel.decision;
 
-/** Outcome counts and latency sums of the attempts at one build over a span of time. */
+/** Outcome counts and sums of latency ratios for the attempts at one build's endpoints over a span of time. */
 final class BuildOutcomes {
     private int attempts;
     private int failures;
@@ -16,7 +16,10 @@
         failures += (int) failureCount;
     }
 
-    /** Adds a failure after which another attempt served the request, so that the request did not cause it. */
+    /**
+     * Counts one of the added failures as recovered: a later attempt completed the request, which shows that the
+     * request itself did not cause the failure.
+     */
     void addRecoveredFailure() {
         recoveredFailures++;
     }
@@ -58,20 +61,21 @@
         return complaints;
     }
 
-    /** Returns the number of answers whose latency ratio is known. */
+    /** Returns the number of latency ratios added. */
     int latencySampleCount() {
         return latencySampleCount;
     }
 
-    /** Returns the mean latency as a multiple of the expected latency; there must be a sample. */
+    /** Returns the mean latency as a multiple of the expected latency; NaN without a sample. */
     double meanLatencyRatio() {
         return latencyRatioSum / latencySampleCount;
     }
 
     /**
-     * Returns the variance of the mean latency ratio, which is the square of its standard error.
+     * Returns the variance of the mean latency ratio, which is the square of its standard error; NaN without a sample.
      *
      * @param mean the mean latency ratio; the caller may have raised it above the true mean, which lowers the result
+     *     and may make it negative
      */
     double meanLatencyRatioVariance(double mean) {
         return (latencyRatioSquareSum / latencySampleCount - mean * mean) / latencySampleCount;
--- a/src/main/java/laurelkeel/decision/BuildRouter.java
+++ b/src/main/java/laurelkeel/decision/BuildRouter.java
@@ -6,9 +6,10 @@
 /**
  * Chooses the build and the endpoint of a request's next attempt.
  *
- * <p>Requests whose key is bound to a build newer than the stable one are sent to that build only. Other requests in the
- * canary's slice go to the canary as far as its cap allows, and the rest go to the stable build. If the stable build has no
- * endpoint for them, the canary serves as many as its cap allows.
+ * <p>A request whose key is bound to a build newer than the stable one is sent to that build or not at all. Another
+ * request goes to the canary if the fraction of its key is below the current threshold, the cap and the stage allow it,
+ * the table of sticky keys is not full, and no attempt of the request has ended at the canary without completing. The
+ * rest go to the stable build. If that has no endpoint for them, the canary serves as many as its cap and stage allow.
  */
 final class BuildRouter {
     /** Picks an endpoint of a build; null if none may take the request. */
@@ -42,7 +43,7 @@
         }
         boolean mayUseCanary = rollout.hasCanary() && !stickyKeys.isFull() && mayExpose(request, false, nowTicks);
         Endpoint endpoint = null;
-        if (mayUseCanary && !request.avoidsCanary() && isInCanarySlice(request)) {
+        if (mayUseCanary && !request.avoidsCanary() && isBelowCanaryThreshold(request)) {
             endpoint = picker.pick(rollout.canaryBuild(), request, nowTicks);
         }
         if (endpoint == null) {
@@ -62,7 +63,7 @@
     /** Counts an attempt against the canary's exposure cap if it goes to the canary. */
     void attemptPlanned(ActiveRequest request, Endpoint endpoint, long nowTicks) {
         if (isCanary(endpoint)) {
-            exposure.attemptSent(endpoint.build(), request.routeIndex(), nowTicks);
+            exposure.attemptPlanned(endpoint.build(), request.routeIndex(), nowTicks);
         }
     }
 
@@ -75,8 +76,9 @@
     }
 
     /**
-     * Ends the binding of the request's key by this attempt in flight. Binds the key permanently if the endpoint has served
-     * the request or may have.
+     * Ends the temporary binding of the request's key that existed while the attempt was in flight. If the endpoint has
+     * served the request or may have, and the rollout binds keys to its build, binds the key until the build is
+     * released or rolled back.
      */
     void attemptEnded(ActiveRequest request, Endpoint endpoint, AttemptOutcome outcome) {
         String key = request.partitionKey();
@@ -100,7 +102,7 @@
                         rollout.canaryBuild(), request.routeIndex(), rollout.exposureCap(), isSticky, nowTicks);
     }
 
-    private boolean isInCanarySlice(ActiveRequest request) {
+    private boolean isBelowCanaryThreshold(ActiveRequest request) {
         String key = request.partitionKey();
         double fraction =
                 key == null ? request.keylessFraction() : StickyKeySlice.fractionOf(key, rollout.canaryBuild());
--- a/src/main/java/laurelkeel/decision/ClientRetryDetector.java
+++ b/src/main/java/laurelkeel/decision/ClientRetryDetector.java
@@ -18,7 +18,7 @@
     private final Map<String, Long> unsuccessfulAtTicksByKey = new HashMap<>();
 
     /** Records that a request with the given key was rejected or failed. */
-    void requestUnsuccessful(String partitionKey, long nowTicks) {
+    void requestRejectedOrFailed(String partitionKey, long nowTicks) {
         unsuccessfulAtTicksByKey.put(partitionKey, nowTicks);
     }
 
--- a/src/main/java/laurelkeel/decision/EndpointPicker.java
+++ b/src/main/java/laurelkeel/decision/EndpointPicker.java
@@ -65,7 +65,7 @@
                     || !retryPolicy.isSafeForRetry(request, endpoint)) {
                 continue;
             }
-            if (endpoint.health().isEjected(endpoint.inFlight(), nowTicks) || request.hasFailedAt(endpoint)) {
+            if (endpoint.health().isEjected(endpoint.inFlight(), nowTicks) || request.wasTriedAt(endpoint)) {
                 fallback[fallbackCount++] = index;
             } else {
                 preferred[preferredCount++] = index;
--- a/src/main/java/laurelkeel/decision/ExposureLimiter.java
+++ b/src/main/java/laurelkeel/decision/ExposureLimiter.java
@@ -18,8 +18,8 @@
     private static final double STICKY_KEY_RESERVE = 0.15;
 
     /**
-     * Lengthens the window for attempts and shortens the window for requests. This errs on the safe side, because an auditor
-     * of the cap may see the same events at slightly different times.
+     * Lengthens the window for attempts and shortens the window for requests. This errs on the safe side, because an
+     * auditor of the cap may see the same events at slightly different times.
      */
     private static final long WINDOW_MARGIN_TICKS = 60;
 
@@ -45,7 +45,7 @@
         received.get(windowIndex(route)).record(nowTicks);
     }
 
-    void attemptSent(int build, int route, long nowTicks) {
+    void attemptPlanned(int build, int route, long nowTicks) {
         attempts(build, route).record(nowTicks);
     }
 
--- a/src/main/java/laurelkeel/decision/RequestLifecycle.java
+++ b/src/main/java/laurelkeel/decision/RequestLifecycle.java
@@ -11,11 +11,12 @@
 /**
  * Handles each request from its arrival to its single final answer.
  *
- * <p>Each decision first plans for all pending requests and then executes the plans, so that requests of the same
- * decision take each other's load into account.
+ * <p>Each decision first plans for all pending requests and then executes the plans. Each plan takes the attempts
+ * planned before it into account, and the load recorded with a sent attempt includes all attempts of the decision.
  */
 final class RequestLifecycle {
-    private static final double NO_FRACTION = -1;
+    /** For requests with a key, whose hash is used instead. */
+    private static final double NO_KEYLESS_FRACTION = -1;
 
     private final Settings settings;
     private final SeededRandom random;
@@ -28,7 +29,7 @@
     private final AttemptTimeoutPolicy timeoutPolicy;
     private final ClientRetryDetector clientRetries = new ClientRetryDetector();
     private final RequestTable requests = new RequestTable();
-    private final DeadlineQueue<ActiveRequest> deadlines = new DeadlineQueue<>();
+    private final DeadlineQueue<ActiveRequest> scheduledChecks = new DeadlineQueue<>();
 
     RequestLifecycle(
             Settings settings,
@@ -48,14 +49,17 @@
         timeoutPolicy = new AttemptTimeoutPolicy(latency, retryPolicy, retryBudget);
     }
 
-    /** Registers a new request and schedules its deadlines. */
+    /**
+     * Registers a new request and schedules its two checks: when its final answer is due, and when an attempt is about
+     * to miss the latency objective.
+     */
     void requestReceived(RequestReceived received, long nowTicks) {
         router.requestReceived(received.route(), nowTicks);
         retryBudget.requestReceived();
         ActiveRequest request = new ActiveRequest(
                 received,
                 settings.routes().get(received.route()),
-                received.partitionKey() == null ? random.nextDouble() : NO_FRACTION,
+                received.partitionKey() == null ? random.nextDouble() : NO_KEYLESS_FRACTION,
                 clientRetries.isRetry(received),
                 nowTicks);
         recorder.requestReceived(request, nowTicks);
@@ -65,7 +69,7 @@
         requests.markPending(request);
     }
 
-    /** Records the end of an attempt; an attempt that is not in flight is ignored. */
+    /** Records the end of an attempt; the end of an attempt that is not in flight is ignored. */
     void attemptEnded(AttemptEnded event, long nowTicks) {
         ActiveRequest request = requests.find(event.requestId());
         Attempt attempt = request == null ? null : request.attemptEnded(event);
@@ -82,7 +86,7 @@
         recorder.attemptEnded(request, attempt, event, nowTicks);
         router.attemptEnded(request, endpoint, event.outcome());
         if (event.outcome() != AttemptOutcome.COMPLETED) {
-            request.attemptFailed(endpoint, router.isCanary(endpoint));
+            request.attemptEndedWithoutCompletion(endpoint, router.isCanary(endpoint));
         }
         requests.markPending(request);
     }
@@ -97,18 +101,18 @@
     }
 
     private void scheduleAt(ActiveRequest request, long atTicks, long nowTicks) {
-        deadlines.add(request, Math.max(atTicks, nowTicks + 1));
+        scheduledChecks.add(request, Math.max(atTicks, nowTicks + 1));
     }
 
     /** Returns the time of the next scheduled check of a request, or {@link DeadlineQueue#NEVER} if there is none. */
-    long nextDeadlineTicks() {
-        return deadlines.nextDueAtTicks();
+    long nextCheckAtTicks() {
+        return scheduledChecks.nextDueAtTicks();
     }
 
     /** Marks the requests whose scheduled check is due as pending. */
-    void markDue(long nowTicks) {
-        while (deadlines.nextDueAtTicks() <= nowTicks) {
-            for (ActiveRequest request : deadlines.removeNext()) {
+    void markDueRequestsPending(long nowTicks) {
+        while (scheduledChecks.nextDueAtTicks() <= nowTicks) {
+            for (ActiveRequest request : scheduledChecks.removeNext()) {
                 if (!request.isDone()) {
                     requests.markPending(request);
                 }
@@ -116,12 +120,12 @@
         }
     }
 
-    /** Removes expired records of unsuccessful requests. */
+    /** Removes expired records of rejected and failed requests. */
     void removeExpired(long nowTicks) {
         clientRetries.removeExpired(nowTicks);
     }
 
-    /** Plans for each pending request: an attempt, a final answer, or to continue waiting. */
+    /** Decides for each pending request whether to send an attempt, give a final answer or continue to wait. */
     void plan(long nowTicks) {
         for (ActiveRequest request : requests.pending()) {
             plan(request, nowTicks);
@@ -154,16 +158,15 @@
         }
         request.planAttempt(endpoint, timeoutPolicy.timeoutTicks(request, endpoint.inFlight(), nowTicks));
         endpoint.attemptStarted();
-        endpoint.warmUpBudget().attemptSent(nowTicks);
+        endpoint.warmUpBudget().attemptPlanned(nowTicks);
         latency.route(request.routeIndex()).attemptStarted();
         recorder.attemptPlanned(endpoint, nowTicks);
         router.attemptPlanned(request, endpoint, nowTicks);
     }
 
     private @Nullable Endpoint chooseEndpoint(ActiveRequest request, boolean isRetry, long nowTicks) {
-        // retries after an OVERLOADED outcome need budget as well; otherwise each request would try every endpoint when
-        // all
-        // endpoints are at capacity
+        // retries after an OVERLOADED outcome use the retry budget as well; otherwise each request would try every
+        // endpoint when all endpoints are at capacity
         if (!retryPolicy.mayAttempt(request, nowTicks) || (isRetry && !retryBudget.allows(1))) {
             return null;
         }
@@ -181,7 +184,7 @@
 
     private void execute(ActiveRequest request, List<Action> actions, long nowTicks) {
         if (request.isFinalAnswerDue() && !request.isFinished()) {
-            actions.add(answer(request, nowTicks));
+            actions.add(rejectOrFail(request, nowTicks));
         }
         Attempt attempt = request.attemptInFlight();
         if (attempt != null
@@ -200,12 +203,12 @@
         }
     }
 
-    private Action answer(ActiveRequest request, long nowTicks) {
+    private Action rejectOrFail(ActiveRequest request, long nowTicks) {
         boolean mayReject = retryPolicy.mayReject(request, nowTicks);
         request.finish();
         String key = request.partitionKey();
         if (key != null) {
-            clientRetries.requestUnsuccessful(key, nowTicks);
+            clientRetries.requestRejectedOrFailed(key, nowTicks);
         }
         return mayReject
                 ? new Action.RejectRequest(request.id(), settings.capabilities().maxRetryAfterTicks())
--- a/src/main/java/laurelkeel/decision/RolloutVoter.java
+++ b/src/main/java/laurelkeel/decision/RolloutVoter.java
@@ -13,14 +13,15 @@
 /**
  * Decides when the node votes on the newest build, and how.
  *
- * <p>It votes to roll the build back as soon as there is a regression. Otherwise it votes to promote the build, once the
- * stage and the build's newest endpoint have lasted long enough to reveal one. A vote is renewed before it expires.
+ * <p>It votes to roll the build back as soon as the check finds a regression. Otherwise it votes to promote a canary,
+ * unless promotion is automatic, once {@link Endpoint#SETTLING_TICKS} have passed since both the start of the stage and
+ * the start of the build's newest endpoint. A vote is renewed before it expires.
  */
 final class RolloutVoter {
     private static final long EVALUATION_INTERVAL_TICKS = Ticks.PER_SECOND / 4;
     private static final long PAUSE_AFTER_VOTE_TICKS = Ticks.PER_SECOND / 2;
-    /** How long an answer is awaited beyond the timeout of a vote. */
-    private static final long ANSWER_GRACE_TICKS = Ticks.PER_SECOND / 2;
+    /** How long a response is awaited beyond the timeout of a vote. */
+    private static final long RESPONSE_GRACE_TICKS = Ticks.PER_SECOND / 2;
 
     /** Tenths of a vote's lifetime after which it is renewed. */
     private static final long RENEWAL_TENTHS = 6;
@@ -29,7 +30,7 @@
     interface RegressionCheck {
         /** Returns the evidence against a candidate build, or null if there is none. */
         @Nullable
-        Regression find(int candidate, int baseline, boolean isBaselineServing, long nowTicks);
+        Regression findRegression(int candidate, int baseline, boolean isBaselineServing, long nowTicks);
     }
 
     /**
@@ -41,7 +42,7 @@
 
     private record Evaluation(Verdict verdict, @Nullable Regression regression) {}
 
-    private static final Evaluation NO_VERDICT = new Evaluation(Verdict.NONE, null);
+    private static final Evaluation NO_VOTE = new Evaluation(Verdict.NONE, null);
 
     private final Rollout settings;
     private final RolloutState rollout;
@@ -63,8 +64,8 @@
         this.newestStartTicks = newestStartTicks;
     }
 
-    /** Records the answer to the last vote. */
-    void voteAnswered(ControlStatus status) {
+    /** Records the response to the last vote. */
+    void voteResponseReceived(ControlStatus status) {
         if (pendingVote == null) {
             return;
         }
@@ -78,12 +79,12 @@
     /** Returns the vote to cast now and records it as cast; null if there is none. */
     @Nullable
     Vote nextVote(long nowTicks) {
-        if (rollout.announcedBuild() < 0 || nowTicks < nextEvaluationAtTicks || isAnswerAwaited(nowTicks)) {
+        if (rollout.announcedBuild() < 0 || nowTicks < nextEvaluationAtTicks || isResponseAwaited(nowTicks)) {
             return null;
         }
         nextEvaluationAtTicks = nowTicks + EVALUATION_INTERVAL_TICKS;
         Evaluation evaluation = evaluate(nowTicks);
-        if (evaluation.verdict() == Verdict.NONE || isAlreadyCast(evaluation.verdict(), nowTicks)) {
+        if (evaluation.verdict() == Verdict.NONE || isVoteInEffect(evaluation.verdict(), nowTicks)) {
             return null;
         }
         CastVote vote = new CastVote(rollout.announcedBuild(), rollout.stage(), evaluation.verdict());
@@ -93,12 +94,12 @@
         return new Vote(vote, evaluation.regression());
     }
 
-    private boolean isAnswerAwaited(long nowTicks) {
+    private boolean isResponseAwaited(long nowTicks) {
         return pendingVote != null
-                && nowTicks < pendingVoteCastAtTicks + settings.voteTimeoutTicks() + ANSWER_GRACE_TICKS;
+                && nowTicks < pendingVoteCastAtTicks + settings.voteTimeoutTicks() + RESPONSE_GRACE_TICKS;
     }
 
-    private boolean isAlreadyCast(Verdict verdict, long nowTicks) {
+    private boolean isVoteInEffect(Verdict verdict, long nowTicks) {
         CastVote vote = acceptedVote;
         return vote != null
                 && vote.build() == rollout.announcedBuild()
@@ -110,18 +111,20 @@
     private Evaluation evaluate(long nowTicks) {
         int build = rollout.announcedBuild();
         if (rollout.evaluatedBuild(nowTicks) != build) {
-            return NO_VERDICT;
+            return NO_VOTE;
         }
         boolean isCanary = rollout.phase() == RolloutPhase.CANARY;
         int baseline = rollout.baselineBuild();
-        Regression regression = baseline == build ? null : regressions.find(build, baseline, isCanary, nowTicks);
+        // the baseline serves only while the build is a canary
+        Regression regression =
+                baseline == build ? null : regressions.findRegression(build, baseline, isCanary, nowTicks);
         if (regression != null) {
             return new Evaluation(Verdict.ROLL_BACK, regression);
         }
-        long observableSinceTicks = Math.max(rollout.stageStartedAtTicks(), newestStartTicks.applyAsLong(build));
+        long latestStartTicks = Math.max(rollout.stageStartedAtTicks(), newestStartTicks.applyAsLong(build));
         boolean mayPromote = isCanary
                 && settings.promotionPolicy() != PromotionPolicy.AUTOMATIC
-                && nowTicks >= observableSinceTicks + Endpoint.SETTLING_TICKS;
-        return mayPromote ? new Evaluation(Verdict.PROMOTE, null) : NO_VERDICT;
+                && nowTicks >= latestStartTicks + Endpoint.SETTLING_TICKS;
+        return mayPromote ? new Evaluation(Verdict.PROMOTE, null) : NO_VOTE;
     }
 }
--- a/src/main/java/laurelkeel/decision/RoutingDecider.java
+++ b/src/main/java/laurelkeel/decision/RoutingDecider.java
@@ -59,7 +59,7 @@
         SlowStart slowStart = new SlowStart(settings.limits());
         endpoints = new EndpointRegistry(settings, random, slowStart);
         endpointPoller = new EndpointPoller(
-                settings.capabilities().endpointPolling(), settings.limits().maxPollIntervalTicks());
+                settings.capabilities().endpointPolling(), settings.limits().maxEndpointListAgeTicks());
         throughput = new OwnThroughput(OwnThroughput.assumedAnswersPerSecond(settings));
         latency = new LatencyModel(settings.routes());
         admission = new AdmissionController(settings, latency);
@@ -79,7 +79,7 @@
         voter = new RolloutVoter(
                 settings.rollout(),
                 rollout,
-                (candidate, baseline, isBaselineServing, nowTicks) -> comparison.find(
+                (candidate, baseline, isBaselineServing, nowTicks) -> comparison.findRegression(
                         candidate, baseline, isBaselineServing, endpoints.activeEndpoints(candidate), nowTicks),
                 endpoints::newestStartTicks);
     }
@@ -91,7 +91,7 @@
             handle(event, nowTicks);
         }
         selectBuilds(nowTicks);
-        requests.markDue(nowTicks);
+        requests.markDueRequestsPending(nowTicks);
         if (nowTicks >= nextHousekeepingAtTicks) {
             nextHousekeepingAtTicks = nowTicks + HOUSEKEEPING_INTERVAL_TICKS;
             runHousekeeping(nowTicks);
@@ -127,7 +127,7 @@
         } else if (event instanceof TimerFired) {
             timerDueAtTicks = DeadlineQueue.NEVER;
         }
-        // started responses, health checks and gossip are not used by these decisions
+        // the events ResponseStarted, HealthCheckEnded and GossipReceived are not used here
     }
 
     private void updateEndpoints(EndpointListUpdate update, long nowTicks) {
@@ -139,7 +139,7 @@
 
     private void updateRollout(RolloutUpdate update, long nowTicks) {
         if (update.answersVote()) {
-            voter.voteAnswered(update.status());
+            voter.voteResponseReceived(update.status());
         }
         if (!rollout.isCurrent(update)) {
             return;
@@ -201,13 +201,13 @@
         Regression regression = vote.regression();
         if (regression != null) {
             actions.add(new Action.WriteLog(
-                    "votes to roll back build " + vote.action().build() + ": " + regression.describe()));
+                    "this node votes to roll back build " + vote.action().build() + ": " + regression.describe()));
         }
     }
 
-    /** Starts a timer for the next scheduled work, unless a running timer is due no later. */
+    /** Starts a timer for the next scheduled work, unless a running timer is due at that time or earlier. */
     private void startTimer() {
-        long dueAtTicks = Math.min(nextHousekeepingAtTicks, requests.nextDeadlineTicks());
+        long dueAtTicks = Math.min(nextHousekeepingAtTicks, requests.nextCheckAtTicks());
         if (dueAtTicks < timerDueAtTicks) {
             timerDueAtTicks = dueAtTicks;
             actions.add(new Action.StartTimer(dueAtTicks, TIMER_ID));
--- a/src/main/java/laurelkeel/decision/WarmUpBudget.java
+++ b/src/main/java/laurelkeel/decision/WarmUpBudget.java
@@ -22,7 +22,7 @@
         return nowTicks >= roundingExpiresAtTicks;
     }
 
-    void attemptSent(long nowTicks) {
+    void attemptPlanned(long nowTicks) {
         attempts.record(nowTicks);
     }
 
--- a/src/main/java/laurelkeel/front/FleetSettings.java
+++ b/src/main/java/laurelkeel/front/FleetSettings.java
@@ -26,8 +26,8 @@
             List.of("route", "customer", "limits", "allowed", "prices", "rollout", "clients", "machines");
 
     /**
-     * Reads the shared settings. Also checks the sections for client and endpoint connections, which differ between
-     * nodes only in their addresses. Errors are added to the file.
+     * Reads the shared settings. Also checks the sections for client and endpoint connections, which are the
+     * same for all nodes. Errors are added to the file.
      *
      * @param endpointPolling whether the endpoint list is polled rather than pushed
      */
--- a/src/main/java/laurelkeel/front/FleetSettingsReader.java
+++ b/src/main/java/laurelkeel/front/FleetSettingsReader.java
@@ -13,8 +13,9 @@
 
 /** Reads the sections that all front nodes of a fleet share. Keys, defaults and bounds: docs/front.md. */
 final class FleetSettingsReader {
-    /** A placeholder for the listener's address while the section is only checked. */
-    private static final InetSocketAddress ANY_ADDRESS = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    /** Placeholder for the listen address, which is not needed to check the section of client connections. */
+    private static final InetSocketAddress PLACEHOLDER_ADDRESS =
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
     private FleetSettingsReader() {}
 
@@ -35,7 +36,8 @@
             tenantNames.add(name);
             tenants.add(new Settings.Tenant(section.doubleValue("quota", REQUIRED, 0, 1e9)));
         });
-        ConnectionSettingsReader.readIngress(ANY_ADDRESS, file.section("clients", true));
+        // only checked here; FrontSettingsReader reads these sections again, with the node's listen address
+        ConnectionSettingsReader.readIngress(PLACEHOLDER_ADDRESS, file.section("clients", true));
         ConnectionSettingsReader.readUpstream(file.section("machines", true));
         return new FleetSettings(
                 List.copyOf(routes),
--- a/src/main/java/laurelkeel/front/FrontStatus.java
+++ b/src/main/java/laurelkeel/front/FrontStatus.java
@@ -5,7 +5,7 @@
 
 /** The status of a front node, for health checks and metrics. Thread-safe. */
 public interface FrontStatus {
-    /** Returns the node's health: ok, draining or failed. */
+    /** Returns the node's health: ok, draining (also once drained) or failed. */
     String health();
 
     /** Returns the number of requests that were accepted and are not finished yet. */
@@ -20,9 +20,12 @@
     /** Returns the number of open connections to endpoints. */
     int endpointConnections();
 
-    /** Returns the number of requests and connections that were rejected without an event to the decider. */
+    /**
+     * Returns the number of requests and connections that were rejected since the start before the decider was informed
+     * of them.
+     */
     int rejectedBeforeDecision();
 
-    /** Returns the number of bytes of message bodies in memory, of the client and the endpoint side. */
+    /** Returns the number of bytes reserved for request bodies from clients and response bodies from endpoints. */
     long bodyBytes();
 }
--- a/src/main/java/laurelkeel/partition/PartitionedDecider.java
+++ b/src/main/java/laurelkeel/partition/PartitionedDecider.java
@@ -19,10 +19,12 @@
  * and runs one decider for each partition.
  *
  * <p>Only the rollout's build and the baseline are visible to a partition's decider, as if there were no other rollout.
- * The decider enforces the cap, window, guarded stages and sticky keys of that rollout itself. This class routes each
- * event to the deciders that it concerns, and forwards their actions, except for attempts that only the state of all
- * partitions together shows to be forbidden and votes that await the attribution of a regression. With one rollout, all
- * events go to one decider and all its actions are forwarded unchanged.
+ * The decider itself enforces the cap, window, guarded stages and sticky keys of that rollout. This class routes each
+ * event to the deciders that it concerns and forwards their actions. It withholds two kinds of actions: attempts that
+ * are forbidden by the state of all partitions together, which no single decider knows, and votes that wait for the
+ * attribution of a regression. It also replaces timer ids and attempt numbers, and forwards subscriptions to the
+ * endpoint list from the first partition only. With one partition since the start, all events go to its decider and its
+ * actions are forwarded unchanged.
  *
  * <p>Not thread-safe: called by one thread at a time, like every {@link Decider}.
  */
@@ -35,7 +37,7 @@
 
     /** Whether a regression is attributed to a rollout, according to the reports of all nodes. */
     public enum Attribution {
-        /** Nothing is known. */
+        /** The build has no attribution so far. */
         NONE,
         /** A regression is attributed to the build, which is to be rolled back. */
         GUILTY,
@@ -228,7 +230,7 @@
 
     private void acceptRolloutUpdate(RolloutUpdate update) {
         if (update.answersVote() && update.status() != ControlStatus.OK) {
-            // the update names the build that was voted on, or 0
+            // the build is the one that was voted on, or 0 if it is unknown
             enqueueIf(
                     partition ->
                             partitions.isSingle() || update.build() == 0 || partition.rolloutBuild() == update.build(),
@@ -247,8 +249,8 @@
     }
 
     /**
-     * Forwards a complaint. It names only an endpoint, so partitions that share the endpoint receive its complaints in
-     * turn.
+     * Forwards a complaint. It identifies the endpoint but not the request, so partitions that share the endpoint
+     * receive its complaints in turn.
      */
     private void acceptComplaint(Event.ComplaintReceived complaint) {
         if (partitions.isSingle()) {
@@ -345,7 +347,7 @@
         }
         // as if the control service had refused the vote: the decider repeats it as long as its verdict is the same
         partition.enqueue(new RolloutUpdate(ControlStatus.STALE, 0, 0, 0, RolloutPhase.CANARY, 0, true));
-        actions.add(new Action.WriteLog("vote on build " + vote.build() + " stage " + vote.stage() + " withheld: "
-                + vote.verdict() + ", " + reason));
+        actions.add(new Action.WriteLog("vote on build " + vote.build() + " stage " + vote.stage() + ", "
+                + vote.verdict() + ", withheld: " + reason));
     }
 }
--- a/src/main/java/laurelkeel/partition/VoteGate.java
+++ b/src/main/java/laurelkeel/partition/VoteGate.java
@@ -12,27 +12,29 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reconciles the votes of the partitions' deciders with the attribution of regressions.
+ * Withholds votes of the partitions' deciders until regressions are attributed, and votes to roll back the builds that
+ * they are attributed to.
  *
- * <p>A decider compares its rollout's build only with the baseline, and may attribute to its build a failure that
- * another rollout causes. The reports of all nodes are used to attribute a regression to one of the rollouts. This
- * class determines which votes wait for that attribution, and votes to roll back the build that the regression is
- * attributed to. Not thread-safe.
+ * <p>A decider compares its rollout's build only with the baseline, and may therefore attribute a regression to its own
+ * build that another rollout causes. The reports of all nodes are used to attribute a regression to one of the
+ * rollouts. This class determines which votes wait for that attribution, and votes to roll back the build that the
+ * regression is attributed to. Not thread-safe.
  */
 final class VoteGate {
     /**
-     * How long a vote to roll back waits for the attribution; after that, the decider's own comparison is sufficient.
+     * How long votes to roll back a build are withheld at most, counted from the first vote withheld in its rollout;
+     * after that, the decider's own comparison is sufficient.
      */
     private static final long ROLL_BACK_DELAY_TICKS = 15 * Ticks.PER_SECOND;
 
     private final long renewalTicks;
     private final Map<Integer, Attribution> attributions = new HashMap<>();
-    private final Map<Integer, Long> firstWithheldTicks = new HashMap<>();
-    private final Map<Integer, Long> lastRollBackVoteTicks = new HashMap<>();
+    private final Map<Integer, Long> firstWithheldAtTicks = new HashMap<>();
+    private final Map<Integer, Long> lastRollBackVoteAtTicks = new HashMap<>();
 
     /** @param voteLifetimeTicks how long a vote is valid */
     VoteGate(long voteLifetimeTicks) {
-        // renewed before it expires, with enough time left if an answer is lost
+        // renewed when 40% of the lifetime is left, so that a delayed renewal arrives before the vote expires
         renewalTicks = voteLifetimeTicks * 6 / 10;
     }
 
@@ -43,42 +45,44 @@
     /** Removes the state of a build whose rollout has ended. */
     void removeBuild(int build) {
         attributions.remove(build);
-        firstWithheldTicks.remove(build);
-        lastRollBackVoteTicks.remove(build);
+        firstWithheldAtTicks.remove(build);
+        lastRollBackVoteAtTicks.remove(build);
     }
 
     /** Returns why a partition's vote must not be cast yet, as text for the log, or null if it may be cast. */
     @Nullable
     String reasonToWithhold(CastVote vote, long nowTicks) {
         Attribution own = attributions.getOrDefault(vote.build(), Attribution.NONE);
-        boolean isOpen = attributions.containsValue(Attribution.OPEN);
-        boolean isOtherGuilty = isOtherGuilty(vote.build());
+        boolean isAnyOpen = attributions.containsValue(Attribution.OPEN);
+        boolean isAttributedToOther = isAttributedToOther(vote.build());
         if (vote.verdict() == Verdict.PROMOTE) {
-            boolean mustWait = isOpen || isOtherGuilty || own == Attribution.GUILTY;
-            return mustWait ? "no promotion before a regression is attributed and its build rolled back" : null;
+            boolean mustWait = isAnyOpen || isAttributedToOther || own == Attribution.GUILTY;
+            return mustWait
+                    ? "no promotion until the regression is attributed and the build that causes it is rolled back"
+                    : null;
         }
         if (vote.verdict() == Verdict.ROLL_BACK && own != Attribution.GUILTY) {
-            boolean mustWait = isOpen || isOtherGuilty || own == Attribution.CLEARED;
+            boolean mustWait = isAnyOpen || isAttributedToOther || own == Attribution.CLEARED;
             return mustWait && isWithinDelay(vote.build(), nowTicks)
-                    ? "the regression is not attributed to this build"
+                    ? "no regression has been attributed to this build so far"
                     : null;
         }
         return null;
     }
 
-    private boolean isOtherGuilty(int build) {
+    private boolean isAttributedToOther(int build) {
         return attributions.entrySet().stream()
                 .anyMatch(entry -> entry.getKey() != build && entry.getValue() == Attribution.GUILTY);
     }
 
     private boolean isWithinDelay(int build, long nowTicks) {
-        long firstTicks = firstWithheldTicks.computeIfAbsent(build, unused -> nowTicks);
+        long firstTicks = firstWithheldAtTicks.computeIfAbsent(build, unused -> nowTicks);
         return nowTicks < firstTicks + ROLL_BACK_DELAY_TICKS;
     }
 
     /**
-     * Returns votes, with their log lines, to roll back canaries that a regression is attributed to or that are set
-     * aside.
+     * Returns the votes that are due to roll back canaries that a regression is attributed to or that are set aside,
+     * with a log line for the first vote on each build.
      */
     List<Action> rollBackVotes(ConcurrentRollouts rollouts, long nowTicks) {
         List<Action> actions = new ArrayList<>();
@@ -97,17 +101,17 @@
 
     private void voteToRollBack(RolloutRecord rollout, Attribution attribution, long nowTicks, List<Action> actions) {
         int build = rollout.build();
-        Long lastVoteTicks = lastRollBackVoteTicks.get(build);
+        Long lastVoteTicks = lastRollBackVoteAtTicks.get(build);
         if (lastVoteTicks != null && nowTicks < lastVoteTicks + renewalTicks) {
             return;
         }
-        lastRollBackVoteTicks.put(build, nowTicks);
+        lastRollBackVoteAtTicks.put(build, nowTicks);
         actions.add(new CastVote(build, rollout.stage(), Verdict.ROLL_BACK));
         if (lastVoteTicks == null) {
             String reason = attribution == Attribution.GUILTY
                     ? "a regression is attributed to it"
-                    : "set aside to determine whether the regression ends without it";
-            actions.add(new Action.WriteLog("votes to roll back build " + build + ": " + reason));
+                    : "set aside to determine whether the regression ends after the rollback";
+            actions.add(new Action.WriteLog("this node votes to roll back build " + build + ": " + reason));
         }
     }
 }
--- a/src/main/java/laurelkeel/scenario/ScenarioReport.java
+++ b/src/main/java/laurelkeel/scenario/ScenarioReport.java
@@ -12,7 +12,7 @@
 import laurelkeel.testbed.RouteStatistics;
 import org.HdrHistogram.Histogram;
 
-/** Formats the results of a scenario as text for people; the last line is also meant for scripts. */
+/** Formats the results of a scenario as human-readable text, whose last line scripts may parse. */
 public final class ScenarioReport {
     private static final int MAX_VIOLATIONS_SHOWN = 10;
     private static final String NO_ATTRIBUTION = "none";
@@ -89,7 +89,7 @@
                 return i;
             }
         }
-        throw new IllegalArgumentException(name);
+        throw new IllegalArgumentException("the load profile has no route '" + name + "'");
     }
 
     private static void appendAttempts(StringBuilder text, List<TrafficRecord> records) {
@@ -139,7 +139,10 @@
         return (trafficRecord.timeTicks() - startTicks) / (double) RecordClock.TICKS_PER_SECOND;
     }
 
-    /** Returns the verdicts on all rules with their first violations, and the last line. */
+    /**
+     * Formats the verdicts on all rules, each with its first 10 violations, followed by the summary line, which is the
+     * last line of a report.
+     */
     public static String formatVerdicts(AuditReport report) {
         StringBuilder text = new StringBuilder();
         for (RuleVerdict verdict : report.verdicts()) {
@@ -161,8 +164,8 @@
     }
 
     private static void appendViolations(StringBuilder text, List<RuleViolation> violations) {
-        int shown = Math.min(MAX_VIOLATIONS_SHOWN, violations.size());
-        for (RuleViolation violation : violations.subList(0, shown)) {
+        int shownCount = Math.min(MAX_VIOLATIONS_SHOWN, violations.size());
+        for (RuleViolation violation : violations.subList(0, shownCount)) {
             text.append(String.format(
                     Locale.ROOT,
                     "        at %.1f ms, req %s: %s%n",
@@ -170,13 +173,13 @@
                     violation.requestId(),
                     violation.description()));
         }
-        if (violations.size() > shown) {
-            text.append("        and ").append(violations.size() - shown).append(" more\n");
+        if (violations.size() > shownCount) {
+            text.append("        and ").append(violations.size() - shownCount).append(" more\n");
         }
     }
 
-    private static String formatShare(long part, long all) {
-        double share = all == 0 ? 0 : part / (double) all;
+    private static String formatShare(long part, long total) {
+        double share = total == 0 ? 0 : part / (double) total;
         return String.format(Locale.ROOT, "%.1f%%", share * 100);
     }
 
--- a/src/test/java/laurelkeel/PackageDependencyTest.java
+++ b/src/test/java/laurelkeel/PackageDependencyTest.java
@@ -7,17 +7,25 @@
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
+import java.util.Calendar;
+import java.util.Date;
 import java.util.List;
 import java.util.Map;
+import java.util.Scanner;
+import java.util.Timer;
+import java.util.TimerTask;
 import org.junit.jupiter.api.Test;
 
-/** Checks the dependencies between packages that docs/front.md shows. */
+/**
+ * Checks that packages depend on each other only as shown in docs/front.md and without cycles, and that the packages of
+ * the deciders use only a few packages of the JDK and of libraries.
+ */
 class PackageDependencyTest {
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .importPackages("laurelkeel");
 
-    /** For each package, the other packages of this project that it may use. */
+    /** For each package except cli, which may use all of them, the other packages of this project that it may use. */
     private static final Map<String, List<String>> ALLOWED = Map.ofEntries(
             Map.entry("api", List.of()),
             Map.entry("decision", List.of("api")),
@@ -53,7 +61,7 @@
     @Test
     void packagesDependOnlyOnThoseAllowed() {
         ALLOWED.forEach((from, to) -> {
-            String[] others = ALLOWED.keySet().stream()
+            String[] forbidden = ALLOWED.keySet().stream()
                     .filter(name -> !name.equals(from) && !to.contains(name))
                     .map(name -> "laurelkeel." + name + "..")
                     .toArray(String[]::new);
@@ -62,7 +70,7 @@
                     .resideInAPackage("laurelkeel." + from + "..")
                     .should()
                     .dependOnClassesThat()
-                    .resideInAnyPackage(others)
+                    .resideInAnyPackage(forbidden)
                     .check(CLASSES);
             noClasses()
                     .that()
@@ -74,6 +82,10 @@
         });
     }
 
+    /**
+     * Excludes classes by name, because the allowed packages java.lang and java.util contain some for I/O, clocks and
+     * threads. The list is not complete: for example, java.util.Formatter can write files.
+     */
     @Test
     void decisionPackagesUseNoIoClocksOrThreads() {
         for (String name : List.of("api", "decision", "partition", "attribution")) {
@@ -101,7 +113,18 @@
                     .resideInAPackage("laurelkeel." + name + "..")
                     .should()
                     .dependOnClassesThat()
-                    .belongToAnyOf(System.class, Thread.class)
+                    .belongToAnyOf(
+                            System.class,
+                            Thread.class,
+                            ThreadGroup.class,
+                            Runtime.class,
+                            Process.class,
+                            ProcessBuilder.class,
+                            Timer.class,
+                            TimerTask.class,
+                            Scanner.class,
+                            Date.class,
+                            Calendar.class)
                     .check(CLASSES);
         }
     }
--- a/src/test/java/laurelkeel/attribution/CanaryComparisonTest.java
+++ b/src/test/java/laurelkeel/attribution/CanaryComparisonTest.java
@@ -73,7 +73,7 @@
         assertEquals(Kind.FAILS, canary.evidence().strongestKind());
         assertTrue(canary.evidence().total() > Math.log(500));
         assertEquals(0.4, canary.shareDifference(BadOutcome.FAILED, 1.96).value(), 1e-9);
-        canary.markGuilty(Kind.FAILS);
+        canary.attributeRegression(Kind.FAILS);
         assertTrue(
                 finding().evidence().startsWith("build 2 is to blame: of its tries 40.0 in 100 more fail"),
                 finding().evidence());
--- a/src/test/java/laurelkeel/attribution/ComparisonFilterTest.java
+++ b/src/test/java/laurelkeel/attribution/ComparisonFilterTest.java
@@ -31,7 +31,7 @@
         assertTrue(filter.accepts(canaryUsual));
         assertTrue(filter.accepts(referenceUsual));
         assertFalse(filter.accepts(otherCanary));
-        assertFalse(filter.acceptsForSilence(otherCanary));
+        assertFalse(filter.acceptsForUnanswered(otherCanary));
     }
 
     @Test
@@ -40,10 +40,10 @@
         assertEquals("a", filter.outlierEndpoint());
         for (Cell outlier : new Cell[] {canaryOutlier, referenceOutlier}) {
             assertFalse(filter.accepts(outlier));
-            assertFalse(filter.acceptsForSilence(outlier));
+            assertFalse(filter.acceptsForUnanswered(outlier));
         }
         assertTrue(filter.accepts(referenceUsual));
-        assertTrue(filter.acceptsForSilence(referenceUsual));
+        assertTrue(filter.acceptsForUnanswered(referenceUsual));
     }
 
     @Test
@@ -54,6 +54,6 @@
         assertEquals(7, filter.excludedTenant());
         assertFalse(filter.accepts(failing));
         assertTrue(filter.accepts(usual));
-        assertTrue(filter.acceptsForSilence(failing));
+        assertTrue(filter.acceptsForUnanswered(failing));
     }
 }
--- a/src/test/java/laurelkeel/attribution/ExplanationModelTest.java
+++ b/src/test/java/laurelkeel/attribution/ExplanationModelTest.java
@@ -54,14 +54,14 @@
         ExplanationRanking ranking = rank(second -> 3);
         assertTrue(ranking.isNoneMostProbable(), ranking.describe());
         assertFalse(ranking.isRegression());
-        assertEquals(List.of(), ranking.guiltyBuilds());
+        assertEquals(List.of(), ranking.attributedBuilds());
     }
 
     @Test
     void latenciesThatRiseWithABuildsShareAreAttributedToIt() {
         ExplanationRanking ranking = rank(second -> 3 + 4 * sharesOfBuild2[second]);
         assertEquals(List.of(2), ranking.best().builds());
-        assertEquals(List.of(2), ranking.guiltyBuilds(), ranking.describe());
+        assertEquals(List.of(2), ranking.attributedBuilds(), ranking.describe());
         assertTrue(ranking.isRegression());
         assertEquals(0.8, ranking.best().effect().value(), 0.1);
         assertEquals(30, ranking.best().affectedSeconds());
--- a/src/test/java/laurelkeel/decision/ActiveRequestTest.java
+++ b/src/test/java/laurelkeel/decision/ActiveRequestTest.java
@@ -54,12 +54,12 @@
     @Test
     void aFailureRestrictsTheNextEndpoint() {
         assertTrue(request.mayUseAnyEndpoint());
-        request.attemptFailed(endpoint, false);
+        request.attemptEndedWithoutCompletion(endpoint, false);
         assertFalse(request.mayUseAnyEndpoint());
-        assertTrue(request.hasFailedAt(endpoint));
-        assertFalse(request.hasFailedAt(endpoint("other")));
+        assertTrue(request.wasTriedAt(endpoint));
+        assertFalse(request.wasTriedAt(endpoint("other")));
         assertFalse(request.avoidsCanary());
-        request.attemptFailed(endpoint, true);
+        request.attemptEndedWithoutCompletion(endpoint, true);
         assertTrue(request.avoidsCanary());
     }
 
--- a/src/test/java/laurelkeel/decision/BuildComparisonTest.java
+++ b/src/test/java/laurelkeel/decision/BuildComparisonTest.java
@@ -34,7 +34,7 @@
     }
 
     private @Nullable Regression find(boolean isBaselineServing, List<Endpoint> endpoints) {
-        return comparison.find(CANARY, STABLE, isBaselineServing, endpoints, NOW_TICKS);
+        return comparison.findRegression(CANARY, STABLE, isBaselineServing, endpoints, NOW_TICKS);
     }
 
     @Test
--- a/src/test/java/laurelkeel/decision/BuildRouterTest.java
+++ b/src/test/java/laurelkeel/decision/BuildRouterTest.java
@@ -110,7 +110,7 @@
     @Test
     void sendsTheSliceToTheStableBuildBeyondTheCap() {
         while (exposure.allows(CANARY, 0, 0.5, true, 0)) {
-            exposure.attemptSent(CANARY, 0, 0);
+            exposure.attemptPlanned(CANARY, 0, 0);
         }
         assertEquals(STABLE, chosenBuild(key(true)));
     }
@@ -118,7 +118,7 @@
     @Test
     void sendsARequestThatFailedAtTheCanaryToTheStableBuild() {
         ActiveRequest request = request(route(Idempotency.IDEMPOTENT), key(true));
-        request.attemptFailed(endpoint("e"), true);
+        request.attemptEndedWithoutCompletion(endpoint("e"), true);
         assertEquals(STABLE, chosenBuild(request));
     }
 
@@ -127,7 +127,7 @@
         available.remove(STABLE);
         assertEquals(CANARY, chosenBuild(key(false)));
         while (exposure.allows(CANARY, 0, 0.5, true, 0)) {
-            exposure.attemptSent(CANARY, 0, 0);
+            exposure.attemptPlanned(CANARY, 0, 0);
         }
         assertEquals(NONE, chosenBuild(key(false)));
     }
--- a/src/test/java/laurelkeel/decision/ClientRetryDetectorTest.java
+++ b/src/test/java/laurelkeel/decision/ClientRetryDetectorTest.java
@@ -23,7 +23,7 @@
 
     @Test
     void requestsOfAKeyAreRetriesForFiveSecondsAfterAFailure() {
-        detector.requestUnsuccessful("a", 0);
+        detector.requestRejectedOrFailed("a", 0);
         detector.removeExpired(5 * Ticks.PER_SECOND);
         assertTrue(detector.isRetry(request("a", false)));
         assertFalse(detector.isRetry(request("b", false)));
--- a/src/test/java/laurelkeel/decision/EndpointPickerTest.java
+++ b/src/test/java/laurelkeel/decision/EndpointPickerTest.java
@@ -80,9 +80,9 @@
     void aRetryAvoidsTheEndpointsThatFailedIt() {
         applySnapshot(entry("a", 1, 0, 0, 0), entry("b", 1, 0, 0, 0));
         ActiveRequest request = request(Idempotency.IDEMPOTENT);
-        request.attemptFailed(find("a"), false);
+        request.attemptEndedWithoutCompletion(find("a"), false);
         assertEquals(Set.of("b"), picked(request));
-        request.attemptFailed(find("b"), false);
+        request.attemptEndedWithoutCompletion(find("b"), false);
         assertEquals(Set.of("a", "b"), picked(request));
     }
 
--- a/src/test/java/laurelkeel/decision/ExposureLimiterTest.java
+++ b/src/test/java/laurelkeel/decision/ExposureLimiterTest.java
@@ -27,7 +27,7 @@
     private static int sendAll(ExposureLimiter limiter, int route, boolean isSticky, long nowTicks) {
         int sent = 0;
         while (limiter.allows(CANARY, route, CAP, isSticky, nowTicks)) {
-            limiter.attemptSent(CANARY, route, nowTicks);
+            limiter.attemptPlanned(CANARY, route, nowTicks);
             sent++;
         }
         return sent;
--- a/src/test/java/laurelkeel/decision/FaultHandlingTest.java
+++ b/src/test/java/laurelkeel/decision/FaultHandlingTest.java
@@ -25,7 +25,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests how a decider handles faults of endpoints, builds and requests. Each case once failed in an earlier version.
+ * Tests how a decider handles faults of endpoints, builds and requests. Each test covers a case that an
+ * earlier version handled wrongly.
  */
 class FaultHandlingTest {
     /**
@@ -78,7 +79,9 @@
                         retry == null || retry.build() == 2,
                         key + " may have been served by build 2, although its answer was lost");
                 SentAttempt next = simulation.inFlightOf(simulation.request(0, key));
-                assertTrue(next == null || next.build() == 2, key + " is requested again");
+                assertTrue(
+                        next == null || next.build() == 2,
+                        key + " may have been served by build 2, and was requested again");
             } else if (first != null) {
                 simulation.end(first, AttemptOutcome.COMPLETED);
             }
@@ -116,7 +119,10 @@
         assertTrue(inFlight > 3, "attempts at the canary: " + inFlight);
     }
 
-    /** Its fast errors would attract a large share of the requests and look like a regression of its build. */
+    /**
+     * The fast errors of a faulty endpoint would attract a large share of the requests and look like a regression of
+     * its build.
+     */
     @Test
     void endpointsWithErrorsAreEjectedWithoutAVoteAgainstTheirBuild() {
         DecisionSimulation simulation = simulation(1);
@@ -126,26 +132,26 @@
                 endpoint("t0", 2, 0, EndpointState.ACTIVE, 1), endpoint("t1", 2, 0, EndpointState.ACTIVE, 1));
         Set<String> faulty = Set.of("t0", "m0");
         int attemptsAtFaulty = 0;
-        int lateAttemptsAtFaulty = 0;
-        int lateAttemptsElsewhere = 0;
+        int attemptsAtFaultyAfterDetection = 0;
+        int attemptsElsewhereAfterDetection = 0;
         for (int i = 0; i < 3000; i++) {
             simulation.advance(SECOND / 100);
             SentAttempt sent = simulation.inFlightOf(simulation.request(0, "k" + i));
             while (sent != null) {
                 boolean isFaulty = faulty.contains(sent.endpointId());
-                boolean isLate = i > 500;
+                boolean isAfterDetection = i > 500;
                 attemptsAtFaulty += isFaulty ? 1 : 0;
-                lateAttemptsAtFaulty += isLate && isFaulty ? 1 : 0;
-                lateAttemptsElsewhere += isLate && !isFaulty ? 1 : 0;
+                attemptsAtFaultyAfterDetection += isAfterDetection && isFaulty ? 1 : 0;
+                attemptsElsewhereAfterDetection += isAfterDetection && !isFaulty ? 1 : 0;
                 simulation.end(sent, isFaulty ? AttemptOutcome.FAILED : AttemptOutcome.COMPLETED);
                 sent = simulation.inFlightOf(sent.requestId());
             }
         }
-        assertTrue(attemptsAtFaulty > 5, "attempts at the faulty endpoints before their ejection: " + attemptsAtFaulty);
+        assertTrue(attemptsAtFaulty > 5, "attempts at the faulty endpoints in the whole run: " + attemptsAtFaulty);
         assertTrue(
-                lateAttemptsAtFaulty < lateAttemptsElsewhere / 20,
-                "two of eight endpoints had " + lateAttemptsAtFaulty + " attempts, the others "
-                        + lateAttemptsElsewhere);
+                attemptsAtFaultyAfterDetection < attemptsElsewhereAfterDetection / 20,
+                "two of eight endpoints had " + attemptsAtFaultyAfterDetection + " attempts, the others "
+                        + attemptsElsewhereAfterDetection);
         assertTrue(
                 simulation.votes.stream().noneMatch(v -> v.verdict() == Verdict.ROLL_BACK),
                 "the other endpoint of the build has no errors");
@@ -153,13 +159,13 @@
     }
 
     @Test
-    void aBuildThatLeavesTheEndpointListAndReturnsHasNoNewAllowance() {
+    void aBuildThatLeavesTheEndpointListAndReturnsGetsNoNewAllowance() {
         DecisionSimulation simulation = simulation(1);
         simulation.start(4);
         for (int flap = 0; flap < 6; flap++) {
             simulation.updateEndpoints(endpoint("t0", 2, 0, EndpointState.ACTIVE, 1));
             simulation.advance(SECOND / 5);
-            // repeats the last key of the canary slice, with more requests than the cap allows
+            // once a key has gone to the canary, repeats it, with more requests than the cap allows
             String key = "k" + flap;
             for (int i = 0; i < 100; i++) {
                 SentAttempt sent = simulation.inFlightOf(simulation.request(0, key));
@@ -193,7 +199,10 @@
         long sent = simulation.sent.stream()
                 .filter(attempt -> attempt.endpointId().equals("c") && attempt.sentAtTicks() > from)
                 .count();
-        assertTrue(sent > 0 && sent < 30, "of 80 requests; an endpoint usually receives 20 in the window: " + sent);
+        assertTrue(
+                sent > 0 && sent < 30,
+                "attempts at the endpoint that is warming up, of 80 requests; with all four endpoints, each would receive 20: "
+                        + sent);
     }
 
     @Test
@@ -212,7 +221,10 @@
                     .filter(attempt -> attempt.endpointId().equals("c"))
                     .count();
         }
-        assertTrue(sent > 0 && sent <= 10, "of 120 requests; an endpoint usually receives 4 in the window: " + sent);
+        assertTrue(
+                sent > 0 && sent <= 10,
+                "attempts at the endpoint that is warming up, of 120 requests; with all 30 endpoints, each would receive 4: "
+                        + sent);
     }
 
     @Test
@@ -237,7 +249,7 @@
                                 .filter(attempt -> attempt.endpointId().equals("small"))
                                 .count()
                         >= 5,
-                "of 50 requests");
+                "fewer than 5 attempts at the endpoint of low capacity, of 50 requests");
     }
 
     @Test
@@ -287,7 +299,7 @@
     }
 
     @Test
-    void loadIsShedBeforeStandingQueuesBuildUp() {
+    void loadIsShedWhenLatenciesExceedTheObjective() {
         DecisionSimulation simulation = simulation(1);
         simulation.start(2);
         simulation.runTraffic(5 * SECOND, 20, 1000, 0, 0, new Random(1));
@@ -298,11 +310,11 @@
                                 .filter(a -> a instanceof Action.RejectRequest)
                                 .count()
                         > 50,
-                "rejections");
+                "at most 50 rejections");
     }
 
     @Test
-    void aFailingBuildGetsARollBackVoteAndAGoodOneIsPromoted() {
+    void aFailingBuildGetsARollBackVoteAndAGoodOneAPromoteVote() {
         assertTrue(verdictsByErrorShare(0.2, 7).contains(Verdict.ROLL_BACK));
         List<Verdict> good = verdictsByErrorShare(0, 7);
         assertTrue(good.contains(Verdict.PROMOTE) && !good.contains(Verdict.ROLL_BACK), good.toString());
@@ -325,9 +337,11 @@
 
     /**
      * Returns the verdicts of a node that receives a request every half second, while the statistics of all nodes
-     * contain failures of the canary.
+     * may contain failures of the canary.
      *
      * @param firstOutcome outcome of the node's own first attempt at the canary
+     * @param failures failed attempts at the canary among 6 in each statistics event
+     * @param endpointCount number of endpoints of each build
      */
     private static Set<Verdict> verdictsByStatistics(AttemptOutcome firstOutcome, int failures, int endpointCount) {
         DecisionSimulation simulation = simulation(1);
@@ -396,7 +410,7 @@
     }
 
     @Test
-    void buildsThatAreSlowOrSlowDownAllEndpointsGetARollBackVote() {
+    void aBuildThatIsSlowOrMakesAllEndpointsSlowGetsARollBackVote() {
         assertTrue(verdictsByLatency(3000, 1000).contains(Verdict.ROLL_BACK), "slower than the stable build");
         assertTrue(
                 verdictsByLatency(2200, 2200).contains(Verdict.ROLL_BACK),
@@ -404,7 +418,10 @@
         assertFalse(verdictsByLatency(1000, 1000).contains(Verdict.ROLL_BACK), "as fast as before");
     }
 
-    /** Returns the verdicts if answers take 100 ms before the rollout and the given times during the rollout. */
+    /**
+     * Returns the verdicts if answers take at least 100 ms before the rollout and at least the given times during the
+     * rollout, plus up to 20 ms at random.
+     */
     private static List<Verdict> verdictsByLatency(long canaryTicks, long stableTicks) {
         DecisionSimulation simulation =
                 new DecisionSimulation(settings(false, 0, Settings.PromotionPolicy.FIRST_VOTE), 6);
--- a/src/test/java/laurelkeel/decision/RolloutVoterTest.java
+++ b/src/test/java/laurelkeel/decision/RolloutVoterTest.java
@@ -113,7 +113,7 @@
         announce(2, 0, RolloutPhase.CANARY, 10 * SECOND);
         long castTicks = 20 * SECOND;
         assertNotNull(voteAt(castTicks));
-        voter.voteAnswered(ControlStatus.OK);
+        voter.voteResponseReceived(ControlStatus.OK);
         assertNull(voteAt(castTicks + 3 * SECOND - 1));
         assertNotNull(voteAt(castTicks + 4 * SECOND));
     }
@@ -122,10 +122,10 @@
     void votesImmediatelyOnANewStageOrWithAnotherVerdict() {
         announce(2, 0, RolloutPhase.CANARY, 10 * SECOND);
         assertNotNull(voteAt(20 * SECOND));
-        voter.voteAnswered(ControlStatus.OK);
+        voter.voteResponseReceived(ControlStatus.OK);
         regression = REGRESSION;
         assertEquals(new CastVote(2, 0, Verdict.ROLL_BACK), voteAt(21 * SECOND));
-        voter.voteAnswered(ControlStatus.OK);
+        voter.voteResponseReceived(ControlStatus.OK);
         regression = null;
         announce(2, 1, RolloutPhase.CANARY, 21 * SECOND);
         assertEquals(new CastVote(2, 1, Verdict.PROMOTE), voteAt(25 * SECOND));
@@ -143,7 +143,7 @@
     void castsAVoteThatWasNotAcceptedAgain() {
         announce(2, 0, RolloutPhase.CANARY, 10 * SECOND);
         assertNotNull(voteAt(20 * SECOND));
-        voter.voteAnswered(ControlStatus.RATE_LIMITED);
+        voter.voteResponseReceived(ControlStatus.RATE_LIMITED);
         assertNull(voteAt(20 * SECOND + SECOND / 2 - 1), "only after a pause");
         assertNotNull(voteAt(20 * SECOND + SECOND / 2));
     }
--- a/src/test/java/laurelkeel/decision/SlowStartTest.java
+++ b/src/test/java/laurelkeel/decision/SlowStartTest.java
@@ -44,7 +44,7 @@
         long nowTicks = STARTED_AT_TICKS;
         int sent = 0;
         while (!slowStart.isBudgetExhausted(endpoint, throughput, nowTicks)) {
-            endpoint.warmUpBudget().attemptSent(nowTicks);
+            endpoint.warmUpBudget().attemptPlanned(nowTicks);
             sent++;
         }
         // 20 answers are expected in the window; the limit is 0.7 of three times 0.4 of them
--- a/src/test/java/laurelkeel/decision/WarmUpBudgetTest.java
+++ b/src/test/java/laurelkeel/decision/WarmUpBudgetTest.java
@@ -21,7 +21,7 @@
     @Test
     void attemptsBeforeTheWindowDoNotCount() {
         WarmUpBudget budget = new WarmUpBudget();
-        budget.attemptSent(10);
+        budget.attemptPlanned(10);
         assertTrue(budget.isExhausted(1, 10));
         assertFalse(budget.isExhausted(1, 11));
     }
--- a/src/test/java/laurelkeel/partition/PartitionedDeciderTest.java
+++ b/src/test/java/laurelkeel/partition/PartitionedDeciderTest.java
@@ -149,7 +149,7 @@
         simulation.runTraffic(10 * SECOND, 5);
         assertTrue(
                 simulation.votes.stream().noneMatch(vote -> vote.build() == 2),
-                "its errors may be caused by the guilty build: " + simulation.votes);
+                "its errors may be caused by the build that the regression is attributed to: " + simulation.votes);
         simulation.runTraffic(20 * SECOND, 5);
         assertTrue(
                 simulation.votes.stream().anyMatch(isVote(2, Verdict.ROLL_BACK)),
--- a/src/test/java/laurelkeel/platform/DiscoveryClientTest.java
+++ b/src/test/java/laurelkeel/platform/DiscoveryClientTest.java
@@ -36,9 +36,10 @@
             String all = WATCH_RESPONSE_HEAD
                     + chunk(testBed.listJson(3, false, "leaving", 1) + "\n\n")
                     + chunk(testBed.listJson(2, false, "active", 1) + "\n");
-            // read before the rest arrives, so that the first line of the head is incomplete then
+            // the node reads this byte before the rest arrives, so that it handles an incomplete status line
             send(watch, all.substring(0, 1));
             Socket healthClient = testBed.connectClient();
+            // three responses on another connection show that the node has read the byte
             for (int i = 0; i < 3; i++) {
                 getHealth(healthClient);
             }
@@ -58,6 +59,7 @@
             assertEquals(
                     EndpointListKind.SNAPSHOT,
                     testBed.awaitEvent(Event.EndpointListUpdate.class, 3).kind());
+            // not an endpoint list: ends the watch without an event
             send(watch, chunk("{\"noise\":1}\n"));
             receive(testBed.discovery.nextConnection());
             assertEquals(3, testBed.eventsOf(Event.EndpointListUpdate.class).size());
@@ -108,7 +110,7 @@
                 try {
                     send(watch, WATCH_RESPONSE_HEAD + chunk(malformed));
                 } catch (IOException ignored) {
-                    // the node closed it before all of the large object was sent
+                    // the node closed the connection before all of the large object was sent
                 }
             }
             testBed.discovery.nextConnection();
@@ -118,7 +120,7 @@
 
     /** A discovery instance that lags behind, or a delayed list, may list draining endpoints as active. */
     @Test
-    void anOlderCompleteListIsIgnoredUntilSuchListsHaveArrivedForSixSeconds() throws Exception {
+    void anOlderCompleteListIsRejectedUntilSuchListsHaveArrivedForSixSeconds() throws Exception {
         TestClock clock = TestClock.running();
         try (PlatformTestBed testBed = new PlatformTestBed(1024, 5000, clock, PlatformTestBed::doNothing)) {
             Socket watch = testBed.acceptWatch(testBed.listJson(5, false, "leaving", 1));
@@ -131,7 +133,7 @@
             next = testBed.discovery.nextConnection();
             receive(next);
             assertEquals(2, testBed.eventsOf(Event.EndpointListUpdate.class).size());
-            // no newer list arrives within the maximum delay; the watch, which is silent in that time, is closed too
+            // no newer list arrives within the maximum delay (6 s); the watch is closed because it is silent meanwhile
             clock.advance(61_000);
             assertTrue(receive(next).contains("<end>"));
             next = testBed.discovery.nextConnection();
@@ -144,7 +146,7 @@
     }
 
     @Test
-    void anEndpointThatReturnsWithAnotherBuildReusesNoOldConnection() throws Exception {
+    void noConnectionIsReusedForAnEndpointThatReturnsWithAnotherBuild() throws Exception {
         try (PlatformTestBed testBed = new PlatformTestBed(PlatformTestBed::sendOnce)) {
             Socket watch = testBed.acceptWatch(testBed.listJson(2, false, "active", 1));
             testBed.awaitEvent(Event.EndpointListUpdate.class, 2);
@@ -163,8 +165,8 @@
     }
 
     /**
-     * A change that a silent watch misses is treated as known 6 s after the silence began; the third watch opens after
-     * 5.1 s.
+     * The platform treats a change as known to this node 6 s after it, even if the watch was silent. In this test the
+     * third watch has opened 5.05 s after the last message of the first one.
      */
     @Test
     void aSecondSilentWatchLeavesTimeForAThird() throws Exception {
