--- a/src/main/java/laurelkeel/bench/RecordedActionFormat.java
+++ b/src/main/java/laurelkeel/bench/RecordedActionFormat.java
@@ -16,7 +16,7 @@
             new Replacement(" CANARY", " TRIAL"),
             new Replacement(" ROLLING_BACK", " GOING_BACK"),
             new Replacement(" ROLLED_BACK", " WITHDRAWN"),
-            new Replacement("this node votes to roll back build", "votes back on build"),
+            new Replacement("votes to roll back build", "votes back on build"),
             new Replacement("higher error rate on", "errors on"),
             new Replacement("higher complaint rate on", "complaints on"),
             new Replacement("on all routes", "on route 3"),
--- a/src/main/java/laurelkeel/decision/RoutingDecider.java
+++ b/src/main/java/laurelkeel/decision/RoutingDecider.java
@@ -201,7 +201,7 @@
         Regression regression = vote.regression();
         if (regression != null) {
             actions.add(new Action.WriteLog(
-                    "this node votes to roll back build " + vote.action().build() + ": " + regression.describe()));
+                    "votes to roll back build " + vote.action().build() + ": " + regression.describe()));
         }
     }
 
--- a/src/main/java/laurelkeel/partition/VoteGate.java
+++ b/src/main/java/laurelkeel/partition/VoteGate.java
@@ -34,7 +34,7 @@
 
     /** @param voteLifetimeTicks how long a vote is valid */
     VoteGate(long voteLifetimeTicks) {
-        // renewed when 40% of the lifetime is left, so that a delayed renewal arrives before the vote expires
+        // renewed before it expires, with enough time left if an answer is lost
         renewalTicks = voteLifetimeTicks * 6 / 10;
     }
 
@@ -111,7 +111,7 @@
             String reason = attribution == Attribution.GUILTY
                     ? "a regression is attributed to it"
                     : "set aside to determine whether the regression ends after the rollback";
-            actions.add(new Action.WriteLog("this node votes to roll back build " + build + ": " + reason));
+            actions.add(new Action.WriteLog("votes to roll back build " + build + ": " + reason));
         }
     }
 }
--- a/src/test/java/laurelkeel/partition/VoteGateTest.java
+++ b/src/test/java/laurelkeel/partition/VoteGateTest.java
@@ -89,7 +89,7 @@
         assertEquals(
                 List.of(
                         new CastVote(2, 0, Verdict.ROLL_BACK),
-                        new Action.WriteLog("this node votes to roll back build 2: a regression is attributed to it")),
+                        new Action.WriteLog("votes to roll back build 2: a regression is attributed to it")),
                 gate.rollBackVotes(rollouts, 0));
         assertEquals(List.of(new CastVote(2, 0, Verdict.ROLL_BACK)), gate.rollBackVotes(rollouts, VOTE_LIFETIME_TICKS));
     }
