--- a/src/main/java/laurelkeel/platform/FrontNodeSettings.java
+++ b/src/main/java/laurelkeel/platform/FrontNodeSettings.java
@@ -41,7 +41,7 @@
 
     private static final long HEALTH_CHECK_TIMEOUT_TICKS = 250 * Ticks.PER_MILLISECOND;
     /** Surplus bytes that an endpoint sends after a response arrive within this time. */
-    private static final long REST_AFTER_RESPONSE_TICKS = 10 * Ticks.PER_MILLISECOND;
+    private static final long REUSE_DELAY_TICKS = 10 * Ticks.PER_MILLISECOND;
 
     private FrontNodeSettings() {}
 
@@ -89,7 +89,7 @@
                 IO_THREADS,
                 EndpointMessages.HEALTH_CHECK_PATH,
                 HEALTH_CHECK_TIMEOUT_TICKS,
-                REST_AFTER_RESPONSE_TICKS);
+                REUSE_DELAY_TICKS);
     }
 
     private static long positiveOr(long configured, long defaultValue) {
