--- a/src/main/java/laurelkeel/api/Event.java
+++ b/src/main/java/laurelkeel/api/Event.java
@@ -105,7 +105,13 @@
             int kind,
             double weight,
             EndpointState state,
-            long startedAtTicks) {}
+            long startedAtTicks) {
+
+        /** Returns this entry with another state. */
+        public EndpointEntry withState(EndpointState newState) {
+            return new EndpointEntry(endpointId, build, zone, cell, kind, weight, newState, startedAtTicks);
+        }
+    }
 
     /** An update of the endpoint list. */
     record EndpointListUpdate(EndpointListKind kind, List<EndpointEntry> entries) implements Event {}
--- a/src/main/java/laurelkeel/bench/EventStream.java
+++ b/src/main/java/laurelkeel/bench/EventStream.java
@@ -259,7 +259,7 @@
             if (isReplaced) {
                 String endpointId = "10.9." + nextId / 250 % 250 + "." + nextId++ % 250 + ":80";
                 changes.add(StreamEndpoints.replacement(endpoint, endpointId, next.build, nowTicks));
-                changes.add(StreamEndpoints.withState(endpoint, EndpointState.DRAINING));
+                changes.add(endpoint.withState(EndpointState.DRAINING));
             }
         }
         updateEndpoints(changes);
@@ -272,7 +272,7 @@
         }
         EndpointEntry endpoint = active.get(random.nextInt(active.size()));
         switch (kind) {
-            case 0 -> updateEndpoints(List.of(StreamEndpoints.withState(endpoint, EndpointState.REMOVED)));
+            case 0 -> updateEndpoints(List.of(endpoint.withState(EndpointState.REMOVED)));
             case 1 ->
                 updateEndpoints(List.of(
                         StreamEndpoints.replacement(endpoint, endpoint.endpointId(), endpoint.build(), nowTicks)));
--- a/src/main/java/laurelkeel/bench/StreamEndpoints.java
+++ b/src/main/java/laurelkeel/bench/StreamEndpoints.java
@@ -44,18 +44,6 @@
                 .toList();
     }
 
-    static EndpointEntry withState(EndpointEntry entry, EndpointState state) {
-        return new EndpointEntry(
-                entry.endpointId(),
-                entry.build(),
-                entry.zone(),
-                entry.cell(),
-                entry.kind(),
-                entry.weight(),
-                state,
-                entry.startedAtTicks());
-    }
-
     /** Returns the entry of an endpoint that starts now and replaces another one. */
     static EndpointEntry replacement(EndpointEntry entry, String endpointId, int build, long nowTicks) {
         return new EndpointEntry(
--- a/src/main/java/laurelkeel/partition/BuildVisibility.java
+++ b/src/main/java/laurelkeel/partition/BuildVisibility.java
@@ -54,21 +54,9 @@
                 visible.add(entry);
             } else if (partition.markHidden(entry.endpointId())) {
                 // the endpoint has restarted with another build: for this partition it is removed
-                visible.add(asRemoved(entry));
+                visible.add(entry.withState(EndpointState.REMOVED));
             }
         }
         return new EndpointListUpdate(update.kind(), visible);
     }
-
-    private static EndpointEntry asRemoved(EndpointEntry entry) {
-        return new EndpointEntry(
-                entry.endpointId(),
-                entry.build(),
-                entry.zone(),
-                entry.cell(),
-                entry.kind(),
-                entry.weight(),
-                EndpointState.REMOVED,
-                entry.startedAtTicks());
-    }
 }
